--- a/internal/system/replication/core_status.go
+++ b/internal/system/replication/core_status.go
@@ -64,7 +64,7 @@
 	if c.cfg.knobs.SkipCurrentMajority {
 		return true
 	}
-	confirmed := map[ID]string{}
+	confirmed := voterSet{}
 	for _, m := range c.acceptor.view.Voters {
 		if c.confirmsEpoch(m.ID, window) {
 			confirmed[m.ID] = m.Addr
--- a/internal/system/replication/first_view_planner.go
+++ b/internal/system/replication/first_view_planner.go
@@ -50,7 +50,7 @@
 	if pl.liveness.noSeedHasDisk() {
 		return true
 	}
-	known := map[ID]string{}
+	known := voterSet{}
 	for _, m := range seeds {
 		known[m.ID] = m.Addr
 	}
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -39,11 +39,11 @@
 	current             *View // whose voters decide
 	number              proposalNumber
 	startedAt           time.Duration
-	promisedBy          map[ID]string // addresses of those who promised
+	promisedBy          voterSet // addresses of those who promised
 	highestAccepted     proposalNumber
 	highestAcceptedView *View // accepted by one of them under highestAccepted
 	value               *View // nil in phase one
-	acceptedBy          map[ID]string
+	acceptedBy          voterSet
 }
 
 // isFor reports whether an answer of an acceptor is for this proposal.
@@ -112,7 +112,7 @@
 func (pr *proposer) propose(next *View) {
 	current := pr.acceptor.view
 	number := proposalNumber{round: max(pr.acceptor.promised.round, pr.highestRoundSeen) + 1, id: pr.self.ID}
-	pr.proposal = &proposal{current: current, number: number, startedAt: pr.now, promisedBy: map[ID]string{}, acceptedBy: map[ID]string{}}
+	pr.proposal = &proposal{current: current, number: number, startedAt: pr.now, promisedBy: voterSet{}, acceptedBy: voterSet{}}
 	pr.logEvent(fmt.Sprintf("replication: proposing view %d: %s", next.Epoch, next))
 	prepare := &replicationpb.Prepare{Current: viewPB(current), Ballot: proposalNumberPB(number)}
 	own := pr.acceptor.promiseReply(number)
--- a/internal/system/replication/quorum.go
+++ b/internal/system/replication/quorum.go
@@ -2,8 +2,12 @@
 
 import "slices"
 
-// isQuorum reports whether the nodes of the set, with their addresses, are a majority of v's voters. In epoch 0 the seeds vote, by
-// address, without those that are known to be observers.
+// voterSet is nodes that promised, accepted or confirmed, with their addresses. The addresses count in epoch 0 alone, where the seeds vote,
+// which are known by address; readConfirmation, which asks nobody before there is a view, leaves them empty.
+type voterSet map[ID]string
+
+// isQuorum reports whether the nodes of the set are a majority of v's voters. In epoch 0 the seeds vote, by address, without those that
+// are known to be observers.
 //
 // That two quorums of epoch 0 meet: let D be the seeds with a disk, which alone vote, and K the observers among the seeds that a
 // proposer knows of. K and D have no member in common, so the proposer counts over at least |D| seeds and needs more than |D|/2 votes,
@@ -14,7 +18,7 @@
 // Where all seeds have said that they are observers, D is empty, and the seeds vote for the first view all the same: a majority of all
 // of them, with their promises in memory. A process that ends has no vote afterwards, since it starts without Config.Bootstrap, so
 // nobody votes twice. They name nodes with a disk, and do not vote once there is a view.
-func (ac *acceptor) isQuorum(v *View, set map[ID]string) bool {
+func (ac *acceptor) isQuorum(v *View, set voterSet) bool {
 	if v.Epoch == 0 {
 		return ac.isSeedQuorum(set)
 	}
@@ -28,7 +32,7 @@
 }
 
 // isSeedQuorum reports whether the nodes of the set are a majority of the seeds that vote on the first view.
-func (ac *acceptor) isSeedQuorum(set map[ID]string) bool {
+func (ac *acceptor) isSeedQuorum(set voterSet) bool {
 	votes := 0
 	counted := map[string]bool{}
 	for _, addr := range set {
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -17,7 +17,7 @@
 	epoch       uint64 // that the round asks about
 	startedAt   time.Duration
 	sentAt      time.Duration
-	confirmedBy map[ID]string
+	confirmedBy voterSet
 	waiters     []func(confirmed bool) // of the round; none: no round is in progress
 	queued      []func(confirmed bool) // for the next round
 
@@ -50,7 +50,7 @@
 	}
 	rc.waiters, rc.queued = rc.queued, nil
 	rc.number++
-	rc.epoch, rc.startedAt, rc.confirmedBy = rc.acceptor.view.Epoch, rc.now, map[ID]string{}
+	rc.epoch, rc.startedAt, rc.confirmedBy = rc.acceptor.view.Epoch, rc.now, voterSet{}
 	rc.sendRound()
 	if rc.acceptor.isVoter(rc.acceptor.view) && !rc.acceptor.hasAcceptedLater() {
 		rc.recordConfirmation(rc.self.ID)
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -125,7 +125,7 @@
 	cur := &View{Epoch: 1, Voters: []Member{a, x, y}}
 	c.acceptor.view = cur
 	next := &View{Epoch: 2, Voters: []Member{a, b, x, y}}
-	c.proposer.proposal = &proposal{current: cur, value: next, acceptedBy: map[ID]string{}}
+	c.proposer.proposal = &proposal{current: cur, value: next, acceptedBy: voterSet{}}
 	c.proposer.recordAccepted("a", "")
 	c.proposer.recordAccepted("x", "")
 	if c.acceptor.view != cur {
