--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -59,11 +59,11 @@
 type acceptor struct {
 	*environment
 	acceptorState
-	identityDurable bool   // the identity is on disk
-	viewDurable     bool   // the view is on disk
-	durableActive   uint64 // activeEpoch, sealedEpoch and view.Epoch as they are on disk
-	durableSealed   uint64
-	durableEpoch    uint64
+	identityDurable    bool   // the identity is on disk
+	viewDurable        bool   // the view is on disk
+	durableActiveEpoch uint64 // activeEpoch, sealedEpoch and view.Epoch as they are on disk
+	durableSealedEpoch uint64
+	durableViewEpoch   uint64
 
 	writer    *diskWriter
 	liveness  *liveness
@@ -74,7 +74,7 @@
 func (ac *acceptor) restart(state acceptorState) {
 	ac.acceptorState = state
 	ac.identityDurable, ac.viewDurable = true, state.view.Epoch > 0
-	ac.durableActive, ac.durableSealed, ac.durableEpoch = state.activeEpoch, state.sealedEpoch, state.view.Epoch
+	ac.durableActiveEpoch, ac.durableSealedEpoch, ac.durableViewEpoch = state.activeEpoch, state.sealedEpoch, state.view.Epoch
 }
 
 // isVoter reports whether this node votes on the view after v.
--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -82,7 +82,7 @@
 func (cr *chainReplica) isActive() bool {
 	epoch := cr.acceptor.view.Epoch
 	isUsable := cr.err == nil && cr.acceptor.viewDurable
-	return isUsable && epoch > 0 && cr.acceptor.durableActive == epoch && cr.isInChain()
+	return isUsable && epoch > 0 && cr.acceptor.durableActiveEpoch == epoch && cr.isInChain()
 }
 
 func (cr *chainReplica) isHead() bool { return cr.isActive() && cr.acceptor.view.Head() == cr.self.ID }
@@ -235,7 +235,7 @@
 // outside the chain, has received what was committed within the window.
 func (cr *chainReplica) isUpToDate(window time.Duration) bool {
 	if cr.isInChain() {
-		return cr.acceptor.durableActive == cr.acceptor.view.Epoch && cr.holdsAcknowledged()
+		return cr.acceptor.durableActiveEpoch == cr.acceptor.view.Epoch && cr.holdsAcknowledged()
 	}
 	return cr.caughtUp && cr.now-cr.caughtUpAt <= window && cr.commitIndex >= cr.upstreamCommitIndex
 }
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -171,7 +171,7 @@
 			dw.acceptorDirty, dw.waiters = true, append(waiters, dw.waiters...)
 			return
 		}
-		dw.acceptor.durableActive, dw.acceptor.durableSealed, dw.acceptor.durableEpoch = active, sealed, epoch
+		dw.acceptor.durableActiveEpoch, dw.acceptor.durableSealedEpoch, dw.acceptor.durableViewEpoch = active, sealed, epoch
 		for _, onDurable := range waiters {
 			onDurable()
 		}
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_election.go
@@ -30,7 +30,7 @@
 // durableEpochsOf returns what the newest heartbeat of a node says. The numbers may have changed since, but only upwards.
 func (lv *liveness) durableEpochsOf(id ID) durableEpochs {
 	if id == lv.self.ID {
-		return durableEpochs{known: true, active: lv.acceptor.durableActive, sealed: lv.acceptor.durableSealed, epoch: lv.acceptor.durableEpoch}
+		return durableEpochs{known: true, active: lv.acceptor.durableActiveEpoch, sealed: lv.acceptor.durableSealedEpoch, epoch: lv.acceptor.durableViewEpoch}
 	}
 	if p := lv.peers[id]; p != nil {
 		return durableEpochs{known: true, active: p.heartbeat.GetActive(), sealed: p.heartbeat.GetSealed(), epoch: p.heartbeat.GetEpoch()}
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -76,7 +76,7 @@
 	lv.heartbeatSentAt[lv.heartbeatNumber%heartbeatHistory] = lv.now
 	heartbeat := &replicationpb.Heartbeat{
 		Member: memberPB(lv.self), Number: lv.heartbeatNumber, Life: lv.cfg.Incarnation,
-		Epoch: lv.acceptor.durableEpoch, Active: lv.acceptor.durableActive, Sealed: lv.acceptor.durableSealed,
+		Epoch: lv.acceptor.durableViewEpoch, Active: lv.acceptor.durableActiveEpoch, Sealed: lv.acceptor.durableSealedEpoch,
 		Committed: lv.chain.commitIndex, DiskBad: lv.writer.unhealthy, Leaving: lv.draining, Bootstrap: lv.cfg.Bootstrap,
 		Stuck: string(lv.chain.stalledSuccessor()), Observer: lv.cfg.Observer, Echoes: echoes,
 	}
--- a/internal/system/replication/scripted_cluster_test.go
+++ b/internal/system/replication/scripted_cluster_test.go
@@ -182,7 +182,7 @@
 		if cluster.now-began > limit {
 			for _, addr := range slices.Sorted(maps.Keys(cluster.nodes)) {
 				if n := cluster.nodes[addr]; n.core != nil {
-					cluster.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.acceptor.durableActive,
+					cluster.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.acceptor.durableActiveEpoch,
 						n.core.chain.commitIndex, n.core.chain.log.end())
 				}
 			}
@@ -239,7 +239,7 @@
 	}
 	for _, id := range v.Chain {
 		m, _ := v.Voter(id)
-		if n := cluster.nodes[m.Addr]; n.core.acceptor.durableActive != v.Epoch {
+		if n := cluster.nodes[m.Addr]; n.core.acceptor.durableActiveEpoch != v.Epoch {
 			return false
 		}
 	}
--- a/internal/system/replication/sim_invariants_test.go
+++ b/internal/system/replication/sim_invariants_test.go
@@ -28,7 +28,7 @@
 		c := m.core
 		w.trace("machine %d %s %s frozen %v view %d %s entered %v base %d past %v active %d/%d sealed %d next %v promised %v",
 			m.name, m.member.Addr, c.self.ID, m.paused, c.acceptor.view.Epoch, c.acceptor.view, c.acceptor.viewDurable, c.acceptor.view.minHeadEpoch, c.acceptor.view.earlierChains,
-			c.acceptor.activeEpoch, c.acceptor.durableActive, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
+			c.acceptor.activeEpoch, c.acceptor.durableActiveEpoch, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
 		w.trace("   log %d..%d disk %d unsure %v install %v bad %v; committed %d matched %d joined %v start %d floor %d fed %v quiet %v prop %v want %v now %v",
 			c.chain.log.base, c.chain.log.end(), c.writer.durableEnd, c.writer.truncateNeeded, c.writer.pendingInstall != nil, c.writer.unhealthy, c.chain.commitIndex, c.chain.matchIndex, c.chain.upstreamMatched,
 			c.chain.epochStartIndex, c.chain.minReadIndex, c.chain.caughtUp, c.liveness.graceUntil, c.proposer.proposal != nil, c.proposer.proposeAt, c.now)
@@ -132,12 +132,12 @@
 // checkActive holds what an active replica has on disk against what was acknowledged up to its epoch.
 func (w *clusterSim) checkActive(m *simNode) {
 	c := m.core
-	if c.acceptor.durableActive == 0 || c.acceptor.activeEpoch == 0 {
+	if c.acceptor.durableActiveEpoch == 0 || c.acceptor.activeEpoch == 0 {
 		return
 	}
-	i := sort.Search(len(w.epochs), func(i int) bool { return w.epochs[i] > c.acceptor.durableActive })
+	i := sort.Search(len(w.epochs), func(i int) bool { return w.epochs[i] > c.acceptor.durableActiveEpoch })
 	if end := m.disk.end(); end < uint64(i) {
-		w.fail(fmt.Errorf("node %d was active in epoch %d, which has acknowledged %d records, but holds %d", m.name, c.acceptor.durableActive, i, end))
+		w.fail(fmt.Errorf("node %d was active in epoch %d, which has acknowledged %d records, but holds %d", m.name, c.acceptor.durableActiveEpoch, i, end))
 	}
 }
 
--- a/internal/system/replication/upstream_catchup_test.go
+++ b/internal/system/replication/upstream_catchup_test.go
@@ -40,7 +40,7 @@
 			cluster.nodes[feeder].core = nil
 			cluster.flow(head, cluster.now+10*time.Second, each, func() {
 				v := cluster.view()
-				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cluster.nodes[member].core.acceptor.durableActive == v.Epoch {
+				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cluster.nodes[member].core.acceptor.durableActiveEpoch == v.Epoch {
 					level = cluster.now - began
 				}
 			})
