--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -59,9 +59,11 @@
 type acceptor struct {
 	*environment
 	acceptorState
-	identityDurable    bool   // the identity is on disk
-	viewDurable        bool   // the view is on disk
-	durableActiveEpoch uint64 // activeEpoch, sealedEpoch and view.Epoch as they are on disk
+	identityDurable bool // the identity is on disk
+	// viewDurable: the view is on disk and this node has entered it (Core.adoptView). It comes later than durableViewEpoch does: other calls
+	// that waited for the same write run between, and with SendBeforeWrite it does not wait for the disk at all.
+	viewDurable        bool
+	durableActiveEpoch uint64 // activeEpoch, sealedEpoch and view.Epoch as they are on disk, which heartbeats report
 	durableSealedEpoch uint64
 	durableViewEpoch   uint64
 
