--- /dev/null
+++ b/internal/system/replication/sealing.go
@@ -0,0 +1,46 @@
+package replication
+
+import (
+	"slices"
+	"time"
+)
+
+const sealTimeout = time.Second // without a chain replica that may lead
+
+// findHead looks for a head outside the chain, when no replica of the chain may lead because all that were active are lost. Where a
+// voter could lead once the others have sealed the epoch, they are asked to, and the search goes on when they have.
+func (pl *planner) findHead(voters []Member) []Member {
+	if pl.headlessSince < 0 {
+		pl.headlessSince = pl.now
+	}
+	if pl.now-pl.headlessSince < sealTimeout {
+		return nil
+	}
+	canLead := func(seals sealing) func(Member) bool {
+		return func(m Member) bool { return pl.liveness.isHealthy(m.ID) && pl.mayLead(m.ID, seals) }
+	}
+	if i := slices.IndexFunc(voters, canLead(asSealed)); i >= 0 {
+		return []Member{voters[i]}
+	}
+	if slices.ContainsFunc(voters, canLead(assumingSealed)) {
+		pl.requestSeals()
+	}
+	return nil
+}
+
+// requestSeals asks the replicas that are alive to seal the epoch, once in sealTimeout.
+func (pl *planner) requestSeals() {
+	for _, id := range pl.acceptor.view.Chain {
+		if pl.liveness.isAlive(id) {
+			pl.send(id, sealMessage(pl.acceptor.view.Epoch))
+		}
+	}
+	pl.headlessSince = pl.now
+}
+
+// isSealed reports whether a replica has sealed the present epoch, so that it needs a successor whatever else is well.
+func (pl *planner) isSealed() bool {
+	return slices.ContainsFunc(pl.acceptor.view.Chain, func(id ID) bool {
+		return pl.liveness.durableEpochsOf(id).sealed == pl.acceptor.view.Epoch
+	})
+}
