--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -214,6 +214,12 @@
 	return lv.now-p.lastContactAt < timeout && lv.now-p.echoedAt < timeout+2*lv.heartbeatInterval()
 }
 
+// isLost reports whether a voter has been without contact for long.
+func (lv *liveness) isLost(m Member) bool {
+	p := lv.peers[m.ID]
+	return m.ID != lv.self.ID && !lv.isAlive(m.ID) && (p == nil || lv.now-p.lastContactAt > replaceVoterTimeout)
+}
+
 // isHealthy reports whether id could be a chain replica: it is alive and has a disk that works.
 func (lv *liveness) isHealthy(id ID) bool {
 	if id == lv.self.ID {
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -81,12 +81,6 @@
 	return replacement{}, false
 }
 
-// isLost reports whether a voter has been without contact for long.
-func (lv *liveness) isLost(m Member) bool {
-	p := lv.peers[m.ID]
-	return m.ID != lv.self.ID && !lv.isAlive(m.ID) && (p == nil || lv.now-p.lastContactAt > replaceVoterTimeout)
-}
-
 // bestReplacement finds the replacement, of the voters that may go, that leaves the voters best spread; the first of those that are
 // alike.
 func (pl *planner) bestReplacement(voters, joiners []Member, mayGo func(Member) bool) (best replacement, found bool) {
