--- a/internal/system/replication/node.go
+++ b/internal/system/replication/node.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
-	"encoding/hex"
 	"net/http"
 	"sync"
 	"time"
@@ -12,77 +9,10 @@
 	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
 
-	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
-	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-const (
-	tickInterval      = 25 * time.Millisecond
-	defaultAckTimeout = 5 * time.Second
-)
-
-// Options are what a Node is started with.
-type Options struct {
-	Addr, Zone, Region string            // of this machine; Addr is its IP address
-	Port               int               // inner port, the same on all machines
-	Seeds              []string          // IP addresses of the nodes that form the first view
-	Bootstrap          bool              // this node may take part in forming it
-	MachineLosses      int               // disks that may be lost at once
-	ZoneLosses         int               // zones that may be lost at once, all of their nodes with them
-	RegionLosses       int               // regions, likewise
-	AckTimeout         time.Duration     // a change must be acknowledged within it; repair times are derived from it. 0: 5 s
-	Disk               wal.Disk          // used by this node alone until Stop has returned; nil for an observer
-	Observer           bool              // the machine has no disk: follows and forwards calls, never a voter nor a chain replica
-	Transport          http.RoundTripper // nil: connections of its own
-	Log                log.Interface     // nil: the standard logger
-}
-
-// applyDefaults fills in what is not set, and checks that there is a disk.
-func (o *Options) applyDefaults() error {
-	if o.Observer {
-		o.Disk = nullDisk{} // an identity that has voted before must not be taken up by one that cannot vote
-	}
-	if o.Disk == nil {
-		return ErrNoDisk
-	}
-	if o.AckTimeout <= 0 {
-		o.AckTimeout = defaultAckTimeout
-	}
-	if o.Log == nil {
-		o.Log = log.Log
-	}
-	return nil
-}
-
-// coreConfig derives the configuration of the core. Identity, incarnation and jitter are random.
-func (o *Options) coreConfig() (Config, error) {
-	var random [24]byte
-	if _, err := rand.Read(random[:]); err != nil {
-		return Config{}, errors.Wrap(err, "replication: no random numbers")
-	}
-	identity, incarnation := random[:16], random[16:]
-	return Config{
-		Self:              Member{ID: ID(hex.EncodeToString(identity)), Addr: o.Addr, Zone: o.Zone, Region: o.Region},
-		MachineLosses:     o.MachineLosses,
-		ZoneLosses:        o.ZoneLosses,
-		RegionLosses:      o.RegionLosses,
-		Seeds:             o.Seeds,
-		Bootstrap:         o.Bootstrap,
-		Observer:          o.Observer,
-		HeartbeatInterval: min(defaultHeartbeatInterval, o.AckTimeout/50),
-		SuspectTimeout:    min(defaultSuspectTimeout, o.AckTimeout*7/50),
-		SlowDiskTimeout:   min(defaultSlowDiskTimeout, o.AckTimeout/10),
-		Incarnation:       binary.BigEndian.Uint64(incarnation) | 1,
-		Seed:              binary.BigEndian.Uint64(identity),
-	}, nil
-}
-
-// SubmitResult is what became of a change.
-type SubmitResult struct {
-	Verdict controlstate.Verdict
-	Seq     uint64 // the record that the verdict rests on, committed
-}
+const tickInterval = 25 * time.Millisecond
 
 // Node drives a Core with a clock, a disk and a network: one member of the chain, or an observer. Its methods may be called by several
 // goroutines at once.
@@ -275,129 +205,3 @@
 	})
 	return &replicationpb.Empty{}, nil
 }
-
-// call has the core take up a call and waits for its completion.
-func (n *Node) call(ctx context.Context, start func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
-	ttl := n.opt.AckTimeout
-	if deadline, ok := ctx.Deadline(); ok {
-		ttl = time.Until(deadline)
-	}
-	if ttl <= 0 || ctx.Err() != nil {
-		err := errors.New("replication: the deadline has passed: ask again")
-		return Completion{}, errors.Mark(errors.Mark(err, ErrNotApplied), ErrUnavailable)
-	}
-	waiter := make(chan Completion, 1)
-	var id uint64
-	n.update(func(c *Core) {
-		n.lastCallID++
-		id = n.lastCallID
-		n.waiters[id] = waiter
-		start(c, id, ttl)
-	})
-	if id == 0 {
-		return Completion{}, ErrStopped
-	}
-	select {
-	case done, ok := <-waiter:
-		if !ok {
-			return Completion{}, errors.Mark(ErrStopped, ErrUnavailable)
-		}
-		return done, nil
-	case <-ctx.Done():
-		n.update(func(c *Core) {
-			delete(n.waiters, id)
-			c.Abandon(id)
-		})
-		return Completion{}, errors.Mark(errors.Wrap(ctx.Err(), "replication: no answer"), ErrUnavailable)
-	}
-}
-
-// Submit asks for a change and waits until what becomes of it is committed: acknowledged by enough disks. It may be called on any node. Without
-// a deadline of ctx it waits for Options.AckTimeout. Errors are marked ErrUnavailable, and ErrNotApplied too when the change is certain not to
-// be applied; after Stop the error is ErrStopped.
-func (n *Node) Submit(ctx context.Context, change controlstate.Change) (SubmitResult, error) {
-	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Submit(n.now(), id, change, ttl) })
-	if err != nil {
-		return SubmitResult{}, err
-	}
-	switch done.Outcome {
-	case Answered:
-		return SubmitResult{Verdict: done.Verdict, Seq: done.Seq}, nil
-	case Refused:
-		return SubmitResult{}, errors.Mark(ErrNotApplied, ErrUnavailable)
-	}
-	return SubmitResult{}, ErrUnavailable
-}
-
-// Read returns the state after all that was acknowledged before the call, and perhaps later changes. It may be called on any node. Errors are
-// marked ErrUnavailable; after Stop the error is ErrStopped.
-func (n *Node) Read(ctx context.Context) (*controlstate.State, error) {
-	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(n.now(), id, ttl) })
-	if err != nil {
-		return nil, err
-	}
-	state, ok := done.State.(controlState)
-	if done.Outcome != Answered || !ok {
-		return nil, ErrUnavailable
-	}
-	return state.State, nil
-}
-
-// Committed returns the newest state known here to be committed, and a channel that is closed when there is a newer one.
-func (n *Node) Committed() (*controlstate.State, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	_, s := n.core.Committed()
-	state, _ := s.(controlState)
-	return state.State, n.changed
-}
-
-// RecordsAfter lists the committed records after seq, at most limit of them; false where they are no longer or not yet known.
-func (n *Node) RecordsAfter(seq uint64, limit int) ([]controlstate.Record, bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.core.RecordsAfter(seq, limit)
-}
-
-// Current reports whether what Committed gives may be passed on as new: within the last 600 ms (900 ms at an observer) a majority of the voters
-// confirmed that they know of no later epoch, and this node is a chain replica or a learner that has caught up.
-func (n *Node) Current() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return !n.stopped && n.core.Current(n.now())
-}
-
-// Partitioned reports whether this node has had no way to the chain for so long that a change asked for here would not be accepted.
-func (n *Node) Partitioned() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return !n.stopped && n.core.Partitioned(n.now())
-}
-
-// Capacity compares the nodes that exist with those that the tolerance needs, as this node sees them now.
-func (n *Node) Capacity() Capacity {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.core.Capacity()
-}
-
-// View returns the newest view known here. The caller must not change it.
-func (n *Node) View() *View {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.core.View()
-}
-
-// Err tells why this node takes no part any more, for good; the others go on without it. It is nil as long as all is well.
-func (n *Node) Err() error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.core.Err()
-}
-
-// Self returns this node's identity, address, zone and region.
-func (n *Node) Self() Member {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.core.Self()
-}
--- /dev/null
+++ b/internal/system/replication/node_calls.go
@@ -0,0 +1,83 @@
+package replication
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/controlstate"
+)
+
+// SubmitResult is what became of a change.
+type SubmitResult struct {
+	Verdict controlstate.Verdict
+	Seq     uint64 // the record that the verdict rests on, committed
+}
+
+// call has the core take up a call and waits for its completion.
+func (n *Node) call(ctx context.Context, start func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
+	ttl := n.opt.AckTimeout
+	if deadline, ok := ctx.Deadline(); ok {
+		ttl = time.Until(deadline)
+	}
+	if ttl <= 0 || ctx.Err() != nil {
+		err := errors.New("replication: the deadline has passed: ask again")
+		return Completion{}, errors.Mark(errors.Mark(err, ErrNotApplied), ErrUnavailable)
+	}
+	waiter := make(chan Completion, 1)
+	var id uint64
+	n.update(func(c *Core) {
+		n.lastCallID++
+		id = n.lastCallID
+		n.waiters[id] = waiter
+		start(c, id, ttl)
+	})
+	if id == 0 {
+		return Completion{}, ErrStopped
+	}
+	select {
+	case done, ok := <-waiter:
+		if !ok {
+			return Completion{}, errors.Mark(ErrStopped, ErrUnavailable)
+		}
+		return done, nil
+	case <-ctx.Done():
+		n.update(func(c *Core) {
+			delete(n.waiters, id)
+			c.Abandon(id)
+		})
+		return Completion{}, errors.Mark(errors.Wrap(ctx.Err(), "replication: no answer"), ErrUnavailable)
+	}
+}
+
+// Submit asks for a change and waits until what becomes of it is committed: acknowledged by enough disks. It may be called on any node. Without
+// a deadline of ctx it waits for Options.AckTimeout. Errors are marked ErrUnavailable, and ErrNotApplied too when the change is certain not to
+// be applied; after Stop the error is ErrStopped.
+func (n *Node) Submit(ctx context.Context, change controlstate.Change) (SubmitResult, error) {
+	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Submit(n.now(), id, change, ttl) })
+	if err != nil {
+		return SubmitResult{}, err
+	}
+	switch done.Outcome {
+	case Answered:
+		return SubmitResult{Verdict: done.Verdict, Seq: done.Seq}, nil
+	case Refused:
+		return SubmitResult{}, errors.Mark(ErrNotApplied, ErrUnavailable)
+	}
+	return SubmitResult{}, ErrUnavailable
+}
+
+// Read returns the state after all that was acknowledged before the call, and perhaps later changes. It may be called on any node. Errors are
+// marked ErrUnavailable; after Stop the error is ErrStopped.
+func (n *Node) Read(ctx context.Context) (*controlstate.State, error) {
+	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(n.now(), id, ttl) })
+	if err != nil {
+		return nil, err
+	}
+	state, ok := done.State.(controlState)
+	if done.Outcome != Answered || !ok {
+		return nil, ErrUnavailable
+	}
+	return state.State, nil
+}
