--- a/cmd/controlplane/distributor.go
+++ b/cmd/controlplane/distributor.go
@@ -28,7 +28,7 @@
 type distributor struct {
 	settings   *settings.Settings
 	log        log.Interface
-	chain      *chainReplica
+	chain      *controlChain
 	server     *distribution.Server
 	assignment *ownership.Assignment
 	client     *platform.Client
@@ -37,7 +37,7 @@
 }
 
 // newDistributor returns a distributor; start starts it.
-func newDistributor(config *settings.Settings, logger log.Interface, chain *chainReplica) *distributor {
+func newDistributor(config *settings.Settings, logger log.Interface, chain *controlChain) *distributor {
 	created := &distributor{
 		settings:   config,
 		log:        logger,
--- a/cmd/controlplane/membership.go
+++ b/cmd/controlplane/membership.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	n.chain = &chainReplica{chain}
+	n.chain = &controlChain{chain}
 	return nil
 }
 
--- a/cmd/controlplane/replica.go
+++ b/cmd/controlplane/replica.go
@@ -8,13 +8,13 @@
 	"gradeusher.example/gradeusher/internal/system/replication"
 )
 
-// chainReplica is this node's replica of the chain, or its observer, as the node's other parts use it.
-type chainReplica struct {
+// controlChain is this node's replica of the chain, or its observer, as the node's other parts use it.
+type controlChain struct {
 	*replication.Node
 }
 
 // Submit implements operatorapi.Chain.
-func (c *chainReplica) Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error) {
+func (c *controlChain) Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error) {
 	answer, err := c.Node.Submit(ctx, change)
 	verdict := answer.Verdict
 	verdict.Seq = answer.Seq
@@ -22,7 +22,7 @@
 }
 
 // ServerLocations returns the voters of the view, those of the chain first and in its order.
-func (c *chainReplica) ServerLocations() []distribution.ServerLocation {
+func (c *controlChain) ServerLocations() []distribution.ServerLocation {
 	view := c.View()
 	locations := make([]distribution.ServerLocation, 0, len(view.Voters))
 	add := func(m replication.Member) {
@@ -44,7 +44,7 @@
 }
 
 // Addresses implements distribution.Source: the addresses of ServerLocations.
-func (c *chainReplica) Addresses() []string {
+func (c *controlChain) Addresses() []string {
 	locations := c.ServerLocations()
 	addresses := make([]string, 0, len(locations))
 	for _, p := range locations {
@@ -54,7 +54,7 @@
 }
 
 // ChainAddresses returns the epoch of the view, and the addresses of the chain's replicas, among which singleton roles are assigned.
-func (c *chainReplica) ChainAddresses() (epoch uint64, addresses []string) {
+func (c *controlChain) ChainAddresses() (epoch uint64, addresses []string) {
 	view := c.View()
 	for _, id := range view.Chain {
 		if m, ok := view.Voter(id); ok {
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -14,7 +14,7 @@
 type node struct {
 	settings    *settings.Settings
 	log         log.Interface
-	chain       *chainReplica
+	chain       *controlChain
 	distributor *distributor // nil: an observer
 	stalls      *operatorapi.StallDetector
 }
