--- a/internal/system/failuredetector/options.go
+++ b/internal/system/failuredetector/options.go
@@ -15,12 +15,6 @@
 	knobs TestingKnobs
 }
 
-// TestingKnobs take protections out, so that tests can show what each is for.
-type TestingKnobs struct {
-	// AcceptStaleReplies accepts replies however long after their ping they arrive.
-	AcceptStaleReplies bool
-}
-
 func (o Options) withDefaults() Options {
 	if o.Watchers <= 0 {
 		o.Watchers = 3
--- /dev/null
+++ b/internal/system/wal/testing_knobs.go
@@ -0,0 +1,10 @@
+package wal
+
+// TestingKnobs switch protections off, for the tests that show that each is needed.
+type TestingKnobs struct {
+	SkipRecordChecksums         bool // records are accepted without verifying their checksums
+	ReuseSegmentAfterFailedSync bool // after a failed sync the same file is written on
+	TrustNewestSegment          bool // Load syncs the newest segment in place of rewriting its last record
+	SkipOwnershipCheck          bool // another process that has opened the log is not noticed
+	SkipQuarantineMarkerSync    bool // files are renamed before the quarantine's marker is durable
+}
