--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -124,19 +124,39 @@
 	if dw.op != nil || dw.now < dw.retryAt {
 		return
 	}
+	switch dw.nextWrite() {
+	case DiskSaveMeta:
+		dw.startSave()
+	case DiskInstall:
+		dw.startInstall()
+	case DiskTruncate:
+		dw.startTruncate()
+	case DiskCompact:
+		dw.startCompact()
+	case DiskAppend:
+		dw.startAppend()
+	}
+}
+
+// nextWrite returns the kind of write that is wanted most, 0 where none is.
+func (dw *diskWriter) nextWrite() DiskKind {
 	switch {
 	case dw.acceptorDirty || dw.probeWanted:
-		dw.startSave()
+		return DiskSaveMeta
 	case dw.pendingInstall != nil:
-		dw.startInstall()
+		return DiskInstall
 	case dw.truncateNeeded:
-		dw.startTruncate()
-	case dw.isCompactionDue(2) && dw.startCompact(): // goes before more records, which under load wait at the end of each write
-	case dw.isLogPerhapsFull() && dw.startCompact():
+		return DiskTruncate
+	case dw.isCompactionDue(2) && dw.canCompact(): // goes before more records, which under load wait at the end of each write
+		return DiskCompact
+	case dw.isLogPerhapsFull() && dw.canCompact():
+		return DiskCompact
 	case dw.durableEnd < dw.chain.log.end():
-		dw.startAppend()
-	case dw.isCompactionDue(1) && dw.startCompact():
+		return DiskAppend
+	case dw.isCompactionDue(1) && dw.canCompact():
+		return DiskCompact
 	}
+	return 0
 }
 
 // durableCommitIndex is the newest record that is committed and on disk.
@@ -230,16 +250,19 @@
 	})
 }
 
-// startCompact starts to write the committed state as a snapshot; false where it cannot.
-func (dw *diskWriter) startCompact() bool {
-	epoch, ok := dw.chain.log.epochAt(dw.chain.commitIndex)
-	if !ok {
-		return false
-	}
+// canCompact reports whether the epoch of the committed state is known, which a snapshot names.
+func (dw *diskWriter) canCompact() bool {
+	_, ok := dw.chain.log.epochAt(dw.chain.commitIndex)
+	return ok
+}
+
+// startCompact starts to write the committed state as a snapshot.
+func (dw *diskWriter) startCompact() {
+	epoch, _ := dw.chain.log.epochAt(dw.chain.commitIndex)
 	snap, err := encodeImage(dw.chain.commitIndex, epoch, dw.chain.state)
 	if err != nil {
 		dw.fail(err)
-		return false
+		return
 	}
 	op := &DiskOp{Kind: DiskCompact, Snapshot: snap}
 	if dw.chain.commitIndex > dw.durableEnd {
@@ -253,7 +276,6 @@
 		dw.durableEnd, dw.snapshotSeq, dw.loggedBytes = max(dw.durableEnd, snap.Seq), snap.Seq, 0
 		dw.chain.compactMemory(snap)
 	})
-	return true
 }
 
 // encodeImage makes a snapshot of the state after the record seq, which was accepted in the epoch.
