--- a/cmd/controlplane/serve.go
+++ b/cmd/controlplane/serve.go
@@ -9,14 +9,13 @@
 	"gradeusher.example/gradeusher/internal/system/admin"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution"
+	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/process"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-const distributionPath = "/twirp/gradeusher.distribution.Distribution/"
-
 // serve serves the other nodes and the proxies at the internal port, and the operator at the control address.
 func (n *node) serve(ctx context.Context, group *process.Group) error {
 	internalAddress := net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.ControlPlanePort()))
@@ -38,9 +37,9 @@
 	mux := http.NewServeMux()
 	mux.Handle(replication.PathPrefix, n.chain.Handler())
 	if n.distributor != nil {
-		mux.Handle(distributionPath, n.distributor.server.Handler())
+		mux.Handle(distributionpb.DistributionPathPrefix, n.distributor.server.Handler())
 	} else {
-		mux.Handle(distributionPath, distribution.Referral{Servers: n.chain.ServerLocations}.Handler())
+		mux.Handle(distributionpb.DistributionPathPrefix, distribution.Referral{Servers: n.chain.ServerLocations}.Handler())
 	}
 	return mux
 }
