--- a/internal/system/operatorapi/change.go
+++ b/internal/system/operatorapi/change.go
@@ -22,7 +22,7 @@
 	reasonUnknownVerdict = "this keeper does not know the verdict on the change: send it again as it was, to another keeper"
 )
 
-// changeRequest is one request for a change.
+// changeRequest is a request with the change that it submits.
 type changeRequest struct {
 	change     controlstate.Change
 	receivedAt time.Time // when its head was read and, of a configuration, the whole body
@@ -79,7 +79,7 @@
 	}
 }
 
-// waitDelivered waits until the connected proxies have the record numbered seq, within the bounds of the call.
+// waitDelivered waits until the connected proxies have the record numbered seq, within the bounds of the request.
 func (a *api) waitDelivered(ctx context.Context, request changeRequest, seq uint64) {
 	if a.options.WaitDelivered == nil {
 		return
--- a/internal/system/operatorapi/cluster_test.go
+++ b/internal/system/operatorapi/cluster_test.go
@@ -131,7 +131,7 @@
 	c.partitioned[addr] = cut
 }
 
-// apiRequest is one call of the operator.
+// apiRequest is one request of the operator.
 type apiRequest struct{ method, path, base, body string }
 
 func replacement(base, revision int, mark string) apiRequest {
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -37,7 +37,7 @@
 	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: 1}
 }
 
-// TestEvacuationFence: the fence is what was known as the call came, not what a majority told later, and a superseded order gets
+// TestEvacuationFence: the fence is what was known as the request came, not what a majority confirmed later, and a superseded change gets
 // no newer one.
 func TestEvacuationFence(t *testing.T) {
 	for name, test := range map[string]struct {
--- a/internal/system/operatorapi/handler.go
+++ b/internal/system/operatorapi/handler.go
@@ -8,6 +8,8 @@
 // request is one attempt to submit it; a verdict is what the state machine at the head of the chain decides
 // (controlstate.State.Check); a fence is the number of the newest committed record that a node knew when a request arrived.
 //
+// The texts of responses keep the operators' words: an order is the change of a zone, a call a request, a keeper a control-plane node.
+//
 // Invariants (docs/hardening/operatorapi.md, C1 to C8, has the argument for each):
 //
 //   - A 4xx status follows from the bytes of the request alone, or from a verdict that a majority has confirmed. Everything that
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -250,7 +250,7 @@
 }
 
 // TestPartitionedNodeDoesNotForward: what a node without a way to the chain answers at once it has not submitted; what the
-// call's bytes alone decide is answered as ever, and reads are asked for.
+// request's bytes alone decide is answered as ever, and reads are asked for.
 func TestPartitionedNodeDoesNotForward(t *testing.T) {
 	const waits = 700 * time.Millisecond
 	base := []string{"X-Base-Version", "5"}
--- a/internal/system/operatorapi/model_cluster_test.go
+++ b/internal/system/operatorapi/model_cluster_test.go
@@ -13,7 +13,7 @@
 
 // chainKnobs take protections of the state machine and the chain out.
 type chainKnobs struct {
-	forgetHistoryAndReject bool // nothing is remembered, and what cannot be told is refused
+	forgetHistoryAndReject bool // nothing is remembered, and what cannot be decided is rejected
 	ignoreFences           bool // evacuations are not fenced
 	omitRecordsInForce     bool // a change that is in force already leaves no record
 	rejectByLocalState     bool // a node refuses by what it alone holds
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -101,7 +101,7 @@
 	return fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nContent-Length: %d\r\n%s\r\n%s", len(body), extra, body)
 }
 
-// TestWirePipelined: calls that come together in one packet are answered in their order, each with its own answer.
+// TestWirePipelined: requests that come together in one packet are answered in their order, each with its own answer.
 func TestWirePipelined(t *testing.T) {
 	client := dialAPI(t)
 	const calls = 8
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestWireRefusedBodyIsNoCall: what is left of a refused body is never taken for a call.
+// TestWireRefusedBodyIsNoCall: what is left of a refused body is never taken for a request.
 func TestWireRefusedBodyIsNoCall(t *testing.T) {
 	const hidden = "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n"
 	for name, head := range map[string]string{
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestWireExpectContinue: a caller that asks first is told to go on, or refused before it sends its body.
+// TestWireExpectContinue: a caller that asks first is asked to go on, or rejected before it sends its body.
 func TestWireExpectContinue(t *testing.T) {
 	c := dialAPI(t)
 	whole := rawChange(100, "Expect: 100-continue\r\n")
