--- a/internal/system/controlstate/record.go
+++ b/internal/system/controlstate/record.go
@@ -23,12 +23,21 @@
 
 // Change is what a caller asks for: a Record without a sequence number.
 type Change struct {
-	Op   Op
+	Op Op
+	// Base is what the change builds on, and two kinds of number: for OpReplace and OpAmend the revision of the configuration, for
+	// OpEvacuate and OpReadmit the fence, which is the sequence number of a record (see SetFence).
 	Base int64
 	Body []byte
 	Zone string
 }
 
+// SetFence sets the fence of an evacuation or readmission: seq is the newest committed record that the receiving node knew when the request
+// arrived. State.Check rejects the change where its zone was changed after that.
+func (c *Change) SetFence(seq uint64) { c.Base = int64(seq) }
+
+// isBehind reports whether the fence of the change is older than the record seq. No caller sets a negative fence; it is older than any.
+func (c Change) isBehind(seq uint64) bool { return c.Base < 0 || seq > uint64(c.Base) }
+
 // Record returns the change under a sequence number.
 func (c Change) Record(seq uint64) Record {
 	return Record{Seq: seq, Op: c.Op, Base: c.Base, Body: c.Body, Zone: c.Zone}
--- a/internal/system/controlstate/zones.go
+++ b/internal/system/controlstate/zones.go
@@ -50,7 +50,7 @@
 // acknowledgement fences off every earlier call.
 func (s *State) checkZone(change Change) Verdict {
 	inForce := s.Evacuated[change.Zone] == (change.Op == OpEvacuate)
-	late := change.Base < 0 || s.zoneChanges.lastChangeOf(change.Zone) > uint64(change.Base)
+	late := change.isBehind(s.zoneChanges.lastChangeOf(change.Zone))
 	switch {
 	case change.Zone == "":
 		return Verdict{Kind: Invalid, Reason: "the zone is missing: name it"}
--- a/internal/system/operatorapi/evacuation.go
+++ b/internal/system/operatorapi/evacuation.go
@@ -106,7 +106,7 @@
 		fence = confirmed
 	}
 	if fence != nil {
-		request.change.Base = int64(fence.Seq)
+		request.change.SetFence(fence.Seq)
 	}
 	return a.options.Chain.Submit(ctx, request.change)
 }
