--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -102,8 +102,8 @@
 
 // openSim opens the log on a simulated disk, with small segments.
 func openSim(fs *simFS) (*wal.Log, error) {
-	return wal.Open(simFolder, wal.Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, TestingKnobs: fs.knobs,
-		Nonce: func() uint64 { return nonces.Add(1) }})
+	options := wal.Options{FS: fs, SegmentBytes: 200, MaxBytes: 1 << 20, ReserveBytes: 16, Nonce: func() uint64 { return nonces.Add(1) }}
+	return wal.Open(simFolder, options.WithKnobs(fs.knobs))
 }
 
 // openLoaded opens a log and loads it.
--- a/internal/system/wal/export_test.go
+++ b/internal/system/wal/export_test.go
@@ -29,4 +29,10 @@
 func (l *Log) Path(name string) string { return l.path(name) }
 
 // SetTestingKnobs takes protections out of a log that is open.
-func (l *Log) SetTestingKnobs(knobs TestingKnobs) { l.options.TestingKnobs = knobs }
+func (l *Log) SetTestingKnobs(knobs TestingKnobs) { l.options.knobs = knobs }
+
+// WithKnobs returns the options with protections taken out.
+func (o Options) WithKnobs(knobs TestingKnobs) Options {
+	o.knobs = knobs
+	return o
+}
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -119,7 +119,7 @@
 		}
 		content = content[:end]
 	}
-	scanner := recordScanner{content: content, nonce: header.nonce, skipChecksums: l.options.TestingKnobs.SkipRecordChecksums}
+	scanner := recordScanner{content: content, nonce: header.nonce, skipChecksums: l.options.knobs.SkipRecordChecksums}
 	tail, err := scanner.replay(header, state)
 	if err != nil {
 		return newestSegmentTail{}, err
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -36,7 +36,7 @@
 	// durable.
 	ReadOnly bool
 
-	TestingKnobs TestingKnobs // zero in production
+	knobs TestingKnobs // zero in production
 }
 
 // Log is a Disk in one folder. The package comment describes how it stays durable. A Log is used by one goroutine at a time.
@@ -172,7 +172,7 @@
 	if err := l.removeAbandonedSegment(); err != nil { // its header names the snapshot as it was
 		return err
 	}
-	if l.tailUnfinished && !l.options.TestingKnobs.ReuseSegmentAfterFailedSync {
+	if l.tailUnfinished && !l.options.knobs.ReuseSegmentAfterFailedSync {
 		return l.withReserve(headerSize, func() error { return l.createSegment(nil) })
 	}
 	return nil
--- a/internal/system/wal/ownership.go
+++ b/internal/system/wal/ownership.go
@@ -16,14 +16,14 @@
 	l.deleteGarbage()
 	l.tail = newest.segmentEnd
 	l.freeSpaceFor(int64(len(newest.lastRecord)))
-	if !l.unclaimed && !l.options.TestingKnobs.TrustNewestSegment {
+	if !l.unclaimed && !l.options.knobs.TrustNewestSegment {
 		if l.rewriteLastRecord(newest) == nil {
 			l.trimSegments()
 			return nil
 		}
 		l.unclaimed = true
 	}
-	if l.options.TestingKnobs.TrustNewestSegment {
+	if l.options.knobs.TrustNewestSegment {
 		l.abandonedSegment = segmentName(l.nextSegment)
 	}
 	if newest.number == 0 {
@@ -89,7 +89,7 @@
 // the log.
 func (l *Log) claimNextSegment() error {
 	f, err := l.options.FS.Create(l.path(segmentName(l.nextSegment)))
-	if errors.Is(err, os.ErrExist) && !l.options.TestingKnobs.SkipOwnershipCheck {
+	if errors.Is(err, os.ErrExist) && !l.options.knobs.SkipOwnershipCheck {
 		return l.supersede()
 	}
 	if err != nil && !errors.Is(err, os.ErrExist) {
@@ -125,7 +125,7 @@
 // checkOwnership fails where another process has claimed the next segment. That process has read what this one synced before the
 // claim; what this one synced later must not be acknowledged.
 func (l *Log) checkOwnership() error {
-	if l.options.TestingKnobs.SkipOwnershipCheck {
+	if l.options.knobs.SkipOwnershipCheck {
 		return nil
 	}
 	next := l.nextSegment
--- a/internal/system/wal/ownership_test.go
+++ b/internal/system/wal/ownership_test.go
@@ -15,7 +15,7 @@
 func openTwice(t *testing.T, knobs wal.TestingKnobs) (fs *simFS, old, successor *wal.Log) {
 	t.Helper()
 	fs = newSimFS()
-	options := wal.Options{FS: fs, SegmentBytes: 200, ReserveBytes: 16, TestingKnobs: knobs}
+	options := wal.Options{FS: fs, SegmentBytes: 200, ReserveBytes: 16}.WithKnobs(knobs)
 	old = openLoaded(t, simFolder, options)
 	for _, err := range []error{
 		old.Append([]wal.Entry{makeEntry(1, 0)}),
--- a/internal/system/wal/quarantine.go
+++ b/internal/system/wal/quarantine.go
@@ -59,7 +59,7 @@
 // finishQuarantine renames the files of a log that has the marker, and removes the marker.
 func (l *Log) finishQuarantine() error {
 	fs := l.options.FS
-	if !l.options.TestingKnobs.SkipQuarantineMarkerSync { // the marker is durable before anything is renamed
+	if !l.options.knobs.SkipQuarantineMarkerSync { // the marker is durable before anything is renamed
 		if err := l.syncFolder(); err != nil {
 			return err
 		}
--- a/internal/system/wal/segment.go
+++ b/internal/system/wal/segment.go
@@ -57,7 +57,7 @@
 	if l.activeSegment.Truncate(file.liveBytes) == nil {
 		file.fileBytes = file.liveBytes
 	}
-	if l.options.TestingKnobs.ReuseSegmentAfterFailedSync {
+	if l.options.knobs.ReuseSegmentAfterFailedSync {
 		return
 	}
 	l.tailUnfinished = true
