--- a/internal/system/failuredetector/agent.go
+++ b/internal/system/failuredetector/agent.go
@@ -14,16 +14,16 @@
 
 // The bounds of an Agent.
 const (
-	maxProbes   = 8  // at one time
-	maxVerdicts = 64 // waiting for OnVerdict; more are dropped, and repeated by the Detector
+	maxProbes      = 8  // at one time
+	maxDownReports = 64 // waiting for OnVerdict; more are dropped, and repeated by the Detector
 )
 
 // AgentOptions configure an Agent.
 type AgentOptions struct {
 	Options
-	Conn      *net.UDPConn  // of the internal port; Run closes it
-	OnVerdict func(Verdict) // called by Run, one at a time
-	Log       log.Interface
+	Conn         *net.UDPConn     // of the internal port; Run closes it
+	OnDownReport func(DownReport) // called by Run, one at a time
+	Log          log.Interface
 }
 
 // Agent drives a Detector over UDP, with HTTP as the second path. Its methods may be called by several goroutines at once.
@@ -41,8 +41,8 @@
 
 	probes sync.WaitGroup
 
-	verdicts chan Verdict
-	resumed  chan struct{}
+	downReports chan DownReport
+	resumed     chan struct{}
 }
 
 // NewAgent returns an agent; Run starts it.
@@ -65,7 +65,7 @@
 		detector:     NewDetector(options.Options),
 		addresses:    map[string]netip.AddrPort{},
 		activeProbes: map[string]bool{},
-		verdicts:     make(chan Verdict, maxVerdicts),
+		downReports:  make(chan DownReport, maxDownReports),
 		resumed:      make(chan struct{}, 1),
 	}
 }
@@ -119,9 +119,9 @@
 			a.detector.Tick(a.now())
 			a.processReady(ctx)
 			a.mu.Unlock()
-		case v := <-a.verdicts:
+		case v := <-a.downReports:
 			a.options.Log.WithFields(log.Fields{"node": v.Node, "incarnation": v.Incarnation, "down": v.Down}).Info("failuredetector: verdict")
-			a.options.OnVerdict(v)
+			a.options.OnDownReport(v)
 		case <-a.resumed:
 			a.options.Log.Warn("failuredetector: this process has slept, it asks before it acts")
 		}
@@ -174,9 +174,9 @@
 	for _, node := range out.Probe {
 		a.startProbe(ctx, node)
 	}
-	for _, v := range out.Verdicts {
+	for _, v := range out.DownReports {
 		select {
-		case a.verdicts <- v:
+		case a.downReports <- v:
 		default:
 		}
 	}
--- a/internal/system/failuredetector/agent_test.go
+++ b/internal/system/failuredetector/agent_test.go
@@ -19,15 +19,15 @@
 
 // testNode is an agent with both of its paths on one port of loopback.
 type testNode struct {
-	agent    *Agent
-	member   Member
-	verdicts chan Verdict
-	stop     func()
+	agent   *Agent
+	member  Member
+	reports chan DownReport
+	stop    func()
 }
 
 func startNode(t *testing.T, name string, incarnation uint64) *testNode {
 	t.Helper()
-	node := &testNode{verdicts: make(chan Verdict, 100)}
+	node := &testNode{reports: make(chan DownReport, 100)}
 	// The port that TCP is given may be taken in UDP, by whomever: then try another.
 	var (
 		listener net.Listener
@@ -46,9 +46,9 @@
 	node.agent = NewAgent(AgentOptions{
 		Options: Options{Self: name, Incarnation: incarnation, HeartbeatInterval: 20 * time.Millisecond, ProbeTimeout: 5 * time.Second, PauseThreshold: time.Minute},
 		Conn:    conn,
-		OnVerdict: func(v Verdict) {
+		OnDownReport: func(v DownReport) {
 			select {
-			case node.verdicts <- v:
+			case node.reports <- v:
 			default:
 			}
 		},
@@ -106,13 +106,13 @@
 	nodes["d"].stop()
 	for _, name := range []string{"a", "b", "c"} {
 		for {
-			var v Verdict
+			var v DownReport
 			select {
-			case v = <-nodes[name].verdicts:
+			case v = <-nodes[name].reports:
 			case <-deadline:
 				t.Fatalf("%s has not called d down", name)
 			}
-			if v == (Verdict{Node: "d", Incarnation: 4, Down: true}) {
+			if v == (DownReport{Node: "d", Incarnation: 4, Down: true}) {
 				break
 			}
 		}
--- a/internal/system/failuredetector/detector.go
+++ b/internal/system/failuredetector/detector.go
@@ -40,8 +40,8 @@
 	Address     string // ip:port of its internal port; the Detector does not use it
 }
 
-// Verdict says that a process is down, or takes that back.
-type Verdict struct {
+// DownReport says that a process is down, or takes that back.
+type DownReport struct {
 	Node        string
 	Incarnation uint64
 	Down        bool
@@ -55,10 +55,10 @@
 
 // Output is what a Detector wants done.
 type Output struct {
-	Send     []Envelope
-	Probe    []string // nodes to probe over a second path; ProbeResult takes the outcome
-	Verdicts []Verdict
-	Resumed  bool // this process was paused: it does not act on its beliefs until it is connected again
+	Send        []Envelope
+	Probe       []string // nodes to probe over a second path; ProbeResult takes the outcome
+	DownReports []DownReport
+	Resumed     bool // this process was paused: it does not act on its beliefs until it is connected again
 }
 
 // Detector is the pure core of a failure detector: Receive, ProbeResult, SetMembers and Tick feed it, Ready hands out what it
--- a/internal/system/failuredetector/detector_test.go
+++ b/internal/system/failuredetector/detector_test.go
@@ -54,8 +54,8 @@
 		partitionPairs(sim, false)
 		sim.run(5 * time.Second)
 		sim.checkCalm()
-		if len(sim.verdicts) > 0 {
-			t.Errorf("verdicts: %v", sim.verdicts)
+		if len(sim.reportedDown) > 0 {
+			t.Errorf("verdicts: %v", sim.reportedDown)
 		}
 	})
 }
@@ -88,7 +88,7 @@
 		}
 		sim.run(10 * time.Second)
 		for _, name := range dead {
-			told := sim.verdicts[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
+			told := sim.reportedDown[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
 			if len(told) == 0 {
 				t.Errorf("nobody called %s down", name)
 			}
@@ -105,9 +105,9 @@
 	})
 }
 
-// TestEveryWatcherGivesAVerdict: a verdict must come from every watcher, not only from the first: here the membership list does
+// TestEveryWatcherReportsADownNode: a verdict must come from every watcher, not only from the first: here the membership list does
 // not change.
-func TestEveryWatcherGivesAVerdict(t *testing.T) {
+func TestEveryWatcherReportsADownNode(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		sim := newSimulation(t, seed, 12, Options{})
 		sim.interRegion = seed%2 == 0
@@ -118,7 +118,7 @@
 		r.incarnation = 0 // verdicts do not match, so the table stays as it is
 		killed := sim.now
 		sim.run(detectionBound)
-		told := sim.verdicts[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
+		told := sim.reportedDown[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
 		var who []string
 		for n := range told {
 			who = append(who, n)
@@ -202,7 +202,7 @@
 		t.Error("connected after its pause, though nobody has answered")
 	}
 	sim.run(20 * time.Second)
-	for key, told := range sim.verdicts {
+	for key, told := range sim.reportedDown {
 		if _, ok := told[name]; ok {
 			t.Errorf("cut off, it called %s down", key)
 		}
@@ -251,15 +251,15 @@
 	sim.processReady(n)
 	sim.kill(n.name)
 	sim.run(10 * time.Second)
-	if len(sim.verdicts) > 0 {
-		t.Errorf("verdicts on one that left: %v", sim.verdicts)
+	if len(sim.reportedDown) > 0 {
+		t.Errorf("verdicts on one that left: %v", sim.reportedDown)
 	}
 	sim.start(n.name)
 	sim.run(3 * time.Second)
 	sim.kill(n.name)
 	sim.run(3 * time.Second)
-	if len(sim.verdicts) != 1 {
-		t.Errorf("verdicts on the process after it: %v, want one", sim.verdicts)
+	if len(sim.reportedDown) != 1 {
+		t.Errorf("verdicts on the process after it: %v, want one", sim.reportedDown)
 	}
 }
 
@@ -269,7 +269,7 @@
 		for seed := range uint64(20) {
 			sim := newSimulation(t, seed, 12, o)
 			faults(sim)
-			if len(sim.wrongVerdicts) > 0 || sim.disconnected > 0 {
+			if len(sim.wrongReports) > 0 || sim.disconnected > 0 {
 				return true
 			}
 		}
--- a/internal/system/failuredetector/golden_trace_test.go
+++ b/internal/system/failuredetector/golden_trace_test.go
@@ -70,7 +70,7 @@
 		g.text("probe")
 		g.text(node)
 	}
-	for _, v := range out.Verdicts {
+	for _, v := range out.DownReports {
 		g.text("verdict")
 		g.text(v.Node)
 		g.number(v.Incarnation)
--- a/internal/system/failuredetector/simulation_test.go
+++ b/internal/system/failuredetector/simulation_test.go
@@ -28,11 +28,11 @@
 
 	onOutput func(*simNode, *Output) // told all that a detector wants done, before any of it is
 
-	members       map[string]*memberRecord
-	calmSince     Time // since when no fault that excuses a verdict has been there
-	wrongVerdicts []string
-	verdicts      map[string]map[string]Time // node/incarnation → who → when it was called down
-	disconnected  int                        // verdicts of nodes that were not connected
+	members      map[string]*memberRecord
+	calmSince    Time // since when no fault that excuses a verdict has been there
+	wrongReports []string
+	reportedDown map[string]map[string]Time // node/incarnation → who → when it was called down
+	disconnected int                        // verdicts of nodes that were not connected
 }
 
 // networkPath is the path from one node to another, in one direction.
@@ -59,7 +59,7 @@
 
 func newSimulation(t testing.TB, seed uint64, count int, options Options) *simulation {
 	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*simNode{}, partitioned: map[networkPath]bool{},
-		members: map[string]*memberRecord{}, verdicts: map[string]map[string]Time{}, options: options}
+		members: map[string]*memberRecord{}, reportedDown: map[string]map[string]Time{}, options: options}
 	for i := range count {
 		name := fmt.Sprintf("10.0.%d.%d", i/4, i%4+1)
 		sim.names = append(sim.names, name)
@@ -207,8 +207,8 @@
 	for _, node := range out.Probe {
 		sim.probe(sender, node)
 	}
-	for _, v := range out.Verdicts {
-		sim.verdict(sender, v)
+	for _, v := range out.DownReports {
+		sim.applyReport(sender, v)
 	}
 }
 
@@ -246,33 +246,33 @@
 	return !sim.partitioned[networkPath{a, b}] && !sim.partitioned[networkPath{b, a}]
 }
 
-// verdict applies a verdict of a watcher: late, and only where it names the process in the membership list.
-func (sim *simulation) verdict(watcher *simNode, verdict Verdict) {
-	if verdict.Down {
-		sim.recordVerdict(watcher, verdict)
+// applyReport applies a applyReport of a watcher: late, and only where it names the process in the membership list.
+func (sim *simulation) applyReport(watcher *simNode, report DownReport) {
+	if report.Down {
+		sim.recordReport(watcher, report)
 	}
 	sim.schedule(sim.membershipDelay(), func() {
-		if r := sim.members[verdict.Node]; verdict.Down && r != nil && r.incarnation == verdict.Incarnation && !r.down {
+		if r := sim.members[report.Node]; report.Down && r != nil && r.incarnation == report.Incarnation && !r.down {
 			r.down, r.since = true, sim.now
 			sim.broadcast()
 		}
 	})
 }
 
-// recordVerdict records the first verdict of a watcher on a process, and whether it is wrong.
-func (sim *simulation) recordVerdict(watcher *simNode, verdict Verdict) {
+// recordReport records the first verdict of a watcher on a process, and whether it is wrong.
+func (sim *simulation) recordReport(watcher *simNode, report DownReport) {
 	if !watcher.detector.Connected(sim.now) {
 		sim.disconnected++
 	}
-	key := fmt.Sprint(verdict.Node, "/", verdict.Incarnation)
-	if sim.verdicts[key] == nil {
-		sim.verdicts[key] = map[string]Time{}
+	key := fmt.Sprint(report.Node, "/", report.Incarnation)
+	if sim.reportedDown[key] == nil {
+		sim.reportedDown[key] = map[string]Time{}
 	}
-	if _, ok := sim.verdicts[key][watcher.name]; !ok {
-		sim.verdicts[key][watcher.name] = sim.now
+	if _, ok := sim.reportedDown[key][watcher.name]; !ok {
+		sim.reportedDown[key][watcher.name] = sim.now
 	}
-	if sim.isReachable(sim.nodes[verdict.Node], verdict.Incarnation) {
-		sim.wrongVerdicts = append(sim.wrongVerdicts, fmt.Sprintf("%v: %s called %s down", sim.now, watcher.name, verdict.Node))
+	if sim.isReachable(sim.nodes[report.Node], report.Incarnation) {
+		sim.wrongReports = append(sim.wrongReports, fmt.Sprintf("%v: %s called %s down", sim.now, watcher.name, report.Node))
 	}
 }
 
@@ -320,7 +320,7 @@
 			sim.t.Errorf("%s is dead and is counted live", name)
 		}
 	}
-	for _, wrong := range sim.wrongVerdicts {
+	for _, wrong := range sim.wrongReports {
 		sim.t.Errorf("wrong: %s", wrong)
 	}
 	if sim.disconnected > 0 {
--- a/internal/system/failuredetector/suspicion.go
+++ b/internal/system/failuredetector/suspicion.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// verdictRepeatInterval is how often a verdict is repeated while the membership list still contains the process: the first one
+// reportRepeatInterval is how often a verdict is repeated while the membership list still contains the process: the first one
 // may have been lost with the node that received it.
-const verdictRepeatInterval = time.Second
+const reportRepeatInterval = time.Second
 
 // evaluateLiveness moves one watched node on, from time-out to suspicion and from suspicion to a verdict.
 func (d *Detector) evaluateLiveness(now Time, node string, w *watchedNode) {
 	switch {
 	case w.left:
 	case w.down:
-		if now-w.lastVerdict >= verdictRepeatInterval && d.Connected(now) {
+		if now-w.lastReportedAt >= reportRepeatInterval && d.Connected(now) {
 			d.reportDown(now, node, w)
 		}
 	case w.sinceLastContact(now) < d.options.SuspectTimeout:
@@ -65,8 +65,8 @@
 }
 
 func (d *Detector) reportDown(now Time, node string, w *watchedNode) {
-	w.down, w.suspected, w.lastVerdict = true, false, now
-	d.output.Verdicts = append(d.output.Verdicts, Verdict{Node: node, Incarnation: w.incarnation, Down: true})
+	w.down, w.suspected, w.lastReportedAt = true, false, now
+	d.output.DownReports = append(d.output.DownReports, DownReport{Node: node, Incarnation: w.incarnation, Down: true})
 }
 
 // recordContact records that a process gave a sign of life at contactedAt, which is now or earlier. A recent one refutes a
@@ -85,7 +85,7 @@
 	w.clearSuspicion()
 	if w.down {
 		w.down = false
-		d.output.Verdicts = append(d.output.Verdicts, Verdict{Node: node, Incarnation: incarnation})
+		d.output.DownReports = append(d.output.DownReports, DownReport{Node: node, Incarnation: incarnation})
 	}
 }
 
--- a/internal/system/failuredetector/watched_node.go
+++ b/internal/system/failuredetector/watched_node.go
@@ -21,8 +21,8 @@
 	probeFailed          bool            // the second path failed since the suspicion began
 	nacks                map[string]bool // the watchers that have not heard it either
 
-	down        bool // a verdict was given
-	lastVerdict Time
+	down           bool // a verdict was given
+	lastReportedAt Time
 }
 
 // replace begins to watch a new process of the node.
