--- a/cmd/proxy/failuredetector.go
+++ b/cmd/proxy/failuredetector.go
@@ -40,15 +40,15 @@
 			SuspectTimeout:    suspectTimeout,
 			ProbeTimeout:      probeTimeout,
 		},
-		Conn:      conn,
-		OnVerdict: s.reportVerdict,
-		Log:       s.log,
+		Conn:         conn,
+		OnDownReport: s.reportVerdict,
+		Log:          s.log,
 	})
 	return nil
 }
 
 // reportVerdict reports to the control plane that a proxy is down. A proxy that is up reports that by itself.
-func (s *server) reportVerdict(verdict failuredetector.Verdict) {
+func (s *server) reportVerdict(verdict failuredetector.DownReport) {
 	if verdict.Down {
 		s.subscriber.Report(verdict.Node, verdict.Incarnation)
 	}
