--- a/internal/system/failuredetector/agent.go
+++ b/internal/system/failuredetector/agent.go
@@ -15,7 +15,7 @@
 // The bounds of an Agent.
 const (
 	maxProbes      = 8  // at one time
-	maxDownReports = 64 // waiting for OnVerdict; more are dropped, and repeated by the Detector
+	maxDownReports = 64 // waiting for OnDownReport; more are dropped, and repeated by the Detector
 )
 
 // AgentOptions configure an Agent.
@@ -96,7 +96,7 @@
 // now is the time of the detector: since the agent was made.
 func (a *Agent) now() Time { return time.Since(a.startedAt) }
 
-// Run sends heartbeats, receives messages and gives verdicts until ctx ends, then closes the connection. It may be called once.
+// Run sends heartbeats, receives messages and hands out down reports until ctx ends, then closes the connection. It may be called once.
 func (a *Agent) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	a.mu.Lock()
--- a/internal/system/failuredetector/detector.go
+++ b/internal/system/failuredetector/detector.go
@@ -8,20 +8,20 @@
 // so that all who know the same members agree on them. An incarnation is the random number of one process of a node. A watcher
 // suspects a node that has been silent for SuspectTimeout; it then sends indirect pings to the other watchers, which reply when
 // they had contact last, and probes the node over a second path (HTTP). Contact refutes the suspicion; a failed probe and no
-// refutation until the deadline confirm it, and the watcher gives a verdict on that incarnation.
+// refutation until the deadline confirm it, and the watcher reports that incarnation as down.
 //
-// Two things differ from SWIM: the nodes push heartbeats in place of being pinged in random order, and verdicts go to an agreed
-// membership list in place of gossip. A process that is called down wrongly refutes the verdict there by registering again.
+// Two things differ from SWIM: the nodes push heartbeats in place of being pinged in random order, and down reports go to an agreed
+// membership list in place of gossip. A process that is called down wrongly refutes the report there by registering again.
 //
 // Invariants:
 //
-//   - A verdict is given only while the detector is connected: another node has replied to one of its pings since it started or
+//   - A node is reported down only while the detector is connected: another node has replied to one of its pings since it started or
 //     resumed from a pause, and there was contact within SuspectTimeout. A paused process forgets its suspicions.
 //   - A reply counts from when its ping was sent and only for SuspectTimeout, and with the age that the replying node states. So
 //     neither buffered replies nor hearsay keep a dead process alive.
-//   - A verdict names an incarnation and never concerns another one.
+//   - A down report names an incarnation and never concerns another one.
 //
-// Bound: every connected watcher gives a verdict on a dead process within SuspectTimeout + ProbeTimeout and two ticks after the
+// Bound: every connected watcher reports a dead process as down within SuspectTimeout + ProbeTimeout and two ticks after the
 // arrival of its last heartbeat at any watcher.
 package failuredetector
 
@@ -230,7 +230,7 @@
 	d.output.Send = append(d.output.Send, Envelope{To: to, Message: m})
 }
 
-// Leave announces a graceful shutdown to the watchers, so that they give no verdict on it.
+// Leave announces a graceful shutdown to the watchers, so that they do not report it as down.
 func (d *Detector) Leave(now Time) {
 	d.advanceClock(now)
 	for _, node := range d.watchers {
--- a/internal/system/failuredetector/detector_test.go
+++ b/internal/system/failuredetector/detector_test.go
@@ -55,7 +55,7 @@
 		sim.run(5 * time.Second)
 		sim.checkCalm()
 		if len(sim.reportedDown) > 0 {
-			t.Errorf("verdicts: %v", sim.reportedDown)
+			t.Errorf("down reports: %v", sim.reportedDown)
 		}
 	})
 }
@@ -105,7 +105,7 @@
 	})
 }
 
-// TestEveryWatcherReportsADownNode: a verdict must come from every watcher, not only from the first: here the membership list does
+// TestEveryWatcherReportsADownNode: a down report must come from every watcher, not only from the first: here the membership list does
 // not change.
 func TestEveryWatcherReportsADownNode(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
@@ -115,7 +115,7 @@
 		name := sim.randomNode()
 		r := sim.members[name]
 		sim.kill(name)
-		r.incarnation = 0 // verdicts do not match, so the table stays as it is
+		r.incarnation = 0 // down reports do not match, so the table stays as it is
 		killed := sim.now
 		sim.run(detectionBound)
 		told := sim.reportedDown[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
@@ -252,14 +252,14 @@
 	sim.kill(n.name)
 	sim.run(10 * time.Second)
 	if len(sim.reportedDown) > 0 {
-		t.Errorf("verdicts on one that left: %v", sim.reportedDown)
+		t.Errorf("down reports on one that left: %v", sim.reportedDown)
 	}
 	sim.start(n.name)
 	sim.run(3 * time.Second)
 	sim.kill(n.name)
 	sim.run(3 * time.Second)
 	if len(sim.reportedDown) != 1 {
-		t.Errorf("verdicts on the process after it: %v, want one", sim.reportedDown)
+		t.Errorf("down reports on the process after it: %v, want one", sim.reportedDown)
 	}
 }
 
@@ -291,10 +291,10 @@
 		}
 	}
 	if found(Options{}, turns) {
-		t.Error("a process that was paused while it suspected another gives a wrong verdict")
+		t.Error("a process that was paused while it suspected another gives a wrong down report")
 	}
 	if !found(Options{PauseThreshold: time.Hour}, turns) {
-		t.Error("processes that do not notice their pause give no wrong verdict: the harness does not test it")
+		t.Error("processes that do not notice their pause give no wrong down report: the harness does not test it")
 	}
 	if !found(Options{Watchers: 1}, func(sim *simulation) {
 		sim.run(3 * time.Second)
@@ -303,7 +303,7 @@
 			sim.run(4 * time.Second)
 		}
 	}) {
-		t.Error("watchers that ask nobody else give no wrong verdict: the harness does not test it")
+		t.Error("watchers that ask nobody else give no wrong down report: the harness does not test it")
 	}
 }
 
--- a/internal/system/failuredetector/options.go
+++ b/internal/system/failuredetector/options.go
@@ -9,7 +9,7 @@
 	Watchers          int           // of each node; 3
 	HeartbeatInterval time.Duration // 400 ms
 	SuspectTimeout    time.Duration // without contact, until a node is suspected; 3.5 heartbeat intervals
-	ProbeTimeout      time.Duration // from suspicion to verdict; 2 heartbeat intervals
+	ProbeTimeout      time.Duration // from suspicion to the down report; 2 heartbeat intervals
 	PauseThreshold    time.Duration // between two inputs, above which this process was paused; 1 s
 
 	knobs TestingKnobs
--- a/internal/system/failuredetector/simulation_test.go
+++ b/internal/system/failuredetector/simulation_test.go
@@ -12,7 +12,7 @@
 )
 
 // simulation runs the detectors of many nodes over a faulty network, on a clock of its own. A table stands for the agreed
-// membership list: verdicts reach it late, its changes reach the nodes late, and a live process that it has as down refutes that.
+// membership list: down reports reach it late, its changes reach the nodes late, and a live process that it has as down refutes that.
 type simulation struct {
 	t           testing.TB
 	rng         *rand.Rand
@@ -29,10 +29,10 @@
 	onOutput func(*simNode, *Output) // told all that a detector wants done, before any of it is
 
 	members      map[string]*memberRecord
-	calmSince    Time // since when no fault that excuses a verdict has been there
+	calmSince    Time // since when no fault that excuses a down report has been there
 	wrongReports []string
 	reportedDown map[string]map[string]Time // node/incarnation → who → when it was called down
-	disconnected int                        // verdicts of nodes that were not connected
+	disconnected int                        // down reports of nodes that were not connected
 }
 
 // networkPath is the path from one node to another, in one direction.
@@ -259,7 +259,7 @@
 	})
 }
 
-// recordReport records the first verdict of a watcher on a process, and whether it is wrong.
+// recordReport records the first down report of a watcher on a process, and whether it is wrong.
 func (sim *simulation) recordReport(watcher *simNode, report DownReport) {
 	if !watcher.detector.Connected(sim.now) {
 		sim.disconnected++
@@ -276,7 +276,7 @@
 	}
 }
 
-// isReachable reports whether a process runs and has had no fault for so long that no verdict on it is excused.
+// isReachable reports whether a process runs and has had no fault for so long that no down report on it is excused.
 func (sim *simulation) isReachable(n *simNode, incarnation uint64) bool {
 	runs := n.alive && !n.frozen && n.incarnation == incarnation
 	return runs && sim.now-max(n.lastFault, sim.calmSince) > sim.options.withDefaults().SuspectTimeout
@@ -324,7 +324,7 @@
 		sim.t.Errorf("wrong: %s", wrong)
 	}
 	if sim.disconnected > 0 {
-		sim.t.Errorf("%d verdicts of nodes that were not connected", sim.disconnected)
+		sim.t.Errorf("%d down reports of nodes that were not connected", sim.disconnected)
 	}
 }
 
--- a/internal/system/failuredetector/suspicion.go
+++ b/internal/system/failuredetector/suspicion.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// reportRepeatInterval is how often a verdict is repeated while the membership list still contains the process: the first one
+// reportRepeatInterval is how often a down report is repeated while the membership list still contains the process: the first one
 // may have been lost with the node that received it.
 const reportRepeatInterval = time.Second
 
-// evaluateLiveness moves one watched node on, from time-out to suspicion and from suspicion to a verdict.
+// evaluateLiveness moves one watched node on, from time-out to suspicion and from suspicion to a down report.
 func (d *Detector) evaluateLiveness(now Time, node string, w *watchedNode) {
 	switch {
 	case w.left:
@@ -70,7 +70,7 @@
 }
 
 // recordContact records that a process gave a sign of life at contactedAt, which is now or earlier. A recent one refutes a
-// suspicion and takes back a verdict.
+// suspicion and takes back a down report.
 func (d *Detector) recordContact(now Time, node string, incarnation uint64, contactedAt Time) {
 	w := d.watched[node]
 	if w == nil || incarnation != w.incarnation {
--- a/internal/system/failuredetector/watched_node.go
+++ b/internal/system/failuredetector/watched_node.go
@@ -21,7 +21,7 @@
 	probeFailed          bool            // the second path failed since the suspicion began
 	nacks                map[string]bool // the watchers that have not heard it either
 
-	down           bool // a verdict was given
+	down           bool // it was reported as down
 	lastReportedAt Time
 }
 
@@ -53,7 +53,7 @@
 	w.probeFailed, w.nacks = false, map[string]bool{}
 }
 
-// clearSuspicion ends a suspicion without a verdict.
+// clearSuspicion ends a suspicion without a down report.
 func (w *watchedNode) clearSuspicion() { w.suspected, w.nacks = false, nil }
 
 // recordNack records that another watcher has not heard a process of the node either.
