--- a/internal/system/failuredetector/golden_trace_test.go
+++ b/internal/system/failuredetector/golden_trace_test.go
@@ -70,7 +70,7 @@
 		g.text("probe")
 		g.text(node)
 	}
-	for _, v := range out.Verdicts {
+	for _, v := range out.DownReports {
 		g.text("verdict")
 		g.text(v.Node)
 		g.number(v.Incarnation)
@@ -177,7 +177,7 @@
 	sim.run(5 * time.Second)
 }
 
-// readGolden gives the recorded steps and digest by scenario and seed.
+// readGolden returns the recorded steps and digest by scenario and seed.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	f, err := os.Open(goldenFile)
--- a/internal/system/failuredetector/options.go
+++ b/internal/system/failuredetector/options.go
@@ -9,18 +9,12 @@
 	Watchers          int           // of each node; 3
 	HeartbeatInterval time.Duration // 400 ms
 	SuspectTimeout    time.Duration // without contact, until a node is suspected; 3.5 heartbeat intervals
-	ProbeTimeout      time.Duration // from suspicion to verdict; 2 heartbeat intervals
+	ProbeTimeout      time.Duration // from suspicion to the down report; 2 heartbeat intervals
 	PauseThreshold    time.Duration // between two inputs, above which this process was paused; 1 s
 
 	knobs TestingKnobs
 }
 
-// TestingKnobs take protections out, so that tests can show what each is for.
-type TestingKnobs struct {
-	// AcceptStaleReplies accepts replies however long after their ping they arrive.
-	AcceptStaleReplies bool
-}
-
 func (o Options) withDefaults() Options {
 	if o.Watchers <= 0 {
 		o.Watchers = 3
--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -59,11 +59,13 @@
 type acceptor struct {
 	*environment
 	acceptorState
-	identityDurable bool   // the identity is on disk
-	viewDurable     bool   // the view is on disk
-	durableActive   uint64 // activeEpoch, sealedEpoch and view.Epoch as they are on disk
-	durableSealed   uint64
-	durableEpoch    uint64
+	identityDurable bool // the identity is on disk
+	// viewDurable: the view is on disk and this node has entered it (Core.adoptView). It comes later than durableViewEpoch does: other calls
+	// that waited for the same write run between, and with SendBeforeWrite it does not wait for the disk at all.
+	viewDurable        bool
+	durableActiveEpoch uint64 // activeEpoch, sealedEpoch and view.Epoch as they are on disk, which heartbeats report
+	durableSealedEpoch uint64
+	durableViewEpoch   uint64
 
 	writer    *diskWriter
 	liveness  *liveness
@@ -74,13 +76,13 @@
 func (ac *acceptor) restart(state acceptorState) {
 	ac.acceptorState = state
 	ac.identityDurable, ac.viewDurable = true, state.view.Epoch > 0
-	ac.durableActive, ac.durableSealed, ac.durableEpoch = state.activeEpoch, state.sealedEpoch, state.view.Epoch
+	ac.durableActiveEpoch, ac.durableSealedEpoch, ac.durableViewEpoch = state.activeEpoch, state.sealedEpoch, state.view.Epoch
 }
 
-// isVoter tells whether this node votes on the view after v.
+// isVoter reports whether this node votes on the view after v.
 func (ac *acceptor) isVoter(v *View) bool {
 	if v.Epoch == 0 {
-		return ac.isFounder()
+		return ac.isInitialVoter()
 	}
 	if ac.cfg.Observer {
 		return false
@@ -89,8 +91,8 @@
 	return ok
 }
 
-// isFounder tells whether this node votes on the first view: it is a seed at the first start of all, and has a disk unless none has.
-func (ac *acceptor) isFounder() bool {
+// isInitialVoter reports whether this node votes on the first view: it is a seed at the first start of all, and has a disk unless none has.
+func (ac *acceptor) isInitialVoter() bool {
 	return ac.cfg.Bootstrap && slices.Contains(ac.cfg.Seeds, ac.self.Addr) && (!ac.cfg.Observer || ac.liveness.noSeedHasDisk())
 }
 
@@ -101,8 +103,8 @@
 	}
 }
 
-// reachProposersView brings this node to the view that a proposer builds on; false when it is at another one.
-func (ac *acceptor) reachProposersView(from ID, current *View) bool {
+// syncViewWithProposer brings this node to the view that a proposer builds on; false when it is at another one.
+func (ac *acceptor) syncViewWithProposer(from ID, current *View) bool {
 	if current == nil {
 		return false
 	}
@@ -137,7 +139,7 @@
 
 // handlePrepare is phase 1b of Paxos.
 func (ac *acceptor) handlePrepare(from ID, msg *replicationpb.Prepare) {
-	if !ac.reachProposersView(from, viewOf(msg.GetCurrent())) || !ac.isVoter(ac.view) {
+	if !ac.syncViewWithProposer(from, viewOf(msg.GetCurrent())) || !ac.isVoter(ac.view) {
 		return
 	}
 	number := proposalNumberOf(msg.GetBallot())
@@ -153,10 +155,10 @@
 	})
 }
 
-// handleAccept is phase 2b of Paxos. The voters of the view that is proposed vote on it too, see proposal.isChosen.
+// handleAccept is phase 2b of Paxos. The voters of the view that is proposed vote on it too, see proposer.isChosen.
 func (ac *acceptor) handleAccept(from ID, msg *replicationpb.Accept) {
 	value := viewOf(msg.GetView())
-	if value == nil || !ac.reachProposersView(from, viewOf(msg.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
+	if value == nil || !ac.syncViewWithProposer(from, viewOf(msg.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
 		return
 	}
 	if !ac.isVoter(ac.view) && !ac.isVoter(value) {
@@ -176,7 +178,7 @@
 	})
 }
 
-// hasAcceptedLater tells whether this voter has accepted a view after the present one. It then no longer confirms the present epoch:
+// hasAcceptedLater reports whether this voter has accepted a view after the present one. It then no longer confirms the present epoch:
 // the later view may be chosen and its chain acknowledge changes while a majority of the present voters, this one among them, has
 // not learned of it. That it was chosen is not enough to ask for. The majority need not meet the later chain where a replica of
 // that chain is new among the voters, or where a chain shorter than a majority may acknowledge. Scenario "an accepted view" plays it.
@@ -203,7 +205,7 @@
 	ac.view, ac.viewDurable = v, false
 	ac.promised, ac.accepted, ac.acceptedView = proposalNumber{}, proposalNumber{}, nil
 	// The head must hold all that was acknowledged, see planner.mayLead.
-	if v.Head() == ac.self.ID && (ac.activeEpoch >= v.base || ac.cfg.knobs.AllowAnyHead) {
+	if v.Head() == ac.self.ID && (ac.activeEpoch >= v.minHeadEpoch || ac.cfg.knobs.AllowAnyHead) {
 		ac.activeEpoch = v.Epoch
 	}
 }
--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -45,10 +45,10 @@
 	downstream          map[ID]*progress
 	ackSentAt           time.Duration
 
-	acceptor *acceptor
-	writer   *diskWriter
-	liveness *liveness
-	waiting  callCompleter
+	acceptor  *acceptor
+	writer    *diskWriter
+	liveness  *liveness
+	completer callCompleter
 }
 
 // callCompleter answers the calls that wait for records to be committed.
@@ -75,21 +75,21 @@
 	return ""
 }
 
-// isInChain tells whether this node is a replica of the present chain, active or not.
+// isInChain reports whether this node is a replica of the present chain, active or not.
 func (cr *chainReplica) isInChain() bool { return cr.acceptor.view.chainIndex(cr.self.ID) >= 0 }
 
-// isActive tells whether this replica takes part: it has on disk that it holds all that was acknowledged before its view.
+// isActive reports whether this replica takes part: it has on disk that it holds all that was acknowledged before its view.
 func (cr *chainReplica) isActive() bool {
 	epoch := cr.acceptor.view.Epoch
 	isUsable := cr.err == nil && cr.acceptor.viewDurable
-	return isUsable && epoch > 0 && cr.acceptor.durableActive == epoch && cr.isInChain()
+	return isUsable && epoch > 0 && cr.acceptor.durableActiveEpoch == epoch && cr.isInChain()
 }
 
 func (cr *chainReplica) isHead() bool { return cr.isActive() && cr.acceptor.view.Head() == cr.self.ID }
 
 func (cr *chainReplica) isTail() bool { return cr.isActive() && cr.acceptor.view.Tail() == cr.self.ID }
 
-// isActiveToTail tells whether this replica and all after it are active, so that no log of an old epoch is left among them.
+// isActiveToTail reports whether this replica and all after it are active, so that no log of an old epoch is left among them.
 func (cr *chainReplica) isActiveToTail() bool {
 	if !cr.isActive() || cr.isTail() {
 		return cr.isActive()
@@ -206,8 +206,8 @@
 	}
 	cr.ackSentAt = 0
 	cr.sendAck()
-	cr.waiting.completeChanges()
-	cr.waiting.completeReads()
+	cr.completer.completeChanges()
+	cr.completer.completeReads()
 	for _, id := range slices.Sorted(maps.Keys(cr.downstream)) {
 		if cr.downstream[id].learner {
 			cr.replicateTo(id)
@@ -215,7 +215,7 @@
 	}
 }
 
-// nextState gives the state after the record above the commit index. The head has computed it already.
+// nextState returns the state after the record above the commit index. The head has computed it already.
 func (cr *chainReplica) nextState() (State, error) {
 	if len(cr.uncommittedStates) == 0 {
 		return cr.state.Apply(cr.log.at(cr.commitIndex + 1).rec)
@@ -225,17 +225,17 @@
 	return next, nil
 }
 
-// holdsAcknowledged tells whether this replica knows to be committed all that may have been acknowledged before it came to its place, in
+// holdsAcknowledged reports whether this replica knows to be committed all that may have been acknowledged before it came to its place, in
 // its present incarnation.
 func (cr *chainReplica) holdsAcknowledged() bool {
 	return cr.commitIndex >= cr.minReadIndex || cr.cfg.knobs.SkipMinReadIndex
 }
 
-// isUpToDate tells whether this node, in the chain, knows all to be committed that may have been acknowledged before its epoch; or,
+// isUpToDate reports whether this node, in the chain, knows all to be committed that may have been acknowledged before its epoch; or,
 // outside the chain, has received what was committed within the window.
 func (cr *chainReplica) isUpToDate(window time.Duration) bool {
 	if cr.isInChain() {
-		return cr.acceptor.durableActive == cr.acceptor.view.Epoch && cr.holdsAcknowledged()
+		return cr.acceptor.durableActiveEpoch == cr.acceptor.view.Epoch && cr.holdsAcknowledged()
 	}
 	return cr.caughtUp && cr.now-cr.caughtUpAt <= window && cr.commitIndex >= cr.upstreamCommitIndex
 }
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -53,10 +53,10 @@
 		planner:      &planner{environment: env, seedMajoritySince: -1, headlessSince: -1},
 		chain:        &chainReplica{environment: env, machine: machine, state: machine.Empty(), downstream: map[ID]*progress{}},
 		confirmation: &readConfirmation{environment: env},
-		calls:        &clientCalls{environment: env, submits: map[uint64]*submit{}, reads: map[uint64]*read{}},
+		calls:        &clientCalls{environment: env, submits: map[uint64]*pendingSubmit{}, reads: map[uint64]*pendingRead{}},
 		decider:      &changeDecider{environment: env, changes: map[changeKey]*pendingChange{}},
 		liveness: &liveness{
-			environment: env, peers: map[ID]*peer{}, lastHeartbeatAt: -cfg.HeartbeatInterval,
+			environment: env, peers: map[ID]*peer{}, lastHeartbeatSentAt: -cfg.HeartbeatInterval,
 			heartbeatNumber: firstHeartbeatNumber(cfg.Incarnation),
 		},
 		writer: &diskWriter{environment: env},
@@ -72,7 +72,7 @@
 	c.proposer.acceptor, c.proposer.writer, c.proposer.liveness = c.acceptor, c.writer, c.liveness
 	c.proposer.planner, c.proposer.adoptView = c.planner, c.adoptView
 	c.planner.acceptor, c.planner.liveness, c.planner.chain = c.acceptor, c.liveness, c.chain
-	c.chain.acceptor, c.chain.writer, c.chain.liveness, c.chain.waiting = c.acceptor, c.writer, c.liveness, c
+	c.chain.acceptor, c.chain.writer, c.chain.liveness, c.chain.completer = c.acceptor, c.writer, c.liveness, c
 	c.confirmation.acceptor, c.confirmation.chain = c.acceptor, c.chain
 	c.calls.acceptor, c.calls.liveness, c.calls.chain = c.acceptor, c.liveness, c.chain
 	c.decider.acceptor, c.decider.writer, c.decider.liveness = c.acceptor, c.writer, c.liveness
@@ -155,7 +155,7 @@
 	c.advance(now)
 	c.writer.superviseWrites()
 	c.liveness.observeReach()
-	if c.now-c.liveness.lastHeartbeatAt >= c.liveness.heartbeatInterval() {
+	if c.now-c.liveness.lastHeartbeatSentAt >= c.liveness.heartbeatInterval() {
 		c.liveness.sendHeartbeats()
 	}
 	c.chain.tickChain()
@@ -267,7 +267,16 @@
 	c.flush()
 }
 
-// adoptView makes a chosen view this node's own, unless it has a later one. It takes part in it once the view is on disk.
+// adoptView makes a chosen view this node's own, unless it has a later one. It takes part in it once the view is on disk. The steps, in
+// this order:
+//
+//  1. chainReplica.discardRestoredLog: a node that does not lead its first view empties a restored log, and adopts the view once that is on disk.
+//  2. acceptor.enterEpoch: the view becomes the present one, and the vote on the next one is open. A head becomes active here.
+//  3. proposer.reset, and the planner waits anew: what was proposed for the former epoch is void.
+//  4. chainReplica.leaveEpoch: what was known of the former epoch's neighbours is forgotten.
+//  5. changeDecider.abandonChanges: unless this node remains the head, it answers the changes that it cannot decide any more.
+//  6. diskWriter.persist: the view and the acceptor state are written. All that follows waits for it.
+//  7. chainReplica.enterView, with enterAsHead at the head: the replica takes part.
 func (c *Core) adoptView(v *View) {
 	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.chain.discardRestoredLog(v) {
 		return
--- a/internal/system/replication/core_status.go
+++ b/internal/system/replication/core_status.go
@@ -6,12 +6,6 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// How long the confirmation of a majority that there is no later epoch counts, as fractions of Config.SuspectTimeout.
-const (
-	currentNumerator, currentDenominator                 = 6, 7
-	observerCurrentNumerator, observerCurrentDenominator = 9, 7
-)
-
 // Self is this node; its ID is the one on disk.
 func (c *Core) Self() Member { return c.self }
 
@@ -37,7 +31,7 @@
 	return records, true
 }
 
-// Departed tells whether nobody relies on this node any more: it is no chain replica, and enough replicas that are alive hold what was
+// Departed reports whether nobody relies on this node any more: it is no chain replica, and enough replicas that are alive hold what was
 // acknowledged. The disk of a replica that is not alive may be lost.
 func (c *Core) Departed() bool {
 	v := c.acceptor.view
@@ -56,21 +50,21 @@
 	return c.planner.countHolders(alive) >= c.cfg.minChainLength()
 }
 
-// Current tells whether what this node holds can be passed on as new: within the last moments a majority of the voters confirmed that
+// Current reports whether what this node holds can be passed on as new: within the last moments a majority of the voters confirmed that
 // they know of no later epoch than its own, and it is a chain replica or a learner that has caught up.
 func (c *Core) Current(now time.Duration) bool {
 	c.advance(now)
 	if c.acceptor.view.Epoch == 0 || !c.acceptor.viewDurable || c.err != nil {
 		return false
 	}
-	window := c.currentWindow()
+	window := c.cfg.currentWindow()
 	if !c.chain.isUpToDate(window) {
 		return false
 	}
 	if c.cfg.knobs.SkipCurrentMajority {
 		return true
 	}
-	confirmed := map[ID]string{}
+	confirmed := voterSet{}
 	for _, m := range c.acceptor.view.Voters {
 		if c.confirmsEpoch(m.ID, window) {
 			confirmed[m.ID] = m.Addr
@@ -79,7 +73,7 @@
 	return c.acceptor.isQuorum(c.acceptor.view, confirmed)
 }
 
-// confirmsEpoch tells whether a voter said, in answer to a heartbeat sent within the window, that it is in the present epoch and has
+// confirmsEpoch reports whether a voter said, in answer to a heartbeat sent within the window, that it is in the present epoch and has
 // accepted no later view.
 func (c *Core) confirmsEpoch(voter ID, window time.Duration) bool {
 	if voter == c.self.ID {
@@ -92,16 +86,7 @@
 	return p.heartbeat.GetAccepted() <= c.acceptor.view.Epoch || c.cfg.knobs.ConfirmAfterAccept
 }
 
-// currentWindow is how old the confirmation of a majority may be for this node to be current: what it then holds lacks nothing that was
-// acknowledged longer ago. It is below a second with the default times, for observers too.
-func (c *Core) currentWindow() time.Duration {
-	if c.cfg.Observer {
-		return c.cfg.SuspectTimeout * observerCurrentNumerator / observerCurrentDenominator
-	}
-	return c.cfg.SuspectTimeout * currentNumerator / currentDenominator
-}
-
-// Partitioned tells whether a change asked for here cannot be accepted, as there has been no way to the chain for long. It is for callers
+// Partitioned reports whether a change asked for here cannot be accepted, as there has been no way to the chain for long. It is for callers
 // that should rather ask another node at once; Submit and Read do not rest on it.
 //
 // It is false for a node that exchanges heartbeats with the head, and a change is forwarded only while the head is alive here (see
--- a/internal/system/replication/head_election.go
+++ b/internal/system/replication/head_eligibility.go
@@ -3,13 +3,9 @@
 import (
 	"maps"
 	"slices"
-	"time"
 )
 
-const (
-	sealTimeout      = time.Second // without a chain replica that may lead
-	maxEarlierChains = 64          // that a view remembers
-)
+const maxEarlierChains = 64 // that a view remembers
 
 // durableEpochs is what a node has on disk about the epochs in which it was a chain replica.
 type durableEpochs struct {
@@ -19,18 +15,18 @@
 	epoch  uint64 // of its view
 }
 
-// isInactiveIn tells whether the node was not active in the epoch by its newest heartbeat.
+// isInactiveIn reports whether the node was not active in the epoch by its newest heartbeat.
 func (e durableEpochs) isInactiveIn(epoch uint64) bool { return e.known && e.active < epoch }
 
-// cannotActivateIn tells whether a node that was not active in the epoch never will be: it is in a later one, or has sealed it.
+// cannotActivateIn reports whether a node that was not active in the epoch never will be: it is in a later one, or has sealed it.
 func (e durableEpochs) cannotActivateIn(epoch uint64) bool {
 	return e.epoch > epoch || e.sealed == epoch
 }
 
-// durableEpochsOf gives what the newest heartbeat of a node says. The numbers may have changed since, but only upwards.
+// durableEpochsOf returns what the newest heartbeat of a node says. The numbers may have changed since, but only upwards.
 func (lv *liveness) durableEpochsOf(id ID) durableEpochs {
 	if id == lv.self.ID {
-		return durableEpochs{known: true, active: lv.acceptor.durableActive, sealed: lv.acceptor.durableSealed, epoch: lv.acceptor.durableEpoch}
+		return durableEpochs{known: true, active: lv.acceptor.durableActiveEpoch, sealed: lv.acceptor.durableSealedEpoch, epoch: lv.acceptor.durableViewEpoch}
 	}
 	if p := lv.peers[id]; p != nil {
 		return durableEpochs{known: true, active: p.heartbeat.GetActive(), sealed: p.heartbeat.GetSealed(), epoch: p.heartbeat.GetEpoch()}
@@ -46,7 +42,7 @@
 	assumingSealed sealing = true  // those that are alive count as sealed, since they can be asked to
 )
 
-// mayLead tells whether the candidate holds everything that the present and earlier chains have acknowledged and ever will
+// mayLead reports whether the candidate holds everything that the present and earlier chains have acknowledged and ever will
 // (invariant 3 of the package).
 //
 // Proof. A replica that was active in epoch f holds what was acknowledged up to f: it had all that its predecessor had when f began,
@@ -71,7 +67,7 @@
 	return true
 }
 
-// cannotHaveAcknowledged tells whether the epoch is known to have acknowledged nothing, for good, provided that the candidate leads
+// cannotHaveAcknowledged reports whether the epoch is known to have acknowledged nothing, for good, provided that the candidate leads
 // next. One replica of its chain that was not active and cannot become so is enough. An epoch whose chain is not remembered any
 // more may have acknowledged.
 func (pl *planner) cannotHaveAcknowledged(epoch uint64, candidate ID, seals sealing) bool {
@@ -85,7 +81,7 @@
 	})
 }
 
-// canBeAskedToSeal tells whether a replica that was not active in the epoch can still promise never to be.
+// canBeAskedToSeal reports whether a replica that was not active in the epoch can still promise never to be.
 func (pl *planner) canBeAskedToSeal(id ID, epoch uint64) bool {
 	return epoch == pl.acceptor.view.Epoch && pl.liveness.isAlive(id)
 }
@@ -97,48 +93,10 @@
 	if pl.liveness.durableEpochsOf(current.Tail()).active == current.Epoch {
 		return chains // the tail is active only after all others, so earlier chains do not matter any more
 	}
-	maps.Copy(chains, current.past)
+	maps.Copy(chains, current.earlierChains)
 	chains[current.Epoch] = current.Chain
 	for len(chains) > maxEarlierChains {
 		delete(chains, slices.Min(slices.Collect(maps.Keys(chains))))
 	}
 	return chains
 }
-
-// findHead looks for a head outside the chain, when no replica of the chain may lead because all that were active are lost. Where a
-// voter could lead once the others have sealed the epoch, they are asked to, and the search goes on when they have.
-func (pl *planner) findHead(voters []Member) []Member {
-	if pl.headlessSince < 0 {
-		pl.headlessSince = pl.now
-	}
-	if pl.now-pl.headlessSince < sealTimeout {
-		return nil
-	}
-	canLead := func(seals sealing) func(Member) bool {
-		return func(m Member) bool { return pl.liveness.isHealthy(m.ID) && pl.mayLead(m.ID, seals) }
-	}
-	if i := slices.IndexFunc(voters, canLead(asSealed)); i >= 0 {
-		return []Member{voters[i]}
-	}
-	if slices.ContainsFunc(voters, canLead(assumingSealed)) {
-		pl.requestSeals()
-	}
-	return nil
-}
-
-// requestSeals asks the replicas that are alive to seal the epoch, once in sealTimeout.
-func (pl *planner) requestSeals() {
-	for _, id := range pl.acceptor.view.Chain {
-		if pl.liveness.isAlive(id) {
-			pl.send(id, sealMessage(pl.acceptor.view.Epoch))
-		}
-	}
-	pl.headlessSince = pl.now
-}
-
-// isSealed tells whether a replica has sealed the present epoch, so that it needs a successor whatever else is well.
-func (pl *planner) isSealed() bool {
-	return slices.ContainsFunc(pl.acceptor.view.Chain, func(id ID) bool {
-		return pl.liveness.durableEpochsOf(id).sealed == pl.acceptor.view.Epoch
-	})
-}
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -21,13 +21,13 @@
 // suspected by time-out alone; no safety rests on that.
 type liveness struct {
 	*environment
-	peers           map[ID]*peer
-	heartbeatNumber uint64                          // of the last heartbeat sent
-	heartbeatSentAt [heartbeatHistory]time.Duration // by number modulo heartbeatHistory
-	lastHeartbeatAt time.Duration
-	graceUntil      time.Duration // until then nobody is suspected
-	chainReachedAt  time.Duration // when the chain was last reachable; not before graceUntil
-	draining        bool          // this node is about to leave
+	peers               map[ID]*peer
+	heartbeatNumber     uint64                          // of the last heartbeat sent
+	heartbeatSentAt     [heartbeatHistory]time.Duration // by number modulo heartbeatHistory
+	lastHeartbeatSentAt time.Duration
+	graceUntil          time.Duration // until then nobody is suspected
+	chainReachedAt      time.Duration // when the chain was last reachable; not before graceUntil
+	draining            bool          // this node is about to leave
 
 	acceptor *acceptor
 	writer   *diskWriter
@@ -45,7 +45,7 @@
 	heartbeat       *replicationpb.Heartbeat
 }
 
-// isEligibleFor tells whether the peer has been eligible for so long.
+// isEligibleFor reports whether the peer has been eligible for so long.
 func (p *peer) isEligibleFor(d, now time.Duration) bool {
 	return p.eligibleSince >= 0 && now-p.eligibleSince >= d
 }
@@ -62,7 +62,7 @@
 	lv.graceUntil, lv.chainReachedAt = until, until
 }
 
-// sentTime gives when the heartbeat of a number was sent; false where it is not one of the last heartbeatHistory of this incarnation.
+// sentTime returns when the heartbeat of a number was sent; false where it is not one of the last heartbeatHistory of this incarnation.
 func (lv *liveness) sentTime(number uint64) (time.Duration, bool) {
 	if number == 0 || number > lv.heartbeatNumber || number+heartbeatHistory <= lv.heartbeatNumber {
 		return 0, false
@@ -76,7 +76,7 @@
 	lv.heartbeatSentAt[lv.heartbeatNumber%heartbeatHistory] = lv.now
 	heartbeat := &replicationpb.Heartbeat{
 		Member: memberPB(lv.self), Number: lv.heartbeatNumber, Life: lv.cfg.Incarnation,
-		Epoch: lv.acceptor.durableEpoch, Active: lv.acceptor.durableActive, Sealed: lv.acceptor.durableSealed,
+		Epoch: lv.acceptor.durableViewEpoch, Active: lv.acceptor.durableActiveEpoch, Sealed: lv.acceptor.durableSealedEpoch,
 		Committed: lv.chain.commitIndex, DiskBad: lv.writer.unhealthy, Leaving: lv.draining, Bootstrap: lv.cfg.Bootstrap,
 		Stuck: string(lv.chain.stalledSuccessor()), Observer: lv.cfg.Observer, Echoes: echoes,
 	}
@@ -109,7 +109,7 @@
 // sendHeartbeats sends this node's state to all members, and asks to be sent records where this node is outside the chain. Observers get
 // a reply to their own heartbeats.
 func (lv *liveness) sendHeartbeats() {
-	lv.lastHeartbeatAt = lv.now
+	lv.lastHeartbeatSentAt = lv.now
 	lv.forgetPeers()
 	message := heartbeatMessage(lv.newHeartbeat(lv.echoes()))
 	message.From = string(lv.self.ID)
@@ -172,7 +172,7 @@
 	}
 }
 
-// peerOf gives the peer that a heartbeat is of, nil where the heartbeat arrived out of order or there are too many peers.
+// peerOf returns the peer that a heartbeat is of, nil where the heartbeat arrived out of order or there are too many peers.
 func (lv *liveness) peerOf(id ID, m *replicationpb.Heartbeat) *peer {
 	p := lv.peers[id]
 	switch {
@@ -201,7 +201,7 @@
 	}
 }
 
-// isAlive tells whether messages have lately gone both ways between this node and id.
+// isAlive reports whether messages have lately gone both ways between this node and id.
 func (lv *liveness) isAlive(id ID) bool {
 	if id == lv.self.ID {
 		return true
@@ -214,7 +214,13 @@
 	return lv.now-p.lastContactAt < timeout && lv.now-p.echoedAt < timeout+2*lv.heartbeatInterval()
 }
 
-// isHealthy tells whether id could be a chain replica: it is alive and has a disk that works.
+// isLost reports whether a voter has been without contact for long.
+func (lv *liveness) isLost(m Member) bool {
+	p := lv.peers[m.ID]
+	return m.ID != lv.self.ID && !lv.isAlive(m.ID) && (p == nil || lv.now-p.lastContactAt > replaceVoterTimeout)
+}
+
+// isHealthy reports whether id could be a chain replica: it is alive and has a disk that works.
 func (lv *liveness) isHealthy(id ID) bool {
 	if id == lv.self.ID {
 		return !lv.writer.unhealthy && lv.err == nil && !lv.cfg.Observer
@@ -222,7 +228,7 @@
 	return lv.isAlive(id) && !lv.peers[id].heartbeat.GetObserver() && !lv.peers[id].heartbeat.GetDiskBad()
 }
 
-// isEligible tells whether id is fit to become a chain replica: it is healthy and not about to leave.
+// isEligible reports whether id is fit to become a chain replica: it is healthy and not about to leave.
 func (lv *liveness) isEligible(id ID) bool {
 	if id == lv.self.ID {
 		return lv.isHealthy(id) && !lv.draining
@@ -230,7 +236,7 @@
 	return lv.isHealthy(id) && !lv.peers[id].heartbeat.GetLeaving()
 }
 
-// receivesFrom tells whether receiver lately got messages of sender, as receiver itself says.
+// receivesFrom reports whether receiver lately got messages of sender, as receiver itself says.
 func (lv *liveness) receivesFrom(receiver, sender ID) bool {
 	if receiver == sender {
 		return true
@@ -242,10 +248,10 @@
 	return p != nil && slices.ContainsFunc(p.heartbeat.GetEchoes(), func(e *replicationpb.Echo) bool { return ID(e.GetId()) == sender })
 }
 
-// haveContact tells whether messages lately went both ways between a and b.
+// haveContact reports whether messages lately went both ways between a and b.
 func (lv *liveness) haveContact(a, b ID) bool { return lv.receivesFrom(a, b) && lv.receivesFrom(b, a) }
 
-// hasMajorityAlive tells whether a majority of the voters is alive.
+// hasMajorityAlive reports whether a majority of the voters is alive.
 func (lv *liveness) hasMajorityAlive(voters []Member) bool {
 	alive := 0
 	for _, m := range voters {
@@ -256,15 +262,15 @@
 	return alive > len(voters)/2
 }
 
-// lastHeartbeatFrom is the number of the newest heartbeat of a peer, 0 if there was none.
-func (lv *liveness) lastHeartbeatFrom(id ID) uint64 {
+// lastHeartbeatNumberFrom is the number of the newest heartbeat of a peer, 0 if there was none.
+func (lv *liveness) lastHeartbeatNumberFrom(id ID) uint64 {
 	if p := lv.peers[id]; p != nil {
 		return p.heartbeatNumber
 	}
 	return 0
 }
 
-// headIncarnation gives the incarnation of the head, false where the head is not alive or not in the present epoch.
+// headIncarnation returns the incarnation of the head, false where the head is not alive or not in the present epoch.
 func (lv *liveness) headIncarnation() (uint64, bool) {
 	head := lv.acceptor.view.Head()
 	if head == lv.self.ID {
@@ -277,7 +283,7 @@
 	return p.incarnation, true
 }
 
-// addressOf gives the address of a node by its heartbeat, or by the views, empty where it is not known.
+// addressOf returns the address of a node by its heartbeat, or by the views, empty where it is not known.
 func (lv *liveness) addressOf(id ID) string {
 	if p := lv.peers[id]; p != nil {
 		return p.member.Addr
--- a/internal/system/replication/placement.go
+++ b/internal/system/replication/placement.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// spread tells how unevenly nodes are placed over failure domains: regions and zones. Of two sets of one size the lesser is better.
-type spread struct {
+// exposure says how many nodes the worst tolerated losses take, and how unevenly the nodes are placed over failure domains: regions and
+// zones. Of two sets of one size the lesser is better.
+type exposure struct {
 	regionExposure int // nodes lost with the worst loss of as many regions as must be tolerated
 	zoneExposure   int // nodes lost with the worst loss of as many zones, at least one
 	unevenness     int // sum of the squares of the nodes per zone
 }
 
-func (s spread) compare(other spread) int {
+func (e exposure) compare(other exposure) int {
 	return cmp.Or(
-		cmp.Compare(s.regionExposure, other.regionExposure),
-		cmp.Compare(s.zoneExposure, other.zoneExposure),
-		cmp.Compare(s.unevenness, other.unevenness),
+		cmp.Compare(e.regionExposure, other.regionExposure),
+		cmp.Compare(e.zoneExposure, other.zoneExposure),
+		cmp.Compare(e.unevenness, other.unevenness),
 	)
 }
 
 func zoneOf(m Member) string   { return m.Zone }
 func regionOf(m Member) string { return m.Region }
 
-// domainCounts gives the number of members of each failure domain, the largest first.
+// domainCounts returns the number of members of each failure domain, the largest first.
 func domainCounts(members []Member, domain func(Member) string) []int {
 	byDomain := map[string]int{}
 	for _, m := range members {
@@ -47,16 +48,16 @@
 	return lost
 }
 
-// spread of members. A zone counts as one that may be lost even where none must be tolerated: it costs nothing.
-func (c *Config) spread(members []Member) spread {
-	s := spread{
+// exposure of the members to losses. A zone counts as one that may be lost even where none must be tolerated: it costs nothing.
+func (c *Config) exposure(members []Member) exposure {
+	e := exposure{
 		regionExposure: worstLoss(members, regionOf, c.RegionLosses),
 		zoneExposure:   worstLoss(members, zoneOf, max(1, c.ZoneLosses)),
 	}
 	for _, n := range domainCounts(members, zoneOf) {
-		s.unevenness += n * n
+		e.unevenness += n * n
 	}
-	return s
+	return e
 }
 
 // worstToleratedLoss is how many of the members may be lost at once.
@@ -64,12 +65,12 @@
 	return max(c.MachineLosses, worstLoss(members, zoneOf, c.ZoneLosses), worstLoss(members, regionOf, c.RegionLosses))
 }
 
-// votersTolerateLosses tells whether a majority of the voters is left after any loss that must be tolerated.
+// votersTolerateLosses reports whether a majority of the voters is left after any loss that must be tolerated.
 func (c *Config) votersTolerateLosses(voters []Member) bool {
 	return len(voters)-c.worstToleratedLoss(voters) > len(voters)/2
 }
 
-// chainToleratesLosses tells whether a replica is left after any loss that must be tolerated.
+// chainToleratesLosses reports whether a replica is left after any loss that must be tolerated.
 func (c *Config) chainToleratesLosses(replicas []Member) bool {
 	return len(replicas) > c.worstToleratedLoss(replicas)
 }
@@ -95,7 +96,7 @@
 	return 2*max(1, c.MachineLosses, c.ZoneLosses, c.RegionLosses) + 1
 }
 
-// addBestSpread adds the candidate that leaves the members best spread, the first of those that are alike. It gives false where none is
+// addBestSpread adds the candidate that leaves the members best spread, the first of those that are alike. It returns false where none is
 // allowed.
 func (c *Config) addBestSpread(members, candidates []Member, isAllowed func(Member) bool) ([]Member, bool) {
 	var best []Member
@@ -103,7 +104,7 @@
 		if slices.Contains(members, m) || !isAllowed(m) {
 			continue
 		}
-		if with := append(slices.Clone(members), m); best == nil || c.spread(with).compare(c.spread(best)) < 0 {
+		if with := append(slices.Clone(members), m); best == nil || c.exposure(with).compare(c.exposure(best)) < 0 {
 			best = with
 		}
 	}
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -39,14 +39,14 @@
 	current             *View // whose voters decide
 	number              proposalNumber
 	startedAt           time.Duration
-	promisedBy          map[ID]string // addresses of those who promised
+	promisedBy          voterSet // addresses of those who promised
 	highestAccepted     proposalNumber
 	highestAcceptedView *View // accepted by one of them under highestAccepted
 	value               *View // nil in phase one
-	acceptedBy          map[ID]string
+	acceptedBy          voterSet
 }
 
-// isFor tells whether an answer of an acceptor is for this proposal.
+// isFor reports whether an answer of an acceptor is for this proposal.
 func (p *proposal) isFor(epoch uint64, ballot *replicationpb.Ballot) bool {
 	return epoch == p.current.Epoch && proposalNumberOf(ballot) == p.number
 }
@@ -82,17 +82,17 @@
 	}
 }
 
-// canPropose tells whether this node votes and can write its promises.
+// canPropose reports whether this node votes and can write its promises.
 func (pr *proposer) canPropose() bool {
 	return pr.err == nil && pr.acceptor.identityDurable && !pr.writer.unhealthy && pr.acceptor.isVoter(pr.acceptor.view)
 }
 
-// isDue tells whether no proposal is in progress, and neither back-off nor a grace period lasts.
+// isDue reports whether no proposal is in progress, and neither back-off nor a grace period lasts.
 func (pr *proposer) isDue() bool {
 	return pr.proposal == nil && pr.now >= pr.liveness.graceUntil && pr.now >= pr.backoffUntil
 }
 
-// wantedView gives the view to propose, nil when none is, and this node's turn.
+// wantedView returns the view to propose, nil when none is, and this node's turn.
 func (pr *proposer) wantedView() (next *View, rank int) {
 	if next, rank = pr.planner.plan(); next != nil || pr.acceptor.acceptedView == nil {
 		return next, rank
@@ -112,7 +112,7 @@
 func (pr *proposer) propose(next *View) {
 	current := pr.acceptor.view
 	number := proposalNumber{round: max(pr.acceptor.promised.round, pr.highestRoundSeen) + 1, id: pr.self.ID}
-	pr.proposal = &proposal{current: current, number: number, startedAt: pr.now, promisedBy: map[ID]string{}, acceptedBy: map[ID]string{}}
+	pr.proposal = &proposal{current: current, number: number, startedAt: pr.now, promisedBy: voterSet{}, acceptedBy: voterSet{}}
 	pr.logEvent(fmt.Sprintf("replication: proposing view %d: %s", next.Epoch, next))
 	prepare := &replicationpb.Prepare{Current: viewPB(current), Ballot: proposalNumberPB(number)}
 	own := pr.acceptor.promiseReply(number)
@@ -125,7 +125,8 @@
 	})
 }
 
-// broadcastToVoters sends to the voters of both views except this node, by identity.
+// broadcastToVoters sends to the voters of both views except this node, by identity. The view of epoch 0 has no voters: the seeds that
+// take part in the bootstrap vote in their place. Each receiver gets a message of its own, since environment.send sets its To.
 func (pr *proposer) broadcastToVoters(current, next *View, newMessage func() *replicationpb.Message) {
 	receivers := map[ID]bool{}
 	if current.Epoch == 0 {
@@ -220,7 +221,7 @@
 	pr.adoptView(p.value)
 }
 
-// isChosen tells whether majorities of the voters of both views have accepted. The old majority decides, as in any Paxos. The new
+// isChosen reports whether majorities of the voters of both views have accepted. The old majority decides, as in any Paxos. The new
 // one sees to it that a majority of the voters who decide on the next view knows the view that it starts from. Phase one needs the
 // old majority only: it meets every old majority that may have accepted.
 func (pr *proposer) isChosen(p *proposal) bool {
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -17,7 +17,7 @@
 	epoch       uint64 // that the round asks about
 	startedAt   time.Duration
 	sentAt      time.Duration
-	confirmedBy map[ID]string
+	confirmedBy voterSet
 	waiters     []func(confirmed bool) // of the round; none: no round is in progress
 	queued      []func(confirmed bool) // for the next round
 
@@ -50,7 +50,7 @@
 	}
 	rc.waiters, rc.queued = rc.queued, nil
 	rc.number++
-	rc.epoch, rc.startedAt, rc.confirmedBy = rc.acceptor.view.Epoch, rc.now, map[ID]string{}
+	rc.epoch, rc.startedAt, rc.confirmedBy = rc.acceptor.view.Epoch, rc.now, voterSet{}
 	rc.sendRound()
 	if rc.acceptor.isVoter(rc.acceptor.view) && !rc.acceptor.hasAcceptedLater() {
 		rc.recordConfirmation(rc.self.ID)
@@ -111,7 +111,7 @@
 	}
 }
 
-// isOfRound tells whether a confirmation answers the round in progress.
+// isOfRound reports whether a confirmation answers the round in progress.
 func (rc *readConfirmation) isOfRound(m *replicationpb.Confirmed) bool {
 	return rc.isThisIncarnation(m.GetLife()) && m.GetRound() == rc.number && m.GetEpoch() == rc.epoch
 }
@@ -142,7 +142,7 @@
 	})
 }
 
-// canAnswerReads tells whether this node is the tail and knows to be committed what an earlier tail, or this one in a former incarnation,
+// canAnswerReads reports whether this node is the tail and knows to be committed what an earlier tail, or this one in a former incarnation,
 // may have acknowledged.
 func (rc *readConfirmation) canAnswerReads() bool {
 	return rc.chain.isTail() && rc.chain.holdsAcknowledged()
--- a/internal/system/replication/scripted_cluster_test.go
+++ b/internal/system/replication/scripted_cluster_test.go
@@ -41,7 +41,7 @@
 	envelope Envelope
 }
 
-// transmits tells whether the message goes through the pipe; heartbeats have a connection of their own.
+// transmits reports whether the message goes through the pipe; heartbeats have a connection of their own.
 func (p *slowNetwork) transmits(now time.Duration, e Envelope) bool {
 	if e.Msg.GetAppend() == nil && e.Msg.GetInstall() == nil {
 		return false
@@ -182,7 +182,7 @@
 		if cluster.now-began > limit {
 			for _, addr := range slices.Sorted(maps.Keys(cluster.nodes)) {
 				if n := cluster.nodes[addr]; n.core != nil {
-					cluster.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.acceptor.durableActive,
+					cluster.t.Logf("%s: view %d %v, active %d, committed %d of %d", addr, n.core.acceptor.view.Epoch, n.core.acceptor.view, n.core.acceptor.durableActiveEpoch,
 						n.core.chain.commitIndex, n.core.chain.log.end())
 				}
 			}
@@ -226,7 +226,7 @@
 	return newest
 }
 
-// complete tells whether the newest view has that many replicas and voters, and all replicas are active.
+// complete reports whether the newest view has that many replicas and voters, and all replicas are active.
 func (cluster *scriptedCluster) complete(links, voters int) bool {
 	v := cluster.view()
 	if len(v.Chain) != links || len(v.Voters) != voters {
@@ -239,7 +239,7 @@
 	}
 	for _, id := range v.Chain {
 		m, _ := v.Voter(id)
-		if n := cluster.nodes[m.Addr]; n.core.acceptor.durableActive != v.Epoch {
+		if n := cluster.nodes[m.Addr]; n.core.acceptor.durableActiveEpoch != v.Epoch {
 			return false
 		}
 	}
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -57,7 +57,7 @@
 	return all
 }
 
-// isHeadless tells whether no chain replica may lead.
+// isHeadless reports whether no chain replica may lead.
 func (pl *planner) isHeadless() bool { return pl.headlessSince >= 0 }
 
 // replaceLostVoter finds a voter that is lost and the joiner that takes its place: at its machine's address, or else where it leaves
@@ -81,16 +81,10 @@
 	return replacement{}, false
 }
 
-// isLost tells whether a voter has been without contact for long.
-func (lv *liveness) isLost(m Member) bool {
-	p := lv.peers[m.ID]
-	return m.ID != lv.self.ID && !lv.isAlive(m.ID) && (p == nil || lv.now-p.lastContactAt > replaceVoterTimeout)
-}
-
 // bestReplacement finds the replacement, of the voters that may go, that leaves the voters best spread; the first of those that are
 // alike.
 func (pl *planner) bestReplacement(voters, joiners []Member, mayGo func(Member) bool) (best replacement, found bool) {
-	var bestSpread spread
+	var bestExposure exposure
 	for i, voter := range voters {
 		if !mayGo(voter) {
 			continue
@@ -98,8 +92,8 @@
 		for _, joiner := range joiners {
 			with := slices.Clone(voters)
 			with[i] = joiner
-			if s := pl.cfg.spread(with); !found || s.compare(bestSpread) < 0 {
-				best, found, bestSpread = replacement{index: i, joiner: joiner}, true, s
+			if s := pl.cfg.exposure(with); !found || s.compare(bestExposure) < 0 {
+				best, found, bestExposure = replacement{index: i, joiner: joiner}, true, s
 			}
 		}
 	}
@@ -121,19 +115,19 @@
 	}
 	with := slices.Clone(voters)
 	with[best.index] = best.joiner
-	if pl.cfg.spread(with).compare(pl.cfg.spread(voters)) >= 0 {
+	if pl.cfg.exposure(with).compare(pl.cfg.exposure(voters)) >= 0 {
 		return voters, ""
 	}
 	return with, voters[best.index].ID
 }
 
-// isSpare tells whether the chain can do without a voter.
+// isSpare reports whether the chain can do without a voter.
 func (pl *planner) isSpare(m Member) bool {
 	v := pl.acceptor.view
 	return m.ID != v.Head() && (v.chainIndex(m.ID) < 0 || len(v.Chain) > pl.cfg.minChainLength())
 }
 
-// isStable tells whether every voter is eligible and every chain replica active in the present epoch.
+// isStable reports whether every voter is eligible and every chain replica active in the present epoch.
 func (pl *planner) isStable() bool {
 	v := pl.acceptor.view
 	return !slices.ContainsFunc(v.Voters, func(m Member) bool { return !pl.liveness.isEligible(m.ID) }) &&
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -36,16 +36,7 @@
 	// durable.
 	ReadOnly bool
 
-	TestingKnobs TestingKnobs // zero in production
-}
-
-// TestingKnobs switch protections off, for the tests that show that each is needed.
-type TestingKnobs struct {
-	SkipRecordChecksums         bool // records are accepted without verifying their checksums
-	ReuseSegmentAfterFailedSync bool // after a failed sync the same file is written on
-	TrustNewestSegment          bool // Load syncs the newest segment in place of rewriting its last record
-	SkipOwnershipCheck          bool // another process that has opened the log is not noticed
-	SkipQuarantineMarkerSync    bool // files are renamed before the quarantine's marker is durable
+	knobs TestingKnobs // zero in production
 }
 
 // Log is a Disk in one folder. The package comment describes how it stays durable. A Log is used by one goroutine at a time.
@@ -181,7 +172,7 @@
 	if err := l.removeAbandonedSegment(); err != nil { // its header names the snapshot as it was
 		return err
 	}
-	if l.tailUnfinished && !l.options.TestingKnobs.ReuseSegmentAfterFailedSync {
+	if l.tailUnfinished && !l.options.knobs.ReuseSegmentAfterFailedSync {
 		return l.withReserve(headerSize, func() error { return l.createSegment(nil) })
 	}
 	return nil
