--- a/internal/framing/boundary.go
+++ b/internal/framing/boundary.go
@@ -261,7 +261,7 @@
 	err     error // ErrAmbiguous once a byte was not admitted
 }
 
-// admit takes what a read returned and gives what the caller of the read gets.
+// admit takes what a read returned and returns what the caller of the read gets.
 func (g *readGuard) admit(p []byte, readErr error) (int, error) {
 	plain := g.tracker.consume(p)
 	if plain == len(p) {
--- a/internal/system/distribution/catchup/catchup.go
+++ b/internal/system/distribution/catchup/catchup.go
@@ -70,7 +70,7 @@
 	return NewSnapshot
 }
 
-// recordsFit tells whether one reply has room for the records asked for; a single one may be of any size.
+// recordsFit reports whether one reply has room for the records asked for; a single one may be of any size.
 func (a Availability) recordsFit(maxRecords int) bool {
 	return a.Known && (a.Records == 1 || a.Records <= maxRecords && a.Bytes <= MaxReplyBytes)
 }
@@ -88,7 +88,7 @@
 	Age time.Duration
 }
 
-// Expired tells whether the reply is too old to say anything of now. Its records still count, since they are numbered and
+// Expired reports whether the reply is too old to say anything of now. Its records still count, since they are numbered and
 // committed; its soft state does not.
 func (o Offer) Expired() bool { return o.Age > FreshnessTTL }
 
@@ -98,7 +98,7 @@
 	Resync bool   // a record did not apply: nothing but a snapshot helps
 }
 
-// Ask gives the number to ask a server from; 0 asks for a snapshot.
+// Ask returns the number to ask a server from; 0 asks for a snapshot.
 func (p Position) Ask() uint64 {
 	if p.Resync {
 		return 0
@@ -127,7 +127,7 @@
 	return step
 }
 
-// ProvesFreshness tells whether an offer, once its step is done and the position is p, shows that p is as new as anything that had
+// ProvesFreshness reports whether an offer, once its step is done and the position is p, shows that p is as new as anything that had
 // been acknowledged Age ago.
 func (p Position) ProvesFreshness(offer Offer) bool {
 	return offer.Current && !offer.Expired() && !p.Resync && p.Seq >= offer.Newest
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -19,7 +19,7 @@
 }
 
 // runAbsence starts a proxy on a configuration of some bytes, isolates it while n changes are acknowledged, brings the one
-// node that is current back without its older records, and goes on with 20 changes a second. It gives how long after
+// node that is current back without its older records, and goes on with 20 changes a second. It returns how long after
 // the end of the partition the proxy was up to date, and the bytes that were transmitted until then.
 func runAbsence(t *testing.T, changes, size int, lose bool) (took time.Duration, bytes int64) {
 	t.Helper()
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -64,7 +64,7 @@
 	tr.sum.Write(b)
 }
 
-// transferred takes in a message as it goes out, and gives the message that arrives.
+// transferred takes in a message as it goes out, and returns the message that arrives.
 func transferred[M proto.Message](tr *trace, tag byte, m, into M) M {
 	b := softstate.Marshal(m)
 	tr.step(tag)
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -47,7 +47,7 @@
 	return w
 }
 
-// others gives all machines but one.
+// others returns all machines but one.
 func (w *lateFleet) others(host string) []string {
 	out := []string{}
 	for _, k := range w.names {
@@ -151,7 +151,7 @@
 	}
 }
 
-// runLateFleet plays a seed and gives what came about and what did not hold.
+// runLateFleet plays a seed and returns what came about and what did not hold.
 func runLateFleet(t *testing.T, seed uint64, servers TestingKnobs, proxies TestingKnobs) (faults, broken map[string]int) {
 	t.Helper()
 	w := newLateFleet(t, rand.New(rand.NewPCG(seed, 11)), servers, proxies)
--- a/internal/system/distribution/loadreport/received.go
+++ b/internal/system/distribution/loadreport/received.go
@@ -23,7 +23,7 @@
 	loads []pick.Load
 }
 
-// Apply applies changes. It gives false for ones that do not continue what is held, or cannot be read: the next call must then name
+// Apply applies changes. It returns false for ones that do not continue what is held, or cannot be read: the next call must then name
 // the cursor that is held now.
 func (r *Received) Apply(now time.Time, changes *distributionpb.Loads) bool {
 	if changes == nil {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// decode applies coded changes. Where it gives false, some of them may have been applied.
+// decode applies coded changes. Where it returns false, some of them may have been applied.
 func (r *Received) decode(body []byte) bool {
 	rest := decoder{body: body, ok: true}
 	index := -1
@@ -97,7 +97,7 @@
 	return true
 }
 
-// decoder reads the coding of a vector's changes. Once ok is false, whatever it gives means nothing.
+// decoder reads the coding of a vector's changes. Once ok is false, whatever its methods return means nothing.
 type decoder struct {
 	body []byte
 	ok   bool
@@ -138,7 +138,7 @@
 	}
 }
 
-// Without gives the loads less own, at least 0, and leaves out what becomes 0.
+// Without returns the loads less own, at least 0, and leaves out what becomes 0.
 func (r *Received) Without(own map[string]pick.Load) map[string]pick.Load {
 	out := make(map[string]pick.Load, len(r.loads))
 	for i, load := range r.loads {
--- a/internal/system/distribution/loadreport/vector.go
+++ b/internal/system/distribution/loadreport/vector.go
@@ -62,7 +62,7 @@
 	return &Vector{Cursor: softstate.Cursor{BootID: rand.Uint64() | 1}, exact: exact, indexes: map[string]int{}}
 }
 
-// Publish makes loads, by server id, the vector's and tells whether that made a change. Loads are rounded up to units.
+// Publish makes loads, by server id, the vector's and reports whether that made a change. Loads are rounded up to units.
 func (v *Vector) Publish(now time.Time, loads map[string]pick.Load) bool {
 	if len(v.slots) > 2*len(loads)+slotSlack {
 		// Most indexes are of servers long gone.
@@ -86,7 +86,7 @@
 	return changed
 }
 
-// addSlots gives an index to each server that has a load and none yet. An index is given together with a load, so that readers
+// addSlots assigns an index to each server that has a load and none yet. An index is assigned together with a load, so that readers
 // learn of it.
 func (v *Vector) addSlots(number uint64, loads map[string]pick.Load) {
 	for id, load := range loads {
@@ -100,7 +100,7 @@
 	}
 }
 
-// ChangesSince gives the changes after the cursor; all of them for a cursor of another vector. The body is shared: do not change it.
+// ChangesSince returns the changes after the cursor; all of them for a cursor of another vector. The body is shared: do not change it.
 func (v *Vector) ChangesSince(cursor softstate.Cursor) *distributionpb.Loads {
 	from := cursor.Number
 	if cursor.BootID != v.BootID || from > v.Number {
@@ -147,13 +147,13 @@
 	return pick.Load{Requests: max(0, load.Requests), Prefill: up(load.Prefill, prefillUnit), Tokens: up(load.Tokens, tokensUnit)}
 }
 
-// isMaterial tells whether a load differs by so much that it is to be published at once.
+// isMaterial reports whether a load differs by so much that it is to be published at once.
 func isMaterial(old, now pick.Load) bool {
 	return differs(int64(old.Requests), int64(now.Requests), 0) || differs(old.Prefill, now.Prefill, materialPrefill) ||
 		differs(old.Tokens, now.Tokens, materialTokens)
 }
 
-// differs tells whether two numbers are apart by more than an eighth and more than atLeast, or just one of them is 0.
+// differs reports whether two numbers are apart by more than an eighth and more than atLeast, or just one of them is 0.
 func differs(a, b, atLeast int64) bool {
 	distance := max(a-b, b-a)
 	return distance > 0 && (a == 0 || b == 0 || distance > max(atLeast, max(a, b)/8))
--- a/internal/system/distribution/loadreport/vector_test.go
+++ b/internal/system/distribution/loadreport/vector_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-// published gives loads as they are published.
+// published returns loads as they are published.
 func published(loads map[string]pick.Load) map[string]pick.Load {
 	out := map[string]pick.Load{}
 	for id, load := range loads {
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -140,7 +140,7 @@
 	benchmarkServers     = 400
 )
 
-// loadsOf gives the loads of a subscriber at this tick.
+// loadsOf returns the loads of a subscriber at this tick.
 func (f *benchmarkFleet) loadsOf(subscriber int) map[string]pick.Load {
 	out := make(map[string]pick.Load, 40)
 	tick := int(f.tick.Load())
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -51,7 +51,7 @@
 	return fleet, memberCensus
 }
 
-// fewestAfterPartition isolates a node from the others for 20 s, and gives the fewest members that a proxy was notified of in the
+// fewestAfterPartition isolates a node from the others for 20 s, and returns the fewest members that a proxy was notified of in the
 // 10 s after that.
 func fewestAfterPartition(t *testing.T, knobs TestingKnobs) int {
 	t.Helper()
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -218,7 +218,7 @@
 	}
 }
 
-// tableContents gives all that a table has, deletions included.
+// tableContents returns all that a table has, deletions included.
 func tableContents(table *softstate.Table) map[string]string {
 	out := map[string]string{}
 	for key, entry := range table.All() {
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -23,7 +23,7 @@
 }
 
 // moveToRejoinedNode has a subscriber that knows a server as draining move to a node whose table is 20 s old, and
-// gives what it has then.
+// returns what it has then.
 func moveToRejoinedNode(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), Knobs: knobs})
--- a/internal/system/distribution/rpc/call_id.go
+++ b/internal/system/distribution/rpc/call_id.go
@@ -16,7 +16,7 @@
 // place alone: a peer that replies once too often would shift all that follow. The zero value is ready, and safe for concurrent use.
 type CallIDs struct{ last atomic.Uint32 }
 
-// Next gives the id of a call; never 0.
+// Next returns the id of a call; never 0.
 func (c *CallIDs) Next() uint32 { return c.last.Add(1)%(MaxCallIDs-1) + 1 }
 
 // CheckReply fails with ErrMismatchedReply unless the reply's id is that of the call.
--- a/internal/system/distribution/rpc/compression.go
+++ b/internal/system/distribution/rpc/compression.go
@@ -20,7 +20,7 @@
 // maxExpandedBytes bounds what compressed bytes may come to.
 const maxExpandedBytes = 64 << 20
 
-// Compress compresses what is large by DEFLATE, and tells whether it did.
+// Compress compresses what is large by DEFLATE, and reports whether it did.
 func Compress(b []byte) (out []byte, deflated bool) {
 	if len(b) < MinCompressBytes {
 		return b, false
--- a/internal/system/distribution/rpc/transport.go
+++ b/internal/system/distribution/rpc/transport.go
@@ -89,7 +89,7 @@
 
 type idleDeadlineKey struct{}
 
-// WithIdleTimeout gives a context for a call through a BoundedTransport. It ends when the reply has not begun after first, or then
+// WithIdleTimeout returns a context for a call through a BoundedTransport. It ends when the reply has not begun after first, or then
 // pauses for maxPause, or is not complete 20 s after first.
 func WithIdleTimeout(ctx context.Context, first, maxPause time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -21,14 +21,14 @@
 
 // Source is where a Server takes the control state from.
 type Source interface {
-	// Committed gives the newest state that the chain's tail has acknowledged, and a channel that is closed at the next; nil: there is
+	// Committed returns the newest state that the chain's tail has acknowledged, and a channel that is closed at the next; nil: there is
 	// none yet.
 	Committed() (*controlstate.State, <-chan struct{})
-	// RecordsAfter gives up to maxRecords records after seq, and false where they are gone or seq is beyond.
+	// RecordsAfter returns up to maxRecords records after seq, and false where they are gone or seq is beyond.
 	RecordsAfter(seq uint64, maxRecords int) ([]controlstate.Record, bool)
-	// Current tells whether the state may be given to proxies as the newest.
+	// Current reports whether the state may be given to proxies as the newest.
 	Current() bool
-	// Addresses gives the control-plane nodes in the chain's order, as IP or IP:port.
+	// Addresses returns the control-plane nodes in the chain's order, as IP or IP:port.
 	Addresses() []string
 }
 
@@ -253,7 +253,7 @@
 	SinceLastCall time.Duration // since its last call began or ended; 0: one is waiting
 }
 
-// Subscribers gives the proxies that follow this node, by name.
+// Subscribers returns the proxies that follow this node, by name.
 func (s *Server) Subscribers() []SubscriberInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// tryReply gives a reply if there is something that the request does not have. Otherwise it gives what to wait for.
+// tryReply returns a reply if there is something that the request does not have. Otherwise it returns what to wait for.
 func (s *Server) tryReply(ctx context.Context, waiting *poll) (*distributionpb.FollowReply, pollWait) {
 	state, committed := s.options.Source.Committed()
 	current := s.isCurrent()
@@ -211,7 +211,7 @@
 	reply.Told = waiting.caller.loads.ToProto()
 }
 
-// controlPlaneNodes gives the nodes in the chain's order, with where they are as far as that is known. The caller holds mu.
+// controlPlaneNodes returns the nodes in the chain's order, with where they are as far as that is known. The caller holds mu.
 func (s *Server) controlPlaneNodes(addresses []string) []*distributionpb.Keeper {
 	out := make([]*distributionpb.Keeper, 0, len(addresses))
 	for _, address := range addresses {
--- a/internal/system/distribution/server_isolation.go
+++ b/internal/system/distribution/server_isolation.go
@@ -21,7 +21,7 @@
 // observeIsolation records that this node was paused or isolated until now.
 func (t *isolationTracker) observeIsolation(now time.Time) { t.isolatedAt = now }
 
-// mayServe tells whether a node whose chain calls it current is so with its soft state too: one that was isolated or paused gets
+// mayServe reports whether a node whose chain calls it current is so with its soft state too: one that was isolated or paused gets
 // time to receive what it has missed. One that had contact to its peers all the while, as in a repair of the chain, does not
 // wait, nor does one at its start.
 func (t *isolationTracker) mayServe(now time.Time, current bool) bool {
@@ -36,7 +36,7 @@
 	return t.rejoinedAt.IsZero() || now.Sub(t.rejoinedAt) >= rejoinDelay || t.skipRejoinDelay
 }
 
-// isCurrent tells whether proxies may take what this node has for the newest.
+// isCurrent reports whether proxies may take what this node has for the newest.
 func (s *Server) isCurrent() bool {
 	current := s.options.Source.Current()
 	s.mu.Lock()
--- a/internal/system/distribution/server_list.go
+++ b/internal/system/distribution/server_list.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// writeServers writes the servers that differ from the table, and gives the keys of all. The caller holds mu.
+// writeServers writes the servers that differ from the table, and returns the keys of all. The caller holds mu.
 func (s *Server) writeServers(reading listReading, servers []pick.Server) (named map[string]bool) {
 	named = make(map[string]bool, len(servers))
 	for _, server := range servers {
@@ -63,7 +63,7 @@
 	return named
 }
 
-// readingAgrees tells whether the table has a server as a reading shows it. Under a new fence everything is written once: peers may
+// readingAgrees reports whether the table has a server as a reading shows it. Under a new fence everything is written once: peers may
 // have more of what the reader of the former fence wrote. The caller holds mu.
 func (s *Server) readingAgrees(reading listReading, key string, server pick.Server) bool {
 	stored := s.table.Get(key)
@@ -103,7 +103,7 @@
 	}
 }
 
-// List gives the servers as last read, with their times as of now, and the greatest possible age of that reading; false: none yet.
+// List returns the servers as last read, with their times as of now, and the greatest possible age of that reading; false: none yet.
 func (s *Server) List() ([]pick.Server, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/server_members.go
+++ b/internal/system/distribution/server_members.go
@@ -64,7 +64,7 @@
 	s.markDown(now, stored, m, downByVerdict)
 }
 
-// hasLiveSession tells whether an incarnation of a proxy has called this node lately. The caller holds mu.
+// hasLiveSession reports whether an incarnation of a proxy has called this node lately. The caller holds mu.
 func (s *Server) hasLiveSession(now time.Time, node string, incarnation uint64) bool {
 	caller := s.sessions.of(softstate.Member{Node: node, Incarnation: incarnation})
 	return caller != nil && caller.recentlyCalled(now, s.limits.SubscriberTimeout/2)
@@ -146,7 +146,7 @@
 	return keepMember, ""
 }
 
-// ownerIsLost tells whether the node that a proxy followed has been lost for so long that the proxy must have moved on. The caller
+// ownerIsLost reports whether the node that a proxy followed has been lost for so long that the proxy must have moved on. The caller
 // holds mu.
 func (s *Server) ownerIsLost(now time.Time, owner string) bool {
 	hadTimeToMove := now.Sub(s.startedAt) > orphanTimeout
--- a/internal/system/distribution/server_peers.go
+++ b/internal/system/distribution/server_peers.go
@@ -50,7 +50,7 @@
 
 func (s *peerSet) len() int { return len(s.byAddress) }
 
-// recent gives the addresses of the peers in contact, in order.
+// recent returns the addresses of the peers in contact, in order.
 func (s *peerSet) recent(now time.Time) []string {
 	var out []string
 	for address, p := range s.byAddress {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// hasContact tells whether a node has synchronised lately, with this one or with another that is in contact: a node that only this
+// hasContact reports whether a node has synchronised lately, with this one or with another that is in contact: a node that only this
 // one has no contact to still evaluates its own subscribers.
 func (s *peerSet) hasContact(now time.Time, node string) bool {
 	for address, p := range s.byAddress {
@@ -73,12 +73,12 @@
 	return false
 }
 
-// reports tells whether a peer says that it has contact to a node.
+// reports reports whether a peer says that it has contact to a node.
 func (s *peerSet) reports(p *peer, node string) bool {
 	return slices.Contains(p.reachablePeers, node) && !s.ownContactsOnly
 }
 
-// isLost tells whether a node has been without contact for so long that its subscribers must have moved on.
+// isLost reports whether a node has been without contact for so long that its subscribers must have moved on.
 func (s *peerSet) isLost(now time.Time, node string) bool {
 	p := s.byAddress[node]
 	return p == nil || now.Sub(p.lastContact) > peerTTL+orphanTimeout
@@ -113,7 +113,7 @@
 	}
 }
 
-// allAcknowledged tells whether the subscribers of all peers in contact have the record seq.
+// allAcknowledged reports whether the subscribers of all peers in contact have the record seq.
 func (s *peerSet) allAcknowledged(now time.Time, seq uint64) bool {
 	for _, p := range s.byAddress {
 		if p.inContact(now) && p.minAckedSeq < seq {
@@ -132,7 +132,7 @@
 	return count
 }
 
-// laterOf gives the later of two moments.
+// laterOf returns the later of two moments.
 func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/system/distribution/server_record_cache.go
+++ b/internal/system/distribution/server_record_cache.go
@@ -20,7 +20,7 @@
 	bytes   int
 }
 
-// encode gives a record as it is sent. The message is shared: do not change it.
+// encode returns a record as it is sent. The message is shared: do not change it.
 func (c *recordCache) encode(record controlstate.Record) *distributionpb.Record {
 	encoded := &distributionpb.Record{Seq: record.Seq, Op: uint32(record.Op), Base: record.Base, Body: record.Body, Zone: record.Zone}
 	if len(record.Body) < rpc.MinCompressBytes {
--- a/internal/system/distribution/server_reply_budget.go
+++ b/internal/system/distribution/server_reply_budget.go
@@ -26,13 +26,13 @@
 	sizeBytes int
 }
 
-// withReservation gives the context of a call that may reserve, and a function that gives back what it reserved.
+// withReservation returns the context of a call that may reserve, and a function that gives back what it reserved.
 func withReservation(ctx context.Context) (context.Context, func()) {
 	reserved := &reservation{}
 	return context.WithValue(ctx, reservationKey{}, reserved), reserved.release
 }
 
-// withReplyBudget gives each call a reservation that ends when its reply has been read, or the caller is given up.
+// withReplyBudget attaches to each call a reservation that ends when its reply has been read, or the call is abandoned.
 func withReplyBudget(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, release := withReservation(r.Context())
@@ -41,7 +41,7 @@
 	})
 }
 
-// reserve reserves the bytes of a reply until the call ends, and tells whether the budget had room for them. A reply that is
+// reserve reserves the bytes of a reply until the call ends, and reports whether the budget had room for them. A reply that is
 // larger than the budget takes all of it. A call that did not come over the network needs none.
 func (b *replyBudget) reserve(ctx context.Context, sizeBytes int) bool {
 	reserved, ok := ctx.Value(reservationKey{}).(*reservation)
--- a/internal/system/distribution/server_sessions.go
+++ b/internal/system/distribution/server_sessions.go
@@ -29,12 +29,12 @@
 	loadsInTotals    uint64 // number of its loads in the totals
 }
 
-// recentlyCalled tells whether the proxy is certainly alive, by a call that is open or ended within the duration given.
+// recentlyCalled reports whether the proxy is certainly alive, by a call that is open or ended within the duration given.
 func (c *session) recentlyCalled(now time.Time, within time.Duration) bool {
 	return c.openCalls > 0 || now.Sub(c.lastCall) < within
 }
 
-// timedOut tells whether the proxy is taken for lost, and whether that is as its connection ended.
+// timedOut reports whether the proxy is taken for lost, and whether that is as its connection ended.
 func (c *session) timedOut(now time.Time, timeout time.Duration) (timedOut, connectionLost bool) {
 	switch {
 	case c.openCalls > 0:
@@ -70,7 +70,7 @@
 	return found, isNew
 }
 
-// of gives the session of exactly this incarnation of a node; nil: there is none.
+// of returns the session of exactly this incarnation of a node; nil: there is none.
 func (c *sessionSet) of(m softstate.Member) *session {
 	if found := c.byNode[m.Node]; found != nil && found.member.Incarnation == m.Incarnation {
 		return found
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// dropTimedOut drops the sessions of proxies that are taken for lost. It tells whether there were any, and gives the incarnations, by
+// dropTimedOut drops the sessions of proxies that are taken for lost. It reports whether there were any, and returns the incarnations, by
 // node, that lost their connection and have not come back.
 func (c *sessionSet) dropTimedOut(now time.Time, timeout time.Duration) (dropped bool, disconnected map[string]uint64) {
 	disconnected = map[string]uint64{}
@@ -96,7 +96,7 @@
 	return dropped, disconnected
 }
 
-// updateMinAcked brings minAckedSeq up to date, notifies of it, and tells whether it changed.
+// updateMinAcked brings minAckedSeq up to date, notifies of it, and reports whether it changed.
 func (c *sessionSet) updateMinAcked() (changed bool) {
 	lowest := uint64(math.MaxUint64)
 	for _, each := range c.byNode {
@@ -143,7 +143,7 @@
 	return out
 }
 
-// beginCall takes in what a call says: the member, its acknowledgement, its loads, its verdicts. It gives nil where there are too many
+// beginCall takes in what a call says: the member, its acknowledgement, its loads, its verdicts. It returns nil where there are too many
 // subscribers.
 func (s *Server) beginCall(member softstate.Member, req *distributionpb.FollowRequest) *session {
 	now := time.Now()
--- a/internal/system/distribution/server_state.go
+++ b/internal/system/distribution/server_state.go
@@ -72,7 +72,7 @@
 	return size
 }
 
-// availability gives the records between two numbers, and what they come to.
+// availability returns the records between two numbers, and what they come to.
 func (s *Server) availability(after, committed uint64) ([]controlstate.Record, catchup.Availability) {
 	available := catchup.Availability{Committed: committed}
 	if after >= committed {
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -153,7 +153,7 @@
 	repliedAt  time.Time     // when that came
 }
 
-// handleReply takes in the reply to a request that brought the table up to a number. It gives false where the request is to be sent
+// handleReply takes in the reply to a request that brought the table up to a number. It returns false where the request is to be sent
 // anew.
 func (p *syncProgress) handleReply(now time.Time, req *distributionpb.ShareRequest, number uint64, reply *distributionpb.ShareReply) bool {
 	p.peerClock, p.repliedAt = time.Duration(reply.GetClockMs())*time.Millisecond, now
@@ -186,7 +186,7 @@
 	return uint64(now.Sub(s.startedAt)/time.Millisecond) + 1
 }
 
-// buildShareRequest makes the request that brings a peer up to date, and gives the number of the change up to which it does.
+// buildShareRequest makes the request that brings a peer up to date, and returns the number of the change up to which it does.
 func (s *Server) buildShareRequest(p *syncProgress) (*distributionpb.ShareRequest, uint64) {
 	now := time.Now()
 	s.mu.Lock()
@@ -228,7 +228,7 @@
 }
 
 // transitTime bounds how long a message was in transit, by this process's clock alone: its sender states what that clock showed at the
-// least when it was sent. It gives false where that is not known, is of a former incarnation, or is too long ago.
+// least when it was sent. It returns false where that is not known, is of a former incarnation, or is too long ago.
 func (s *Server) transitTime(clock, sentMS uint64) (delay time.Duration, dated bool) {
 	if s.options.Knobs.DateByArrival {
 		return 0, true
@@ -272,7 +272,7 @@
 	}
 }
 
-// marksLiveMemberDown tells whether an entry marks down a process that counts as up here, and what is stored of it. The caller
+// marksLiveMemberDown reports whether an entry marks down a process that counts as up here, and what is stored of it. The caller
 // holds mu.
 func (s *Server) marksLiveMemberDown(entry softstate.Entry) (live softstate.Member, marksDown bool) {
 	stored := s.table.Get(entry.Key)
--- a/internal/system/distribution/server_table.go
+++ b/internal/system/distribution/server_table.go
@@ -40,7 +40,7 @@
 	return true
 }
 
-// Table gives the entries that are not deleted, by key.
+// Table returns the entries that are not deleted, by key.
 func (s *Server) Table() []softstate.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 	return out
 }
 
-// Members gives the proxies known, by name, those that are down or draining included.
+// Members returns the proxies known, by name, those that are down or draining included.
 func (s *Server) Members() []softstate.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/softstate/age.go
+++ b/internal/system/distribution/softstate/age.go
@@ -27,7 +27,7 @@
 	return Age{Min: now.Sub(b.Latest), Max: now.Sub(b.Earliest)}
 }
 
-// MadeBetween gives the moments between which something was made that has this age now.
+// MadeBetween returns the moments between which something was made that has this age now.
 func (a Age) MadeBetween(now time.Time) TimeBounds {
 	return TimeBounds{Earliest: now.Add(-a.Max), Latest: now.Add(-a.Min)}
 }
--- a/internal/system/distribution/softstate/cursor.go
+++ b/internal/system/distribution/softstate/cursor.go
@@ -20,7 +20,7 @@
 	return Cursor{BootID: message.GetBoot(), Number: message.GetNumber()}
 }
 
-// ToProto gives the cursor as a message.
+// ToProto returns the cursor as a message.
 func (c Cursor) ToProto() *distributionpb.Cursor {
 	return &distributionpb.Cursor{Boot: c.BootID, Number: c.Number}
 }
--- a/internal/system/distribution/softstate/doc.go
+++ b/internal/system/distribution/softstate/doc.go
@@ -13,8 +13,8 @@
 //   - Merging is a join: Entry.supersedes is a total order over the entries of one key (fence, then version, then deletion, then
 //     value), and Table.Merge keeps the greatest. A maximum is commutative, associative and idempotent, so tables that have merged
 //     the same entries, in any order and however often, are equal (state-based CRDT: Shapiro, Preguiça, Baquero, Zawirski 2011).
-//   - Deltas add up to the table: ChangesSince gives every entry whose newest change has a number above the reader's. Where a tombstone
-//     was forgotten that the reader may lack, it gives the complete table, which takes the place of what the reader holds.
+//   - Deltas add up to the table: ChangesSince returns every entry whose newest change has a number above the reader's. Where a tombstone
+//     was forgotten that the reader may lack, it returns the complete table, which takes the place of what the reader holds.
 //   - Min is never more, and Max never less, than the true age. Proof by induction over hops: an observation is dated between when it was
 //     asked for and when the answer came; each hop adds bounds of its own duration, measured on one monotonic clock at its receiver or
 //     its sender; sums of lower (upper) bounds bound the sum. No clocks are compared; they only run at about the same rate.
--- a/internal/system/distribution/softstate/entry.go
+++ b/internal/system/distribution/softstate/entry.go
@@ -40,10 +40,10 @@
 	return bytes.Compare(e.Value, other.Value) > 0
 }
 
-// IsLazy tells whether a change of the key may wait for the next reply that is sent anyway.
+// IsLazy reports whether a change of the key may wait for the next reply that is sent anyway.
 func IsLazy(key string) bool { return key == ListKey }
 
-// BelongsToList tells whether the entry of a key comes with the platform's list.
+// BelongsToList reports whether the entry of a key comes with the platform's list.
 func BelongsToList(key string) bool { return key == ListKey || strings.HasPrefix(key, ServerPrefix) }
 
 // StoredEntry is an entry of a table. It does not change, except that its value is decoded once.
@@ -76,19 +76,19 @@
 	}
 }
 
-// Member gives the member that an entry is about; false: its value cannot be read.
+// Member returns the member that an entry is about; false: its value cannot be read.
 func (e *StoredEntry) Member() (Member, bool) {
 	e.decode()
 	return e.decodedMember, e.valid
 }
 
-// ServerAt gives the server that an entry is about, with its times as of now; false: its value cannot be read.
+// ServerAt returns the server that an entry is about, with its times as of now; false: its value cannot be read.
 func (e *StoredEntry) ServerAt(now time.Time) (pick.Server, bool) {
 	e.decode()
 	return CountDown(e.decodedServer, e.AgeAt(now)), e.valid
 }
 
-// EncodeEntries gives entries as messages, with their ages as of now.
+// EncodeEntries returns entries as messages, with their ages as of now.
 func EncodeEntries(now time.Time, entries []*StoredEntry) []*distributionpb.Entry {
 	out := make([]*distributionpb.Entry, len(entries))
 	for i, e := range entries {
--- a/internal/system/distribution/softstate/list_entry.go
+++ b/internal/system/distribution/softstate/list_entry.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// EncodeListCovers gives the value of the list's entry: the newest record of the control state that the reading covers.
+// EncodeListCovers returns the value of the list's entry: the newest record of the control state that the reading covers.
 func EncodeListCovers(seq uint64) []byte { return binary.AppendUvarint(nil, seq) }
 
 // ListCoversSeq is the number of the newest record of the control state that the stored reading of the list covers; 0: none for certain.
--- a/internal/system/distribution/softstate/member.go
+++ b/internal/system/distribution/softstate/member.go
@@ -20,7 +20,7 @@
 	Revision      uint64 // rises with each change that the process makes to Ready or Draining
 }
 
-// ToProto gives the member as a message.
+// ToProto returns the member as a message.
 func (m Member) ToProto() *distributionpb.Member {
 	return &distributionpb.Member{Node: m.Node, Incarnation: m.Incarnation, Zone: m.Zone, Region: m.Region, Ip: m.IP, Front: m.ClientAddress,
 		Ready: m.Ready, Leaving: m.Draining, Down: m.Down, Owner: m.Owner, Revision: m.Revision}
@@ -33,7 +33,7 @@
 		Revision: m.GetRevision()}
 }
 
-// Encode gives the value of the member's entry.
+// Encode returns the value of the member's entry.
 func (m Member) Encode() []byte { return Marshal(m.ToProto()) }
 
 // DecodeMember reads the value of a member's entry; false: it is no member.
--- a/internal/system/distribution/softstate/server_entry.go
+++ b/internal/system/distribution/softstate/server_entry.go
@@ -26,7 +26,7 @@
 	warmUpRounding = 2 * time.Millisecond
 )
 
-// EncodeServer gives the value of a server's entry.
+// EncodeServer returns the value of a server's entry.
 func EncodeServer(s pick.Server) []byte {
 	return Marshal(&distributionpb.Server{Service: s.Service, Address: s.Address, Zone: s.Zone, Region: s.Region,
 		Slots: uint32(max(0, min(s.Slots, maxSlots))), Draining: s.Draining, RemainingMs: millisecondsCeil(s.Remaining),
@@ -45,12 +45,12 @@
 		Remaining: BoundedMilliseconds(message.GetRemainingMs(), maxServerDuration)}, true
 }
 
-// millisecondsCeil gives a duration in milliseconds, rounded up and bounded by maxServerDuration.
+// millisecondsCeil returns a duration in milliseconds, rounded up and bounded by maxServerDuration.
 func millisecondsCeil(d time.Duration) uint64 {
 	return uint64((max(0, min(d, maxServerDuration)) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// CountDown gives a server with its times as they are, age after they were stated. A warm-up forbids, so it errs late; the remaining
+// CountDown returns a server with its times as they are, age after they were stated. A warm-up forbids, so it errs late; the remaining
 // time permits, so it errs early.
 func CountDown(s pick.Server, age Age) pick.Server {
 	s.WarmUpMin = max(0, s.WarmUpMax-warmUpMargin-warmUpRounding-age.Max)
@@ -61,13 +61,13 @@
 	return s
 }
 
-// AgreesWithReading tells whether what is stored of a server agrees with a new reading of it, both with their times as of now, so that
+// AgreesWithReading reports whether what is stored of a server agrees with a new reading of it, both with their times as of now, so that
 // the entry need not be written again.
 func AgreesWithReading(stored, read pick.Server) bool {
 	return warmUpAgrees(stored, read) && remainingAgrees(stored, read) && withoutTimes(stored) == withoutTimes(read)
 }
 
-// warmUpAgrees tells whether a server is stored as cold for about as long as a new reading says, and never for less than it may
+// warmUpAgrees reports whether a server is stored as cold for about as long as a new reading says, and never for less than it may
 // be. A later end counts even where both may be of one warm-up, as that may have been extended in between.
 func warmUpAgrees(stored, read pick.Server) bool {
 	return read.WarmUpMax <= stored.WarmUpMax && stored.WarmUpMax-read.WarmUpMax <= warmUpTolerance
--- a/internal/system/distribution/softstate/sorted_entries.go
+++ b/internal/system/distribution/softstate/sorted_entries.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// Live gives the entries under the prefix of members or servers that are not deleted, by key. The slice is the table's own: clone it
+// Live returns the entries under the prefix of members or servers that are not deleted, by key. The slice is the table's own: clone it
 // before writing to the table.
 func (t *Table) Live(prefix string) []*StoredEntry {
 	if out, ok := t.sorted[prefix]; ok {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Members gives the members, by name.
+// Members returns the members, by name.
 func (t *Table) Members() []Member {
 	entries := t.Live(MemberPrefix)
 	out := make([]Member, 0, len(entries))
@@ -54,7 +54,7 @@
 	return out
 }
 
-// Servers gives the servers with their times as of now, by id, and the greatest possible age of the newest complete reading of the list;
+// Servers returns the servers with their times as of now, by id, and the greatest possible age of the newest complete reading of the list;
 // false: there is none yet.
 func (t *Table) Servers(now time.Time) ([]pick.Server, time.Duration, bool) {
 	entries := t.Live(ServerPrefix)
--- a/internal/system/distribution/softstate/table.go
+++ b/internal/system/distribution/softstate/table.go
@@ -41,21 +41,21 @@
 	return &Table{entries: map[string]*StoredEntry{}, sorted: map[string][]*StoredEntry{}}
 }
 
-// Get gives the entry of a key, deleted or not; nil: there is none.
+// Get returns the entry of a key, deleted or not; nil: there is none.
 func (t *Table) Get(key string) *StoredEntry { return t.entries[key] }
 
-// All gives the entries with their keys, those that are deleted included, in no order.
+// All returns the entries with their keys, those that are deleted included, in no order.
 func (t *Table) All() iter.Seq2[string, *StoredEntry] { return maps.All(t.entries) }
 
 // Len is how many entries there are, those that are deleted included.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Merge stores e if it supersedes what is stored, and tells whether it did. age is how long before now e was made.
+// Merge stores e if it supersedes what is stored, and reports whether it did. age is how long before now e was made.
 func (t *Table) Merge(now time.Time, e Entry, age Age) bool {
 	return t.Put(e, age.normalized().MadeBetween(now))
 }
 
-// Put stores e if it supersedes what is stored, and tells whether it did. made is when e was made, which may be later than a clock
+// Put stores e if it supersedes what is stored, and reports whether it did. made is when e was made, which may be later than a clock
 // that was read before.
 func (t *Table) Put(e Entry, made TimeBounds) bool {
 	former := t.entries[e.Key]
@@ -87,7 +87,7 @@
 	t.log = newest
 }
 
-// ChangesSince gives the entries changed after a number, in the order of their changes, and whether these are the complete table.
+// ChangesSince returns the entries changed after a number, in the order of their changes, and whether these are the complete table.
 func (t *Table) ChangesSince(number uint64) (entries []*StoredEntry, complete bool) {
 	if number < t.forgottenNumber || number > t.LastNumber {
 		number = 0
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -122,14 +122,14 @@
 	signal(s.callRequested)
 }
 
-// Current gives what the proxy has now.
+// Current returns what the proxy has now.
 func (s *Subscriber) Current() Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.currentUpdate(time.Now())
 }
 
-// currentUpdate gives what the proxy has now. The caller holds mu.
+// currentUpdate returns what the proxy has now. The caller holds mu.
 func (s *Subscriber) currentUpdate(now time.Time) Update {
 	update := Update{
 		State: s.servableState(), Fresh: s.freshness.isFresh(now), MembershipIncomplete: !s.soft.membershipComplete, AsOf: now,
@@ -148,7 +148,7 @@
 	return s.control.state
 }
 
-// liveMembers gives the members that are not down, this proxy included, by name, and how many are down. The caller holds mu.
+// liveMembers returns the members that are not down, this proxy included, by name, and how many are down. The caller holds mu.
 func (s *Subscriber) liveMembers() (live []softstate.Member, down int) {
 	self, hasSelf := s.announced.self, false
 	for _, member := range s.soft.table.Members() {
@@ -171,7 +171,7 @@
 	return live, down
 }
 
-// mayBeMarkedDown tells whether others may take this proxy for lost. The caller holds mu.
+// mayBeMarkedDown reports whether others may take this proxy for lost. The caller holds mu.
 func (s *Subscriber) mayBeMarkedDown(now time.Time) bool {
 	if s.freshness.outOfContact(now) {
 		return true
--- a/internal/system/distribution/subscriber_announcement.go
+++ b/internal/system/distribution/subscriber_announcement.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// startDraining announces that this proxy stops, and gives the revision that says so.
+// startDraining announces that this proxy stops, and returns the revision that says so.
 func (s *Subscriber) startDraining() (revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -66,7 +66,7 @@
 	return s.handleReply(sentAt, time.Now(), req, reply), nil
 }
 
-// sendPoll sends a request to a node, and gives the reply to this very one.
+// sendPoll sends a request to a node, and returns the reply to this very one.
 func (s *Subscriber) sendPoll(ctx context.Context, node string, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	req.Call = s.callIDs.Next()
 	client := distributionpb.NewDistributionProtobufClient(baseURL(node, s.options.ControlPlanePort), s.client)
@@ -154,7 +154,7 @@
 	return callResult{current: offer.Current, serves: true, stateAdvanced: advanced, stillBehind: isBehind(s.control.position(), offer) && !advanced}
 }
 
-// isBehind tells whether a node has something newer.
+// isBehind reports whether a node has something newer.
 func isBehind(position catchup.Position, offer catchup.Offer) bool {
 	return offer.Newest > position.Seq
 }
--- a/internal/system/distribution/subscriber_freshness.go
+++ b/internal/system/distribution/subscriber_freshness.go
@@ -18,15 +18,15 @@
 	refreshAfter       time.Time // the owner awaits a current node's reply to a call from after it; zero: none in particular
 }
 
-// neverFresh tells whether no reply since the start has proved that the state is the newest.
+// neverFresh reports whether no reply since the start has proved that the state is the newest.
 func (t *freshnessTracker) neverFresh() bool { return t.freshAt.IsZero() }
 
-// isFresh tells whether the state was the newest at most FreshnessTTL ago.
+// isFresh reports whether the state was the newest at most FreshnessTTL ago.
 func (t *freshnessTracker) isFresh(now time.Time) bool {
 	return !t.freshAt.IsZero() && now.Sub(t.freshAt) <= catchup.FreshnessTTL
 }
 
-// outOfContact tells whether there was no contact to a current node for so long that others may take this process for lost.
+// outOfContact reports whether there was no contact to a current node for so long that others may take this process for lost.
 func (t *freshnessTracker) outOfContact(now time.Time) bool {
 	return now.Sub(t.lastCurrentContact) > catchup.FreshnessTTL
 }
@@ -36,7 +36,7 @@
 	return min(now.Sub(t.lastCurrentContact), unknownAge)
 }
 
-// observeCurrent records that a node was current at a moment, and tells whether the owner awaits that.
+// observeCurrent records that a node was current at a moment, and reports whether the owner awaits that.
 func (t *freshnessTracker) observeCurrent(at time.Time) (awaited bool) {
 	t.lastCurrentContact = laterOf(t.lastCurrentContact, at)
 	awaited = !t.refreshAfter.IsZero() && !t.lastCurrentContact.Before(t.refreshAfter)
@@ -46,7 +46,7 @@
 	return awaited
 }
 
-// observeFresh records that the state was the newest at a moment, and tells whether that is the first proof since the start.
+// observeFresh records that the state was the newest at a moment, and reports whether that is the first proof since the start.
 func (t *freshnessTracker) observeFresh(at time.Time) (first bool) {
 	first = t.neverFresh()
 	t.freshAt = laterOf(t.freshAt, at)
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// lateReply has a subscriber ask a current node that reads the list as empty, hands it the reply after a wait, and gives
+// lateReply has a subscriber ask a current node that reads the list as empty, hands it the reply after a wait, and returns
 // what it has then.
 func lateReply(tb testing.TB, wait time.Duration, knobs TestingKnobs) (update Update, seq uint64) {
 	tb.Helper()
--- a/internal/system/distribution/subscriber_loads.go
+++ b/internal/system/distribution/subscriber_loads.go
@@ -41,7 +41,7 @@
 	return loadExchange{own: loadreport.NewVector(true), interval: initialReportInterval}
 }
 
-// sentNone tells whether the last report had no load.
+// sentNone reports whether the last report had no load.
 func (e *loadExchange) sentNone() bool {
 	return len(e.sent) == 0 || len(e.sent[len(e.sent)-1].loads) == 0
 }
@@ -62,7 +62,7 @@
 	req.Loads = e.own.ChangesSince(e.acked)
 }
 
-// handleReply takes in what a reply that was made at a moment says of loads, and tells whether those of others changed.
+// handleReply takes in what a reply that was made at a moment says of loads, and reports whether those of others changed.
 func (e *loadExchange) handleReply(madeAt time.Time, reply *distributionpb.FollowReply) (changed bool) {
 	e.acked = softstate.CursorFromProto(reply.GetTold())
 	if interval := softstate.BoundedMilliseconds(reply.GetPaceMs(), maxReportInterval); interval > 0 {
@@ -88,7 +88,7 @@
 	return true
 }
 
-// sentAs gives the loads that were reported under a number; nil: they are not remembered.
+// sentAs returns the loads that were reported under a number; nil: they are not remembered.
 func (e *loadExchange) sentAs(number uint64) (loads map[string]pick.Load) {
 	for _, report := range e.sent {
 		if report.number == number {
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// queryNeighbour takes in what a neighbour has, and tells whether that was of use.
+// queryNeighbour takes in what a neighbour has, and reports whether that was of use.
 func (s *Subscriber) queryNeighbour(ctx context.Context, address string) bool {
 	ctx, cancel := rpc.WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
 	defer cancel()
@@ -115,7 +115,7 @@
 	return s.handleNeighbourReply(sentAt, address, starting, reply)
 }
 
-// handleNeighbourReply takes in a neighbour's reply to a request that was sent at a moment, and tells whether that was of use.
+// handleNeighbourReply takes in a neighbour's reply to a request that was sent at a moment, and reports whether that was of use.
 func (s *Subscriber) handleNeighbourReply(sentAt time.Time, address string, starting bool, reply *distributionpb.FollowReply) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/subscriber_nodes.go
+++ b/internal/system/distribution/subscriber_nodes.go
@@ -41,7 +41,7 @@
 	failedAt              time.Time
 }
 
-// failedWithin tells whether the node has failed within the duration before now.
+// failedWithin reports whether the node has failed within the duration before now.
 func (n *controlPlaneNode) failedWithin(now time.Time, d time.Duration) bool {
 	return !n.failedAt.IsZero() && now.Sub(n.failedAt) < d
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-// view gives the nodes that were named, as messages.
+// view returns the nodes that were named, as messages.
 func (s *nodeSet) view() []*distributionpb.Keeper {
 	var out []*distributionpb.Keeper
 	for _, node := range s.byAddress {
@@ -127,7 +127,7 @@
 	weight   uint64 // by rendezvous hashing
 }
 
-// before tells whether a node is to be tried before another.
+// before reports whether a node is to be tried before another.
 func (c candidate) before(other candidate) bool {
 	switch {
 	case c.failed != other.failed:
@@ -140,7 +140,7 @@
 	return c.address < other.address
 }
 
-// ranked gives the nodes to try, best first: near before far, and among equals by rendezvous hashing (Thaler, Ravishankar 1998), so
+// ranked returns the nodes to try, best first: near before far, and among equals by rendezvous hashing (Thaler, Ravishankar 1998), so
 // that the proxies spread evenly. Those that just failed come last.
 func (s *nodeSet) ranked(now time.Time) []string {
 	candidates := make([]candidate, 0, len(s.byAddress))
@@ -156,7 +156,7 @@
 	return out
 }
 
-// nearer gives a node that is nearer than the one followed and has not failed lately; "": there is none.
+// nearer returns a node that is nearer than the one followed and has not failed lately; "": there is none.
 func (s *nodeSet) nearer(now time.Time, current string) string {
 	ranked := s.ranked(now)
 	if len(ranked) == 0 || ranked[0] == current {
@@ -169,7 +169,7 @@
 	return ranked[0]
 }
 
-// allTried tells whether every node that is known has had its chance since the start.
+// allTried reports whether every node that is known has had its chance since the start.
 func (s *nodeSet) allTried() bool {
 	for _, node := range s.byAddress {
 		if !node.tried {
--- a/internal/system/distribution/subscriber_notify.go
+++ b/internal/system/distribution/subscriber_notify.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// collect adds to a notification what time has brought about, and gives what the owner is to get.
+// collect adds to a notification what time has brought about, and returns what the owner is to get.
 func (s *Subscriber) collect(now time.Time, due *notification, last *notified) (update Update, others map[string]pick.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/subscriber_poll.go
+++ b/internal/system/distribution/subscriber_poll.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// followOneNode finds a node and polls it until it fails. It tells whether that one replied to any poll.
+// followOneNode finds a node and polls it until it fails. It reports whether that one replied to any poll.
 func (s *Subscriber) followOneNode(ctx context.Context) (served bool) {
 	node, current := s.findNode(ctx)
 	if node == "" {
@@ -52,7 +52,7 @@
 	nextCheck time.Time // for a nearer one
 }
 
-// pollNode polls a node until it fails or is not current any more, or, one that never was, for a while. It tells whether any
+// pollNode polls a node until it fails or is not current any more, or, one that never was, for a while. It reports whether any
 // poll was replied to.
 func (s *Subscriber) pollNode(ctx context.Context, address string, current bool) (served bool) {
 	now := time.Now()
@@ -77,7 +77,7 @@
 	}
 }
 
-// moveNearer looks for a nearer node, and tells whether one is followed from now on.
+// moveNearer looks for a nearer node, and reports whether one is followed from now on.
 func (s *Subscriber) moveNearer(ctx context.Context, now time.Time, node *followedNode) (moved bool) {
 	node.nextCheck = now.Add(returnInterval/2 + rand.N(returnInterval/2))
 	nearer := s.nearerNode(now, node.address)
--- a/internal/system/distribution/subscriber_search.go
+++ b/internal/system/distribution/subscriber_search.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// findNode probes the nodes, best first and one each probeInterval, until one that is current has replied. Where none is, it gives
+// findNode probes the nodes, best first and one each probeInterval, until one that is current has replied. Where none is, it returns
 // one that replied at all.
 func (s *Subscriber) findNode(ctx context.Context) (address string, current bool) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -100,7 +100,7 @@
 	return stale, false
 }
 
-// searchCandidates gives the nodes to probe, best first, and whether there was no contact to any since the start.
+// searchCandidates returns the nodes to probe, best first, and whether there was no contact to any since the start.
 func (s *Subscriber) searchCandidates() (candidates []string, starting bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/subscriber_soft_state.go
+++ b/internal/system/distribution/subscriber_soft_state.go
@@ -43,12 +43,12 @@
 	return slices.DeleteFunc(entries, func(entry *distributionpb.Entry) bool { return entry.GetKey() == softstate.ListKey })
 }
 
-// isCompleteTable tells whether a reply brings all entries of a node that misses no live proxy.
+// isCompleteTable reports whether a reply brings all entries of a node that misses no live proxy.
 func isCompleteTable(reply *distributionpb.FollowReply) bool {
 	return reply.GetFull() && reply.GetComplete()
 }
 
-// merge takes in all of a reply but the control state and the loads, and tells whether anything changed that matters to the owner. The
+// merge takes in all of a reply but the control state and the loads, and reports whether anything changed that matters to the owner. The
 // reply was made at some moment of the delay before now.
 func (r *softReplica) merge(now time.Time, delay softstate.Age, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) (changed bool) {
 	continues := r.continuesTable(req, reply)
@@ -66,7 +66,7 @@
 	return changed
 }
 
-// continuesTable tells whether a reply is a complete table, or a delta that continues what is stored: another call may have brought the
+// continuesTable reports whether a reply is a complete table, or a delta that continues what is stored: another call may have brought the
 // table of another node in the meantime.
 func (r *softReplica) continuesTable(req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
 	if reply.GetFull() {
@@ -77,7 +77,7 @@
 	return sameTable && from.Number <= r.cursor.Number && to.Number >= r.cursor.Number
 }
 
-// bringsOlderList tells whether the list in a reply was read before the one that is stored. A node that was isolated or paused
+// bringsOlderList reports whether the list in a reply was read before the one that is stored. A node that was isolated or paused
 // may be current again before its peers have sent it their list.
 func (r *softReplica) bringsOlderList(now time.Time, delay softstate.Age, reply *distributionpb.FollowReply) bool {
 	stored, sent := r.table.Get(softstate.ListKey), listEntry(reply)
@@ -92,7 +92,7 @@
 	return sentAge.Min > storedAge.Max || sentAge.Max-storedAge.Max > maxListAgeSkew
 }
 
-// applyEntries merges the entries of a reply and tells whether anything that matters changed. A complete table of a node that misses
+// applyEntries merges the entries of a reply and reports whether anything that matters changed. A complete table of a node that misses
 // nothing takes the place of what is stored, even of higher versions: nodes that all lost their tables count versions anew. But of a
 // list that was read before the stored one nothing is merged. delay is how long ago the reply was made.
 func (r *softReplica) applyEntries(now time.Time, delay softstate.Age, reply *distributionpb.FollowReply) (changed bool) {
@@ -124,7 +124,7 @@
 	return true
 }
 
-// applyEntry merges one entry and tells whether that matters.
+// applyEntry merges one entry and reports whether that matters.
 func (r *softReplica) applyEntry(now time.Time, into *softstate.Table, entry softstate.Entry, age softstate.Age) bool {
 	if entry.Key == "" || len(entry.Key) > maxKeyBytes {
 		return false
@@ -137,7 +137,7 @@
 	return into.Merge(now, entry, age) && matters
 }
 
-// dropUnconfirmed drops the servers that no node has sent, now that the list has been read again. It tells whether there were any.
+// dropUnconfirmed drops the servers that no node has sent, now that the list has been read again. It reports whether there were any.
 func (r *softReplica) dropUnconfirmed(into *softstate.Table) (dropped bool) {
 	for key := range r.unconfirmed {
 		into.Drop(key)
@@ -161,7 +161,7 @@
 	}
 }
 
-// trackSkippedList remembers that a list is skipped, as it is old: the node counts it as sent. It tells whether the complete table is to be
+// trackSkippedList remembers that a list is skipped, as it is old: the node counts it as sent. It reports whether the complete table is to be
 // asked for again, as a list has come since that is not old.
 func (r *softReplica) trackSkippedList(isOld bool, reply *distributionpb.FollowReply) (resync bool) {
 	switch {
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -42,7 +42,7 @@
 	return fleet
 }
 
-// startBesideNeighbour starts a proxy with some seeds beside the old neighbour, and gives the first state that it serves.
+// startBesideNeighbour starts a proxy with some seeds beside the old neighbour, and returns the first state that it serves.
 func startBesideNeighbour(t *testing.T, node string, knobs TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
 	t.Helper()
 	fleet := newOldNeighbour()
--- a/internal/system/distribution/subscriber_state.go
+++ b/internal/system/distribution/subscriber_state.go
@@ -43,7 +43,7 @@
 	return offer
 }
 
-// apply takes what is newer of a snapshot and of records, so that a proxy never goes back, and tells whether that brought it further.
+// apply takes what is newer of a snapshot and of records, so that a proxy never goes back, and reports whether that brought it further.
 func (r *stateReplica) apply(logger log.Interface, offer catchup.Offer, reply *distributionpb.FollowReply) (advanced bool) {
 	before := r.state.Seq
 	var snapshot *controlstate.State
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -104,7 +104,7 @@
 	p.transits[[2]string{from, to}], p.transits[[2]string{to, from}] = l.out, l.back
 }
 
-// stored gives the server as each subscriber that has learned of it has it.
+// stored returns the server as each subscriber that has learned of it has it.
 func (p *warmUpPath) stored() map[string]pick.Server {
 	out := map[string]pick.Server{}
 	for node, subscriber := range p.subscribers {
--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -29,7 +29,7 @@
 	Unframed     atomic.Int64 // responses whose end cannot be recognized
 }
 
-// byMetric gives the counters by the part of their metric's name that differs. The names are the operators'.
+// byMetric returns the counters by the part of their metric's name that differs. The names are the operators'.
 func (c *Counters) byMetric() map[string]*atomic.Int64 {
 	return map[string]*atomic.Int64{
 		"requests":  &c.Requests,
