--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -11,16 +11,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-const (
-	// maxUnreachedServers bounds the servers that one request finds unreachable before it is given up.
-	maxUnreachedServers = 4
-	// minResponseTimeout is the least time for which a server may be silent before the head of its response.
-	minResponseTimeout = 1500 * time.Millisecond
-	// minEventGapTimeout is the least time for which a server may be silent within an event stream.
-	minEventGapTimeout = time.Second
-	// timeoutTargetFactor: a server may be silent for so many times the target of the route.
-	timeoutTargetFactor = 2
-)
+// maxUnreachedServers bounds the servers that one request finds unreachable before it is given up.
+const maxUnreachedServers = 4
 
 // clientRequest is one request of a client, from its head to its answer. It makes attempts at one server after another. One
 // goroutine owns it.
@@ -117,7 +109,7 @@
 		return c.handleNotSent(attempt)
 	}
 	c.countSend(choice)
-	c.watchProgress(attempt, max(timeoutTargetFactor*c.route.LatencyTarget, c.proxy.options.TestingKnobs.MinResponseTimeout))
+	c.watchProgress(attempt, c.proxy.options.Timeouts.response(c.route.LatencyTarget))
 	if err := attempt.readHead(c.request.Method); err != nil {
 		return c.handleFailure(attempt, err)
 	}
@@ -222,7 +214,7 @@
 	case errors.Is(err, errServerTimedOut):
 		return pick.TimedOut
 	case errors.Is(err, errDeadlinePassed):
-		if attempt.sinceLastContact() < minResponseTimeout {
+		if attempt.sinceLastContact() < defaultMinResponseTimeout {
 			return pick.Canceled // late, but alive as far as is known
 		}
 		return pick.TimedOut
--- a/internal/system/proxy/eventrelay.go
+++ b/internal/system/proxy/eventrelay.go
@@ -36,7 +36,7 @@
 		}
 		c.lastEventID = reader.resumableID()
 		if isFirst {
-			c.watchProgress(attempt, max(timeoutTargetFactor*c.route.EventGapTarget, c.proxy.options.TestingKnobs.MinEventGapTimeout))
+			c.watchProgress(attempt, c.proxy.options.Timeouts.eventGap(c.route.EventGapTarget))
 		}
 	}
 }
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -126,8 +126,12 @@
 	if err != nil {
 		return err
 	}
-	knobs.MinResponseTimeout, knobs.MinEventGapTimeout = shortProgressTimeout, shortProgressTimeout
-	proxy := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: knobs}, newFakePicker(state.Config.Routes[0]))
+	options := Options{
+		Log:          &log.Logger{Handler: discard.New()},
+		Timeouts:     Timeouts{MinResponse: shortProgressTimeout, MinEventGap: shortProgressTimeout},
+		TestingKnobs: knobs,
+	}
+	proxy := newProxy(options, newFakePicker(state.Config.Routes[0]))
 	proxy.pools.sameRegionTimeout = testTimeout
 	proxy.UpdateClusterState(time.Now(), state)
 	err = run.serveAndRun(proxy)
--- a/internal/system/proxy/knobs.go
+++ b/internal/system/proxy/knobs.go
@@ -1,9 +1,7 @@
 package proxy
 
-import "time"
-
-// TestingKnobs are for tests only; the zero value is what serves. The booleans each take out one protection, so that a test
-// can show that something breaks without it. The durations replace defaults where a test must not wait for long.
+// TestingKnobs are for tests only; the zero value is what serves. Each takes out one protection, so that a test can show that
+// something breaks without it.
 type TestingKnobs struct {
 	// SkipAttemptIDCheck accepts responses that do not echo the X-Attempt-Id of their request.
 	SkipAttemptIDCheck bool
@@ -25,25 +23,4 @@
 	ResumeAnyStream bool
 	// KeepTruncatedConns leaves the client's connection open behind a truncated response.
 	KeepTruncatedConns bool
-
-	// ClientWriteTimeout replaces the time after which a client that accepts no bytes is given up; 0: the default.
-	ClientWriteTimeout time.Duration
-	// MinResponseTimeout replaces the least time for which a server may be silent before its response; 0: the default.
-	MinResponseTimeout time.Duration
-	// MinEventGapTimeout replaces the least time for which a server may be silent within an event stream; 0: the default.
-	MinEventGapTimeout time.Duration
-}
-
-// withDefaults fills in the durations.
-func (k TestingKnobs) withDefaults() TestingKnobs {
-	if k.ClientWriteTimeout <= 0 {
-		k.ClientWriteTimeout = clientWriteTimeout
-	}
-	if k.MinResponseTimeout <= 0 {
-		k.MinResponseTimeout = minResponseTimeout
-	}
-	if k.MinEventGapTimeout <= 0 {
-		k.MinEventGapTimeout = minEventGapTimeout
-	}
-	return k
 }
--- a/internal/system/proxy/listener_test.go
+++ b/internal/system/proxy/listener_test.go
@@ -81,7 +81,7 @@
 		}
 		return respondWith(200, long)(c, r, body)
 	})
-	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.TestingKnobs.ClientWriteTimeout = 300 * time.Millisecond })
+	proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.Timeouts.ClientWrite = 300 * time.Millisecond })
 	slow := proxy.dial(t)
 	_ = slow.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	slow.sendRequest("id-1", "", "X-Long: 1")
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -34,6 +34,8 @@
 	// OnStall is called after the process was stopped or starved of CPU time, so that the caller refreshes what it knows from the
 	// control plane. It must not block. It may be nil.
 	OnStall func()
+	// Timeouts are how long clients and servers may be silent.
+	Timeouts Timeouts
 	// TestingKnobs are for tests only.
 	TestingKnobs TestingKnobs
 }
@@ -55,7 +57,7 @@
 	if o.Log == nil {
 		o.Log = log.Log
 	}
-	o.TestingKnobs = o.TestingKnobs.withDefaults()
+	o.Timeouts = o.Timeouts.withDefaults()
 	return o
 }
 
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -12,8 +12,6 @@
 	minRetryAfter     = 50 * time.Millisecond
 	// retryAfterDivisor: a client is told to wait for at most one part in so many of the time that it has left.
 	retryAfterDivisor = 3
-	// clientWriteTimeout is how long a client may accept no bytes before it is given up.
-	clientWriteTimeout = 10 * time.Second
 	// unknownLength stands for a body whose length is not announced.
 	unknownLength = -1
 )
@@ -99,7 +97,7 @@
 
 // writeToClient passes bytes on at once. It fails with errClientGone, also if the client accepts none for too long.
 func (c *clientRequest) writeToClient(data []byte) error {
-	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.TestingKnobs.ClientWriteTimeout))
+	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.Timeouts.ClientWrite))
 	if _, err := c.writer.Write(data); err != nil {
 		return errors.Join(errClientGone, err)
 	}
