--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -42,7 +42,7 @@
 	w := &lateFleet{testFleet: newFleetWithKnobs(servers, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, readAt: map[uint64]time.Time{},
 		isolatedUntil: map[string]time.Time{}, faults: map[string]int{}, violations: map[string]int{}, shownReadAt: map[string]time.Time{}}
 	for i := range 6 {
-		w.startProxy(fmt.Sprint("p", i), func(options *SubscriberOptions) { options.Knobs = proxies })
+		w.startProxy(fmt.Sprint("p", i), func(options *SubscriberOptions) { options.knobs = proxies })
 	}
 	return w
 }
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -164,7 +164,7 @@
 func TestMismatchedReplyControl(t *testing.T) {
 	subscriber, _, address := newScriptedSubscriber(t, func(uint32) string { return "another's answer" })
 	for _, knob := range []bool{false, true} {
-		subscriber.options.Knobs.AcceptAnyReply = knob
+		subscriber.options.knobs.AcceptAnyReply = knob
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
 		if _, err := subscriber.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != knob {
 			t.Errorf("control %v: %v", knob, err)
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -26,7 +26,7 @@
 // returns what it has then.
 func moveToRejoinedNode(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), Knobs: knobs})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), knobs: knobs})
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
 	return subscriber.Current().Servers
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -77,7 +77,7 @@
 	Transport    http.RoundTripper
 	Log          log.Interface
 	Limits       ServerLimits
-	Knobs        TestingKnobs
+	knobs        TestingKnobs
 }
 
 // Server is the control plane's end: it serves the proxies that follow this node and synchronises soft state with its peers.
@@ -119,8 +119,8 @@
 	return &Server{
 		options: options, limits: limits, replyBudget: replyBudget{maxBytes: limits.MaxPendingReplyBytes},
 		table: softstate.NewTable(), bootID: newBootID(), startedAt: now, lastTick: now,
-		sessions: newSessionSet(), peers: newPeerSet(options.Knobs.OwnContactsOnly), loads: newLoadAggregator(),
-		isolation: isolationTracker{skipRejoinDelay: options.Knobs.SkipRejoinDelay},
+		sessions: newSessionSet(), peers: newPeerSet(options.knobs.OwnContactsOnly), loads: newLoadAggregator(),
+		isolation: isolationTracker{skipRejoinDelay: options.knobs.SkipRejoinDelay},
 		changed:   make(chan struct{}), done: make(chan struct{}),
 		wakeRequested: make(chan struct{}, 1), syncRequested: make(chan struct{}, 1),
 	}
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -230,7 +230,7 @@
 // transitTime bounds how long a message was in transit, by this process's clock alone: its sender states what that clock showed at the
 // least when it was sent. It returns false where that is not known, is of a former incarnation, or is too long ago.
 func (s *Server) transitTime(clock, sentMS uint64) (delay time.Duration, dated bool) {
-	if s.options.Knobs.DateByArrival {
+	if s.options.knobs.DateByArrival {
 		return 0, true
 	}
 	delay = softstate.BoundedMilliseconds(clock-min(clock, sentMS), softstate.MaxAge)
@@ -258,7 +258,7 @@
 // has contact to the proxy knows better: this node, or the one that the proxy follows. The caller holds mu.
 func (s *Server) mergePeerEntry(now time.Time, from string, entry softstate.Entry, age softstate.Age) {
 	live, marksDown := s.marksLiveMemberDown(entry)
-	if !marksDown || s.options.Knobs.AcceptDownVerdicts {
+	if !marksDown || s.options.knobs.AcceptDownVerdicts {
 		s.mergeEntry(now, entry, age)
 		return
 	}
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -86,7 +86,7 @@
 func TestTimeInBuffersControl(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
-		manual.to.options.Knobs.DateByArrival = true
+		manual.to.options.knobs.DateByArrival = true
 		putList(t, manual.from, 1, 1, []pick.Server{{ID: "s"}}, softstate.Age{})
 		if manual.send(t, 20*time.Second); listAge(manual.to) != 0 {
 			t.Errorf("control: the list is known to be %v old", listAge(manual.to))
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -30,7 +30,7 @@
 	Transport                   http.RoundTripper
 	Log                         log.Interface
 	LongPollTimeout             time.Duration // longest wait of a poll; 1 s
-	Knobs                       TestingKnobs
+	knobs                       TestingKnobs
 }
 
 func (o SubscriberOptions) withDefaults() SubscriberOptions {
@@ -87,7 +87,7 @@
 	options = options.withDefaults()
 	return &Subscriber{
 		options: options, client: &http.Client{Transport: rpc.BoundedTransport{Next: options.Transport}},
-		announced: newAnnouncement(options.Self), control: newStateReplica(), soft: newSoftReplica(options.Knobs.ReplaceAlways),
+		announced: newAnnouncement(options.Self), control: newStateReplica(), soft: newSoftReplica(options.knobs.ReplaceAlways),
 		loads: newLoadExchange(), nodes: newNodeSet(options.Self, options.Seeds),
 		updatePending: make(chan struct{}, 1), loadsPending: make(chan struct{}, 1), callRequested: make(chan struct{}, 1),
 	}
@@ -142,7 +142,7 @@
 
 // servableState is the state, or an empty one where that came late and so may be old: the next reply will tell. The caller holds mu.
 func (s *Subscriber) servableState() *controlstate.State {
-	if s.freshness.neverFresh() && !s.control.fromNeighbour && !s.options.Knobs.ServeLateState {
+	if s.freshness.neverFresh() && !s.control.fromNeighbour && !s.options.knobs.ServeLateState {
 		return controlstate.Empty()
 	}
 	return s.control.state
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := rpc.CheckReply(req.GetCall(), reply.GetCall()); err != nil && !s.options.Knobs.AcceptAnyReply {
+	if err := rpc.CheckReply(req.GetCall(), reply.GetCall()); err != nil && !s.options.knobs.AcceptAnyReply {
 		s.client.CloseIdleConnections()
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	checked := checkedAt(sentAt, reply)
-	if s.options.Knobs.DateByArrival {
+	if s.options.knobs.DateByArrival {
 		checked = now
 	}
 	offer := offerFromReply(reply, now.Sub(checked))
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -19,7 +19,7 @@
 	server.markComplete()
 	chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
 	putList(tb, server, 1, 1, []pick.Server{{ID: "old"}}, softstate.Age{})
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), Knobs: knobs})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), knobs: knobs})
 	asked := time.Now()
 	req := subscriber.buildRequest(nil, false)
 	reply, err := server.Follow(tb.Context(), req)
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -122,7 +122,7 @@
 	if s.nodes.digest == 0 {
 		s.nodes.add(reply.GetKeepers())
 	}
-	if starting && !s.nodes.allTried() && !s.options.Knobs.NeighbourAtOnce {
+	if starting && !s.nodes.allTried() && !s.options.knobs.NeighbourAtOnce {
 		return false // a node that can be reached knows better: query again once they have been tried
 	}
 	advanced := s.control.apply(s.options.Log, offerFromReply(reply, 0), reply)
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -55,7 +55,7 @@
 	var first firstState
 	start := time.Now()
 	fleet.startProxy(node, func(options *SubscriberOptions) {
-		options.Seeds, options.OnUpdate, options.Knobs = seeds, first.observe, knobs
+		options.Seeds, options.OnUpdate, options.knobs = seeds, first.observe, knobs
 	})
 	time.Sleep(10 * time.Second)
 	seq, at := first.get()
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -268,7 +268,7 @@
 func (fl *testFleet) startServer(name string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	server := NewServer(ServerOptions{Source: fl.sources[name], Self: name, Zone: "zone-" + name, Region: "r", ListLag: warmUpListLag, Log: discardLogger(),
-		Knobs: fl.knobs, Transport: meshTransport{fl.mesh, name}, Peers: func() []string {
+		knobs: fl.knobs, Transport: meshTransport{fl.mesh, name}, Peers: func() []string {
 			var out []string
 			for _, k := range fl.names {
 				if k != name {
--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -68,7 +68,7 @@
 // mayRetry reports whether the request may be sent to one more server, as far as that depends on the request alone. This is
 // where a non-idempotent request that may have run is kept from running twice.
 func (c *clientRequest) mayRetry(mayHaveRun bool) bool {
-	knobs := &c.proxy.options.TestingKnobs
+	knobs := &c.proxy.options.knobs
 	switch {
 	case len(c.triedServers) >= max(c.route.MaxAttempts, 1):
 		return false
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -127,9 +127,9 @@
 		return err
 	}
 	options := Options{
-		Log:          &log.Logger{Handler: discard.New()},
-		Timeouts:     Timeouts{MinResponse: shortProgressTimeout, MinEventGap: shortProgressTimeout},
-		TestingKnobs: knobs,
+		Log:      &log.Logger{Handler: discard.New()},
+		Timeouts: Timeouts{MinResponse: shortProgressTimeout, MinEventGap: shortProgressTimeout},
+		knobs:    knobs,
 	}
 	proxy := newProxy(options, newFakePicker(state.Config.Routes[0]))
 	proxy.pools.sameRegionTimeout = testTimeout
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -37,7 +37,7 @@
 	// Timeouts are how long clients and servers may be silent.
 	Timeouts Timeouts
 	// TestingKnobs are for tests only.
-	TestingKnobs TestingKnobs
+	knobs TestingKnobs
 }
 
 // withDefaults fills in what is not set.
@@ -84,7 +84,7 @@
 		memory:  newMemoryBudget(memoryBytes / bodyMemoryDivisor),
 	}
 	p.pools = newUpstreamPools(options.Settings, &p.counters)
-	p.pools.knobs = options.TestingKnobs
+	p.pools.knobs = options.knobs
 	p.clients = newClientListener(p)
 	return p
 }
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -62,7 +62,7 @@
 
 // abortConn closes the client's connection in the middle of a response, so that the response cannot look complete.
 func (c *clientRequest) abortConn(unsent unsentBytes) {
-	if c.conn == nil || c.proxy.options.TestingKnobs.KeepTruncatedConns {
+	if c.conn == nil || c.proxy.options.knobs.KeepTruncatedConns {
 		return
 	}
 	// Where the end of the connection is that of the response, only a reset says that it is truncated.
--- a/internal/system/proxy/testing_knobs_test.go
+++ b/internal/system/proxy/testing_knobs_test.go
@@ -80,7 +80,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := startServer(t, respondWith(200, "x"))
-			proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.TestingKnobs = test.without })
+			proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.knobs = test.without })
 			client := proxy.dial(t)
 			client.sendRequest("id-1", "").readResponse()
 			_ = receive(t, server.requests, "request").conn.(*net.TCPConn).CloseWrite()
@@ -151,7 +151,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d bytes, retry %v", test.capacity, test.without.RetryPartlyWritten), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = test.without }},
+				piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.knobs = test.without }},
 					respondWith(200, "first"), respondWith(200, "second"))
 				open := piped.pools.connect
 				piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
--- a/internal/system/proxy/validate.go
+++ b/internal/system/proxy/validate.go
@@ -13,7 +13,7 @@
 		c.proxy.counters.Mismatch.Add(1)
 		return errInvalidResponse
 	}
-	if endsWithConn(resp, attempt.headRequest) && !c.proxy.options.TestingKnobs.AcceptUnframed {
+	if endsWithConn(resp, attempt.headRequest) && !c.proxy.options.knobs.AcceptUnframed {
 		c.proxy.counters.Unframed.Add(1) // a truncated one could not be told from a complete one
 		return errInvalidResponse
 	}
@@ -24,7 +24,7 @@
 // request may come where this one is due, and only its id tells. A failure without an id is believed as the first response of
 // its connection, as that can be no earlier request's.
 func (c *clientRequest) belongsToRequest(attempt *upstreamAttempt) bool {
-	if c.proxy.options.TestingKnobs.SkipAttemptIDCheck {
+	if c.proxy.options.knobs.SkipAttemptIDCheck {
 		return true
 	}
 	echoed := attempt.response.Header[headerAttemptID]
@@ -37,7 +37,7 @@
 // vouchedFor reports whether a success bears the server's seal and nothing that contradicts it: one that says that the request
 // did not run is not believed in either respect.
 func (c *clientRequest) vouchedFor(resp *http.Response) bool {
-	isSealed := resp.Header.Get(headerServerSeal) != "" || c.proxy.options.TestingKnobs.SkipSealCheck
+	isSealed := resp.Header.Get(headerServerSeal) != "" || c.proxy.options.knobs.SkipSealCheck
 	isEncoded := resp.Header.Get("Content-Encoding") != ""
 	return isSealed && !isEncoded && !saysNotExecuted(resp)
 }
