--- a/internal/system/distribution/catchup/catchup.go
+++ b/internal/system/distribution/catchup/catchup.go
@@ -13,7 +13,7 @@
 //     position, or equal to it after a record that did not apply, and records only from position+1 on; the number that results
 //     is at least the position in each case.
 //   - What is planned makes progress: PlanReply chooses None only if nothing is committed after the position, and each other
-//     method ends at a number above it.
+//     method ends at a number above it, also where PlanSnapshot chooses between the two snapshots.
 //   - A subscriber that ProvesFreshness was, at most FreshnessTTL ago by its own monotonic clock, as new as anything that had been
 //     acknowledged. Proof: the server looked whether it is current before it read its state and no earlier than Offer.Age ago, so
 //     whatever was acknowledged before that is numbered at most Offer.Newest, and the position is no lower. No clock is shared:
@@ -42,7 +42,7 @@
 	Records              int    // how many these are
 	Bytes                int    // of their bodies
 	CachedSnapshot       uint64 // number of the encoded snapshot that the server has; 0: none
-	CachedSnapshotUsable bool   // the records after that snapshot fit into the same reply, or it was made a moment ago
+	CachedSnapshotUsable bool   // the records after that snapshot fit into the same reply, or it was made a moment ago: see PlanSnapshot
 }
 
 // Method is a way to bring a subscriber further.
@@ -64,15 +64,41 @@
 		return None
 	case after > 0 && available.recordsFit(maxRecords):
 		return Records
-	case available.CachedSnapshotUsable && available.CachedSnapshot > after:
+	case available.cachedSnapshotHelps(after):
 		return CachedSnapshot
 	}
 	return NewSnapshot
 }
 
-// recordsFit reports whether one reply has room for the records asked for; a single one may be of any size.
+// PlanSnapshot decides which snapshot goes to a subscriber that asks for what comes after a number, and that records alone do not
+// bring up to date. In afterCached, the records are those after the cached snapshot, not those after the number; madeLately says
+// that the cached snapshot is so new that it is sent even where the records after it do not fit. The method is CachedSnapshot or
+// NewSnapshot; withRecords reports whether the records after the cached snapshot go into the same reply.
+func PlanSnapshot(after uint64, afterCached Availability, madeLately bool, maxRecords int) (method Method, withRecords bool) {
+	isNewest := afterCached.CachedSnapshot == afterCached.Committed
+	withRecords = isNewest || afterCached.recordsFitBesideSnapshot(maxRecords)
+	afterCached.CachedSnapshotUsable = afterCached.CachedSnapshot > 0 && (withRecords || madeLately)
+	if !afterCached.cachedSnapshotHelps(after) {
+		return NewSnapshot, false
+	}
+	return CachedSnapshot, withRecords
+}
+
+// cachedSnapshotHelps reports whether the cached snapshot brings a subscriber further that has what comes up to a number.
+func (a Availability) cachedSnapshotHelps(after uint64) bool {
+	return a.CachedSnapshotUsable && a.CachedSnapshot > after
+}
+
+// recordsFit reports whether one reply has room for the records asked for; a single one may be of any size, as it would otherwise
+// never be sent as a record.
 func (a Availability) recordsFit(maxRecords int) bool {
-	return a.Known && (a.Records == 1 || a.Records <= maxRecords && a.Bytes <= MaxReplyBytes)
+	return a.Known && a.Records == 1 || a.recordsFitBesideSnapshot(maxRecords)
+}
+
+// recordsFitBesideSnapshot reports whether one reply has room for a snapshot and the records. A single one is bounded as well: the
+// reply has a snapshot already, and the record can follow in the next reply.
+func (a Availability) recordsFitBesideSnapshot(maxRecords int) bool {
+	return a.Known && a.Records <= maxRecords && a.Bytes <= MaxReplyBytes
 }
 
 // Offer is what a reply says of the control state.
--- a/internal/system/distribution/catchup/catchup_test.go
+++ b/internal/system/distribution/catchup/catchup_test.go
@@ -34,6 +34,37 @@
 	}
 }
 
+func TestPlanSnapshot(t *testing.T) {
+	const (
+		maxRecords = 4
+		after      = 5
+	)
+	for _, test := range []struct {
+		name        string
+		afterCached Availability
+		madeLately  bool
+		want        Method
+		withRecords bool
+	}{
+		{"nothing is cached", Availability{Committed: 9, Known: true, Records: 2}, true, NewSnapshot, false},
+		{"the newest is cached", Availability{Committed: 9, CachedSnapshot: 9}, false, CachedSnapshot, true},
+		{"the records after it fit", Availability{Committed: 9, Known: true, Records: 2, Bytes: 200, CachedSnapshot: 7}, false, CachedSnapshot, true},
+		{"they are gone", Availability{Committed: 9, CachedSnapshot: 7}, false, NewSnapshot, false},
+		{"they are gone, and it was made lately", Availability{Committed: 9, CachedSnapshot: 7}, true, CachedSnapshot, false},
+		{"they are too many", Availability{Committed: 99, Known: true, Records: maxRecords + 1, CachedSnapshot: 7}, false, NewSnapshot, false},
+		{"too many, and it was made lately", Availability{Committed: 99, Known: true, Records: maxRecords + 1, CachedSnapshot: 7}, true, CachedSnapshot, false},
+		{"one large record", Availability{Committed: 8, Known: true, Records: 1, Bytes: MaxReplyBytes + 1, CachedSnapshot: 7}, false, NewSnapshot, false},
+		{"it brings nothing", Availability{Committed: 9, Known: true, Records: 4, CachedSnapshot: after}, true, NewSnapshot, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got, withRecords := PlanSnapshot(after, test.afterCached, test.madeLately, maxRecords)
+			if got != test.want || withRecords != test.withRecords {
+				t.Errorf("%v with records %v, want %v with %v", got, withRecords, test.want, test.withRecords)
+			}
+		})
+	}
+}
+
 func TestPlanTakesOnlyNewerContiguousRecords(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/system/distribution/server_state.go
+++ b/internal/system/distribution/server_state.go
@@ -55,7 +55,7 @@
 	case catchup.None:
 	case catchup.Records:
 		s.addRecords(reply, records)
-	case catchup.CachedSnapshot, catchup.NewSnapshot:
+	case catchup.CachedSnapshot, catchup.NewSnapshot: // addSnapshot looks which of the two
 		s.addSnapshot(reply, after, state)
 	}
 	if size := stateBytes(reply); size > uncountedReplyBytes && !s.replyBudget.reserve(ctx, size) {
@@ -72,7 +72,7 @@
 	return size
 }
 
-// availability returns the records between two numbers, and what they come to.
+// availability returns the records between two numbers, and what they come to. It says nothing of the cached snapshot.
 func (s *Server) availability(after, committed uint64) ([]controlstate.Record, catchup.Availability) {
 	available := catchup.Availability{Committed: committed}
 	if after >= committed {
@@ -98,18 +98,15 @@
 	cache := &s.snapshot
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
-	records, available := s.availability(cache.seq, state.Seq)
-	recordsFit := available.Known && available.Records <= s.limits.MaxRecordsPerReply && available.Bytes <= catchup.MaxReplyBytes
-	fit := cache.seq == state.Seq || recordsFit
-	available.CachedSnapshot = cache.seq
-	available.CachedSnapshotUsable = cache.seq > 0 && (fit || time.Since(cache.madeAt) < snapshotTTL)
-	available.Known = false
-	if catchup.PlanReply(after, available, s.limits.MaxRecordsPerReply) == catchup.NewSnapshot {
+	records, afterCached := s.availability(cache.seq, state.Seq)
+	afterCached.CachedSnapshot = cache.seq
+	madeLately := time.Since(cache.madeAt) < snapshotTTL
+	method, withRecords := catchup.PlanSnapshot(after, afterCached, madeLately, s.limits.MaxRecordsPerReply)
+	if method == catchup.NewSnapshot {
 		cache.replace(state)
-		records, fit = nil, false
 	}
 	reply.Snapshot, reply.SnapshotDeflated = cache.encoded, cache.deflated
-	if fit {
+	if withRecords {
 		s.addRecords(reply, records)
 	}
 }
