--- a/cmd/proxy/failuredetector.go
+++ b/cmd/proxy/failuredetector.go
@@ -19,7 +19,7 @@
 )
 
 // openFailureDetector listens for datagrams of the other proxies and makes the agent. Its verdicts go to the control plane.
-func (s *server) openFailureDetector(ctx context.Context, address string) error {
+func (p *proxyProcess) openFailureDetector(ctx context.Context, address string) error {
 	packets, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", address)
 	if err != nil {
 		return errors.Mark(errors.Wrapf(err, "cannot listen at %s by UDP: check that the port is free", address), process.ErrListen)
@@ -29,27 +29,27 @@
 		return errors.Newf("%s gave no UDP socket: run on a system that has them", address)
 	}
 	interval := heartbeatInterval
-	if maxInterval := settings.Milliseconds(s.settings.HeartbeatMS); maxInterval > 0 {
+	if maxInterval := settings.Milliseconds(p.settings.HeartbeatMS); maxInterval > 0 {
 		interval = min(interval, maxInterval)
 	}
-	s.agent = failuredetector.NewAgent(failuredetector.AgentOptions{
+	p.agent = failuredetector.NewAgent(failuredetector.AgentOptions{
 		Options: failuredetector.Options{
-			Self:              s.settings.Node,
-			Incarnation:       s.subscriber.Incarnation(),
+			Self:              p.settings.Node,
+			Incarnation:       p.subscriber.Incarnation(),
 			HeartbeatInterval: interval,
 			SuspectTimeout:    suspectTimeout,
 			ProbeTimeout:      probeTimeout,
 		},
 		Conn:      conn,
-		OnVerdict: s.reportVerdict,
-		Log:       s.log,
+		OnVerdict: p.reportVerdict,
+		Log:       p.log,
 	})
 	return nil
 }
 
 // reportVerdict reports to the control plane that a proxy is down. A proxy that is up reports that by itself.
-func (s *server) reportVerdict(verdict failuredetector.Verdict) {
+func (p *proxyProcess) reportVerdict(verdict failuredetector.Verdict) {
 	if verdict.Down {
-		s.subscriber.Report(verdict.Node, verdict.Incarnation)
+		p.subscriber.Report(verdict.Node, verdict.Incarnation)
 	}
 }
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -27,8 +27,8 @@
 	killMargin      = 700 * time.Millisecond // kept free before the platform kills the process
 )
 
-// server is the process: its parts, and the links between them.
-type server struct {
+// proxyProcess is the process: its parts, and the links between them.
+type proxyProcess struct {
 	settings   *settings.Settings
 	log        log.Interface
 	dataPlane  *proxy.Proxy
@@ -45,22 +45,22 @@
 	rootCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := process.NewGroup(rootCtx)
-	s := newServer(self)
-	if err := s.start(ctx, self, group); err != nil {
+	p := newProxyProcess(self)
+	if err := p.start(ctx, self, group); err != nil {
 		return err
 	}
 	self.Wait(ctx)
 	if ctx.Err() == nil {
-		s.shutDownGracefully()
+		p.shutDownGracefully()
 	}
 	cancel()
 	return group.Wait()
 }
 
-// newServer makes the parts of the process. start starts them.
-func newServer(self *process.Process) *server {
+// newProxyProcess makes the parts of the process. start starts them.
+func newProxyProcess(self *process.Process) *proxyProcess {
 	config := self.Settings
-	created := &server{settings: config, log: self.Log, synced: make(chan struct{})}
+	created := &proxyProcess{settings: config, log: self.Log, synced: make(chan struct{})}
 	created.directory = directory.NewDirectory(min(maxDirectoryTTL, max(settings.Seconds(config.Bounds.TTLMaxSeconds), time.Second)))
 	created.dataPlane = proxy.New(proxy.Options{
 		Settings:    created.pickSettings(),
@@ -91,16 +91,16 @@
 }
 
 // start publishes the metrics, listens at all addresses and starts the goroutines. The group owns these; they end with ctx.
-func (s *server) start(ctx context.Context, self *process.Process, group *process.Group) error {
-	s.dataPlane.Publish()
-	internalAddress := net.JoinHostPort(s.settings.IP, strconv.Itoa(s.settings.ProxyPort()))
-	if err := s.openFailureDetector(ctx, internalAddress); err != nil {
+func (p *proxyProcess) start(ctx context.Context, self *process.Process, group *process.Group) error {
+	p.dataPlane.Publish()
+	internalAddress := net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.ProxyPort()))
+	if err := p.openFailureDetector(ctx, internalAddress); err != nil {
 		return err
 	}
 	for address, handler := range map[string]http.Handler{
-		internalAddress:           s.internalHandler(),
-		s.settings.Bind.Readiness: directory.Readiness(s.isReady),
-		s.settings.Bind.Directory: s.directory.Handler(),
+		internalAddress:           p.internalHandler(),
+		p.settings.Bind.Readiness: directory.Readiness(p.isReady),
+		p.settings.Bind.Directory: p.directory.Handler(),
 	} {
 		listener, err := process.Listen(ctx, address)
 		if err != nil {
@@ -111,72 +111,72 @@
 	if err := self.ServeMetrics(ctx, group); err != nil {
 		return err
 	}
-	clients, err := process.Listen(ctx, s.settings.Bind.Front)
+	clients, err := process.Listen(ctx, p.settings.Bind.Front)
 	if err != nil {
 		return err
 	}
-	group.Go(func() error { s.subscriber.Run(ctx); return nil })
-	group.Go(func() error { s.agent.Run(ctx); return nil })
-	group.Go(func() error { return s.serveClients(ctx, clients) })
-	s.log.WithField("front", s.settings.Bind.Front).Info("proxy: started")
+	group.Go(func() error { p.subscriber.Run(ctx); return nil })
+	group.Go(func() error { p.agent.Run(ctx); return nil })
+	group.Go(func() error { return p.serveClients(ctx, clients) })
+	p.log.WithField("front", p.settings.Bind.Front).Info("proxy: started")
 	return nil
 }
 
 // internalHandler serves the control plane, the other proxies and the engineers.
-func (s *server) internalHandler() http.Handler {
+func (p *proxyProcess) internalHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/twirp/", s.subscriber.Handler())
-	mux.Handle(failuredetector.AlivePath, s.agent.Handler())
-	mux.Handle("/status", admin.ProxyHandler(s.status))
+	mux.Handle("/twirp/", p.subscriber.Handler())
+	mux.Handle(failuredetector.AlivePath, p.agent.Handler())
+	mux.Handle("/status", admin.ProxyHandler(p.status))
 	return mux
 }
 
 // serveClients accepts clients once there is something to serve. Until then connections wait in the listener's backlog: to reject
 // them would cost their clients an attempt.
-func (s *server) serveClients(ctx context.Context, clients net.Listener) error {
+func (p *proxyProcess) serveClients(ctx context.Context, clients net.Listener) error {
 	select {
-	case <-s.synced:
+	case <-p.synced:
 	case <-ctx.Done():
 		return clients.Close()
 	}
-	return s.dataPlane.Serve(ctx, clients)
+	return p.dataPlane.Serve(ctx, clients)
 }
 
 // isReady reports whether the proxy may get clients.
-func (s *server) isReady() bool {
-	if !s.dataPlane.Ready() {
+func (p *proxyProcess) isReady() bool {
+	if !p.dataPlane.Ready() {
 		return false
 	}
 	select {
-	case <-s.synced:
-		return !s.draining.Load()
+	case <-p.synced:
+		return !p.draining.Load()
 	default:
 		return false
 	}
 }
 
 // shutDownGracefully has the directory and the readiness check send clients away, then finishes the requests in flight.
-func (s *server) shutDownGracefully() {
-	s.log.Info("proxy: shutting down")
-	s.draining.Store(true)
-	s.agent.Leave()
-	ctx, cancel := context.WithTimeout(context.Background(), s.gracePeriod())
+func (p *proxyProcess) shutDownGracefully() {
+	p.log.Info("proxy: shutting down")
+	p.draining.Store(true)
+	p.agent.Leave()
+	ctx, cancel := context.WithTimeout(context.Background(), p.gracePeriod())
 	defer cancel()
-	if err := s.subscriber.Leave(ctx); err != nil {
-		s.log.WithError(err).Warn("proxy: no control-plane node was notified")
+	if err := p.subscriber.Leave(ctx); err != nil {
+		p.log.WithError(err).Warn("proxy: no control-plane node was notified")
 	}
-	s.dataPlane.Drain(ctx)
-	s.log.Info("proxy: ended")
+	p.dataPlane.Drain(ctx)
+	p.log.Info("proxy: ended")
 }
 
 // gracePeriod is how long requests in flight may take after the process was told to end.
-func (s *server) gracePeriod() time.Duration {
-	return settings.Seconds(s.settings.Bounds.GraceSeconds) - killMargin
+func (p *proxyProcess) gracePeriod() time.Duration {
+	return settings.Seconds(p.settings.Bounds.GraceSeconds) - killMargin
 }
 
 // pickSettings derives the picker's settings from those of the deployment.
-func (s *server) pickSettings() pick.Settings {
-	config := s.settings
+func (p *proxyProcess) pickSettings() pick.Settings {
+	config := p.settings
 	return pick.Settings{
 		Zone:         config.Zone,
 		Region:       config.Region,
@@ -186,13 +186,13 @@
 		RetrySlack:   config.Bounds.RetrySlack,
 		WarmUpExcess: config.Bounds.ColdExcess,
 		WarmUpSlack:  config.Bounds.ColdSlack,
-		Seed:         s.rotationSeed(),
+		Seed:         p.rotationSeed(),
 	}
 }
 
 // rotationSeed has each proxy begin its rotation over servers at another place.
-func (s *server) rotationSeed() uint64 {
+func (p *proxyProcess) rotationSeed() uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(s.settings.Node)) // never fails
+	_, _ = hash.Write([]byte(p.settings.Node)) // never fails
 	return hash.Sum64()
 }
--- a/cmd/proxy/status.go
+++ b/cmd/proxy/status.go
@@ -6,19 +6,19 @@
 )
 
 // status is the response to GET /status, an admin.ProxyStatus.
-func (s *server) status() any {
-	current := s.subscriber.Current()
+func (p *proxyProcess) status() any {
+	current := p.subscriber.Current()
 	out := admin.ProxyStatus{
 		Version:    admin.Version,
-		Node:       s.settings.Node,
-		Ready:      s.isReady(),
+		Node:       p.settings.Node,
+		Ready:      p.isReady(),
 		Fresh:      current.Fresh,
 		Number:     current.State.Seq,
 		Revision:   current.State.Revision(),
 		Evacuated:  admin.EvacuatedZones(current.State),
 		Servers:    len(current.Servers),
 		ListAgeMS:  -1,
-		Choice:     s.dataPlane.Describe(),
+		Choice:     p.dataPlane.Describe(),
 		Violations: invariant.Violations(),
 	}
 	if current.HasList {
--- a/cmd/proxy/update.go
+++ b/cmd/proxy/update.go
@@ -19,42 +19,42 @@
 }
 
 // applyUpdate gives an update to the parts of the process. The subscriber calls it from one goroutine.
-func (s *server) applyUpdate(update distribution.Update) {
-	live := s.liveMembers(update.Members)
-	if configured, listed := update.State.Config != nil, update.HasList; !s.isSynced && (configured || listed) {
-		s.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: synchronizing")
+func (p *proxyProcess) applyUpdate(update distribution.Update) {
+	live := p.liveMembers(update.Members)
+	if configured, listed := update.State.Config != nil, update.HasList; !p.isSynced && (configured || listed) {
+		p.log.WithField("configured", configured).WithField("listed", listed).Info("proxy: synchronizing")
 	}
-	s.dataPlane.UpdateClusterState(update.AsOf, pick.ClusterState{
+	p.dataPlane.UpdateClusterState(update.AsOf, pick.ClusterState{
 		Config:               update.State.Config,
 		Evacuated:            update.State.Evacuated,
 		ZoneChanges:          zoneChanges(update),
 		Servers:              update.Servers,
 		ListCoversSeq:        update.ListCoversSeq,
 		ContactAge:           update.ContactAge,
-		Self:                 s.settings.Node,
+		Self:                 p.settings.Node,
 		Peers:                live.nodes,
 		DownCount:            update.DownCount,
 		MembershipIncomplete: update.MembershipIncomplete,
 		Stale:                update.Stale,
 	})
-	s.subscriber.NotifyListUpdates(s.dataPlane.AwaitsServerList())
-	s.directory.SetEndpoints(live.endpoints)
-	s.agent.SetMembers(live.watchable)
-	if !s.isSynced && update.State.Config != nil && update.HasList {
-		s.markSynced(update)
+	p.subscriber.NotifyListUpdates(p.dataPlane.AwaitsServerList())
+	p.directory.SetEndpoints(live.endpoints)
+	p.agent.SetMembers(live.watchable)
+	if !p.isSynced && update.State.Config != nil && update.HasList {
+		p.markSynced(update)
 	}
 }
 
 // markSynced lets clients in, once there are a configuration and a list of servers.
-func (s *server) markSynced(update distribution.Update) {
-	s.isSynced = true
-	close(s.synced)
-	s.subscriber.SetReady(true)
-	s.log.WithField("revision", update.State.Config.Revision).WithField("servers", len(update.Servers)).Info("proxy: ready")
+func (p *proxyProcess) markSynced(update distribution.Update) {
+	p.isSynced = true
+	close(p.synced)
+	p.subscriber.SetReady(true)
+	p.log.WithField("revision", update.State.Config.Revision).WithField("servers", len(update.Servers)).Info("proxy: ready")
 }
 
 // liveMembers selects the live members. This proxy is no endpoint while it drains.
-func (s *server) liveMembers(members []softstate.Member) liveMembers {
+func (p *proxyProcess) liveMembers(members []softstate.Member) liveMembers {
 	live := liveMembers{
 		nodes:     make([]string, 0, len(members)),
 		watchable: make([]failuredetector.Member, 0, len(members)),
@@ -68,9 +68,9 @@
 		live.watchable = append(live.watchable, failuredetector.Member{
 			Node:        m.Node,
 			Incarnation: m.Incarnation,
-			Address:     net.JoinHostPort(m.IP, strconv.Itoa(s.settings.ProxyPort())),
+			Address:     net.JoinHostPort(m.IP, strconv.Itoa(p.settings.ProxyPort())),
 		})
-		if m.Ready && (m.Node != s.settings.Node || !s.draining.Load()) {
+		if m.Ready && (m.Node != p.settings.Node || !p.draining.Load()) {
 			live.endpoints = append(live.endpoints, directory.Endpoint{Address: m.ClientAddress, Zone: m.Zone, Region: m.Region})
 		}
 	}
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -23,7 +23,7 @@
 "cold_s":3.0,"cold_per_s":31.0}],"limits":{}}`
 
 // newTestServer returns a proxy's parts, without a control plane and without clients.
-func newTestServer(t *testing.T) *server {
+func newTestServer(t *testing.T) *proxyProcess {
 	t.Helper()
 	discardLog := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &server{settings: &settings.Settings{Node: "p0", Ports: []int{1, 2}}, log: discardLog, synced: make(chan struct{}),
+	return &proxyProcess{settings: &settings.Settings{Node: "p0", Ports: []int{1, 2}}, log: discardLog, synced: make(chan struct{}),
 		dataPlane:  proxy.New(proxy.Options{Settings: pick.Settings{Zone: "z", Region: "r"}, Log: discardLog}),
 		subscriber: distribution.NewSubscriber(distribution.SubscriberOptions{Self: softstate.Member{Node: "p0"}, Log: discardLog}),
 		directory:  directory.NewDirectory(time.Second),
@@ -59,43 +59,43 @@
 // TestEvacuationBetweenUpdates: a zone is evacuated and readmitted while the proxy has no contact, and both reach it at once. Danger:
 // neither the state before nor the one after names the zone, though its servers may just have begun to warm up.
 func TestEvacuationBetweenUpdates(t *testing.T) {
-	s := newTestServer(t)
+	p := newTestServer(t)
 	before := applyChanges(t, controlstate.Empty().WithoutHistory(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
 	after := applyChanges(t, before, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
 	update := distribution.Update{State: before, HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
 		Members: []softstate.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
-	s.applyUpdate(update)
-	if s.dataPlane.AwaitsServerList() {
+	p.applyUpdate(update)
+	if p.dataPlane.AwaitsServerList() {
 		t.Fatal("the zone was never evacuated")
 	}
 	update.State = after
-	s.applyUpdate(update)
-	if !s.dataPlane.AwaitsServerList() {
+	p.applyUpdate(update)
+	if !p.dataPlane.AwaitsServerList() {
 		t.Error("the servers of a zone that was evacuated meanwhile are taken for warm, by a reading from before")
 	}
 }
 
 // TestEvacuationIsSeenInASnapshot is the same where the proxy lags so far that it gets a snapshot.
 func TestEvacuationIsSeenInASnapshot(t *testing.T) {
-	s := newTestServer(t)
+	p := newTestServer(t)
 	state := applyChanges(t, controlstate.Empty(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
 	update := distribution.Update{State: snapshot(t, state), HasList: true, ListAge: 100 * time.Millisecond, Fresh: true, AsOf: time.Now(),
 		Members: []softstate.Member{{Node: "p0"}},
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
-	s.applyUpdate(update)
+	p.applyUpdate(update)
 	state = applyChanges(t, state, controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, controlstate.Change{Op: controlstate.OpReadmit, Zone: "z"})
 	update.State = snapshot(t, state)
-	s.applyUpdate(update)
-	if !s.dataPlane.AwaitsServerList() {
+	p.applyUpdate(update)
+	if !p.dataPlane.AwaitsServerList() {
 		t.Error("the servers of a zone that was evacuated meanwhile are taken for warm, by a reading from before")
 	}
 }
 
 // snapshot returns a state as control-plane nodes send it to proxies.
-func snapshot(t *testing.T, s *controlstate.State) *controlstate.State {
+func snapshot(t *testing.T, p *controlstate.State) *controlstate.State {
 	t.Helper()
-	got, err := controlstate.Decode(s.WithoutHistory().Encode())
+	got, err := controlstate.Decode(p.WithoutHistory().Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
