--- a/internal/system/proxy/exactlyonce_check_test.go
+++ b/internal/system/proxy/exactlyonce_check_test.go
@@ -48,7 +48,7 @@
 	switch {
 	case outcome.noHead:
 		return nil
-	case promisesNotRun(outcome.status):
+	case impliesNotExecuted(outcome.status):
 		// Of an id that came twice on an idempotent route, the other request may have run more than once.
 		if ran > 0 && (outcome.sends == 1 || w.nonIdempotent() && ran >= outcome.sends) {
 			return errors.New("it has run, and its client was promised that it has not")
--- a/internal/system/proxy/promises_test.go
+++ b/internal/system/proxy/promises_test.go
@@ -11,9 +11,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestUnbufferedPromise has a server respond with a status that promises that the request has not run, without X-Not-Executed, and
+// TestUnbufferedNotExecutedStatus has a server respond with a status that promises that the request has not run, without X-Not-Executed, and
 // with a body that is too long to be buffered: the promise is not passed on, as the server has not given it.
-func TestUnbufferedPromise(t *testing.T) {
+func TestUnbufferedNotExecutedStatus(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBytes+1)
 	for _, status := range []int{408, 429, 503} {
 		for _, category := range []config.Category{config.NonIdempotent, config.Idempotent} {
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -43,7 +43,7 @@
 	}
 	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
 	// Danger: a status that promises more than the server has said is not passed on, nor is one too long to be buffered.
-	unfounded := promisesNotRun(resp.StatusCode) && !c.proxy.options.knobs.PassUnfoundedPromises
+	unfounded := impliesNotExecuted(resp.StatusCode) && !c.proxy.options.knobs.PassUnfoundedNotExecuted
 	if !complete && !unfounded {
 		return c.relayUnbuffered(attempt, buffered)
 	}
--- a/internal/system/proxy/testing_knobs.go
+++ b/internal/system/proxy/testing_knobs.go
@@ -16,7 +16,7 @@
 	// RetryNonIdempotent sends a non-idempotent request again although it may have run.
 	RetryNonIdempotent bool
 	// PassUnfoundedPromises passes on statuses that promise that a request has not run although its server did not say so.
-	PassUnfoundedPromises bool
+	PassUnfoundedNotExecuted bool
 	// AcceptUnframed takes a response that ends with its connection for a complete one.
 	AcceptUnframed bool
 	// ResumeAnyStream resumes event streams of routes that are not resumable.
--- a/internal/system/proxy/testing_knobs_test.go
+++ b/internal/system/proxy/testing_knobs_test.go
@@ -40,7 +40,7 @@
 			with(func(b *behaviour) { b.Interims = 1 }), "bears another id"},
 		{"at most one run", TestingKnobs{RetryNonIdempotent: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.PermilleSent, b.After = 0, resetAfter }), "sent again though it may have run"},
-		{"promises", TestingKnobs{PassUnfoundedPromises: true}, config.NonIdempotent,
+		{"promises", TestingKnobs{PassUnfoundedNotExecuted: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "promised that it has not"},
 		{"the end of a response", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "none", 950, halfCloseAfter }), "looks complete"},
--- a/internal/system/proxy/validate.go
+++ b/internal/system/proxy/validate.go
@@ -57,8 +57,8 @@
 	return ok
 }
 
-// promisesNotRun reports whether a status promises the client that its request has not run.
-func promisesNotRun(status int) bool {
+// impliesNotExecuted reports whether a status promises the client that its request has not run.
+func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
