--- a/internal/system/proxy/doc.go
+++ b/internal/system/proxy/doc.go
@@ -13,12 +13,12 @@
 //   - An attempt may have run unless not a byte of it was written, or the server said in a complete head that it did not run it
 //     (X-Not-Executed, or status 421).
 //   - A route is idempotent if its requests may run more than once. The configuration says so, not the method.
-//   - A promise is a status that tells the client that its request has not run: 408, 421, 429 and 503.
+//   - A not-executed status tells the client that its request was not executed: 408, 421, 429 and 503.
 //   - A response is truncated if its end did not come. It is framed if its end can be recognized.
 //   - An event stream is a response of type text/event-stream. It is resumed if another server goes on with it after the last
 //     event that went to the client.
 //
-// # Promises
+// # Invariants
 //
 //   - Each send is one attempt, and nothing beneath it sends again: clientRequest.tryServer is the only caller of
 //     upstreamAttempt.send, and the package does not use the client side of net/http (TestNoHTTPTransport).
@@ -29,7 +29,7 @@
 //     response with nothing behind it.
 //   - What looks complete is complete: package framing ends connections with ambiguous framing, validateResponse rejects unframed
 //     responses, and clientRequest.abortConn closes the client's connection in the middle of a truncated response.
-//   - A promise goes to a client only if no attempt may have run: clientRequest.answerUnserved and handleResponse.
+//   - A not-executed status goes to a client only if no attempt may have run: clientRequest.answerUnserved and handleResponse.
 //   - Events go out completely and with rising ids, and a stream is resumed after the last one that went out: eventReader and
 //     clientRequest.relayEvents.
 //   - Graceful shutdown loses no request that has been read within the grace period: Proxy.Drain, acceptor.endRound and
--- a/internal/system/proxy/exactlyonce_check_test.go
+++ b/internal/system/proxy/exactlyonce_check_test.go
@@ -51,7 +51,7 @@
 	case impliesNotExecuted(outcome.status):
 		// Of an id that came twice on an idempotent route, the other request may have run more than once.
 		if ran > 0 && (outcome.sends == 1 || w.nonIdempotent() && ran >= outcome.sends) {
-			return errors.New("it has run, and its client was promised that it has not")
+			return errors.New("it has run, and its client got a not-executed status")
 		}
 		return nil
 	case outcome.seal == "" && (outcome.status == http.StatusBadGateway || outcome.status == http.StatusGatewayTimeout):
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -358,7 +358,7 @@
 }
 
 // TestExactlyOnce plays scenarios of peers that misbehave in all ways and orders, on fresh and reused connections: a request
-// that may run once reaches servers once, each client gets its own response, complete or visibly truncated, no promise is false,
+// that may run once reaches servers once, each client gets its own response, complete or visibly truncated, no not-executed status is false,
 // and streams lose, repeat and join nothing.
 func TestExactlyOnce(t *testing.T) {
 	tally := map[string]int64{}
--- a/internal/system/proxy/notexecuted_test.go
+++ b/internal/system/proxy/notexecuted_test.go
@@ -11,8 +11,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestUnbufferedNotExecutedStatus has a server respond with a status that promises that the request has not run, without X-Not-Executed, and
-// with a body that is too long to be buffered: the promise is not passed on, as the server has not given it.
+// TestUnbufferedNotExecutedStatus has a server respond with a not-executed status, without X-Not-Executed, and with a body that is
+// too long to be buffered: the status is not passed on, as the server has not said that it did not run the request.
 func TestUnbufferedNotExecutedStatus(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBytes+1)
 	for _, status := range []int{408, 429, 503} {
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// respondError answers with a status of the proxy's own. One that promises that the request has not run comes with a
-// Retry-After; 0: the default.
+// respondError answers with a status of the proxy's own. A not-executed status comes with a Retry-After;
+// 0: the default.
 func (c *clientRequest) respondError(status int, retryAfter time.Duration) {
 	if impliesNotExecuted(status) {
 		if retryAfter <= 0 {
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -42,7 +42,8 @@
 		return c.handleFailure(attempt, err)
 	}
 	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
-	// Danger: a status that promises more than the server has said is not passed on, nor is one too long to be buffered.
+	// Danger: a not-executed status that the server has not confirmed by X-Not-Executed is not passed on, nor is one too long to be
+	// buffered.
 	unfounded := impliesNotExecuted(resp.StatusCode) && !c.proxy.options.knobs.PassUnfoundedNotExecuted
 	if !complete && !unfounded {
 		return c.relayUnbuffered(attempt, buffered)
--- a/internal/system/proxy/response_test.go
+++ b/internal/system/proxy/response_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestRefusals has all servers refuse, or none be there: the response promises that the request has not run.
+// TestRefusals has all servers refuse, or none be there: the response has a not-executed status.
 func TestRefusals(t *testing.T) {
 	full := respondWith(503, "", "X-Not-Executed: 1", "Retry-After: 0.45")
 	t.Run("all are full", func(t *testing.T) {
--- a/internal/system/proxy/testing_knobs.go
+++ b/internal/system/proxy/testing_knobs.go
@@ -15,7 +15,7 @@
 	PassInterimResponses bool
 	// RetryNonIdempotent sends a non-idempotent request again although it may have run.
 	RetryNonIdempotent bool
-	// PassUnfoundedPromises passes on statuses that promise that a request has not run although its server did not say so.
+	// PassUnfoundedPromises passes on not-executed statuses although the server did not confirm them by X-Not-Executed.
 	PassUnfoundedNotExecuted bool
 	// AcceptUnframed takes a response that ends with its connection for a complete one.
 	AcceptUnframed bool
--- a/internal/system/proxy/validate.go
+++ b/internal/system/proxy/validate.go
@@ -57,7 +57,7 @@
 	return ok
 }
 
-// impliesNotExecuted reports whether a status promises the client that its request has not run.
+// impliesNotExecuted reports whether a status tells the client that its request was not executed.
 func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
