--- a/internal/system/proxy/testing_knobs.go
+++ b/internal/system/proxy/testing_knobs.go
@@ -5,8 +5,8 @@
 type TestingKnobs struct {
 	// SkipAttemptIDCheck accepts responses that do not echo the X-Attempt-Id of their request.
 	SkipAttemptIDCheck bool
-	// SkipSealCheck accepts successes without the server's seal.
-	SkipSealCheck bool
+	// SkipServerSealCheck accepts successes without an X-Server-Seal.
+	SkipServerSealCheck bool
 	// SkipIdleInspection uses idle connections again without looking for bytes or an end on them.
 	SkipIdleInspection bool
 	// RetryPartlyWritten treats a request of which only some bytes were written as one that has not run.
@@ -15,7 +15,7 @@
 	PassInterimResponses bool
 	// RetryNonIdempotent sends a non-idempotent request again although it may have run.
 	RetryNonIdempotent bool
-	// PassUnfoundedPromises passes on not-executed statuses although the server did not confirm them by X-Not-Executed.
+	// PassUnfoundedNotExecuted passes on not-executed statuses although the server did not confirm them by X-Not-Executed.
 	PassUnfoundedNotExecuted bool
 	// AcceptUnframed takes a response that ends with its connection for a complete one.
 	AcceptUnframed bool
--- a/internal/system/proxy/testing_knobs_test.go
+++ b/internal/system/proxy/testing_knobs_test.go
@@ -34,7 +34,7 @@
 	}{
 		{"the echoed id", TestingKnobs{SkipAttemptIDCheck: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Echo = otherID }), "bears another id"},
-		{"the seal of a success", TestingKnobs{SkipSealCheck: true}, config.NonIdempotent,
+		{"the seal of a success", TestingKnobs{SkipServerSealCheck: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Unsealed = true }), "no server sent this response"},
 		{"interim answers", TestingKnobs{PassInterimResponses: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Interims = 1 }), "bears another id"},
--- a/internal/system/proxy/validate.go
+++ b/internal/system/proxy/validate.go
@@ -9,7 +9,7 @@
 // end of the body can be recognized. It fails with errInvalidResponse.
 func (c *clientRequest) validateResponse(attempt *upstreamAttempt) error {
 	resp := attempt.response
-	if !c.belongsToRequest(attempt) || isSuccess(resp.StatusCode) && !c.vouchedFor(resp) {
+	if !c.belongsToRequest(attempt) || isSuccess(resp.StatusCode) && !c.isCredibleSuccess(resp) {
 		c.proxy.counters.Mismatch.Add(1)
 		return errInvalidResponse
 	}
@@ -34,14 +34,18 @@
 	return len(echoed) == 1 && echoed[0] == c.attemptID
 }
 
-// vouchedFor reports whether a success bears the server's seal and nothing that contradicts it: one that says that the request
+// isCredibleSuccess reports whether a success has an X-Server-Seal and nothing that contradicts it: one that says that the request
 // did not run is not believed in either respect.
-func (c *clientRequest) vouchedFor(resp *http.Response) bool {
-	isSealed := resp.Header.Get(headerServerSeal) != "" || c.proxy.options.knobs.SkipSealCheck
+func (c *clientRequest) isCredibleSuccess(resp *http.Response) bool {
+	isSealed := hasServerSeal(resp) || c.proxy.options.knobs.SkipServerSealCheck
 	isEncoded := resp.Header.Get("Content-Encoding") != ""
 	return isSealed && !isEncoded && !saysNotExecuted(resp)
 }
 
+// hasServerSeal reports whether a response has the header X-Server-Seal, with which a server vouches for a success. It has nothing
+// to do with the sealed epochs of replication.
+func hasServerSeal(resp *http.Response) bool { return resp.Header.Get(headerServerSeal) != "" }
+
 // endsWithConn reports whether a response's body has no end but that of its connection (RFC 9112, section 6.3).
 func endsWithConn(resp *http.Response, headRequest bool) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !headRequest
