--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -99,7 +99,7 @@
 	defer wg.Wait()
 	wg.Go(func() { s.pollLoop(ctx) })
 	wg.Go(func() { s.notifyLoop(ctx) })
-	wg.Go(func() { s.promptCallLoop(ctx) })
+	wg.Go(func() { s.immediateCallLoop(ctx) })
 	wg.Go(func() { s.neighbourLoop(ctx) })
 }
 
--- a/internal/system/distribution/subscriber_notify.go
+++ b/internal/system/distribution/subscriber_notify.go
@@ -14,8 +14,8 @@
 	minNotifyInterval = 15 * time.Millisecond
 	// timeCheckInterval is how often a subscriber looks for what only time brings about.
 	timeCheckInterval = 100 * time.Millisecond
-	// minPromptCallInterval is the least time between two prompt calls.
-	minPromptCallInterval = 20 * time.Millisecond
+	// minImmediateCallInterval is the least time between two immediate calls.
+	minImmediateCallInterval = 20 * time.Millisecond
 )
 
 // notification is what the owner is to be notified of.
@@ -95,8 +95,8 @@
 	}
 }
 
-// promptCallLoop makes short calls beside the poll that waits, for what is not to wait. It runs until ctx ends.
-func (s *Subscriber) promptCallLoop(ctx context.Context) {
+// immediateCallLoop makes short calls at once, beside the poll that waits, for what is not to wait. It runs until ctx ends.
+func (s *Subscriber) immediateCallLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -109,7 +109,7 @@
 		if node != "" {
 			_, _ = s.call(ctx, node, callOptions{maxPause: replyIdleTimeout, acceptStale: true})
 		}
-		if !sleep(ctx, minPromptCallInterval) {
+		if !sleep(ctx, minImmediateCallInterval) {
 			return
 		}
 	}
