--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -20,23 +20,23 @@
 	maxCheckedDelay = time.Minute
 )
 
-// callOptions say how long a call may take, and what it asks for.
-type callOptions struct {
+// pollOptions say how long a poll may take, and what it asks for.
+type pollOptions struct {
 	wait        time.Duration // how long the node may wait for something new
 	maxPause    time.Duration // beyond that until the reply begins, and then between parts of it
 	acceptStale bool          // soft state of a node that is not current is wanted as well
 }
 
-// callResult is what a reply says of a node.
-type callResult struct {
+// pollResult is what a reply says of a node.
+type pollResult struct {
 	current       bool // it is current, so it serves the control state
 	serves        bool // it serves anything
 	stateAdvanced bool // the reply brought something new of the control state
 	stillBehind   bool // though the node has something newer, the reply did not bring this proxy further
 }
 
-// call polls a node once and takes in what it replies.
-func (s *Subscriber) call(ctx context.Context, node string, options callOptions) (callResult, error) {
+// poll polls a node once and takes in what it replies.
+func (s *Subscriber) poll(ctx context.Context, node string, options pollOptions) (pollResult, error) {
 	var loads map[string]pick.Load
 	if s.options.Loads != nil {
 		loads = s.options.Loads()
@@ -53,15 +53,15 @@
 	sentAt := time.Now()
 	reply, err := s.sendPoll(ctx, node, req)
 	if err != nil {
-		return callResult{}, err
+		return pollResult{}, err
 	}
 	switch {
 	case reply.GetSoft() != nil:
 	case len(reply.GetKeepers()) > 0:
 		s.learnNodes(reply.GetKeepers())
-		return callResult{}, errReferred
+		return pollResult{}, errReferred
 	default:
-		return callResult{}, nil // a node that is not current and says nothing else
+		return pollResult{}, nil // a node that is not current and says nothing else
 	}
 	return s.handleReply(sentAt, time.Now(), req, reply), nil
 }
@@ -127,7 +127,7 @@
 }
 
 // handleReply takes in a node's reply to a request that was sent at a moment.
-func (s *Subscriber) handleReply(sentAt, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) callResult {
+func (s *Subscriber) handleReply(sentAt, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) pollResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	checked := checkedAt(sentAt, reply)
@@ -141,7 +141,7 @@
 		signal(s.updatePending)
 	}
 	if offer.Expired() {
-		return callResult{serves: true, stateAdvanced: advanced}
+		return pollResult{serves: true, stateAdvanced: advanced}
 	}
 	s.freshness.lastContact = now
 	if offer.Current && s.freshness.observeCurrent(checked) {
@@ -151,7 +151,7 @@
 	if s.control.position().ProvesFreshness(offer) && s.freshness.observeFresh(checked) {
 		signal(s.updatePending) // what this proxy has may be served from now on
 	}
-	return callResult{current: offer.Current, serves: true, stateAdvanced: advanced, stillBehind: isBehind(s.control.position(), offer) && !advanced}
+	return pollResult{current: offer.Current, serves: true, stateAdvanced: advanced, stillBehind: isBehind(s.control.position(), offer) && !advanced}
 }
 
 // isBehind reports whether a node has something newer.
--- a/internal/system/distribution/subscriber_notify.go
+++ b/internal/system/distribution/subscriber_notify.go
@@ -107,7 +107,7 @@
 		node := s.nodes.serving
 		s.mu.Unlock()
 		if node != "" {
-			_, _ = s.call(ctx, node, callOptions{maxPause: replyIdleTimeout, acceptStale: true})
+			_, _ = s.poll(ctx, node, pollOptions{maxPause: replyIdleTimeout, acceptStale: true})
 		}
 		if !sleep(ctx, minImmediateCallInterval) {
 			return
--- a/internal/system/distribution/subscriber_poll.go
+++ b/internal/system/distribution/subscriber_poll.go
@@ -84,7 +84,7 @@
 	if nearer == "" {
 		return false
 	}
-	if result, err := s.call(ctx, nearer, callOptions{maxPause: probeTimeout}); err != nil || !result.current {
+	if result, err := s.poll(ctx, nearer, pollOptions{maxPause: probeTimeout}); err != nil || !result.current {
 		s.recordFailure(time.Now(), nearer)
 		return false
 	}
@@ -94,23 +94,23 @@
 }
 
 // pollOnce polls a node once; false: it is to be left, or ctx ended.
-func (s *Subscriber) pollOnce(ctx context.Context, node *followedNode) (callResult, bool) {
-	result, err := s.call(ctx, node.address, callOptions{wait: s.options.LongPollTimeout, maxPause: replyIdleTimeout, acceptStale: !node.current})
+func (s *Subscriber) pollOnce(ctx context.Context, node *followedNode) (pollResult, bool) {
+	result, err := s.poll(ctx, node.address, pollOptions{wait: s.options.LongPollTimeout, maxPause: replyIdleTimeout, acceptStale: !node.current})
 	if ctx.Err() != nil {
-		return callResult{}, false
+		return pollResult{}, false
 	}
 	lostCurrent := node.current && !result.current
 	if err != nil || lostCurrent || !result.serves {
 		s.recordFailure(time.Now(), node.address)
 		s.options.Log.WithField("server", node.address).WithError(err).Info("distribution: the control-plane node timed out, or is not current")
-		return callResult{}, false
+		return pollResult{}, false
 	}
 	node.current = result.current
 	return result, true
 }
 
 // pauseAfterPoll waits until a node is to be polled again; false: ctx ended.
-func (s *Subscriber) pauseAfterPoll(ctx context.Context, start time.Time, result callResult) bool {
+func (s *Subscriber) pauseAfterPoll(ctx context.Context, start time.Time, result pollResult) bool {
 	if result.stillBehind && !sleep(ctx, behindRetryInterval) {
 		return false
 	}
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -89,7 +89,7 @@
 func (p *warmUpPath) poll(node string, l transit) {
 	p.t.Helper()
 	p.connect("proxy", node, l)
-	if _, err := p.subscribers["proxy"].call(p.t.Context(), node, callOptions{maxPause: time.Second}); err != nil {
+	if _, err := p.subscribers["proxy"].poll(p.t.Context(), node, pollOptions{maxPause: time.Second}); err != nil {
 		p.t.Fatal(err)
 	}
 }
