--- a/internal/system/distribution/subscriber_poll.go
+++ b/internal/system/distribution/subscriber_poll.go
@@ -52,6 +52,17 @@
 	nextCheck time.Time // for a nearer one
 }
 
+// stillServes reports whether a node that replied with a result may be polled again: it serves, and if it was current, it is still so.
+func (n followedNode) stillServes(result pollResult) bool {
+	lostCurrent := n.current && !result.current
+	return result.serves && !lostCurrent
+}
+
+// longPollOptions are those of a poll that waits for something new.
+func (s *Subscriber) longPollOptions(node followedNode) pollOptions {
+	return pollOptions{wait: s.options.LongPollTimeout, maxPause: replyIdleTimeout, acceptStale: !node.current}
+}
+
 // pollNode polls a node until it fails or is not current any more, or, one that never was, for a while. It reports whether any
 // poll was replied to.
 func (s *Subscriber) pollNode(ctx context.Context, address string, current bool) (served bool) {
@@ -66,11 +77,16 @@
 		if node.current && start.After(node.nextCheck) && s.moveNearer(ctx, start, &node) {
 			continue
 		}
-		result, ok := s.pollOnce(ctx, &node)
-		if !ok {
+		result, err := s.poll(ctx, node.address, s.longPollOptions(node))
+		if ctx.Err() != nil {
+			return served
+		}
+		if err != nil || !node.stillServes(result) {
+			s.recordFailure(time.Now(), node.address)
+			s.options.Log.WithField("server", node.address).WithError(err).Info("distribution: the control-plane node timed out, or is not current")
 			return served
 		}
-		served = true
+		node.current, served = result.current, true
 		if !s.pauseAfterPoll(ctx, start, result) {
 			return served
 		}
@@ -93,22 +109,6 @@
 	return true
 }
 
-// pollOnce polls a node once; false: it is to be left, or ctx ended.
-func (s *Subscriber) pollOnce(ctx context.Context, node *followedNode) (pollResult, bool) {
-	result, err := s.poll(ctx, node.address, pollOptions{wait: s.options.LongPollTimeout, maxPause: replyIdleTimeout, acceptStale: !node.current})
-	if ctx.Err() != nil {
-		return pollResult{}, false
-	}
-	lostCurrent := node.current && !result.current
-	if err != nil || lostCurrent || !result.serves {
-		s.recordFailure(time.Now(), node.address)
-		s.options.Log.WithField("server", node.address).WithError(err).Info("distribution: the control-plane node timed out, or is not current")
-		return pollResult{}, false
-	}
-	node.current = result.current
-	return result, true
-}
-
 // pauseAfterPoll waits until a node is to be polled again; false: ctx ended.
 func (s *Subscriber) pauseAfterPoll(ctx context.Context, start time.Time, result pollResult) bool {
 	if result.stillBehind && !sleep(ctx, behindRetryInterval) {
