--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -19,7 +19,7 @@
 		since = req.GetSoft().GetNumber()
 	}
 	items, full := server.table.ChangesSince(since)
-	reply := &distributionpb.FollowReply{Full: full, Complete: server.complete, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
+	reply := &distributionpb.FollowReply{Full: full, Complete: server.tableComplete, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
 		Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}}
 	server.mu.Unlock()
 	subscriber.handleReply(time.Now(), time.Now(), req, reply)
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -90,21 +90,21 @@
 	records     recordCache
 	callIDs     rpc.CallIDs
 
-	mu         sync.Mutex // guards what follows
-	table      *softstate.Table
-	bootID     uint64 // drawn anew once the table is complete, so that subscribers then take all of it
-	complete   bool   // the table lacks no live proxy
-	startedAt  time.Time
-	lastTick   time.Time
-	lastExpiry time.Time
-	sessions   sessionSet
-	peers      peerSet
-	loads      loadAggregator
-	isolation  isolationTracker
-	commits    commitLog
-	changed    chan struct{} // closed when subscribers are to look again
+	mu               sync.Mutex // guards what follows
+	table            *softstate.Table
+	bootID           uint64 // drawn anew once the table is complete, so that subscribers then take all of it
+	tableComplete    bool   // the table lacks no live proxy
+	startedAt        time.Time
+	lastTick         time.Time
+	lastExpiry       time.Time
+	sessions         sessionSet
+	peers            peerSet
+	loads            loadAggregator
+	isolation        isolationTracker
+	commits          commitLog
+	softStateChanged chan struct{} // closed when subscribers are to look again
 
-	done          chan struct{} // closed when Run ends
+	stopped       chan struct{} // closed when Run ends
 	wakeRequested chan struct{} // the table or a vector changed
 	syncRequested chan struct{}
 }
@@ -120,8 +120,8 @@
 		options: options, limits: limits, replyBudget: replyBudget{maxBytes: limits.MaxPendingReplyBytes},
 		table: softstate.NewTable(), bootID: newBootID(), startedAt: now, lastTick: now,
 		sessions: newSessionSet(), peers: newPeerSet(options.knobs.OwnContactsOnly), loads: newLoadAggregator(),
-		isolation: isolationTracker{skipRejoinDelay: options.knobs.SkipRejoinDelay},
-		changed:   make(chan struct{}), done: make(chan struct{}),
+		isolation:        isolationTracker{skipRejoinDelay: options.knobs.SkipRejoinDelay},
+		softStateChanged: make(chan struct{}), stopped: make(chan struct{}),
 		wakeRequested: make(chan struct{}, 1), syncRequested: make(chan struct{}, 1),
 	}
 }
@@ -139,7 +139,7 @@
 
 // Run works until ctx ends, and then ends the polls that are waiting. It is called once.
 func (s *Server) Run(ctx context.Context) {
-	defer close(s.done)
+	defer close(s.stopped)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { s.syncPeers(ctx) })
@@ -165,8 +165,8 @@
 
 // wakeSubscribers makes waiting polls look again. The caller holds mu.
 func (s *Server) wakeSubscribers() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.softStateChanged)
+	s.softStateChanged = make(chan struct{})
 }
 
 // signal sends to a channel with room for one, unless a signal is waiting there already.
@@ -236,13 +236,13 @@
 
 // completeAfterStart declares the table complete once it has had the time to fill. The caller holds mu.
 func (s *Server) completeAfterStart(now time.Time) {
-	if !s.complete && now.Sub(s.startedAt) > s.limits.TableCompleteAfter {
+	if !s.tableComplete && now.Sub(s.startedAt) > s.limits.TableCompleteAfter {
 		s.markComplete()
 	}
 }
 
 func (s *Server) markComplete() {
-	s.complete, s.bootID = true, newBootID()
+	s.tableComplete, s.bootID = true, newBootID()
 	s.wakeSubscribers()
 }
 
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -90,7 +90,7 @@
 	case <-ctx.Done():
 		s.recordLostConnection(waiting.caller)
 		return twirp.NewError(twirp.Canceled, "the proxy went away")
-	case <-s.done:
+	case <-s.stopped:
 		return twirp.NewError(twirp.Unavailable, "this control-plane node stops; follow another")
 	case <-wait.changed:
 	case <-wait.committed:
@@ -129,7 +129,7 @@
 	digest := addressDigest(s.options.Source.Addresses())
 	stateReady := !current && !waiting.req.GetAcceptStale() || current && state != nil && state.Seq > waiting.req.GetSeq()
 	s.mu.Lock()
-	changed := s.changed
+	changed := s.softStateChanged
 	plan := s.scheduleSoftState(waiting, digest)
 	s.mu.Unlock()
 	if !current {
@@ -180,7 +180,7 @@
 // addEntries adds the entries that the caller lacks. The caller holds mu.
 func (s *Server) addEntries(now time.Time, reply *distributionpb.FollowReply, waiting *poll) {
 	entries, full := s.table.ChangesSince(s.numberAt(softstate.CursorFromProto(waiting.req.GetSoft())))
-	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, entries), full, s.complete
+	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, entries), full, s.tableComplete
 	if len(entries) > 0 {
 		waiting.caller.entriesSentAt = now
 	}
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -193,7 +193,7 @@
 	defer s.mu.Unlock()
 	entries, full := s.table.ChangesSince(s.numberAt(p.cursor))
 	return &distributionpb.ShareRequest{
-		From: s.location(), Boot: s.bootID, Full: full, Complete: s.complete, Entries: softstate.EncodeEntries(now, entries),
+		From: s.location(), Boot: s.bootID, Full: full, Complete: s.tableComplete, Entries: softstate.EncodeEntries(now, entries),
 		Loads: s.loads.local.ChangesSince(p.ackedLoads), Lowest: s.sessions.minAckedSeq, Followers: uint64(len(s.sessions.byNode)),
 		Hears: s.peers.recent(now), SentMs: p.estimatedPeerClockMS(now),
 	}, s.table.LastNumber
@@ -249,7 +249,7 @@
 	if fence := s.listFence(); fence > formerFence {
 		s.deleteServersOfOldFences(now, fence)
 	}
-	if req.GetFull() && req.GetComplete() && !s.complete {
+	if req.GetFull() && req.GetComplete() && !s.tableComplete {
 		s.markComplete()
 	}
 }
