--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -127,7 +127,8 @@
 	state, committed := s.options.Source.Committed()
 	current := s.isCurrent()
 	digest := addressDigest(s.options.Source.Addresses())
-	stateReady := !current && !waiting.req.GetAcceptStale() || current && state != nil && state.Seq > waiting.req.GetSeq()
+	mustReject := !current && !waiting.req.GetAcceptStale() // the reply says that this node is not current, so that the proxy leaves it
+	hasNewerState := current && state != nil && state.Seq > waiting.req.GetSeq()
 	s.mu.Lock()
 	changed := s.softStateChanged
 	plan := s.scheduleSoftState(waiting, digest)
@@ -135,7 +136,7 @@
 	if !current {
 		plan.addIn(currentRecheckInterval) // nothing notifies that this node has become current
 	}
-	if stateReady || plan.ready {
+	if mustReject || hasNewerState || plan.ready {
 		return s.buildReply(ctx, waiting), pollWait{}
 	}
 	return nil, pollWait{changed: changed, committed: committed, dueIn: plan.dueIn}
