--- a/internal/system/distribution/server_list.go
+++ b/internal/system/distribution/server_list.go
@@ -33,6 +33,7 @@
 		return errors.Mark(errors.Newf("distribution: a list that was asked for %v later is stored: this one counts for nothing",
 			reading.age.Max-stored.AgeAt(now).Max), ErrStale)
 	}
+	// The reading shows at least what was so long before the platform was asked: see commitLog.
 	covers := s.commits.committedBefore(read.Earliest.Add(-s.options.ListLag))
 	if !s.writeReading(reading, softstate.Entry{Key: softstate.ListKey, Value: softstate.EncodeListCovers(covers)}) {
 		return errors.Mark(errors.Newf("distribution: the list is written under a higher fence than %d: acquire the lease again before polling",
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -54,7 +54,7 @@
 	Servers              []pick.Server       // by id; times as of AsOf
 	HasList              bool                // a complete reading of the platform's list has come
 	ListAge              time.Duration       // of the newest complete reading, at most
-	ListCoversSeq        uint64              // the number of the newest record of the control state before which all that happened shows in Servers
+	ListCoversSeq        uint64              // number of the newest record up to whose commit Servers shows all that happened to servers; see commitLog
 	ContactAge           time.Duration       // since the last contact to a node that was current, at most
 	AsOf                 time.Time           // when the durations here were right
 	Fresh                bool                // a node that is current has just confirmed that there is nothing newer
