--- a/internal/system/proxy/eventreader.go
+++ b/internal/system/proxy/eventreader.go
@@ -27,10 +27,10 @@
 	eventStart int    // where in buf the incomplete event begins
 	readErr    error  // why no more can be read; nil: more may come
 
-	lastEventID  string // of the last event given out that has an id, as it stands in the stream
-	highestID    uint64
-	hasNumericID bool // highestID is valid
-	missedID     bool // an event with data and without an id has come
+	lastEventID       string // of the last event given out that has an id, as it stands in the stream
+	highestID         uint64
+	hasNumericID      bool // highestID is valid
+	hasEventWithoutID bool // an event with data and without an id has come: lastEventID is not where the stream is
 }
 
 // resumeAfter has numeric ids rise above that of an event which came before this stream.
@@ -43,7 +43,7 @@
 
 // resumableID is the id after which another stream may resume this one; "": it is not known.
 func (e *eventReader) resumableID() string {
-	if e.missedID {
+	if e.hasEventWithoutID {
 		return ""
 	}
 	return e.lastEventID
@@ -131,7 +131,9 @@
 func (e *eventReader) checkEvent(event []byte) error {
 	id, hasID := eventID(event)
 	if !hasID {
-		e.missedID = e.missedID || bytes.Contains(event, []byte("data"))
+		// Conservative on purpose: a comment or an unknown field that contains "data" counts as data as well. The worst that follows
+		// is that a stream is not resumed.
+		e.hasEventWithoutID = e.hasEventWithoutID || bytes.Contains(event, []byte("data"))
 		return nil
 	}
 	if number, err := strconv.ParseUint(id, 10, 64); err == nil {
