--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -47,7 +47,7 @@
 
 const (
 	requestDone   attemptResult = iota // the client has its answer, or its connection has ended
-	tryNextServer                      // if there is one, and the request may be sent again
+	tryNextServer                      // chooseServer decides whether there is one, and whether the request may be sent again
 )
 
 // run makes attempts until the client has been answered.
@@ -106,17 +106,20 @@
 	sendErr := attempt.send(head, body)
 	recycle()
 	if errors.Is(sendErr, errNotSent) {
-		return c.handleNotSent(attempt)
+		c.handleNotSent(attempt)
+		return tryNextServer
 	}
 	c.countSend(choice)
 	c.watchProgress(attempt, c.proxy.options.Timeouts.response(c.route.LatencyTarget))
 	if err := attempt.readHead(c.request.Method); err != nil {
-		return c.handleFailure(attempt, err)
+		c.handleFailure(attempt, err)
+		return tryNextServer
 	}
 	resp := attempt.response
 	resp.Close = resp.Close || sendErr != nil // the rest of the request never goes out
 	if err := c.validateResponse(attempt); err != nil {
-		return c.handleFailure(attempt, err)
+		c.handleFailure(attempt, err)
+		return tryNextServer
 	}
 	c.proxy.picker.Started(choice.Ticket, choice.Server.ID, parseServerHints(resp.Header, resp.Close))
 	return c.handleResponse(attempt)
@@ -180,19 +183,18 @@
 }
 
 // handleNotSent records an attempt of which no byte was sent.
-func (c *clientRequest) handleNotSent(attempt *upstreamAttempt) attemptResult {
+func (c *clientRequest) handleNotSent(attempt *upstreamAttempt) {
 	c.unreachedCount++
 	if c.clientGone() {
 		c.reportOutcome(attempt, pick.Canceled)
-		return tryNextServer
+		return
 	}
 	c.proxy.pools.closeIdle(attempt.pool)
 	c.reportOutcome(attempt, pick.ConnectFailed)
-	return tryNextServer
 }
 
 // handleFailure records an attempt that brought no valid response, or not all of one.
-func (c *clientRequest) handleFailure(attempt *upstreamAttempt, err error) attemptResult {
+func (c *clientRequest) handleFailure(attempt *upstreamAttempt, err error) {
 	attempt.discard()
 	c.mayHaveRun = true
 	outcome := c.failureOutcome(attempt, err)
@@ -203,7 +205,6 @@
 		c.proxy.pools.closeIdleUnlessContacted(attempt.pool, attempt.sentAt)
 	}
 	c.reportOutcome(attempt, outcome)
-	return tryNextServer
 }
 
 // failureOutcome is what a failed attempt says about its server.
--- a/internal/system/proxy/eventrelay.go
+++ b/internal/system/proxy/eventrelay.go
@@ -26,7 +26,8 @@
 			return c.finishRelay(attempt)
 		}
 		if err != nil {
-			return c.handleFailure(attempt, err)
+			c.handleFailure(attempt, err)
+			return tryNextServer
 		}
 		if isFirst {
 			c.beginEvents(attempt)
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -30,16 +30,19 @@
 	resp := attempt.response
 	switch {
 	case saysNotExecuted(resp) || resp.StatusCode == http.StatusMisdirectedRequest:
-		return c.handleRefusal(attempt)
+		c.handleRefusal(attempt)
+		return tryNextServer
 	case isSuccess(resp.StatusCode) && isEventStream(resp):
 		return c.relayEvents(attempt)
 	case c.headSent: // only an event stream can resume one
 		attempt.discard()
-		return c.handleServerError(attempt, nil)
+		c.handleServerError(attempt, nil)
+		return tryNextServer
 	}
 	body, complete, err := c.bufferBody(resp)
 	if err != nil {
-		return c.handleFailure(attempt, err)
+		c.handleFailure(attempt, err)
+		return tryNextServer
 	}
 	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
 	// Danger: a not-executed status that the server has not confirmed by X-Not-Executed is not passed on, nor is one too long to be
@@ -55,9 +58,11 @@
 	}
 	switch {
 	case unfounded:
-		return c.handleServerError(attempt, nil)
+		c.handleServerError(attempt, nil)
+		return tryNextServer
 	case resp.StatusCode >= http.StatusInternalServerError:
-		return c.handleServerError(attempt, buffered)
+		c.handleServerError(attempt, buffered)
+		return tryNextServer
 	}
 	c.reportOutcome(attempt, pick.Served)
 	c.proxy.counters.Served.Add(1)
@@ -66,15 +71,14 @@
 }
 
 // handleServerError records a response that says that the server failed. The fallback replaces the one before; it may be nil.
-func (c *clientRequest) handleServerError(attempt *upstreamAttempt, fallback *bufferedResponse) attemptResult {
+func (c *clientRequest) handleServerError(attempt *upstreamAttempt, fallback *bufferedResponse) {
 	c.mayHaveRun = true
 	c.reportOutcome(attempt, pick.ServerError)
 	c.fallback = fallback
-	return tryNextServer
 }
 
 // handleRefusal records that the server did not run the request.
-func (c *clientRequest) handleRefusal(attempt *upstreamAttempt) attemptResult {
+func (c *clientRequest) handleRefusal(attempt *upstreamAttempt) {
 	resp := attempt.response
 	outcome, retryAfter := pick.NotExecuted, parseRetryAfter(resp.Header.Get("Retry-After"))
 	_, complete, err := c.bufferBody(resp)
@@ -90,7 +94,6 @@
 	}
 	c.retryAfter = max(c.retryAfter, retryAfter)
 	c.proxy.picker.Done(attempt.choice.Ticket, outcome, retryAfter)
-	return tryNextServer
 }
 
 // bufferBody reads a response's body until it is complete, or too long to be buffered, and reports whether it is complete. The
