--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -85,7 +85,7 @@
 		}
 	}
 	if time.Now().After(a.sendDeadline) { // the connection took too long, or the process was paused
-		a.pools.putIdle(a.pool, conn, "")
+		a.pools.putIdle(a.pool, conn, noAttemptID)
 		return reused, errNotSent
 	}
 	a.attach(conn)
--- a/internal/system/proxy/pools.go
+++ b/internal/system/proxy/pools.go
@@ -66,7 +66,7 @@
 	*framing.ServerConn
 	tcp           *net.TCPConn  // nil where a test connects by a pipe
 	fresh         bool          // no response has come on it
-	lastAttemptID string        // of the request that was answered last on it
+	lastAttemptID string        // of the request that was answered last on it; noAttemptID: not known
 	idleSince     time.Duration // after upstreamPools.start
 }
 
@@ -226,7 +226,11 @@
 	return condition
 }
 
-// putIdle gives a connection back on which the response to a request with that id has come completely.
+// noAttemptID is given to putIdle for a connection that is given back unused.
+const noAttemptID = ""
+
+// putIdle gives a connection back on which the response to a request with that id has come completely, or that was not used at all
+// (noAttemptID).
 func (u *upstreamPools) putIdle(pool *serverPool, conn *serverConn, attemptID string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
