--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -10,6 +10,10 @@
 )
 
 // picker chooses servers; it is implemented by pick.Picker. It is not safe for concurrent use.
+//
+// It is an interface so that the proxy's tests can say which server comes next and see how each attempt was reported (fakePicker):
+// what pick.Picker chooses depends on estimates, and its own tests cover that. It is as wide as the part of pick.Picker that the proxy
+// calls, and only lockedPicker calls it.
 type picker interface {
 	UpdateClusterState(now pick.Time, state pick.ClusterState)
 	UpdatePeerLoads(now pick.Time, loads map[string]pick.Load)
