--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -8,8 +8,13 @@
 )
 
 const (
-	defaultRetryAfter = 300 * time.Millisecond // where nobody has said when there will be capacity
-	minRetryAfter     = 50 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of responses for which neither the picker nor a server has named a wait: there is no
+	// configuration yet, no memory for the body, a body that came too slowly, or no further attempt is allowed. It is not pick's constant of that name, which is
+	// longer and stands for another case: the picker was asked and knows of no server that could take the request.
+	defaultRetryAfter = 300 * time.Millisecond
+	// minRetryAfter is the least Retry-After. It has the value of pick's constant of that name, and applies to the waits that servers
+	// asked for and to defaultRetryAfter as well, which the picker has not bounded.
+	minRetryAfter = 50 * time.Millisecond
 	// retryAfterDivisor: a client is told to wait for at most one part in so many of the time that it has left.
 	retryAfterDivisor = 3
 	// unknownLength stands for a body whose length is not announced.
