--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -31,7 +31,7 @@
 	startedAt   time.Time
 	deadline    time.Time
 
-	triedServers   []string          // ids of the servers that it was sent to
+	triedServers   []string          // ids of the servers that it was sent to, in whole or in part; mayRetry says why the picker counts too
 	mayHaveRun     bool              // some attempt may have run; never unset
 	unreachedCount int               // attempts of which nothing was sent
 	nextChoice     *pick.Result      // the server that replaces a silent one; nil: none has been chosen
@@ -67,6 +67,14 @@
 
 // mayRetry reports whether the request may be sent to one more server, as far as that depends on the request alone. This is
 // where a non-idempotent request that may have run is kept from running twice.
+//
+// The picker counts the attempts of a pick.Request as well, and applies the same two rules in Pick. Both count, for two reasons.
+// The proxy needs the answer where it does not ask the picker: whether a silent server may be abandoned (watchProgress) and whether
+// a truncated stream may be resumed. And either of the two keeps a request from running twice though the other is wrong.
+//
+// The counts differ in what they are for: triedServers are the servers to which at least one byte went, the only ones that the
+// picker must not choose again for this request; the picker's count includes the attempt under way, and goes back where nothing of
+// it was sent. Attempts of which nothing was sent are bounded by maxUnreachedServers.
 func (c *clientRequest) mayRetry(mayHaveRun bool) bool {
 	knobs := &c.proxy.options.knobs
 	switch {
