--- a/internal/system/proxy/stall.go
+++ b/internal/system/proxy/stall.go
@@ -20,6 +20,12 @@
 )
 
 // stallDetector detects stalls of the process by gaps between its calls. The zero value detects none until it is enabled.
+//
+// It is not operatorapi.StallDetector, which measures gaps in the same way: that one has a clock and a lock of its own, reports a
+// stall for a second after its end, and has evacuations rejected meanwhile. A stall that is missed there may have an evacuation take
+// effect that its caller has superseded or given up, so its threshold is lower (250 ms). Here a stall that is missed costs a worse
+// choice of servers, and one that is seen for nothing has clients wait; the wait ends as soon as an update has come. This one runs
+// under lockedPicker's lock and by its clock.
 type stallDetector struct {
 	enabled   bool
 	lastRan   pick.Time     // when the process was last seen to run
