--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -42,12 +42,12 @@
 	w := &lateFleet{testFleet: newFleetWithKnobs(servers, "k1:1", "k2:1", "k3:1"), t: t, rng: rng, readAt: map[uint64]time.Time{},
 		isolatedUntil: map[string]time.Time{}, faults: map[string]int{}, violations: map[string]int{}, shownReadAt: map[string]time.Time{}}
 	for i := range 6 {
-		w.startProxy(fmt.Sprint("p", i), func(options *SubscriberOptions) { options.Knobs = proxies })
+		w.startProxy(fmt.Sprint("p", i), func(options *SubscriberOptions) { options.knobs = proxies })
 	}
 	return w
 }
 
-// others gives all machines but one.
+// others returns all machines but one.
 func (w *lateFleet) others(host string) []string {
 	out := []string{}
 	for _, k := range w.names {
@@ -151,7 +151,7 @@
 	}
 }
 
-// runLateFleet plays a seed and gives what came about and what did not hold.
+// runLateFleet plays a seed and returns what came about and what did not hold.
 func runLateFleet(t *testing.T, seed uint64, servers TestingKnobs, proxies TestingKnobs) (faults, broken map[string]int) {
 	t.Helper()
 	w := newLateFleet(t, rand.New(rand.NewPCG(seed, 11)), servers, proxies)
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -23,10 +23,10 @@
 }
 
 // moveToRejoinedNode has a subscriber that knows a server as draining move to a node whose table is 20 s old, and
-// gives what it has then.
+// returns what it has then.
 func moveToRejoinedNode(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
-	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), Knobs: knobs})
+	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), knobs: knobs})
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(tb, 0, 990, pick.Server{ID: "a", Draining: true}, pick.Server{ID: "new"}))
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(tb, 20*time.Second, 950, pick.Server{ID: "a"}, pick.Server{ID: "gone"}))
 	return subscriber.Current().Servers
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -90,7 +90,7 @@
 	case <-ctx.Done():
 		s.recordLostConnection(waiting.caller)
 		return twirp.NewError(twirp.Canceled, "the proxy went away")
-	case <-s.done:
+	case <-s.stopped:
 		return twirp.NewError(twirp.Unavailable, "this control-plane node stops; follow another")
 	case <-wait.changed:
 	case <-wait.committed:
@@ -122,20 +122,21 @@
 	}
 }
 
-// tryReply gives a reply if there is something that the request does not have. Otherwise it gives what to wait for.
+// tryReply returns a reply if there is something that the request does not have. Otherwise it returns what to wait for.
 func (s *Server) tryReply(ctx context.Context, waiting *poll) (*distributionpb.FollowReply, pollWait) {
 	state, committed := s.options.Source.Committed()
 	current := s.isCurrent()
 	digest := addressDigest(s.options.Source.Addresses())
-	stateReady := !current && !waiting.req.GetAcceptStale() || current && state != nil && state.Seq > waiting.req.GetSeq()
+	mustReject := !current && !waiting.req.GetAcceptStale() // the reply says that this node is not current, so that the proxy leaves it
+	hasNewerState := current && state != nil && state.Seq > waiting.req.GetSeq()
 	s.mu.Lock()
-	changed := s.changed
+	changed := s.softStateChanged
 	plan := s.scheduleSoftState(waiting, digest)
 	s.mu.Unlock()
 	if !current {
 		plan.addIn(currentRecheckInterval) // nothing notifies that this node has become current
 	}
-	if stateReady || plan.ready {
+	if mustReject || hasNewerState || plan.ready {
 		return s.buildReply(ctx, waiting), pollWait{}
 	}
 	return nil, pollWait{changed: changed, committed: committed, dueIn: plan.dueIn}
@@ -180,7 +181,7 @@
 // addEntries adds the entries that the caller lacks. The caller holds mu.
 func (s *Server) addEntries(now time.Time, reply *distributionpb.FollowReply, waiting *poll) {
 	entries, full := s.table.ChangesSince(s.numberAt(softstate.CursorFromProto(waiting.req.GetSoft())))
-	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, entries), full, s.complete
+	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, entries), full, s.tableComplete
 	if len(entries) > 0 {
 		waiting.caller.entriesSentAt = now
 	}
@@ -211,7 +212,7 @@
 	reply.Told = waiting.caller.loads.ToProto()
 }
 
-// controlPlaneNodes gives the nodes in the chain's order, with where they are as far as that is known. The caller holds mu.
+// controlPlaneNodes returns the nodes in the chain's order, with where they are as far as that is known. The caller holds mu.
 func (s *Server) controlPlaneNodes(addresses []string) []*distributionpb.Keeper {
 	out := make([]*distributionpb.Keeper, 0, len(addresses))
 	for _, address := range addresses {
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -30,7 +30,7 @@
 	Transport                   http.RoundTripper
 	Log                         log.Interface
 	LongPollTimeout             time.Duration // longest wait of a poll; 1 s
-	Knobs                       TestingKnobs
+	knobs                       TestingKnobs
 }
 
 func (o SubscriberOptions) withDefaults() SubscriberOptions {
@@ -54,7 +54,7 @@
 	Servers              []pick.Server       // by id; times as of AsOf
 	HasList              bool                // a complete reading of the platform's list has come
 	ListAge              time.Duration       // of the newest complete reading, at most
-	ListCoversSeq        uint64              // the number of the newest record of the control state before which all that happened shows in Servers
+	ListCoversSeq        uint64              // number of the newest record up to whose commit Servers shows all that happened to servers; see commitLog
 	ContactAge           time.Duration       // since the last contact to a node that was current, at most
 	AsOf                 time.Time           // when the durations here were right
 	Fresh                bool                // a node that is current has just confirmed that there is nothing newer
@@ -87,7 +87,7 @@
 	options = options.withDefaults()
 	return &Subscriber{
 		options: options, client: &http.Client{Transport: rpc.BoundedTransport{Next: options.Transport}},
-		announced: newAnnouncement(options.Self), control: newStateReplica(), soft: newSoftReplica(options.Knobs.ReplaceAlways),
+		announced: newAnnouncement(options.Self), control: newStateReplica(), soft: newSoftReplica(options.knobs.ReplaceAlways),
 		loads: newLoadExchange(), nodes: newNodeSet(options.Self, options.Seeds),
 		updatePending: make(chan struct{}, 1), loadsPending: make(chan struct{}, 1), callRequested: make(chan struct{}, 1),
 	}
@@ -99,7 +99,7 @@
 	defer wg.Wait()
 	wg.Go(func() { s.pollLoop(ctx) })
 	wg.Go(func() { s.notifyLoop(ctx) })
-	wg.Go(func() { s.promptCallLoop(ctx) })
+	wg.Go(func() { s.immediateCallLoop(ctx) })
 	wg.Go(func() { s.neighbourLoop(ctx) })
 }
 
@@ -122,14 +122,14 @@
 	signal(s.callRequested)
 }
 
-// Current gives what the proxy has now.
+// Current returns what the proxy has now.
 func (s *Subscriber) Current() Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.currentUpdate(time.Now())
 }
 
-// currentUpdate gives what the proxy has now. The caller holds mu.
+// currentUpdate returns what the proxy has now. The caller holds mu.
 func (s *Subscriber) currentUpdate(now time.Time) Update {
 	update := Update{
 		State: s.servableState(), Fresh: s.freshness.isFresh(now), MembershipIncomplete: !s.soft.membershipComplete, AsOf: now,
@@ -142,13 +142,13 @@
 
 // servableState is the state, or an empty one where that came late and so may be old: the next reply will tell. The caller holds mu.
 func (s *Subscriber) servableState() *controlstate.State {
-	if s.freshness.neverFresh() && !s.control.fromNeighbour && !s.options.Knobs.ServeLateState {
+	if s.freshness.neverFresh() && !s.control.fromNeighbour && !s.options.knobs.ServeLateState {
 		return controlstate.Empty()
 	}
 	return s.control.state
 }
 
-// liveMembers gives the members that are not down, this proxy included, by name, and how many are down. The caller holds mu.
+// liveMembers returns the members that are not down, this proxy included, by name, and how many are down. The caller holds mu.
 func (s *Subscriber) liveMembers() (live []softstate.Member, down int) {
 	self, hasSelf := s.announced.self, false
 	for _, member := range s.soft.table.Members() {
@@ -171,7 +171,7 @@
 	return live, down
 }
 
-// mayBeMarkedDown tells whether others may take this proxy for lost. The caller holds mu.
+// mayBeMarkedDown reports whether others may take this proxy for lost. The caller holds mu.
 func (s *Subscriber) mayBeMarkedDown(now time.Time) bool {
 	if s.freshness.outOfContact(now) {
 		return true
--- a/internal/system/distribution/subscriber_poll.go
+++ b/internal/system/distribution/subscriber_poll.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// followOneNode finds a node and polls it until it fails. It tells whether that one replied to any poll.
+// followOneNode finds a node and polls it until it fails. It reports whether that one replied to any poll.
 func (s *Subscriber) followOneNode(ctx context.Context) (served bool) {
 	node, current := s.findNode(ctx)
 	if node == "" {
@@ -52,7 +52,18 @@
 	nextCheck time.Time // for a nearer one
 }
 
-// pollNode polls a node until it fails or is not current any more, or, one that never was, for a while. It tells whether any
+// stillServes reports whether a node that replied with a result may be polled again: it serves, and if it was current, it is still so.
+func (n followedNode) stillServes(result pollResult) bool {
+	lostCurrent := n.current && !result.current
+	return result.serves && !lostCurrent
+}
+
+// longPollOptions are those of a poll that waits for something new.
+func (s *Subscriber) longPollOptions(node followedNode) pollOptions {
+	return pollOptions{wait: s.options.LongPollTimeout, maxPause: replyIdleTimeout, acceptStale: !node.current}
+}
+
+// pollNode polls a node until it fails or is not current any more, or, one that never was, for a while. It reports whether any
 // poll was replied to.
 func (s *Subscriber) pollNode(ctx context.Context, address string, current bool) (served bool) {
 	now := time.Now()
@@ -66,25 +77,30 @@
 		if node.current && start.After(node.nextCheck) && s.moveNearer(ctx, start, &node) {
 			continue
 		}
-		result, ok := s.pollOnce(ctx, &node)
-		if !ok {
+		result, err := s.poll(ctx, node.address, s.longPollOptions(node))
+		if ctx.Err() != nil {
+			return served
+		}
+		if err != nil || !node.stillServes(result) {
+			s.recordFailure(time.Now(), node.address)
+			s.options.Log.WithField("server", node.address).WithError(err).Info("distribution: the control-plane node timed out, or is not current")
 			return served
 		}
-		served = true
+		node.current, served = result.current, true
 		if !s.pauseAfterPoll(ctx, start, result) {
 			return served
 		}
 	}
 }
 
-// moveNearer looks for a nearer node, and tells whether one is followed from now on.
+// moveNearer looks for a nearer node, and reports whether one is followed from now on.
 func (s *Subscriber) moveNearer(ctx context.Context, now time.Time, node *followedNode) (moved bool) {
 	node.nextCheck = now.Add(returnInterval/2 + rand.N(returnInterval/2))
 	nearer := s.nearerNode(now, node.address)
 	if nearer == "" {
 		return false
 	}
-	if result, err := s.call(ctx, nearer, callOptions{maxPause: probeTimeout}); err != nil || !result.current {
+	if result, err := s.poll(ctx, nearer, pollOptions{maxPause: probeTimeout}); err != nil || !result.current {
 		s.recordFailure(time.Now(), nearer)
 		return false
 	}
@@ -93,24 +109,8 @@
 	return true
 }
 
-// pollOnce polls a node once; false: it is to be left, or ctx ended.
-func (s *Subscriber) pollOnce(ctx context.Context, node *followedNode) (callResult, bool) {
-	result, err := s.call(ctx, node.address, callOptions{wait: s.options.LongPollTimeout, maxPause: replyIdleTimeout, acceptStale: !node.current})
-	if ctx.Err() != nil {
-		return callResult{}, false
-	}
-	lostCurrent := node.current && !result.current
-	if err != nil || lostCurrent || !result.serves {
-		s.recordFailure(time.Now(), node.address)
-		s.options.Log.WithField("server", node.address).WithError(err).Info("distribution: the control-plane node timed out, or is not current")
-		return callResult{}, false
-	}
-	node.current = result.current
-	return result, true
-}
-
 // pauseAfterPoll waits until a node is to be polled again; false: ctx ended.
-func (s *Subscriber) pauseAfterPoll(ctx context.Context, start time.Time, result callResult) bool {
+func (s *Subscriber) pauseAfterPoll(ctx context.Context, start time.Time, result pollResult) bool {
 	if result.stillBehind && !sleep(ctx, behindRetryInterval) {
 		return false
 	}
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -52,7 +52,7 @@
 	path.mesh.host("other:1", path.sync.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
 		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: discardLogger(), Transport: meshTransport{path.mesh, node},
-			Knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour learns of nodes, and isn't to try them first
+			knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour learns of nodes, and isn't to try them first
 		path.subscribers[node] = subscriber
 		path.mesh.host(node+":2", subscriber.Handler())
 	}
@@ -89,7 +89,7 @@
 func (p *warmUpPath) poll(node string, l transit) {
 	p.t.Helper()
 	p.connect("proxy", node, l)
-	if _, err := p.subscribers["proxy"].call(p.t.Context(), node, callOptions{maxPause: time.Second}); err != nil {
+	if _, err := p.subscribers["proxy"].poll(p.t.Context(), node, pollOptions{maxPause: time.Second}); err != nil {
 		p.t.Fatal(err)
 	}
 }
@@ -104,7 +104,7 @@
 	p.transits[[2]string{from, to}], p.transits[[2]string{to, from}] = l.out, l.back
 }
 
-// stored gives the server as each subscriber that has learned of it has it.
+// stored returns the server as each subscriber that has learned of it has it.
 func (p *warmUpPath) stored() map[string]pick.Server {
 	out := map[string]pick.Server{}
 	for node, subscriber := range p.subscribers {
--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -11,16 +11,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-const (
-	// maxUnreachedServers bounds the servers that one request finds unreachable before it is given up.
-	maxUnreachedServers = 4
-	// minResponseTimeout is the least time for which a server may be silent before the head of its response.
-	minResponseTimeout = 1500 * time.Millisecond
-	// minEventGapTimeout is the least time for which a server may be silent within an event stream.
-	minEventGapTimeout = time.Second
-	// timeoutTargetFactor: a server may be silent for so many times the target of the route.
-	timeoutTargetFactor = 2
-)
+// maxUnreachedServers bounds the servers that one request finds unreachable before it is given up.
+const maxUnreachedServers = 4
 
 // clientRequest is one request of a client, from its head to its answer. It makes attempts at one server after another. One
 // goroutine owns it.
@@ -39,7 +31,7 @@
 	startedAt   time.Time
 	deadline    time.Time
 
-	triedServers   []string          // ids of the servers that it was sent to
+	triedServers   []string          // ids of the servers that it was sent to, in whole or in part; mayRetry says why the picker counts too
 	mayHaveRun     bool              // some attempt may have run; never unset
 	unreachedCount int               // attempts of which nothing was sent
 	nextChoice     *pick.Result      // the server that replaces a silent one; nil: none has been chosen
@@ -55,7 +47,7 @@
 
 const (
 	requestDone   attemptResult = iota // the client has its answer, or its connection has ended
-	tryNextServer                      // if there is one, and the request may be sent again
+	tryNextServer                      // chooseServer decides whether there is one, and whether the request may be sent again
 )
 
 // run makes attempts until the client has been answered.
@@ -75,8 +67,16 @@
 
 // mayRetry reports whether the request may be sent to one more server, as far as that depends on the request alone. This is
 // where a non-idempotent request that may have run is kept from running twice.
+//
+// The picker counts the attempts of a pick.Request as well, and applies the same two rules in Pick. Both count, for two reasons.
+// The proxy needs the answer where it does not ask the picker: whether a silent server may be abandoned (watchProgress) and whether
+// a truncated stream may be resumed. And either of the two keeps a request from running twice though the other is wrong.
+//
+// The counts differ in what they are for: triedServers are the servers to which at least one byte went, the only ones that the
+// picker must not choose again for this request; the picker's count includes the attempt under way, and goes back where nothing of
+// it was sent. Attempts of which nothing was sent are bounded by maxUnreachedServers.
 func (c *clientRequest) mayRetry(mayHaveRun bool) bool {
-	knobs := &c.proxy.options.TestingKnobs
+	knobs := &c.proxy.options.knobs
 	switch {
 	case len(c.triedServers) >= max(c.route.MaxAttempts, 1):
 		return false
@@ -114,17 +114,20 @@
 	sendErr := attempt.send(head, body)
 	recycle()
 	if errors.Is(sendErr, errNotSent) {
-		return c.handleNotSent(attempt)
+		c.handleNotSent(attempt)
+		return tryNextServer
 	}
 	c.countSend(choice)
-	c.watchProgress(attempt, max(timeoutTargetFactor*c.route.LatencyTarget, c.proxy.options.TestingKnobs.MinResponseTimeout))
+	c.watchProgress(attempt, c.proxy.options.Timeouts.response(c.route.LatencyTarget))
 	if err := attempt.readHead(c.request.Method); err != nil {
-		return c.handleFailure(attempt, err)
+		c.handleFailure(attempt, err)
+		return tryNextServer
 	}
 	resp := attempt.response
 	resp.Close = resp.Close || sendErr != nil // the rest of the request never goes out
 	if err := c.validateResponse(attempt); err != nil {
-		return c.handleFailure(attempt, err)
+		c.handleFailure(attempt, err)
+		return tryNextServer
 	}
 	c.proxy.picker.Started(choice.Ticket, choice.Server.ID, parseServerHints(resp.Header, resp.Close))
 	return c.handleResponse(attempt)
@@ -188,19 +191,18 @@
 }
 
 // handleNotSent records an attempt of which no byte was sent.
-func (c *clientRequest) handleNotSent(attempt *upstreamAttempt) attemptResult {
+func (c *clientRequest) handleNotSent(attempt *upstreamAttempt) {
 	c.unreachedCount++
 	if c.clientGone() {
 		c.reportOutcome(attempt, pick.Canceled)
-		return tryNextServer
+		return
 	}
 	c.proxy.pools.closeIdle(attempt.pool)
 	c.reportOutcome(attempt, pick.ConnectFailed)
-	return tryNextServer
 }
 
 // handleFailure records an attempt that brought no valid response, or not all of one.
-func (c *clientRequest) handleFailure(attempt *upstreamAttempt, err error) attemptResult {
+func (c *clientRequest) handleFailure(attempt *upstreamAttempt, err error) {
 	attempt.discard()
 	c.mayHaveRun = true
 	outcome := c.failureOutcome(attempt, err)
@@ -211,7 +213,6 @@
 		c.proxy.pools.closeIdleUnlessContacted(attempt.pool, attempt.sentAt)
 	}
 	c.reportOutcome(attempt, outcome)
-	return tryNextServer
 }
 
 // failureOutcome is what a failed attempt says about its server.
@@ -222,7 +223,7 @@
 	case errors.Is(err, errServerTimedOut):
 		return pick.TimedOut
 	case errors.Is(err, errDeadlinePassed):
-		if attempt.sinceLastContact() < minResponseTimeout {
+		if attempt.sinceLastContact() < defaultMinResponseTimeout {
 			return pick.Canceled // late, but alive as far as is known
 		}
 		return pick.TimedOut
--- a/internal/system/proxy/eventrelay.go
+++ b/internal/system/proxy/eventrelay.go
@@ -26,7 +26,8 @@
 			return c.finishRelay(attempt)
 		}
 		if err != nil {
-			return c.handleFailure(attempt, err)
+			c.handleFailure(attempt, err)
+			return tryNextServer
 		}
 		if isFirst {
 			c.beginEvents(attempt)
@@ -36,7 +37,7 @@
 		}
 		c.lastEventID = reader.resumableID()
 		if isFirst {
-			c.watchProgress(attempt, max(timeoutTargetFactor*c.route.EventGapTarget, c.proxy.options.TestingKnobs.MinEventGapTimeout))
+			c.watchProgress(attempt, c.proxy.options.Timeouts.eventGap(c.route.EventGapTarget))
 		}
 	}
 }
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -126,8 +126,12 @@
 	if err != nil {
 		return err
 	}
-	knobs.MinResponseTimeout, knobs.MinEventGapTimeout = shortProgressTimeout, shortProgressTimeout
-	proxy := newProxy(Options{Log: &log.Logger{Handler: discard.New()}, TestingKnobs: knobs}, newFakePicker(state.Config.Routes[0]))
+	options := Options{
+		Log:      &log.Logger{Handler: discard.New()},
+		Timeouts: Timeouts{MinResponse: shortProgressTimeout, MinEventGap: shortProgressTimeout},
+		knobs:    knobs,
+	}
+	proxy := newProxy(options, newFakePicker(state.Config.Routes[0]))
 	proxy.pools.sameRegionTimeout = testTimeout
 	proxy.UpdateClusterState(time.Now(), state)
 	err = run.serveAndRun(proxy)
@@ -354,7 +358,7 @@
 }
 
 // TestExactlyOnce plays scenarios of peers that misbehave in all ways and orders, on fresh and reused connections: a request
-// that may run once reaches servers once, each client gets its own response, complete or visibly truncated, no promise is false,
+// that may run once reaches servers once, each client gets its own response, complete or visibly truncated, no not-executed status is false,
 // and streams lose, repeat and join nothing.
 func TestExactlyOnce(t *testing.T) {
 	tally := map[string]int64{}
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -34,8 +34,10 @@
 	// OnStall is called after the process was stopped or starved of CPU time, so that the caller refreshes what it knows from the
 	// control plane. It must not block. It may be nil.
 	OnStall func()
+	// Timeouts are how long clients and servers may be silent.
+	Timeouts Timeouts
 	// TestingKnobs are for tests only.
-	TestingKnobs TestingKnobs
+	knobs TestingKnobs
 }
 
 // withDefaults fills in what is not set.
@@ -55,7 +57,7 @@
 	if o.Log == nil {
 		o.Log = log.Log
 	}
-	o.TestingKnobs = o.TestingKnobs.withDefaults()
+	o.Timeouts = o.Timeouts.withDefaults()
 	return o
 }
 
@@ -82,7 +84,7 @@
 		memory:  newMemoryBudget(memoryBytes / bodyMemoryDivisor),
 	}
 	p.pools = newUpstreamPools(options.Settings, &p.counters)
-	p.pools.knobs = options.TestingKnobs
+	p.pools.knobs = options.knobs
 	p.clients = newClientListener(p)
 	return p
 }
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -8,12 +8,15 @@
 )
 
 const (
-	defaultRetryAfter = 300 * time.Millisecond // where nobody has said when there will be capacity
-	minRetryAfter     = 50 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of responses for which neither the picker nor a server has named a wait: there is no
+	// configuration yet, no memory for the body, a body that came too slowly, or no further attempt is allowed. It is not pick's constant of that name, which is
+	// longer and stands for another case: the picker was asked and knows of no server that could take the request.
+	defaultRetryAfter = 300 * time.Millisecond
+	// minRetryAfter is the least Retry-After. It has the value of pick's constant of that name, and applies to the waits that servers
+	// asked for and to defaultRetryAfter as well, which the picker has not bounded.
+	minRetryAfter = 50 * time.Millisecond
 	// retryAfterDivisor: a client is told to wait for at most one part in so many of the time that it has left.
 	retryAfterDivisor = 3
-	// clientWriteTimeout is how long a client may accept no bytes before it is given up.
-	clientWriteTimeout = 10 * time.Second
 	// unknownLength stands for a body whose length is not announced.
 	unknownLength = -1
 )
@@ -39,10 +42,10 @@
 	}
 }
 
-// respondError answers with a status of the proxy's own. One that promises that the request has not run comes with a
-// Retry-After; 0: the default.
+// respondError answers with a status of the proxy's own. A not-executed status comes with a Retry-After;
+// 0: the default.
 func (c *clientRequest) respondError(status int, retryAfter time.Duration) {
-	if promisesNotRun(status) {
+	if impliesNotExecuted(status) {
 		if retryAfter <= 0 {
 			retryAfter = defaultRetryAfter
 		}
@@ -64,7 +67,7 @@
 
 // abortConn closes the client's connection in the middle of a response, so that the response cannot look complete.
 func (c *clientRequest) abortConn(unsent unsentBytes) {
-	if c.conn == nil || c.proxy.options.TestingKnobs.KeepTruncatedConns {
+	if c.conn == nil || c.proxy.options.knobs.KeepTruncatedConns {
 		return
 	}
 	// Where the end of the connection is that of the response, only a reset says that it is truncated.
@@ -99,7 +102,7 @@
 
 // writeToClient passes bytes on at once. It fails with errClientGone, also if the client accepts none for too long.
 func (c *clientRequest) writeToClient(data []byte) error {
-	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.TestingKnobs.ClientWriteTimeout))
+	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.Timeouts.ClientWrite))
 	if _, err := c.writer.Write(data); err != nil {
 		return errors.Join(errClientGone, err)
 	}
--- a/internal/system/proxy/knobs_test.go
+++ b/internal/system/proxy/testing_knobs_test.go
@@ -34,14 +34,14 @@
 	}{
 		{"the echoed id", TestingKnobs{SkipAttemptIDCheck: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Echo = otherID }), "bears another id"},
-		{"the seal of a success", TestingKnobs{SkipSealCheck: true}, config.NonIdempotent,
+		{"the seal of a success", TestingKnobs{SkipServerSealCheck: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Unsealed = true }), "no server sent this response"},
 		{"interim answers", TestingKnobs{PassInterimResponses: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Interims = 1 }), "bears another id"},
 		{"at most one run", TestingKnobs{RetryNonIdempotent: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.PermilleSent, b.After = 0, resetAfter }), "sent again though it may have run"},
-		{"promises", TestingKnobs{PassUnfoundedPromises: true}, config.NonIdempotent,
-			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "promised that it has not"},
+		{"not-executed statuses", TestingKnobs{PassUnfoundedNotExecuted: true}, config.NonIdempotent,
+			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "its client got a not-executed status"},
 		{"the end of a response", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "none", 950, halfCloseAfter }), "looks complete"},
 		{"streams that may not be resumed", TestingKnobs{ResumeAnyStream: true}, config.Streaming, cutStream, "sent again though it may have run"},
@@ -80,7 +80,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := startServer(t, respondWith(200, "x"))
-			proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.TestingKnobs = test.without })
+			proxy := startProxy(t, []*fakeServer{server}, func(o *Options, _ *config.Config) { o.knobs = test.without })
 			client := proxy.dial(t)
 			client.sendRequest("id-1", "").readResponse()
 			_ = receive(t, server.requests, "request").conn.(*net.TCPConn).CloseWrite()
@@ -151,7 +151,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d bytes, retry %v", test.capacity, test.without.RetryPartlyWritten), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.TestingKnobs = test.without }},
+				piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.knobs = test.without }},
 					respondWith(200, "first"), respondWith(200, "second"))
 				open := piped.pools.connect
 				piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
