--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -29,7 +29,7 @@
 func TestConformance(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		b := &table{tickets: map[string]uint64{}, request: map[string]*Request{}, tried: map[string][]string{}}
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return b.play(&command{t, d}) })
+		datadriven.RunTest(t, path, func(t *testing.T, driven *datadriven.TestData) string { return b.play(&command{t, driven}) })
 	})
 }
 
--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -106,24 +106,26 @@
 // days are the scenarios of a deployment: a quiet day, an evacuated zone, a burst, both, and servers that end.
 func days(deployment scenario) (all []scenario) {
 	add := func(name string, change func(*scenario)) {
-		d := deployment
-		d.kinds = append([]kind(nil), deployment.kinds...)
-		d.name += " " + name
-		change(&d)
-		all = append(all, d)
+		driven := deployment
+		driven.kinds = append([]kind(nil), deployment.kinds...)
+		driven.name += " " + name
+		change(&driven)
+		all = append(all, driven)
 	}
-	evacuate := func(d *scenario) { d.evacuated, d.evacuateAt = deployment.zones[2], deployment.length/4 }
-	burst := func(d *scenario) {
-		d.kinds[1].burst, d.kinds[1].burstAt, d.kinds[1].burstTo = 2.5, deployment.length*3/10, deployment.length*6/10
+	evacuate := func(driven *scenario) { driven.evacuated, driven.evacuateAt = deployment.zones[2], deployment.length/4 }
+	burst := func(driven *scenario) {
+		driven.kinds[1].burst, driven.kinds[1].burstAt, driven.kinds[1].burstTo = 2.5, deployment.length*3/10, deployment.length*6/10
 	}
 	add("quiet", func(*scenario) {})
 	add("evacuated", evacuate)
 	add("burst", burst)
-	add("dark", func(d *scenario) { d.down, d.downAt, d.downTo = "dark", deployment.length*3/10, deployment.length*4/10 })
-	add("reset", func(d *scenario) {
-		d.down, d.downAt, d.downTo = "reset", deployment.length*3/10, deployment.length*4/10
+	add("dark", func(driven *scenario) {
+		driven.down, driven.downAt, driven.downTo = "dark", deployment.length*3/10, deployment.length*4/10
 	})
-	add("burst and evacuated", func(d *scenario) { evacuate(d); burst(d) })
+	add("reset", func(driven *scenario) {
+		driven.down, driven.downAt, driven.downTo = "reset", deployment.length*3/10, deployment.length*4/10
+	})
+	add("burst and evacuated", func(driven *scenario) { evacuate(driven); burst(driven) })
 	return all
 }
 
@@ -168,8 +170,8 @@
 
 // BenchmarkPick sends a short and a long prompt in turn at the grown deployment's size.
 func BenchmarkPick(b *testing.B) {
-	f := newSimulation(grown())
-	picker := f.pickers[0]
+	fleet := newSimulation(grown())
+	picker := fleet.pickers[0]
 	var parts [64][]PrefixPart
 	for i := range parts {
 		parts[i] = []PrefixPart{{ID: uint64(i % 2), Tokens: 13000 * (i % 2)}, {ID: uint64(100 + i), Tokens: 300}}
@@ -178,7 +180,7 @@
 	now := Time(0)
 	for i := 0; b.Loop(); i++ {
 		now += time.Millisecond
-		r := &Request{Route: f.cfg.Routes[1-i%2], TokensIn: 300 + 13000*(i%2), MaxTokensOut: 50, Prefix: parts[i%64], TimeLeft: time.Second}
+		r := &Request{Route: fleet.cfg.Routes[1-i%2], TokensIn: 300 + 13000*(i%2), MaxTokensOut: 50, Prefix: parts[i%64], TimeLeft: time.Second}
 		picker.RecordRequest(now, r)
 		c := picker.Pick(now, r, nil, false)
 		picker.FirstEvent(now, c.Ticket)
--- a/internal/system/proxy/pick/evacuation_end_test.go
+++ b/internal/system/proxy/pick/evacuation_end_test.go
@@ -11,28 +11,28 @@
 // it 950 ms after that. Danger: until then they look warm.
 func TestEvacuationEndWithUnseenWarmUp(t *testing.T) {
 	const back, cold, told = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
-	f := newWarmUpFleet(12)
-	for i, p := range f.pickers {
-		w := f.state(i, 5, 0)
-		w.Evacuated = map[string]bool{"z": true}
-		p.UpdateClusterState(0, w)
+	fleet := newWarmUpFleet(12)
+	for i, picker := range fleet.pickers {
+		state := fleet.state(i, 5, 0)
+		state.Evacuated = map[string]bool{"z": true}
+		picker.UpdateClusterState(0, state)
 	}
-	f.sendAll(back, cold+warmUpDuration, 40*time.Millisecond, func(now Time) {
-		for i, p := range f.pickers {
+	fleet.sendAll(back, cold+warmUpDuration, 40*time.Millisecond, func(now Time) {
+		for i, picker := range fleet.pickers {
 			switch {
 			case now == back:
-				w := f.state(i, 5, 0)
-				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 6
-				p.UpdateClusterState(now, w)
+				state := fleet.state(i, 5, 0)
+				state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 6
+				picker.UpdateClusterState(now, state)
 			case now >= told && now < told+40*time.Millisecond:
-				w := f.state(i, 5, cold+warmUpDuration-now)
-				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
-				p.UpdateClusterState(now, w)
+				state := fleet.state(i, 5, cold+warmUpDuration-now)
+				state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 7
+				picker.UpdateClusterState(now, state)
 			}
 		}
 	})
-	f.checkBound(t)
-	if len(f.sent) == 0 {
+	fleet.checkBound(t)
+	if len(fleet.sent) == 0 {
 		t.Error("a server that may be cold got nothing")
 	}
 }
@@ -75,27 +75,27 @@
 	const back, cold, told = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
 	for name, starts := range map[string]bool{"between two updates": false, "before the start": true} {
 		t.Run(name, func(t *testing.T) {
-			f := newWarmUpFleet(12)
+			fleet := newWarmUpFleet(12)
 			world := func(i int, cold time.Duration, covers uint64) ClusterState {
-				w := f.state(i, 5, cold)
-				w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, covers
-				return w
+				state := fleet.state(i, 5, cold)
+				state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, covers
+				return state
 			}
-			for i, p := range f.pickers {
+			for i, picker := range fleet.pickers {
 				if !starts {
-					p.UpdateClusterState(0, f.state(i, 5, 0))
+					picker.UpdateClusterState(0, fleet.state(i, 5, 0))
 				}
-				p.UpdateClusterState(back, world(i, 0, 6))
+				picker.UpdateClusterState(back, world(i, 0, 6))
 			}
-			f.sendAll(back, cold+warmUpDuration, 40*time.Millisecond, func(now Time) {
+			fleet.sendAll(back, cold+warmUpDuration, 40*time.Millisecond, func(now Time) {
 				if now < told || now >= told+40*time.Millisecond {
 					return
 				}
-				for i, p := range f.pickers {
-					p.UpdateClusterState(now, world(i, cold+warmUpDuration-now, 7))
+				for i, picker := range fleet.pickers {
+					picker.UpdateClusterState(now, world(i, cold+warmUpDuration-now, 7))
 				}
 			})
-			f.checkBound(t)
+			fleet.checkBound(t)
 		})
 	}
 }
@@ -104,44 +104,44 @@
 // may be cold all the same.
 func TestUnseenWarmUpOutlivesGaps(t *testing.T) {
 	const back = 10 * time.Second
-	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
-	p.UpdateClusterState(0, f.state(0, 1, 0))
+	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
+	picker.UpdateClusterState(0, fleet.state(0, 1, 0))
 	world := func(servers int) ClusterState {
-		w := f.state(0, servers, 0)
-		w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 6
-		return w
+		state := fleet.state(0, servers, 0)
+		state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 6
+		return state
 	}
-	p.UpdateClusterState(back, world(1))
+	picker.UpdateClusterState(back, world(1))
 	gone := world(0)
 	gone.ZoneChanges = nil
-	p.UpdateClusterState(back+100*time.Millisecond, gone)
-	p.UpdateClusterState(back+200*time.Millisecond, world(1))
-	if !p.servers["s0"].warmingUp(back + 200*time.Millisecond) {
+	picker.UpdateClusterState(back+100*time.Millisecond, gone)
+	picker.UpdateClusterState(back+200*time.Millisecond, world(1))
+	if !picker.servers["s0"].warmingUp(back + 200*time.Millisecond) {
 		t.Error("warm after it was missing from the list")
 	}
 	without := world(1)
 	without.Config = &config.Config{}
-	p.UpdateClusterState(back+300*time.Millisecond, without)
-	p.UpdateClusterState(back+400*time.Millisecond, world(1))
-	if s := p.servers["s0"]; !s.warmingUp(back+400*time.Millisecond) || s.warmingUp(back+warmUpDuration) {
+	picker.UpdateClusterState(back+300*time.Millisecond, without)
+	picker.UpdateClusterState(back+400*time.Millisecond, world(1))
+	if s := picker.servers["s0"]; !s.warmingUp(back+400*time.Millisecond) || s.warmingUp(back+warmUpDuration) {
 		t.Errorf("after its service was missing cold until %v, want %v", s.warmUp.until, back+warmUpDuration)
 	}
 }
 
 // TestUncoveredListWithoutEvacuation: a list that covers nothing costs nothing where no zone was ever evacuated, or long ago.
 func TestUncoveredListWithoutEvacuation(t *testing.T) {
-	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
-	w := f.state(0, 1, 0)
-	w.ZoneChanges = map[string]uint64{"z": 0}
-	p.UpdateClusterState(0, w)
-	if p.AwaitsServerList() {
+	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
+	state := fleet.state(0, 1, 0)
+	state.ZoneChanges = map[string]uint64{"z": 0}
+	picker.UpdateClusterState(0, state)
+	if picker.AwaitsServerList() {
 		t.Error("a list is awaited though no zone was evacuated")
 	}
-	w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
-	p.UpdateClusterState(time.Second, w)
-	w.ListCoversSeq = 0 // the list's reader has just started
-	p.UpdateClusterState(time.Second+warmUpDuration, w)
-	if p.AwaitsServerList() {
+	state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 7
+	picker.UpdateClusterState(time.Second, state)
+	state.ListCoversSeq = 0 // the list's reader has just started
+	picker.UpdateClusterState(time.Second+warmUpDuration, state)
+	if picker.AwaitsServerList() {
 		t.Error("a list is awaited for a change of long ago")
 	}
 }
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -167,36 +167,36 @@
 // warmUpScenario has a zone turn cold, one server in three under its own word alone, others drain or leave, and proxies miss news.
 func warmUpScenario(played *simulation) {
 	zone := played.zones[1]
-	played.updateEachState(time.Second, func(i int, w *ClusterState) {
-		w.Age = time.Duration(i) * 10 * time.Millisecond
-		for j := range w.Servers {
-			if s := &w.Servers[j]; s.Zone == zone && j%3 != 0 {
+	played.updateEachState(time.Second, func(i int, state *ClusterState) {
+		state.Age = time.Duration(i) * 10 * time.Millisecond
+		for j := range state.Servers {
+			if s := &state.Servers[j]; s.Zone == zone && j%3 != 0 {
 				s.WarmUpMax, s.WarmUpMin = 2500*time.Millisecond, 2200*time.Millisecond
 			}
 		}
 	})
 	played.after(1200*time.Millisecond, func() {
-		for _, p := range played.pickers[:len(played.pickers)/2] {
+		for _, picker := range played.pickers[:len(played.pickers)/2] {
 			for j, s := range played.servers {
 				switch {
 				case s.Zone == zone && j%3 == 0:
-					p.WarmingUp(played.now, s.ID, 2*time.Second)
+					picker.WarmingUp(played.now, s.ID, 2*time.Second)
 				case j%7 == 1:
-					p.ServerDraining(played.now, s.ID)
+					picker.ServerDraining(played.now, s.ID)
 				}
 			}
 		}
 	})
-	played.updateEachState(2*time.Second, func(i int, w *ClusterState) {
-		w.MembershipIncomplete, w.Stale, w.DownCount = i%4 == 1, i%4 == 2, 1
-		w.Servers[0].Draining, w.Servers[1].Remaining = true, 900*time.Millisecond
-		w.Evacuated, w.ZoneChanges = map[string]bool{played.zones[2]: true}, map[string]uint64{played.zones[2]: 5}
+	played.updateEachState(2*time.Second, func(i int, state *ClusterState) {
+		state.MembershipIncomplete, state.Stale, state.DownCount = i%4 == 1, i%4 == 2, 1
+		state.Servers[0].Draining, state.Servers[1].Remaining = true, 900*time.Millisecond
+		state.Evacuated, state.ZoneChanges = map[string]bool{played.zones[2]: true}, map[string]uint64{played.zones[2]: 5}
 	})
-	played.updateEachState(3*time.Second, func(i int, w *ClusterState) {
-		w.MembershipIncomplete, w.Stale, w.Evacuated, w.ZoneChanges = false, false, nil, map[string]uint64{played.zones[2]: 9}
-		w.ListCoversSeq = uint64(7 + i%3)
+	played.updateEachState(3*time.Second, func(i int, state *ClusterState) {
+		state.MembershipIncomplete, state.Stale, state.Evacuated, state.ZoneChanges = false, false, nil, map[string]uint64{played.zones[2]: 9}
+		state.ListCoversSeq = uint64(7 + i%3)
 	})
-	played.updateEachState(5*time.Second, func(_ int, w *ClusterState) { w.ListCoversSeq = 9 })
+	played.updateEachState(5*time.Second, func(_ int, state *ClusterState) { state.ListCoversSeq = 9 })
 }
 
 // overloaded is a deployment to which more comes than it can serve.
@@ -215,23 +215,23 @@
 }
 
 // anyOperations drives one picker with operations drawn from the seed: all outcomes, worlds, hints and loads.
-func anyOperations(tr *trace, seed uint64) {
-	d := newDriver(tr, seed)
+func anyOperations(traced *trace, seed uint64) {
+	driven := newDriver(traced, seed)
 	for range 6000 {
-		d.now += time.Duration(d.rng.IntN(20)) * time.Millisecond
-		switch d.rng.IntN(12) {
+		driven.now += time.Duration(driven.rng.IntN(20)) * time.Millisecond
+		switch driven.rng.IntN(12) {
 		case 0:
-			if d.rng.IntN(20) == 0 {
-				d.updateState()
+			if driven.rng.IntN(20) == 0 {
+				driven.updateState()
 			}
 		case 1:
-			d.giveHint()
+			driven.giveHint()
 		case 2:
-			d.shareLoads()
+			driven.shareLoads()
 		case 3, 4, 5, 6:
-			d.sendNew()
+			driven.sendNew()
 		default:
-			d.endOne()
+			driven.endOne()
 		}
 	}
 }
@@ -254,11 +254,11 @@
 	ticket  uint64
 }
 
-func newDriver(tr *trace, seed uint64) *driver {
-	d := &driver{tr: tr, rng: rand.New(rand.NewPCG(seed, 11)), cfg: &config.Config{Services: map[string]*config.Service{
+func newDriver(traced *trace, seed uint64) *driver {
+	driven := &driver{tr: traced, rng: rand.New(rand.NewPCG(seed, 11)), cfg: &config.Config{Services: map[string]*config.Service{
 		"a": {Name: "a", WarmUpRate: 20, Engine: &config.Engine{Slots: 6, CacheTokens: 60_000, TokensPerEvent: 5}}, "b": {Name: "b", WarmUpRate: 5}}}}
 	both := []config.Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}}
-	d.cfg.Routes = []*config.Route{
+	driven.cfg.Routes = []*config.Route{
 		{Host: "h", Prefix: "/", Category: config.Streaming, MaxTries: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Shares: both[:1], Resumable: true},
 		{Host: "h", Prefix: "/i", Category: config.Idempotent, MaxTries: 2, Timeout: 2 * time.Second, Shares: both, Priority: 3},
 		{Host: "h", Prefix: "/n", Category: config.Streaming, MaxTries: 4, Timeout: time.Second, Shares: both, HomeRegions: []string{"r"}},
@@ -268,11 +268,11 @@
 		if i > 8 {
 			s.Service = "b"
 		}
-		d.servers = append(d.servers, s)
+		driven.servers = append(driven.servers, s)
 	}
-	d.p = New(Settings{Zone: "z0", Region: "r", RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: seed})
-	d.updateState()
-	return d
+	driven.p = New(Settings{Zone: "z0", Region: "r", RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: seed})
+	driven.updateState()
+	return driven
 }
 
 func (d *driver) updateState() {
@@ -386,9 +386,9 @@
 	var lines []string
 	for _, g := range goldenScenarios() {
 		t.Run(fmt.Sprintf("%s-%d", g.name, g.seed), func(t *testing.T) {
-			tr := &trace{sum: sha256.New()}
-			g.run(tr, g.seed)
-			line := tr.line(g.name, g.seed)
+			traced := &trace{sum: sha256.New()}
+			g.run(traced, g.seed)
+			line := traced.line(g.name, g.seed)
 			lines = append(lines, line)
 			if !writesGolden() && !slices.Contains(golden, line) {
 				t.Errorf("not in %s: %s", goldenFile, line)
--- a/internal/system/proxy/pick/homes_test.go
+++ b/internal/system/proxy/pick/homes_test.go
@@ -26,9 +26,9 @@
 }
 
 func newHomesRun(t *testing.T, isSeparate bool) *homesRun {
-	f := newSimulation(aula())
-	run := &homesRun{T: t, first: f.pickers[0], second: f.pickers[1], long: f.cfg.Routes[0], short: f.cfg.Routes[1], isSeparate: isSeparate}
-	run.far = f.pickers[slices.IndexFunc(f.pickers, func(p *Picker) bool { return p.settings.Region != run.first.settings.Region })]
+	fleet := newSimulation(aula())
+	run := &homesRun{T: t, first: fleet.pickers[0], second: fleet.pickers[1], long: fleet.cfg.Routes[0], short: fleet.cfg.Routes[1], isSeparate: isSeparate}
+	run.far = fleet.pickers[slices.IndexFunc(fleet.pickers, func(picker *Picker) bool { return picker.settings.Region != run.first.settings.Region })]
 	if !isSeparate {
 		everywhere := *run.short
 		everywhere.HomeRegions = nil
--- a/internal/system/proxy/pick/idle_conns_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -13,18 +13,18 @@
 	const told = 10 * time.Second
 	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxTries: 1,
 		Shares: []config.Share{{Service: "lm", Weight: 1}}}
-	p := newPoolPicker(6)
+	picker := newPoolPicker(6)
 	send := func(now Time, outcome Outcome) string {
 		t.Helper()
-		c := p.Pick(now, &Request{Route: route, TokensIn: 100, MaxTokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
+		c := picker.Pick(now, &Request{Route: route, TokensIn: 100, MaxTokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
 		if c.Verdict != Send {
 			t.Fatalf("verdict %d", c.Verdict)
 		}
-		p.Done(now, c.Ticket, outcome, 0)
+		picker.Done(now, c.Ticket, outcome, 0)
 		return c.Server.ID
 	}
 	first := send(0, Served)
-	p.SetIdleTimeout(first, told)
+	picker.SetIdleTimeout(first, told)
 	for now := time.Second; now < 20*time.Second; now += time.Second {
 		if id := send(now, Served); id != first {
 			t.Fatalf("at %v a new connection to %s, while one to %s is kept", now, id, first)
@@ -35,7 +35,7 @@
 	if second == first {
 		t.Error("the rotation stays at a server whose connections have been without use for too long")
 	}
-	if p.servers[second].idle.usable(idle, told) {
+	if picker.servers[second].idle.usable(idle, told) {
 		t.Error("a connection to a server that was not reached counts as kept")
 	}
 }
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -11,13 +11,13 @@
 
 // TestWarmUpRateInvariantControl: a proxy that saves up more than one request is seen.
 func TestWarmUpRateInvariantControl(t *testing.T) {
-	f := newWarmUpFleet(12)
-	f.pickers = f.pickers[:1]
-	p := f.pickers[0]
-	p.UpdateClusterState(0, f.state(0, 1, time.Minute))
-	f.sendAll(0, 5*time.Second, 10*time.Millisecond, nil)
+	fleet := newWarmUpFleet(12)
+	fleet.pickers = fleet.pickers[:1]
+	picker := fleet.pickers[0]
+	picker.UpdateClusterState(0, fleet.state(0, 1, time.Minute))
+	fleet.sendAll(0, 5*time.Second, 10*time.Millisecond, nil)
 	invarianttest.Expect(t, warmUpRateInvariant, func() {
-		f.sendAll(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { p.servers["s0"].warmUp.bucket.tokens = 2 })
+		fleet.sendAll(5*time.Second, 5100*time.Millisecond, 10*time.Millisecond, func(Time) { picker.servers["s0"].warmUp.bucket.tokens = 2 })
 	})
 }
 
@@ -25,12 +25,12 @@
 // that begins after the first request is not taken for it.
 func TestWarmUpEndInvariantControl(t *testing.T) {
 	play := func(cold, later time.Duration) {
-		f := newWarmUpFleet(1)
-		f.pickers[0].UpdateClusterState(0, f.state(0, 1, cold))
-		f.sendAll(0, cold+40*time.Millisecond, 10*time.Millisecond, nil)
-		w := f.state(0, 1, later)
-		w.Servers[0].WarmUpMin = later
-		f.pickers[0].UpdateClusterState(cold+40*time.Millisecond, w)
+		fleet := newWarmUpFleet(1)
+		fleet.pickers[0].UpdateClusterState(0, fleet.state(0, 1, cold))
+		fleet.sendAll(0, cold+40*time.Millisecond, 10*time.Millisecond, nil)
+		state := fleet.state(0, 1, later)
+		state.Servers[0].WarmUpMin = later
+		fleet.pickers[0].UpdateClusterState(cold+40*time.Millisecond, state)
 	}
 	invarianttest.Expect(t, warmUpEndInvariant, func() { play(warmUpDuration-80*time.Millisecond, 40*time.Millisecond) })
 	before := warmUpEndInvariant.Violations()
@@ -42,13 +42,13 @@
 
 // TestEligibilityInvariantControl: a request to a server in an evacuated zone is seen.
 func TestEligibilityInvariantControl(t *testing.T) {
-	f := newWarmUpFleet(1)
-	p := f.pickers[0]
-	p.UpdateClusterState(0, f.state(0, 1, 0))
+	fleet := newWarmUpFleet(1)
+	picker := fleet.pickers[0]
+	picker.UpdateClusterState(0, fleet.state(0, 1, 0))
 	invarianttest.Expect(t, eligibilityInvariant, func() {
-		p.state.Evacuated = map[string]bool{"z": true}
-		r := &Request{Route: f.config.Routes[0], TimeLeft: time.Second}
-		p.Done(0, p.send(&pickInput{request: r, prompt: &prefixcache.Chain{}}, Result{}, p.servers["s0"], cost{}).Ticket, Served, 0)
+		picker.state.Evacuated = map[string]bool{"z": true}
+		r := &Request{Route: fleet.config.Routes[0], TimeLeft: time.Second}
+		picker.Done(0, picker.send(&pickInput{request: r, prompt: &prefixcache.Chain{}}, Result{}, picker.servers["s0"], cost{}).Ticket, Served, 0)
 	})
 }
 
@@ -56,23 +56,23 @@
 // after the server has turned cold anew. The guess that paces it until the list can tell says nothing of that request.
 func TestEvacuationEndIsNoViolation(t *testing.T) {
 	const back = 12 * time.Second
-	f := newWarmUpFleet(1)
-	p := f.pickers[0]
+	fleet := newWarmUpFleet(1)
+	picker := fleet.pickers[0]
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
-	f.sendAll(0, warmUpDuration+100*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.state(0, 1, 0)
-	w.Evacuated = map[string]bool{"z": true}
-	p.UpdateClusterState(5*time.Second, w)
-	w.Evacuated, w.ZoneChanges, w.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
-	p.UpdateClusterState(back, w)
-	if !p.servers["s0"].warmUp.awaitsNewerList {
+	picker.UpdateClusterState(0, fleet.state(0, 1, warmUpDuration))
+	fleet.sendAll(0, warmUpDuration+100*time.Millisecond, 10*time.Millisecond, nil)
+	state := fleet.state(0, 1, 0)
+	state.Evacuated = map[string]bool{"z": true}
+	picker.UpdateClusterState(5*time.Second, state)
+	state.Evacuated, state.ZoneChanges, state.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
+	picker.UpdateClusterState(back, state)
+	if !picker.servers["s0"].warmUp.awaitsNewerList {
 		t.Error("not paced though the list cannot tell")
 	}
-	w = f.state(0, 1, 1700*time.Millisecond)
-	w.ZoneChanges, w.ListCoversSeq = map[string]uint64{"z": 7}, 7
-	w.Servers[0].WarmUpMin = time.Second
-	p.UpdateClusterState(back+500*time.Millisecond, w)
+	state = fleet.state(0, 1, 1700*time.Millisecond)
+	state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 7
+	state.Servers[0].WarmUpMin = time.Second
+	picker.UpdateClusterState(back+500*time.Millisecond, state)
 	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
@@ -82,14 +82,14 @@
 // later. No proxy can know it when the first state ends.
 func TestWarmUpAgainBeforeItsEndIsNoViolation(t *testing.T) {
 	const again, told = warmUpDuration - 500*time.Millisecond, warmUpDuration + 400*time.Millisecond
-	f := newWarmUpFleet(1)
-	p := f.pickers[0]
+	fleet := newWarmUpFleet(1)
+	picker := fleet.pickers[0]
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
-	f.sendAll(0, told, 10*time.Millisecond, nil)
-	w := f.state(0, 1, again+warmUpDuration-told)
-	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
-	p.UpdateClusterState(told, w)
+	picker.UpdateClusterState(0, fleet.state(0, 1, warmUpDuration))
+	fleet.sendAll(0, told, 10*time.Millisecond, nil)
+	state := fleet.state(0, 1, again+warmUpDuration-told)
+	state.Servers[0].WarmUpMin = state.Servers[0].WarmUpMax
+	picker.UpdateClusterState(told, state)
 	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
@@ -98,15 +98,15 @@
 // TestUpdateThatComesLateIsNoViolation: a server's cold state ends at 3 s; an update made at 2.9 s, which tells the remaining 100 ms
 // rightly, is used at 3.2 s, after the first request that took the server for warm.
 func TestUpdateThatComesLateIsNoViolation(t *testing.T) {
-	f := newWarmUpFleet(1)
-	p := f.pickers[0]
+	fleet := newWarmUpFleet(1)
+	picker := fleet.pickers[0]
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
-	f.sendAll(0, warmUpDuration+200*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.state(0, 1, 100*time.Millisecond)
-	w.Servers[0].WarmUpMin, w.Age = w.Servers[0].WarmUpMax, 300*time.Millisecond
-	p.UpdateClusterState(warmUpDuration+200*time.Millisecond, w)
-	if warmUpEndInvariant.Violations() != before || p.servers["s0"].warmingUp(warmUpDuration+200*time.Millisecond) {
+	picker.UpdateClusterState(0, fleet.state(0, 1, warmUpDuration))
+	fleet.sendAll(0, warmUpDuration+200*time.Millisecond, 10*time.Millisecond, nil)
+	state := fleet.state(0, 1, 100*time.Millisecond)
+	state.Servers[0].WarmUpMin, state.Age = state.Servers[0].WarmUpMax, 300*time.Millisecond
+	picker.UpdateClusterState(warmUpDuration+200*time.Millisecond, state)
+	if warmUpEndInvariant.Violations() != before || picker.servers["s0"].warmingUp(warmUpDuration+200*time.Millisecond) {
 		t.Error("counted as a fault, or cold once more")
 	}
 }
@@ -115,15 +115,15 @@
 // state is over.
 func TestStallIsNoWarmUp(t *testing.T) {
 	const woke = 10 * time.Second
-	p, f := stalledPicker(woke)
+	picker, fleet := stalledPicker(woke)
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(woke+50*time.Millisecond, f.state(0, 1, 0))
-	f.pickers = f.pickers[:1]
-	f.sendAll(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.state(0, 1, 2900*time.Millisecond)
-	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
-	p.UpdateClusterState(woke+100*time.Millisecond, w)
-	if warmUpEndInvariant.Violations() != before || len(f.sent) == 0 {
-		t.Errorf("counted as a fault, with %d requests", len(f.sent))
+	picker.UpdateClusterState(woke+50*time.Millisecond, fleet.state(0, 1, 0))
+	fleet.pickers = fleet.pickers[:1]
+	fleet.sendAll(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
+	state := fleet.state(0, 1, 2900*time.Millisecond)
+	state.Servers[0].WarmUpMin = state.Servers[0].WarmUpMax
+	picker.UpdateClusterState(woke+100*time.Millisecond, state)
+	if warmUpEndInvariant.Violations() != before || len(fleet.sent) == 0 {
+		t.Errorf("counted as a fault, with %d requests", len(fleet.sent))
 	}
 }
--- a/internal/system/proxy/pick/probe_test.go
+++ b/internal/system/proxy/pick/probe_test.go
@@ -9,17 +9,17 @@
 // a large fleet.
 func TestStaleProxyProbesOnce(t *testing.T) {
 	for _, proxies := range []int{12, 60} {
-		f := newWarmUpFleet(proxies)
-		p := f.pickers[0]
-		w := f.state(0, 2, 0)
-		w.Stale = true
-		p.UpdateClusterState(0, w)
+		fleet := newWarmUpFleet(proxies)
+		picker := fleet.pickers[0]
+		state := fleet.state(0, 2, 0)
+		state.Stale = true
+		picker.UpdateClusterState(0, state)
 		ask := func(now Time) Result {
-			return p.Pick(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
+			return picker.Pick(now, &Request{Route: fleet.config.Routes[0], TimeLeft: time.Second}, nil, false)
 		}
 		for range 2 {
 			c := ask(0)
-			p.Done(0, c.Ticket, ConnectFailed, 0)
+			picker.Done(0, c.Ticket, ConnectFailed, 0)
 		}
 		knocks := 0
 		for range 20 {
--- a/internal/system/proxy/pick/prompt_mixes_test.go
+++ b/internal/system/proxy/pick/prompt_mixes_test.go
@@ -107,9 +107,9 @@
 }
 
 func play(deployment scenario) float64 {
-	f := newSimulation(deployment)
-	f.run()
-	_, score := f.report()
+	fleet := newSimulation(deployment)
+	fleet.run()
+	_, score := fleet.report()
 	return score
 }
 
--- a/internal/system/proxy/pick/prompt_pools_test.go
+++ b/internal/system/proxy/pick/prompt_pools_test.go
@@ -10,17 +10,17 @@
 
 // newPoolPicker is a picker that knows n servers of one region, and nothing of what comes to them.
 func newPoolPicker(n int) *Picker {
-	p := New(Settings{Zone: "z1", Region: "r1", Regions: testRegions})
-	w := ClusterState{Config: &config.Config{Services: map[string]*config.Service{"lm": {Name: "lm", Engine: &config.Engine{Slots: 8, CacheTokens: 100_000}}}}}
+	picker := New(Settings{Zone: "z1", Region: "r1", Regions: testRegions})
+	state := ClusterState{Config: &config.Config{Services: map[string]*config.Service{"lm": {Name: "lm", Engine: &config.Engine{Slots: 8, CacheTokens: 100_000}}}}}
 	for i := range n {
-		w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", i), Service: "lm", Address: fmt.Sprint(i), Zone: "z1", Slots: 8})
+		state.Servers = append(state.Servers, Server{ID: fmt.Sprint("s", i), Service: "lm", Address: fmt.Sprint(i), Zone: "z1", Slots: 8})
 	}
-	p.UpdateClusterState(0, w)
-	return p
+	picker.UpdateClusterState(0, state)
+	return picker
 }
 
-func poolSize(p *Picker) (n int) {
-	for _, s := range p.servers {
+func poolSize(picker *Picker) (n int) {
+	for _, s := range picker.servers {
 		if s.inPromptPool {
 			n++
 		}
@@ -29,29 +29,29 @@
 }
 
 // updateDemand has p told at now that the other proxies had so many tokens updateDemand of late.
-func updateDemand(p *Picker, now Time, long, short int64) {
-	p.UpdatePeerLoads(now, map[string]Load{demandKey("lm"): {Prefill: long, Tokens: short}})
+func updateDemand(picker *Picker, now Time, long, short int64) {
+	picker.UpdatePeerLoads(now, map[string]Load{demandKey("lm"): {Prefill: long, Tokens: short}})
 }
 
 // TestPromptPoolFollowsTheWork has the share of the work that long prompts bring change: the lane follows, by bounded steps with
 // pauses between them, and both kinds of prompts always keep a server.
 func TestPromptPoolFollowsTheWork(t *testing.T) {
-	p, now := newPoolPicker(20), Time(0)
-	if n := poolSize(p); n != 10 {
+	picker, now := newPoolPicker(20), Time(0)
+	if n := poolSize(picker); n != 10 {
 		t.Fatalf("a lane of %d servers before anything is known, want half", n)
 	}
 	for _, c := range []struct{ long, short, want int64 }{{800_000, 200_000, 16}, {50_000, 950_000, 1}, {1_000_000, 0, 18}, {0, 1_000_000, 1}} {
-		before, moves := poolSize(p), 0
+		before, moves := poolSize(picker), 0
 		for end := now + 60*time.Second; now < end; now += 100 * time.Millisecond {
-			updateDemand(p, now, c.long, c.short)
-			if n := poolSize(p); n != before {
+			updateDemand(picker, now, c.long, c.short)
+			if n := poolSize(picker); n != before {
 				if step := max(n-before, before-n); step > 5 {
 					t.Fatalf("the lane moved by %d servers at once", step)
 				}
 				before, moves = n, moves+1
 			}
 		}
-		if n := poolSize(p); n != int(c.want) {
+		if n := poolSize(picker); n != int(c.want) {
 			t.Errorf("%d tokens of long prompts and %d of short ones: a lane of %d, want %d", c.long, c.short, n, c.want)
 		}
 		if moves > 20 {
@@ -62,11 +62,11 @@
 
 // TestPromptPoolStaysWhereTheWorkWavers keeps the work's share within a server's worth of where it was: no home moves.
 func TestPromptPoolStaysWhereTheWorkWavers(t *testing.T) {
-	p, now := newPoolPicker(20), Time(0)
+	picker, now := newPoolPicker(20), Time(0)
 	for i := range 600 {
 		now += 100 * time.Millisecond
-		updateDemand(p, now, 500_000+int64(i%2)*60_000-30_000, 500_000)
-		if n := poolSize(p); n != 10 {
+		updateDemand(picker, now, 500_000+int64(i%2)*60_000-30_000, 500_000)
+		if n := poolSize(picker); n != 10 {
 			t.Fatalf("the lane moved to %d servers after %v", n, now)
 		}
 	}
@@ -74,11 +74,11 @@
 
 // TestPromptPoolWithoutPeerDemand has a proxy see its own requests alone, which tell little: it keeps the lane that it has.
 func TestPromptPoolWithoutPeerDemand(t *testing.T) {
-	p := newPoolPicker(20)
+	picker := newPoolPicker(20)
 	now := time.Minute
-	p.groups["lm"].demand.Add(now, true, 5_000_000)
-	p.assignPromptPools(now, p.groups["lm"])
-	if n := poolSize(p); n != 10 {
+	picker.groups["lm"].demand.Add(now, true, 5_000_000)
+	picker.assignPromptPools(now, picker.groups["lm"])
+	if n := poolSize(picker); n != 10 {
 		t.Errorf("the lane moved to %d servers", n)
 	}
 }
@@ -108,12 +108,12 @@
 
 // TestPromptPoolKeepsItsShareWhereServersLeave takes half of the servers away: the lane's share stays.
 func TestPromptPoolKeepsItsShareWhereServersLeave(t *testing.T) {
-	p := newPoolPicker(20)
-	var w ClusterState
-	w.Config = p.state.Config
-	w.Servers = append(w.Servers, p.state.Servers[:10]...)
-	p.UpdateClusterState(time.Second, w)
-	if n := poolSize(p); n != 5 {
+	picker := newPoolPicker(20)
+	var state ClusterState
+	state.Config = picker.state.Config
+	state.Servers = append(state.Servers, picker.state.Servers[:10]...)
+	picker.UpdateClusterState(time.Second, state)
+	if n := poolSize(picker); n != 5 {
 		t.Errorf("a lane of %d of 10 servers, want half", n)
 	}
 }
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -13,12 +13,12 @@
 
 // drawClusterState draws a deployment of two services and three zones in two regions.
 func drawClusterState(t *rapid.T, age int) ClusterState {
-	w := ClusterState{Self: "p1", Peers: []string{"p1", "p2", "p3"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{
+	state := ClusterState{Self: "p1", Peers: []string{"p1", "p2", "p3"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{
 		"lm":  {Name: "lm", WarmUpRate: 30, Engine: &config.Engine{Slots: 4, CacheTokens: 50000}},
 		"app": {Name: "app"},
 	}}}
 	if rapid.Bool().Draw(t, "evacuated") {
-		w.Evacuated[rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone")] = true
+		state.Evacuated[rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone")] = true
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "routes") {
 		r := &config.Route{Name: fmt.Sprint(i), Host: "h", Prefix: fmt.Sprintf("/%d/", i), Timeout: 8 * time.Second, LatencyTarget: time.Second,
@@ -28,14 +28,14 @@
 		if rapid.Bool().Draw(t, "bound") {
 			r.HomeRegions = []string{rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "home")}
 		}
-		w.Config.Routes = append(w.Config.Routes, r)
+		state.Config.Routes = append(state.Config.Routes, r)
 	}
 	for i := range rapid.IntRange(0, 8).Draw(t, "servers") {
-		w.Servers = append(w.Servers, Server{ID: fmt.Sprintf("s%d", i+age%3), Service: rapid.SampledFrom([]string{"lm", "app", "other"}).Draw(t, "service"),
+		state.Servers = append(state.Servers, Server{ID: fmt.Sprintf("s%d", i+age%3), Service: rapid.SampledFrom([]string{"lm", "app", "other"}).Draw(t, "service"),
 			Address: fmt.Sprint(i), Zone: rapid.SampledFrom([]string{"z1", "z2", "z3"}).Draw(t, "zone"), Slots: rapid.IntRange(0, 4).Draw(t, "slots"),
 			Draining: rapid.IntRange(0, 4).Draw(t, "draining") == 0, WarmUpMax: time.Duration(rapid.IntRange(0, 2).Draw(t, "cold")) * time.Second})
 	}
-	return w
+	return state
 }
 
 var testRegions = map[string]string{"z1": "r1", "z2": "r1", "z3": "r2"}
@@ -248,14 +248,14 @@
 		run := newMemberChange(t)
 		var sent []Time
 		for now := Time(0); now < 8*time.Second; now += memberChangeStep {
-			for i, p := range run.pickers {
+			for i, picker := range run.pickers {
 				if run.learns(i, now) {
-					p.UpdateClusterState(now, run.state(i, run.after, now))
+					picker.UpdateClusterState(now, run.state(i, run.after, now))
 				}
-				result := p.Pick(now, &Request{Route: run.config.Routes[0], TimeLeft: time.Second}, nil, false)
+				result := picker.Pick(now, &Request{Route: run.config.Routes[0], TimeLeft: time.Second}, nil, false)
 				if result.Verdict == Send {
 					sent = append(sent, now)
-					p.Done(now, result.Ticket, Served, 0)
+					picker.Done(now, result.Ticket, Served, 0)
 				}
 			}
 		}
@@ -288,11 +288,11 @@
 	run.before = proxyNames(0, count)
 	run.after = proxyNames(rapid.IntRange(0, count/3).Draw(t, "gone"), count+rapid.IntRange(0, count/3).Draw(t, "new"))
 	for i := range count + count/3 {
-		p := New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})
-		run.pickers = append(run.pickers, p)
+		picker := New(Settings{Zone: "z", Region: "r", WarmUpExcess: 1.5, WarmUpSlack: 5})
+		run.pickers = append(run.pickers, picker)
 		run.learnsAt = append(run.learnsAt, 3*time.Second+time.Duration(rapid.IntRange(0, 3000).Draw(t, "lag"))*time.Millisecond)
 		if i < count {
-			p.UpdateClusterState(0, run.state(i, run.before, 0))
+			picker.UpdateClusterState(0, run.state(i, run.before, 0))
 		}
 	}
 	return run
@@ -327,10 +327,10 @@
 		for i := range int(30 * time.Second / retryStep) {
 			now := Time(i) * retryStep
 			run.requests, run.retries = append(run.requests, 0), append(run.retries, 0)
-			for _, p := range run.pickers {
+			for _, picker := range run.pickers {
 				for range rates[int(now/time.Second)] {
 					run.requests[i]++
-					run.retries[i] += run.retryAll(p, now)
+					run.retries[i] += run.retryAll(picker, now)
 				}
 			}
 		}
@@ -358,9 +358,9 @@
 		servers = append(servers, Server{ID: fmt.Sprint(i), Service: "a", Zone: "z", Slots: 1000})
 	}
 	for _, self := range peers {
-		p := New(Settings{Zone: "z", Region: "r", RetryRatio: 0.2, RetryWindow: retryWindow, RetrySlack: run.slack})
-		p.UpdateClusterState(0, ClusterState{Config: cfg, Self: self, Peers: peers, Servers: servers})
-		run.pickers = append(run.pickers, p)
+		picker := New(Settings{Zone: "z", Region: "r", RetryRatio: 0.2, RetryWindow: retryWindow, RetrySlack: run.slack})
+		picker.UpdateClusterState(0, ClusterState{Config: cfg, Self: self, Peers: peers, Servers: servers})
+		run.pickers = append(run.pickers, picker)
 	}
 	return run
 }
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -87,12 +87,12 @@
 		}
 	}
 	for i, name := range peers {
-		p := New(Settings{Zone: built.proxyZones[i], Region: deployment.regions[built.proxyZones[i]], Regions: deployment.regions, RetryRatio: 0.2, RetrySlack: 64,
+		picker := New(Settings{Zone: built.proxyZones[i], Region: deployment.regions[built.proxyZones[i]], Regions: deployment.regions, RetryRatio: 0.2, RetrySlack: 64,
 			WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: uint64(i), CrossRegionLatency: deployment.crossRegion,
 			TestingKnobs: TestingKnobs{PromptPoolShare: deployment.fixedPoolShare}})
-		p.UpdateClusterState(0, ClusterState{Config: built.cfg, Servers: built.servers, Self: name, Peers: peers})
-		p.group("lm").idleTimeout = deployment.idleTimeout
-		built.pickers = append(built.pickers, p)
+		picker.UpdateClusterState(0, ClusterState{Config: built.cfg, Servers: built.servers, Self: name, Peers: peers})
+		picker.group("lm").idleTimeout = deployment.idleTimeout
+		built.pickers = append(built.pickers, picker)
 	}
 	return built
 }
--- a/internal/system/proxy/pick/stall_test.go
+++ b/internal/system/proxy/pick/stall_test.go
@@ -7,35 +7,35 @@
 
 // stalledPicker is one of twelve proxies that knows a warm server and has just stood still.
 func stalledPicker(at Time) (*Picker, *warmUpFleet) {
-	f := newWarmUpFleet(12)
-	p := f.pickers[0]
-	p.UpdateClusterState(0, f.state(0, 1, 0))
-	p.Stalled(at)
-	return p, f
+	fleet := newWarmUpFleet(12)
+	picker := fleet.pickers[0]
+	picker.UpdateClusterState(0, fleet.state(0, 1, 0))
+	picker.Stalled(at)
+	return picker, fleet
 }
 
 // TestStalledAwaitsLaterContact: what a keeper told before the end of the stall says nothing of servers that turned cold in it.
 func TestStalledAwaitsLaterContact(t *testing.T) {
 	const woke = 10 * time.Second
-	p, f := stalledPicker(woke)
+	picker, fleet := stalledPicker(woke)
 	for _, word := range []struct{ came, age, delay time.Duration }{
 		{100 * time.Millisecond, 5 * time.Second, 0},
 		{100 * time.Millisecond, 101 * time.Millisecond, 0},
 		{100 * time.Millisecond, 10 * time.Millisecond, 91 * time.Millisecond},
 	} {
-		w := f.state(0, 2, 0)
-		w.ContactAge, w.Age = word.age, word.delay
-		p.UpdateClusterState(woke+word.came, w)
-		for id, s := range p.servers {
-			if !p.AwaitsControlPlane() || !s.warmingUp(woke+warmUpDuration-1) || s.warmingUp(woke+warmUpDuration) {
+		state := fleet.state(0, 2, 0)
+		state.ContactAge, state.Age = word.age, word.delay
+		picker.UpdateClusterState(woke+word.came, state)
+		for id, s := range picker.servers {
+			if !picker.AwaitsControlPlane() || !s.warmingUp(woke+warmUpDuration-1) || s.warmingUp(woke+warmUpDuration) {
 				t.Errorf("%+v: %s is cold until %v, want %v", word, id, s.warmUp.until, woke+warmUpDuration)
 			}
 		}
 	}
-	w := f.state(0, 2, 0)
-	w.ContactAge = 100 * time.Millisecond
-	p.UpdateClusterState(woke+100*time.Millisecond, w)
-	if p.AwaitsControlPlane() || p.servers["s0"].warmingUp(woke+100*time.Millisecond) {
+	state := fleet.state(0, 2, 0)
+	state.ContactAge = 100 * time.Millisecond
+	picker.UpdateClusterState(woke+100*time.Millisecond, state)
+	if picker.AwaitsControlPlane() || picker.servers["s0"].warmingUp(woke+100*time.Millisecond) {
 		t.Error("a word from after the stall says that the server is warm")
 	}
 }
@@ -43,9 +43,9 @@
 // TestStalledLearnsOfWarmUp: the word tells that the server turned cold during the stall.
 func TestStalledLearnsOfWarmUp(t *testing.T) {
 	const woke = 10 * time.Second
-	p, f := stalledPicker(woke)
-	p.UpdateClusterState(woke+100*time.Millisecond, f.state(0, 1, 2*time.Second))
-	if s := p.servers["s0"]; s.warmUp.until != woke+2100*time.Millisecond {
+	picker, fleet := stalledPicker(woke)
+	picker.UpdateClusterState(woke+100*time.Millisecond, fleet.state(0, 1, 2*time.Second))
+	if s := picker.servers["s0"]; s.warmUp.until != woke+2100*time.Millisecond {
 		t.Errorf("cold until %v", s.warmUp.until)
 	}
 }
@@ -53,18 +53,18 @@
 // TestStalledSenderStops: in a large fleet others have taken the place of a holder that stood still.
 func TestStalledSenderStops(t *testing.T) {
 	const woke = 10 * time.Second
-	f := newWarmUpFleet(60)
-	for i, p := range f.pickers {
-		p.UpdateClusterState(0, f.state(i, 1, time.Minute))
-		if !p.servers["s0"].warmUp.isSender {
+	fleet := newWarmUpFleet(60)
+	for i, picker := range fleet.pickers {
+		picker.UpdateClusterState(0, fleet.state(i, 1, time.Minute))
+		if !picker.servers["s0"].warmUp.isSender {
 			continue
 		}
-		p.Stalled(woke)
-		if _, may := p.warmUps.sendsFrom(woke, p.servers["s0"]); may {
+		picker.Stalled(woke)
+		if _, may := picker.warmUps.sendsFrom(woke, picker.servers["s0"]); may {
 			t.Error("it holds on as it wakes")
 		}
-		p.UpdateClusterState(woke+time.Second, f.state(i, 1, time.Minute))
-		if from, may := p.warmUps.sendsFrom(woke+time.Second, p.servers["s0"]); !may || from != woke+time.Second+successorDelay {
+		picker.UpdateClusterState(woke+time.Second, fleet.state(i, 1, time.Minute))
+		if from, may := picker.warmUps.sendsFrom(woke+time.Second, picker.servers["s0"]); !may || from != woke+time.Second+successorDelay {
 			t.Errorf("it holds again %v, from %v", may, from)
 		}
 	}
@@ -72,11 +72,11 @@
 
 // TestDelayedClusterStateCountsDown: durations are counted from when they were told.
 func TestDelayedClusterStateCountsDown(t *testing.T) {
-	p, f := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
-	w := f.state(0, 1, 2*time.Second)
-	w.Age = 500 * time.Millisecond
-	p.UpdateClusterState(time.Second, w)
-	if s := p.servers["s0"]; s.warmUp.until != 2500*time.Millisecond {
+	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
+	state := fleet.state(0, 1, 2*time.Second)
+	state.Age = 500 * time.Millisecond
+	picker.UpdateClusterState(time.Second, state)
+	if s := picker.servers["s0"]; s.warmUp.until != 2500*time.Millisecond {
 		t.Errorf("cold until %v, want 2.5 s", s.warmUp.until)
 	}
 }
