--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -135,10 +135,10 @@
 func (p *Picker) pickInGroup(input *pickInput, members *group) groupResult {
 	model := p.initCostModel(input, members)
 	estimates := p.estimateCosts(input, members, model)
-	if math.IsInf(estimates.leastMS, 1) {
+	if math.IsInf(estimates.minTotalMS, 1) {
 		return groupResult{retryAfterMS: estimates.warmUpWaitMS}
 	}
-	index := members.nextWithin(estimates.costs, estimates.leastMS+model.toleranceMS)
+	index := members.nextWithin(estimates.costs, estimates.minTotalMS+model.toleranceMS)
 	s, estimated := members.servers[index], estimates.costs[index]
 	// A rejection while under half of the slots are taken is never right: the estimate is wrong then.
 	halfTaken := estimates.requests*2 >= estimates.slots
@@ -153,7 +153,7 @@
 // groupEstimates are the costs of a group's servers.
 type groupEstimates struct {
 	costs           []cost  // of each server; infinite: it is not eligible
-	leastMS         float64 // infinite: none is eligible
+	minTotalMS      float64 // infinite: none is eligible
 	requests, slots int     // of the eligible servers
 	warmUpWaitMS    float64 // until this proxy may send to one that warms up; infinite: not known
 }
@@ -164,13 +164,13 @@
 	if cap(p.scratch.costs) < count {
 		p.scratch.costs = make([]cost, count+count/2)
 	}
-	estimates := groupEstimates{costs: p.scratch.costs[:count], leastMS: math.Inf(1), warmUpWaitMS: math.Inf(1)}
+	estimates := groupEstimates{costs: p.scratch.costs[:count], minTotalMS: math.Inf(1), warmUpWaitMS: math.Inf(1)}
 	for i, s := range g.servers {
 		estimated := &estimates.costs[i]
 		switch p.eligibility(input, s) {
 		case eligible:
 			model.estimate(s, estimated)
-			estimates.leastMS = min(estimates.leastMS, estimated.totalMS)
+			estimates.minTotalMS = min(estimates.minTotalMS, estimated.totalMS)
 			estimates.requests += estimated.requests
 			estimates.slots += s.slots()
 			continue
--- a/internal/system/proxy/pick/prompt_pools_test.go
+++ b/internal/system/proxy/pick/prompt_pools_test.go
@@ -33,7 +33,7 @@
 	picker.UpdatePeerLoads(now, map[string]Load{demandKey("lm"): {Prefill: long, Tokens: short}})
 }
 
-// TestPromptPoolFollowsTheWork has the share of the work that long prompts bring change: the lane follows, by bounded steps with
+// TestPromptPoolFollowsTheWork has the share of the work that long prompts bring change: the pool follows, by bounded steps with
 // pauses between them, and both kinds of prompts always keep a server.
 func TestPromptPoolFollowsTheWork(t *testing.T) {
 	picker, now := newPoolPicker(20), Time(0)
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestPromptPoolWithoutPeerDemand has a proxy see its own requests alone, which tell little: it keeps the lane that it has.
+// TestPromptPoolWithoutPeerDemand has a proxy see its own requests alone, which tell little: it keeps the pool that it has.
 func TestPromptPoolWithoutPeerDemand(t *testing.T) {
 	picker := newPoolPicker(20)
 	now := time.Minute
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestPromptPoolsAgree has two proxies see different requests, each told what the other one read: their lanes are the same.
+// TestPromptPoolsAgree has two proxies see different requests, each told what the other one read: their pools are the same.
 func TestPromptPoolsAgree(t *testing.T) {
 	first, second := newPoolPicker(20), newPoolPicker(20)
 	now := Time(0)
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestPromptPoolKeepsItsShareWhereServersLeave takes half of the servers away: the lane's share stays.
+// TestPromptPoolKeepsItsShareWhereServersLeave takes half of the servers away: the pool's share stays.
 func TestPromptPoolKeepsItsShareWhereServersLeave(t *testing.T) {
 	picker := newPoolPicker(20)
 	var state ClusterState
--- a/internal/system/proxy/pick/reachable_again_test.go
+++ b/internal/system/proxy/pick/reachable_again_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestServersReachableAgain: proxies of a zone that is cut off reach neither keepers nor the servers of another zone, which turn cold
-// meanwhile. The cut ends, and servers are reached before a keeper is. Danger: the first answer ends the doubt in a server, and all
+// meanwhile. The cut ends, and servers are reached before the control plane is. Danger: the first answer ends the doubt in a server, and all
 // that waits goes there.
 func TestServersReachableAgain(t *testing.T) {
 	const cut, healed, told = 5 * time.Second, 10 * time.Second, 10300 * time.Millisecond
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestServersReachableAgainWithContact: a proxy that hears its keepers knows of cold servers by them, and goes on at once.
+// TestServersReachableAgainWithContact: a proxy in contact with the control plane knows of warming servers by it, and goes on at once.
 func TestServersReachableAgainWithContact(t *testing.T) {
 	fleet := newWarmUpFleet(12)
 	picker := fleet.pickers[0]
--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -101,7 +101,7 @@
 // maxWarmUpRequests is what a server of the group may get within a second while it is cold.
 const maxWarmUpRequests = 31*1.5 + 5
 
-// TestNoFloodAtTheEndOfWarmUp: while many more requests wait than cold servers may get, none gets more than its bound up to the
+// TestNoFloodAtTheEndOfWarmUp: while many more requests wait than warming servers may get, none gets more than its bound up to the
 // moment in which it is warm, where the proxies know that moment.
 func TestNoFloodAtTheEndOfWarmUp(t *testing.T) {
 	g := newWaitingFleet(0)
--- a/internal/system/proxy/pick/warmup_partition_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestReturningSendersWait: holders of a cold server were given up, stopped as they were stale, and hear from a keeper again.
+// TestReturningSendersWait: senders of a warming server were given up, stopped as they were stale, and are in contact with the control plane again.
 // Those in their places go on until they have heard of it.
 func TestReturningSendersWait(t *testing.T) {
 	for _, count := range []int{6, 9, 17} {
@@ -74,26 +74,26 @@
 func TestPartitionedFleetKeepsTheRate(t *testing.T) {
 	for _, minority := range []int{1, 3, 6, 8, 9, 11} {
 		t.Run(fmt.Sprint(minority), func(t *testing.T) {
-			f := newWarmUpFleet(12)
+			fleet := newWarmUpFleet(12)
 			world := func(i, servers int, cold time.Duration) ClusterState {
-				w := f.state(i, servers, cold)
+				w := fleet.state(i, servers, cold)
 				if i < minority {
-					w.Peers, w.Stale = f.names[:minority], true
+					w.Peers, w.Stale = fleet.names[:minority], true
 				} else {
-					w.Peers = f.names[minority:]
+					w.Peers = fleet.names[minority:]
 				}
 				return w
 			}
-			for i, p := range f.pickers {
-				p.UpdateClusterState(0, f.state(i, 0, 0))
+			for i, p := range fleet.pickers {
+				p.UpdateClusterState(0, fleet.state(i, 0, 0))
 				p.UpdateClusterState(time.Second, world(i, 0, 0))
 			}
 			const starts = 40 * time.Second
-			for i, p := range f.pickers {
+			for i, p := range fleet.pickers {
 				p.UpdateClusterState(starts, world(i, 1, warmUpDuration))
 			}
-			f.sendAll(starts, starts+warmUpDuration, 10*time.Millisecond, nil)
-			f.checkBound(t)
+			fleet.sendAll(starts, starts+warmUpDuration, 10*time.Millisecond, nil)
+			fleet.checkBound(t)
 		})
 	}
 }
@@ -102,13 +102,13 @@
 // can show by then (PROTOCOL: it may become cold again at any moment). The state before had ended 1.8 s earlier.
 func TestUnseenWarmUpIsNoViolation(t *testing.T) {
 	const again, request, told = 4800 * time.Millisecond, 5 * time.Second, 5600 * time.Millisecond
-	f := newWarmUpFleet(1)
-	p := f.pickers[0]
+	fleet := newWarmUpFleet(1)
+	p := fleet.pickers[0]
 	before := warmUpEndInvariant.Violations()
-	p.UpdateClusterState(0, f.state(0, 1, warmUpDuration))
-	f.sendAll(0, warmUpDuration, 10*time.Millisecond, nil)
-	f.sendAll(request, request+10*time.Millisecond, 10*time.Millisecond, nil)
-	w := f.state(0, 1, again+warmUpDuration-told)
+	p.UpdateClusterState(0, fleet.state(0, 1, warmUpDuration))
+	fleet.sendAll(0, warmUpDuration, 10*time.Millisecond, nil)
+	fleet.sendAll(request, request+10*time.Millisecond, 10*time.Millisecond, nil)
+	w := fleet.state(0, 1, again+warmUpDuration-told)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(told, w)
 	if warmUpEndInvariant.Violations() != before {
@@ -119,21 +119,21 @@
 // TestRateChangedForAMomentIsNoViolation: the configuration names a higher cold_per_s for a moment and is put back, while requests went
 // elsewhere; what was saved up under it is no more than one request.
 func TestRateChangedForAMomentIsNoViolation(t *testing.T) {
-	f := newWarmUpFleet(1)
-	p := f.pickers[0]
+	fleet := newWarmUpFleet(1)
+	p := fleet.pickers[0]
 	before := warmUpRateInvariant.Violations()
 	tell := func(now Time, rate float64) {
-		w := f.state(0, 1, 10*time.Second-now)
-		w.Config = &config.Config{Routes: f.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate, WarmUpTime: 10 * time.Second}}}
+		w := fleet.state(0, 1, 10*time.Second-now)
+		w.Config = &config.Config{Routes: fleet.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRate: rate, WarmUpTime: 10 * time.Second}}}
 		p.UpdateClusterState(now, w)
 	}
 	tell(0, 3.1)
-	f.sendAll(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last goes at 2.9 s
-	n := f.sent[len(f.sent)-1]
+	fleet.sendAll(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last goes at 2.9 s
+	n := fleet.sent[len(fleet.sent)-1]
 	tell(n+10*time.Millisecond, 310)
 	p.eligibility(&pickInput{now: n + 20*time.Millisecond}, p.servers["s0"]) // it is looked at, and the request goes to another
 	tell(n+30*time.Millisecond, 3.1)
-	f.sendAll(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
+	fleet.sendAll(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
 	if warmUpRateInvariant.Violations() != before {
 		t.Error("counted as a fault")
 	}
@@ -179,28 +179,28 @@
 func TestStaleMinorityOfSeventeenSends(t *testing.T) {
 	for _, c := range []struct{ all, minority int }{{93, 15}, {93, 17}, {93, 20}, {30, 14}, {24, 8}, {20, 5}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			f := newWarmUpFleet(c.all)
-			for i, p := range f.pickers {
-				p.UpdateClusterState(0, f.state(i, 0, 0))
+			fleet := newWarmUpFleet(c.all)
+			for i, p := range fleet.pickers {
+				p.UpdateClusterState(0, fleet.state(i, 0, 0))
 			}
 			world := func(i, servers int, cold time.Duration) ClusterState {
-				w := f.state(i, servers, cold)
+				w := fleet.state(i, servers, cold)
 				if i < c.minority {
-					w.Peers, w.Stale = f.names[:c.minority], true
+					w.Peers, w.Stale = fleet.names[:c.minority], true
 				} else {
-					w.Peers = f.names[c.minority:]
+					w.Peers = fleet.names[c.minority:]
 				}
 				return w
 			}
 			const split, starts = 5 * time.Second, 10 * time.Second
-			for i, p := range f.pickers {
+			for i, p := range fleet.pickers {
 				p.UpdateClusterState(split, world(i, 0, 0))
 			}
-			for i, p := range f.pickers {
+			for i, p := range fleet.pickers {
 				p.UpdateClusterState(starts, world(i, 1, warmUpDuration))
 			}
-			f.sendAll(starts+800*time.Millisecond, starts+warmUpDuration, 10*time.Millisecond, nil)
-			f.checkBound(t)
+			fleet.sendAll(starts+800*time.Millisecond, starts+warmUpDuration, 10*time.Millisecond, nil)
+			fleet.checkBound(t)
 		})
 	}
 }
--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// splitSenders has all proxies know a cold server, and names some that hold it, by number, and all the others.
+// splitSenders has all proxies know a warming server, and names some of its senders, by number, and all the others.
 func (f *warmUpFleet) splitSenders(count int) (lost map[int]bool, left []string) {
 	lost = map[int]bool{}
 	for i, p := range f.pickers {
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the keepers, but not the server. Danger: the
+// TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the control plane, but not the server. Danger: the
 // others' parts grow at once though the 9 go on.
 func TestQuietTimeKeepsQuotasSmall(t *testing.T) {
 	f := newWarmUpFleet(12)
@@ -118,17 +118,17 @@
 	}
 }
 
-// TestReplacedSendersStop: of 60 proxies some that hold a cold server are given up by the others, which take their places, while
+// TestReplacedSendersStop: of 60 proxies some senders of a warming server are given up by the others, which take their places, while
 // they live on. They stop once they are stale.
 func TestReplacedSendersStop(t *testing.T) {
 	const givenUp, stale = 2 * time.Second, 1600 * time.Millisecond
 	for _, count := range []int{3, 4, 6, 9, 17} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
-			f := newWarmUpFleet(60)
-			lost, left := f.splitSenders(count)
-			f.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
-				for i, p := range f.pickers {
-					w := f.state(i, 1, time.Minute-now)
+			fleet := newWarmUpFleet(60)
+			lost, left := fleet.splitSenders(count)
+			fleet.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
+				for i, p := range fleet.pickers {
+					w := fleet.state(i, 1, time.Minute-now)
 					switch {
 					case now == givenUp && !lost[i]:
 						w.Peers = left
@@ -139,7 +139,7 @@
 					}
 				}
 			})
-			f.checkBound(t)
+			fleet.checkBound(t)
 		})
 	}
 }
--- a/internal/system/proxy/pick/warmup_senders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestLateConnectionsKeepTheRate: a request to a cold server is chosen, and sent up to warmUpSendTimeout later, as its connection takes that
+// TestLateConnectionsKeepTheRate: a request to a warming server is chosen, and sent up to warmUpSendTimeout later, as its connection takes that
 // long. What was chosen in that time and a second is then sent within one.
 func TestLateConnectionsKeepTheRate(t *testing.T) {
 	const dial = warmUpSendTimeout
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestServiceConfiguredAgainDelaysSuccessors: of 60 proxies the 17 that hold a cold server are given up by the others, while the configuration does not
+// TestServiceConfiguredAgainDelaysSuccessors: of 60 proxies the 17 senders of a warming server are given up by the others, while the configuration does not
 // name its service for 2.1 s; those cut off have not heard of that. It is named again before they have stopped.
 func TestServiceConfiguredAgainDelaysSuccessors(t *testing.T) {
 	const without, givenUp, again, stale = time.Second, 3 * time.Second, 3100 * time.Millisecond, 4500 * time.Millisecond
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestHalfRestartedFleetKeepsTheRate: the machines are cut into two halves, and all processes of the larger one start anew, with its keepers, which then know the
+// TestHalfRestartedFleetKeepsTheRate: the machines are cut into two halves, and all processes of the larger one start anew, control plane included, which then knows the
 // proxies of that half alone. Those in the smaller one are stale and go on.
 func TestHalfRestartedFleetKeepsTheRate(t *testing.T) {
 	for _, smaller := range []int{1, 2, 3, 4, 5, 6} {
