--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -95,25 +95,25 @@
 // TestIncompleteMembershipSendsNothing: all processes start anew, and each half of them knows only itself as the keepers' tables are not
 // whole yet. Danger: either half takes the whole pace, and each proxy a part of the repeats that is too large.
 func TestIncompleteMembershipSendsNothing(t *testing.T) {
-	f := newWarmUpFleet(12)
-	for i, p := range f.pickers {
-		w := f.state(i, 1, time.Minute)
-		w.Peers, w.MembershipIncomplete = f.names[i/6*6:i/6*6+6], true
+	fleet := newWarmUpFleet(12)
+	for i, p := range fleet.pickers {
+		w := fleet.state(i, 1, time.Minute)
+		w.Peers, w.MembershipIncomplete = fleet.names[i/6*6:i/6*6+6], true
 		p.UpdateClusterState(0, w)
 		if got := p.retrySlack(); got > 0 {
 			t.Errorf("%v repeats beside the ratio, of a number that is not known", got)
 		}
 	}
-	f.sendAll(0, 4*time.Second, 10*time.Millisecond, nil)
-	if len(f.sent) > 0 {
-		t.Errorf("%d requests to a cold server whose holders are not known", len(f.sent))
+	fleet.sendAll(0, 4*time.Second, 10*time.Millisecond, nil)
+	if len(fleet.sent) > 0 {
+		t.Errorf("%d requests to a cold server whose holders are not known", len(fleet.sent))
 	}
-	for i, p := range f.pickers {
-		p.UpdateClusterState(4*time.Second, f.state(i, 1, time.Minute))
+	for i, p := range fleet.pickers {
+		p.UpdateClusterState(4*time.Second, fleet.state(i, 1, time.Minute))
 	}
-	f.sendAll(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
-	f.checkBound(t)
-	if len(f.sent) == 0 {
+	fleet.sendAll(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
+	fleet.checkBound(t)
+	if len(fleet.sent) == 0 {
 		t.Error("nothing went to a cold server whose holders are known")
 	}
 }
@@ -147,18 +147,18 @@
 // TestNewServerHasSendersAtOnce: where the proxies have long known each other, a server that starts cold gets its pace from the
 // beginning; a proxy that has just come waits.
 func TestNewServerHasSendersAtOnce(t *testing.T) {
-	f := newWarmUpFleet(12)
-	for i, p := range f.pickers {
-		p.UpdateClusterState(0, f.state(i, 0, 0))
+	fleet := newWarmUpFleet(12)
+	for i, p := range fleet.pickers {
+		p.UpdateClusterState(0, fleet.state(i, 0, 0))
 	}
 	const starts = 10 * time.Second
-	for i, p := range f.pickers {
-		p.UpdateClusterState(starts, f.state(i, 1, warmUpDuration))
+	for i, p := range fleet.pickers {
+		p.UpdateClusterState(starts, fleet.state(i, 1, warmUpDuration))
 	}
-	f.sendAll(starts, starts+time.Second, 10*time.Millisecond, nil)
-	f.checkBound(t)
-	if len(f.sent) < 20 {
-		t.Errorf("%d requests in the first second, of a pace of 26", len(f.sent))
+	fleet.sendAll(starts, starts+time.Second, 10*time.Millisecond, nil)
+	fleet.checkBound(t)
+	if len(fleet.sent) < 20 {
+		t.Errorf("%d requests in the first second, of a pace of 26", len(fleet.sent))
 	}
 	late := newWarmUpFleet(12)
 	late.pickers = late.pickers[:1]
--- a/internal/system/proxy/pick/warmup_senders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -94,20 +94,20 @@
 func TestHalfRestartedFleetKeepsTheRate(t *testing.T) {
 	for _, smaller := range []int{1, 2, 3, 4, 5, 6} {
 		t.Run(fmt.Sprint(smaller), func(t *testing.T) {
-			f := newWarmUpFleet(12)
+			fleet := newWarmUpFleet(12)
 			const starts = 10 * time.Second
-			for i, p := range f.pickers {
-				w := f.state(i, 1, time.Minute)
+			for i, p := range fleet.pickers {
+				w := fleet.state(i, 1, time.Minute)
 				if i < smaller {
-					p.UpdateClusterState(0, f.state(i, 1, time.Minute))
-					w.Peers, w.Stale = f.names[:smaller], true
+					p.UpdateClusterState(0, fleet.state(i, 1, time.Minute))
+					w.Peers, w.Stale = fleet.names[:smaller], true
 				} else {
-					w.Peers = f.names[smaller:]
+					w.Peers = fleet.names[smaller:]
 				}
 				p.UpdateClusterState(starts, w)
 			}
-			f.sendAll(starts, starts+5*time.Second, 10*time.Millisecond, nil)
-			f.checkBound(t)
+			fleet.sendAll(starts, starts+5*time.Second, 10*time.Millisecond, nil)
+			fleet.checkBound(t)
 		})
 	}
 }
