--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// splitSenders has all proxies know a cold server, and names some that hold it, by number, and all the others.
+// splitSenders has all proxies know a warming server, and names some of its senders, by number, and all the others.
 func (f *warmUpFleet) splitSenders(count int) (lost map[int]bool, left []string) {
 	lost = map[int]bool{}
 	for i, p := range f.pickers {
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the keepers, but not the server. Danger: the
+// TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the control plane, but not the server. Danger: the
 // others' parts grow at once though the 9 go on.
 func TestQuietTimeKeepsQuotasSmall(t *testing.T) {
 	f := newWarmUpFleet(12)
@@ -95,40 +95,40 @@
 // TestIncompleteMembershipSendsNothing: all processes start anew, and each half of them knows only itself as the keepers' tables are not
 // whole yet. Danger: either half takes the whole pace, and each proxy a part of the repeats that is too large.
 func TestIncompleteMembershipSendsNothing(t *testing.T) {
-	f := newWarmUpFleet(12)
-	for i, p := range f.pickers {
-		w := f.state(i, 1, time.Minute)
-		w.Peers, w.MembershipIncomplete = f.names[i/6*6:i/6*6+6], true
+	fleet := newWarmUpFleet(12)
+	for i, p := range fleet.pickers {
+		w := fleet.state(i, 1, time.Minute)
+		w.Peers, w.MembershipIncomplete = fleet.names[i/6*6:i/6*6+6], true
 		p.UpdateClusterState(0, w)
 		if got := p.retrySlack(); got > 0 {
 			t.Errorf("%v repeats beside the ratio, of a number that is not known", got)
 		}
 	}
-	f.sendAll(0, 4*time.Second, 10*time.Millisecond, nil)
-	if len(f.sent) > 0 {
-		t.Errorf("%d requests to a cold server whose holders are not known", len(f.sent))
+	fleet.sendAll(0, 4*time.Second, 10*time.Millisecond, nil)
+	if len(fleet.sent) > 0 {
+		t.Errorf("%d requests to a cold server whose holders are not known", len(fleet.sent))
 	}
-	for i, p := range f.pickers {
-		p.UpdateClusterState(4*time.Second, f.state(i, 1, time.Minute))
+	for i, p := range fleet.pickers {
+		p.UpdateClusterState(4*time.Second, fleet.state(i, 1, time.Minute))
 	}
-	f.sendAll(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
-	f.checkBound(t)
-	if len(f.sent) == 0 {
+	fleet.sendAll(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
+	fleet.checkBound(t)
+	if len(fleet.sent) == 0 {
 		t.Error("nothing went to a cold server whose holders are known")
 	}
 }
 
-// TestReplacedSendersStop: of 60 proxies some that hold a cold server are given up by the others, which take their places, while
+// TestReplacedSendersStop: of 60 proxies some senders of a warming server are given up by the others, which take their places, while
 // they live on. They stop once they are stale.
 func TestReplacedSendersStop(t *testing.T) {
 	const givenUp, stale = 2 * time.Second, 1600 * time.Millisecond
 	for _, count := range []int{3, 4, 6, 9, 17} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
-			f := newWarmUpFleet(60)
-			lost, left := f.splitSenders(count)
-			f.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
-				for i, p := range f.pickers {
-					w := f.state(i, 1, time.Minute-now)
+			fleet := newWarmUpFleet(60)
+			lost, left := fleet.splitSenders(count)
+			fleet.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
+				for i, p := range fleet.pickers {
+					w := fleet.state(i, 1, time.Minute-now)
 					switch {
 					case now == givenUp && !lost[i]:
 						w.Peers = left
@@ -139,7 +139,7 @@
 					}
 				}
 			})
-			f.checkBound(t)
+			fleet.checkBound(t)
 		})
 	}
 }
@@ -147,18 +147,18 @@
 // TestNewServerHasSendersAtOnce: where the proxies have long known each other, a server that starts cold gets its pace from the
 // beginning; a proxy that has just come waits.
 func TestNewServerHasSendersAtOnce(t *testing.T) {
-	f := newWarmUpFleet(12)
-	for i, p := range f.pickers {
-		p.UpdateClusterState(0, f.state(i, 0, 0))
+	fleet := newWarmUpFleet(12)
+	for i, p := range fleet.pickers {
+		p.UpdateClusterState(0, fleet.state(i, 0, 0))
 	}
 	const starts = 10 * time.Second
-	for i, p := range f.pickers {
-		p.UpdateClusterState(starts, f.state(i, 1, warmUpDuration))
+	for i, p := range fleet.pickers {
+		p.UpdateClusterState(starts, fleet.state(i, 1, warmUpDuration))
 	}
-	f.sendAll(starts, starts+time.Second, 10*time.Millisecond, nil)
-	f.checkBound(t)
-	if len(f.sent) < 20 {
-		t.Errorf("%d requests in the first second, of a pace of 26", len(f.sent))
+	fleet.sendAll(starts, starts+time.Second, 10*time.Millisecond, nil)
+	fleet.checkBound(t)
+	if len(fleet.sent) < 20 {
+		t.Errorf("%d requests in the first second, of a pace of 26", len(fleet.sent))
 	}
 	late := newWarmUpFleet(12)
 	late.pickers = late.pickers[:1]
