--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -62,7 +62,7 @@
 func (p *player) beginFault(m testcluster.Machine, keeper bool, kind string) (end func()) {
 	t := rules.Fault{Kind: kind, At: p.Now()}
 	if keeper {
-		t.Keeper, t.Machine = m.Disk, m.IP
+		t.ControlPlane, t.Machine = m.Disk, m.IP
 	} else {
 		t.Proxy = p.Fleet.Front(m)
 	}
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -54,11 +54,11 @@
 func TestWakePlans(t *testing.T) {
 	for _, form := range []Waking{WakeOne, WakeCut, WakeTwo} {
 		scene := NewWakeScenario(1)
-		p, cut := Wake(1, form, scene), form == WakeCut
+		plan, cut := Wake(1, form, scene), form == WakeCut
 		at := map[Kind]Fault{}
-		for _, one := range p.Faults {
+		for _, one := range plan.Faults {
 			at[one.Kind] = one
-			if one.end() > p.For {
+			if one.end() > plan.For {
 				t.Errorf("%v ends too late", one)
 			}
 		}
@@ -70,8 +70,8 @@
 		if wait := scene.Kinds[question].Deadline; wait <= pause.Length {
 			t.Errorf("clients wait %v: %v", wait, pause)
 		}
-		if _, killed := at[KillProxy]; killed == (form == WakeTwo) || len(p.Faults) != map[Waking]int{WakeOne: 3, WakeCut: 4, WakeTwo: 3}[form] {
-			t.Errorf("%s: %v", form, p.Faults)
+		if _, killed := at[KillProxy]; killed == (form == WakeTwo) || len(plan.Faults) != map[Waking]int{WakeOne: 3, WakeCut: 4, WakeTwo: 3}[form] {
+			t.Errorf("%s: %v", form, plan.Faults)
 		}
 		if c, ok := at[PartitionProxy]; ok != cut || cut && (c.Target != pause.Target || c.Start > pause.end() || c.end() != pause.end()+cutAfter) {
 			t.Errorf("cut: %v, %v", ok, c)
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestTroubleLine(t *testing.T) {
+func TestFaultString(t *testing.T) {
 	one := Fault{Kind: RestartZoneDuringEvacuation, Target: "a", Other: "b", Start: time.Second, Length: 2 * time.Second, Down: time.Second}
 	if got, want := one.String(), " 1.000 s to  3.000 s  cold return while the other zone is evacuated: a, evacuated: b, down 1s"; got != want {
 		t.Errorf("%q, want %q", got, want)
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -21,8 +21,8 @@
 	return &player{Run: &testcluster.Run{Environment: &testcluster.Environment{Evidence: evidence}}, plan: &Plan{Seed: 7, For: MinDuration}, broken: []string{}}
 }
 
-// TestJudgeNamesWhatBroke: each kind of fault ends a seed as broken, under its name. Danger: one that is seen and not told.
-func TestJudgeNamesWhatBroke(t *testing.T) {
+// TestEvaluateNamesFailures: each kind of fault ends a seed as broken, under its name. Danger: one that is seen and not told.
+func TestEvaluateNamesFailures(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		report testcluster.Report
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestJudgeTellsFloods: the figures of servers that warm up are those that FAILBACK goes by.
-func TestJudgeTellsFloods(t *testing.T) {
+// TestEvaluateReportsFloods: the figures of servers that warm up are those that FAILBACK goes by.
+func TestEvaluateReportsFloods(t *testing.T) {
 	p := judged()
 	flood := int(20*p.Evidence.Bounds.ColdExcess+p.Evidence.Bounds.ColdSlack) + 1
 	for i := range flood {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestSettled: a seed is not over while no control-plane node is current, or while an evacuation is held that was taken back.
-func TestSettled(t *testing.T) {
+// TestCheckSettled: a seed is not over while no control-plane node is current, or while an evacuation is held that was taken back.
+func TestCheckSettled(t *testing.T) {
 	var status admin.NodeStatus
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if err := json.NewEncoder(w).Encode(status); err != nil {
--- a/internal/lab/testcluster/faulty_proxy_test.go
+++ b/internal/lab/testcluster/faulty_proxy_test.go
@@ -20,7 +20,7 @@
 )
 
 // faultyProxy is a proxy, directory and control-plane node in one that breaks a rule on purpose.
-type crooked struct {
+type faultyProxy struct {
 	w       *Environment
 	front   *httptest.Server
 	keeper  *httptest.Server
@@ -34,7 +34,7 @@
 }
 
 // ServeHTTP implements http.Handler for clients.
-func (c *crooked) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *faultyProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/resolve" {
 		fmt.Fprintf(w, `{"addresses":[%q],"ttl_s":2}`, c.front.Listener.Addr())
 		return
@@ -75,7 +75,7 @@
 }
 
 // operate answers the operator.
-func (c *crooked) operate(w http.ResponseWriter, r *http.Request) {
+func (c *faultyProxy) operate(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if r.URL.Path == "/Config.Read" {
@@ -88,17 +88,17 @@
 }
 
 // server finds one of a service in a region.
-func (c *crooked) server(service, region string) *Server {
+func (c *faultyProxy) server(service, region string) *Server {
 	return c.w.Servers[slices.IndexFunc(c.w.Servers, func(s *Server) bool { return s.Service == service && s.Region == region })]
 }
 
 // startCrooked gives a proxy that breaks nothing yet, and bounds that allow no time for anything.
-func startCrooked(t *testing.T) *crooked {
+func startCrooked(t *testing.T) *faultyProxy {
 	t.Helper()
 	scene := SmallScenario(1)
 	scene.Bounds.Drain, scene.Bounds.Evacuate, scene.Bounds.ConfigApply, scene.Bounds.RetrySlack = 0, 0, 0, 2
 	scene.Config.Routes[2].Homes = []string{"north"}
-	c := &crooked{client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+	c := &faultyProxy{client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
 	c.front = httptest.NewServer(c)
 	c.keeper = httptest.NewServer(http.HandlerFunc(c.operate))
 	quick := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 500 * time.Microsecond, PrefillRate: 5000, Chunk: 5000}
@@ -138,13 +138,13 @@
 }
 
 // play has clients send n requests of every kind, and gives the rules that were broken.
-func (c *crooked) play(t *testing.T, n int) []string {
+func (c *faultyProxy) play(t *testing.T, n int) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	e := c.w.traffic.pools[0]
-	c.w.traffic.running.Go(func() { e.run(ctx) })
+	pool := c.w.traffic.pools[0]
+	c.w.traffic.running.Go(func() { pool.run(ctx) })
 	select {
-	case <-e.resolvedOnce:
+	case <-pool.resolvedOnce:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the directory does not answer")
 	}
@@ -152,13 +152,13 @@
 	var wait sync.WaitGroup
 	for range n {
 		for _, k := range c.w.traffic.Kinds {
-			wait.Go(c.w.traffic.newRequest(k, e, rng).run)
+			wait.Go(c.w.traffic.newRequest(k, pool, rng).run)
 		}
 	}
 	wait.Wait()
 	cancel()
 	c.w.traffic.running.Wait()
-	e.closeAll()
+	pool.closeAll()
 	var err error
 	if c.w.Evidence.Read, err = c.w.Operator.Read(t.Context()); err != nil {
 		t.Fatal(err)
@@ -195,21 +195,21 @@
 	}
 }
 
-// TestCrookedProxies: what clients and servers note on their sockets is enough to see each deed. Danger: evidence that is
+// TestFaultyProxiesAreDetected: what clients and servers note on their sockets is enough to see each deed. Danger: evidence that is
 // never gathered.
-func TestCrookedProxies(t *testing.T) {
-	for _, d := range []struct {
+func TestFaultyProxiesAreDetected(t *testing.T) {
+	for _, defect := range []struct {
 		name, broken string
-		deed         func(t *testing.T, c *crooked)
+		deed         func(t *testing.T, c *faultyProxy)
 	}{
-		{"honest", "", func(*testing.T, *crooked) {}},
-		{"strips the seal", "MIXED", func(_ *testing.T, c *crooked) {
+		{"honest", "", func(*testing.T, *faultyProxy) {}},
+		{"strips the seal", "MIXED", func(_ *testing.T, c *faultyProxy) {
 			c.answer = func(_ http.ResponseWriter, resp *http.Response) bool {
 				resp.Header.Del("X-Server-Seal")
 				return false
 			}
 		}},
-		{"changes a body", "MIXED", func(_ *testing.T, c *crooked) {
+		{"changes a body", "MIXED", func(_ *testing.T, c *faultyProxy) {
 			c.answer = func(w http.ResponseWriter, resp *http.Response) bool {
 				if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/plain") {
 					pass(w, resp, io.MultiReader(io.LimitReader(resp.Body, 20), strings.NewReader("!"), resp.Body))
@@ -218,7 +218,7 @@
 				return false
 			}
 		}},
-		{"sends more after the answer", "MIXED", func(t *testing.T, c *crooked) {
+		{"sends more after the answer", "MIXED", func(t *testing.T, c *faultyProxy) {
 			c.answer = func(w http.ResponseWriter, resp *http.Response) bool {
 				conn, _, err := w.(http.Hijacker).Hijack()
 				if err != nil {
@@ -232,32 +232,32 @@
 			c.service = func(string) *Server { return c.server(thumbService, "north") }
 			c.w.traffic.Kinds = c.w.traffic.Kinds[2:]
 		}},
-		{"changes a request", "UNASKED", func(_ *testing.T, c *crooked) {
+		{"changes a request", "UNASKED", func(_ *testing.T, c *faultyProxy) {
 			c.request = func(_ *http.Request, body []byte) []byte { return append(body, '!') }
 		}},
-		{"smuggles", "MIXED UNASKED ORDER", func(_ *testing.T, c *crooked) {
+		{"smuggles", "MIXED UNASKED ORDER", func(_ *testing.T, c *faultyProxy) {
 			c.request = func(r *http.Request, body []byte) []byte {
 				r.Header.Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id")+"0")
 				return body
 			}
 		}},
-		{"sends twice", "TWICE BUDGET", func(_ *testing.T, c *crooked) { c.times = 2 }},
-		{"breaks its promise", "REFUSED", func(_ *testing.T, c *crooked) {
+		{"sends twice", "TWICE BUDGET", func(_ *testing.T, c *faultyProxy) { c.times = 2 }},
+		{"breaks its promise", "REFUSED", func(_ *testing.T, c *faultyProxy) {
 			c.answer = func(w http.ResponseWriter, _ *http.Response) bool {
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return true
 			}
 		}},
-		{"knows no route", "DENIED CONFIG", func(_ *testing.T, c *crooked) {
+		{"knows no route", "DENIED CONFIG", func(_ *testing.T, c *faultyProxy) {
 			c.answer = func(w http.ResponseWriter, _ *http.Response) bool {
 				w.WriteHeader(http.StatusNotFound)
 				return true
 			}
 		}},
-		{"sends to another service", "ROUTE CONFIG", func(_ *testing.T, c *crooked) {
+		{"sends to another service", "ROUTE CONFIG", func(_ *testing.T, c *faultyProxy) {
 			c.service = func(string) *Server { return c.server(modelService, "north") }
 		}},
-		{"sends abroad", "HOME", func(_ *testing.T, c *crooked) {
+		{"sends abroad", "HOME", func(_ *testing.T, c *faultyProxy) {
 			c.service = func(path string) *Server {
 				if strings.HasPrefix(path, "/thumb/") {
 					return c.server(thumbService, "south")
@@ -265,18 +265,18 @@
 				return c.server(modelService, "south")
 			}
 		}},
-		{"drops an event", "ORDER", func(_ *testing.T, c *crooked) { c.answer = without(func(i, _ int) bool { return i == 1 }) }},
-		{"ends a stream early", "ORDER", func(_ *testing.T, c *crooked) { c.answer = without(func(i, n int) bool { return i == n-1 }) }},
-		{"sends to a draining server", "DRAIN", func(_ *testing.T, c *crooked) {
+		{"drops an event", "ORDER", func(_ *testing.T, c *faultyProxy) { c.answer = without(func(i, _ int) bool { return i == 1 }) }},
+		{"ends a stream early", "ORDER", func(_ *testing.T, c *faultyProxy) { c.answer = without(func(i, n int) bool { return i == n-1 }) }},
+		{"sends to a draining server", "DRAIN", func(_ *testing.T, c *faultyProxy) {
 			c.server(modelService, "north").Drain()
 			c.w.Platform.Observe()
 		}},
-		{"sends to an evacuated zone", "EVAC", func(t *testing.T, c *crooked) {
+		{"sends to an evacuated zone", "EVAC", func(t *testing.T, c *faultyProxy) {
 			if err := c.w.Operator.Evacuate(t.Context(), "north-a", true); err != nil {
 				t.Error(err)
 			}
 		}},
-		{"floods a cold server", "FAILBACK", func(t *testing.T, c *crooked) {
+		{"floods a cold server", "FAILBACK", func(t *testing.T, c *faultyProxy) {
 			s := c.server(modelService, "north")
 			s.Stop()
 			s.WarmUp, s.WarmUpPerSecond, s.WarmUpCrashFactor = time.Hour, 2, 100
@@ -284,11 +284,11 @@
 				t.Error(err)
 			}
 		}},
-		{"cuts at its end", "LOST", func(_ *testing.T, c *crooked) {
+		{"cuts at its end", "LOST", func(_ *testing.T, c *faultyProxy) {
 			c.w.Evidence.RecordFault(rules.Fault{Proxy: c.front.Listener.Addr().String(), Kind: "term", At: c.w.Now()})
 			c.answer = func(http.ResponseWriter, *http.Response) bool { panic(http.ErrAbortHandler) }
 		}},
-		{"loses the configuration", "CONFIG", func(_ *testing.T, c *crooked) {
+		{"loses the configuration", "CONFIG", func(_ *testing.T, c *faultyProxy) {
 			older, err := json.Marshal(&rules.Config{Revision: 0})
 			if err != nil {
 				panic(err)
@@ -298,12 +298,12 @@
 			c.config = older
 		}},
 	} {
-		t.Run(d.name, func(t *testing.T) {
+		t.Run(defect.name, func(t *testing.T) {
 			t.Parallel()
 			c := startCrooked(t)
-			d.deed(t, c)
+			defect.deed(t, c)
 			got := c.play(t, 6)
-			if want := strings.Fields(d.broken); !slices.Equal(got, want) {
+			if want := strings.Fields(defect.broken); !slices.Equal(got, want) {
 				t.Errorf("broken %v, want %v", got, want)
 			}
 		})
--- a/internal/lab/testcluster/links_test.go
+++ b/internal/lab/testcluster/links_test.go
@@ -98,35 +98,35 @@
 	}
 }
 
-func TestRelayLeadsBothWays(t *testing.T) {
+func TestRelayForwardsBothWays(t *testing.T) {
 	over := link.New()
-	c := relayTo(t, echo(t), over)
-	say(t, c, "one\n")
-	hear(t, c, "one\n")
+	client := relayTo(t, echo(t), over)
+	say(t, client, "one\n")
+	hear(t, client, "one\n")
 	const delay = 20 * time.Millisecond
 	over.Set(link.State{Delay: delay})
 	start := time.Now()
-	say(t, c, "two\n")
-	hear(t, c, "two\n")
+	say(t, client, "two\n")
+	hear(t, client, "two\n")
 	if took := time.Since(start); took < 2*delay {
 		t.Errorf("there and back took %v", took)
 	}
 	over.Set(link.State{Hold: [2]bool{link.ToNear: true}})
-	say(t, c, "three\n")
-	if err := c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+	say(t, client, "three\n")
+	if err := client.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := c.Read(make([]byte, 1)); err == nil {
+	if n, err := client.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes came over a link that holds them back", n)
 	}
-	if err := c.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
+	if err := client.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
 		t.Fatal(err)
 	}
 	over.Set(link.State{})
-	hear(t, c, "three\n")
+	hear(t, client, "three\n")
 }
 
-func TestRelayPassesResetsOn(t *testing.T) {
+func TestRelayForwardsResets(t *testing.T) {
 	c := relayTo(t, echo(t), link.New())
 	say(t, c, "one\n")
 	hear(t, c, "one\n")
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestPacketsAreLedOn(t *testing.T) {
+func TestPacketsAreForwarded(t *testing.T) {
 	to, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -183,33 +183,33 @@
 	}
 }
 
-// TestLinksAddTroubles: what lies on a link is the sum of its length and of all faults, and goes with each.
-func TestLinksAddTroubles(t *testing.T) {
-	n := NewLinks(30*time.Millisecond, time.Millisecond)
-	near, far := n.linkFor(Path{"a", "b"}, false), n.linkFor(Path{"a", "c"}, true)
+// TestLinksAddFaults: what lies on a link is the sum of its length and of all faults, and goes with each.
+func TestLinksAddFaults(t *testing.T) {
+	links := NewLinks(30*time.Millisecond, time.Millisecond)
+	near, far := links.linkFor(Path{"a", "b"}, false), links.linkFor(Path{"a", "c"}, true)
 	all := func(Path) bool { return true }
-	is := func(what string, l *link.Link, want link.State) {
+	expect := func(what string, l *link.Link, want link.State) {
 		t.Helper()
 		if s, _ := l.State(); s != want {
 			t.Errorf("%s: %+v, want %+v", what, s, want)
 		}
 	}
 	length := link.State{Delay: 30 * time.Millisecond, Jitter: time.Millisecond}
-	is("near", near, link.State{})
-	is("far", far, length)
-	healSlow := n.Inject(all, link.State{Delay: 10 * time.Millisecond})
-	healCut := n.Inject(func(p Path) bool { return p.To == "c" }, link.State{Hold: [2]bool{link.ToFar: true}})
-	is("near, slow", near, link.State{Delay: 10 * time.Millisecond})
-	is("far, slow and cut", far, link.State{Delay: 40 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
+	expect("near", near, link.State{})
+	expect("far", far, length)
+	healSlow := links.Inject(all, link.State{Delay: 10 * time.Millisecond})
+	healCut := links.Inject(func(p Path) bool { return p.To == "c" }, link.State{Hold: [2]bool{link.ToFar: true}})
+	expect("near, slow", near, link.State{Delay: 10 * time.Millisecond})
+	expect("far, slow and cut", far, link.State{Delay: 40 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
 	healSlow()
-	is("far, cut", far, link.State{Delay: 30 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
+	expect("far, cut", far, link.State{Delay: 30 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
 	healCut()
-	is("far, healed", far, length)
-	is("near, healed", near, link.State{})
+	expect("far, healed", far, length)
+	expect("near, healed", near, link.State{})
 }
 
-// TestLinksHavePathsOfTheirOwn: everybody calls control-plane nodes and proxies call each other, each over a link of its own.
-func TestLinksHavePathsOfTheirOwn(t *testing.T) {
+// TestLinksHaveSeparatePaths: everybody calls control-plane nodes and proxies call each other, each over a link of its own.
+func TestLinksHaveSeparatePaths(t *testing.T) {
 	scene := SmallScenario(1)
 	ports, err := FreePorts(scene.Machines)
 	if err != nil {
--- a/internal/lab/testcluster/list_test.go
+++ b/internal/lab/testcluster/list_test.go
@@ -48,12 +48,12 @@
 }
 
 func TestListPages(t *testing.T) {
-	p := newTestPlatform()
-	p.Rate = 100
+	platform := newTestPlatform()
+	platform.Rate = 100
 	for i := range 5 {
-		p.stand = append(p.stand, Instance{ID: fmt.Sprint("i-", i), Zone: []string{"a", "b"}[i%2]})
+		platform.stand = append(platform.stand, Instance{ID: fmt.Sprint("i-", i), Zone: []string{"a", "b"}[i%2]})
 	}
-	p.Observe()
+	platform.Observe()
 	for _, c := range []struct{ query, ids, next string }{
 		{"", "[i-0 i-1]", "p-2"},
 		{"?page_token=p-2", "[i-2 i-3]", "p-4"},
@@ -63,66 +63,66 @@
 		{"?zone=none", "[]", ""},
 		{"?page_token=p-99", "[]", ""},
 	} {
-		if _, ids, next := p.get(t, c.query); fmt.Sprint(ids) != c.ids || next != c.next {
+		if _, ids, next := platform.get(t, c.query); fmt.Sprint(ids) != c.ids || next != c.next {
 			t.Errorf("%q gave %v and %q, want %s and %q", c.query, ids, next, c.ids, c.next)
 		}
 	}
 }
 
-// TestListTellsColdOfNow: that a server is cold shows as late as all else; how long it is so is told as of the answer.
-func TestListTellsColdOfNow(t *testing.T) {
-	p := newTestPlatform()
-	p.Rate = 100
+// TestListReportsCurrentWarmUp: that a server is cold shows as late as all else; how long it is so is told as of the answer.
+func TestListReportsCurrentWarmUp(t *testing.T) {
+	platform := newTestPlatform()
+	platform.Rate = 100
 	cold := func() int64 {
 		w := httptest.NewRecorder()
-		p.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/instances", nil))
+		platform.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/instances", nil))
 		var page struct{ Instances []Instance }
 		if err := json.Unmarshal(w.Body.Bytes(), &page); err != nil || len(page.Instances) != 1 {
 			t.Fatalf("%s: %v", w.Body.String(), err)
 		}
 		return page.Instances[0].WarmUpLeftMS
 	}
-	p.stand = []Instance{{ID: "i"}}
-	p.Observe()
-	p.at = time.Second
-	p.stand = []Instance{{ID: "i", warmUntil: 4 * time.Second}}
-	p.Observe()
+	platform.stand = []Instance{{ID: "i"}}
+	platform.Observe()
+	platform.at = time.Second
+	platform.stand = []Instance{{ID: "i", warmUntil: 4 * time.Second}}
+	platform.Observe()
 	for _, c := range []struct {
 		at   time.Duration
 		left int64
-	}{{time.Second + p.Lag - 1, 0}, {time.Second + p.Lag, 2200}, {3500*time.Millisecond + 1, 499}, {5 * time.Second, 0}} {
-		if p.at = c.at; cold() != c.left {
+	}{{time.Second + platform.Lag - 1, 0}, {time.Second + platform.Lag, 2200}, {3500*time.Millisecond + 1, 499}, {5 * time.Second, 0}} {
+		if platform.at = c.at; cold() != c.left {
 			t.Errorf("at %v: %d ms, want %d", c.at, cold(), c.left)
 		}
 	}
 }
 
 func TestListLags(t *testing.T) {
-	p := newTestPlatform()
-	p.Rate = 100
-	p.stand = []Instance{{ID: "old"}}
-	p.Observe()
-	p.at = time.Second
-	p.stand = []Instance{{ID: "old", Phase: draining}}
-	p.Observe()
-	p.at += p.Lag - 1
-	p.Observe()
-	if len(p.evidence.Listings) != 0 {
+	platform := newTestPlatform()
+	platform.Rate = 100
+	platform.stand = []Instance{{ID: "old"}}
+	platform.Observe()
+	platform.at = time.Second
+	platform.stand = []Instance{{ID: "old", Phase: draining}}
+	platform.Observe()
+	platform.at += platform.Lag - 1
+	platform.Observe()
+	if len(platform.evidence.Listings) != 0 {
 		t.Error("it counts as shown before the lag is over")
 	}
-	p.at++
-	p.Observe()
-	p.Observe()
-	if got := p.evidence.Listings; len(got) != 1 || got[0] != (rules.Listing{Server: "old", Shown: p.at}) {
+	platform.at++
+	platform.Observe()
+	platform.Observe()
+	if got := platform.evidence.Listings; len(got) != 1 || got[0] != (rules.Listing{Server: "old", Shown: platform.at}) {
 		t.Errorf("shown as draining: %v", got)
 	}
-	p.stand = nil
-	p.Observe()
-	if _, ids, _ := p.get(t, ""); len(ids) != 1 {
+	platform.stand = nil
+	platform.Observe()
+	if _, ids, _ := platform.get(t, ""); len(ids) != 1 {
 		t.Error("a server that has gone is not shown until the lag is over")
 	}
-	p.at += p.Lag
-	if _, ids, _ := p.get(t, ""); len(ids) != 0 {
+	platform.at += platform.Lag
+	if _, ids, _ := platform.get(t, ""); len(ids) != 0 {
 		t.Errorf("%v is shown after the lag", ids)
 	}
 }
--- a/internal/lab/testcluster/operator_test.go
+++ b/internal/lab/testcluster/operator_test.go
@@ -42,9 +42,9 @@
 	return resp, nil
 }
 
-// TestOperatorRepeats plays PROTOCOL.md "The operator's API" in virtual time.
-func TestOperatorRepeats(t *testing.T) {
-	for _, c := range []struct {
+// TestOperatorRetries plays PROTOCOL.md "The operator's API" in virtual time.
+func TestOperatorRetries(t *testing.T) {
+	for _, test := range []struct {
 		name    string
 		answers []string
 		status  int
@@ -63,24 +63,24 @@
 		{name: "two redirects", answers: []string{"307 http://k2/Config.Replace", "307 http://k3/Config.Replace", "200"}, status: 200, calls: 3},
 		{name: "no clear answer", answers: []string{"503"}, calls: 14, gaveUp: true, least: 10 * time.Second},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
-				s := &script{answers: c.answers}
+				state := &script{answers: test.answers}
 				o := &Operator{ControlAddresses: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return time.Since(start) },
-					http: &http.Client{Transport: s, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
+					http: &http.Client{Transport: state, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				err := o.Replace(ctx, &rules.Config{Revision: 3}, 0)
-				if errors.Is(err, ErrRefused) != c.refused || errors.Is(err, context.DeadlineExceeded) != c.gaveUp || err != nil != (c.refused || c.gaveUp) {
+				if errors.Is(err, ErrRefused) != test.refused || errors.Is(err, context.DeadlineExceeded) != test.gaveUp || err != nil != (test.refused || test.gaveUp) {
 					t.Errorf("error: %v", err)
 				}
 				change := o.evidence.Changes[0]
-				if change.Status != c.status || change.AcknowledgedAt != rules.Never != (c.status == 200) || time.Since(start) < c.least {
+				if change.Status != test.status || change.AcknowledgedAt != rules.Never != (test.status == 200) || time.Since(start) < test.least {
 					t.Errorf("%+v after %v", change, time.Since(start))
 				}
-				if len(s.calls) != c.calls || s.calls[0] != "POST k1/Config.Replace base 0" {
-					t.Errorf("calls %q", s.calls)
+				if len(state.calls) != test.calls || state.calls[0] != "POST k1/Config.Replace base 0" {
+					t.Errorf("calls %q", state.calls)
 				}
 			})
 		})
@@ -117,8 +117,8 @@
 	})
 }
 
-// TestOperatorMovesOn: after a failure it asks another control-plane node.
-func TestOperatorMovesOn(t *testing.T) {
+// TestOperatorTriesNextNode: after a failure it asks another control-plane node.
+func TestOperatorTriesNextNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{answers: []string{"503", "503", "503", "200"}}
 		o := &Operator{ControlAddresses: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return 0 }, http: &http.Client{Transport: s}}
--- a/internal/lab/testcluster/process_faults.go
+++ b/internal/lab/testcluster/process_faults.go
@@ -14,13 +14,13 @@
 
 // KillControlPlane kills a machine's control-plane node and waits for its end.
 func (r *Run) KillControlPlane(m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Keeper: true, Kind: "kill", At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{ControlPlane: true, Kind: "kill", At: r.Now()})
 	return signalAndWait(r.Fleet.ControlPlaneProcess(m), syscall.SIGKILL, nil)
 }
 
 // StartControlPlane starts it again, with its disk.
 func (r *Run) StartControlPlane(m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Keeper: true, Kind: rules.Start, At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{ControlPlane: true, Kind: rules.Start, At: r.Now()})
 	return r.Fleet.StartControlPlane(m, false)
 }
 
--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -15,11 +15,11 @@
 }
 
 // mixed: a success is one server's whole answer to this very request, and nothing comes that was not asked for.
-func mixed(x *index, v *Verdict) {
-	for _, s := range x.Strays {
+func mixed(idx *index, v *Verdict) {
+	for _, s := range idx.Strays {
 		v.violation("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
 	}
-	for _, t := range x.Attempts {
+	for _, t := range idx.Attempts {
 		v.Checked++
 		switch {
 		case t.Outcome == Malformed:
@@ -29,7 +29,7 @@
 		case t.Status != 0 && t.AnswerID != "" && t.AnswerID != t.ID:
 			v.violation("%s: got the answer to %s", t.ID, t.AnswerID)
 		case t.Outcome == Answered && success(t.Status):
-			mixedSuccess(x, t, v)
+			mixedSuccess(idx, t, v)
 		}
 	}
 }
@@ -151,21 +151,21 @@
 }
 
 // order: a stream's pieces are those of one run, or of runs that each go on where the last one ended, and none is missing.
-func order(x *index, v *Verdict) {
-	for _, t := range x.Attempts {
+func order(idx *index, v *Verdict) {
+	for _, t := range idx.Attempts {
 		if !t.Stream {
 			continue
 		}
 		v.Checked++
 		last := t.From
 		for i, s := range t.Events {
-			a := x.seals[s.Run]
+			a := idx.seals[s.Run]
 			switch {
 			case a == nil || a.ID != t.ID:
 				v.violation("%s: piece %d is of no run of this request", t.ID, s.First)
 			case s.First != last+1:
 				v.violation("%s: piece %d follows piece %d", t.ID, s.First, last)
-			case i > 0 && s.Run == t.Events[i-1].Run, i > 0 && !x.idempotent(t):
+			case i > 0 && s.Run == t.Events[i-1].Run, i > 0 && !idx.idempotent(t):
 				v.violation("%s: pieces of two runs", t.ID)
 			case i > 0 && a.From != last:
 				v.violation("%s: a run that goes on after %d was joined after %d", t.ID, a.From, last)
@@ -175,7 +175,7 @@
 		if t.Outcome != Answered || !success(t.Status) {
 			continue
 		}
-		if a := x.seals[t.Seal]; a != nil && last != a.LastEvent {
+		if a := idx.seals[t.Seal]; a != nil && last != a.LastEvent {
 			v.violation("%s: closed as complete after piece %d of %d", t.ID, last, a.LastEvent)
 		}
 	}
--- a/internal/lab/testcluster/rules/controls_test.go
+++ b/internal/lab/testcluster/rules/controls_test.go
@@ -181,22 +181,22 @@
 	{"an evacuation that was taken back", func(s *scene) { s.evacuate(14*second, 19*second); s.serve("/mail/2", "mailer", 20*second) }, ""},
 	{"an evacuation while a keeper was in trouble", func(s *scene) {
 		s.evacuate(14*second, Never)
-		s.RecordFault(Fault{Keeper: true, Kind: "kill", At: 13 * second})
+		s.RecordFault(Fault{ControlPlane: true, Kind: "kill", At: 13 * second})
 		s.serve("/mail/2", "mailer", 20*second)
 	}, ""},
 	{"an evacuation long after a keeper's trouble has ended", func(s *scene) {
 		s.evacuate(14*second, Never)
-		s.BeginFault(Fault{Keeper: true, Kind: "pause", At: 2 * second})(9 * second)
+		s.BeginFault(Fault{ControlPlane: true, Kind: "pause", At: 2 * second})(9 * second)
 		s.serve("/mail/2", "mailer", 20*second)
 	}, "EVAC"},
 	{"an evacuation soon after a keeper's trouble has ended", func(s *scene) {
 		s.evacuate(14*second, Never)
-		s.BeginFault(Fault{Keeper: true, Kind: "pause", At: 2 * second})(11 * second)
+		s.BeginFault(Fault{ControlPlane: true, Kind: "pause", At: 2 * second})(11 * second)
 		s.serve("/mail/2", "mailer", 20*second)
 	}, ""},
 	{"an evacuation that was stretched enough", func(s *scene) {
 		s.evacuate(14*second, Never)
-		s.RecordFault(Fault{Keeper: true, Kind: "kill", At: 13 * second})
+		s.RecordFault(Fault{ControlPlane: true, Kind: "kill", At: 13 * second})
 		s.serve("/mail/2", "mailer", 26*second)
 	}, "EVAC"},
 }
@@ -205,7 +205,7 @@
 func (s *scene) keepers(n int, from, to Time) {
 	s.Core = 3
 	for i := range n {
-		s.BeginFault(Fault{Keeper: true, Machine: string(rune('a' + i)), Kind: "down", At: from})(to)
+		s.BeginFault(Fault{ControlPlane: true, Machine: string(rune('a' + i)), Kind: "down", At: from})(to)
 	}
 }
 
--- a/internal/lab/testcluster/rules/faults.go
+++ b/internal/lab/testcluster/rules/faults.go
@@ -9,12 +9,12 @@
 
 // Fault is what was done to a machine of the system.
 type Fault struct {
-	Proxy   string // front address; empty: a control-plane node
-	Kind    string // "kill", "term", "start", or what lasts
-	At      Time
-	Until   Time // of what lasts; else below At
-	Keeper  bool // the control-plane node votes
-	Machine string
+	Proxy        string // front address; empty: a control-plane node
+	Kind         string // "kill", "term", "start", or what lasts
+	At           Time
+	Until        Time // of what lasts; else below At
+	ControlPlane bool // the control-plane node votes
+	Machine      string
 }
 
 // Kinds of faults.
@@ -70,7 +70,7 @@
 }
 
 // isOfCore reports whether a fault is one of a control-plane node that is known by its machine.
-func (t *Fault) isOfCore() bool { return t.Keeper && t.Machine != "" }
+func (t *Fault) isOfCore() bool { return t.ControlPlane && t.Machine != "" }
 
 // faultyMachines gives the machines of the core that have a fault at a time, and until when.
 func (e *Evidence) faultyMachines(at Time) map[string]Time {
@@ -128,7 +128,7 @@
 // stretch is by how much bounds on configurations and evacuations grow at a time, as a control-plane node had a fault.
 func (e *Evidence) stretch(from, to Time) Time {
 	for i := range e.Faults {
-		if t := &e.Faults[i]; t.Keeper && t.At <= to && t.endedAt() > from-e.Bounds.Contact {
+		if t := &e.Faults[i]; t.ControlPlane && t.At <= to && t.endedAt() > from-e.Bounds.Contact {
 			return e.Bounds.Stretch
 		}
 	}
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -9,12 +9,12 @@
 )
 
 // route: a service runs only what some configuration sends there.
-func route(x *index, v *Verdict) {
+func route(x *index, verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
 		if arrival.ExecutedAt == Never {
 			continue
 		}
-		v.Checked++
+		verdict.Checked++
 		t, sends := x.tries[arrival.ID], false
 		if t == nil {
 			continue // UNASKED
@@ -29,7 +29,7 @@
 			}
 		}
 		if !sends {
-			v.violation("%s %s ran at %s", t.Host, t.Path, arrival.Service)
+			verdict.violation("%s %s ran at %s", t.Host, t.Path, arrival.Service)
 		}
 	}
 }
--- a/internal/lab/testcluster/server_links_test.go
+++ b/internal/lab/testcluster/server_links_test.go
@@ -32,15 +32,15 @@
 	(*Links)(nil).recordSender("one", "127.0.1.1:80") // where there are no links
 }
 
-// TestProxyIsCutFromAServer: one proxy's bytes are held back, also on connections that come later, and those of the other go on.
-func TestProxyIsCutFromAServer(t *testing.T) {
-	n := NewLinks(0, 0)
+// TestProxyIsPartitionedFromServer: one proxy's bytes are held back, also on connections that come later, and those of the other go on.
+func TestProxyIsPartitionedFromServer(t *testing.T) {
+	links := NewLinks(0, 0)
 	machines := []Machine{{IP: "127.0.1.1"}, {IP: "127.0.1.2"}}
-	n.createServerLinks(machines, []ServerSpec{{Address: testServer}})
+	links.createServerLinks(machines, []ServerSpec{{Address: testServer}})
 	for _, m := range machines {
-		n.recordSender(m.IP, m.IP+":80")
+		links.recordSender(m.IP, m.IP+":80")
 	}
-	r, err := newPickingRelay("127.0.0.1:0", echo(t), n.linkFor(Path{To: testServer}, false), func(first []byte) *link.Link { return n.serverLink(testServer, first) })
+	r, err := newPickingRelay("127.0.0.1:0", echo(t), links.linkFor(Path{To: testServer}, false), func(first []byte) *link.Link { return links.serverLink(testServer, first) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	}
 	before := call(machines[0].IP)
 	hear(t, before, headOf(machines[0].IP))
-	heal := n.Inject(func(p Path) bool { return p == Path{ProxyName(machines[0]), testServer} }, link.State{Hold: [2]bool{true, true}})
+	heal := links.Inject(func(p Path) bool { return p == Path{ProxyName(machines[0]), testServer} }, link.State{Hold: [2]bool{true, true}})
 	say(t, before, "more\n")
 	later, other, unknown := call(machines[0].IP), call(machines[1].IP), call("nobody")
 	hear(t, other, headOf(machines[1].IP))
@@ -68,8 +68,8 @@
 		if err := c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 			t.Fatal(err)
 		}
-		if n, err := c.Read(make([]byte, 1)); err == nil {
-			t.Errorf("%d bytes came to a proxy that is cut off", n)
+		if links, err := c.Read(make([]byte, 1)); err == nil {
+			t.Errorf("%d bytes came to a proxy that is cut off", links)
 		}
 		if err := c.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
 			t.Fatal(err)
@@ -80,10 +80,10 @@
 	hear(t, later, headOf(machines[0].IP))
 }
 
-// TestSilentConnectionsEnd: a relay that waits for first bytes ends with those connections, and passes over one that says nothing.
-func TestSilentConnectionsEnd(t *testing.T) {
-	n := NewLinks(0, 0)
-	r, err := newPickingRelay("127.0.0.1:0", echo(t), n.linkFor(Path{To: testServer}, false), func(first []byte) *link.Link { return n.serverLink(testServer, first) })
+// TestConnectionsWithoutBytesEnd: a relay that waits for first bytes ends with those connections, and passes over one that says nothing.
+func TestConnectionsWithoutBytesEnd(t *testing.T) {
+	links := NewLinks(0, 0)
+	r, err := newPickingRelay("127.0.0.1:0", echo(t), links.linkFor(Path{To: testServer}, false), func(first []byte) *link.Link { return links.serverLink(testServer, first) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -134,22 +134,22 @@
 func TestServerFull(t *testing.T) {
 	spec := quickEngine()
 	spec.Step, spec.Queue = time.Hour, 0
-	w, s := lone(t, ServerSpec{Service: "llm", Engine: spec})
+	w, server := lone(t, ServerSpec{Service: "llm", Engine: spec})
 	taken := make(chan error, 1)
 	go func() {
-		_, _, err := call(t, s, "/x/1", "X-Attempt-Id: one", "X-Token-Count: 10,10")
+		_, _, err := call(t, server, "/x/1", "X-Attempt-Id: one", "X-Token-Count: 10,10")
 		taken <- err
 	}()
 	for running := 0; running == 0; runtime.Gosched() {
-		s.mu.Lock()
-		running, _ = s.workload.Load()
-		s.mu.Unlock()
+		server.mu.Lock()
+		running, _ = server.workload.Load()
+		server.mu.Unlock()
 	}
-	resp, _, err := call(t, s, "/x/2", "X-Attempt-Id: two", "X-Token-Count: 10,10")
+	resp, _, err := call(t, server, "/x/2", "X-Attempt-Id: two", "X-Token-Count: 10,10")
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get("X-Not-Executed") == "" || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("%+v, %v", resp, err)
 	}
-	s.Crash()
+	server.Crash()
 	if err := <-taken; err == nil {
 		t.Error("a crash let an answer look whole")
 	}
@@ -227,8 +227,8 @@
 	})
 }
 
-// TestServerLives: a new start is a new incarnation at the old address, and the list shows each as it is.
-func TestServerLives(t *testing.T) {
+// TestServerIncarnations: a new start is a new incarnation at the old address, and the list shows each as it is.
+func TestServerIncarnations(t *testing.T) {
 	w, s := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), WarmUp: time.Hour, WarmUpPerSecond: 2, WarmUpCrashFactor: 3})
 	first, address := s.ID(), s.address
 	if i := w.instances(); len(i) != 1 || i[0].ID != first || i[0].Phase != "serving" || i[0].warmUntil > w.Now() {
@@ -277,10 +277,10 @@
 // TestServerConnections: more than max_conns are reset.
 func TestServerConnections(t *testing.T) {
 	_, s := lone(t, ServerSpec{Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, Bytes: 100}, MaxConns: 2})
-	for i := range 3 {
+	for index := range 3 {
 		c, err := net.Dial("tcp4", s.address)
 		if err != nil {
-			if i < 2 {
+			if index < 2 {
 				t.Fatal(err)
 			}
 			break // it was reset at once
@@ -294,8 +294,8 @@
 		if err == nil {
 			_, err = io.ReadFull(c, text)
 		}
-		if good := err == nil && string(text) == "HTTP/1.1 200"; good != (i < 2) {
-			t.Errorf("connection %d: %q, %v", i+1, text, err)
+		if good := err == nil && string(text) == "HTTP/1.1 200"; good != (index < 2) {
+			t.Errorf("connection %d: %q, %v", index+1, text, err)
 		}
 	}
 }
