--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -131,22 +131,22 @@
 // Draw gives the plan of a seed. The same seed, scenario and time give the same plan.
 func Draw(seed uint64, last time.Duration, scene *testcluster.Scenario) *Plan {
 	d := &drawer{rng: rand.New(rand.NewPCG(seed, 36)), scene: scene, until: last - calmPeriod}
-	p := &Plan{Seed: seed, For: last, Delay: d.drawDuration(20*time.Millisecond, 55*time.Millisecond), Jitter: d.drawDuration(0, 5*time.Millisecond)}
+	plan := &Plan{Seed: seed, For: last, Delay: d.drawDuration(20*time.Millisecond, 55*time.Millisecond), Jitter: d.drawDuration(0, 5*time.Millisecond)}
 	first := d.drawZoneRestart()
 	first.Start = warmUp + d.drawDuration(0, min(3*time.Second, d.until-warmUp-first.Length))
-	p.Faults = append(p.Faults, first)
+	plan.Faults = append(plan.Faults, first)
 	for at := warmUp; at < d.until; at += time.Duration(d.rng.ExpFloat64() * float64(meanGap)) {
 		for range maxDraws {
 			t := d.draw()
 			t.Start = at
-			if d.fits(p.Faults, t) {
-				p.Faults = append(p.Faults, t)
+			if d.fits(plan.Faults, t) {
+				plan.Faults = append(plan.Faults, t)
 				break
 			}
 		}
 	}
-	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
-	return p
+	slices.SortStableFunc(plan.Faults, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
+	return plan
 }
 
 // MaxConcurrent is the most faults that are under way at one time.
--- a/internal/lab/soak/watch.go
+++ b/internal/lab/soak/watch.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }() // it was read
 	var status struct {
 		Violations map[string]int64 `json:"violations"`
 	}
--- a/internal/lab/soak/watch_test.go
+++ b/internal/lab/soak/watch_test.go
@@ -15,7 +15,7 @@
 		if r.URL.Path != "/status" {
 			t.Errorf("asked for %s", r.URL.Path)
 		}
-		fmt.Fprint(w, answer)
+		_, _ = fmt.Fprint(w, answer)
 	}))
 	defer s.Close()
 	w := &invariantMonitor{}
--- a/internal/lab/testcluster/client_conn.go
+++ b/internal/lab/testcluster/client_conn.go
@@ -137,7 +137,7 @@
 	if spec.silenceTimeout > 0 {
 		_ = c.tcp.SetReadDeadline(earlier(spec.deadline, time.Now().Add(spec.silenceTimeout)))
 	}
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: attempt.Method})
+	resp, err := http.ReadResponse(c.in, &http.Request{Method: attempt.Method}) //nolint:bodyclose // the connection ends with its owner
 	if err != nil {
 		if c.peerClosed && c.isHeadPrefix() {
 			err = io.ErrUnexpectedEOF
--- a/internal/lab/testcluster/client_pool_test.go
+++ b/internal/lab/testcluster/client_pool_test.go
@@ -137,11 +137,11 @@
 		}, rules.Answered},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, err := net.Listen("tcp4", "127.0.0.1:0")
+			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
+			defer func() { _ = l.Close() }()
 			go func() {
 				peer, err := l.Accept()
 				if err != nil {
@@ -154,7 +154,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer client.tcp.Close()
+			defer func() { _ = client.tcp.Close() }()
 			try := &rules.Attempt{ID: "one", Method: "POST", Path: "/", Host: "h"}
 			client.exchange(&attemptSpec{attempt: try, deadline: time.Now().Add(10 * time.Second)}, func() time.Duration { return 0 })
 			if try.Outcome != c.want {
--- a/internal/lab/testcluster/engine/engine_test.go
+++ b/internal/lab/testcluster/engine/engine_test.go
@@ -14,59 +14,59 @@
 func TestConformance(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var e *Engine
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			if d.Cmd == "server" {
+		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
+			if data.Cmd == "server" {
 				s := Spec{Slots: 2, Queue: 2, MemoryTokens: 1000, Stride: 2, Step: time.Millisecond, PrefillRate: 100, Chunk: 100}
-				for _, a := range d.CmdArgs {
+				for _, a := range data.CmdArgs {
 					switch a.Key {
 					case "slots":
-						d.ScanArgs(t, a.Key, &s.Slots)
+						data.ScanArgs(t, a.Key, &s.Slots)
 					case "queue":
-						d.ScanArgs(t, a.Key, &s.Queue)
+						data.ScanArgs(t, a.Key, &s.Queue)
 					case "memory":
-						d.ScanArgs(t, a.Key, &s.MemoryTokens)
+						data.ScanArgs(t, a.Key, &s.MemoryTokens)
 					case "stride":
-						d.ScanArgs(t, a.Key, &s.Stride)
+						data.ScanArgs(t, a.Key, &s.Stride)
 					case "chunk":
-						d.ScanArgs(t, a.Key, &s.Chunk)
+						data.ScanArgs(t, a.Key, &s.Chunk)
 					}
 				}
 				e = New(s, 0)
 				return ""
 			}
-			return play(t, e, d)
+			return play(t, e, data)
 		})
 	})
 }
 
-func play(t *testing.T, e *Engine, d *datadriven.TestData) string {
+func play(t *testing.T, e *Engine, data *datadriven.TestData) string {
 	var out strings.Builder
-	switch d.Cmd {
+	switch data.Cmd {
 	case "arrive":
 		r := Request{Priority: 5, AnswerTokens: 1}
 		var key, out, had, at int
-		d.ScanArgs(t, "key", &key)
-		if d.HasArg("out") {
-			d.ScanArgs(t, "out", &out)
+		data.ScanArgs(t, "key", &key)
+		if data.HasArg("out") {
+			data.ScanArgs(t, "out", &out)
 			r.AnswerTokens = out
 		}
-		if d.HasArg("had") {
-			d.ScanArgs(t, "had", &had)
+		if data.HasArg("had") {
+			data.ScanArgs(t, "had", &had)
 			r.ReceivedEvents = had
 		}
-		if d.HasArg("priority") {
-			d.ScanArgs(t, "priority", &r.Priority)
+		if data.HasArg("priority") {
+			data.ScanArgs(t, "priority", &r.Priority)
 		}
-		if d.HasArg("at") {
-			d.ScanArgs(t, "at", &at)
+		if data.HasArg("at") {
+			data.ScanArgs(t, "at", &at)
 		}
 		r.Key = uint64(key)
-		for _, a := range d.CmdArgs {
+		for _, a := range data.CmdArgs {
 			if a.Key == "prompt" {
 				for _, v := range a.Vals {
 					var p PromptPart
 					if _, err := fmt.Sscanf(v, "%x:%d", &p.ID, &p.Tokens); err != nil {
-						t.Fatalf("%s: %v", d.Pos, err)
+						t.Fatalf("%s: %v", data.Pos, err)
 					}
 					r.Parts = append(r.Parts, p)
 				}
@@ -78,16 +78,16 @@
 		return "taken"
 	case "cancel":
 		var key int
-		d.ScanArgs(t, "key", &key)
+		data.ScanArgs(t, "key", &key)
 		if e.Cancel(e.now, uint64(key)) {
 			return "it had started"
 		}
 		return "it had not started"
 	case "run": // until nothing is left to do, or until a time
 		until := time.Hour
-		if d.HasArg("until") {
+		if data.HasArg("until") {
 			var ms int
-			d.ScanArgs(t, "until", &ms)
+			data.ScanArgs(t, "until", &ms)
 			until = time.Duration(ms) * time.Millisecond
 		}
 		for {
@@ -111,7 +111,7 @@
 		_, idle := e.memory()
 		fmt.Fprintf(&out, "read %d, preempted %d, handled %d, in use %d, kept idle %d", f.Prefilled, f.Preempted, f.Handled, f.Used, idle)
 	default:
-		t.Fatalf("%s: unknown command %s", d.Pos, d.Cmd)
+		t.Fatalf("%s: unknown command %s", data.Pos, data.Cmd)
 	}
 	return out.String()
 }
@@ -122,36 +122,36 @@
 		spec := Spec{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Queue: rapid.IntRange(0, 3).Draw(t, "queue"),
 			MemoryTokens: rapid.Int64Range(50, 400).Draw(t, "memory"), Stride: rapid.IntRange(1, 5).Draw(t, "stride"), Step: time.Millisecond,
 			PerRunning: 10 * time.Microsecond, PrefillRate: 50, Chunk: rapid.IntRange(1, 60).Draw(t, "chunk")}
-		e := New(spec, 0)
-		h := history{T: t, e: e, taken: map[uint64]Request{}, events: map[uint64]int{}, done: map[uint64]bool{}}
+		engine := New(spec, 0)
+		hist := history{T: t, e: engine, taken: map[uint64]Request{}, events: map[uint64]int{}, done: map[uint64]bool{}}
 		now := Time(0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * time.Millisecond
-			h.see(e.Advance(now))
-			if i%7 == 6 && len(h.taken) > 0 {
+			hist.see(engine.Advance(now))
+			if i%7 == 6 && len(hist.taken) > 0 {
 				key := uint64(rapid.IntRange(0, i).Draw(t, "cancelled"))
-				e.Cancel(now, key)
-				delete(h.taken, key)
+				engine.Cancel(now, key)
+				delete(hist.taken, key)
 			} else {
-				h.arrive(now, uint64(i))
+				hist.arrive(now, uint64(i))
 			}
-			h.invariants()
+			hist.invariants()
 		}
 		for range 1_000_000 { // all that was taken ends
-			at, ok := e.Next()
+			at, ok := engine.Next()
 			if !ok {
 				break
 			}
-			h.see(e.Advance(at))
-			h.invariants()
+			hist.see(engine.Advance(at))
+			hist.invariants()
 		}
-		for key := range h.taken {
-			if !h.done[key] {
+		for key := range hist.taken {
+			if !hist.done[key] {
 				t.Fatalf("%d was taken and never ended", key)
 			}
 		}
-		if used, _ := e.memory(); used != 0 || len(e.running) != 0 || len(e.waiting) != 0 {
-			t.Fatalf("at rest %d tokens are in use, %d run, %d wait", used, len(e.running), len(e.waiting))
+		if used, _ := engine.memory(); used != 0 || len(engine.running) != 0 || len(engine.waiting) != 0 {
+			t.Fatalf("at rest %d tokens are in use, %d run, %d wait", used, len(engine.running), len(engine.waiting))
 		}
 	})
 }
@@ -179,20 +179,20 @@
 }
 
 func (h *history) see(all []Output) {
-	for _, o := range all {
-		r, ok := h.taken[o.Key]
+	for _, output := range all {
+		r, ok := h.taken[output.Key]
 		switch {
 		case !ok: // cancelled
-		case h.done[o.Key]:
-			h.Fatalf("%d goes on after its end", o.Key)
-		case o.Kind == Event && o.Event != h.events[o.Key]+1:
-			h.Fatalf("%d: event %d follows event %d", o.Key, o.Event, h.events[o.Key])
-		case o.Kind == Event:
-			h.events[o.Key] = o.Event
-		case o.Kind == Done && h.events[o.Key] != EventsOf(r.AnswerTokens, h.e.Stride):
-			h.Fatalf("%d ended after event %d of %d", o.Key, h.events[o.Key], EventsOf(r.AnswerTokens, h.e.Stride))
-		case o.Kind == Done:
-			h.done[o.Key] = true
+		case h.done[output.Key]:
+			h.Fatalf("%d goes on after its end", output.Key)
+		case output.Kind == Event && output.Event != h.events[output.Key]+1:
+			h.Fatalf("%d: event %d follows event %d", output.Key, output.Event, h.events[output.Key])
+		case output.Kind == Event:
+			h.events[output.Key] = output.Event
+		case output.Kind == Done && h.events[output.Key] != EventsOf(r.AnswerTokens, h.e.Stride):
+			h.Fatalf("%d ended after event %d of %d", output.Key, h.events[output.Key], EventsOf(r.AnswerTokens, h.e.Stride))
+		case output.Kind == Done:
+			h.done[output.Key] = true
 		}
 	}
 }
--- a/internal/lab/testcluster/fault_tour.go
+++ b/internal/lab/testcluster/fault_tour.go
@@ -123,7 +123,7 @@
 	if err := sleep(ctx, time.Second); err != nil {
 		return err
 	}
-	return s.Start(true)
+	return s.Start(true) //nolint:contextcheck // the server outlives the call
 }
 
 func (r *Run) evacuateAndReturnZone(ctx context.Context, _ *rand.Rand) error {
--- a/internal/lab/testcluster/faulty_proxy_test.go
+++ b/internal/lab/testcluster/faulty_proxy_test.go
@@ -36,7 +36,7 @@
 // ServeHTTP implements http.Handler for clients.
 func (c *faultyProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/resolve" {
-		fmt.Fprintf(w, `{"addresses":[%q],"ttl_s":2}`, c.front.Listener.Addr())
+		_, _ = fmt.Fprintf(w, `{"addresses":[%q],"ttl_s":2}`, c.front.Listener.Addr())
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -56,7 +56,7 @@
 		if resp, err = c.client.Do(out); err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 	}
 	if c.answer != nil && c.answer(w, resp) {
 		return
@@ -225,7 +225,7 @@
 					t.Error(err)
 					return true
 				}
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				_, _ = io.WriteString(conn, "HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				return true
 			}
--- a/internal/lab/testcluster/incarnation.go
+++ b/internal/lab/testcluster/incarnation.go
@@ -63,7 +63,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	i.handle(w, r, arrival)
+	i.handle(w, r, arrival) //nolint:contextcheck // the server starts again whether or not the request goes on
 }
 
 // admission is what became of a request at its arrival.
--- a/internal/lab/testcluster/links_test.go
+++ b/internal/lab/testcluster/links_test.go
@@ -18,7 +18,7 @@
 // echo answers each line by itself, and gives its address. "reset" it answers by a reset.
 func echo(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 // echoLines gives lines back until one asks for a reset.
 func echoLines(t *testing.T, c net.Conn) {
 	t.Helper()
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
 		line, err := in.ReadString('\n')
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.close)
-	c, err := net.Dial("tcp4", r.listener.Addr().String())
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", r.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,33 +127,33 @@
 }
 
 func TestRelayForwardsResets(t *testing.T) {
-	c := relayTo(t, echo(t), link.New())
-	say(t, c, "one\n")
-	hear(t, c, "one\n")
-	say(t, c, "reset\n")
-	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+	client := relayTo(t, echo(t), link.New())
+	say(t, client, "one\n")
+	hear(t, client, "one\n")
+	say(t, client, "reset\n")
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the far end's reset shows as %v", err)
 	}
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c = relayTo(t, l.Addr().String(), link.New())
-	say(t, c, "one\n")
-	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+	client = relayTo(t, l.Addr().String(), link.New())
+	say(t, client, "one\n")
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a far end where nobody listens shows as %v", err)
 	}
 }
 
 func TestPacketsAreForwarded(t *testing.T) {
-	to, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	to, err := new(net.ListenConfig).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer to.Close()
+	defer func() { _ = to.Close() }()
 	over := link.New()
 	p, err := newPacketRelay("127.0.0.1:0", to.LocalAddr().String(), over)
 	if err != nil {
@@ -163,11 +163,11 @@
 	if err := to.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
 		t.Fatal(err)
 	}
-	from, err := net.Dial("udp4", p.in.LocalAddr().String())
+	from, err := new(net.Dialer).DialContext(t.Context(), "udp4", p.in.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer from.Close()
+	defer func() { _ = from.Close() }()
 	buf := make([]byte, 16)
 	for _, c := range []struct {
 		text  string
--- a/internal/lab/testcluster/list_test.go
+++ b/internal/lab/testcluster/list_test.go
@@ -28,7 +28,7 @@
 func (p *testPlatform) get(t *testing.T, query string) (status int, ids []string, next string) {
 	t.Helper()
 	w := httptest.NewRecorder()
-	p.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/instances"+query, nil))
+	p.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/instances"+query, nil))
 	var page struct {
 		Instances []Instance `json:"instances"`
 		Next      *string    `json:"next_token"`
@@ -75,7 +75,7 @@
 	platform.Rate = 100
 	cold := func() int64 {
 		w := httptest.NewRecorder()
-		platform.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/instances", nil))
+		platform.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/instances", nil))
 		var page struct{ Instances []Instance }
 		if err := json.Unmarshal(w.Body.Bytes(), &page); err != nil || len(page.Instances) != 1 {
 			t.Fatalf("%s: %v", w.Body.String(), err)
--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -15,38 +15,38 @@
 }
 
 // mixed: a success is one server's whole answer to this very request, and nothing comes that was not asked for.
-func mixed(idx *index, v *Verdict) {
+func mixed(idx *index, verdict *Verdict) {
 	for _, s := range idx.Strays {
-		v.violation("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
+		verdict.violation("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
 	}
 	for _, t := range idx.Attempts {
-		v.Checked++
+		verdict.Checked++
 		switch {
 		case t.Outcome == Malformed:
-			v.violation("%s: bytes came that are no answer", t.ID)
+			verdict.violation("%s: bytes came that are no answer", t.ID)
 		case t.Surplus > 0:
-			v.violation("%s: %d bytes followed the answer", t.ID, t.Surplus)
+			verdict.violation("%s: %d bytes followed the answer", t.ID, t.Surplus)
 		case t.Status != 0 && t.AnswerID != "" && t.AnswerID != t.ID:
-			v.violation("%s: got the answer to %s", t.ID, t.AnswerID)
+			verdict.violation("%s: got the answer to %s", t.ID, t.AnswerID)
 		case t.Outcome == Answered && success(t.Status):
-			mixedSuccess(idx, t, v)
+			mixedSuccess(idx, t, verdict)
 		}
 	}
 }
 
-func mixedSuccess(x *index, t *Attempt, v *Verdict) {
+func mixedSuccess(x *index, t *Attempt, verdict *Verdict) {
 	a := x.seals[t.Seal]
 	switch {
 	case t.Seal == "":
-		v.violation("%s: %d without a server's seal", t.ID, t.Status)
+		verdict.violation("%s: %d without a server's seal", t.ID, t.Status)
 	case a == nil:
-		v.violation("%s: no server gave the seal %s", t.ID, t.Seal)
+		verdict.violation("%s: no server gave the seal %s", t.ID, t.Seal)
 	case a.ID != t.ID:
-		v.violation("%s: the seal is that of the answer to %s", t.ID, a.ID)
+		verdict.violation("%s: the seal is that of the answer to %s", t.ID, a.ID)
 	case !t.Stream && !success(a.Status):
-		v.violation("%s: %d where the server answered %d", t.ID, t.Status, a.Status)
+		verdict.violation("%s: %d where the server answered %d", t.ID, t.Status, a.Status)
 	case !t.Stream && a.Answer != t.Answer:
-		v.violation("%s: the body is not the server's", t.ID)
+		verdict.violation("%s: the body is not the server's", t.ID)
 	}
 }
 
@@ -151,24 +151,24 @@
 }
 
 // order: a stream's pieces are those of one run, or of runs that each go on where the last one ended, and none is missing.
-func order(idx *index, v *Verdict) {
+func order(idx *index, verdict *Verdict) {
 	for _, t := range idx.Attempts {
 		if !t.Stream {
 			continue
 		}
-		v.Checked++
+		verdict.Checked++
 		last := t.From
 		for i, s := range t.Events {
 			a := idx.seals[s.Run]
 			switch {
 			case a == nil || a.ID != t.ID:
-				v.violation("%s: piece %d is of no run of this request", t.ID, s.First)
+				verdict.violation("%s: piece %d is of no run of this request", t.ID, s.First)
 			case s.First != last+1:
-				v.violation("%s: piece %d follows piece %d", t.ID, s.First, last)
+				verdict.violation("%s: piece %d follows piece %d", t.ID, s.First, last)
 			case i > 0 && s.Run == t.Events[i-1].Run, i > 0 && !idx.idempotent(t):
-				v.violation("%s: pieces of two runs", t.ID)
+				verdict.violation("%s: pieces of two runs", t.ID)
 			case i > 0 && a.From != last:
-				v.violation("%s: a run that goes on after %d was joined after %d", t.ID, a.From, last)
+				verdict.violation("%s: a run that goes on after %d was joined after %d", t.ID, a.From, last)
 			}
 			last = s.Last
 		}
@@ -176,7 +176,7 @@
 			continue
 		}
 		if a := idx.seals[t.Seal]; a != nil && last != a.LastEvent {
-			v.violation("%s: closed as complete after piece %d of %d", t.ID, last, a.LastEvent)
+			verdict.violation("%s: closed as complete after piece %d of %d", t.ID, last, a.LastEvent)
 		}
 	}
 }
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -155,7 +155,7 @@
 }
 
 // lost: around a planned end, what a process has read gets a whole answer.
-func lost(x *index, v *Verdict) {
+func lost(x *index, verdict *Verdict) {
 	for _, trouble := range x.Faults {
 		if trouble.Kind != Terminate || trouble.Proxy == "" {
 			continue
@@ -165,12 +165,12 @@
 			if t.Proxy != trouble.Proxy || t.Ended < trouble.At || t.Ended > until || !x.plannedOnly(t) {
 				continue
 			}
-			v.Checked++
+			verdict.Checked++
 			if t.Outcome != Truncated || x.abortedByServer(t) {
 				continue
 			}
 			if len(x.runs[t.ID]) > 0 || t.Ended > t.SentComplete+x.Bounds.LossSlack {
-				v.violation("%s was cut at %s, %v after SIGTERM", t.ID, t.Proxy, t.Ended-trouble.At)
+				verdict.violation("%s was cut at %s, %v after SIGTERM", t.ID, t.Proxy, t.Ended-trouble.At)
 			}
 		}
 	}
--- a/internal/lab/testcluster/rules/changes_test.go
+++ b/internal/lab/testcluster/rules/changes_test.go
@@ -1,122 +1,122 @@
 package rules
 
 var changeControls = []control{
-	{"the old service after a change", func(s *scene) {
+	{"the old service after a change", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.serve("/mail/2", "mailer", 20*second)
 	}, "CONFIG"},
-	{"the old service soon after a change", func(s *scene) {
+	{"the old service soon after a change", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.serve("/mail/2", "mailer", 17*second)
 	}, ""},
-	{"the old service while the change is unanswered", func(s *scene) {
+	{"the old service while the change is unanswered", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, Never, 0)
 		s.serve("/mail/2", "mailer", 25*second)
 	}, ""},
-	{"the new service of a change that was refused", func(s *scene) {
+	{"the new service of a change that was refused", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, Never, 412)
 		s.serve("/mail/2", "post", 25*second)
 	}, "CONFIG"},
-	{"a 404 after the route has come", func(s *scene) {
+	{"a 404 after the route has come", func(s *scenario) {
 		s.version(withRoute(testConfig(5, "mailer"), "/new/", "thumbs"), 1, 14*second, 15*second, 200)
 		s.miss("/new/2", 20*second)
 	}, "CONFIG"},
-	{"a 404 before the route must have come", func(s *scene) {
+	{"a 404 before the route must have come", func(s *scenario) {
 		s.version(withRoute(testConfig(5, "mailer"), "/new/", "thumbs"), 1, 14*second, 15*second, 200)
 		s.miss("/new/2", 17*second)
 	}, ""},
-	{"a dropped route that still runs", func(s *scene) {
+	{"a dropped route that still runs", func(s *scenario) {
 		s.version(withRoute(testConfig(5, "mailer"), "/new/", "thumbs"), 1, 13*second, 14*second, 200)
 		s.version(testConfig(6, "mailer"), 5, 14*second, 15*second, 200)
 		s.serve("/new/2", "thumbs", 20*second)
 	}, "CONFIG"},
-	{"a proxy that goes back", func(s *scene) {
+	{"a proxy that goes back", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.serve("/mail/2", "post", 16*second)
 		s.serve("/mail/3", "mailer", 17*second)
 	}, "CONFIG"},
-	{"a proxy that goes back after a new start", func(s *scene) {
+	{"a proxy that goes back after a new start", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.serve("/mail/2", "post", 16*second)
 		s.RecordFault(Fault{Proxy: oneProxy, Kind: "start", At: 16500 * 1e6})
 		s.serve("/mail/3", "mailer", 17*second)
 	}, ""},
-	{"another proxy that is behind", func(s *scene) {
+	{"another proxy that is behind", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.serve("/mail/2", "post", 16*second)
 		t, _ := s.serve("/mail/3", "mailer", 17*second)
 		t.Proxy = "127.0.1.2:1"
 	}, ""},
-	{"two changes on one version", func(s *scene) {
+	{"two changes on one version", func(s *scenario) {
 		s.version(testConfig(5, "mailer"), 1, 14*second, 15*second, 200)
 		s.version(testConfig(6, "mailer"), 1, 14*second, 15*second, 200)
 	}, "CONFIG"},
-	{"one change that is sent twice", func(s *scene) {
+	{"one change that is sent twice", func(s *scenario) {
 		s.version(testConfig(5, "mailer"), 1, 14*second, 15*second, 200)
 		s.version(testConfig(5, "mailer"), 1, 14*second, 15*second, 200)
 	}, ""},
-	{"an invalid change is acknowledged", func(s *scene) {
+	{"an invalid change is acknowledged", func(s *scenario) {
 		s.version(testConfig(5, "mailer"), 1, 14*second, 15*second, 200).Invalid = true
 	}, "CONFIG"},
-	{"nothing is read back", func(s *scene) { s.Read = nil }, "CONFIG"},
-	{"an old version is read back", func(s *scene) {
+	{"nothing is read back", func(s *scenario) { s.Read = nil }, "CONFIG"},
+	{"an old version is read back", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.Read = testConfig(1, "mailer")
 	}, "CONFIG"},
-	{"something else is read back", func(s *scene) { s.Read = testConfig(1, "post") }, "CONFIG"},
-	{"an unanswered version is read back", func(s *scene) {
+	{"something else is read back", func(s *scenario) { s.Read = testConfig(1, "post") }, "CONFIG"},
+	{"an unanswered version is read back", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, Never, 0)
 		s.Read = testConfig(5, "post")
 	}, ""},
-	{"a refused version is read back", func(s *scene) {
+	{"a refused version is read back", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, Never, 412)
 		s.Read = testConfig(5, "post")
 	}, "CONFIG"},
 
-	{"a read that shows an old version", func(s *scene) {
+	{"a read that shows an old version", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.RecordReading(Reading{Sent: 15 * second, Revision: 1})
 	}, "CONFIG"},
-	{"a read that was sent before the acknowledgement", func(s *scene) {
+	{"a read that was sent before the acknowledgement", func(s *scenario) {
 		s.version(testConfig(5, "post"), 1, 14*second, 15*second, 200)
 		s.RecordReading(Reading{Sent: 15*second - 1, Revision: 1})
 		s.RecordReading(Reading{Sent: 15 * second, Revision: 5})
 	}, ""},
 
-	{"cut after SIGTERM", func(s *scene) {
+	{"cut after SIGTERM", func(s *scenario) {
 		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, _ := s.serve("/mail/2", "mailer", 20*second)
 		t.Outcome, t.Status, t.Seal = Truncated, 0, ""
 	}, "LOST"},
-	{"cut after SIGTERM by a proxy that was paused shortly before", func(s *scene) { s.cutAtEnd(17*second, 18*second) }, ""},
-	{"cut after SIGTERM by a proxy that was paused long before", func(s *scene) { s.cutAtEnd(10*second, 15*second) }, "LOST"},
-	{"cut after SIGTERM by a proxy that was in trouble later", func(s *scene) { s.cutAtEnd(21*second, 22*second) }, "LOST"},
-	{"cut after SIGTERM by a proxy that was started shortly before", func(s *scene) {
+	{"cut after SIGTERM by a proxy that was paused shortly before", func(s *scenario) { s.cutAtEnd(17*second, 18*second) }, ""},
+	{"cut after SIGTERM by a proxy that was paused long before", func(s *scenario) { s.cutAtEnd(10*second, 15*second) }, "LOST"},
+	{"cut after SIGTERM by a proxy that was in trouble later", func(s *scenario) { s.cutAtEnd(21*second, 22*second) }, "LOST"},
+	{"cut after SIGTERM by a proxy that was started shortly before", func(s *scenario) {
 		s.cutAtEnd(10*second, 11*second)
 		s.RecordFault(Fault{Proxy: oneProxy, Kind: Start, At: 19 * second})
 	}, "LOST"},
-	{"cut after SIGTERM, held for long and never passed on", func(s *scene) {
+	{"cut after SIGTERM, held for long and never passed on", func(s *scenario) {
 		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, a := s.serve("/mail/2", "mailer", 20*second)
 		t.Outcome, t.Status, t.Seal, t.Ended = Truncated, 0, "", 21*second
 		a.ID, a.ExecutedAt, a.Seal = "none", Never, ""
 	}, "LOST"},
-	{"closed unread after SIGTERM", func(s *scene) {
+	{"closed unread after SIGTERM", func(s *scenario) {
 		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, a := s.serve("/mail/2", "mailer", 20*second)
 		t.Outcome, t.Status, t.Seal = ClosedUnread, 0, ""
 		a.ID, a.ExecutedAt, a.Seal = "none", Never, ""
 	}, ""},
-	{"cut without a planned end", func(s *scene) {
+	{"cut without a planned end", func(s *scenario) {
 		t, _ := s.serve("/mail/2", "mailer", 20*second)
 		t.Outcome, t.Status, t.Seal = Truncated, 0, ""
 	}, ""},
-	{"cut after SIGTERM where the server broke off", func(s *scene) {
+	{"cut after SIGTERM where the server broke off", func(s *scenario) {
 		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, a := s.serve("/mail/2", "mailer", 20*second)
 		t.Outcome, t.Status, t.Seal, a.Aborted = Truncated, 0, "", true
 	}, ""},
-	{"cut after a kill", func(s *scene) {
+	{"cut after a kill", func(s *scenario) {
 		s.RecordFault(Fault{Proxy: oneProxy, Kind: "kill", At: 20 * second})
 		s.RecordFault(Fault{Proxy: oneProxy, Kind: "term", At: 20 * second})
 		t, _ := s.serve("/mail/2", "mailer", 20*second)
@@ -130,55 +130,55 @@
 }
 
 // miss adds a request that a proxy knew no route for.
-func (s *scene) miss(path string, at Time) {
+func (s *scenario) miss(path string, at Time) {
 	t, a := s.serve(path, "thumbs", at)
 	t.Status, t.Seal, t.AnswerID, t.Probe = 404, "", "", true
 	a.ID, a.ExecutedAt, a.Seal = "none", Never, ""
 }
 
 var rateControls = []control{
-	{"more repeats than the budget", func(s *scene) { s.repeat(5, 20*second, second) }, "BUDGET"},
-	{"repeats within the budget", func(s *scene) { s.repeat(4, 20*second, second) }, ""},
-	{"repeats in two windows", func(s *scene) {
+	{"more repeats than the budget", func(s *scenario) { s.repeat(5, 20*second, second) }, "BUDGET"},
+	{"repeats within the budget", func(s *scenario) { s.repeat(4, 20*second, second) }, ""},
+	{"repeats in two windows", func(s *scenario) {
 		s.repeat(4, 20*second, second)
 		s.repeat(4, 40*second, second)
 	}, ""},
-	{"repeats across the edge of windows", func(s *scene) {
+	{"repeats across the edge of windows", func(s *scenario) {
 		s.repeat(4, 29*second, second)
 		s.repeat(4, 32*second, second)
 	}, "BUDGET"},
-	{"repeats that demand allows", func(s *scene) {
+	{"repeats that demand allows", func(s *scenario) {
 		for i := range 20 {
 			s.serve("/thumb/2", "thumbs", 20*second+Time(i)*second/4)
 		}
 		s.repeat(7, 23*second, second/10)
 	}, ""},
-	{"more repeats than demand allows", func(s *scene) {
+	{"more repeats than demand allows", func(s *scenario) {
 		for i := range 20 {
 			s.serve("/thumb/2", "thumbs", 20*second+Time(i)*second/4)
 		}
 		s.repeat(14, 23*second, second/10)
 	}, "BUDGET"},
 
-	{"too many for a cold server", func(s *scene) { s.cold(21, second/30) }, "FAILBACK"},
-	{"as many as a cold server bears", func(s *scene) { s.cold(20, second/30) }, ""},
-	{"many over more than a second", func(s *scene) { s.cold(40, second/20) }, ""},
-	{"too many, some of them turned away", func(s *scene) {
+	{"too many for a cold server", func(s *scenario) { s.cold(21, second/30) }, "FAILBACK"},
+	{"as many as a cold server bears", func(s *scenario) { s.cold(20, second/30) }, ""},
+	{"many over more than a second", func(s *scenario) { s.cold(40, second/20) }, ""},
+	{"too many, some of them turned away", func(s *scenario) {
 		for _, a := range s.cold(21, second/30)[:5] {
 			a.Rejected, a.ExecutedAt = 503, Never
 		}
 	}, "FAILBACK"},
-	{"too many at once, sent over more than a second", func(s *scene) {
+	{"too many at once, sent over more than a second", func(s *scenario) {
 		for i, a := range s.cold(21, second/1000) {
 			a.Sent = a.At - Time(i)*second/10
 		}
 	}, ""},
-	{"too many, sent within the second in which they came", func(s *scene) {
+	{"too many, sent within the second in which they came", func(s *scenario) {
 		for _, a := range s.cold(21, second/1000) {
 			a.Sent = a.At - second/2
 		}
 	}, "FAILBACK"},
-	{"too many, some of them meant for another", func(s *scene) {
+	{"too many, some of them meant for another", func(s *scenario) {
 		for _, a := range s.cold(21, second/30)[:5] {
 			a.Rejected, a.ExecutedAt = 421, Never
 		}
@@ -186,7 +186,7 @@
 }
 
 // repeat adds one request that arrives n+1 times, apart by gap.
-func (s *scene) repeat(n int, at, gap Time) {
+func (s *scenario) repeat(n int, at, gap Time) {
 	t, a := s.serve("/thumb/9", "thumbs", at)
 	for i := range n {
 		s.again(t, *a, at+gap*Time(i))
@@ -194,7 +194,7 @@
 }
 
 // cold adds requests to a server that warms up that bears 10 a second: 20 in any second at most.
-func (s *scene) cold(n int, gap Time) []*Arrival {
+func (s *scenario) cold(n int, gap Time) []*Arrival {
 	var all []*Arrival
 	for i := range n {
 		_, a := s.serve("/mail/9", "mailer", 20*second+gap*Time(i))
@@ -205,7 +205,7 @@
 }
 
 // cutAtEnd adds a request that was cut during a planned end, and a fault of the proxy.
-func (s *scene) cutAtEnd(from, to Time) {
+func (s *scenario) cutAtEnd(from, to Time) {
 	s.RecordFault(Fault{Proxy: oneProxy, Kind: Terminate, At: 20 * second})
 	s.BeginFault(Fault{Proxy: oneProxy, Kind: Pause, At: from})(to)
 	t, _ := s.serve("/mail/2", "mailer", 20*second)
--- a/internal/lab/testcluster/rules/check_test.go
+++ b/internal/lab/testcluster/rules/check_test.go
@@ -13,8 +13,8 @@
 	oneProxy = "127.0.1.1:1"
 )
 
-// scene is evidence to which a test adds what it needs.
-type scene struct {
+// scenario is evidence to which a test adds what it needs.
+type scenario struct {
 	*Evidence
 	n int
 }
@@ -29,8 +29,8 @@
 }
 
 // newScene has the first version acknowledged at 0 and one request of each kind served, a second apart from 10 s on.
-func newScene() *scene {
-	s := &scene{Evidence: &Evidence{Bounds: Bounds{Contact: 4 * second, Drain: 4 * second, ConfigApply: 3 * second, RevertSlack: second / 4,
+func newScene() *scenario {
+	s := &scenario{Evidence: &Evidence{Bounds: Bounds{Contact: 4 * second, Drain: 4 * second, ConfigApply: 3 * second, RevertSlack: second / 4,
 		Evacuate: 5 * second, Grace: 8 * second, LossSlack: second / 5, Stretch: 6 * second, RetryWindow: 10 * second, RetryRatio: 0.2,
 		RetrySlack: 4, ColdExcess: 1.5, ColdSlack: 5}}}
 	c := testConfig(1, "mailer")
@@ -44,7 +44,7 @@
 }
 
 // serve adds a request that was answered whole at once.
-func (s *scene) serve(path, service string, at Time) (*Attempt, *Arrival) {
+func (s *scenario) serve(path, service string, at Time) (*Attempt, *Arrival) {
 	s.n++
 	id := fmt.Sprint("id", s.n)
 	t := &Attempt{ID: id, Request: s.n, Host: host, Method: "POST", Path: path, Body: 7, Region: "north", Zone: "north-a", Proxy: oneProxy,
@@ -58,7 +58,7 @@
 }
 
 // stream adds a stream of ten events.
-func (s *scene) stream(path string, at Time) (*Attempt, *Arrival) {
+func (s *scenario) stream(path string, at Time) (*Attempt, *Arrival) {
 	t, a := s.serve(path, "llm", at)
 	t.Stream, t.Answer, t.Events = true, 0, []Segment{{a.Seal, 1, 10}}
 	a.Answer, a.LastEvent, a.SentEvents = 0, 10, 10
@@ -66,14 +66,14 @@
 }
 
 // again adds another arrival of a request.
-func (s *scene) again(t *Attempt, of Arrival, at Time) *Arrival {
+func (s *scenario) again(t *Attempt, of Arrival, at Time) *Arrival {
 	of.At, of.ExecutedAt, of.Seal, of.Server = at, at, of.Seal+" again", of.Server+" 2"
 	s.RecordArrival(&of)
 	return &of
 }
 
 // version adds a configuration.
-func (s *scene) version(c *Config, base int64, sent, acked Time, status int) *Change {
+func (s *scenario) version(c *Config, base int64, sent, acked Time, status int) *Change {
 	change := &Change{Config: c, Base: base, Sent: sent, Ended: sent + second/10, AcknowledgedAt: acked, Status: status}
 	s.RecordChange(change)
 	if acked != Never {
@@ -95,7 +95,7 @@
 // control is evidence, and the rules that it shows broken.
 type control struct {
 	name   string
-	edit   func(*scene)
+	edit   func(*scenario)
 	broken string // names, a space between; empty: none
 }
 
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -124,27 +124,27 @@
 }
 
 // home: a request whose route has homes reaches servers there only. All configurations that may be in force must agree.
-func home(x *index, v *Verdict) {
-	for _, a := range x.Arrivals {
-		t := x.tries[a.ID]
-		if t == nil || !a.reached() {
+func home(x *index, verdict *Verdict) {
+	for _, arrival := range x.Arrivals {
+		t := x.tries[arrival.ID]
+		if t == nil || !arrival.reached() {
 			continue
 		}
-		some := x.inForce(t.Sent, a.At)
+		some := x.inForce(t.Sent, arrival.At)
 		abroad := len(some) > 0
 		for _, c := range some {
 			r := c.Match(t.Host, t.Path)
-			abroad = abroad && r != nil && len(r.Homes) > 0 && !slices.Contains(r.Homes, a.Region)
+			abroad = abroad && r != nil && len(r.Homes) > 0 && !slices.Contains(r.Homes, arrival.Region)
 		}
-		v.Checked++
+		verdict.Checked++
 		if abroad {
-			v.violation("%s reached %s in %s", a.ID, a.Server, a.Region)
+			verdict.violation("%s reached %s in %s", arrival.ID, arrival.Server, arrival.Region)
 		}
 	}
 }
 
 // evacuation: some time after a zone's evacuation was acknowledged, and until it is taken back, nothing is sent there.
-func evacuation(x *index, v *Verdict) {
+func evacuation(x *index, verdict *Verdict) {
 	for i, c := range x.Changes {
 		if c.Config != nil || !c.Start || c.AcknowledgedAt == Never {
 			continue
@@ -162,9 +162,9 @@
 			if arrival.Zone != c.Zone || arrival.At <= c.AcknowledgedAt || arrival.At >= until || !arrival.reached() {
 				continue
 			}
-			v.Checked++
+			verdict.Checked++
 			if sent > from && x.inContact(x.sender(arrival), sent) {
-				v.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-c.AcknowledgedAt)
+				verdict.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-c.AcknowledgedAt)
 			}
 		}
 	}
--- a/internal/lab/testcluster/server_links_test.go
+++ b/internal/lab/testcluster/server_links_test.go
@@ -46,7 +46,7 @@
 	}
 	defer r.close()
 	call := func(ip string) net.Conn {
-		c, err := net.Dial("tcp4", r.listener.Addr().String())
+		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", r.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -92,7 +92,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		if closes {
 			_ = c.Close()
 		}
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -60,17 +60,17 @@
 	if err != nil {
 		return nil, "", err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	return resp, string(body), err
 }
 
 // TestServerConformance: PROTOCOL.md "Servers".
 func TestServerConformance(t *testing.T) {
-	_, s := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), ReportsLoad: true, IdleTimeout: 5 * time.Second})
-	id := s.ID()
+	_, server := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), ReportsLoad: true, IdleTimeout: 5 * time.Second})
+	id := server.ID()
 	prompt := []string{"X-Token-Count: 100,20", "X-Prompt-Prefix: a:60,b:40", "X-Time-Left-Ms: 5000"}
-	resp, body, err := call(t, s, "/x/1", append(prompt, "X-Attempt-Id: one")...)
+	resp, body, err := call(t, server, "/x/1", append(prompt, "X-Attempt-Id: one")...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 			t.Errorf("%s: %q, want %q", name, got, want)
 		}
 	}
-	_, rest, err := call(t, s, "/x/1", append(prompt, "X-Attempt-Id: two", "Last-Event-Id: 3")...)
+	_, rest, err := call(t, server, "/x/1", append(prompt, "X-Attempt-Id: two", "Last-Event-Id: 3")...)
 	if err != nil || !strings.HasPrefix(rest, "id: 4\n") || strings.Count(rest, "id: ") != made-3 {
 		t.Errorf("after event 3 of %d: %q, %v", made, rest, err)
 	}
@@ -107,7 +107,7 @@
 		{"health", "/health", nil, 200, "X-Instance-Id: " + id},
 		{"report", "/report", nil, 200, "Content-Type: application/json"},
 	} {
-		resp, _, err := call(t, s, c.path, c.headers...)
+		resp, _, err := call(t, server, c.path, c.headers...)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -119,13 +119,13 @@
 			t.Errorf("%s: %d\n%s, want %d and %s", c.name, resp.StatusCode, head.String(), c.status, c.has)
 		}
 	}
-	_, body, err = call(t, s, "/report")
+	_, body, err = call(t, server, "/report")
 	var told map[string]any
 	if err != nil || json.Unmarshal([]byte(body), &told) != nil || told["stage"] != "both" || told["cache_capacity"] != 1000.0 {
 		t.Errorf("report %q, %v", body, err)
 	}
-	s.Drain()
-	if resp, _, err := call(t, s, "/health"); err != nil || resp.StatusCode != 503 || !resp.Close {
+	server.Drain()
+	if resp, _, err := call(t, server, "/health"); err != nil || resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("health while draining: %+v, %v", resp, err)
 	}
 }
@@ -146,7 +146,7 @@
 		server.mu.Unlock()
 	}
 	resp, _, err := call(t, server, "/x/2", "X-Attempt-Id: two", "X-Token-Count: 10,10")
-	if err != nil || resp.StatusCode != 503 || resp.Header.Get("X-Not-Executed") == "" || resp.Header.Get("Retry-After") == "" {
+	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Not-Executed") == "" || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("%+v, %v", resp, err)
 	}
 	server.Crash()
@@ -205,20 +205,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	s := w.Servers[0]
+	server := w.Servers[0]
 	const slow = 50 * time.Millisecond
 	heal := links.Inject(func(p Path) bool { return p.To == spec.Address }, link.State{Delay: slow})
-	if _, _, err := call(t, s, "/x/1", "X-Attempt-Id: one", "X-Token-Count: 10,10"); err != nil {
+	if _, _, err := call(t, server, "/x/1", "X-Attempt-Id: one", "X-Token-Count: 10,10"); err != nil {
 		t.Fatal(err)
 	}
 	heal()
-	address, id := s.address, s.ID()
-	s.Crash()
-	if _, _, err := call(t, s, "/x/1", "X-Attempt-Id: two"); !errors.Is(err, syscall.ECONNREFUSED) {
+	address, id := server.address, server.ID()
+	server.Crash()
+	if _, _, err := call(t, server, "/x/1", "X-Attempt-Id: two"); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a server that is down: %v", err)
 	}
-	if err := s.Start(true); err != nil || s.address != address || s.ID() == id {
-		t.Errorf("%v, %s after %s, %s after %s", err, s.address, address, s.ID(), id)
+	if err := server.Start(true); err != nil || server.address != address || server.ID() == id {
+		t.Errorf("%v, %s after %s, %s after %s", err, server.address, address, server.ID(), id)
 	}
 	w.Evidence.Update(func() {
 		if all := w.Evidence.Arrivals; len(all) != 1 || all[0].At-all[0].Sent < slow {
@@ -229,34 +229,34 @@
 
 // TestServerIncarnations: a new start is a new incarnation at the old address, and the list shows each as it is.
 func TestServerIncarnations(t *testing.T) {
-	w, s := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), WarmUp: time.Hour, WarmUpPerSecond: 2, WarmUpCrashFactor: 3})
-	first, address := s.ID(), s.address
+	w, server := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), WarmUp: time.Hour, WarmUpPerSecond: 2, WarmUpCrashFactor: 3})
+	first, address := server.ID(), server.address
 	if i := w.instances(); len(i) != 1 || i[0].ID != first || i[0].Phase != "serving" || i[0].warmUntil > w.Now() {
 		t.Errorf("at first: %+v", i)
 	}
-	s.Withdraw(time.Hour)
+	server.Withdraw(time.Hour)
 	if i := w.instances(); i[0].Phase != draining || i[0].RemainingMS == nil || *i[0].RemainingMS < 3_000_000 {
 		t.Errorf("withdrawn: %+v", i)
 	}
-	s.Stop()
+	server.Stop()
 	if i := w.instances(); len(i) != 0 {
 		t.Errorf("gone: %+v", i)
 	}
-	spec := s.ServerSpec
+	spec := server.ServerSpec
 	spec.Service = "other"
-	s.Reconfigure(spec)
-	if err := s.Start(true); err != nil {
+	server.Reconfigure(spec)
+	if err := server.Start(true); err != nil {
 		t.Fatal(err)
 	}
 	if i := w.instances(); len(i) != 1 || i[0].ID == first || i[0].Address != address || i[0].Target != "other" || i[0].warmUntil < 50*time.Minute || i[0].RemainingMS != nil {
 		t.Errorf("started again: %+v", i)
 	}
-	if resp, _, err := call(t, s, "/health"); err != nil || resp.Header.Get("X-Cold-Ms") == "" {
+	if resp, _, err := call(t, server, "/health"); err != nil || resp.Header.Get("X-Cold-Ms") == "" {
 		t.Errorf("health while cold: %+v, %v", resp, err)
 	}
 	fell := false
 	for n := range 7 { // it bears 2 a second, and falls over above 6
-		_, _, err := call(t, s, "/x/1", fmt.Sprint("X-Attempt-Id: ", n), "X-Token-Count: 10,2")
+		_, _, err := call(t, server, "/x/1", fmt.Sprint("X-Attempt-Id: ", n), "X-Token-Count: 10,2")
 		fell = fell || err != nil
 	}
 	if !fell {
@@ -285,7 +285,7 @@
 			}
 			break // it was reset at once
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -51,13 +51,13 @@
 	if scene == nil {
 		scene = SmallScenario(options.Rate)
 	}
-	ports, err := FreePorts(scene.Machines)
+	ports, err := FreePorts(scene.Machines) //nolint:contextcheck // ports are tried at once
 	if err != nil {
 		return nil, err
 	}
 	fleet := &Fleet{Machines: scene.Machines, Ports: ports, Proxy: options.Proxy, ControlPlane: options.ControlPlane, Folder: options.Folder, Bounds: scene.Bounds, Rate: listCallsPerSecond,
 		Links: options.Links}
-	env, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: fleet.Zones(), Directories: fleet.Directories(), ControlAddresses: fleet.ControlPlaneAddresses(),
+	env, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: fleet.Zones(), Directories: fleet.Directories(), ControlAddresses: fleet.ControlPlaneAddresses(), //nolint:contextcheck // servers outlive the call
 		Bounds: scene.Bounds, MaxTTL: maxTTL, ListLag: 800 * time.Millisecond, ListRate: listCallsPerSecond, Seed: options.Seed, Links: options.Links})
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	env.Evidence.Core = len(fleet.Disks())
 	if options.Links != nil {
 		options.Links.createServerLinks(scene.Machines, scene.Servers)
-		if fleet.listAddresses, err = options.Links.connect(fleet, fleet.ListAddress); err != nil {
+		if fleet.listAddresses, err = options.Links.connect(fleet, fleet.ListAddress); err != nil { //nolint:contextcheck // relays outlive the call
 			env.Close()
 			return nil, err
 		}
@@ -162,7 +162,7 @@
 		select {
 		case <-ctx.Done():
 			r.activities.Wait()
-			return r.Finish()
+			return r.Finish() //nolint:contextcheck // the end of a run is read also where ctx is over
 		case <-tick.C:
 		}
 		second := Second{At: r.Now() - start, Stats: r.Stats()}
