--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -13,97 +13,130 @@
 // TestPlans: a seed gives one plan; every plan holds the incident, and faults end by themselves, overlap, and do not
 // touch what another one touches.
 func TestPlans(t *testing.T) {
-	kinds, cutFrom := map[Kind]int{}, map[int]int{}
+	counts := planCounts{kinds: map[Kind]int{}, partitioned: map[int]int{}}
 	for _, last := range []time.Duration{MinDuration, 30 * time.Second, MaxDuration} {
+		seeds := uint64(200)
+		if last == MaxDuration {
+			seeds = 22 // they are long
+		}
 		full := 0
-		for seed := range uint64(200) {
-			scene := NewScenario(seed)
-			p := Draw(seed, last, scene)
-			if !reflect.DeepEqual(p, Draw(seed, last, NewScenario(seed))) {
+		for seed := range seeds {
+			scenario := NewScenario(seed)
+			plan := Draw(seed, last, scenario)
+			if !reflect.DeepEqual(plan, Draw(seed, last, NewScenario(seed))) {
 				t.Fatalf("seed %d gives two plans", seed)
 			}
-			checkPlan(t, p, scene)
-			if p.MaxConcurrent() == MaxConcurrentFaults {
+			checkPlan(t, plan, scenario)
+			if plan.MaxConcurrent() == MaxConcurrentFaults {
 				full++
 			}
-			for _, one := range p.Faults {
-				kinds[one.Kind]++
-				cutFrom[len(one.Servers)]++
-			}
-			if last == MaxDuration && seed > 20 {
-				break
-			}
+			counts.add(plan)
 		}
 		if full == 0 {
-			t.Errorf("no plan of %v has %d troubles at once", last, MaxConcurrentFaults)
+			t.Errorf("no plan of %v has %d faults at once", last, MaxConcurrentFaults)
 		}
 	}
+	counts.checkAllDrawn(t)
+}
+
+// planCounts counts the faults of plans by their kinds, and partitions of proxies by how many servers they concern.
+type planCounts struct {
+	kinds       map[Kind]int
+	partitioned map[int]int
+}
+
+func (c *planCounts) add(plan *Plan) {
+	for i := range plan.Faults {
+		c.kinds[plan.Faults[i].Kind]++
+		c.partitioned[len(plan.Faults[i].Servers)]++
+	}
+}
+
+func (c *planCounts) checkAllDrawn(t *testing.T) {
+	t.Helper()
 	for n := 1; n <= maxPartitionedServers; n++ {
-		if cutFrom[n] == 0 {
+		if c.partitioned[n] == 0 {
 			t.Errorf("no proxy is ever cut from %d servers", n)
 		}
 	}
 	for _, o := range kindWeights {
-		if kinds[o.kind] == 0 {
+		if c.kinds[o.kind] == 0 {
 			t.Errorf("%q never happens", o.kind)
 		}
 	}
 }
 
-// TestWakePlans: the proxy is paused before the evacuation begins, and goes on while the zone's servers are cold.
+// TestWakePlans: the proxy is paused before the evacuation begins, and goes on while the zone's servers warm up.
 func TestWakePlans(t *testing.T) {
-	for _, form := range []Waking{WakeOne, WakeCut, WakeTwo} {
-		scene := NewWakeScenario(1)
-		plan, cut := Wake(1, form, scene), form == WakeCut
-		at := map[Kind]Fault{}
-		for _, one := range plan.Faults {
-			at[one.Kind] = one
-			if one.end() > plan.For {
-				t.Errorf("%v ends too late", one)
+	for form, faults := range map[Waking]int{WakeOne: 3, WakeCut: 4, WakeTwo: 3} {
+		t.Run(string(form), func(t *testing.T) {
+			scenario := NewWakeScenario(1)
+			plan := Wake(1, form, scenario)
+			byKind := map[Kind]Fault{}
+			for _, fault := range plan.Faults {
+				byKind[fault.Kind] = fault
+				if fault.end() > plan.For {
+					t.Errorf("%v ends too late", fault)
+				}
 			}
-		}
-		pause, evacuation := at[PauseProxy], at[EndEvacuationAlone]
-		chilled := evacuation.Start + scene.Bounds.Evacuate
-		if pause.Start >= evacuation.Start || pause.end() < chilled+ackedWithin || pause.end() > chilled+evacuation.WarmUpLead {
-			t.Errorf("%v, with %v", pause, evacuation)
-		}
-		if wait := scene.Kinds[question].Deadline; wait <= pause.Length {
-			t.Errorf("clients wait %v: %v", wait, pause)
-		}
-		if _, killed := at[KillProxy]; killed == (form == WakeTwo) || len(plan.Faults) != map[Waking]int{WakeOne: 3, WakeCut: 4, WakeTwo: 3}[form] {
-			t.Errorf("%s: %v", form, plan.Faults)
-		}
-		if c, ok := at[PartitionProxy]; ok != cut || cut && (c.Target != pause.Target || c.Start > pause.end() || c.end() != pause.end()+cutAfter) {
-			t.Errorf("cut: %v, %v", ok, c)
-		}
-		if n := scene.Servers[0].Engine.Slots; n != wakeSlots || NewScenario(1).Servers[0].Engine.Slots != slots {
-			t.Errorf("%d slots", n)
-		}
+			if _, killed := byKind[KillProxy]; killed == (form == WakeTwo) || len(plan.Faults) != faults {
+				t.Errorf("%v", plan.Faults)
+			}
+			checkWakeTimes(t, byKind, scenario)
+			checkWakePartition(t, byKind, form == WakeCut)
+			if n := scenario.Servers[0].Engine.Slots; n != wakeSlots || NewScenario(1).Servers[0].Engine.Slots != slots {
+				t.Errorf("%d slots", n)
+			}
+		})
+	}
+}
+
+func checkWakeTimes(t *testing.T, byKind map[Kind]Fault, scenario *testcluster.Scenario) {
+	t.Helper()
+	pause, evacuation := byKind[PauseProxy], byKind[EndEvacuationAlone]
+	warmUpStart := evacuation.Start + scenario.Bounds.Evacuate
+	if pause.Start >= evacuation.Start || pause.end() < warmUpStart+ackedWithin || pause.end() > warmUpStart+evacuation.WarmUpLead {
+		t.Errorf("%v, with %v", pause, evacuation)
+	}
+	if wait := scenario.Kinds[question].Deadline; wait <= pause.Length {
+		t.Errorf("clients wait %v: %v", wait, pause)
+	}
+}
+
+func checkWakePartition(t *testing.T, byKind map[Kind]Fault, want bool) {
+	t.Helper()
+	pause := byKind[PauseProxy]
+	partition, ok := byKind[PartitionProxy]
+	if ok != want {
+		t.Errorf("partition: %v, want %v", ok, want)
+	}
+	if ok && (partition.Target != pause.Target || partition.Start > pause.end() || partition.end() != pause.end()+cutAfter) {
+		t.Errorf("partition: %v", partition)
 	}
 }
 
 const ackedWithin = 500 * time.Millisecond // an evacuation
 
-func checkPlan(t *testing.T, p *Plan, scene *testcluster.Scenario) {
+func checkPlan(t *testing.T, plan *Plan, scene *testcluster.Scenario) {
 	t.Helper()
-	d := &drawer{scene: scene}
-	if p.Delay < 20*time.Millisecond || p.Delay > 55*time.Millisecond {
-		t.Errorf("seed %d: %v between regions", p.Seed, p.Delay)
+	drawing := &drawer{scene: scene}
+	if plan.Delay < 20*time.Millisecond || plan.Delay > 55*time.Millisecond {
+		t.Errorf("seed %d: %v between regions", plan.Seed, plan.Delay)
 	}
-	if !slices.ContainsFunc(p.Faults, func(one Fault) bool { return one.Kind == RestartZoneDuringEvacuation }) {
-		t.Errorf("seed %d: the incident is missing", p.Seed)
+	if !slices.ContainsFunc(plan.Faults, func(one Fault) bool { return one.Kind == RestartZoneDuringEvacuation }) {
+		t.Errorf("seed %d: the incident is missing", plan.Seed)
 	}
-	for i, one := range p.Faults {
-		if one.Start < warmUp || one.end() > p.For-calmPeriod || one.Length <= 0 || overlapping(p.Faults, one.Start) > MaxConcurrentFaults {
-			t.Errorf("seed %d: %v", p.Seed, one)
+	for i, one := range plan.Faults {
+		if one.Start < warmUp || one.end() > plan.For-calmPeriod || one.Length <= 0 || overlapping(plan.Faults, one.Start) > MaxConcurrentFaults {
+			t.Errorf("seed %d: %v", plan.Seed, one)
 		}
-		for _, other := range p.Faults[i+1:] {
+		for _, other := range plan.Faults[i+1:] {
 			if other.Start >= one.end()+minSeparation {
 				continue
 			}
-			for _, c := range d.claims(one) {
-				if slices.Contains(d.claims(other), c) {
-					t.Errorf("seed %d: %v and %v touch %s", p.Seed, one, other, c)
+			for _, c := range drawing.claims(one) {
+				if slices.Contains(drawing.claims(other), c) {
+					t.Errorf("seed %d: %v and %v touch %s", plan.Seed, one, other, c)
 				}
 			}
 		}
--- a/internal/lab/soak/scenario.go
+++ b/internal/lab/soak/scenario.go
@@ -25,12 +25,12 @@
 // NewScenario gives the deployment in which a seed is played: the small one, with more servers, more traffic, and a home for the
 // most frequent kind of request.
 func NewScenario(seed uint64) *testcluster.Scenario {
-	s := testcluster.SmallScenario(1)
+	scenario := testcluster.SmallScenario(1)
 	subnet := firstSubnet + int(seed%subnets)
-	for i := range s.Machines {
-		s.Machines[i].IP = fmt.Sprintf("127.%d.1.%d", subnet, i+1)
+	for i := range scenario.Machines {
+		scenario.Machines[i].IP = fmt.Sprintf("127.%d.1.%d", subnet, i+1)
 	}
-	engine := *s.Servers[0].Engine
+	engine := *scenario.Servers[0].Engine
 	engine.Step = step
 	var servers []testcluster.ServerSpec
 	held := map[string]int{}
@@ -42,22 +42,22 @@
 		held[spec.Zone]++
 		servers = append(servers, spec)
 	}
-	for _, spec := range s.Servers {
+	for _, spec := range scenario.Servers {
 		add(spec)
 	}
 	for _, zone := range homeZones {
-		spec := s.Servers[0]
+		spec := scenario.Servers[0]
 		for spec.Zone, spec.Region = zone, home; held[zone] < perZone+1; { // one of them has no model
 			add(spec)
 		}
 	}
-	s.Servers = servers
-	s.Config.Routes[1].Homes = []string{home}
+	scenario.Servers = servers
+	scenario.Config.Routes[1].Homes = []string{home}
 	for i, rate := range []float64{summaryRate, questionRate, thumbRate} {
-		s.Kinds[i].Rate = rate
+		scenario.Kinds[i].Rate = rate
 	}
-	setSlots(s, slots)
-	return s
+	setSlots(scenario, slots)
+	return scenario
 }
 
 // setSlots gives every model server so many slots, and as many places to wait.
--- a/internal/lab/testcluster/engine/engine_test.go
+++ b/internal/lab/testcluster/engine/engine_test.go
@@ -39,81 +39,90 @@
 	})
 }
 
-func play(t *testing.T, e *Engine, data *datadriven.TestData) string {
-	var out strings.Builder
+// play runs one command of a table and returns its output.
+func play(t *testing.T, engine *Engine, data *datadriven.TestData) string {
+	t.Helper()
 	switch data.Cmd {
 	case "arrive":
-		r := Request{Priority: 5, AnswerTokens: 1}
-		var key, out, had, at int
-		data.ScanArgs(t, "key", &key)
-		if data.HasArg("out") {
-			data.ScanArgs(t, "out", &out)
-			r.AnswerTokens = out
-		}
-		if data.HasArg("had") {
-			data.ScanArgs(t, "had", &had)
-			r.ReceivedEvents = had
-		}
-		if data.HasArg("priority") {
-			data.ScanArgs(t, "priority", &r.Priority)
-		}
-		if data.HasArg("at") {
-			data.ScanArgs(t, "at", &at)
-		}
-		r.Key = uint64(key)
-		for _, a := range data.CmdArgs {
-			if a.Key == "prompt" {
-				for _, v := range a.Vals {
-					var p PromptPart
-					if _, err := fmt.Sscanf(v, "%x:%d", &p.ID, &p.Tokens); err != nil {
-						t.Fatalf("%s: %v", data.Pos, err)
-					}
-					r.Parts = append(r.Parts, p)
-				}
-			}
-		}
-		if !e.Submit(max(e.now, time.Duration(at)*time.Millisecond), r) {
+		request, at := parseRequest(t, data)
+		if !engine.Submit(max(engine.now, at), request) {
 			return "full"
 		}
 		return "taken"
 	case "cancel":
-		var key int
-		data.ScanArgs(t, "key", &key)
-		if e.Cancel(e.now, uint64(key)) {
+		if engine.Cancel(engine.now, requiredKey(t, data)) {
 			return "it had started"
 		}
 		return "it had not started"
 	case "run": // until nothing is left to do, or until a time
 		until := time.Hour
 		if data.HasArg("until") {
-			var ms int
-			data.ScanArgs(t, "until", &ms)
-			until = time.Duration(ms) * time.Millisecond
+			until = time.Duration(optionalInt(t, data, "until", 0)) * time.Millisecond
 		}
-		for {
-			at, ok := e.Next()
-			if !ok || at > until {
-				break
+		return runUntil(engine, until)
+	case "figures":
+		f := engine.Figures()
+		_, idle := engine.memory()
+		return fmt.Sprintf("read %d, preempted %d, handled %d, in use %d, kept idle %d", f.Prefilled, f.Preempted, f.Handled, f.Used, idle)
+	}
+	t.Fatalf("%s: unknown command %s", data.Pos, data.Cmd)
+	return ""
+}
+
+func requiredKey(t *testing.T, data *datadriven.TestData) uint64 {
+	t.Helper()
+	var key int
+	data.ScanArgs(t, "key", &key)
+	return uint64(key)
+}
+
+func optionalInt(t *testing.T, data *datadriven.TestData, name string, value int) int {
+	t.Helper()
+	if data.HasArg(name) {
+		data.ScanArgs(t, name, &value)
+	}
+	return value
+}
+
+// parseRequest reads a request and when it arrives.
+func parseRequest(t *testing.T, data *datadriven.TestData) (request Request, at Time) {
+	t.Helper()
+	request = Request{Key: requiredKey(t, data), AnswerTokens: optionalInt(t, data, "out", 1), ReceivedEvents: optionalInt(t, data, "had", 0),
+		Priority: optionalInt(t, data, "priority", 5)}
+	for _, arg := range data.CmdArgs {
+		if arg.Key != "prompt" {
+			continue
+		}
+		for _, text := range arg.Vals {
+			var part PromptPart
+			if _, err := fmt.Sscanf(text, "%x:%d", &part.ID, &part.Tokens); err != nil {
+				t.Fatalf("%s: %v", data.Pos, err)
 			}
-			for _, o := range e.Advance(at) {
-				switch o.Kind {
-				case Started:
-					fmt.Fprintf(&out, "%v: %d starts\n", o.At, o.Key)
-				case Event:
-					fmt.Fprintf(&out, "%v: %d event %d\n", o.At, o.Key, o.Event)
-				case Done:
-					fmt.Fprintf(&out, "%v: %d done\n", o.At, o.Key)
-				}
+			request.Parts = append(request.Parts, part)
+		}
+	}
+	return request, time.Duration(optionalInt(t, data, "at", 0)) * time.Millisecond
+}
+
+// runUntil advances the engine from event to event, and returns a line for each output.
+func runUntil(engine *Engine, until Time) string {
+	var out strings.Builder
+	for {
+		at, ok := engine.Next()
+		if !ok || at > until {
+			return out.String()
+		}
+		for _, output := range engine.Advance(at) {
+			switch output.Kind {
+			case Started:
+				fmt.Fprintf(&out, "%v: %d starts\n", output.At, output.Key)
+			case Event:
+				fmt.Fprintf(&out, "%v: %d event %d\n", output.At, output.Key, output.Event)
+			case Done:
+				fmt.Fprintf(&out, "%v: %d done\n", output.At, output.Key)
 			}
 		}
-	case "figures":
-		f := e.Figures()
-		_, idle := e.memory()
-		fmt.Fprintf(&out, "read %d, preempted %d, handled %d, in use %d, kept idle %d", f.Prefilled, f.Preempted, f.Handled, f.Used, idle)
-	default:
-		t.Fatalf("%s: unknown command %s", data.Pos, data.Cmd)
 	}
-	return out.String()
 }
 
 // TestInvariants draws histories. Danger: memory that is counted twice or never given back.
--- a/internal/lab/testcluster/faulty_proxy_test.go
+++ b/internal/lab/testcluster/faulty_proxy_test.go
@@ -92,8 +92,8 @@
 	return c.w.Servers[slices.IndexFunc(c.w.Servers, func(s *Server) bool { return s.Service == service && s.Region == region })]
 }
 
-// startCrooked gives a proxy that breaks nothing yet, and bounds that allow no time for anything.
-func startCrooked(t *testing.T) *faultyProxy {
+// startFaultyProxy gives a proxy that breaks nothing yet, and bounds that allow no time for anything.
+func startFaultyProxy(t *testing.T) *faultyProxy {
 	t.Helper()
 	scene := SmallScenario(1)
 	scene.Bounds.Drain, scene.Bounds.Evacuate, scene.Bounds.ConfigApply, scene.Bounds.RetrySlack = 0, 0, 0, 2
@@ -195,13 +195,16 @@
 	}
 }
 
-// TestFaultyProxiesAreDetected: what clients and servers note on their sockets is enough to see each deed. Danger: evidence that is
-// never gathered.
-func TestFaultyProxiesAreDetected(t *testing.T) {
-	for _, defect := range []struct {
-		name, broken string
-		deed         func(t *testing.T, c *faultyProxy)
-	}{
+// defect is a rule that a proxy breaks on purpose.
+type defect struct {
+	name   string
+	broken string // the rules that the checks have to report
+	inject func(t *testing.T, c *faultyProxy)
+}
+
+// answerDefects change answers.
+func answerDefects() []defect {
+	return []defect{
 		{"honest", "", func(*testing.T, *faultyProxy) {}},
 		{"strips the seal", "MIXED", func(_ *testing.T, c *faultyProxy) {
 			c.answer = func(_ http.ResponseWriter, resp *http.Response) bool {
@@ -219,7 +222,7 @@
 			}
 		}},
 		{"sends more after the answer", "MIXED", func(t *testing.T, c *faultyProxy) {
-			c.answer = func(w http.ResponseWriter, resp *http.Response) bool {
+			c.answer = func(w http.ResponseWriter, _ *http.Response) bool {
 				conn, _, err := w.(http.Hijacker).Hijack()
 				if err != nil {
 					t.Error(err)
@@ -232,6 +235,12 @@
 			c.service = func(string) *Server { return c.server(thumbService, "north") }
 			c.w.traffic.Kinds = c.w.traffic.Kinds[2:]
 		}},
+	}
+}
+
+// requestDefects change, repeat or deny requests.
+func requestDefects() []defect {
+	return []defect{
 		{"changes a request", "UNASKED", func(_ *testing.T, c *faultyProxy) {
 			c.request = func(_ *http.Request, body []byte) []byte { return append(body, '!') }
 		}},
@@ -248,6 +257,12 @@
 				return true
 			}
 		}},
+	}
+}
+
+// routingDefects send requests elsewhere, or lose events.
+func routingDefects() []defect {
+	return []defect{
 		{"knows no route", "DENIED CONFIG", func(_ *testing.T, c *faultyProxy) {
 			c.answer = func(w http.ResponseWriter, _ *http.Response) bool {
 				w.WriteHeader(http.StatusNotFound)
@@ -265,8 +280,14 @@
 				return c.server(modelService, "south")
 			}
 		}},
-		{"drops an event", "ORDER", func(_ *testing.T, c *faultyProxy) { c.answer = without(func(i, _ int) bool { return i == 1 }) }},
-		{"ends a stream early", "ORDER", func(_ *testing.T, c *faultyProxy) { c.answer = without(func(i, n int) bool { return i == n-1 }) }},
+		{"drops an event", "ORDER", func(_ *testing.T, c *faultyProxy) { c.answer = without(func(i, _ int) bool { return i == 1 }) }},        //nolint:bodyclose // the caller of answer closes it
+		{"ends a stream early", "ORDER", func(_ *testing.T, c *faultyProxy) { c.answer = without(func(i, n int) bool { return i == n-1 }) }}, //nolint:bodyclose // the caller of answer closes it
+	}
+}
+
+// stateDefects neglect what the list, the operator or a planned end asks.
+func stateDefects() []defect {
+	return []defect{
 		{"sends to a draining server", "DRAIN", func(_ *testing.T, c *faultyProxy) {
 			c.server(modelService, "north").Drain()
 			c.w.Platform.Observe()
@@ -297,12 +318,18 @@
 			defer c.mu.Unlock()
 			c.config = older
 		}},
-	} {
+	}
+}
+
+// TestFaultyProxiesAreDetected: what clients and servers record on their sockets is enough to detect each defect. It would not be where
+// evidence is never gathered.
+func TestFaultyProxiesAreDetected(t *testing.T) {
+	for _, defect := range slices.Concat(answerDefects(), requestDefects(), routingDefects(), stateDefects()) {
 		t.Run(defect.name, func(t *testing.T) {
 			t.Parallel()
-			c := startCrooked(t)
-			defect.deed(t, c)
-			got := c.play(t, 6)
+			proxy := startFaultyProxy(t)
+			defect.inject(t, proxy)
+			got := proxy.play(t, 6)
 			if want := strings.Fields(defect.broken); !slices.Equal(got, want) {
 				t.Errorf("broken %v, want %v", got, want)
 			}
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -308,12 +308,12 @@
 `
 
 // settings returns the settings file of a process. first: the process starts on an empty disk.
-func (f *Fleet) settings(m Machine, name, disk string, first bool, serves string) string {
+func (f *Fleet) settings(host Machine, name, disk string, first bool, serves string) string {
 	var seeds, zones []string
 	for _, d := range f.Disks() {
 		seeds = append(seeds, strconv.Quote(f.Control(d)))
 	}
-	if !m.Disk {
+	if !host.Disk {
 		disk = ""
 	}
 	for zone, region := range f.Zones() {
@@ -325,8 +325,8 @@
 	if at, ok := f.listAddresses[name]; ok {
 		list = at
 	}
-	return fmt.Sprintf(settingsFormat, name, strings.SplitN(name, "-", 2)[0], serves, m.IP, m.Zone, m.Region, firstPort, lastPort, strings.Join(seeds, ","), first, m.Disk,
-		disk, strings.Join(zones, "\n"), f.Front(m), f.address(m, f.Ports.Readiness), f.Control(m), f.address(m, f.Ports.Directory),
+	return fmt.Sprintf(settingsFormat, name, strings.SplitN(name, "-", 2)[0], serves, host.IP, host.Zone, host.Region, firstPort, lastPort, strings.Join(seeds, ","), first, host.Disk,
+		disk, strings.Join(zones, "\n"), f.Front(host), f.address(host, f.Ports.Readiness), f.Control(host), f.address(host, f.Ports.Directory),
 		bounds.Contact.Milliseconds(), bounds.Drain.Milliseconds(), bounds.Grace.Seconds(), bounds.LossSlack.Milliseconds(), bounds.ConfigApply.Milliseconds(),
 		bounds.RevertSlack.Milliseconds(), bounds.Stretch.Milliseconds(), bounds.RetryRatio, bounds.RetryWindow.Seconds(), bounds.RetrySlack, bounds.ColdExcess, bounds.ColdSlack,
 		bounds.Evacuate.Milliseconds(), list, f.Rate)
--- a/internal/lab/testcluster/links_test.go
+++ b/internal/lab/testcluster/links_test.go
@@ -18,7 +18,7 @@
 // echo answers each line by itself, and gives its address. "reset" it answers by a reset.
 func echo(t *testing.T) string {
 	t.Helper()
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	go func() {
 		defer close(ended)
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -35,30 +35,30 @@
 		}
 	}()
 	t.Cleanup(func() {
-		_ = l.Close()
+		_ = listener.Close()
 		<-ended
 		served.Wait()
 	})
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
 // echoLines gives lines back until one asks for a reset.
-func echoLines(t *testing.T, c net.Conn) {
+func echoLines(t *testing.T, conn net.Conn) {
 	t.Helper()
-	defer func() { _ = c.Close() }()
-	in := bufio.NewReader(c)
+	defer func() { _ = conn.Close() }()
+	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			return
 		}
 		if line == "reset\n" {
-			if err := c.(*net.TCPConn).SetLinger(0); err != nil {
+			if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
 				t.Error(err)
 			}
 			return
 		}
-		if _, err := io.WriteString(c, line); err != nil {
+		if _, err := io.WriteString(conn, line); err != nil {
 			return
 		}
 	}
--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -120,21 +120,21 @@
 )
 
 // denied: proper requests are not rejected with a 3xx or 4xx of the system's own.
-func denied(x *index, v *Verdict) {
+func denied(x *index, verdict *Verdict) {
 	var found []*Attempt
 	for _, t := range x.Attempts {
 		if t.Probe {
 			continue
 		}
-		v.Checked++
+		verdict.Checked++
 		own := t.Outcome == Answered && t.Seal == "" && t.Status >= 300 && t.Status < 500 && !promisesNotExecuted(t.Status)
 		if own && x.inContact(t.Proxy, t.Ended) && x.alwaysRouted(t) {
 			found = append(found, t)
 		}
 	}
-	if len(found) > minDenied+v.Checked/attemptsPerDenied {
+	if len(found) > minDenied+verdict.Checked/attemptsPerDenied {
 		for _, t := range found {
-			v.violation("%s got a %d at %s", t.ID, t.Status, t.Proxy)
+			verdict.violation("%s got a %d at %s", t.ID, t.Status, t.Proxy)
 		}
 	}
 }
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -155,21 +155,21 @@
 }
 
 // lost: around a planned end, what a process has read gets a whole answer.
-func lost(x *index, verdict *Verdict) {
-	for _, trouble := range x.Faults {
+func lost(idx *index, verdict *Verdict) {
+	for _, trouble := range idx.Faults {
 		if trouble.Kind != Terminate || trouble.Proxy == "" {
 			continue
 		}
-		until := trouble.At + x.Bounds.Grace + 1e9
-		for _, t := range x.Attempts {
-			if t.Proxy != trouble.Proxy || t.Ended < trouble.At || t.Ended > until || !x.plannedOnly(t) {
+		until := trouble.At + idx.Bounds.Grace + 1e9
+		for _, t := range idx.Attempts {
+			if t.Proxy != trouble.Proxy || t.Ended < trouble.At || t.Ended > until || !idx.plannedOnly(t) {
 				continue
 			}
 			verdict.Checked++
-			if t.Outcome != Truncated || x.abortedByServer(t) {
+			if t.Outcome != Truncated || idx.abortedByServer(t) {
 				continue
 			}
-			if len(x.runs[t.ID]) > 0 || t.Ended > t.SentComplete+x.Bounds.LossSlack {
+			if len(idx.runs[t.ID]) > 0 || t.Ended > t.SentComplete+idx.Bounds.LossSlack {
 				verdict.violation("%s was cut at %s, %v after SIGTERM", t.ID, t.Proxy, t.Ended-trouble.At)
 			}
 		}
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -124,13 +124,13 @@
 }
 
 // home: a request whose route has homes reaches servers there only. All configurations that may be in force must agree.
-func home(x *index, verdict *Verdict) {
-	for _, arrival := range x.Arrivals {
-		t := x.tries[arrival.ID]
+func home(idx *index, verdict *Verdict) {
+	for _, arrival := range idx.Arrivals {
+		t := idx.tries[arrival.ID]
 		if t == nil || !arrival.reached() {
 			continue
 		}
-		some := x.inForce(t.Sent, arrival.At)
+		some := idx.inForce(t.Sent, arrival.At)
 		abroad := len(some) > 0
 		for _, c := range some {
 			r := c.Match(t.Host, t.Path)
--- a/internal/lab/testcluster/server_links_test.go
+++ b/internal/lab/testcluster/server_links_test.go
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	for _, closes := range []bool{true, false} {
-		c, err := net.Dial("tcp4", r.listener.Addr().String())
+		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", r.listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -68,7 +68,6 @@
 // TestServerConformance: PROTOCOL.md "Servers".
 func TestServerConformance(t *testing.T) {
 	_, server := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), ReportsLoad: true, IdleTimeout: 5 * time.Second})
-	id := server.ID()
 	prompt := []string{"X-Token-Count: 100,20", "X-Prompt-Prefix: a:60,b:40", "X-Time-Left-Ms: 5000"}
 	resp, body, err := call(t, server, "/x/1", append(prompt, "X-Attempt-Id: one")...)
 	if err != nil {
@@ -93,7 +92,23 @@
 	if err != nil || !strings.HasPrefix(rest, "id: 4\n") || strings.Count(rest, "id: ") != made-3 {
 		t.Errorf("after event 3 of %d: %q, %v", made, rest, err)
 	}
-	for _, c := range []struct {
+	checkStatuses(t, server)
+	_, body, err = call(t, server, "/report") //nolint:bodyclose // call closes it
+	var report map[string]any
+	if err != nil || json.Unmarshal([]byte(body), &report) != nil || report["stage"] != "both" || report["cache_capacity"] != 1000.0 {
+		t.Errorf("report %q, %v", body, err)
+	}
+	server.Drain()
+	if resp, _, err := call(t, server, "/health"); err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
+		t.Errorf("health while draining: %+v, %v", resp, err)
+	}
+}
+
+// checkStatuses checks the answers that need no prompt, and those of requests that are rejected.
+func checkStatuses(t *testing.T, server *Server) {
+	t.Helper()
+	id := server.ID()
+	for _, test := range []struct {
 		name, path string
 		headers    []string
 		status     int
@@ -107,26 +122,19 @@
 		{"health", "/health", nil, 200, "X-Instance-Id: " + id},
 		{"report", "/report", nil, 200, "Content-Type: application/json"},
 	} {
-		resp, _, err := call(t, server, c.path, c.headers...)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var head bytes.Buffer
-		if err := resp.Header.Write(&head); err != nil {
-			t.Fatal(err)
-		}
-		if resp.StatusCode != c.status || !strings.Contains(head.String(), c.has+"\r\n") {
-			t.Errorf("%s: %d\n%s, want %d and %s", c.name, resp.StatusCode, head.String(), c.status, c.has)
-		}
-	}
-	_, body, err = call(t, server, "/report")
-	var told map[string]any
-	if err != nil || json.Unmarshal([]byte(body), &told) != nil || told["stage"] != "both" || told["cache_capacity"] != 1000.0 {
-		t.Errorf("report %q, %v", body, err)
-	}
-	server.Drain()
-	if resp, _, err := call(t, server, "/health"); err != nil || resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("health while draining: %+v, %v", resp, err)
+		t.Run(test.name, func(t *testing.T) {
+			resp, _, err := call(t, server, test.path, test.headers...)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var head bytes.Buffer
+			if err := resp.Header.Write(&head); err != nil {
+				t.Fatal(err)
+			}
+			if resp.StatusCode != test.status || !strings.Contains(head.String(), test.has+"\r\n") {
+				t.Errorf("%d\n%s, want %d and %s", resp.StatusCode, head.String(), test.status, test.has)
+			}
+		})
 	}
 }
 
@@ -278,7 +286,7 @@
 func TestServerConnections(t *testing.T) {
 	_, s := lone(t, ServerSpec{Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, Bytes: 100}, MaxConns: 2})
 	for index := range 3 {
-		c, err := net.Dial("tcp4", s.address)
+		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", s.address)
 		if err != nil {
 			if index < 2 {
 				t.Fatal(err)
