--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -62,7 +62,7 @@
 func (p *player) beginFault(m testcluster.Machine, keeper bool, kind string) (end func()) {
 	t := rules.Fault{Kind: kind, At: p.Now()}
 	if keeper {
-		t.Keeper, t.Machine = m.Disk, m.IP
+		t.ControlPlane, t.Machine = m.Disk, m.IP
 	} else {
 		t.Proxy = p.Fleet.Front(m)
 	}
@@ -224,7 +224,7 @@
 func (p *player) startZone(ctx context.Context, zone string) error {
 	some := p.servers(zone)
 	for i, s := range some {
-		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) {
+		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) { //nolint:contextcheck // the server outlives the call
 			return err
 		}
 		if i < len(some)-1 {
@@ -318,7 +318,7 @@
 		clock.Sleep(ctx, p.Scenario.Bounds.Drain+time.Second)
 		s.Stop()
 		clock.Sleep(ctx, t.Length-p.Scenario.Bounds.Drain-time.Second-s.WarmUp-coldMargin)
-		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) {
+		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) { //nolint:contextcheck // the server outlives the call
 			return err
 		}
 		clock.Sleep(ctx, s.WarmUp+coldMargin)
--- a/internal/lab/testcluster/engine/engine_test.go
+++ b/internal/lab/testcluster/engine/engine_test.go
@@ -14,106 +14,115 @@
 func TestConformance(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var e *Engine
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			if d.Cmd == "server" {
+		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
+			if data.Cmd == "server" {
 				s := Spec{Slots: 2, Queue: 2, MemoryTokens: 1000, Stride: 2, Step: time.Millisecond, PrefillRate: 100, Chunk: 100}
-				for _, a := range d.CmdArgs {
+				for _, a := range data.CmdArgs {
 					switch a.Key {
 					case "slots":
-						d.ScanArgs(t, a.Key, &s.Slots)
+						data.ScanArgs(t, a.Key, &s.Slots)
 					case "queue":
-						d.ScanArgs(t, a.Key, &s.Queue)
+						data.ScanArgs(t, a.Key, &s.Queue)
 					case "memory":
-						d.ScanArgs(t, a.Key, &s.MemoryTokens)
+						data.ScanArgs(t, a.Key, &s.MemoryTokens)
 					case "stride":
-						d.ScanArgs(t, a.Key, &s.Stride)
+						data.ScanArgs(t, a.Key, &s.Stride)
 					case "chunk":
-						d.ScanArgs(t, a.Key, &s.Chunk)
+						data.ScanArgs(t, a.Key, &s.Chunk)
 					}
 				}
 				e = New(s, 0)
 				return ""
 			}
-			return play(t, e, d)
+			return play(t, e, data)
 		})
 	})
 }
 
-func play(t *testing.T, e *Engine, d *datadriven.TestData) string {
-	var out strings.Builder
-	switch d.Cmd {
+// play runs one command of a table and returns its output.
+func play(t *testing.T, engine *Engine, data *datadriven.TestData) string {
+	t.Helper()
+	switch data.Cmd {
 	case "arrive":
-		r := Request{Priority: 5, AnswerTokens: 1}
-		var key, out, had, at int
-		d.ScanArgs(t, "key", &key)
-		if d.HasArg("out") {
-			d.ScanArgs(t, "out", &out)
-			r.AnswerTokens = out
-		}
-		if d.HasArg("had") {
-			d.ScanArgs(t, "had", &had)
-			r.ReceivedEvents = had
-		}
-		if d.HasArg("priority") {
-			d.ScanArgs(t, "priority", &r.Priority)
-		}
-		if d.HasArg("at") {
-			d.ScanArgs(t, "at", &at)
-		}
-		r.Key = uint64(key)
-		for _, a := range d.CmdArgs {
-			if a.Key == "prompt" {
-				for _, v := range a.Vals {
-					var p PromptPart
-					if _, err := fmt.Sscanf(v, "%x:%d", &p.ID, &p.Tokens); err != nil {
-						t.Fatalf("%s: %v", d.Pos, err)
-					}
-					r.Parts = append(r.Parts, p)
-				}
-			}
-		}
-		if !e.Submit(max(e.now, time.Duration(at)*time.Millisecond), r) {
+		request, at := parseRequest(t, data)
+		if !engine.Submit(max(engine.now, at), request) {
 			return "full"
 		}
 		return "taken"
 	case "cancel":
-		var key int
-		d.ScanArgs(t, "key", &key)
-		if e.Cancel(e.now, uint64(key)) {
+		if engine.Cancel(engine.now, requiredKey(t, data)) {
 			return "it had started"
 		}
 		return "it had not started"
 	case "run": // until nothing is left to do, or until a time
 		until := time.Hour
-		if d.HasArg("until") {
-			var ms int
-			d.ScanArgs(t, "until", &ms)
-			until = time.Duration(ms) * time.Millisecond
+		if data.HasArg("until") {
+			until = time.Duration(optionalInt(t, data, "until", 0)) * time.Millisecond
 		}
-		for {
-			at, ok := e.Next()
-			if !ok || at > until {
-				break
+		return runUntil(engine, until)
+	case "figures":
+		f := engine.Figures()
+		_, idle := engine.memory()
+		return fmt.Sprintf("read %d, preempted %d, handled %d, in use %d, kept idle %d", f.Prefilled, f.Preempted, f.Handled, f.Used, idle)
+	}
+	t.Fatalf("%s: unknown command %s", data.Pos, data.Cmd)
+	return ""
+}
+
+func requiredKey(t *testing.T, data *datadriven.TestData) uint64 {
+	t.Helper()
+	var key int
+	data.ScanArgs(t, "key", &key)
+	return uint64(key)
+}
+
+func optionalInt(t *testing.T, data *datadriven.TestData, name string, value int) int {
+	t.Helper()
+	if data.HasArg(name) {
+		data.ScanArgs(t, name, &value)
+	}
+	return value
+}
+
+// parseRequest reads a request and when it arrives.
+func parseRequest(t *testing.T, data *datadriven.TestData) (request Request, at Time) {
+	t.Helper()
+	request = Request{Key: requiredKey(t, data), AnswerTokens: optionalInt(t, data, "out", 1), ReceivedEvents: optionalInt(t, data, "had", 0),
+		Priority: optionalInt(t, data, "priority", 5)}
+	for _, arg := range data.CmdArgs {
+		if arg.Key != "prompt" {
+			continue
+		}
+		for _, text := range arg.Vals {
+			var part PromptPart
+			if _, err := fmt.Sscanf(text, "%x:%d", &part.ID, &part.Tokens); err != nil {
+				t.Fatalf("%s: %v", data.Pos, err)
 			}
-			for _, o := range e.Advance(at) {
-				switch o.Kind {
-				case Started:
-					fmt.Fprintf(&out, "%v: %d starts\n", o.At, o.Key)
-				case Event:
-					fmt.Fprintf(&out, "%v: %d event %d\n", o.At, o.Key, o.Event)
-				case Done:
-					fmt.Fprintf(&out, "%v: %d done\n", o.At, o.Key)
-				}
+			request.Parts = append(request.Parts, part)
+		}
+	}
+	return request, time.Duration(optionalInt(t, data, "at", 0)) * time.Millisecond
+}
+
+// runUntil advances the engine from event to event, and returns a line for each output.
+func runUntil(engine *Engine, until Time) string {
+	var out strings.Builder
+	for {
+		at, ok := engine.Next()
+		if !ok || at > until {
+			return out.String()
+		}
+		for _, output := range engine.Advance(at) {
+			switch output.Kind {
+			case Started:
+				fmt.Fprintf(&out, "%v: %d starts\n", output.At, output.Key)
+			case Event:
+				fmt.Fprintf(&out, "%v: %d event %d\n", output.At, output.Key, output.Event)
+			case Done:
+				fmt.Fprintf(&out, "%v: %d done\n", output.At, output.Key)
 			}
 		}
-	case "figures":
-		f := e.Figures()
-		_, idle := e.memory()
-		fmt.Fprintf(&out, "read %d, preempted %d, handled %d, in use %d, kept idle %d", f.Prefilled, f.Preempted, f.Handled, f.Used, idle)
-	default:
-		t.Fatalf("%s: unknown command %s", d.Pos, d.Cmd)
 	}
-	return out.String()
 }
 
 // TestInvariants draws histories. Danger: memory that is counted twice or never given back.
@@ -122,36 +131,36 @@
 		spec := Spec{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Queue: rapid.IntRange(0, 3).Draw(t, "queue"),
 			MemoryTokens: rapid.Int64Range(50, 400).Draw(t, "memory"), Stride: rapid.IntRange(1, 5).Draw(t, "stride"), Step: time.Millisecond,
 			PerRunning: 10 * time.Microsecond, PrefillRate: 50, Chunk: rapid.IntRange(1, 60).Draw(t, "chunk")}
-		e := New(spec, 0)
-		h := history{T: t, e: e, taken: map[uint64]Request{}, events: map[uint64]int{}, done: map[uint64]bool{}}
+		engine := New(spec, 0)
+		hist := history{T: t, e: engine, taken: map[uint64]Request{}, events: map[uint64]int{}, done: map[uint64]bool{}}
 		now := Time(0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * time.Millisecond
-			h.see(e.Advance(now))
-			if i%7 == 6 && len(h.taken) > 0 {
+			hist.see(engine.Advance(now))
+			if i%7 == 6 && len(hist.taken) > 0 {
 				key := uint64(rapid.IntRange(0, i).Draw(t, "cancelled"))
-				e.Cancel(now, key)
-				delete(h.taken, key)
+				engine.Cancel(now, key)
+				delete(hist.taken, key)
 			} else {
-				h.arrive(now, uint64(i))
+				hist.arrive(now, uint64(i))
 			}
-			h.invariants()
+			hist.invariants()
 		}
 		for range 1_000_000 { // all that was taken ends
-			at, ok := e.Next()
+			at, ok := engine.Next()
 			if !ok {
 				break
 			}
-			h.see(e.Advance(at))
-			h.invariants()
+			hist.see(engine.Advance(at))
+			hist.invariants()
 		}
-		for key := range h.taken {
-			if !h.done[key] {
+		for key := range hist.taken {
+			if !hist.done[key] {
 				t.Fatalf("%d was taken and never ended", key)
 			}
 		}
-		if used, _ := e.memory(); used != 0 || len(e.running) != 0 || len(e.waiting) != 0 {
-			t.Fatalf("at rest %d tokens are in use, %d run, %d wait", used, len(e.running), len(e.waiting))
+		if used, _ := engine.memory(); used != 0 || len(engine.running) != 0 || len(engine.waiting) != 0 {
+			t.Fatalf("at rest %d tokens are in use, %d run, %d wait", used, len(engine.running), len(engine.waiting))
 		}
 	})
 }
@@ -179,20 +188,20 @@
 }
 
 func (h *history) see(all []Output) {
-	for _, o := range all {
-		r, ok := h.taken[o.Key]
+	for _, output := range all {
+		r, ok := h.taken[output.Key]
 		switch {
 		case !ok: // cancelled
-		case h.done[o.Key]:
-			h.Fatalf("%d goes on after its end", o.Key)
-		case o.Kind == Event && o.Event != h.events[o.Key]+1:
-			h.Fatalf("%d: event %d follows event %d", o.Key, o.Event, h.events[o.Key])
-		case o.Kind == Event:
-			h.events[o.Key] = o.Event
-		case o.Kind == Done && h.events[o.Key] != EventsOf(r.AnswerTokens, h.e.Stride):
-			h.Fatalf("%d ended after event %d of %d", o.Key, h.events[o.Key], EventsOf(r.AnswerTokens, h.e.Stride))
-		case o.Kind == Done:
-			h.done[o.Key] = true
+		case h.done[output.Key]:
+			h.Fatalf("%d goes on after its end", output.Key)
+		case output.Kind == Event && output.Event != h.events[output.Key]+1:
+			h.Fatalf("%d: event %d follows event %d", output.Key, output.Event, h.events[output.Key])
+		case output.Kind == Event:
+			h.events[output.Key] = output.Event
+		case output.Kind == Done && h.events[output.Key] != EventsOf(r.AnswerTokens, h.e.Stride):
+			h.Fatalf("%d ended after event %d of %d", output.Key, h.events[output.Key], EventsOf(r.AnswerTokens, h.e.Stride))
+		case output.Kind == Done:
+			h.done[output.Key] = true
 		}
 	}
 }
--- a/internal/lab/testcluster/links_test.go
+++ b/internal/lab/testcluster/links_test.go
@@ -18,7 +18,7 @@
 // echo answers each line by itself, and gives its address. "reset" it answers by a reset.
 func echo(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	go func() {
 		defer close(ended)
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -35,30 +35,30 @@
 		}
 	}()
 	t.Cleanup(func() {
-		_ = l.Close()
+		_ = listener.Close()
 		<-ended
 		served.Wait()
 	})
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
 // echoLines gives lines back until one asks for a reset.
-func echoLines(t *testing.T, c net.Conn) {
+func echoLines(t *testing.T, conn net.Conn) {
 	t.Helper()
-	defer c.Close()
-	in := bufio.NewReader(c)
+	defer func() { _ = conn.Close() }()
+	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			return
 		}
 		if line == "reset\n" {
-			if err := c.(*net.TCPConn).SetLinger(0); err != nil {
+			if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
 				t.Error(err)
 			}
 			return
 		}
-		if _, err := io.WriteString(c, line); err != nil {
+		if _, err := io.WriteString(conn, line); err != nil {
 			return
 		}
 	}
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.close)
-	c, err := net.Dial("tcp4", r.listener.Addr().String())
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", r.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,62 +98,62 @@
 	}
 }
 
-func TestRelayLeadsBothWays(t *testing.T) {
+func TestRelayForwardsBothWays(t *testing.T) {
 	over := link.New()
-	c := relayTo(t, echo(t), over)
-	say(t, c, "one\n")
-	hear(t, c, "one\n")
+	client := relayTo(t, echo(t), over)
+	say(t, client, "one\n")
+	hear(t, client, "one\n")
 	const delay = 20 * time.Millisecond
 	over.Set(link.State{Delay: delay})
 	start := time.Now()
-	say(t, c, "two\n")
-	hear(t, c, "two\n")
+	say(t, client, "two\n")
+	hear(t, client, "two\n")
 	if took := time.Since(start); took < 2*delay {
 		t.Errorf("there and back took %v", took)
 	}
 	over.Set(link.State{Hold: [2]bool{link.ToNear: true}})
-	say(t, c, "three\n")
-	if err := c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+	say(t, client, "three\n")
+	if err := client.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := c.Read(make([]byte, 1)); err == nil {
+	if n, err := client.Read(make([]byte, 1)); err == nil {
 		t.Errorf("%d bytes came over a link that holds them back", n)
 	}
-	if err := c.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
+	if err := client.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
 		t.Fatal(err)
 	}
 	over.Set(link.State{})
-	hear(t, c, "three\n")
+	hear(t, client, "three\n")
 }
 
-func TestRelayPassesResetsOn(t *testing.T) {
-	c := relayTo(t, echo(t), link.New())
-	say(t, c, "one\n")
-	hear(t, c, "one\n")
-	say(t, c, "reset\n")
-	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+func TestRelayForwardsResets(t *testing.T) {
+	client := relayTo(t, echo(t), link.New())
+	say(t, client, "one\n")
+	hear(t, client, "one\n")
+	say(t, client, "reset\n")
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the far end's reset shows as %v", err)
 	}
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	c = relayTo(t, l.Addr().String(), link.New())
-	say(t, c, "one\n")
-	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+	client = relayTo(t, l.Addr().String(), link.New())
+	say(t, client, "one\n")
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a far end where nobody listens shows as %v", err)
 	}
 }
 
-func TestPacketsAreLedOn(t *testing.T) {
-	to, err := net.ListenPacket("udp4", "127.0.0.1:0")
+func TestPacketsAreForwarded(t *testing.T) {
+	to, err := new(net.ListenConfig).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer to.Close()
+	defer func() { _ = to.Close() }()
 	over := link.New()
 	p, err := newPacketRelay("127.0.0.1:0", to.LocalAddr().String(), over)
 	if err != nil {
@@ -163,11 +163,11 @@
 	if err := to.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
 		t.Fatal(err)
 	}
-	from, err := net.Dial("udp4", p.in.LocalAddr().String())
+	from, err := new(net.Dialer).DialContext(t.Context(), "udp4", p.in.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer from.Close()
+	defer func() { _ = from.Close() }()
 	buf := make([]byte, 16)
 	for _, c := range []struct {
 		text  string
@@ -183,33 +183,33 @@
 	}
 }
 
-// TestLinksAddTroubles: what lies on a link is the sum of its length and of all faults, and goes with each.
-func TestLinksAddTroubles(t *testing.T) {
-	n := NewLinks(30*time.Millisecond, time.Millisecond)
-	near, far := n.linkFor(Path{"a", "b"}, false), n.linkFor(Path{"a", "c"}, true)
+// TestLinksAddFaults: what lies on a link is the sum of its length and of all faults, and goes with each.
+func TestLinksAddFaults(t *testing.T) {
+	links := NewLinks(30*time.Millisecond, time.Millisecond)
+	near, far := links.linkFor(Path{"a", "b"}, false), links.linkFor(Path{"a", "c"}, true)
 	all := func(Path) bool { return true }
-	is := func(what string, l *link.Link, want link.State) {
+	expect := func(what string, l *link.Link, want link.State) {
 		t.Helper()
 		if s, _ := l.State(); s != want {
 			t.Errorf("%s: %+v, want %+v", what, s, want)
 		}
 	}
 	length := link.State{Delay: 30 * time.Millisecond, Jitter: time.Millisecond}
-	is("near", near, link.State{})
-	is("far", far, length)
-	healSlow := n.Inject(all, link.State{Delay: 10 * time.Millisecond})
-	healCut := n.Inject(func(p Path) bool { return p.To == "c" }, link.State{Hold: [2]bool{link.ToFar: true}})
-	is("near, slow", near, link.State{Delay: 10 * time.Millisecond})
-	is("far, slow and cut", far, link.State{Delay: 40 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
+	expect("near", near, link.State{})
+	expect("far", far, length)
+	healSlow := links.Inject(all, link.State{Delay: 10 * time.Millisecond})
+	healCut := links.Inject(func(p Path) bool { return p.To == "c" }, link.State{Hold: [2]bool{link.ToFar: true}})
+	expect("near, slow", near, link.State{Delay: 10 * time.Millisecond})
+	expect("far, slow and cut", far, link.State{Delay: 40 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
 	healSlow()
-	is("far, cut", far, link.State{Delay: 30 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
+	expect("far, cut", far, link.State{Delay: 30 * time.Millisecond, Jitter: time.Millisecond, Hold: [2]bool{link.ToFar: true}})
 	healCut()
-	is("far, healed", far, length)
-	is("near, healed", near, link.State{})
+	expect("far, healed", far, length)
+	expect("near, healed", near, link.State{})
 }
 
-// TestLinksHavePathsOfTheirOwn: everybody calls control-plane nodes and proxies call each other, each over a link of its own.
-func TestLinksHavePathsOfTheirOwn(t *testing.T) {
+// TestLinksHaveSeparatePaths: everybody calls control-plane nodes and proxies call each other, each over a link of its own.
+func TestLinksHaveSeparatePaths(t *testing.T) {
 	scene := SmallScenario(1)
 	ports, err := FreePorts(scene.Machines)
 	if err != nil {
--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -15,38 +15,38 @@
 }
 
 // mixed: a success is one server's whole answer to this very request, and nothing comes that was not asked for.
-func mixed(x *index, v *Verdict) {
-	for _, s := range x.Strays {
-		v.violation("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
+func mixed(idx *index, verdict *Verdict) {
+	for _, s := range idx.Strays {
+		verdict.violation("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
 	}
-	for _, t := range x.Attempts {
-		v.Checked++
+	for _, t := range idx.Attempts {
+		verdict.Checked++
 		switch {
 		case t.Outcome == Malformed:
-			v.violation("%s: bytes came that are no answer", t.ID)
+			verdict.violation("%s: bytes came that are no answer", t.ID)
 		case t.Surplus > 0:
-			v.violation("%s: %d bytes followed the answer", t.ID, t.Surplus)
+			verdict.violation("%s: %d bytes followed the answer", t.ID, t.Surplus)
 		case t.Status != 0 && t.AnswerID != "" && t.AnswerID != t.ID:
-			v.violation("%s: got the answer to %s", t.ID, t.AnswerID)
+			verdict.violation("%s: got the answer to %s", t.ID, t.AnswerID)
 		case t.Outcome == Answered && success(t.Status):
-			mixedSuccess(x, t, v)
+			mixedSuccess(idx, t, verdict)
 		}
 	}
 }
 
-func mixedSuccess(x *index, t *Attempt, v *Verdict) {
+func mixedSuccess(x *index, t *Attempt, verdict *Verdict) {
 	a := x.seals[t.Seal]
 	switch {
 	case t.Seal == "":
-		v.violation("%s: %d without a server's seal", t.ID, t.Status)
+		verdict.violation("%s: %d without a server's seal", t.ID, t.Status)
 	case a == nil:
-		v.violation("%s: no server gave the seal %s", t.ID, t.Seal)
+		verdict.violation("%s: no server gave the seal %s", t.ID, t.Seal)
 	case a.ID != t.ID:
-		v.violation("%s: the seal is that of the answer to %s", t.ID, a.ID)
+		verdict.violation("%s: the seal is that of the answer to %s", t.ID, a.ID)
 	case !t.Stream && !success(a.Status):
-		v.violation("%s: %d where the server answered %d", t.ID, t.Status, a.Status)
+		verdict.violation("%s: %d where the server answered %d", t.ID, t.Status, a.Status)
 	case !t.Stream && a.Answer != t.Answer:
-		v.violation("%s: the body is not the server's", t.ID)
+		verdict.violation("%s: the body is not the server's", t.ID)
 	}
 }
 
@@ -120,21 +120,21 @@
 )
 
 // denied: proper requests are not rejected with a 3xx or 4xx of the system's own.
-func denied(x *index, v *Verdict) {
+func denied(x *index, verdict *Verdict) {
 	var found []*Attempt
 	for _, t := range x.Attempts {
 		if t.Probe {
 			continue
 		}
-		v.Checked++
+		verdict.Checked++
 		own := t.Outcome == Answered && t.Seal == "" && t.Status >= 300 && t.Status < 500 && !promisesNotExecuted(t.Status)
 		if own && x.inContact(t.Proxy, t.Ended) && x.alwaysRouted(t) {
 			found = append(found, t)
 		}
 	}
-	if len(found) > minDenied+v.Checked/attemptsPerDenied {
+	if len(found) > minDenied+verdict.Checked/attemptsPerDenied {
 		for _, t := range found {
-			v.violation("%s got a %d at %s", t.ID, t.Status, t.Proxy)
+			verdict.violation("%s got a %d at %s", t.ID, t.Status, t.Proxy)
 		}
 	}
 }
@@ -151,32 +151,32 @@
 }
 
 // order: a stream's pieces are those of one run, or of runs that each go on where the last one ended, and none is missing.
-func order(x *index, v *Verdict) {
-	for _, t := range x.Attempts {
+func order(idx *index, verdict *Verdict) {
+	for _, t := range idx.Attempts {
 		if !t.Stream {
 			continue
 		}
-		v.Checked++
+		verdict.Checked++
 		last := t.From
 		for i, s := range t.Events {
-			a := x.seals[s.Run]
+			a := idx.seals[s.Run]
 			switch {
 			case a == nil || a.ID != t.ID:
-				v.violation("%s: piece %d is of no run of this request", t.ID, s.First)
+				verdict.violation("%s: piece %d is of no run of this request", t.ID, s.First)
 			case s.First != last+1:
-				v.violation("%s: piece %d follows piece %d", t.ID, s.First, last)
-			case i > 0 && s.Run == t.Events[i-1].Run, i > 0 && !x.idempotent(t):
-				v.violation("%s: pieces of two runs", t.ID)
+				verdict.violation("%s: piece %d follows piece %d", t.ID, s.First, last)
+			case i > 0 && s.Run == t.Events[i-1].Run, i > 0 && !idx.idempotent(t):
+				verdict.violation("%s: pieces of two runs", t.ID)
 			case i > 0 && a.From != last:
-				v.violation("%s: a run that goes on after %d was joined after %d", t.ID, a.From, last)
+				verdict.violation("%s: a run that goes on after %d was joined after %d", t.ID, a.From, last)
 			}
 			last = s.Last
 		}
 		if t.Outcome != Answered || !success(t.Status) {
 			continue
 		}
-		if a := x.seals[t.Seal]; a != nil && last != a.LastEvent {
-			v.violation("%s: closed as complete after piece %d of %d", t.ID, last, a.LastEvent)
+		if a := idx.seals[t.Seal]; a != nil && last != a.LastEvent {
+			verdict.violation("%s: closed as complete after piece %d of %d", t.ID, last, a.LastEvent)
 		}
 	}
 }
