--- a/internal/lab/plan/arrivals.go
+++ b/internal/lab/plan/arrivals.go
@@ -53,8 +53,8 @@
 	for _, l := range all {
 		n += l.rate * (l.to - l.from).Seconds()
 	}
-	if n > mostArrivals {
-		return f.bad("load", -1, "rate", "%.0f requests in all, %d at most", n, mostArrivals)
+	if n > maxArrivals {
+		return f.bad("load", -1, "rate", "%.0f requests in all, %d at most", n, maxArrivals)
 	}
 	for i, l := range all {
 		label := "arrivals"
@@ -119,7 +119,7 @@
 const floodClients = 1 << 22 // for each fault, above the numbers of all clients
 
 // flooder is the j-th client of a flood, a client that asks for nothing else; of a distinct flood, the one before the first.
-func (p *Plan) flooder(fault, j int) int { return (fault+1)*floodClients + j*floodClients/mostFlooders }
+func (p *Plan) flooder(fault, j int) int { return (fault+1)*floodClients + j*floodClients/maxFlooders }
 
 // Flooder tells whether a client is one of a flood, and of which fault.
 func Flooder(client int) (fault int, ok bool) { return client/floodClients - 1, client >= floodClients }
--- a/internal/lab/plan/fault.go
+++ b/internal/lab/plan/fault.go
@@ -91,9 +91,9 @@
 }
 
 const (
-	mostFlooders = 64 // clients of one flood
-	mostLiars    = 16 // members of one lie
-	mostTold     = len(hitters.Report{}.Keys)
+	maxFlooders        = 64 // clients of one flood
+	maxLyingMembers    = 16 // members of one lie
+	maxReportedClients = len(hitters.Report{}.Keys)
 )
 
 // checkFault refuses a fault that makes no sense by itself.
@@ -153,10 +153,10 @@
 		return f.bad("fault", i, "on", "part and names choose no clients, and count only those of a flood")
 	case t.Do == "lie" && (!f.Members.On || !f.Hitters.On):
 		return f.bad("fault", i, "do", "nobody would hear a lie: it needs on in [members] and in [hitters]")
-	case t.Do == "lie" && (t.Count < 1 || t.Count > mostLiars || len(t.Names) < 1 || len(t.Names) > mostTold || t.Part > 0 || t.Zone != ""):
-		return f.bad("fault", i, "count", "a lie needs count, 1 to %d, and names, 1 to %d, and nothing else that chooses", mostLiars, mostTold)
-	case t.Do == "flood" && (t.Count > mostFlooders || t.Through < 0):
-		return f.bad("fault", i, "count", "a flood has %d clients at most, and goes through no fewer than 0 sidecars", mostFlooders)
+	case t.Do == "lie" && (t.Count < 1 || t.Count > maxLyingMembers || len(t.Names) < 1 || len(t.Names) > maxReportedClients || t.Part > 0 || t.Zone != ""):
+		return f.bad("fault", i, "count", "a lie needs count, 1 to %d, and names, 1 to %d, and nothing else that chooses", maxLyingMembers, maxReportedClients)
+	case t.Do == "flood" && (t.Count > maxFlooders || t.Through < 0):
+		return f.bad("fault", i, "count", "a flood has %d clients at most, and goes through no fewer than 0 sidecars", maxFlooders)
 	case t.Distinct && t.Do != "flood":
 		return f.bad("fault", i, "distinct", "%s has no distinct", t.Do)
 	case t.Do == "join" && (t.Count < 1 || t.Part > 0 || len(t.Names) > 0 || t.Zone != ""):
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -34,8 +34,8 @@
 		r := stream(p.Seed, fmt.Sprintf("fault %d", i))
 		switch t.Do {
 		case "join":
-			if t.Count+len(p.Sidecars) > mostSidecars {
-				return f.bad("fault", i, "count", "%d sidecars at most", mostSidecars)
+			if t.Count+len(p.Sidecars) > maxSidecars {
+				return f.bad("fault", i, "count", "%d sidecars at most", maxSidecars)
 			}
 			peers := p.present(at) + t.Count
 			for j := range t.Count {
--- a/internal/lab/plan/validate.go
+++ b/internal/lab/plan/validate.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	mostSeconds  = 3600
-	mostServers  = 2000
-	mostSidecars = 1000
-	mostArrivals = 2_000_000
-	maxZones     = 16
-	maxCores     = 1024
+	maxSeconds  = 3600
+	maxServers  = 2000
+	maxSidecars = 1000
+	maxArrivals = 2_000_000
+	maxZones    = 16
+	maxCores    = 1024
 )
 
 // check rejects a file that makes no sense. The first error is the one that is reported.
@@ -34,10 +34,10 @@
 // ranges are the numbers of the file whose range depends on nothing else.
 func (f *File) ranges() []keyRange {
 	return []keyRange{
-		{"", "seconds", f.Seconds, 1, mostSeconds},
-		{"fleet", "servers", float64(f.Fleet.Servers), 1, mostServers},
-		{"fleet", "sidecars", float64(f.Fleet.Sidecars), 1, mostSidecars},
-		{"fleet", "per_host", float64(f.Fleet.PerHost), 1, mostServers},
+		{"", "seconds", f.Seconds, 1, maxSeconds},
+		{"fleet", "servers", float64(f.Fleet.Servers), 1, maxServers},
+		{"fleet", "sidecars", float64(f.Fleet.Sidecars), 1, maxSidecars},
+		{"fleet", "per_host", float64(f.Fleet.PerHost), 1, maxServers},
 		{"fleet", "memory_mb", float64(f.Fleet.MemoryMB), 16, 4096},
 		{"fleet", "sockets", float64(f.Fleet.Sockets), 64, 65536},
 		{"fleet", "delay_ms", f.Fleet.DelayMS, 0, 1000},
@@ -140,7 +140,7 @@
 		key   string
 		value [2]float64
 	}{{"notice_s", f.List.NoticeS}, {"add_s", f.List.AddS}, {"silent_s", f.List.UnreachableS}} {
-		if delay.value[0] < 0 || delay.value[1] < delay.value[0] || delay.value[1] > mostSeconds {
+		if delay.value[0] < 0 || delay.value[1] < delay.value[0] || delay.value[1] > maxSeconds {
 			return f.bad("list", -1, delay.key, "%s: %v is no range", delay.key, delay.value)
 		}
 	}
