--- a/internal/lab/plan/fault.go
+++ b/internal/lab/plan/fault.go
@@ -1,9 +1,6 @@
 package plan
 
 import (
-	"slices"
-	"strings"
-
 	"gradeusher.example/gradeusher/balance/hitters"
 )
 
@@ -95,84 +92,3 @@
 	maxLyingMembers    = 16 // members of one lie
 	maxReportedClients = len(hitters.Report{}.Keys)
 )
-
-// checkFault refuses a fault that makes no sense by itself.
-func (f *File) checkFault(i int) *Error {
-	t := &f.Faults[i]
-	kind, ok := faultKinds[t.Do]
-	if !ok {
-		return f.bad("fault", i, "do", "unknown fault %q", t.Do)
-	}
-	if t.On == "" {
-		t.On = kind.on[0]
-	}
-	switch {
-	case t.Do == "clock" && t.On == "sidecars":
-		return f.bad("fault", i, "on", "a sidecar takes no clock but the machine's")
-	case !slices.Contains(kind.on, t.On):
-		return f.bad("fault", i, "on", "%s cannot act on %q, only on %s", t.Do, t.On, strings.Join(kind.on, " or "))
-	case t.At < 0 || t.At >= f.Seconds:
-		return f.bad("fault", i, "at", "at %v s is not within the %v s of load", t.At, f.Seconds)
-	case kind.lasts && t.For <= 0:
-		return f.bad("fault", i, "for", "%s needs for, the seconds that it lasts", t.Do)
-	case !kind.lasts && t.For != 0:
-		return f.bad("fault", i, "for", "%s happens at once: it has no for", t.Do)
-	case t.At+t.For > f.Seconds:
-		return f.bad("fault", i, "for", "it ends at %v s, after the %v s of load", t.At+t.For, f.Seconds)
-	case t.Part < 0 || t.Part > 1:
-		return f.bad("fault", i, "part", "part %v is not within 0 to 1", t.Part)
-	case t.Part > 0 && (t.Count > 0 || len(t.Names) > 0) || t.Count > 0 && len(t.Names) > 0 && t.Do != "lie":
-		return f.bad("fault", i, "part", "only one of part, count and names can be given")
-	case t.Count < 0:
-		return f.bad("fault", i, "count", "count %d is below 0", t.Count)
-	case t.On == "keepers" && f.Registry.Count == 0:
-		return f.bad("fault", i, "on", "there are no keepers: [keepers] needs count")
-	case t.On == "peers" && !f.Members.On:
-		return f.bad("fault", i, "on", "sidecars do not know each other: [members] needs on")
-	case t.On == "list" && f.Registry.Count > 0:
-		return f.bad("fault", i, "on", "keepers hold the list: on = \"keepers\"")
-	case t.On == "keepers" && t.Zone != "":
-		return f.bad("fault", i, "zone", "keepers have no zone")
-	case t.On == "keepers" && !slices.Contains([]string{"", "peers", "clients", "sidecars", "servers"}, t.From):
-		return f.bad("fault", i, "from", "from %q is none of peers, clients, sidecars and servers", t.From)
-	case t.On == "servers" && t.From != "" && f.Registry.Count > 0:
-		return f.bad("fault", i, "from", "with keepers all sidecars reach servers by one listener: from is not possible")
-	case t.Zone != "" && !slices.Contains(f.Fleet.Zones, t.Zone):
-		return f.bad("fault", i, "zone", "no zone %q", t.Zone)
-	case t.From != "" && t.On != "keepers" && !slices.Contains(f.Fleet.Zones, t.From) && !(t.On == "servers" && f.isSidecar(t.From)):
-		return f.bad("fault", i, "from", "no zone %q, nor a sidecar", t.From)
-	case t.On == "list" && (t.Zone != "" || t.Part > 0 || t.Count > 0 || len(t.Names) > 0):
-		return f.bad("fault", i, "on", "there is one list: zone, part, count and names choose nothing")
-	case kind.size != [2]float64{} && (t.Size < kind.size[0] || t.Size > kind.size[1]):
-		return f.bad("fault", i, "size", "%s needs a size within %v to %v", t.Do, kind.size[0], kind.size[1])
-	case t.Way != "" && t.Way != "to-far" && t.Way != "to-near":
-		return f.bad("fault", i, "way", "way %q is neither to-far nor to-near", t.Way)
-	case t.Do == "silence" && t.Way == "":
-		return f.bad("fault", i, "way", "silence needs a way, to-far or to-near")
-	case t.On == "clients" && (t.Part > 0 || len(t.Names) > 0 || t.Count > 0 && t.Do != "flood"):
-		return f.bad("fault", i, "on", "part and names choose no clients, and count only those of a flood")
-	case t.Do == "lie" && (!f.Members.On || !f.Hitters.On):
-		return f.bad("fault", i, "do", "nobody would hear a lie: it needs on in [members] and in [hitters]")
-	case t.Do == "lie" && (t.Count < 1 || t.Count > maxLyingMembers || len(t.Names) < 1 || len(t.Names) > maxReportedClients || t.Part > 0 || t.Zone != ""):
-		return f.bad("fault", i, "count", "a lie needs count, 1 to %d, and names, 1 to %d, and nothing else that chooses", maxLyingMembers, maxReportedClients)
-	case t.Do == "flood" && (t.Count > maxFlooders || t.Through < 0):
-		return f.bad("fault", i, "count", "a flood has %d clients at most, and goes through no fewer than 0 sidecars", maxFlooders)
-	case t.Distinct && t.Do != "flood":
-		return f.bad("fault", i, "distinct", "%s has no distinct", t.Do)
-	case t.Do == "join" && (t.Count < 1 || t.Part > 0 || len(t.Names) > 0 || t.Zone != ""):
-		return f.bad("fault", i, "count", "join needs count, and nothing else that chooses")
-	case t.Restart != nil && (*t.Restart < 0 || t.At+*t.Restart >= f.Seconds):
-		return f.bad("fault", i, "restart", "a restart after %v s is not within the load", *t.Restart)
-	case t.Batch < 0 || t.Batch > 1 || t.Drain < 0 || t.Jitter < 0 || t.Every < 0:
-		return f.bad("fault", i, "do", "batch, drain, jitter and every cannot be below 0, nor batch above 1")
-	case t.Do == "flap" && t.Every <= 0:
-		return f.bad("fault", i, "every", "flap needs every, the seconds up and down")
-	}
-	for key, given := range map[string]bool{"restart": t.Restart != nil, "size": t.Size != 0, "every": t.Every != 0, "from": t.From != "",
-		"way": t.Way != "", "jitter": t.Jitter != 0, "batch": t.Batch != 0, "drain": t.Drain != 0, "through": t.Through != 0} {
-		if given && !slices.Contains(kind.keys, key) && (key != "size" || kind.size == [2]float64{}) {
-			return f.bad("fault", i, key, "%s has no %s", t.Do, key)
-		}
-	}
-	return nil
-}
