--- a/internal/lab/plan/arrivals.go
+++ b/internal/lab/plan/arrivals.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// load is a stream of arrivals, by rate, time and sidecars.
-type load struct {
+// arrivalStream is a stream of arrivals, by rate, time and sidecars.
+type arrivalStream struct {
 	rate     float64 // a second
 	from, to time.Duration
 	sidecars func(at time.Duration) []float64 // sums of weights
@@ -18,83 +18,83 @@
 }
 
 func (p *Plan) drawArrivals() error {
-	f := p.File
-	each := p.clients()
-	all := []load{{p.Rate(), 0, Seconds(f.Seconds), p.sidecarSums(""), each}}
-	for i := range f.Faults {
-		t := &f.Faults[i]
-		at, end, rate := Seconds(t.At), Seconds(t.At+t.For), t.Size*p.Rate()
-		switch t.Do {
+	file := p.File
+	each := p.clientSampler()
+	all := []arrivalStream{{p.Rate(), 0, Seconds(file.Seconds), p.sidecarSampler(""), each}}
+	for index := range file.Faults {
+		fault := &file.Faults[index]
+		at, end, rate := Seconds(fault.At), Seconds(fault.At+fault.For), fault.Size*p.Rate()
+		switch fault.Do {
 		case "burst":
-			if !slices.ContainsFunc(p.Sidecars, func(s Sidecar) bool { return t.Zone == "" || s.Zone == t.Zone }) {
-				return f.bad("fault", i, "zone", "no sidecar is in %s", t.Zone)
+			if !slices.ContainsFunc(p.Sidecars, func(s Sidecar) bool { return fault.Zone == "" || s.Zone == fault.Zone }) {
+				return file.errorAt("fault", index, "zone", "no sidecar is in %s", fault.Zone)
 			}
-			all = append(all, load{rate, at, end, p.sidecarSums(t.Zone), each})
+			all = append(all, arrivalStream{rate, at, end, p.sidecarSampler(fault.Zone), each})
 		case "flood":
-			if t.dry {
+			if fault.dry {
 				rate = 0
 			}
-			through, err := p.floodSidecars(i, t, at, end)
+			through, err := p.floodSidecars(index, fault, at, end)
 			if err != nil {
 				return err
 			}
-			for j := range max(1, t.Count) {
-				client := p.flooder(i, j)
+			for j := range max(1, fault.Count) {
+				client := p.floodClient(index, j)
 				who := func() int { return client }
-				if t.Distinct {
+				if fault.Distinct {
 					next := client
 					who = func() int { next++; return next }
 				}
-				all = append(all, load{rate, at, end, func(time.Duration) []float64 { return through }, who})
+				all = append(all, arrivalStream{rate, at, end, func(time.Duration) []float64 { return through }, who})
 			}
 		}
 	}
-	n := 0.0
+	total := 0.0
 	for _, l := range all {
-		n += l.rate * (l.to - l.from).Seconds()
+		total += l.rate * (l.to - l.from).Seconds()
 	}
-	if n > maxArrivals {
-		return f.bad("load", -1, "rate", "%.0f requests in all, %d at most", n, maxArrivals)
+	if total > maxArrivals {
+		return file.errorAt("load", -1, "rate", "%.0f requests in all, %d at most", total, maxArrivals)
 	}
-	for i, l := range all {
+	for index, l := range all {
 		label := "arrivals"
-		if i > 0 {
-			label = fmt.Sprintf("arrivals %d", i)
+		if index > 0 {
+			label = fmt.Sprintf("arrivals %d", index)
 		}
-		p.arrive(stream(p.Seed, label), l)
+		p.drawStream(stream(p.Seed, label), l)
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	return nil
 }
 
-// arrive draws the arrivals of one stream.
-func (p *Plan) arrive(r *rand.Rand, l load) {
-	f := p.File
+// drawStream draws the arrivals of one stream.
+func (p *Plan) drawStream(rng *rand.Rand, l arrivalStream) {
+	file := p.File
 	var classes []float64
-	for _, c := range f.Classes {
+	for _, c := range file.Classes {
 		classes = append(classes, c.Share)
 	}
-	classes = sums(classes)
+	classes = cumulativeSums(classes)
 	if l.rate <= 0 {
 		return
 	}
 	// In seconds from the start of the stream.
-	for t := r.ExpFloat64() / l.rate; l.from+Seconds(t) < l.to; t += r.ExpFloat64() / l.rate {
+	for t := rng.ExpFloat64() / l.rate; l.from+Seconds(t) < l.to; t += rng.ExpFloat64() / l.rate {
 		at := l.from + Seconds(t)
-		a := Arrival{At: at, Sidecar: pick(r, l.sidecars(at)), Class: pick(r, classes), TimeoutShare: between(r, [2]float64{0.7, 1}), Backoff: -1}
+		arrival := Arrival{At: at, Sidecar: pickWeighted(rng, l.sidecars(at)), Class: pickWeighted(rng, classes), TimeoutShare: uniform(rng, [2]float64{0.7, 1}), Backoff: -1}
 		// At most ten times the mean, so that a single draw cannot push a server over.
-		a.Work = Seconds(min(r.ExpFloat64(), 10) * f.Classes[a.Class].WorkMS / 1000 * f.Load.WorkPart)
-		backoff := Seconds(between(r, [2]float64{0.017, 0.13}))
-		if f.Load.Retries {
-			a.Backoff = backoff
+		arrival.Work = Seconds(min(rng.ExpFloat64(), 10) * file.Classes[arrival.Class].WorkMS / 1000 * file.Load.WorkPart)
+		backoff := Seconds(uniform(rng, [2]float64{0.017, 0.13}))
+		if file.Load.Retries {
+			arrival.Backoff = backoff
 		}
-		a.Client = l.client()
-		p.Arrivals = append(p.Arrivals, a)
+		arrival.Client = l.client()
+		p.Arrivals = append(p.Arrivals, arrival)
 	}
 }
 
-// clients draws who asks: the i-th, from 1, by i to the power of -skew (Zipf's law).
-func (p *Plan) clients() func() int {
+// clientSampler draws who asks: the i-th, from 1, by i to the power of -skew (Zipf's law).
+func (p *Plan) clientSampler() func() int {
 	n := p.File.Load.Clients
 	if n == 0 {
 		return func() int { return 0 }
@@ -104,8 +104,8 @@
 	for i := range weights {
 		weights[i] = math.Pow(float64(i+1), -p.File.Load.Skew)
 	}
-	weights = sums(weights)
-	return func() int { return pick(r, weights) + 1 }
+	weights = cumulativeSums(weights)
+	return func() int { return pickWeighted(r, weights) + 1 }
 }
 
 // ClientName is the value of a client's header; "" is for nobody by name.
@@ -118,36 +118,38 @@
 
 const floodClients = 1 << 22 // for each fault, above the numbers of all clients
 
-// flooder is the j-th client of a flood, a client that asks for nothing else; of a distinct flood, the one before the first.
-func (p *Plan) flooder(fault, j int) int { return (fault+1)*floodClients + j*floodClients/maxFlooders }
+// floodClient is the j-th client of a flood, a client that asks for nothing else; of a distinct flood, the one before the first.
+func (p *Plan) floodClient(fault, j int) int {
+	return (fault+1)*floodClients + j*floodClients/maxFlooders
+}
 
 // Flooder tells whether a client is one of a flood, and of which fault.
 func Flooder(client int) (fault int, ok bool) { return client/floodClients - 1, client >= floodClients }
 
 // floodSidecars are the weights of those that a flood goes through: all alike, or as many as the fault says, drawn.
-func (p *Plan) floodSidecars(fault int, t *Fault, at, end time.Duration) ([]float64, error) {
+func (p *Plan) floodSidecars(fault int, flood *Fault, at, end time.Duration) ([]float64, error) {
 	var all []int
 	for i, s := range p.Sidecars {
-		if s.there(at, end) && (t.Zone == "" || s.Zone == t.Zone) {
+		if s.runsThroughout(at, end) && (flood.Zone == "" || s.Zone == flood.Zone) {
 			all = append(all, i)
 		}
 	}
-	if t.Through > len(all) || len(all) == 0 {
-		return nil, p.File.bad("fault", fault, "through", "there are only %d sidecars to flood through then", len(all))
+	if flood.Through > len(all) || len(all) == 0 {
+		return nil, p.File.errorAt("fault", fault, "through", "there are only %d sidecars to flood through then", len(all))
 	}
-	r := stream(p.Seed, fmt.Sprintf("fault %d", fault))
-	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	if t.Through > 0 {
-		all = all[:t.Through]
+	rng := stream(p.Seed, fmt.Sprintf("fault %d", fault))
+	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	if flood.Through > 0 {
+		all = all[:flood.Through]
 	}
 	weights := make([]float64, len(p.Sidecars))
 	for _, i := range all {
 		weights[i] = 1
 	}
-	return sums(weights), nil
+	return cumulativeSums(weights), nil
 }
 
-func sums(v []float64) []float64 {
+func cumulativeSums(v []float64) []float64 {
 	sum := 0.0
 	for i := range v {
 		sum += v[i]
@@ -156,7 +158,7 @@
 	return v
 }
 
-func pick(r *rand.Rand, sums []float64) int {
+func pickWeighted(r *rand.Rand, sums []float64) int {
 	x := r.Float64() * sums[len(sums)-1]
 	i, found := slices.BinarySearch(sums, x)
 	if found { // an entry without weight ends where the one before does
--- a/internal/lab/plan/fleet_test.go
+++ b/internal/lab/plan/fleet_test.go
@@ -21,7 +21,7 @@
 func TestComeAndGo(t *testing.T) {
 	p := make1(t, "states = \"x\"\nseconds = 40\n[fleet]\nsidecars = 10\n[load]\nrate = 200\nuneven = 0.5\n"+
 		"[[fault]]\ndo = \"join\"\nat = 10\nfor = 2\ncount = 10\n[[fault]]\ndo = \"leave\"\nat = 24\nfor = 2\npart = 0.5\n")
-	if n, m := len(p.Sidecars), p.present(20*time.Second); n != 20 || m != 20 || p.present(30*time.Second) != 10 || p.Sidecars[0].Peers != 10 || p.Sidecars[19].Peers != 20 {
+	if n, m := len(p.Sidecars), p.runningAt(20*time.Second); n != 20 || m != 20 || p.runningAt(30*time.Second) != 10 || p.Sidecars[0].Peers != 10 || p.Sidecars[19].Peers != 20 {
 		t.Fatalf("%d sidecars, %d at once: %+v", n, m, p.Sidecars)
 	}
 	starts, ends := map[int]time.Duration{}, map[int]time.Duration{}
--- a/internal/lab/plan/linksteps.go
+++ b/internal/lab/plan/linksteps.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-func (d *drawer) links(t *Fault, at, end time.Duration) error {
-	if t.On == "keepers" {
-		return d.keeperLinks(t, at, end)
+func (d *stepDrawer) drawLinkFault(fault *Fault, at, end time.Duration) error {
+	if fault.On == "keepers" {
+		return d.drawRegistryLinkFault(fault, at, end)
 	}
-	if t.On == "peers" {
-		return d.peerLinks(t, at, end)
+	if fault.On == "peers" {
+		return d.drawPeerLinkFault(fault, at, end)
 	}
 	group := -1
 	var nears []int
-	if t.From != "" {
+	if fault.From != "" {
 		for i, s := range d.Sidecars {
-			if s.Zone == t.From || s.Name == t.From {
+			if s.Zone == fault.From || s.Name == fault.From {
 				nears, group = append(nears, i), s.Group
 			}
 		}
 		if len(nears) == 0 {
-			return fmt.Errorf("no sidecar is in %s", t.From)
+			return fmt.Errorf("no sidecar is in %s", fault.From)
 		}
 	}
-	far := []string{""} // the list
-	if t.On == "servers" {
+	uids := []string{""} // the list
+	if fault.On == "servers" {
 		// Also those that come later: a link is between places. So they are chosen by zone alone, or by name.
-		servers, err := d.servers(t, at, at)
+		servers, err := d.chooseServers(fault, at, at)
 		if err != nil {
 			return err
 		}
-		far = nil
+		uids = nil
 		for _, i := range servers {
-			far = append(far, d.Servers[d.living[i].index].UID)
+			uids = append(uids, d.Servers[d.lifetimes[i].index].UID)
 		}
 	}
-	for _, uid := range far {
-		d.linkSteps(t, at, end, Step{Sidecar: ListIndex, Server: uid, Nears: nears, Group: group})
+	for _, uid := range uids {
+		d.addLinkSteps(fault, at, end, Step{Sidecar: ListIndex, Server: uid, Nears: nears, Group: group})
 	}
 	return nil
 }
 
-// linkSteps adds the steps of a fault on the links that s names: one where it happens at once, else its beginning and its end.
-func (d *drawer) linkSteps(t *Fault, at, end time.Duration, s Step) {
-	s.At, s.Do, s.Effect, s.On = at, Link, t.effect(), true
-	switch t.Do {
+// addLinkSteps adds the steps of a fault on the links that s names: one where it happens at once, else its beginning and its end.
+func (d *stepDrawer) addLinkSteps(fault *Fault, at, end time.Duration, step Step) {
+	step.At, step.Do, step.Effect, step.On = at, Link, fault.effect(), true
+	switch fault.Do {
 	case "reset":
-		s.Do = Reset
+		step.Do = Reset
 	case "half-open":
-		s.Do = Forget
+		step.Do = Forget
 	}
-	d.step(s)
-	if s.Do == Link {
-		s.At, s.On = end, false
-		d.step(s)
+	d.addStep(step)
+	if step.Do == Link {
+		step.At, step.On = end, false
+		d.addStep(step)
 	}
 }
 
@@ -75,32 +75,32 @@
 	return e
 }
 
-// keeperLinks draws a fault of the links of keepers, to their peers and their clients. Far is the keeper: "to-far" is what it
+// drawRegistryLinkFault draws a fault of the links of keepers, to their peers and their clients. Far is the keeper: "to-far" is what it
 // hears, whoever called.
-func (d *drawer) keeperLinks(t *Fault, at, end time.Duration) error {
-	chosen, err := d.keepers(t)
+func (d *stepDrawer) drawRegistryLinkFault(fault *Fault, at, end time.Duration) error {
+	chosen, err := d.chooseNodes(fault)
 	if err != nil {
 		return err
 	}
 	for _, i := range chosen {
-		d.linkSteps(t, at, end, Step{Sidecar: i, From: t.From})
+		d.addLinkSteps(fault, at, end, Step{Sidecar: i, From: fault.From})
 	}
 	return nil
 }
 
-// peerLinks draws a fault of the links between sidecars: of those chosen, to all others or to those of a zone. Far is who is
+// drawPeerLinkFault draws a fault of the links between sidecars: of those chosen, to all others or to those of a zone. Far is who is
 // chosen: "to-far" is what he hears, whoever called.
-func (d *drawer) peerLinks(t *Fault, at, end time.Duration) error {
+func (d *stepDrawer) drawPeerLinkFault(fault *Fault, at, end time.Duration) error {
 	var chosen []int
 	for i, s := range d.Sidecars { // also who joins later: a link is between places
-		if t.Zone == "" || s.Zone == t.Zone {
+		if fault.Zone == "" || s.Zone == fault.Zone {
 			chosen = append(chosen, i)
 		}
 	}
-	chosen, err := choose(d.r, t, chosen, func(i int) string { return d.Sidecars[i].Name })
+	chosen, err := choose(d.rng, fault, chosen, func(i int) string { return d.Sidecars[i].Name })
 	if err != nil {
 		return err
 	}
-	d.linkSteps(t, at, end, Step{Sidecar: ListIndex, Peers: true, Nears: chosen, From: t.From})
+	d.addLinkSteps(fault, at, end, Step{Sidecar: ListIndex, Peers: true, Nears: chosen, From: fault.From})
 	return nil
 }
--- a/internal/lab/plan/parse.go
+++ b/internal/lab/plan/parse.go
@@ -51,7 +51,7 @@
 	}
 	// The library counts what is deep in a map as not decoded.
 	if extra := slices.DeleteFunc(meta.Undecoded(), func(k toml.Key) bool { return k[0] == "config" }); len(extra) > 0 {
-		return nil, &Error{path, f.line(extra[0][:len(extra[0])-1], -1, extra[0][len(extra[0])-1]), fmt.Sprintf("unknown key %q", extra[0])}
+		return nil, &Error{path, f.lineOf(extra[0][:len(extra[0])-1], -1, extra[0][len(extra[0])-1]), fmt.Sprintf("unknown key %q", extra[0])}
 	}
 	if len(f.Kinds) == 0 {
 		f.Kinds = slices.Clone(defaultKinds)
@@ -65,8 +65,8 @@
 	return &f, nil
 }
 
-// line finds where a key stands: in the index-th table of its path, below 0: in any. 0: nowhere.
-func (f *File) line(path []string, index int, key string) int {
+// lineOf finds where a key stands: in the index-th table of its path, below 0: in any. 0: nowhere.
+func (f *File) lineOf(path []string, index int, key string) int {
 	table, seen, here := strings.Join(path, "."), -1, len(path) == 0
 	header := 0
 	for i, line := range strings.Split(string(f.text), "\n") {
@@ -89,10 +89,10 @@
 	return header
 }
 
-func (f *File) bad(table string, index int, key, form string, args ...any) *Error {
+func (f *File) errorAt(table string, index int, key, form string, args ...any) *Error {
 	var path []string
 	if table != "" {
 		path = []string{table}
 	}
-	return &Error{File: f.Path, Line: f.line(path, index, key), What: fmt.Sprintf(form, args...)}
+	return &Error{File: f.Path, Line: f.lineOf(path, index, key), What: fmt.Sprintf(form, args...)}
 }
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -94,17 +94,17 @@
 const (
 	ListIndex   = -1
 	LeaderIndex = -2  // the keeper that leads when the step is taken; what ends a fault acts on whom it began with
-	firstKeeper = -10 // and those below
+	firstNode   = -10 // and those below
 )
 
 // NodeIndex is the process index of the k-th keeper, from 0.
-func NodeIndex(k int) int { return firstKeeper - k }
+func NodeIndex(k int) int { return firstNode - k }
 
 // NodeOf undoes NodeIndex; it tells false for others, LeaderIndex with them.
-func NodeOf(process int) (k int, ok bool) { return firstKeeper - process, process <= firstKeeper }
+func NodeOf(process int) (k int, ok bool) { return firstNode - process, process <= firstNode }
 
 // IsNode tells whether a process index means a keeper.
-func IsNode(process int) bool { return process == LeaderIndex || process <= firstKeeper }
+func IsNode(process int) bool { return process == LeaderIndex || process <= firstNode }
 
 // Indexes of the near ends besides the sidecars, each with its own address (link.Near).
 
@@ -176,7 +176,7 @@
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(label)))
 }
 
-func between(r *rand.Rand, v [2]float64) float64 { return v[0] + r.Float64()*(v[1]-v[0]) }
+func uniform(r *rand.Rand, v [2]float64) float64 { return v[0] + r.Float64()*(v[1]-v[0]) }
 
 // Seconds is a time in seconds, as experiment files have it.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -192,7 +192,7 @@
 	}
 	kinds := p.drawKinds(f.Fleet.Servers)
 	for i := range f.Fleet.Servers {
-		p.Servers = append(p.Servers, p.spec(i, f.Fleet.Zones[i%len(f.Fleet.Zones)], kinds[i]))
+		p.Servers = append(p.Servers, p.drawSpec(i, f.Fleet.Zones[i%len(f.Fleet.Zones)], kinds[i]))
 	}
 	p.InitialServers = len(p.Servers)
 	if err := p.drawArrivals(); err != nil {
@@ -201,7 +201,7 @@
 	if err := p.drawSteps(); err != nil {
 		return nil, err
 	}
-	p.hash()
+	p.setHashes()
 	return p, nil
 }
 
@@ -232,23 +232,23 @@
 	return kinds
 }
 
-// spec draws the i-th server, after the site file's ranges where BRIEF has none.
-func (p *Plan) spec(i int, zone string, kind int) model.Spec {
-	r := stream(p.Seed, fmt.Sprintf("server %d", i))
+// drawSpec draws the i-th server, after the site file's ranges where BRIEF has none.
+func (p *Plan) drawSpec(i int, zone string, kind int) model.Spec {
+	rng := stream(p.Seed, fmt.Sprintf("server %d", i))
 	k := p.File.Kinds[kind]
-	s := model.Spec{
-		UID: fmt.Sprintf("s-%08x", r.Uint32()), Zone: zone, Kind: k.Name, Cores: k.Cores, Speed: between(r, k.Speed), Slots: k.Cores,
-		Queue: k.Cores * (200 + r.IntN(500)), Thrash: between(r, [2]float64{0.015, 0.07}), ThrashAt: between(r, [2]float64{2.6, 7}),
-		ColdFrom: between(r, [2]float64{0.14, 0.36}), ColdFor: Seconds(between(r, [2]float64{11, 24})),
-		FallMultiple: 3, FallFor: 1500 * time.Millisecond, ErrorRate: p.File.Fleet.ErrorRate, DropsExpired: r.IntN(2) == 0,
-		ConnCap: k.Cores * (600 + r.IntN(300)), ConnWork: Seconds(between(r, [2]float64{0.00078, 0.0015})),
-		ReportEvery: Seconds(between(r, [2]float64{0.32, 1.2})), ReportDelay: Seconds(between(r, [2]float64{0.23, 0.48})), Seed: r.Uint64(),
+	spec := model.Spec{
+		UID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: zone, Kind: k.Name, Cores: k.Cores, Speed: uniform(rng, k.Speed), Slots: k.Cores,
+		Queue: k.Cores * (200 + rng.IntN(500)), Thrash: uniform(rng, [2]float64{0.015, 0.07}), ThrashAt: uniform(rng, [2]float64{2.6, 7}),
+		ColdFrom: uniform(rng, [2]float64{0.14, 0.36}), ColdFor: Seconds(uniform(rng, [2]float64{11, 24})),
+		FallMultiple: 3, FallFor: 1500 * time.Millisecond, ErrorRate: p.File.Fleet.ErrorRate, DropsExpired: rng.IntN(2) == 0,
+		ConnCap: k.Cores * (600 + rng.IntN(300)), ConnWork: Seconds(uniform(rng, [2]float64{0.00078, 0.0015})),
+		ReportEvery: Seconds(uniform(rng, [2]float64{0.32, 1.2})), ReportDelay: Seconds(uniform(rng, [2]float64{0.23, 0.48})), Seed: rng.Uint64(),
 	}
 	if p.File.List.Sizes == "rough" {
 		rough := stream(p.Seed, fmt.Sprintf("size %d", i))
-		s.Hint = s.Capacity() * between(rough, [2]float64{0.8, 1.2})
+		spec.Hint = spec.Capacity() * uniform(rough, [2]float64{0.8, 1.2})
 	}
-	return s
+	return spec
 }
 
 // Capacity is the work a second of all servers at the start when warm.
@@ -274,23 +274,23 @@
 	return f.Load.Share * p.Capacity() / (work / shares)
 }
 
-func (p *Plan) hash() {
-	h := xxhash.New()
+func (p *Plan) setHashes() {
+	hasher := xxhash.New()
 	put := func(v ...any) {
 		for _, x := range v {
-			_ = binary.Write(h, binary.LittleEndian, x) // a hash takes everything
+			_ = binary.Write(hasher, binary.LittleEndian, x) // a hash takes everything
 		}
 	}
 	for _, a := range p.Arrivals {
 		put(int64(a.At), int64(a.Sidecar), int64(a.Class), int64(a.Work), a.TimeoutShare, int64(a.Backoff), int64(a.Client))
 	}
-	p.ArrivalsHash = fmt.Sprintf("%016x", h.Sum64())
-	h.Reset()
+	p.ArrivalsHash = fmt.Sprintf("%016x", hasher.Sum64())
+	hasher.Reset()
 	for _, s := range p.Steps {
-		fmt.Fprintf(h, "%+v\n", s)
+		fmt.Fprintf(hasher, "%+v\n", s)
 	}
 	for _, s := range p.Servers {
-		fmt.Fprintf(h, "%+v\n", s)
+		fmt.Fprintf(hasher, "%+v\n", s)
 	}
-	p.StepsHash = fmt.Sprintf("%016x", h.Sum64())
+	p.StepsHash = fmt.Sprintf("%016x", hasher.Sum64())
 }
--- a/internal/lab/plan/routes.go
+++ b/internal/lab/plan/routes.go
@@ -32,15 +32,15 @@
 	case r.Apps == 0:
 		return nil
 	case f.Registry.Count == 0:
-		return f.bad("routes", -1, "apps", "there are no keepers that could hold routes: [keepers] needs count")
+		return f.errorAt("routes", -1, "apps", "there are no keepers that could hold routes: [keepers] needs count")
 	case r.EveryS < 0.01 || r.EveryS > maxSeconds:
-		return f.bad("routes", -1, "every_s", "every_s is %v, not within 0.01 to %v", r.EveryS, maxSeconds)
+		return f.errorAt("routes", -1, "every_s", "every_s is %v, not within 0.01 to %v", r.EveryS, maxSeconds)
 	case r.UntilS < 0 || r.UntilS > f.Seconds:
-		return f.bad("routes", -1, "until_s", "until_s %v is not within the load", r.UntilS)
+		return f.errorAt("routes", -1, "until_s", "until_s %v is not within the load", r.UntilS)
 	case r.BoundS <= 0 || r.BoundS > maxSeconds:
-		return f.bad("routes", -1, "bound_s", "bound_s %v: how long it may take until each sidecar is told", r.BoundS)
+		return f.errorAt("routes", -1, "bound_s", "bound_s %v: how long it may take until each sidecar is told", r.BoundS)
 	case r.Nowhere[0] < 0 || r.Nowhere[1] < r.Nowhere[0] || r.Nowhere[1] > f.Seconds:
-		return f.bad("routes", -1, "nowhere", "nowhere %v is no range within the load", r.Nowhere)
+		return f.errorAt("routes", -1, "nowhere", "nowhere %v is no range within the load", r.Nowhere)
 	}
 	return nil
 }
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -13,8 +13,8 @@
 
 func sidecarName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// there tells whether a sidecar runs throughout a time.
-func (s *Sidecar) there(from, to time.Duration) bool {
+// runsThroughout tells whether a sidecar runs throughout a time.
+func (s *Sidecar) runsThroughout(from, to time.Duration) bool {
 	return s.Started() <= from && (s.To == 0 || s.To >= to)
 }
 
@@ -23,59 +23,59 @@
 
 // drawSidecars draws those that stand, and when which others join and leave.
 func (p *Plan) drawSidecars() error {
-	f := p.File
+	file := p.File
 	r := stream(p.Seed, "sidecars")
-	for i := range f.Fleet.Sidecars {
-		p.addSidecar(r, i, 0, f.Fleet.Sidecars)
+	for index := range file.Fleet.Sidecars {
+		p.addSidecar(r, index, 0, file.Fleet.Sidecars)
 	}
-	for i := range f.Faults {
-		t := &f.Faults[i]
-		at := Seconds(t.At)
-		r := stream(p.Seed, fmt.Sprintf("fault %d", i))
-		switch t.Do {
+	for index := range file.Faults {
+		fault := &file.Faults[index]
+		at := Seconds(fault.At)
+		r := stream(p.Seed, fmt.Sprintf("fault %d", index))
+		switch fault.Do {
 		case "join":
-			if t.Count+len(p.Sidecars) > maxSidecars {
-				return f.bad("fault", i, "count", "%d sidecars at most", maxSidecars)
+			if fault.Count+len(p.Sidecars) > maxSidecars {
+				return file.errorAt("fault", index, "count", "%d sidecars at most", maxSidecars)
 			}
-			peers := p.present(at) + t.Count
-			for j := range t.Count {
-				p.addSidecar(r, len(p.Sidecars), at+Seconds(t.For*float64(j)/float64(t.Count))+joinLead, peers)
-				p.Sidecars[len(p.Sidecars)-1].joined = i + 1
+			peers := p.runningAt(at) + fault.Count
+			for j := range fault.Count {
+				p.addSidecar(r, len(p.Sidecars), at+Seconds(fault.For*float64(j)/float64(fault.Count))+joinLead, peers)
+				p.Sidecars[len(p.Sidecars)-1].joined = index + 1
 			}
 		case "leave":
 			var all []int
 			for k, s := range p.Sidecars {
-				if s.there(at, at+Seconds(t.For)) && (t.Zone == "" || s.Zone == t.Zone) {
+				if s.runsThroughout(at, at+Seconds(fault.For)) && (fault.Zone == "" || s.Zone == fault.Zone) {
 					all = append(all, k)
 				}
 			}
-			chosen, err := choose(r, t, all, func(k int) string { return p.Sidecars[k].Name })
+			chosen, err := choose(r, fault, all, func(k int) string { return p.Sidecars[k].Name })
 			if err != nil {
-				return f.bad("fault", i, "do", "%v", err)
+				return file.errorAt("fault", index, "do", "%v", err)
 			}
 			for j, k := range chosen {
-				p.Sidecars[k].left = i + 1
-				p.Sidecars[k].To = at + Seconds(t.For*float64(j)/float64(len(chosen)))
+				p.Sidecars[k].left = index + 1
+				p.Sidecars[k].To = at + Seconds(fault.For*float64(j)/float64(len(chosen)))
 			}
 		}
 	}
 	for _, s := range p.Sidecars {
 		if !slices.ContainsFunc(p.Sidecars, func(o Sidecar) bool { return o.Zone == s.Zone && o.From == 0 && o.To == 0 }) {
-			return f.bad("fault", -1, "do", "no sidecar of %s stays throughout", s.Zone)
+			return file.errorAt("fault", -1, "do", "no sidecar of %s stays throughout", s.Zone)
 		}
 	}
-	if f.Registry.Count > 0 {
-		for i := range p.Sidecars {
-			p.Sidecars[i].Group = 0 // a server registers one address for all
+	if file.Registry.Count > 0 {
+		for index := range p.Sidecars {
+			p.Sidecars[index].Group = 0 // a server registers one address for all
 		}
 	}
 	return nil
 }
 
-// present is how many sidecars there are at a time.
-func (p *Plan) present(at time.Duration) (n int) {
+// runningAt is how many sidecars there are at a time.
+func (p *Plan) runningAt(at time.Duration) (n int) {
 	for _, s := range p.Sidecars {
-		if s.there(at, at) {
+		if s.runsThroughout(at, at) {
 			n++
 		}
 	}
@@ -92,10 +92,10 @@
 	p.Sidecars = append(p.Sidecars, Sidecar{Name: sidecarName(i), Zone: f.Fleet.Zones[zone], Group: zone, Weight: w, Peers: peers, From: from})
 }
 
-// sidecarSums gives the sums of the weights of the sidecars that clients send to at a time, "" or only in one zone. The first zone has
+// sidecarSampler gives the sums of the weights of the sidecars that clients send to at a time, "" or only in one zone. The first zone has
 // its part of the traffic and zone_skew of the others' besides, whoever is there. Times have to rise.
-func (p *Plan) sidecarSums(only string) func(time.Duration) []float64 {
-	f := p.File
+func (p *Plan) sidecarSampler(only string) func(time.Duration) []float64 {
+	file := p.File
 	var changes []time.Duration
 	for _, s := range p.Sidecars {
 		changes = append(changes, s.From, s.To)
@@ -120,15 +120,15 @@
 			}
 		}
 		for i, s := range p.Sidecars {
-			part := (1 - f.Load.ZoneSkew) / float64(len(f.Fleet.Zones))
-			if s.Zone == f.Fleet.Zones[0] {
-				part += f.Load.ZoneSkew
+			part := (1 - file.Load.ZoneSkew) / float64(len(file.Fleet.Zones))
+			if s.Zone == file.Fleet.Zones[0] {
+				part += file.Load.ZoneSkew
 			}
 			if weights[i] > 0 {
 				weights[i] *= part / zones[s.Zone]
 			}
 		}
-		now = sums(weights)
+		now = cumulativeSums(weights)
 		return now
 	}
 }
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -10,84 +10,84 @@
 	"time"
 )
 
-// drawer turns faults into steps, in the order of the file.
-type drawer struct {
+// stepDrawer turns faults into steps, in the order of the file.
+type stepDrawer struct {
 	*Plan
-	fault  int
-	r      *rand.Rand
-	living []life // of servers, as far as faults decide it
-	busy   map[string][]span
-	liars  int // of the lies before
+	fault        int
+	rng          *rand.Rand
+	lifetimes    []lifetime // of servers, as far as faults decide it
+	claims       map[string][]claimedPeriod
+	lyingMembers int // of the lies before
 }
 
-// life is when a server stands on a list.
-type life struct {
+// lifetime is when a server stands on a list.
+type lifetime struct {
 	index    int // in Servers
 	from, to time.Duration
 }
 
-type span struct {
+type claimedPeriod struct {
 	from, to time.Duration
 	fault    int
 }
 
-const forever = time.Duration(math.MaxInt64)
+const endOfTime = time.Duration(math.MaxInt64)
 
 func (p *Plan) drawSteps() error {
-	d := &drawer{Plan: p, busy: map[string][]span{}}
+	drawer := &stepDrawer{Plan: p, claims: map[string][]claimedPeriod{}}
 	for i := range p.InitialServers {
-		d.living = append(d.living, life{i, 0, forever})
+		drawer.lifetimes = append(drawer.lifetimes, lifetime{i, 0, endOfTime})
 	}
 	for i := range p.File.Faults {
-		d.fault, d.r = i, stream(p.Seed, fmt.Sprintf("fault %d", i))
-		t := &p.File.Faults[i]
-		if err := d.draw(t); err != nil {
-			return p.File.bad("fault", i, "do", "%v", err)
+		drawer.fault, drawer.rng = i, stream(p.Seed, fmt.Sprintf("fault %d", i))
+		fault := &p.File.Faults[i]
+		if err := drawer.drawFault(fault); err != nil {
+			return p.File.errorAt("fault", i, "do", "%v", err)
 		}
-		p.Bands = append(p.Bands, Band{i, t.Do + d.target(t), Seconds(t.At), Seconds(t.At + t.For)})
+		p.Bands = append(p.Bands, Band{i, fault.Do + drawer.describe(fault), Seconds(fault.At), Seconds(fault.At + fault.For)})
 	}
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return nil
 }
 
-func (d *drawer) target(t *Fault) string {
-	s := " " + t.On
-	if len(t.Names) > 0 {
-		s = " " + strings.Join(t.Names, ",")
+func (d *stepDrawer) describe(fault *Fault) string {
+	text := " " + fault.On
+	if len(fault.Names) > 0 {
+		text = " " + strings.Join(fault.Names, ",")
 	}
-	if t.Zone != "" {
-		s += " of " + t.Zone
+	if fault.Zone != "" {
+		text += " of " + fault.Zone
 	}
-	if t.From != "" {
-		s += " from " + t.From
+	if fault.From != "" {
+		text += " from " + fault.From
 	}
-	if t.Part > 0 {
-		s += fmt.Sprintf(" %.0f%%", t.Part*100)
+	if fault.Part > 0 {
+		text += fmt.Sprintf(" %.0f%%", fault.Part*100)
 	}
-	return s
+	return text
 }
 
 // claim keeps two faults from acting on one process, or one property of one server, at a time.
-func (d *drawer) claim(what string, from, to time.Duration) error {
-	for _, s := range d.busy[what] {
+func (d *stepDrawer) claim(what string, from, to time.Duration) error {
+	for _, s := range d.claims[what] {
 		if from < s.to && s.from < to {
 			return fmt.Errorf("acts on %s while fault %d of the file does", what, s.fault+1)
 		}
 	}
-	d.busy[what] = append(d.busy[what], span{from, to, d.fault})
+	d.claims[what] = append(d.claims[what], claimedPeriod{from, to, d.fault})
 	return nil
 }
 
-func (d *drawer) step(s Step) {
+func (d *stepDrawer) addStep(s Step) {
 	s.Fault = d.fault
 	d.Steps = append(d.Steps, s)
 }
 
 // choose draws n of what there is, by part, count or names.
-func choose[T any](r *rand.Rand, t *Fault, all []T, name func(T) string) ([]T, error) {
-	if len(t.Names) > 0 {
+func choose[T any](rng *rand.Rand, fault *Fault, all []T, name func(T) string) ([]T, error) {
+	if len(fault.Names) > 0 {
 		var chosen []T
-		for _, want := range t.Names {
+		for _, want := range fault.Names {
 			i := slices.IndexFunc(all, func(v T) bool { return name(v) == want })
 			if i < 0 {
 				return nil, fmt.Errorf("there is no %q to act on then", want)
@@ -98,85 +98,85 @@
 	}
 	n := len(all)
 	switch {
-	case t.Count > len(all):
-		return nil, fmt.Errorf("there are only %d to act on then, not %d", len(all), t.Count)
-	case t.Count > 0:
-		n = t.Count
-	case t.Part > 0:
-		n = max(1, int(math.Round(t.Part*float64(len(all)))))
+	case fault.Count > len(all):
+		return nil, fmt.Errorf("there are only %d to act on then, not %d", len(all), fault.Count)
+	case fault.Count > 0:
+		n = fault.Count
+	case fault.Part > 0:
+		n = max(1, int(math.Round(fault.Part*float64(len(all)))))
 	}
 	if len(all) == 0 {
 		return nil, fmt.Errorf("there is nothing to act on then")
 	}
 	chosen := slices.Clone(all)
-	r.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
+	rng.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
 	return chosen[:n], nil
 }
 
-// sidecars are those that a fault on processes means.
-func (d *drawer) sidecars(t *Fault) ([]int, error) {
-	if t.On == "list" {
+// chooseProcesses are those that a fault on processes means.
+func (d *stepDrawer) chooseProcesses(fault *Fault) ([]int, error) {
+	if fault.On == "list" {
 		return []int{ListIndex}, nil
 	}
-	if t.On == "keepers" {
-		return d.keepers(t)
+	if fault.On == "keepers" {
+		return d.chooseNodes(fault)
 	}
 	var all []int
 	for i, s := range d.Sidecars {
-		if s.there(Seconds(t.At), Seconds(t.At+t.For)) && (t.Zone == "" || s.Zone == t.Zone) {
+		if s.runsThroughout(Seconds(fault.At), Seconds(fault.At+fault.For)) && (fault.Zone == "" || s.Zone == fault.Zone) {
 			all = append(all, i)
 		}
 	}
-	return choose(d.r, t, all, func(i int) string { return d.Sidecars[i].Name })
+	return choose(d.rng, fault, all, func(i int) string { return d.Sidecars[i].Name })
 }
 
-// keepers are those that a fault means, as process indexes: "leader" is drawn by the keepers themselves.
-func (d *drawer) keepers(t *Fault) ([]int, error) {
-	if slices.Equal(t.Names, []string{"leader"}) {
+// chooseNodes are those that a fault means, as process indexes: "leader" is drawn by the chooseNodes themselves.
+func (d *stepDrawer) chooseNodes(fault *Fault) ([]int, error) {
+	if slices.Equal(fault.Names, []string{"leader"}) {
 		return []int{LeaderIndex}, nil
 	}
 	var all []int
 	for k := range d.File.Registry.Count {
 		all = append(all, NodeIndex(k))
 	}
-	return choose(d.r, t, all, func(i int) string {
+	return choose(d.rng, fault, all, func(i int) string {
 		k, _ := NodeOf(i)
 		return NodeName(k)
 	})
 }
 
-// servers are those that stand throughout a time, as indexes into living. A server is named "1", "2", ... in the order of
+// chooseServers are those that stand throughout a time, as indexes into living. A server is named "1", "2", ... in the order of
 // the start.
-func (d *drawer) servers(t *Fault, from, to time.Duration) ([]int, error) {
+func (d *stepDrawer) chooseServers(fault *Fault, from, to time.Duration) ([]int, error) {
 	var all []int
-	for i, l := range d.living {
-		if l.from <= from && l.to >= to && (t.Zone == "" || d.Servers[l.index].Zone == t.Zone) {
+	for i, l := range d.lifetimes {
+		if l.from <= from && l.to >= to && (fault.Zone == "" || d.Servers[l.index].Zone == fault.Zone) {
 			all = append(all, i)
 		}
 	}
-	return choose(d.r, t, all, func(i int) string { return fmt.Sprint(d.living[i].index + 1) })
+	return choose(d.rng, fault, all, func(i int) string { return fmt.Sprint(d.lifetimes[i].index + 1) })
 }
 
-func (d *drawer) draw(t *Fault) error {
-	at, end := Seconds(t.At), Seconds(t.At+t.For)
-	switch t.Do {
+func (d *stepDrawer) drawFault(fault *Fault) error {
+	at, end := Seconds(fault.At), Seconds(fault.At+fault.For)
+	switch fault.Do {
 	case "backup", "restore":
-		d.step(Step{At: at, Do: t.Do, Sidecar: LeaderIndex})
+		d.addStep(Step{At: at, Do: fault.Do, Sidecar: LeaderIndex})
 		return nil
 	case "disk-torn", "disk-short":
-		chosen, err := d.keepers(t)
+		chosen, err := d.chooseNodes(fault)
 		for _, i := range chosen {
-			d.step(Step{At: at, Do: Tear, Sidecar: i, Mode: strings.TrimPrefix(t.Do, "disk-")})
+			d.addStep(Step{At: at, Do: Tear, Sidecar: i, Mode: strings.TrimPrefix(fault.Do, "disk-")})
 		}
 		return err
 	case "kill", "term", "stop", "disk-full", "disk-readonly":
-		return d.process(t, at, end)
+		return d.drawProcessFault(fault, at, end)
 	case "list-late", "list-old", "list-cut", "list-garbled":
 		if err := d.claim("the list's answers", at, end); err != nil {
 			return err
 		}
-		d.step(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: strings.TrimPrefix(t.Do, "list-"), By: Seconds(t.Size)})
-		d.step(Step{At: end, Do: ListMode, Sidecar: ListIndex})
+		d.addStep(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: strings.TrimPrefix(fault.Do, "list-"), By: Seconds(fault.Size)})
+		d.addStep(Step{At: end, Do: ListMode, Sidecar: ListIndex})
 		return nil
 	case "burst", "flood":
 		return nil // arrivals
@@ -187,31 +187,31 @@
 				all += a.Work.Seconds()
 			}
 		}
-		s := Step{At: at, Do: FalseReports, Sidecar: ListIndex, Mode: strings.Join(t.Names, ","), On: true,
-			By: Seconds(all / t.For * t.Size * float64(len(t.Names)))}
-		for range t.Count {
-			s.Nears = append(s.Nears, d.liars)
-			d.liars++
+		s := Step{At: at, Do: FalseReports, Sidecar: ListIndex, Mode: strings.Join(fault.Names, ","), On: true,
+			By: Seconds(all / fault.For * fault.Size * float64(len(fault.Names)))}
+		for range fault.Count {
+			s.Nears = append(s.Nears, d.lyingMembers)
+			d.lyingMembers++
 		}
-		d.step(s)
+		d.addStep(s)
 		s.At, s.On = end, false
-		d.step(s)
+		d.addStep(s)
 		return nil
 	case "join", "leave":
-		return d.comeAndGo(t)
+		return d.drawJoinOrLeave(fault)
 	case "roll":
-		return d.roll(t, at)
+		return d.drawRollingRestart(fault, at)
 	case "delay", "silence", "partition", "trickle", "loss", "reset", "half-open":
-		return d.links(t, at, end)
+		return d.drawLinkFault(fault, at, end)
 	case "deploy":
-		return d.deploy(t, at)
+		return d.drawDeployment(fault, at)
 	}
-	servers, err := d.servers(t, at, max(end, at+1))
+	servers, err := d.chooseServers(fault, at, max(end, at+1))
 	if err != nil {
 		return err
 	}
 	for _, i := range servers {
-		if err := d.server(t, i, at, end); err != nil {
+		if err := d.drawServerFault(fault, i, at, end); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/plan/validate.go
+++ b/internal/lab/plan/validate.go
@@ -77,7 +77,7 @@
 func (f *File) checkRanges() *Error {
 	for _, number := range f.ranges() {
 		if inRange := number.value >= number.min && number.value <= number.max; !inRange {
-			return f.bad(number.table, -1, number.key, "%s is %v, not within %v to %v", number.key, number.value, number.min, number.max)
+			return f.errorAt(number.table, -1, number.key, "%s is %v, not within %v to %v", number.key, number.value, number.min, number.max)
 		}
 	}
 	return nil
@@ -87,17 +87,17 @@
 func (f *File) checkFleet() *Error {
 	switch {
 	case f.States == "":
-		return f.bad("", -1, "states", "states is missing: the sentence that the experiment puts to the test")
+		return f.errorAt("", -1, "states", "states is missing: the sentence that the experiment puts to the test")
 	case len(f.Fleet.Zones) == 0 || len(f.Fleet.Zones) > maxZones:
-		return f.bad("fleet", -1, "zones", "zones: 1 to %d are possible", maxZones)
+		return f.errorAt("fleet", -1, "zones", "zones: 1 to %d are possible", maxZones)
 	case (f.Load.Share == 0) == (f.Load.Rate == 0):
-		return f.bad("load", -1, "share", "load needs either share or rate")
+		return f.errorAt("load", -1, "share", "load needs either share or rate")
 	case f.Fleet.Program != "sidecar" && f.Fleet.Program != "plain":
-		return f.bad("fleet", -1, "program", "program %q is neither sidecar nor plain", f.Fleet.Program)
+		return f.errorAt("fleet", -1, "program", "program %q is neither sidecar nor plain", f.Fleet.Program)
 	case f.Fleet.Flaw != "" && f.Fleet.Program != "plain":
-		return f.bad("fleet", -1, "flaw", "only the plain program has flaws")
+		return f.errorAt("fleet", -1, "flaw", "only the plain program has flaws")
 	case !slices.Contains(Flaws, f.Fleet.Flaw):
-		return f.bad("fleet", -1, "flaw", "unknown flaw %q", f.Fleet.Flaw)
+		return f.errorAt("fleet", -1, "flaw", "unknown flaw %q", f.Fleet.Flaw)
 	}
 	return nil
 }
@@ -106,17 +106,17 @@
 func (f *File) checkRegistry() *Error {
 	switch {
 	case f.Registry.Count != 0 && f.Registry.Count%2 == 0:
-		return f.bad("keepers", -1, "count", "%d keepers: an odd number agrees", f.Registry.Count)
+		return f.errorAt("keepers", -1, "count", "%d keepers: an odd number agrees", f.Registry.Count)
 	case f.Registry.Count > 0 && f.Fleet.Program == "plain":
-		return f.bad("fleet", -1, "program", "the plain sidecar knows no keepers")
+		return f.errorAt("fleet", -1, "program", "the plain sidecar knows no keepers")
 	case f.Members.On && f.Fleet.Program == "plain":
-		return f.bad("fleet", -1, "program", "the plain sidecar knows no members")
+		return f.errorAt("fleet", -1, "program", "the plain sidecar knows no members")
 	case f.Registry.Program != "keeper" && f.Registry.Program != "plain":
-		return f.bad("keepers", -1, "program", "program %q is neither keeper nor plain", f.Registry.Program)
+		return f.errorAt("keepers", -1, "program", "program %q is neither keeper nor plain", f.Registry.Program)
 	case f.Registry.Flaw != "" && f.Registry.Program != "plain":
-		return f.bad("keepers", -1, "flaw", "only plain keepers have flaws")
+		return f.errorAt("keepers", -1, "flaw", "only plain keepers have flaws")
 	case !slices.Contains(RegistryFlaws, f.Registry.Flaw):
-		return f.bad("keepers", -1, "flaw", "unknown flaw %q", f.Registry.Flaw)
+		return f.errorAt("keepers", -1, "flaw", "unknown flaw %q", f.Registry.Flaw)
 	}
 	return nil
 }
@@ -125,11 +125,11 @@
 func (f *File) checkStart() *Error {
 	switch {
 	case f.List.Sizes != "alike" && f.List.Sizes != "rough":
-		return f.bad("list", -1, "sizes", "sizes %q are neither alike nor rough", f.List.Sizes)
+		return f.errorAt("list", -1, "sizes", "sizes %q are neither alike nor rough", f.List.Sizes)
 	case f.Fleet.Start != "warm" && f.Fleet.Start != "cold":
-		return f.bad("fleet", -1, "start", "start %q is neither warm nor cold", f.Fleet.Start)
+		return f.errorAt("fleet", -1, "start", "start %q is neither warm nor cold", f.Fleet.Start)
 	case f.Breaks != "" && !isInvariant(f.Breaks) && !f.hasBar(f.Breaks):
-		return f.bad("", -1, "breaks", "no invariant and no bar of the file is named %q", f.Breaks)
+		return f.errorAt("", -1, "breaks", "no invariant and no bar of the file is named %q", f.Breaks)
 	}
 	return nil
 }
@@ -141,7 +141,7 @@
 		value [2]float64
 	}{{"notice_s", f.List.NoticeS}, {"add_s", f.List.AddS}, {"silent_s", f.List.UnreachableS}} {
 		if delay.value[0] < 0 || delay.value[1] < delay.value[0] || delay.value[1] > maxSeconds {
-			return f.bad("list", -1, delay.key, "%s: %v is no range", delay.key, delay.value)
+			return f.errorAt("list", -1, delay.key, "%s: %v is no range", delay.key, delay.value)
 		}
 	}
 	return nil
@@ -153,7 +153,7 @@
 		coresPossible := kind.Cores >= 1 && kind.Cores <= maxCores
 		speedPossible := kind.Speed[0] > 0 && kind.Speed[1] >= kind.Speed[0]
 		if kind.Name == "" || kind.Share <= 0 || !coresPossible || !speedPossible {
-			return f.bad("kind", i, "name", "kind %q needs name, share, cores and a range of speed", kind.Name)
+			return f.errorAt("kind", i, "name", "kind %q needs name, share, cores and a range of speed", kind.Name)
 		}
 	}
 	return nil
@@ -165,7 +165,7 @@
 		timesPossible := class.WorkMS > 0 && class.LatencyTargetMS > 0 && class.GiveUpMS >= class.LatencyTargetMS
 		valuePossible := class.Value > 0 && class.LateValue >= 0 && class.LateValue <= 1
 		if class.Name == "" || class.Share <= 0 || !timesPossible || !valuePossible {
-			return f.bad("class", i, "name", "class %q needs name, share, work_ms, aim_ms, give_up_ms, worth and late_worth", class.Name)
+			return f.errorAt("class", i, "name", "class %q needs name, share, work_ms, aim_ms, give_up_ms, worth and late_worth", class.Name)
 		}
 	}
 	return nil
@@ -176,10 +176,10 @@
 	for i, bar := range f.Bars {
 		base, _, _ := strings.Cut(bar.Figure, ":")
 		if !slices.Contains(Figures, base) {
-			return f.bad("bar", i, "figure", "unknown figure %q; known: %s", bar.Figure, strings.Join(Figures, ", "))
+			return f.errorAt("bar", i, "figure", "unknown figure %q; known: %s", bar.Figure, strings.Join(Figures, ", "))
 		}
 		if bar.Min == nil && bar.Max == nil {
-			return f.bad("bar", i, "figure", "bar %q has neither least nor most", bar.Figure)
+			return f.errorAt("bar", i, "figure", "bar %q has neither least nor most", bar.Figure)
 		}
 	}
 	return nil
