--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -25,77 +25,91 @@
 
 func (d *stepDrawer) drawDelay(v [2]float64) time.Duration { return Seconds(uniform(d.rng, v)) }
 
-// drawServerFault draws what happens to the i-th of living.
+// drawServerFault draws the steps of a fault of one server, by its index in lifetimes.
 func (d *stepDrawer) drawServerFault(fault *Fault, index int, at, end time.Duration) error {
 	uid := d.Servers[d.lifetimes[index].index].UID
-	process := fault.Do == "die" || fault.Do == "lose" || fault.Do == "flap"
-	what := "server " + uid + "'s speed"
-	if process {
-		what = "server " + uid
-	}
-	list := d.File.List
 	switch fault.Do {
 	case "clock":
 		d.addStep(Step{At: at, Do: Clock, Server: uid, By: Seconds(fault.Size)})
 		return nil
-	case "die":
-		end = endOfTime
-		if fault.Restart != nil {
-			end = at + Seconds(*fault.Restart)
-		}
+	case "die", "flap", "lose":
+		return d.drawServerRestart(fault, index, at, end)
 	}
-	if err := d.claim(what, at, end); err != nil {
+	if err := d.claim("server "+uid+"'s speed", at, end); err != nil {
 		return err
 	}
-	trouble := func(at time.Duration, v model.Fault) {
-		d.addStep(Step{At: at, Do: ServerFault, Server: uid, Trouble: v})
-	}
 	switch fault.Do {
 	case "slow":
-		trouble(at, model.Fault{Slow: fault.Size})
-		trouble(end, model.Fault{})
+		d.addServerFault(uid, at, end, model.Fault{Slow: fault.Size})
 	case "hang":
-		trouble(at, model.Fault{Hang: true})
-		trouble(end, model.Fault{})
+		d.addServerFault(uid, at, end, model.Fault{Hang: true})
 	case "steal":
 		every := cmp.Or(Seconds(fault.Every), end-at)
 		for on := at; on < end; on += 2 * every {
-			trouble(on, model.Fault{Stolen: fault.Size})
-			trouble(min(on+every, end), model.Fault{})
+			d.addServerFault(uid, on, min(on+every, end), model.Fault{Stolen: fault.Size})
 		}
-	case "die":
+	}
+	return nil
+}
+
+// addServerFault adds the steps that begin and end a fault state of a server.
+func (d *stepDrawer) addServerFault(uid string, from, to time.Duration, fault model.Fault) {
+	d.addStep(Step{At: from, Do: ServerFault, Server: uid, Trouble: fault})
+	d.addStep(Step{At: to, Do: ServerFault, Server: uid})
+}
+
+// drawServerRestart draws the steps of a fault that ends the process of a server, or separates its machine from everybody.
+func (d *stepDrawer) drawServerRestart(fault *Fault, index int, at, end time.Duration) error {
+	uid := d.Servers[d.lifetimes[index].index].UID
+	neverRestarts := fault.Do == "die" && fault.Restart == nil
+	switch {
+	case neverRestarts:
+		end = endOfTime
+	case fault.Do == "die":
+		end = at + Seconds(*fault.Restart)
+	}
+	if err := d.claim("server "+uid, at, end); err != nil {
+		return err
+	}
+	switch {
+	case neverRestarts:
 		d.addStep(Step{At: at, Do: Die, Server: uid})
-		if fault.Restart == nil {
-			d.lifetimes[index].to = at
-			d.updateList(at+d.drawDelay(list.NoticeS), uid, "DELETED")
-			return nil
-		}
-		d.addStep(Step{At: end, Do: Revive, Server: uid})
-		d.updateList(end+d.drawDelay(list.AddS), uid, "SERVING")
-	case "flap":
+		d.lifetimes[index].to = at
+		d.updateList(at+d.drawDelay(d.File.List.NoticeS), uid, "DELETED")
+	case fault.Do == "die":
+		d.addRestart(uid, at, end)
+	case fault.Do == "flap":
 		every := Seconds(fault.Every)
 		for off := at; off < end; off += 2 * every {
-			on := min(off+every, end)
-			d.addStep(Step{At: off, Do: Die, Server: uid})
-			d.addStep(Step{At: on, Do: Revive, Server: uid})
-			d.updateList(on+d.drawDelay(list.AddS), uid, "SERVING")
-		}
-	case "lose":
-		all := LinkEffect{HoldFar: true, HoldNear: true}
-		d.addStep(Step{At: at, Do: Link, Server: uid, Effect: all, On: true, Group: -1})
-		d.isolate(at, uid, true)
-		gone := at + d.drawDelay(list.UnreachableS)
-		if gone < end {
-			d.updateList(gone, uid, "DELETED")
+			d.addRestart(uid, off, min(off+every, end))
 		}
-		d.isolate(end, uid, false)
-		d.addStep(Step{At: end, Do: Revive, Server: uid})
-		d.addStep(Step{At: end, Do: Link, Server: uid, Effect: all, Group: -1})
-		d.updateList(end+d.drawDelay(list.AddS), uid, "SERVING")
+	case fault.Do == "lose":
+		d.addLoss(uid, at, end)
 	}
 	return nil
 }
 
+// addRestart adds the end of the process of a server, its new start, and the list's update.
+func (d *stepDrawer) addRestart(uid string, end, start time.Duration) {
+	d.addStep(Step{At: end, Do: Die, Server: uid})
+	d.addStep(Step{At: start, Do: Revive, Server: uid})
+	d.updateList(start+d.drawDelay(d.File.List.AddS), uid, "SERVING")
+}
+
+// addLoss adds the loss of a machine and its return with a new process.
+func (d *stepDrawer) addLoss(uid string, at, end time.Duration) {
+	everything := LinkEffect{HoldFar: true, HoldNear: true}
+	d.addStep(Step{At: at, Do: Link, Server: uid, Effect: everything, On: true, Group: -1})
+	d.isolate(at, uid, true)
+	if gone := at + d.drawDelay(d.File.List.UnreachableS); gone < end {
+		d.updateList(gone, uid, "DELETED")
+	}
+	d.isolate(end, uid, false)
+	d.addStep(Step{At: end, Do: Revive, Server: uid})
+	d.addStep(Step{At: end, Do: Link, Server: uid, Effect: everything, Group: -1})
+	d.updateList(end+d.drawDelay(d.File.List.AddS), uid, "SERVING")
+}
+
 // drawDeployment replaces servers batch by batch, evenly over the time.
 func (d *stepDrawer) drawDeployment(fault *Fault, at time.Duration) error {
 	chosen, err := d.chooseServers(fault, at, Seconds(fault.At+fault.For))
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -157,45 +157,23 @@
 	return choose(d.rng, fault, all, func(i int) string { return fmt.Sprint(d.lifetimes[i].index + 1) })
 }
 
+// drawFault draws the steps of one fault.
 func (d *stepDrawer) drawFault(fault *Fault) error {
 	at, end := Seconds(fault.At), Seconds(fault.At+fault.For)
 	switch fault.Do {
+	case "burst", "flood":
+		return nil // arrivals
 	case "backup", "restore":
 		d.addStep(Step{At: at, Do: fault.Do, Sidecar: LeaderIndex})
 		return nil
 	case "disk-torn", "disk-short":
-		chosen, err := d.chooseNodes(fault)
-		for _, i := range chosen {
-			d.addStep(Step{At: at, Do: Tear, Sidecar: i, Mode: strings.TrimPrefix(fault.Do, "disk-")})
-		}
-		return err
+		return d.drawTear(fault, at)
 	case "kill", "term", "stop", "disk-full", "disk-readonly":
 		return d.drawProcessFault(fault, at, end)
 	case "list-late", "list-old", "list-cut", "list-garbled":
-		if err := d.claim("the list's answers", at, end); err != nil {
-			return err
-		}
-		d.addStep(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: strings.TrimPrefix(fault.Do, "list-"), By: Seconds(fault.Size)})
-		d.addStep(Step{At: end, Do: ListMode, Sidecar: ListIndex})
-		return nil
-	case "burst", "flood":
-		return nil // arrivals
+		return d.drawListFault(fault, at, end)
 	case "lie":
-		all := 0.0
-		for i := range d.Arrivals {
-			if a := &d.Arrivals[i]; a.At >= at && a.At < end {
-				all += a.Work.Seconds()
-			}
-		}
-		s := Step{At: at, Do: FalseReports, Sidecar: ListIndex, Mode: strings.Join(fault.Names, ","), On: true,
-			By: Seconds(all / fault.For * fault.Size * float64(len(fault.Names)))}
-		for range fault.Count {
-			s.Nears = append(s.Nears, d.lyingMembers)
-			d.lyingMembers++
-		}
-		d.addStep(s)
-		s.At, s.On = end, false
-		d.addStep(s)
+		d.drawFalseReports(fault, at, end)
 		return nil
 	case "join", "leave":
 		return d.drawJoinOrLeave(fault)
@@ -210,10 +188,48 @@
 	if err != nil {
 		return err
 	}
-	for _, i := range servers {
-		if err := d.drawServerFault(fault, i, at, end); err != nil {
+	for _, index := range servers {
+		if err := d.drawServerFault(fault, index, at, end); err != nil {
 			return err
 		}
 	}
 	return nil
 }
+
+// drawTear draws which files of registry nodes lose their end.
+func (d *stepDrawer) drawTear(fault *Fault, at time.Duration) error {
+	chosen, err := d.chooseNodes(fault)
+	for _, process := range chosen {
+		d.addStep(Step{At: at, Do: Tear, Sidecar: process, Mode: strings.TrimPrefix(fault.Do, "disk-")})
+	}
+	return err
+}
+
+// drawListFault adds the steps of a fault of the list's answers.
+func (d *stepDrawer) drawListFault(fault *Fault, at, end time.Duration) error {
+	if err := d.claim("the list's answers", at, end); err != nil {
+		return err
+	}
+	d.addStep(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: strings.TrimPrefix(fault.Do, "list-"), By: Seconds(fault.Size)})
+	d.addStep(Step{At: end, Do: ListMode, Sidecar: ListIndex})
+	return nil
+}
+
+// drawFalseReports adds the steps of members that report work which nobody did: a multiple of what arrives meanwhile.
+func (d *stepDrawer) drawFalseReports(fault *Fault, at, end time.Duration) {
+	work := 0.0
+	for i := range d.Arrivals {
+		if arrival := &d.Arrivals[i]; arrival.At >= at && arrival.At < end {
+			work += arrival.Work.Seconds()
+		}
+	}
+	step := Step{At: at, Do: FalseReports, Sidecar: ListIndex, Mode: strings.Join(fault.Names, ","), On: true,
+		By: Seconds(work / fault.For * fault.Size * float64(len(fault.Names)))}
+	for range fault.Count {
+		step.Nears = append(step.Nears, d.lyingMembers)
+		d.lyingMembers++
+	}
+	d.addStep(step)
+	step.At, step.On = end, false
+	d.addStep(step)
+}
