--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -10,127 +10,143 @@
 	"gradeusher.example/gradeusher/internal/lab/model"
 )
 
-func (d *drawer) silent(at time.Duration, uid string, on bool) {
+func (d *stepDrawer) isolate(at time.Duration, uid string, on bool) {
 	if d.File.Registry.Count > 0 {
-		d.step(Step{At: at, Do: Isolate, Server: uid, On: on})
+		d.addStep(Step{At: at, Do: Isolate, Server: uid, On: on})
 	}
 }
 
-func (d *drawer) tell(at time.Duration, uid, state string) {
+func (d *stepDrawer) updateList(at time.Duration, uid, state string) {
 	if d.File.Registry.Count > 0 {
 		return // servers tell the keepers by themselves
 	}
-	d.step(Step{At: at, Do: UpdateList, Sidecar: ListIndex, Server: uid, State: state})
+	d.addStep(Step{At: at, Do: UpdateList, Sidecar: ListIndex, Server: uid, State: state})
 }
 
-func (d *drawer) late(v [2]float64) time.Duration { return Seconds(between(d.r, v)) }
+func (d *stepDrawer) drawDelay(v [2]float64) time.Duration { return Seconds(uniform(d.rng, v)) }
 
-// server draws what happens to the i-th of living.
-func (d *drawer) server(t *Fault, i int, at, end time.Duration) error {
-	uid := d.Servers[d.living[i].index].UID
-	process := t.Do == "die" || t.Do == "lose" || t.Do == "flap"
-	what := "server " + uid + "'s speed"
-	if process {
-		what = "server " + uid
-	}
-	list := d.File.List
-	switch t.Do {
+// drawServerFault draws the steps of a fault of one server, by its index in lifetimes.
+func (d *stepDrawer) drawServerFault(fault *Fault, index int, at, end time.Duration) error {
+	uid := d.Servers[d.lifetimes[index].index].UID
+	switch fault.Do {
 	case "clock":
-		d.step(Step{At: at, Do: Clock, Server: uid, By: Seconds(t.Size)})
+		d.addStep(Step{At: at, Do: Clock, Server: uid, By: Seconds(fault.Size)})
 		return nil
-	case "die":
-		end = forever
-		if t.Restart != nil {
-			end = at + Seconds(*t.Restart)
-		}
+	case "die", "flap", "lose":
+		return d.drawServerRestart(fault, index, at, end)
 	}
-	if err := d.claim(what, at, end); err != nil {
+	if err := d.claim("server "+uid+"'s speed", at, end); err != nil {
 		return err
 	}
-	trouble := func(at time.Duration, v model.Fault) { d.step(Step{At: at, Do: ServerFault, Server: uid, Trouble: v}) }
-	switch t.Do {
+	switch fault.Do {
 	case "slow":
-		trouble(at, model.Fault{Slow: t.Size})
-		trouble(end, model.Fault{})
+		d.addServerFault(uid, at, end, model.Fault{Slow: fault.Size})
 	case "hang":
-		trouble(at, model.Fault{Hang: true})
-		trouble(end, model.Fault{})
+		d.addServerFault(uid, at, end, model.Fault{Hang: true})
 	case "steal":
-		every := cmp.Or(Seconds(t.Every), end-at)
+		every := cmp.Or(Seconds(fault.Every), end-at)
 		for on := at; on < end; on += 2 * every {
-			trouble(on, model.Fault{Stolen: t.Size})
-			trouble(min(on+every, end), model.Fault{})
-		}
-	case "die":
-		d.step(Step{At: at, Do: Die, Server: uid})
-		if t.Restart == nil {
-			d.living[i].to = at
-			d.tell(at+d.late(list.NoticeS), uid, "DELETED")
-			return nil
+			d.addServerFault(uid, on, min(on+every, end), model.Fault{Stolen: fault.Size})
 		}
-		d.step(Step{At: end, Do: Revive, Server: uid})
-		d.tell(end+d.late(list.AddS), uid, "SERVING")
-	case "flap":
-		every := Seconds(t.Every)
+	}
+	return nil
+}
+
+// addServerFault adds the steps that begin and end a fault state of a server.
+func (d *stepDrawer) addServerFault(uid string, from, to time.Duration, fault model.Fault) {
+	d.addStep(Step{At: from, Do: ServerFault, Server: uid, Trouble: fault})
+	d.addStep(Step{At: to, Do: ServerFault, Server: uid})
+}
+
+// drawServerRestart draws the steps of a fault that ends the process of a server, or separates its machine from everybody.
+func (d *stepDrawer) drawServerRestart(fault *Fault, index int, at, end time.Duration) error {
+	uid := d.Servers[d.lifetimes[index].index].UID
+	neverRestarts := fault.Do == "die" && fault.Restart == nil
+	switch {
+	case neverRestarts:
+		end = endOfTime
+	case fault.Do == "die":
+		end = at + Seconds(*fault.Restart)
+	}
+	if err := d.claim("server "+uid, at, end); err != nil {
+		return err
+	}
+	switch {
+	case neverRestarts:
+		d.addStep(Step{At: at, Do: Die, Server: uid})
+		d.lifetimes[index].to = at
+		d.updateList(at+d.drawDelay(d.File.List.NoticeS), uid, "DELETED")
+	case fault.Do == "die":
+		d.addRestart(uid, at, end)
+	case fault.Do == "flap":
+		every := Seconds(fault.Every)
 		for off := at; off < end; off += 2 * every {
-			on := min(off+every, end)
-			d.step(Step{At: off, Do: Die, Server: uid})
-			d.step(Step{At: on, Do: Revive, Server: uid})
-			d.tell(on+d.late(list.AddS), uid, "SERVING")
+			d.addRestart(uid, off, min(off+every, end))
 		}
-	case "lose":
-		all := LinkEffect{HoldFar: true, HoldNear: true}
-		d.step(Step{At: at, Do: Link, Server: uid, Effect: all, On: true, Group: -1})
-		d.silent(at, uid, true)
-		gone := at + d.late(list.UnreachableS)
-		if gone < end {
-			d.tell(gone, uid, "DELETED")
-		}
-		d.silent(end, uid, false)
-		d.step(Step{At: end, Do: Revive, Server: uid})
-		d.step(Step{At: end, Do: Link, Server: uid, Effect: all, Group: -1})
-		d.tell(end+d.late(list.AddS), uid, "SERVING")
+	case fault.Do == "lose":
+		d.addLoss(uid, at, end)
 	}
 	return nil
 }
 
-// deploy replaces servers batch by batch, evenly over the time.
-func (d *drawer) deploy(t *Fault, at time.Duration) error {
-	chosen, err := d.servers(t, at, Seconds(t.At+t.For))
+// addRestart adds the end of the process of a server, its new start, and the list's update.
+func (d *stepDrawer) addRestart(uid string, end, start time.Duration) {
+	d.addStep(Step{At: end, Do: Die, Server: uid})
+	d.addStep(Step{At: start, Do: Revive, Server: uid})
+	d.updateList(start+d.drawDelay(d.File.List.AddS), uid, "SERVING")
+}
+
+// addLoss adds the loss of a machine and its return with a new process.
+func (d *stepDrawer) addLoss(uid string, at, end time.Duration) {
+	everything := LinkEffect{HoldFar: true, HoldNear: true}
+	d.addStep(Step{At: at, Do: Link, Server: uid, Effect: everything, On: true, Group: -1})
+	d.isolate(at, uid, true)
+	if gone := at + d.drawDelay(d.File.List.UnreachableS); gone < end {
+		d.updateList(gone, uid, "DELETED")
+	}
+	d.isolate(end, uid, false)
+	d.addStep(Step{At: end, Do: Revive, Server: uid})
+	d.addStep(Step{At: end, Do: Link, Server: uid, Effect: everything, Group: -1})
+	d.updateList(end+d.drawDelay(d.File.List.AddS), uid, "SERVING")
+}
+
+// drawDeployment replaces servers batch by batch, evenly over the time.
+func (d *stepDrawer) drawDeployment(fault *Fault, at time.Duration) error {
+	chosen, err := d.chooseServers(fault, at, Seconds(fault.At+fault.For))
 	if err != nil {
 		return err
 	}
-	drain := cmp.Or(t.Drain, 4)
-	batch := cmp.Or(t.Batch, 0.1)
-	each := max(1, int(math.Round(batch*float64(d.InitialServers))))
-	batches := (len(chosen) + each - 1) / each
-	room := t.For - drain
-	if room < 0 {
-		return fmt.Errorf("the drain of %v s does not fit into %v s", drain, t.For)
+	drain := cmp.Or(fault.Drain, 4)
+	batch := cmp.Or(fault.Batch, 0.1)
+	batchSize := max(1, int(math.Round(batch*float64(d.InitialServers))))
+	batches := (len(chosen) + batchSize - 1) / batchSize
+	available := fault.For - drain
+	if available < 0 {
+		return fmt.Errorf("the drain of %v s does not fit into %v s", drain, fault.For)
 	}
 	for b := range batches {
 		begin := at
 		if batches > 1 {
-			begin += Seconds(room * float64(b) / float64(batches-1))
+			begin += Seconds(available * float64(b) / float64(batches-1))
 		}
-		over := begin + Seconds(drain)
-		for _, i := range chosen[b*each : min((b+1)*each, len(chosen))] {
-			old := d.Servers[d.living[i].index]
-			if err := d.claim("server "+old.UID, begin, forever); err != nil {
+		removed := begin + Seconds(drain)
+		for _, i := range chosen[b*batchSize : min((b+1)*batchSize, len(chosen))] {
+			old := d.Servers[d.lifetimes[i].index]
+			if err := d.claim("server "+old.UID, begin, endOfTime); err != nil {
 				return err
 			}
-			d.living[i].to = begin
-			told := begin + d.late(d.File.List.NoticeS)
-			d.step(Step{At: begin, Do: Drain, Server: old.UID})
-			d.tell(told, old.UID, "DRAINING")
-			d.step(Step{At: over, Do: Remove, Server: old.UID})
-			d.tell(max(told, over+d.late(d.File.List.NoticeS)), old.UID, "DELETED")
+			d.lifetimes[i].to = begin
+			notified := begin + d.drawDelay(d.File.List.NoticeS)
+			d.addStep(Step{At: begin, Do: Drain, Server: old.UID})
+			d.updateList(notified, old.UID, "DRAINING")
+			d.addStep(Step{At: removed, Do: Remove, Server: old.UID})
+			d.updateList(max(notified, removed+d.drawDelay(d.File.List.NoticeS)), old.UID, "DELETED")
 			next := len(d.Servers)
 			kind := slices.IndexFunc(d.File.Kinds, func(k Kind) bool { return k.Name == old.Kind })
-			d.Servers = append(d.Servers, d.spec(next, old.Zone, kind))
-			d.living = append(d.living, life{next, over, forever})
-			d.step(Step{At: over, Do: Add, Server: d.Servers[next].UID})
-			d.tell(over+d.late(d.File.List.AddS), d.Servers[next].UID, "SERVING")
+			d.Servers = append(d.Servers, d.drawSpec(next, old.Zone, kind))
+			d.lifetimes = append(d.lifetimes, lifetime{next, removed, endOfTime})
+			d.addStep(Step{At: removed, Do: Add, Server: d.Servers[next].UID})
+			d.updateList(removed+d.drawDelay(d.File.List.AddS), d.Servers[next].UID, "SERVING")
 		}
 	}
 	return nil
