--- a/internal/sidecar/registry/join.go
+++ b/internal/sidecar/registry/join.go
@@ -31,6 +31,9 @@
 	maxPeersAsked = 16               // in one round
 )
 
+// errPeerAddress marks a peer's address that is no part of a URL. It ends a round of askToJoin: the address stands in the configuration.
+var errPeerAddress = errors.New("address of a peer")
+
 // join asks the peers to add this node until one of them, the leader, answers that the node has its vote.
 func (n *Node) join(ctx context.Context) {
 	ticker := time.NewTicker(joinInterval)
@@ -68,6 +71,9 @@
 	addresses := n.peerAddresses()
 	for i := 0; i < len(addresses); i++ {
 		code, answer, err := postJoin(ctx, client, addresses[i], body)
+		if errors.Is(err, errPeerAddress) {
+			return 0, err
+		}
 		if err != nil {
 			lastErr = err
 			continue
@@ -101,7 +107,7 @@
 func postJoin(ctx context.Context, client *http.Client, address string, body []byte) (code int, answer problem, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/keepers", bytes.NewReader(body))
 	if err != nil {
-		return 0, problem{}, err
+		return 0, problem{}, fmt.Errorf("%w: %w", errPeerAddress, err)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
