--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -32,7 +32,7 @@
 	whole := object{
 		"name": s.Name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", seed),
 		"limits": object{"cores": 1, "memory_mb": f.Fleet.MemoryMB, "sockets": f.Fleet.Sockets},
-		"known":  json.RawMessage(standin.Object(i, s.Group, int64(len(known)), true, known)),
+		"known":  json.RawMessage(standin.EncodeList(i, s.Group, int64(len(known)), true, known)),
 		"settings": object{
 			"ordinal": i, "peers_total": s.Peers, "my_zone": s.Zone, "areas": f.Fleet.Zones, "models": models,
 			"discovery": "pushed", "domain_type": "mesh", "tier": 0, "tiers": []string{"rec-api"}, "worth_by": "work", "tenants": []string{},
--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -19,23 +19,23 @@
 
 // Host runs stand-in servers until the orders end. groups is the number of groups of sidecars, each with listeners of its
 // own; what is seen goes to the file records. keepers, if any, are where the servers register, with a lease.
-func Host(orders io.Reader, news io.Writer, groups int, records string, keepers []string, lease time.Duration) error {
-	r, err := ctl.NewRecords(records)
+func Host(orders io.Reader, news io.Writer, groups int, records string, registryNodes []string, lease time.Duration) error {
+	recorder, err := ctl.NewRecords(records)
 	if err != nil {
 		return err
 	}
-	h := &host{out: ctl.NewOut(news), groups: max(1, groups), records: r, servers: map[string]*machine{}, gone: map[string]*machine{}}
-	if len(keepers) > 0 {
-		if h.registrar, err = newRegistrar(keepers, lease); err != nil {
-			return errors.Join(err, r.Close())
+	servers := &host{out: ctl.NewOut(news), groups: max(1, groups), records: recorder, servers: map[string]*machine{}, removed: map[string]*machine{}}
+	if len(registryNodes) > 0 {
+		if servers.registrar, err = newRegistrar(registryNodes, lease); err != nil {
+			return errors.Join(err, recorder.Close())
 		}
-		defer h.registrar.close()
+		defer servers.registrar.close()
 	}
-	h.out.Say(ctl.News{Kind: "ready", At: clock.Now()})
+	servers.out.Say(ctl.News{Kind: "ready", At: clock.Now()})
 	// Links are set side by side, since to cut off calls takes milliseconds; whatever else comes waits for them.
 	var links sync.WaitGroup
 	err = ctl.Lines(orders, func(o ctl.Order) error {
-		do := func() { obey(o, h.out, h.obey) }
+		do := func() { acknowledgeOrder(o, servers.out, servers.handleOrder) }
 		if o.Do == "link" {
 			links.Add(1)
 			go func() {
@@ -49,40 +49,40 @@
 		return nil
 	})
 	links.Wait()
-	for _, m := range h.servers {
-		m.process.die()
+	for _, m := range servers.servers {
+		m.process.crash()
 		m.process.tasks.Wait()
-		m.leave()
+		m.releasePorts()
 	}
-	for _, m := range h.gone {
-		m.leave()
+	for _, m := range servers.removed {
+		m.releasePorts()
 	}
-	return errors.Join(err, r.Close())
+	return errors.Join(err, recorder.Close())
 }
 
 // host is the servers of one process. Orders come one at a time.
 type host struct {
-	out     *ctl.Out
-	groups  int
-	records *ctl.Records
-	servers map[string]*machine
-	gone    map[string]*machine // that were removed
-	skew    time.Duration       // of its wall clock
+	out           *ctl.Out
+	groups        int
+	records       *ctl.Records
+	servers       map[string]*machine
+	removed       map[string]*machine // that were removed
+	wallClockSkew time.Duration       // of its wall clock
 
 	registrar *registrar // nil: servers register nowhere
 }
 
 // machine is where one server process after the other runs.
 type machine struct {
-	process *server
-	net     *network
-	places  []*link.Place // kept as long as the experiment lasts, so that nobody gets its ports
-	cuts    sync.Map      // groups whose calls do not come up
+	process           *server
+	net               *network
+	reservedPorts     []*link.Place // kept as long as the experiment lasts, so that nobody gets its ports
+	partitionedGroups sync.Map      // groups whose calls do not come up
 }
 
-func (h *host) obey(o ctl.Order, n *ctl.News) error {
+func (h *host) handleOrder(o ctl.Order, n *ctl.News) error {
 	if o.Do == "clock" {
-		h.skew += time.Duration(o.By)
+		h.wallClockSkew += time.Duration(o.By)
 		return nil
 	}
 	if o.Do == "add" {
@@ -94,14 +94,14 @@
 		for i := range ports {
 			place, err := link.Reserve(link.Anywhere)
 			if err != nil {
-				m.leave()
+				m.releasePorts()
 				return err
 			}
-			m.places = append(m.places, place)
+			m.reservedPorts = append(m.reservedPorts, place)
 			ports[i] = int(place.Addr.Port())
 		}
 		if err := h.start(m, *o.Spec, o.Cold, ports); err != nil {
-			m.leave()
+			m.releasePorts()
 			return err
 		}
 		h.servers[o.Spec.UID] = m
@@ -113,7 +113,7 @@
 		return nil
 	}
 	m := h.servers[o.UID]
-	if m == nil && h.gone[o.UID] != nil && o.Do != "revive" {
+	if m == nil && h.removed[o.UID] != nil && o.Do != "revive" {
 		return nil // a fault that lasts longer than the machine
 	}
 	if m == nil {
@@ -121,21 +121,21 @@
 	}
 	switch o.Do {
 	case "drain":
-		h.registrar.want(o.UID, func(w *wanted) { w.state = list.Draining })
-		m.process.do(func(now int64) { m.process.model.Drain(now) })
+		h.registrar.updateDesired(o.UID, func(w *desiredEntry) { w.state = list.Draining })
+		m.process.updateModel(func(now int64) { m.process.model.Drain(now) })
 	case "die":
-		h.registrar.want(o.UID, func(w *wanted) { w.dead = true })
-		m.process.die()
+		h.registrar.updateDesired(o.UID, func(w *desiredEntry) { w.crashed = true })
+		m.process.crash()
 	case "silent":
-		h.registrar.want(o.UID, func(w *wanted) { w.silent = o.On })
+		h.registrar.updateDesired(o.UID, func(w *desiredEntry) { w.isolated = o.On })
 	case "remove":
-		h.registrar.want(o.UID, func(w *wanted) { w.state = list.Deleted })
-		m.process.die()
+		h.registrar.updateDesired(o.UID, func(w *desiredEntry) { w.state = list.Deleted })
+		m.process.crash()
 		m.process.tasks.Wait()
 		delete(h.servers, o.UID)
-		h.gone[o.UID] = m
+		h.removed[o.UID] = m
 	case "revive": // a new process, where the old one was
-		m.process.die()
+		m.process.crash()
 		m.process.tasks.Wait()
 		if err := h.start(m, m.process.spec, true, m.process.ports); err != nil {
 			return err
@@ -146,14 +146,14 @@
 		if o.Trouble == nil {
 			return errors.New("trouble: none given")
 		}
-		m.process.do(func(now int64) { m.process.model.Set(now, *o.Trouble) })
+		m.process.updateModel(func(now int64) { m.process.model.Set(now, *o.Trouble) })
 	case "link":
-		m.net.change(o)
+		m.net.apply(o)
 		if o.Cut != nil {
-			return m.cut(o.Group, *o.Cut)
+			return m.setPartitioned(o.Group, *o.Cut)
 		}
 	case "reset", "forget":
-		m.net.change(o)
+		m.net.apply(o)
 	default:
 		return fmt.Errorf("unknown order %q", o.Do)
 	}
@@ -163,44 +163,44 @@
 // register has a machine's process be on the keepers' list, where there are keepers.
 func (h *host) register(m *machine, bootMS int64) {
 	if h.registrar != nil {
-		h.registrar.up(&m.process.spec, m.process.ports[0], bootMS)
+		h.registrar.register(&m.process.spec, m.process.ports[0], bootMS)
 	}
 }
 
-func (h *host) bootMS() int64 { return time.Now().Add(h.skew).UnixMilli() }
+func (h *host) bootMS() int64 { return time.Now().Add(h.wallClockSkew).UnixMilli() }
 
 func (h *host) start(m *machine, spec model.Spec, cold bool, ports []int) error {
 	p, err := startServer(spec, cold, ports, m.net, h.records, func(p *server) {
-		p.die()
-		h.registrar.want(spec.UID, func(w *wanted) { w.dead = true })
+		p.crash()
+		h.registrar.updateDesired(spec.UID, func(w *desiredEntry) { w.crashed = true })
 		h.out.Say(ctl.News{Kind: "fell", UID: spec.UID, At: clock.Now()})
 	})
 	if err != nil {
 		return err
 	}
 	m.process = p
-	m.cuts.Range(func(group, _ any) bool {
+	m.partitionedGroups.Range(func(group, _ any) bool {
 		err = errors.Join(err, p.listeners[group.(int)].Cut(true))
 		return true
 	})
 	return err
 }
 
-// leave gives the machine's ports up.
-func (m *machine) leave() {
-	for _, place := range m.places {
+// releasePorts gives the machine's ports up.
+func (m *machine) releasePorts() {
+	for _, place := range m.reservedPorts {
 		place.Close()
 	}
 }
 
-func (m *machine) cut(group int, cut bool) error {
+func (m *machine) setPartitioned(group int, cut bool) error {
 	if group < 0 || group >= len(m.process.listeners) {
 		return fmt.Errorf("link: no group %d", group)
 	}
 	if cut {
-		m.cuts.Store(group, true)
+		m.partitionedGroups.Store(group, true)
 	} else {
-		m.cuts.Delete(group)
+		m.partitionedGroups.Delete(group)
 	}
 	if err := m.process.listeners[group].Cut(cut); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
--- a/internal/lab/standin/keeper.go
+++ b/internal/lab/standin/keeper.go
@@ -16,41 +16,41 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// PlainKeeper is a list service that agrees with nobody and forgets all when it ends, to show that the checkers find that.
+// PlainRegistry is a list service that agrees with nobody and forgets all when it ends, to show that the checkers find that.
 // It answers at an address until ctx is done, and does what its flaw says besides.
-func PlainKeeper(ctx context.Context, address, flaw string) error {
-	l, err := net.Listen("tcp4", address)
+func PlainRegistry(ctx context.Context, address, flaw string) error {
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return err
 	}
-	k := &plainKeeper{flaw: flaw, entries: map[string]client.Entry{}, changed: make(chan struct{})}
+	registry := &plainRegistry{flaw: flaw, entries: map[string]client.Entry{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", k.servers)
-	mux.HandleFunc("GET /v1/servers/{uid}", k.server)
-	mux.HandleFunc("POST /v1/servers", k.register)
-	mux.HandleFunc("POST /v1/servers/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { k.turn(w, r, list.Draining) })
-	mux.HandleFunc("DELETE /v1/servers/{uid}", func(w http.ResponseWriter, r *http.Request) { k.turn(w, r, list.Deleted) })
+	mux.HandleFunc("GET /v1/servers", registry.handleList)
+	mux.HandleFunc("GET /v1/servers/{uid}", registry.handleServer)
+	mux.HandleFunc("POST /v1/servers", registry.handleRegister)
+	mux.HandleFunc("POST /v1/servers/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { registry.handleStateChange(w, r, list.Draining) })
+	mux.HandleFunc("DELETE /v1/servers/{uid}", func(w http.ResponseWriter, r *http.Request) { registry.handleStateChange(w, r, list.Deleted) })
 	mux.HandleFunc("POST /v1/renew", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, 200, map[string]any{"unknown": []string{}})
+		writeJSON(w, 200, map[string]any{"unknown": []string{}})
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		answerJSON(w, 200, map[string]any{"role": "leader", "rev": len(k.changes), "age_ms": 0, "cluster": "plain"})
+		registry.mu.Lock()
+		defer registry.mu.Unlock()
+		writeJSON(w, 200, map[string]any{"role": "leader", "rev": len(registry.changes), "age_ms": 0, "cluster": "plain"})
 	})
-	(&plainRoutes{flaw: flaw}).handle(mux)
+	(&plainRoutes{flaw: flaw}).addHandlers(mux)
 	web := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	go func() {
 		<-ctx.Done()
 		_ = web.Close()
 	}()
-	if err := web.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	if err := web.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-type plainKeeper struct {
+type plainRegistry struct {
 	flaw    string
 	mu      sync.Mutex
 	entries map[string]client.Entry
@@ -58,18 +58,18 @@
 	changed chan struct{}
 }
 
-func answerJSON(w http.ResponseWriter, code int, v any) {
+func writeJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v) // to a caller who may have gone
 }
 
-func refusePlain(w http.ResponseWriter, code int, reason string) {
-	answerJSON(w, code, map[string]any{"code": "plain", "reason": reason})
+func writeRefusal(w http.ResponseWriter, code int, reason string) {
+	writeJSON(w, code, map[string]any{"code": "plain", "reason": reason})
 }
 
-// change notes an entry's new state. k.mu is held.
-func (k *plainKeeper) change(e client.Entry) {
+// applyChange notes an entry's new state. k.mu is held.
+func (k *plainRegistry) applyChange(e client.Entry) {
 	k.changes = append(k.changes, e.Target)
 	e.Revision = int64(len(k.changes))
 	if k.entries[e.UID] = e; e.State == list.Deleted {
@@ -79,13 +79,13 @@
 	k.changed = make(chan struct{})
 }
 
-func (k *plainKeeper) register(w http.ResponseWriter, r *http.Request) {
+func (k *plainRegistry) handleRegister(w http.ResponseWriter, r *http.Request) {
 	var c struct {
 		Servers []list.Registration
 		Expect  *int64
 	}
 	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<20)).Decode(&c); err != nil {
-		refusePlain(w, 400, err.Error())
+		writeRefusal(w, 400, err.Error())
 		return
 	}
 	k.mu.Lock()
@@ -93,45 +93,45 @@
 	rev := int64(0)
 	for _, s := range c.Servers {
 		if c.Expect != nil && *c.Expect != k.entries[s.UID].Revision {
-			refusePlain(w, 409, "another revision")
+			writeRefusal(w, 409, "another revision")
 			return
 		}
 		old := k.entries[s.UID]
 		if old.State == list.Draining && old.BootMS == s.BootMS {
 			s.State = list.Draining
 		}
-		k.change(client.Entry{Target: s.Target, LeaseMS: s.LeaseMS})
+		k.applyChange(client.Entry{Target: s.Target, LeaseMS: s.LeaseMS})
 		rev = int64(len(k.changes))
 	}
-	answerJSON(w, 200, client.Result{Revision: rev, Cluster: "plain"})
+	writeJSON(w, 200, client.Result{Revision: rev, Cluster: "plain"})
 }
 
-func (k *plainKeeper) turn(w http.ResponseWriter, r *http.Request, state list.State) {
+func (k *plainRegistry) handleStateChange(w http.ResponseWriter, r *http.Request, state list.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e, ok := k.entries[r.PathValue("uid")]
 	if !ok {
-		refusePlain(w, 404, "no such server")
+		writeRefusal(w, 404, "no such server")
 		return
 	}
 	e.State = state
-	k.change(e)
-	answerJSON(w, 200, client.Result{Revision: int64(len(k.changes)), Cluster: "plain"})
+	k.applyChange(e)
+	writeJSON(w, 200, client.Result{Revision: int64(len(k.changes)), Cluster: "plain"})
 }
 
-func (k *plainKeeper) server(w http.ResponseWriter, r *http.Request) {
+func (k *plainRegistry) handleServer(w http.ResponseWriter, r *http.Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e, ok := k.entries[r.PathValue("uid")]
 	if !ok {
-		refusePlain(w, 404, "no such server")
+		writeRefusal(w, 404, "no such server")
 		return
 	}
-	answerJSON(w, 200, client.Result{Revision: e.Revision, Cluster: "plain", Server: &e})
+	writeJSON(w, 200, client.Result{Revision: e.Revision, Cluster: "plain", Server: &e})
 }
 
-// whole is the list. k.mu is held.
-func (k *plainKeeper) whole() list.List {
+// snapshot is the list. k.mu is held.
+func (k *plainRegistry) snapshot() list.List {
 	l := list.List{Rev: int64(len(k.changes)), All: true, Cluster: "plain", Targets: []list.Target{}}
 	for _, e := range k.entries {
 		l.Targets = append(l.Targets, e.Target)
@@ -139,14 +139,14 @@
 	return l
 }
 
-const gapEvery = 5
+const gapInterval = 5
 
-func (k *plainKeeper) servers(w http.ResponseWriter, r *http.Request) {
+func (k *plainRegistry) handleList(w http.ResponseWriter, r *http.Request) {
 	k.mu.Lock()
-	l := k.whole()
+	l := k.snapshot()
 	k.mu.Unlock()
 	if r.URL.Query().Get("watch") != "1" {
-		answerJSON(w, 200, l)
+		writeJSON(w, 200, l)
 		return
 	}
 	out := http.NewResponseController(w)
@@ -171,7 +171,7 @@
 			changes = nil
 		}
 		for _, t := range changes {
-			if from++; k.flaw == "gap" && from%gapEvery == 0 {
+			if from++; k.flaw == "gap" && from%gapInterval == 0 {
 				continue
 			}
 			if !write(list.List{Rev: from, Cluster: "plain", Targets: []list.Target{t}}) {
--- a/internal/lab/standin/keeperroutes.go
+++ b/internal/lab/standin/keeperroutes.go
@@ -18,7 +18,7 @@
 type plainRoutes struct {
 	flaw    string
 	mu      sync.Mutex
-	now     plainTable
+	current plainTable
 	changed chan struct{}
 }
 
@@ -27,19 +27,19 @@
 	Rules routes.Table `json:"rules"`
 }
 
-func (k *plainRoutes) handle(mux *http.ServeMux) {
-	k.changed, k.now.Rules = make(chan struct{}), routes.Table{}
+func (k *plainRoutes) addHandlers(mux *http.ServeMux) {
+	k.changed, k.current.Rules = make(chan struct{}), routes.Table{}
 	mux.HandleFunc("PUT /v1/routes", func(w http.ResponseWriter, r *http.Request) {
-		k.set(w, r, func(t plainTable, gen int64) plainTable { return plainTable{gen + 1, t.Rules} })
+		k.handleReplace(w, r, func(t plainTable, gen int64) plainTable { return plainTable{gen + 1, t.Rules} })
 	})
-	mux.HandleFunc("GET /v1/routes", k.get)
+	mux.HandleFunc("GET /v1/routes", k.handleGet)
 	mux.HandleFunc("GET /v1/backup", func(w http.ResponseWriter, _ *http.Request) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		answerJSON(w, 200, k.now)
+		writeJSON(w, 200, k.current)
 	})
 	mux.HandleFunc("POST /v1/restore", func(w http.ResponseWriter, r *http.Request) {
-		k.set(w, r, func(t plainTable, gen int64) plainTable {
+		k.handleReplace(w, r, func(t plainTable, gen int64) plainTable {
 			if k.flaw != "back" {
 				t.Gen = gen + 1
 			}
@@ -48,24 +48,24 @@
 	})
 }
 
-// set takes a table in the place of the one that is there.
-func (k *plainRoutes) set(w http.ResponseWriter, r *http.Request, next func(t plainTable, gen int64) plainTable) {
+// handleReplace takes a table in the place of the one that is there.
+func (k *plainRoutes) handleReplace(w http.ResponseWriter, r *http.Request, next func(t plainTable, gen int64) plainTable) {
 	var t plainTable
 	if err := json.NewDecoder(io.LimitReader(r.Body, list.MostText)).Decode(&t); err != nil {
-		refusePlain(w, 400, err.Error())
+		writeRefusal(w, 400, err.Error())
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if r.Method == http.MethodPost || t.Rules.Hash() != k.now.Rules.Hash() {
-		k.now = next(t, k.now.Gen)
+	if r.Method == http.MethodPost || t.Rules.Hash() != k.current.Rules.Hash() {
+		k.current = next(t, k.current.Gen)
 		close(k.changed)
 		k.changed = make(chan struct{})
 	}
-	answerJSON(w, 200, map[string]any{"gen": k.now.Gen, "cluster": "plain"})
+	writeJSON(w, 200, map[string]any{"gen": k.current.Gen, "cluster": "plain"})
 }
 
-func (k *plainRoutes) get(w http.ResponseWriter, r *http.Request) {
+func (k *plainRoutes) handleGet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	var tags map[string]string
 	for _, pair := range q["tag"] {
@@ -80,7 +80,7 @@
 	defer beat.Stop()
 	for held := ""; ; {
 		k.mu.Lock()
-		now, changed := k.now, k.changed
+		now, changed := k.current, k.changed
 		k.mu.Unlock()
 		t := now.Rules.Relevant(tags, q.Get("service"))
 		if h := t.Hash(); h != held && (held == "" || k.flaw != "mute") {
--- a/internal/lab/standin/liar.go
+++ b/internal/lab/standin/liar.go
@@ -16,61 +16,61 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// toldHitters is the kind of the states among members in which sidecars take reports of clients' work. Were it another one by now, the
+// hittersStateKind is the kind of the states among members in which sidecars take reports of clients' work. Were it another one by now, the
 // control with two liars would hold.
-const toldHitters uint8 = 1
+const hittersStateKind uint8 = 1
 
-// Liar is a member among sidecars that is none of them, until the orders end. As it is told to, it says of clients that they asked it
+// LyingMember is a member among sidecars that is none of them, until the orders end. As it is told to, it says of clients that they asked it
 // for work, which nobody did, in the form that sidecars believe, once a window as they do.
-func Liar(orders io.Reader, news io.Writer, o members.Options) (err error) {
-	m, err := members.New(o)
+func LyingMember(orders io.Reader, news io.Writer, options members.Options) (err error) {
+	member, err := members.New(options)
 	if err != nil {
 		return fmt.Errorf("liar: %w", err)
 	}
-	if err := m.Start(context.Background()); err != nil {
+	if err := member.Start(context.Background()); err != nil {
 		return fmt.Errorf("liar: %w", err)
 	}
-	l := &liar{member: m, stop: make(chan struct{})}
-	l.owned.Add(1)
-	go l.speak()
+	liar := &lyingMember{member: member, stop: make(chan struct{})}
+	liar.tasks.Add(1)
+	go liar.publishReports()
 	out := ctl.NewOut(news)
 	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	err = obeyAll(orders, out, func(o ctl.Order, _ *ctl.News) error { return l.obey(o) })
-	close(l.stop)
-	l.owned.Wait()
-	m.Close()
-	return errors.Join(err, l.failed)
+	err = handleOrders(orders, out, func(options ctl.Order, _ *ctl.News) error { return liar.handleOrder(options) })
+	close(liar.stop)
+	liar.tasks.Wait()
+	member.Close()
+	return errors.Join(err, liar.publishErr)
 }
 
-type liar struct {
-	member *members.Members
-	stop   chan struct{}
-	owned  sync.WaitGroup
-	failed error // of speak, once it has ended
+type lyingMember struct {
+	member     *members.Members
+	stop       chan struct{}
+	tasks      sync.WaitGroup
+	publishErr error // of speak, once it has ended
 
-	mu   sync.Mutex
-	says []byte // a report; nil: nothing is said
+	mu     sync.Mutex
+	report []byte // a report; nil: nothing is said
 }
 
-func (l *liar) obey(o ctl.Order) error {
+func (l *lyingMember) handleOrder(o ctl.Order) error {
 	if o.Do != "lie" {
 		return fmt.Errorf("unknown order %q", o.Do)
 	}
 	var says []byte
 	if o.On {
 		var err error
-		if says, err = tale(strings.Split(o.Mode, ","), time.Duration(o.By)); err != nil {
+		if says, err = forgedReport(strings.Split(o.Mode, ","), time.Duration(o.By)); err != nil {
 			return err
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.says = says
+	l.report = says
 	return nil
 }
 
-// tale is a report of clients that ask for so much work a second, alike, all of which was served.
-func tale(clients []string, work time.Duration) ([]byte, error) {
+// forgedReport is a report of clients that ask for so much work a second, alike, all of which was served.
+func forgedReport(clients []string, work time.Duration) ([]byte, error) {
 	const whole = 1<<16 - 1
 	r := hitters.Report{Total: uint64(work / time.Microsecond), Requests: 1 << 20, Served: whole, Err: 1, Named: uint8(len(clients))}
 	if len(clients) == 0 || len(clients) > len(r.Keys) {
@@ -87,9 +87,9 @@
 	return text, nil
 }
 
-// speak tells the members what there is to say until stop.
-func (l *liar) speak() {
-	defer l.owned.Done()
+// publishReports tells the members what there is to say until stop.
+func (l *lyingMember) publishReports() {
+	defer l.tasks.Done()
 	tick := time.NewTicker(hitters.Defaults().Window)
 	defer tick.Stop()
 	for {
@@ -99,13 +99,13 @@
 			return
 		}
 		l.mu.Lock()
-		says := l.says
+		says := l.report
 		l.mu.Unlock()
 		if says == nil {
 			continue
 		}
-		if err := l.member.Publish(toldHitters, says); err != nil {
-			l.failed = err
+		if err := l.member.Publish(hittersStateKind, says); err != nil {
+			l.publishErr = err
 			return
 		}
 	}
--- a/internal/lab/standin/liar_test.go
+++ b/internal/lab/standin/liar_test.go
@@ -27,13 +27,13 @@
 	}
 	defer m.Close()
 	o, _ := startStandIn(t, func(in io.Reader, out io.Writer) error {
-		return Liar(in, out, members.Options{Name: "l0", Listen: "127.0.0.1:0", Join: []string{m.Address()}})
+		return LyingMember(in, out, members.Options{Name: "l0", Listen: "127.0.0.1:0", Join: []string{m.Address()}})
 	})
 	o.give(ctl.Order{Do: "lie", On: true, Mode: "t7,t9", By: int64(40 * time.Second)})
 	select {
 	case n := <-heard:
 		r, err := hitters.ParseReport(n.Payload)
-		if err != nil || n.Origin != "l0" || n.Kind != toldHitters {
+		if err != nil || n.Origin != "l0" || n.Kind != hittersStateKind {
 			t.Fatalf("heard %+v, %v", n, err)
 		}
 		if r.Total != 40e6 || r.Named != 2 || r.Keys[1] != hitters.Key(hitters.Key(0, ""), "t9") || r.Shares[0] != 1<<15-1 {
@@ -43,7 +43,7 @@
 		t.Fatal("nothing is heard of the liar")
 	}
 	o.give(ctl.Order{Do: "lie"})
-	if _, err := tale(nil, time.Second); err == nil {
+	if _, err := forgedReport(nil, time.Second); err == nil {
 		t.Error("it tells of nobody")
 	}
 }
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	heartbeat  = 2 * time.Second
-	listSpread = 100 * time.Millisecond // within which a change reaches all sidecars
-	mostRevs   = 10000                  // changes that a watch can go on from
+	heartbeatInterval   = 2 * time.Second
+	maxPropagationDelay = 100 * time.Millisecond // within which a change reaches all sidecars
+	maxChanges          = 10000                  // changes that a watch can go on from
 )
 
 // Groups says which group of listeners each sidecar, by its index, belongs to.
@@ -39,36 +39,36 @@
 		return errors.Join(err, r.Close())
 	}
 	l := &platformList{groups: groups, records: r, net: newNetwork(), entries: map[string]ctl.Entry{}, changed: make(chan struct{}),
-		stop: make(chan struct{}), at: at}
+		stop: make(chan struct{}), listener: at}
 	l.tasks.Add(1)
 	go l.accept()
 	out := ctl.NewOut(news)
 	out.Say(ctl.News{Kind: "ready", Ports: []int{at.Port()}, At: clock.Now()})
-	err = obeyAll(orders, out, func(o ctl.Order, _ *ctl.News) error { return l.obey(o) })
+	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.News) error { return l.handleOrder(o) })
 	close(l.stop)
 	at.Close()
-	l.net.each(nil, (*link.Link).Reset)
+	l.net.forEach(nil, (*link.Link).Reset)
 	l.tasks.Wait()
 	return errors.Join(err, r.Close())
 }
 
 // platformList is what is known, and who watches it.
 type platformList struct {
-	groups  Groups
-	records *ctl.Records
-	net     *network
-	at      *link.Listener
-	stop    chan struct{}
-	tasks   sync.WaitGroup
+	groups   Groups
+	records  *ctl.Records
+	net      *network
+	listener *link.Listener
+	stop     chan struct{}
+	tasks    sync.WaitGroup
 
-	mu      sync.Mutex
-	entries map[string]ctl.Entry
-	order   []string // of entries, as they came
-	revs    []change // the last ones; that of revision r is at r - first
-	first   int64
-	mode    string
-	late    time.Duration
-	changed chan struct{} // closed when anything here changes
+	mu            sync.Mutex
+	entries       map[string]ctl.Entry
+	order         []string // of entries, as they came
+	changes       []change // the last ones; that of revision r is at r - first
+	firstRevision int64
+	mode          string
+	updateDelay   time.Duration
+	changed       chan struct{} // closed when anything here changes
 }
 
 type change struct {
@@ -76,55 +76,55 @@
 	entry ctl.Entry
 }
 
-func (l *platformList) obey(o ctl.Order) error {
+func (l *platformList) handleOrder(order ctl.Order) error {
 	l.mu.Lock()
 	defer func() {
 		close(l.changed)
 		l.changed = make(chan struct{})
 		l.mu.Unlock()
 	}()
-	switch o.Do {
+	switch order.Do {
 	case "list":
-		if o.Entry == nil {
+		if order.Entry == nil {
 			return errors.New("list: no entry")
 		}
-		l.learn(*o.Entry)
+		l.addChange(*order.Entry)
 	case "list-mode":
-		l.mode, l.late = o.Mode, time.Duration(o.Late*float64(time.Second))
+		l.mode, l.updateDelay = order.Mode, time.Duration(order.Late*float64(time.Second))
 	case "link":
-		l.net.change(o)
-		if o.Cut != nil {
-			return l.at.Cut(*o.Cut)
+		l.net.apply(order)
+		if order.Cut != nil {
+			return l.listener.Cut(*order.Cut)
 		}
 	case "reset", "forget":
-		l.net.change(o)
+		l.net.apply(order)
 	default:
-		return fmt.Errorf("unknown order %q", o.Do)
+		return fmt.Errorf("unknown order %q", order.Do)
 	}
 	return nil
 }
 
-func (l *platformList) learn(e ctl.Entry) {
-	if l.first == 0 {
-		l.first = 1
+func (l *platformList) addChange(e ctl.Entry) {
+	if l.firstRevision == 0 {
+		l.firstRevision = 1
 	}
 	if _, known := l.entries[e.UID]; !known {
 		l.order = append(l.order, e.UID)
 	}
 	l.entries[e.UID] = e
-	l.revs = append(l.revs, change{clock.Now(), e})
-	if len(l.revs) > mostRevs {
-		l.first += int64(len(l.revs) - mostRevs)
-		l.revs = l.revs[len(l.revs)-mostRevs:]
+	l.changes = append(l.changes, change{clock.Now(), e})
+	if len(l.changes) > maxChanges {
+		l.firstRevision += int64(len(l.changes) - maxChanges)
+		l.changes = l.changes[len(l.changes)-maxChanges:]
 	}
 }
 
-func (l *platformList) rev() int64 { return l.first + int64(len(l.revs)) - 1 }
+func (l *platformList) revision() int64 { return l.firstRevision + int64(len(l.changes)) - 1 }
 
 func (l *platformList) accept() {
 	defer l.tasks.Done()
 	for {
-		c, near, err := l.at.Accept(l.stop)
+		c, near, err := l.listener.Accept(l.stop)
 		if err != nil {
 			return
 		}
@@ -157,14 +157,14 @@
 		return err == nil
 	case query.Get("watch") == "":
 		l.mu.Lock()
-		text, tell := l.whole(near, l.rev())
+		text, tell := l.snapshot(near, l.revision())
 		garbled := l.mode == "garbled"
 		l.mu.Unlock()
 		if garbled {
 			text = text[:len(text)/2]
 		}
 		_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-		return err == nil && l.told(c, near, tell)
+		return err == nil && l.recordNotified(c, near, tell)
 	}
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
 	if err != nil {
@@ -180,15 +180,15 @@
 // watch writes what changes after a revision, until the connection ends.
 func (l *platformList) watch(c *link.Conn, near int, from int64) {
 	out := httputil.NewChunkedWriter(c)
-	beat := time.NewTicker(heartbeat)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	old := false // the old list was written in this mode
 	for {
 		l.mu.Lock()
 		changed, mode := l.changed, l.mode
-		text, tell, next, wait := l.news(near, from)
+		text, tell, next, wait := l.nextUpdate(near, from)
 		if mode == "old" && !old {
-			text, tell = l.whole(near, max(l.first, l.rev()-oldBy))
+			text, tell = l.snapshot(near, max(l.firstRevision, l.revision()-staleRevisions))
 			next, wait = from, 0
 		}
 		old = mode == "old"
@@ -204,7 +204,7 @@
 			if _, err := out.Write(append(text, '\n')); err != nil {
 				return
 			}
-			if from = next; mode != "garbled" && !l.told(c, near, tell) {
+			if from = next; mode != "garbled" && !l.recordNotified(c, near, tell) {
 				return
 			}
 			continue
@@ -232,10 +232,10 @@
 	}
 }
 
-const oldBy = 20 // revisions that an old list is behind
+const staleRevisions = 20 // revisions that an old list is behind
 
-// told notes what a sidecar has been written. It tells false where the connection ended before that was whole.
-func (l *platformList) told(c *link.Conn, near int, entries []ctl.Entry) bool {
+// recordNotified notes what a sidecar has been written. It tells false where the connection ended before that was whole.
+func (l *platformList) recordNotified(c *link.Conn, near int, entries []ctl.Entry) bool {
 	at, ok := c.Flushed()
 	if !ok {
 		return false
@@ -246,20 +246,20 @@
 	return true
 }
 
-// news is the next object for a sidecar that holds revision from, the revision it then holds, and how long to wait before it
+// nextUpdate is the next object for a sidecar that holds revision from, the revision it then holds, and how long to wait before it
 // is written. No text: nothing is new.
-func (l *platformList) news(near int, from int64) (text []byte, tell []ctl.Entry, next int64, wait time.Duration) {
-	if len(l.revs) == 0 {
+func (l *platformList) nextUpdate(near int, from int64) (text []byte, tell []ctl.Entry, next int64, wait time.Duration) {
+	if len(l.changes) == 0 {
 		return nil, nil, from, 0
 	}
-	if from < l.first-1 || from > l.rev() {
-		text, tell = l.whole(near, l.rev())
-		return text, tell, l.rev(), 0
+	if from < l.firstRevision-1 || from > l.revision() {
+		text, tell = l.snapshot(near, l.revision())
+		return text, tell, l.revision(), 0
 	}
 	next = from
-	for next < l.rev() {
-		c := l.revs[next+1-l.first]
-		if w := clock.Until(c.at + int64(l.lag(near, next+1))); w > 0 {
+	for next < l.revision() {
+		c := l.changes[next+1-l.firstRevision]
+		if w := clock.Until(c.at + int64(l.propagationDelay(near, next+1))); w > 0 {
 			if len(tell) == 0 {
 				return []byte("{}"), nil, from, w
 			}
@@ -271,27 +271,27 @@
 	if len(tell) == 0 {
 		return nil, nil, from, 0
 	}
-	return l.object(near, next, false, tell), tell, next, 0
+	return l.encode(near, next, false, tell), tell, next, 0
 }
 
-// lag is how much later than the list a sidecar learns of a revision.
-func (l *platformList) lag(near int, rev int64) time.Duration {
+// propagationDelay is how much later than the list a sidecar learns of a revision.
+func (l *platformList) propagationDelay(near int, rev int64) time.Duration {
 	h := xxhash.Sum64String(strconv.Itoa(near) + " " + strconv.FormatInt(rev, 10))
-	d := time.Duration(h % uint64(listSpread))
+	d := time.Duration(h % uint64(maxPropagationDelay))
 	if l.mode == "late" {
-		d += l.late
+		d += l.updateDelay
 	}
 	return d
 }
 
-// whole is the list as it was at a revision; servers that came later are left out, and those that are gone.
-func (l *platformList) whole(near int, rev int64) ([]byte, []ctl.Entry) {
+// snapshot is the list as it was at a revision; servers that came later are left out, and those that are gone.
+func (l *platformList) snapshot(near int, rev int64) ([]byte, []ctl.Entry) {
 	at := l.entries
-	if rev < l.rev() {
+	if rev < l.revision() {
 		at = map[string]ctl.Entry{}
-		for i := range l.revs {
-			if l.first+int64(i) <= rev {
-				at[l.revs[i].entry.UID] = l.revs[i].entry
+		for i := range l.changes {
+			if l.firstRevision+int64(i) <= rev {
+				at[l.changes[i].entry.UID] = l.changes[i].entry
 			}
 		}
 	}
@@ -301,15 +301,15 @@
 			entries = append(entries, e)
 		}
 	}
-	return l.object(near, rev, true, entries), entries
+	return l.encode(near, rev, true, entries), entries
 }
 
-func (l *platformList) object(near int, rev int64, all bool, entries []ctl.Entry) []byte {
-	return Object(near, l.groups[near], rev, all, entries)
+func (l *platformList) encode(near int, rev int64, all bool, entries []ctl.Entry) []byte {
+	return EncodeList(near, l.groups[near], rev, all, entries)
 }
 
-// Object is a list in discovery's form, for one sidecar of some group.
-func Object(near, group int, rev int64, all bool, entries []ctl.Entry) []byte {
+// EncodeList is a list in discovery's form, for one sidecar of some group.
+func EncodeList(near, group int, rev int64, all bool, entries []ctl.Entry) []byte {
 	type target struct {
 		UID      string  `json:"uid"`
 		Endpoint string  `json:"endpoint"`
--- a/internal/lab/standin/network.go
+++ b/internal/lab/standin/network.go
@@ -9,14 +9,14 @@
 
 // network is the links of one far end, a link for each near end.
 type network struct {
-	mu    sync.Mutex
-	links map[int]*link.Link
-	state map[int]link.State // of links that nobody used yet
-	all   link.State         // of those not named
+	mu           sync.Mutex
+	links        map[int]*link.Link
+	states       map[int]link.State // of links that nobody used yet
+	defaultState link.State         // of those not named
 }
 
 func newNetwork() *network {
-	return &network{links: map[int]*link.Link{}, state: map[int]link.State{}}
+	return &network{links: map[int]*link.Link{}, states: map[int]link.State{}}
 }
 
 // link is the link to a near end.
@@ -27,10 +27,10 @@
 	if l == nil {
 		l = link.New()
 		n.links[near] = l
-		if s, ok := n.state[near]; ok {
+		if s, ok := n.states[near]; ok {
 			l.Set(s)
 		} else {
-			l.Set(n.all)
+			l.Set(n.defaultState)
 		}
 	}
 	return l
@@ -41,33 +41,33 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(nears) == 0 {
-		n.all, n.state = s, map[int]link.State{}
+		n.defaultState, n.states = s, map[int]link.State{}
 		for _, l := range n.links {
 			l.Set(s)
 		}
 	}
 	for _, i := range nears {
-		n.state[i] = s
+		n.states[i] = s
 		if l := n.links[i]; l != nil {
 			l.Set(s)
 		}
 	}
 }
 
-// change does what an order says of links.
-func (n *network) change(o ctl.Order) {
+// apply does what an order says of links.
+func (n *network) apply(o ctl.Order) {
 	switch {
 	case o.Do == "reset":
-		n.each(o.Nears, (*link.Link).Reset)
+		n.forEach(o.Nears, (*link.Link).Reset)
 	case o.Do == "forget":
-		n.each(o.Nears, (*link.Link).Forget)
+		n.forEach(o.Nears, (*link.Link).Forget)
 	case o.State != nil:
 		n.set(o.Nears, *o.State)
 	}
 }
 
-// each does something to the links of some near ends, none: of all.
-func (n *network) each(nears []int, do func(*link.Link) int) {
+// forEach does something to the links of some near ends, none: of all.
+func (n *network) forEach(nears []int, do func(*link.Link) int) {
 	n.mu.Lock()
 	var links []*link.Link
 	for _, i := range nears {
--- a/internal/lab/standin/orders.go
+++ b/internal/lab/standin/orders.go
@@ -7,16 +7,16 @@
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 )
 
-// obeyAll does each order as it comes, one after the other, until there are no more.
-func obeyAll(orders io.Reader, out *ctl.Out, do func(ctl.Order, *ctl.News) error) error {
+// handleOrders does each order as it comes, one after the other, until there are no more.
+func handleOrders(orders io.Reader, out *ctl.Out, do func(ctl.Order, *ctl.News) error) error {
 	return ctl.Lines(orders, func(o ctl.Order) error {
-		obey(o, out, do)
+		acknowledgeOrder(o, out, do)
 		return nil
 	})
 }
 
-// obey does an order, and says that it took effect, or why not.
-func obey(o ctl.Order, out *ctl.Out, do func(ctl.Order, *ctl.News) error) {
+// acknowledgeOrder does an order, and says that it took effect, or why not.
+func acknowledgeOrder(o ctl.Order, out *ctl.Out, do func(ctl.Order, *ctl.News) error) {
 	n := ctl.News{ID: o.ID, UID: o.UID}
 	if err := do(o, &n); err != nil {
 		n.Error = err.Error()
--- a/internal/lab/standin/peers.go
+++ b/internal/lab/standin/peers.go
@@ -25,22 +25,22 @@
 	if err != nil {
 		return err
 	}
-	p := &peers{fronts: map[string]*front{}, stop: make(chan struct{})}
+	peerNetwork := &peers{fronts: map[string]*front{}, stop: make(chan struct{})}
 	out := ctl.NewOut(news)
 	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	p.tasks.Add(1)
+	peerNetwork.tasks.Add(1)
 	go func() {
-		defer p.tasks.Done()
-		p.note(records)
+		defer peerNetwork.tasks.Done()
+		peerNetwork.recordTraffic(records)
 	}()
-	err = obeyAll(orders, out, p.obey)
-	close(p.stop)
-	for _, f := range p.fronts {
+	err = handleOrders(orders, out, peerNetwork.handleOrder)
+	close(peerNetwork.stop)
+	for _, f := range peerNetwork.fronts {
 		f.streams.Close()
 		f.packets.Close()
-		f.net.each(nil, (*link.Link).Reset)
+		f.net.forEach(nil, (*link.Link).Reset)
 	}
-	p.tasks.Wait()
+	peerNetwork.tasks.Wait()
 	return errors.Join(err, records.Close())
 }
 
@@ -51,7 +51,7 @@
 	tasks  sync.WaitGroup
 
 	packets, bytes, streams, streamBytes atomic.Int64
-	late                                 atomic.Int64 // packets that are on their way
+	delayed                              atomic.Int64 // packets that are on their way
 }
 
 // front is the port at which others reach one sidecar.
@@ -62,70 +62,70 @@
 	to      netip.AddrPort // where it listens
 }
 
-func (p *peers) obey(o ctl.Order, n *ctl.News) error {
-	f := p.fronts[o.UID]
+func (p *peers) handleOrder(order ctl.Order, n *ctl.News) error {
+	destination := p.fronts[order.UID]
 	switch {
-	case o.Do == "front" && f == nil:
-		to, err := netip.ParseAddrPort(o.Front)
+	case order.Do == "front" && destination == nil:
+		to, err := netip.ParseAddrPort(order.Front)
 		if err != nil {
 			return fmt.Errorf("front: %w", err)
 		}
-		if f, err = p.open(to); err != nil {
+		if destination, err = p.open(to); err != nil {
 			return err
 		}
-		p.fronts[o.UID] = f
-		n.Ports = []int{f.streams.Port()}
+		p.fronts[order.UID] = destination
+		n.Ports = []int{destination.streams.Port()}
 		return nil
-	case f == nil:
-		return fmt.Errorf("%s: no sidecar %q", o.Do, o.UID)
-	case o.Do == "link" || o.Do == "reset" || o.Do == "forget":
-		f.net.change(o)
+	case destination == nil:
+		return fmt.Errorf("%s: no sidecar %q", order.Do, order.UID)
+	case order.Do == "link" || order.Do == "reset" || order.Do == "forget":
+		destination.net.apply(order)
 		return nil
 	}
-	return fmt.Errorf("unknown order %q", o.Do)
+	return fmt.Errorf("unknown order %q", order.Do)
 }
 
-const openTries = 16 // a number that is free for streams may be taken for packets
+const maxOpenAttempts = 16 // a number that is free for streams may be taken for packets
 
 func (p *peers) open(to netip.AddrPort) (*front, error) {
-	f := &front{net: newNetwork(), to: to}
+	opened := &front{net: newNetwork(), to: to}
 	var err error
-	for range openTries {
-		if f.streams, err = link.Listen(0); err != nil {
+	for range maxOpenAttempts {
+		if opened.streams, err = link.Listen(0); err != nil {
 			return nil, err
 		}
-		if f.packets, err = link.ListenPackets(f.streams.Port()); err == nil {
+		if opened.packets, err = link.ListenPackets(opened.streams.Port()); err == nil {
 			break
 		}
-		f.streams.Close()
+		opened.streams.Close()
 	}
 	if err != nil {
 		return nil, err
 	}
-	in := ipv4.NewPacketConn(f.packets)
+	in := ipv4.NewPacketConn(opened.packets)
 	if err := in.SetControlMessage(ipv4.FlagDst, true); err != nil {
-		return nil, errors.Join(fmt.Errorf("front: %w", err), f.streams.Close(), f.packets.Close())
+		return nil, errors.Join(fmt.Errorf("front: %w", err), opened.streams.Close(), opened.packets.Close())
 	}
 	p.tasks.Add(2)
 	go func() {
 		defer p.tasks.Done()
-		p.lead(f, in)
+		p.forwardPackets(opened, in)
 	}()
 	go func() {
 		defer p.tasks.Done()
-		p.accept(f)
+		p.acceptStreams(opened)
 	}()
-	return f, nil
+	return opened, nil
 }
 
 const (
-	mostPacket = 64 << 10
-	mostLate   = 1 << 16 // packets on their way in all: more are lost, as on a full queue
+	maxPacketBytes    = 64 << 10
+	maxDelayedPackets = 1 << 16 // packets on their way in all: more are lost, as on a full queue
 )
 
-// lead passes packets on as their links allow: one that a link holds is lost.
-func (p *peers) lead(f *front, in *ipv4.PacketConn) {
-	buf := make([]byte, mostPacket)
+// forwardPackets passes packets on as their links allow: one that a link holds is lost.
+func (p *peers) forwardPackets(destination *front, in *ipv4.PacketConn) {
+	buf := make([]byte, maxPacketBytes)
 	for {
 		n, about, _, err := in.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -142,34 +142,34 @@
 		if near < 0 {
 			continue // nobody of the experiment
 		}
-		wait, passes := f.net.link(near).Packet()
+		wait, passes := destination.net.link(near).Packet()
 		if !passes {
 			continue
 		}
 		if wait <= 0 {
-			p.pass(f, buf[:n])
+			p.sendPacket(destination, buf[:n])
 			continue
 		}
-		if p.late.Add(1) > mostLate {
-			p.late.Add(-1)
+		if p.delayed.Add(1) > maxDelayedPackets {
+			p.delayed.Add(-1)
 			continue
 		}
 		data := append([]byte(nil), buf[:n]...)
 		time.AfterFunc(wait, func() {
-			p.late.Add(-1)
-			p.pass(f, data)
+			p.delayed.Add(-1)
+			p.sendPacket(destination, data)
 		})
 	}
 }
 
-func (p *peers) pass(f *front, data []byte) {
+func (p *peers) sendPacket(f *front, data []byte) {
 	if _, err := f.packets.WriteToUDPAddrPort(data, f.to); err == nil { // one that is gone hears nothing
 		p.packets.Add(1)
 		p.bytes.Add(int64(len(data)))
 	}
 }
 
-func (p *peers) accept(f *front) {
+func (p *peers) acceptStreams(f *front) {
 	for {
 		c, near, err := f.streams.Accept(p.stop)
 		if err != nil {
@@ -180,13 +180,13 @@
 		p.tasks.Add(1)
 		go func() {
 			defer p.tasks.Done()
-			leadStream(w, f.to.String(), func(n int64) { p.streamBytes.Add(n) }, func(far net.Conn, _ string) { p.streamBytes.Add(pass(w, far)) })
+			forwardStream(w, f.to.String(), func(n int64) { p.streamBytes.Add(n) }, func(far net.Conn, _ string) { p.streamBytes.Add(copyBytes(w, far)) })
 		}()
 	}
 }
 
-// note writes down once a second what passed in it.
-func (p *peers) note(records *ctl.Records) {
+// recordTraffic writes down once a second what passed in it.
+func (p *peers) recordTraffic(records *ctl.Records) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
--- a/internal/lab/standin/plain.go
+++ b/internal/lab/standin/plain.go
@@ -28,7 +28,7 @@
 	var config struct {
 		Listen    string
 		Discovery string
-		Known     heardList
+		Known     receivedList
 	}
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("%s: %w", getenv("PROXY_CONFIG"), err)
@@ -39,14 +39,14 @@
 	}
 	p := &plain{flaw: flaw, servers: map[string]target{}, client: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second,
 		DialContext: (&net.Dialer{Timeout: 250 * time.Millisecond}).DialContext}}
-	p.learn(config.Known)
+	p.applyUpdate(config.Known)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var tasks sync.WaitGroup
 	tasks.Add(1)
 	go func() {
 		defer tasks.Done()
-		p.follow(ctx, config.Discovery)
+		p.watchList(ctx, config.Discovery)
 	}()
 	web := &http.Server{Handler: p, ReadHeaderTimeout: 10 * time.Second}
 	tasks.Add(1)
@@ -73,7 +73,7 @@
 	BootMS   int64 `json:"boot_ms"`
 }
 
-type heardList struct {
+type receivedList struct {
 	Rev     int64
 	All     bool
 	Targets []target
@@ -83,17 +83,17 @@
 	flaw   string
 	client *http.Transport
 
-	mu      sync.Mutex
-	servers map[string]target
-	order   []string
-	turn    int
-	rev     int64
-	count   int
-	leak    [][]byte
-	files   []*os.File
+	mu           sync.Mutex
+	servers      map[string]target
+	order        []string
+	turn         int
+	rev          int64
+	requestCount int
+	leakedMemory [][]byte
+	leakedFiles  []*os.File
 }
 
-func (p *plain) learn(l heardList) {
+func (p *plain) applyUpdate(l receivedList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.flaw == "deaf" && len(p.servers) > 0 {
@@ -116,8 +116,8 @@
 	slices.Sort(p.order)
 }
 
-// next is the server whose turn it is; ok is false where none is known.
-func (p *plain) next() (t target, ok bool) {
+// nextServer is the server whose turn it is; ok is false where none is known.
+func (p *plain) nextServer() (t target, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.order) == 0 {
@@ -135,8 +135,8 @@
 	return t, true
 }
 
-// follow watches the list, again whenever the watch ends.
-func (p *plain) follow(ctx context.Context, discovery string) {
+// watchList watches the list, again whenever the watch ends.
+func (p *plain) watchList(ctx context.Context, discovery string) {
 	client := &http.Transport{DisableKeepAlives: true}
 	for ctx.Err() == nil {
 		p.mu.Lock()
@@ -148,9 +148,9 @@
 				lines := bufio.NewScanner(resp.Body)
 				lines.Buffer(nil, 4<<20)
 				for lines.Scan() {
-					var l heardList
+					var l receivedList
 					if len(lines.Bytes()) > 0 && json.Unmarshal(lines.Bytes(), &l) == nil {
-						p.learn(l)
+						p.applyUpdate(l)
 					}
 				}
 				resp.Body.Close()
@@ -165,9 +165,9 @@
 
 // reply is a server's answer.
 type reply struct {
-	status int
-	body   []byte
-	notRun bool // it certainly did not run
+	status       int
+	body         []byte
+	notProcessed bool // it certainly did not run
 }
 
 // ServeHTTP implements http.Handler.
@@ -175,7 +175,7 @@
 	if r.URL.Path == "/healthz" {
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, mostBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
@@ -187,29 +187,29 @@
 	timeout := time.Duration(ms) * time.Millisecond
 	ctx, cancel := context.WithTimeout(r.Context(), timeout*8/10)
 	defer cancel()
-	flawed := p.misbehave()
+	flawed := p.countRequest()
 	if flawed && p.flaw == "mute" {
 		<-r.Context().Done() // the client goes away
 		return
 	}
 	var a reply
 	if flawed && p.flaw == "hedge" && r.Method == http.MethodGet {
-		a = p.both(ctx, r, body)
+		a = p.sendHedged(ctx, r, body)
 	} else {
 		for range 2 {
-			if a = p.send(ctx, r, body); !a.notRun {
+			if a = p.sendAttempt(ctx, r, body); !a.notProcessed {
 				break
 			}
 		}
 	}
 	if flawed && p.flaw == "duplicate" && a.status != 0 {
-		a = p.send(ctx, r, body)
+		a = p.sendAttempt(ctx, r, body)
 	}
 	if flawed && p.flaw == "late" {
 		time.Sleep(timeout + 700*time.Millisecond)
 	}
 	switch {
-	case a.status == 0 || a.notRun:
+	case a.status == 0 || a.notProcessed:
 		w.Header().Set("Retry-After", "0.1")
 		http.Error(w, "no server", http.StatusServiceUnavailable)
 	default:
@@ -218,39 +218,39 @@
 	}
 }
 
-const flawEvery = 20 // requests of which one meets the flaw
+const flawInterval = 20 // requests of which one meets the flaw
 
-// misbehave counts a request and tells whether the flaw is due.
-func (p *plain) misbehave() bool {
+// countRequest counts a request and tells whether the flaw is due.
+func (p *plain) countRequest() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.count++
-	due := p.count%flawEvery == 0
+	p.requestCount++
+	due := p.requestCount%flawInterval == 0
 	switch {
 	case !due:
-	case p.flaw == "crash" && p.count > 5*flawEvery:
+	case p.flaw == "crash" && p.requestCount > 5*flawInterval:
 		os.Exit(3)
 	case p.flaw == "leak-memory":
-		p.leak = append(p.leak, bytes.Repeat([]byte{1}, 16<<20))
+		p.leakedMemory = append(p.leakedMemory, bytes.Repeat([]byte{1}, 16<<20))
 	case p.flaw == "leak-descriptors":
 		for range 40 {
 			if f, err := os.Open(os.DevNull); err == nil {
-				p.files = append(p.files, f)
+				p.leakedFiles = append(p.leakedFiles, f)
 			}
 		}
 	}
 	return due
 }
 
-// send makes one attempt.
-func (p *plain) send(ctx context.Context, r *http.Request, body []byte) reply {
-	t, ok := p.next()
+// sendAttempt makes one attempt.
+func (p *plain) sendAttempt(ctx context.Context, r *http.Request, body []byte) reply {
+	t, ok := p.nextServer()
 	if !ok {
-		return reply{notRun: true}
+		return reply{notProcessed: true}
 	}
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+t.Endpoint+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
-		return reply{notRun: true}
+		return reply{notProcessed: true}
 	}
 	req.GetBody = nil // the transport must not send again by itself
 	if len(body) == 0 {
@@ -261,7 +261,7 @@
 	resp, err := p.client.RoundTrip(req)
 	if err != nil {
 		var dial *net.OpError
-		return reply{status: http.StatusBadGateway, notRun: errors.As(err, &dial) && dial.Op == "dial"}
+		return reply{status: http.StatusBadGateway, notProcessed: errors.As(err, &dial) && dial.Op == "dial"}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
@@ -271,11 +271,11 @@
 	return reply{resp.StatusCode, text, resp.Header.Get("X-Not-Processed") == "1"}
 }
 
-// both makes two attempts at once and takes the first answer.
-func (p *plain) both(ctx context.Context, r *http.Request, body []byte) reply {
+// sendHedged makes two attempts at once and takes the first answer.
+func (p *plain) sendHedged(ctx context.Context, r *http.Request, body []byte) reply {
 	answers := make(chan reply, 2)
 	for range 2 {
-		go func() { answers <- p.send(ctx, r, body) }()
+		go func() { answers <- p.sendAttempt(ctx, r, body) }()
 	}
 	a := <-answers
 	<-answers
--- a/internal/lab/standin/registrar.go
+++ b/internal/lab/standin/registrar.go
@@ -19,35 +19,35 @@
 	client *client.Client
 	lease  time.Duration
 	stop   context.CancelFunc
-	ended  sync.WaitGroup
+	tasks  sync.WaitGroup
 	wake   chan struct{}
 
-	mu    sync.Mutex
-	wants map[string]*wanted
+	mu      sync.Mutex
+	desired map[string]*desiredEntry
 }
 
-// wanted is how a server should stand on the list.
-type wanted struct {
-	r      list.Registration
-	state  list.State // that the keepers should show
-	told   list.State // that they have taken
-	dead   bool       // its process is gone without a word: its lease is left to end
-	silent bool       // its machine reaches nobody
-	round  int        // rises with each change of what is wanted
+// desiredEntry is how a server should stand on the list.
+type desiredEntry struct {
+	registration list.Registration
+	state        list.State // that the keepers should show
+	acknowledged list.State // that they have taken
+	crashed      bool       // its process is gone without a word: its lease is left to end
+	isolated     bool       // its machine reaches nobody
+	generation   int        // rises with each change of what is wanted
 }
 
-const registrarTry = 2 * time.Second
+const reconcileTimeout = 2 * time.Second
 
-func newRegistrar(keepers []string, lease time.Duration) (*registrar, error) {
-	c, err := client.New(keepers)
+func newRegistrar(registryNodes []string, lease time.Duration) (*registrar, error) {
+	c, err := client.New(registryNodes)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &registrar{client: c, lease: lease, stop: stop, wake: make(chan struct{}, 1), wants: map[string]*wanted{}}
-	r.ended.Add(1)
+	r := &registrar{client: c, lease: lease, stop: stop, wake: make(chan struct{}, 1), desired: map[string]*desiredEntry{}}
+	r.tasks.Add(1)
 	go func() {
-		defer r.ended.Done()
+		defer r.tasks.Done()
 		r.run(ctx)
 	}()
 	return r, nil
@@ -55,23 +55,23 @@
 
 func (r *registrar) close() {
 	r.stop()
-	r.ended.Wait()
+	r.tasks.Wait()
 	r.client.Close()
 }
 
-// want changes what is wanted of a server.
-func (r *registrar) want(uid string, change func(*wanted)) {
+// updateDesired changes what is wanted of a server.
+func (r *registrar) updateDesired(uid string, change func(*desiredEntry)) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
-	w := r.wants[uid]
+	w := r.desired[uid]
 	if w == nil {
-		w = &wanted{}
-		r.wants[uid] = w
+		w = &desiredEntry{}
+		r.desired[uid] = w
 	}
 	change(w)
-	w.round++
+	w.generation++
 	r.mu.Unlock()
 	select {
 	case r.wake <- struct{}{}:
@@ -79,13 +79,13 @@
 	}
 }
 
-// up has a server be on the list.
-func (r *registrar) up(s *model.Spec, port int, bootMS int64) {
+// register has a server be on the list.
+func (r *registrar) register(s *model.Spec, port int, bootMS int64) {
 	size := s.SizeHint()
-	r.want(s.UID, func(w *wanted) {
-		w.r = list.Registration{Target: list.Target{UID: s.UID, Endpoint: fmt.Sprintf("127.0.0.1:%d", port), Zone: s.Zone, Model: s.Kind,
+	r.updateDesired(s.UID, func(w *desiredEntry) {
+		w.registration = list.Registration{Target: list.Target{UID: s.UID, Endpoint: fmt.Sprintf("127.0.0.1:%d", port), Zone: s.Zone, Model: s.Kind,
 			State: list.Serving, Capacity: &size, BootMS: bootMS}, LeaseMS: r.lease.Milliseconds()}
-		w.state, w.told, w.dead = list.Serving, "", false
+		w.state, w.acknowledged, w.crashed = list.Serving, "", false
 	})
 }
 
@@ -93,7 +93,7 @@
 	renew := time.NewTicker(r.lease / 3)
 	defer renew.Stop()
 	for {
-		again := r.tell(ctx)
+		again := r.reconcile(ctx)
 		var retry <-chan time.Time
 		if again {
 			retry = time.After(100 * time.Millisecond)
@@ -109,18 +109,18 @@
 	}
 }
 
-// due are the servers that have something to tell, in the order of their ids.
-func (r *registrar) due(is func(*wanted) bool) []wanted {
+// selectEntries are the servers that have something to tell, in the order of their ids.
+func (r *registrar) selectEntries(is func(*desiredEntry) bool) []desiredEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var all []wanted
-	for _, w := range r.wants {
-		if !w.dead && !w.silent && w.r.UID != "" && is(w) {
+	var all []desiredEntry
+	for _, w := range r.desired {
+		if !w.crashed && !w.isolated && w.registration.UID != "" && is(w) {
 			all = append(all, *w)
 		}
 	}
-	slices.SortFunc(all, func(a, b wanted) int {
-		if a.r.UID < b.r.UID {
+	slices.SortFunc(all, func(a, b desiredEntry) int {
+		if a.registration.UID < b.registration.UID {
 			return -1
 		}
 		return 1
@@ -128,46 +128,46 @@
 	return all
 }
 
-// tell tells the keepers what they have not taken. It tells true where something is left.
-func (r *registrar) tell(ctx context.Context) (again bool) {
-	ctx, cancel := context.WithTimeout(ctx, registrarTry)
+// reconcile tells the keepers what they have not taken. It tells true where something is left.
+func (r *registrar) reconcile(ctx context.Context) (again bool) {
+	ctx, cancel := context.WithTimeout(ctx, reconcileTimeout)
 	defer cancel()
 	var news []list.Registration
-	var of []wanted
-	for _, w := range r.due(func(w *wanted) bool { return w.state == list.Serving && w.told != list.Serving }) {
-		news, of = append(news, w.r), append(of, w)
+	var of []desiredEntry
+	for _, w := range r.selectEntries(func(w *desiredEntry) bool { return w.state == list.Serving && w.acknowledged != list.Serving }) {
+		news, of = append(news, w.registration), append(of, w)
 	}
 	if len(news) > 0 {
 		if _, err := r.client.Register(ctx, news, nil); err != nil {
 			again = true
 		} else {
 			for _, w := range of {
-				r.taken(w, list.Serving)
+				r.acknowledge(w, list.Serving)
 			}
 		}
 	}
-	for _, w := range r.due(func(w *wanted) bool { return w.state != list.Serving && w.told != w.state }) {
+	for _, w := range r.selectEntries(func(w *desiredEntry) bool { return w.state != list.Serving && w.acknowledged != w.state }) {
 		turn := client.Drain
 		if w.state == list.Deleted {
 			turn = client.Deregister
 		}
 		var refused *client.RefusedError
-		if _, err := r.client.Change(ctx, turn, w.r.UID, nil); err != nil && !errors.As(err, &refused) {
+		if _, err := r.client.Change(ctx, turn, w.registration.UID, nil); err != nil && !errors.As(err, &refused) {
 			again = true
 			break
 		}
-		r.taken(w, w.state) // what is not there needs no drain
+		r.acknowledge(w, w.state) // what is not there needs no drain
 	}
 	return again
 }
 
-// taken notes that the keepers have taken what was wanted, unless something else is by now.
-func (r *registrar) taken(w wanted, state list.State) {
+// acknowledge notes that the keepers have acknowledge what was wanted, unless something else is by now.
+func (r *registrar) acknowledge(w desiredEntry, state list.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := r.wants[w.r.UID]; now != nil && now.round == w.round {
-		if now.told = state; state == list.Deleted {
-			delete(r.wants, w.r.UID)
+	if now := r.desired[w.registration.UID]; now != nil && now.generation == w.generation {
+		if now.acknowledged = state; state == list.Deleted {
+			delete(r.desired, w.registration.UID)
 		}
 	}
 }
@@ -176,9 +176,9 @@
 	ctx, cancel := context.WithTimeout(ctx, max(r.lease/3, 100*time.Millisecond))
 	defer cancel()
 	var all []client.Renewal
-	of := map[string]wanted{}
-	for _, w := range r.due(func(w *wanted) bool { return w.told == list.Serving || w.told == list.Draining }) {
-		all, of[w.r.UID] = append(all, client.Renewal{UID: w.r.UID, BootMS: w.r.BootMS}), w
+	of := map[string]desiredEntry{}
+	for _, w := range r.selectEntries(func(w *desiredEntry) bool { return w.acknowledged == list.Serving || w.acknowledged == list.Draining }) {
+		all, of[w.registration.UID] = append(all, client.Renewal{UID: w.registration.UID, BootMS: w.registration.BootMS}), w
 	}
 	if len(all) == 0 {
 		return
@@ -188,6 +188,6 @@
 		return // the next one may come through
 	}
 	for _, uid := range unknown {
-		r.taken(of[uid], "") // to be told again
+		r.acknowledge(of[uid], "") // to be told again
 	}
 }
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -21,52 +21,52 @@
 
 // Relay leads calls to keepers over links with faults until the orders end. Whatever a keeper writes of the list to one of
 // the first readers near ends is noted line by line, and server by server for the first sidecars ones.
-func Relay(orders io.Reader, news io.Writer, sidecars, readers int, told, shown, routes string) error {
-	t, err := ctl.NewRecords(told)
+func Relay(orders io.Reader, news io.Writer, sidecars, readers int, notified, listLines, routeLines string) error {
+	notifiedRecords, err := ctl.NewRecords(notified)
 	if err != nil {
 		return err
 	}
-	s, err := ctl.NewRecords(shown)
+	listRecords, err := ctl.NewRecords(listLines)
 	if err != nil {
-		return errors.Join(err, t.Close())
+		return errors.Join(err, notifiedRecords.Close())
 	}
-	table, err := ctl.NewRecords(routes)
+	routeRecords, err := ctl.NewRecords(routeLines)
 	if err != nil {
-		return errors.Join(err, t.Close(), s.Close())
+		return errors.Join(err, notifiedRecords.Close(), listRecords.Close())
 	}
-	r := &relay{sidecars: sidecars, readers: readers, told: t, shown: s, routes: table, nets: map[string]*network{}, stop: make(chan struct{})}
+	r := &relay{sidecars: sidecars, readers: readers, notified: notifiedRecords, listLines: listRecords, routeLines: routeRecords, networks: map[string]*network{}, stop: make(chan struct{})}
 	out := ctl.NewOut(news)
 	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	err = obeyAll(orders, out, r.obey)
+	err = handleOrders(orders, out, r.handleOrder)
 	close(r.stop)
 	for _, l := range r.fronts {
 		l.Close()
 	}
-	for _, n := range r.nets {
-		n.each(nil, (*link.Link).Reset)
+	for _, n := range r.networks {
+		n.forEach(nil, (*link.Link).Reset)
 	}
 	r.tasks.Wait()
-	return errors.Join(err, t.Close(), s.Close(), table.Close())
+	return errors.Join(err, notifiedRecords.Close(), listRecords.Close(), routeRecords.Close())
 }
 
 // relay is the network in front of keepers. Orders come one at a time.
 type relay struct {
-	sidecars    int
-	readers     int
-	told, shown *ctl.Records
-	routes      *ctl.Records
-	nets        map[string]*network // by the keeper's name
-	fronts      []*link.Listener
-	stop        chan struct{}
-	tasks       sync.WaitGroup
-	conns       atomic.Int64
+	sidecars            int
+	readers             int
+	notified, listLines *ctl.Records
+	routeLines          *ctl.Records
+	networks            map[string]*network // by the keeper's name
+	fronts              []*link.Listener
+	stop                chan struct{}
+	tasks               sync.WaitGroup
+	conns               atomic.Int64
 }
 
-func (r *relay) obey(o ctl.Order, n *ctl.News) error {
-	net := r.nets[o.UID]
+func (r *relay) handleOrder(o ctl.Order, n *ctl.News) error {
+	net := r.networks[o.UID]
 	if net == nil {
 		net = newNetwork()
-		r.nets[o.UID] = net
+		r.networks[o.UID] = net
 	}
 	switch o.Do {
 	case "front":
@@ -83,7 +83,7 @@
 			r.accept(l, net, o.UID, o.Front)
 		}()
 	case "link", "reset", "forget":
-		net.change(o)
+		net.apply(o)
 	default:
 		return fmt.Errorf("unknown order %q", o.Do)
 	}
@@ -100,31 +100,31 @@
 		r.tasks.Add(1)
 		go func() {
 			defer r.tasks.Done()
-			r.lead(w, near, keeper, to)
+			r.forward(w, near, keeper, to)
 		}()
 	}
 }
 
-const relayDial = time.Second
+const relayDialTimeout = time.Second
 
-// lead passes a client's bytes both ways until either end is through, and notes what a keeper says of the list.
-func (r *relay) lead(near *link.Conn, index int, keeper, to string) {
-	leadStream(near, to, nil, func(far net.Conn, first string) {
+// forward passes a client's bytes both ways until either end is through, and notes what a keeper says of the list.
+func (r *relay) forward(near *link.Conn, index int, keeper, to string) {
+	forwardStream(near, to, nil, func(far net.Conn, first string) {
 		switch {
 		case index < r.readers && strings.HasPrefix(first, "GET /v1/servers"):
-			r.listen(near, far, index, keeper, first)
+			r.forwardList(near, far, index, keeper, first)
 		case index < r.sidecars && strings.HasPrefix(first, "GET /v1/routes"):
 			s := ctl.Routes{Near: index, Keeper: keeper, Conn: r.conns.Add(1)}
-			r.overhear(near, far, func(line []byte, at int64) { r.noteRoutes(s, line, at) })
+			r.forwardObserved(near, far, func(line []byte, at int64) { r.recordRoutes(s, line, at) })
 		default:
-			pass(near, far)
+			copyBytes(near, far)
 		}
 	})
 }
 
-// leadStream passes bytes on to an address, and has back pass on what comes from there, until either end is through. sent, if set,
+// forwardStream passes bytes on to an address, and has back pass on what comes from there, until either end is through. sent, if set,
 // is told how many bytes went there.
-func leadStream(near *link.Conn, to string, sent func(int64), back func(far net.Conn, first string)) {
+func forwardStream(near *link.Conn, to string, sent func(int64), back func(far net.Conn, first string)) {
 	defer near.Close()
 	// Danger: a call that the network holds back must not come up at the far end either, or it would show there.
 	first := make([]byte, 16<<10)
@@ -132,7 +132,7 @@
 	if err != nil {
 		return
 	}
-	far, err := net.DialTimeout("tcp4", to, relayDial)
+	far, err := net.DialTimeout("tcp4", to, relayDialTimeout)
 	if err != nil {
 		near.Reset()
 		return
@@ -144,7 +144,7 @@
 		defer both.Done()
 		all := int64(n)
 		if _, err := far.Write(first[:n]); err == nil {
-			all += pass(far, near)
+			all += copyBytes(far, near)
 		}
 		if sent != nil {
 			sent(all)
@@ -156,15 +156,15 @@
 	both.Wait()
 }
 
-// pass copies until either end is through, which shows at the other end. Danger: the connections' own shorter ways of copying
+// copyBytes copies until either end is through, which shows at the other end. Danger: the connections' own shorter ways of copying
 // would lead past the link.
-func pass(to io.Writer, from io.Reader) int64 {
+func copyBytes(to io.Writer, from io.Reader) int64 {
 	n, _ := io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 	return n
 }
 
-// listen passes on what a keeper writes and notes what it says of the list, when that has reached the near end.
-func (r *relay) listen(near *link.Conn, far net.Conn, index int, keeper, request string) {
+// forwardList passes on what a keeper writes and notes what it says of the list, when that has reached the near end.
+func (r *relay) forwardList(near *link.Conn, far net.Conn, index int, keeper, request string) {
 	s := ctl.Shown{Near: index, Keeper: keeper, Conn: r.conns.Add(1), Holds: -1}
 	if req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(request))); err == nil {
 		q := req.URL.Query()
@@ -173,15 +173,15 @@
 			s.Holds = n
 		}
 	}
-	r.overhear(near, far, func(line []byte, at int64) {
+	r.forwardObserved(near, far, func(line []byte, at int64) {
 		if l, err := list.Parse(line); err == nil { // an empty line says nothing
-			r.note(s, l, at)
+			r.recordList(s, l, at)
 		}
 	})
 }
 
-// overhear passes on what a keeper writes, and hands each line of an answer on with when it has reached the near end.
-func (r *relay) overhear(near *link.Conn, far net.Conn, each func(line []byte, at int64)) {
+// forwardObserved passes on what a keeper writes, and hands each line of an answer on with when it has reached the near end.
+func (r *relay) forwardObserved(near *link.Conn, far net.Conn, each func(line []byte, at int64)) {
 	var at atomic.Int64
 	copies, feed := io.Pipe()
 	var read sync.WaitGroup
@@ -221,13 +221,13 @@
 	read.Wait()
 }
 
-func (r *relay) note(s ctl.Shown, l list.List, at int64) {
+func (r *relay) recordList(s ctl.Shown, l list.List, at int64) {
 	s.Rev, s.All, s.N, s.At, s.Cluster = l.Rev, l.All, len(l.Targets), at, l.Cluster
-	r.shown.Add(s)
+	r.listLines.Add(s)
 	if s.Near >= r.sidecars {
 		return
 	}
 	for _, t := range l.Targets {
-		r.told.Add(ctl.Told{Near: s.Near, UID: t.UID, State: string(t.State), At: at})
+		r.notified.Add(ctl.Told{Near: s.Near, UID: t.UID, State: string(t.State), At: at})
 	}
 }
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	idleClose = 10 * time.Second // after which a server closes a connection that idles
-	probeWork = 0.00018          // seconds of a core that a probe costs
-	mostBody  = 1 << 20
+	idleTimeout      = 10 * time.Second // after which a server closes a connection that idles
+	probeCoreSeconds = 0.00018          // seconds of a core that a probe costs
+	maxBodyBytes     = 1 << 20
 )
 
 // server is one stand-in server: a model, driven by the clock, behind listeners for each group of sidecars.
@@ -28,8 +28,8 @@
 	listeners []*link.Listener
 	ports     []int
 	records   *ctl.Records
-	fell      func(*server)
-	boot      int64
+	onCrash   func(*server)
+	startedAt int64
 
 	mu      sync.Mutex
 	model   *model.Server
@@ -38,16 +38,16 @@
 	waiting map[uint64]chan model.Outcome
 	conns   int
 
-	stop   chan struct{} // the process is gone
-	over   sync.Once
-	fallen sync.Once
-	tasks  sync.WaitGroup
+	stop      chan struct{} // the process is gone
+	endOnce   sync.Once
+	crashOnce sync.Once
+	tasks     sync.WaitGroup
 }
 
 // startServer starts one at the given ports, or at free ones where they are 0.
 func startServer(spec model.Spec, cold bool, ports []int, n *network, records *ctl.Records, fell func(*server)) (*server, error) {
 	now := clock.Now()
-	s := &server{spec: spec, net: n, records: records, fell: fell, boot: now, model: model.New(spec, now, cold),
+	s := &server{spec: spec, net: n, records: records, onCrash: fell, startedAt: now, model: model.New(spec, now, cold),
 		waiting: map[uint64]chan model.Outcome{}, stop: make(chan struct{})}
 	s.timer = time.AfterFunc(time.Hour, s.tick)
 	for _, port := range ports {
@@ -64,14 +64,14 @@
 	return s, nil
 }
 
-// die ends the process: its connections are reset and calls are refused.
-func (s *server) die() {
+// crash ends the process: its connections are reset and calls are refused.
+func (s *server) crash() {
 	s.end()
-	s.net.each(nil, (*link.Link).Reset)
+	s.net.forEach(nil, (*link.Link).Reset)
 }
 
 func (s *server) end() {
-	s.over.Do(func() {
+	s.endOnce.Do(func() {
 		close(s.stop)
 		s.timer.Stop()
 		for _, l := range s.listeners {
@@ -108,18 +108,18 @@
 	}
 }
 
-// do changes the model, and then lets it go on.
-func (s *server) do(change func(now int64)) {
+// updateModel changes the model, and then lets it go on.
+func (s *server) updateModel(change func(now int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(clock.Now())
-	s.step()
+	s.advance()
 }
 
-func (s *server) tick() { s.do(func(int64) {}) }
+func (s *server) tick() { s.updateModel(func(int64) {}) }
 
-// step hands out what ended and sets the clock for what is next. s.mu is held.
-func (s *server) step() {
+// advance hands out what ended and sets the clock for what is next. s.mu is held.
+func (s *server) advance() {
 	for _, d := range s.model.Advance(clock.Now()) {
 		if c := s.waiting[d.Key]; c != nil {
 			c <- d.Outcome
@@ -127,11 +127,11 @@
 		}
 	}
 	if s.model.Fallen() {
-		s.fallen.Do(func() {
+		s.crashOnce.Do(func() {
 			s.tasks.Add(1)
 			go func() {
 				defer s.tasks.Done()
-				s.fell(s)
+				s.onCrash(s)
 			}()
 		})
 		return
@@ -146,7 +146,7 @@
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for first := true; ; first = false {
-		idle := time.AfterFunc(idleClose, func() { c.Close() })
+		idle := time.AfterFunc(idleTimeout, func() { c.Close() })
 		_, err := in.Peek(1)
 		if !idle.Stop() || err != nil {
 			return
@@ -156,10 +156,10 @@
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, mostBody)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
 			return
 		}
-		if !s.answer(c, r, ctl.Attempt{Server: s.spec.UID, Boot: s.boot, Near: near, ID: r.Header.Get("X-Request-ID"), First: began,
+		if !s.answer(c, r, ctl.Attempt{Server: s.spec.UID, Boot: s.startedAt, Near: near, ID: r.Header.Get("X-Request-ID"), First: began,
 			Whole: clock.Now(), New: first}, crowded) {
 			return
 		}
@@ -173,15 +173,15 @@
 func (s *server) answer(c *link.Conn, r *http.Request, a ctl.Attempt, crowded bool) bool {
 	switch r.URL.Path {
 	case "/healthz", "/load":
-		s.do(func(now int64) { s.model.Arrive(now, model.Job{Work: probeWork}) })
-		return s.say(c, http.StatusOK, "", "ok\n")
+		s.updateModel(func(now int64) { s.model.Arrive(now, model.Job{Work: probeCoreSeconds}) })
+		return s.writeResponse(c, http.StatusOK, "", "ok\n")
 	}
 	if a.ID == "" {
-		return s.say(c, http.StatusNotFound, "", "no id\n")
+		return s.writeResponse(c, http.StatusNotFound, "", "no id\n")
 	}
 	work, err := strconv.ParseInt(r.URL.Query().Get("work_ns"), 10, 64)
 	if err != nil || work < 0 {
-		return s.say(c, http.StatusBadRequest, "", "no work_ns\n")
+		return s.writeResponse(c, http.StatusBadRequest, "", "no work_ns\n")
 	}
 	a.Work = work
 	job := model.Job{Work: float64(work) / 1e9}
@@ -193,7 +193,7 @@
 	}
 	ended := make(chan model.Outcome, 1)
 	taken := false
-	s.do(func(now int64) {
+	s.updateModel(func(now int64) {
 		s.key++
 		job.Key = s.key
 		if taken = !crowded && s.model.Arrive(now, job); taken {
@@ -218,13 +218,13 @@
 	switch outcome {
 	case model.Served:
 		a.How = "served"
-		ok = s.say(c, http.StatusOK, "", Body(s.spec.UID, a.ID))
+		ok = s.writeResponse(c, http.StatusOK, "", Body(s.spec.UID, a.ID))
 	case model.Failed:
 		a.How = "failed"
-		ok = s.say(c, http.StatusInternalServerError, "", "error\n")
+		ok = s.writeResponse(c, http.StatusInternalServerError, "", "error\n")
 	default:
 		a.How = "turned"
-		ok = s.say(c, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
+		ok = s.writeResponse(c, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
 	at, flushed := c.Flushed()
 	switch {
@@ -242,7 +242,7 @@
 // Body is the body of a server's answer: no one else makes it.
 func Body(uid, id string) string { return "recorded " + id + " by " + uid + "\n" }
 
-func (s *server) say(c *link.Conn, status int, header, body string) bool {
+func (s *server) writeResponse(c *link.Conn, status int, header, body string) bool {
 	s.mu.Lock()
 	load, ok := s.model.Report()
 	s.mu.Unlock()
