--- a/cmd/gradeusher/standin.go
+++ b/cmd/gradeusher/standin.go
@@ -47,7 +47,7 @@
 
 // Run is the list service until SIGTERM.
 func (c plainKeeperCommand) Run(ctx context.Context) error {
-	return standin.PlainKeeper(ctx, c.Address, c.Flaw)
+	return standin.PlainRegistry(ctx, c.Address, c.Flaw)
 }
 
 type relayCommand struct {
@@ -80,7 +80,7 @@
 
 // Run lies as it is told to until standard input ends.
 func (c liarCommand) Run(s streams) error {
-	return standin.Liar(s.in, s.out, members.Options{Name: c.Name, Listen: c.Listen, Advertise: c.Advertise, Reach: c.Reach, Join: c.Join})
+	return standin.LyingMember(s.in, s.out, members.Options{Name: c.Name, Listen: c.Listen, Advertise: c.Advertise, Reach: c.Reach, Join: c.Join})
 }
 
 type watchersCommand struct {
