--- a/internal/lab/standin/list_test.go
+++ b/internal/lab/standin/list_test.go
@@ -13,69 +13,10 @@
 	"testing"
 	"time"
 
-	"go.uber.org/goleak"
-
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
-
-// orders is a stand-in that runs within the test and is given orders one by one.
-type orders struct {
-	t    *testing.T
-	to   io.WriteCloser
-	news chan ctl.News
-	n    int
-	over chan error
-}
-
-// startStandIn runs a stand-in until the test ends. It returns once that is ready.
-func startStandIn(t *testing.T, run func(in io.Reader, out io.Writer) error) (*orders, ctl.News) {
-	t.Helper()
-	in, to := io.Pipe()
-	from, out := io.Pipe()
-	o := &orders{t: t, to: to, news: make(chan ctl.News, 100), over: make(chan error, 1)}
-	go func() {
-		o.over <- run(in, out)
-		out.Close()
-	}()
-	go func() {
-		defer close(o.news)
-		_ = ctl.Lines(from, func(n ctl.News) error {
-			o.news <- n
-			return nil
-		})
-	}()
-	t.Cleanup(func() {
-		to.Close()
-		if err := <-o.over; err != nil {
-			t.Error(err)
-		}
-		for range o.news {
-		}
-	})
-	return o, <-o.news
-}
-
-func (o *orders) give(order ctl.Order) ctl.News {
-	o.t.Helper()
-	o.n++
-	order.ID = o.n
-	line, err := ctl.Marshal(order)
-	if err != nil {
-		o.t.Fatal(err)
-	}
-	if _, err := o.to.Write(line); err != nil {
-		o.t.Fatal(err)
-	}
-	n := <-o.news
-	if n.ID != o.n || n.Error != "" {
-		o.t.Fatalf("%s: %+v", order.Do, n)
-	}
-	return n
-}
-
 func (o *orders) learn(uid, state string) {
 	o.give(ctl.Order{Do: "list", Entry: &ctl.Entry{UID: uid, Ports: []int{80, 81}, Zone: "a", Kind: "m", State: state}})
 }
@@ -185,68 +126,3 @@
 		}
 	}
 }
-
-// TestHost has a stand-in server answer, turn away, be revived on its port, and note what it saw.
-func TestHost(t *testing.T) {
-	records := filepath.Join(t.TempDir(), "attempts")
-	o, _ := startStandIn(t, func(in io.Reader, out io.Writer) error { return Host(in, out, 1, records, nil, 0) })
-	spec := testSpec()
-	added := o.give(ctl.Order{Do: "add", Spec: &spec})
-	client := &http.Transport{}
-	t.Cleanup(client.CloseIdleConnections)
-	ask := func(id string) (int, string, string) {
-		req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s:%d/api?work_ns=1000000", link.Near(3), added.Ports[0]), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		req.Header.Set("X-Request-ID", id)
-		resp, err := client.RoundTrip(req)
-		if err != nil {
-			return 0, "", ""
-		}
-		defer resp.Body.Close()
-		text, err := io.ReadAll(resp.Body)
-		if err != nil {
-			t.Error(err)
-		}
-		return resp.StatusCode, resp.Header.Get("X-Not-Processed"), string(text)
-	}
-	if status, _, body := ask("a"); status != 200 || body != Body("s1", "a") {
-		t.Errorf("%d %q", status, body)
-	}
-	if status, _, _ := ask(""); status != 404 {
-		t.Errorf("without an id: %d", status)
-	}
-	o.give(ctl.Order{Do: "drain", UID: "s1"})
-	if status, notRun, _ := ask("b"); status != 503 || notRun != "1" {
-		t.Errorf("while it drains: %d %q", status, notRun)
-	}
-	o.give(ctl.Order{Do: "die", UID: "s1"})
-	if status, _, _ := ask("c"); status != 0 {
-		t.Errorf("after its end: %d", status)
-	}
-	if n := o.give(ctl.Order{Do: "revive", UID: "s1"}); !slices.Equal(n.Ports, added.Ports) || n.BootMS == 0 {
-		t.Errorf("revived as %+v", n)
-	}
-	if status, _, _ := ask("d"); status != 200 {
-		t.Errorf("after its return: %d", status)
-	}
-	o.give(ctl.Order{Do: "remove", UID: "s1"}) // which waits until all is written down
-	attempts, err := ctl.ReadRecords[ctl.Attempt](records)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var seen []string
-	for _, a := range attempts {
-		seen = append(seen, a.ID+" "+a.How)
-		if a.Near != 3 || a.First > a.Whole || a.Whole > a.End || a.End == 0 {
-			t.Errorf("noted %+v", a)
-		}
-	}
-	if !slices.Equal(seen, []string{"a served", "b turned", "d served"}) {
-		t.Errorf("noted %v", seen)
-	}
-	if attempts[2].Boot <= attempts[0].Boot {
-		t.Error("the process that returned is the old one")
-	}
-}
