--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -1,5 +1,18 @@
-// Package standin is the processes that stand in for what the program works with: servers, the platform's list of them,
-// and a plain sidecar to compare with. Each is one child process of a lab, which it obeys over package ctl.
+// Package standin holds the processes that stand in for what the program works with in an experiment. The lab cannot run
+// the platform's model servers, their list and a fleet's network, yet its checkers need all of them with faults on demand.
+// So each stand-in is a child process that takes orders over package ctl, applies each before it acknowledges it, and writes what
+// it saw to record files, which the checkers read after the run.
+//
+// The terms: a near end is a process that opens connections, a sidecar or a client, known by the loopback address it calls
+// (link.Near). A far end is what it calls: a model server, the platform's list, a registry node, or another sidecar. Between
+// a near and a far end stands a link with faults. The stand-ins are:
+//
+//   - Host: model servers, driven by package model;
+//   - List: the platform's list of servers in discovery's form;
+//   - Relay and Peers: the faulty network in front of registry nodes and between sidecars;
+//   - Watchers: many subscribers of the registry in one process;
+//   - Plain, PlainRegistry and LyingMember: a sidecar, a registry node and a member with a flaw each, which show that the
+//     checkers find what they are there to find.
 package standin
 
 import (
@@ -18,13 +31,15 @@
 )
 
 // Host runs stand-in servers until the orders end. groups is the number of groups of sidecars, each with listeners of its
-// own; what is seen goes to the file records. keepers, if any, are where the servers register, with a lease.
+// own, at least one; what the servers see goes to the file records. registryNodes, if any, are the addresses where the servers
+// register, with a lease. Host returns the first error of reading orders or of writing records.
 func Host(orders io.Reader, news io.Writer, groups int, records string, registryNodes []string, lease time.Duration) error {
 	recorder, err := ctl.NewRecords(records)
 	if err != nil {
 		return err
 	}
-	servers := &host{out: ctl.NewOut(news), groups: max(1, groups), records: recorder, servers: map[string]*machine{}, removed: map[string]*machine{}}
+	servers := &host{out: ctl.NewOut(news), groups: max(1, groups), records: recorder, servers: map[string]*machine{},
+		removed: map[string]*machine{}}
 	if len(registryNodes) > 0 {
 		if servers.registrar, err = newRegistrar(registryNodes, lease); err != nil {
 			return errors.Join(err, recorder.Close())
@@ -32,42 +47,19 @@
 		defer servers.registrar.close()
 	}
 	servers.out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	// Links are set side by side, since to cut off calls takes milliseconds; whatever else comes waits for them.
-	var links sync.WaitGroup
-	err = ctl.Lines(orders, func(o ctl.Order) error {
-		do := func() { acknowledgeOrder(o, servers.out, servers.handleOrder) }
-		if o.Do == "link" {
-			links.Add(1)
-			go func() {
-				defer links.Done()
-				do()
-			}()
-			return nil
-		}
-		links.Wait()
-		do()
-		return nil
-	})
-	links.Wait()
-	for _, m := range servers.servers {
-		m.process.crash()
-		m.process.tasks.Wait()
-		m.releasePorts()
-	}
-	for _, m := range servers.removed {
-		m.releasePorts()
-	}
+	err = servers.run(orders)
+	servers.close()
 	return errors.Join(err, recorder.Close())
 }
 
-// host is the servers of one process. Orders come one at a time.
+// host is the servers of one process. Orders other than link orders come one at a time.
 type host struct {
 	out           *ctl.Out
 	groups        int
 	records       *ctl.Records
 	servers       map[string]*machine
-	removed       map[string]*machine // that were removed
-	wallClockSkew time.Duration       // of its wall clock
+	removed       map[string]*machine
+	wallClockSkew time.Duration
 
 	registrar *registrar // nil: servers register nowhere
 }
@@ -76,91 +68,125 @@
 type machine struct {
 	process           *server
 	net               *network
-	reservedPorts     []*link.Place // kept as long as the experiment lasts, so that nobody gets its ports
-	partitionedGroups sync.Map      // groups whose calls do not come up
+	reservedPorts     []*link.Place // as long as the experiment lasts, so that nobody else gets them
+	partitionedGroups sync.Map      // the keys are the groups whose calls do not arrive
 }
 
-func (h *host) handleOrder(o ctl.Order, n *ctl.News) error {
-	if o.Do == "clock" {
-		h.wallClockSkew += time.Duration(o.By)
+// run applies orders until they end. Link orders are applied concurrently, since partitioning takes milliseconds; every other
+// order waits for them.
+func (h *host) run(orders io.Reader) error {
+	var links sync.WaitGroup
+	defer links.Wait()
+	return ctl.Lines(orders, func(o ctl.Order) error {
+		if o.Do == "link" {
+			links.Add(1)
+			go func() {
+				defer links.Done()
+				acknowledgeOrder(o, h.out, h.handleOrder)
+			}()
+			return nil
+		}
+		links.Wait()
+		acknowledgeOrder(o, h.out, h.handleOrder)
 		return nil
+	})
+}
+
+// close ends every process and releases every machine's ports.
+func (h *host) close() {
+	for _, m := range h.servers {
+		m.stop()
+		m.releasePorts()
 	}
-	if o.Do == "add" {
-		if o.Spec == nil || h.servers[o.Spec.UID] != nil {
-			return errors.New("add: no such server can be added")
-		}
-		m := &machine{net: newNetwork()}
-		ports := make([]int, h.groups)
-		for i := range ports {
-			place, err := link.Reserve(link.Anywhere)
-			if err != nil {
-				m.releasePorts()
-				return err
-			}
-			m.reservedPorts = append(m.reservedPorts, place)
-			ports[i] = int(place.Addr.Port())
-		}
-		if err := h.start(m, *o.Spec, o.Cold, ports); err != nil {
-			m.releasePorts()
-			return err
-		}
-		h.servers[o.Spec.UID] = m
-		n.UID, n.Ports = o.Spec.UID, m.process.ports
-		if o.Cold {
-			n.BootMS = h.bootMS()
-		}
-		h.register(m, n.BootMS)
+	for _, m := range h.removed {
+		m.releasePorts()
+	}
+}
+
+func (h *host) handleOrder(o ctl.Order, n *ctl.News) error {
+	switch o.Do {
+	case "clock":
+		h.wallClockSkew += time.Duration(o.By)
 		return nil
+	case "add":
+		return h.add(o, n)
 	}
-	m := h.servers[o.UID]
-	if m == nil && h.removed[o.UID] != nil && o.Do != "revive" {
+	target := h.servers[o.UID]
+	if target == nil && h.removed[o.UID] != nil && o.Do != "revive" {
 		return nil // a fault that lasts longer than the machine
 	}
-	if m == nil {
+	if target == nil {
 		return fmt.Errorf("%s: no server %q", o.Do, o.UID)
 	}
+	switch o.Do {
+	case "drain", "die", "silent", "remove":
+		h.changeState(target, o)
+		return nil
+	case "revive":
+		return h.revive(target, n)
+	case "trouble":
+		return target.injectFault(o)
+	case "link", "reset", "forget":
+		return target.changeLinks(o)
+	}
+	return fmt.Errorf("unknown order %q", o.Do)
+}
+
+// add starts a server on a new machine with ports of its own.
+func (h *host) add(o ctl.Order, n *ctl.News) error {
+	if o.Spec == nil || h.servers[o.Spec.UID] != nil {
+		return errors.New("add: the order names no server, or one that runs already")
+	}
+	added := &machine{net: newNetwork()}
+	ports, err := added.reservePorts(h.groups)
+	if err == nil {
+		err = h.start(added, *o.Spec, o.Cold, ports)
+	}
+	if err != nil {
+		added.releasePorts()
+		return err
+	}
+	h.servers[o.Spec.UID] = added
+	n.UID, n.Ports = o.Spec.UID, added.process.ports
+	if o.Cold {
+		n.BootMS = h.bootMS()
+	}
+	h.register(added, n.BootMS)
+	return nil
+}
+
+// revive starts a new process where the old one was, on the same ports.
+func (h *host) revive(m *machine, n *ctl.News) error {
+	m.stop()
+	if err := h.start(m, m.process.spec, true, m.process.ports); err != nil {
+		return err
+	}
+	n.BootMS, n.Ports = h.bootMS(), m.process.ports
+	h.register(m, n.BootMS)
+	return nil
+}
+
+// changeState drains, crashes, isolates or removes a server. The registry's entry changes first, as a server's agent would
+// have it.
+func (h *host) changeState(m *machine, o ctl.Order) {
 	switch o.Do {
 	case "drain":
-		h.registrar.updateDesired(o.UID, func(w *desiredEntry) { w.state = list.Draining })
+		h.registrar.updateDesired(o.UID, func(e *desiredEntry) { e.state = list.Draining })
 		m.process.updateModel(func(now int64) { m.process.model.Drain(now) })
 	case "die":
-		h.registrar.updateDesired(o.UID, func(w *desiredEntry) { w.crashed = true })
+		h.registrar.updateDesired(o.UID, func(e *desiredEntry) { e.crashed = true })
 		m.process.crash()
 	case "silent":
-		h.registrar.updateDesired(o.UID, func(w *desiredEntry) { w.isolated = o.On })
+		h.registrar.updateDesired(o.UID, func(e *desiredEntry) { e.isolated = o.On })
 	case "remove":
-		h.registrar.updateDesired(o.UID, func(w *desiredEntry) { w.state = list.Deleted })
-		m.process.crash()
-		m.process.tasks.Wait()
+		h.registrar.updateDesired(o.UID, func(e *desiredEntry) { e.state = list.Deleted })
+		m.stop()
 		delete(h.servers, o.UID)
 		h.removed[o.UID] = m
-	case "revive": // a new process, where the old one was
-		m.process.crash()
-		m.process.tasks.Wait()
-		if err := h.start(m, m.process.spec, true, m.process.ports); err != nil {
-			return err
-		}
-		n.BootMS, n.Ports = h.bootMS(), m.process.ports
-		h.register(m, n.BootMS)
-	case "trouble":
-		if o.Trouble == nil {
-			return errors.New("trouble: none given")
-		}
-		m.process.updateModel(func(now int64) { m.process.model.Set(now, *o.Trouble) })
-	case "link":
-		m.net.apply(o)
-		if o.Cut != nil {
-			return m.setPartitioned(o.Group, *o.Cut)
-		}
-	case "reset", "forget":
-		m.net.apply(o)
-	default:
-		return fmt.Errorf("unknown order %q", o.Do)
 	}
-	return nil
 }
 
-// register has a machine's process be on the keepers' list, where there are keepers.
+// register enters a machine's process at the registry, if there is one.
 func (h *host) register(m *machine, bootMS int64) {
 	if h.registrar != nil {
 		h.registrar.register(&m.process.spec, m.process.ports[0], bootMS)
@@ -169,41 +195,81 @@
 
 func (h *host) bootMS() int64 { return time.Now().Add(h.wallClockSkew).UnixMilli() }
 
+// start runs a server process on a machine. Groups that are partitioned from the machine are partitioned from the process too.
 func (h *host) start(m *machine, spec model.Spec, cold bool, ports []int) error {
-	p, err := startServer(spec, cold, ports, m.net, h.records, func(p *server) {
-		p.crash()
-		h.registrar.updateDesired(spec.UID, func(w *desiredEntry) { w.crashed = true })
+	started, err := startServer(spec, cold, ports, m.net, h.records, func(s *server) {
+		s.crash()
+		h.registrar.updateDesired(spec.UID, func(e *desiredEntry) { e.crashed = true })
 		h.out.Say(ctl.News{Kind: "fell", UID: spec.UID, At: clock.Now()})
 	})
 	if err != nil {
 		return err
 	}
-	m.process = p
+	m.process = started
 	m.partitionedGroups.Range(func(group, _ any) bool {
-		err = errors.Join(err, p.listeners[group.(int)].Cut(true))
+		err = errors.Join(err, started.listeners[group.(int)].Cut(true))
 		return true
 	})
 	return err
 }
 
-// releasePorts gives the machine's ports up.
+// stop ends the machine's process and waits for its connections to end.
+func (m *machine) stop() {
+	m.process.crash()
+	m.process.tasks.Wait()
+}
+
+// reservePorts reserves a port for each group of sidecars. Ports reserved before an error are released by releasePorts.
+func (m *machine) reservePorts(groups int) ([]int, error) {
+	ports := make([]int, groups)
+	for i := range ports {
+		reservation, err := link.Reserve(link.Anywhere)
+		if err != nil {
+			return nil, err
+		}
+		m.reservedPorts = append(m.reservedPorts, reservation)
+		ports[i] = int(reservation.Addr.Port())
+	}
+	return ports, nil
+}
+
 func (m *machine) releasePorts() {
-	for _, place := range m.reservedPorts {
-		place.Close()
+	for _, reservation := range m.reservedPorts {
+		_ = reservation.Close() // a descriptor that the process's end would close as well
 	}
 }
 
-func (m *machine) setPartitioned(group int, cut bool) error {
+// injectFault sets the fault of the machine's process.
+func (m *machine) injectFault(o ctl.Order) error {
+	if o.Trouble == nil {
+		return errors.New("trouble: the order names no fault")
+	}
+	m.process.updateModel(func(now int64) { m.process.model.Set(now, *o.Trouble) })
+	return nil
+}
+
+// changeLinks changes the links to the machine, and partitions a group from it where the order says so.
+func (m *machine) changeLinks(o ctl.Order) error {
+	m.net.apply(o)
+	if o.Do == "link" && o.Cut != nil {
+		return m.setPartitioned(o.Group, *o.Cut)
+	}
+	return nil
+}
+
+// setPartitioned has calls of a group of sidecars arrive no more, or again.
+func (m *machine) setPartitioned(group int, partitioned bool) error {
 	if group < 0 || group >= len(m.process.listeners) {
 		return fmt.Errorf("link: no group %d", group)
 	}
-	if cut {
+	if partitioned {
 		m.partitionedGroups.Store(group, true)
 	} else {
 		m.partitionedGroups.Delete(group)
 	}
-	if err := m.process.listeners[group].Cut(cut); err != nil && !errors.Is(err, net.ErrClosed) {
-		return err
+	err := m.process.listeners[group].Cut(partitioned)
+	if errors.Is(err, net.ErrClosed) {
+		return nil // no process runs; the machine's next one is partitioned as it starts
 	}
-	return nil // where no process is, the next one on the machine is cut off
+	return err
 }
