--- a/internal/lab/standin/network.go
+++ b/internal/lab/standin/network.go
@@ -7,19 +7,19 @@
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-// network is the links of one far end, a link for each near end.
+// network is the links of one far end, one for each near end. It is safe for concurrent use.
 type network struct {
 	mu           sync.Mutex
 	links        map[int]*link.Link
-	states       map[int]link.State // of links that nobody used yet
-	defaultState link.State         // of those not named
+	states       map[int]link.State // by near end; a link without a state of its own has defaultState
+	defaultState link.State
 }
 
 func newNetwork() *network {
 	return &network{links: map[int]*link.Link{}, states: map[int]link.State{}}
 }
 
-// link is the link to a near end.
+// link returns the link to a near end, which it makes at the first call.
 func (n *network) link(near int) *link.Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,7 +36,7 @@
 	return l
 }
 
-// set changes the links to some near ends; none: to all.
+// set changes the state of the links to some near ends; no nears stands for all, also for those that come later.
 func (n *network) set(nears []int, s link.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// apply does what an order says of links.
+// apply applies the part of an order that concerns links.
 func (n *network) apply(o ctl.Order) {
 	switch {
 	case o.Do == "reset":
@@ -66,8 +66,8 @@
 	}
 }
 
-// forEach does something to the links of some near ends, none: of all.
-func (n *network) forEach(nears []int, do func(*link.Link) int) {
+// forEach calls visit with the links to some near ends; no nears stands for all.
+func (n *network) forEach(nears []int, visit func(*link.Link) int) {
 	n.mu.Lock()
 	var links []*link.Link
 	for _, i := range nears {
@@ -82,6 +82,6 @@
 	}
 	n.mu.Unlock()
 	for _, l := range links {
-		do(l)
+		visit(l)
 	}
 }
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -16,52 +16,52 @@
 )
 
 const (
-	idleTimeout      = 10 * time.Second // after which a server closes a connection that idles
-	probeCoreSeconds = 0.00018          // seconds of a core that a probe costs
+	idleTimeout      = 10 * time.Second // after which a server closes an idle connection
+	probeCoreSeconds = 0.00018          // work of a health check
 	maxBodyBytes     = 1 << 20
 )
 
-// server is one stand-in server: a model, driven by the clock, behind listeners for each group of sidecars.
+// server is one stand-in server: a model, driven by the clock, behind a listener for each group of sidecars.
 type server struct {
 	spec      model.Spec
 	net       *network
 	listeners []*link.Listener
 	ports     []int
 	records   *ctl.Records
-	onCrash   func(*server)
-	startedAt int64
+	onCrash   func(*server) // called once, when the model falls over
+	startedAt int64         // ns of the lab's clock
 
 	mu      sync.Mutex
 	model   *model.Server
-	timer   *time.Timer
-	key     uint64
+	timer   *time.Timer // fires when the model has something to do
+	lastKey uint64      // of the jobs
 	waiting map[uint64]chan model.Outcome
 	conns   int
 
-	stop      chan struct{} // the process is gone
+	stop      chan struct{} // closed when the process ends
 	endOnce   sync.Once
 	crashOnce sync.Once
 	tasks     sync.WaitGroup
 }
 
-// startServer starts one at the given ports, or at free ones where they are 0.
-func startServer(spec model.Spec, cold bool, ports []int, n *network, records *ctl.Records, fell func(*server)) (*server, error) {
+// startServer starts a server at the given ports, or at free ones where they are 0.
+func startServer(spec model.Spec, cold bool, ports []int, n *network, records *ctl.Records, onCrash func(*server)) (*server, error) {
 	now := clock.Now()
-	s := &server{spec: spec, net: n, records: records, onCrash: fell, startedAt: now, model: model.New(spec, now, cold),
+	started := &server{spec: spec, net: n, records: records, onCrash: onCrash, startedAt: now, model: model.New(spec, now, cold),
 		waiting: map[uint64]chan model.Outcome{}, stop: make(chan struct{})}
-	s.timer = time.AfterFunc(time.Hour, s.tick)
+	started.timer = time.AfterFunc(time.Hour, started.tick)
 	for _, port := range ports {
-		l, err := link.Listen(port)
+		listener, err := link.Listen(port)
 		if err != nil {
-			s.end()
+			started.end()
 			return nil, fmt.Errorf("server %s: %w", spec.UID, err)
 		}
-		s.listeners = append(s.listeners, l)
-		s.ports = append(s.ports, l.Port())
-		s.tasks.Add(1)
-		go s.accept(l)
+		started.listeners = append(started.listeners, listener)
+		started.ports = append(started.ports, listener.Port())
+		started.tasks.Add(1)
+		go started.accept(listener)
 	}
-	return s, nil
+	return started, nil
 }
 
 // crash ends the process: its connections are reset and calls are refused.
@@ -74,41 +74,50 @@
 	s.endOnce.Do(func() {
 		close(s.stop)
 		s.timer.Stop()
-		for _, l := range s.listeners {
-			l.Close()
+		for _, listener := range s.listeners {
+			_ = listener.Close() // that it listens no more is all that matters
 		}
 	})
 }
 
-func (s *server) accept(l *link.Listener) {
+func (s *server) accept(listener *link.Listener) {
 	defer s.tasks.Done()
 	for {
-		c, near, err := l.Accept(s.stop)
+		accepted, near, err := listener.Accept(s.stop)
 		if err != nil {
-			return // die, or no descriptors: then nobody is answered, which shows
+			return // the process ends, or descriptors ran out: then nobody is answered, which the checkers see
 		}
-		s.mu.Lock()
-		s.conns++
-		crowded := s.spec.ConnCap > 0 && s.conns > s.spec.ConnCap
-		s.mu.Unlock()
-		w := link.Wrap(c, s.net.link(near))
+		overloaded := s.addConn()
+		conn := link.Wrap(accepted, s.net.link(near))
 		s.tasks.Add(1)
 		go func() {
 			defer s.tasks.Done()
 			select {
-			case <-s.stop: // the process ended between the call and here
-				w.Reset()
+			case <-s.stop: // the process ended after the call was accepted
+				conn.Reset()
 			default:
 			}
-			s.serve(w, near, crowded)
-			s.mu.Lock()
-			s.conns--
-			s.mu.Unlock()
+			s.serve(conn, near, overloaded)
+			s.removeConn()
 		}()
 	}
 }
 
-// updateModel changes the model, and then lets it go on.
+// addConn counts a connection and reports whether the server has more than it can answer on.
+func (s *server) addConn() (overloaded bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conns++
+	return s.spec.ConnCap > 0 && s.conns > s.spec.ConnCap
+}
+
+func (s *server) removeConn() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.conns--
+}
+
+// updateModel changes the model and then advances it.
 func (s *server) updateModel(change func(now int64)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,12 +127,12 @@
 
 func (s *server) tick() { s.updateModel(func(int64) {}) }
 
-// advance hands out what ended and sets the clock for what is next. s.mu is held.
+// advance hands out the outcomes of jobs that ended and sets the timer for the next one. The caller holds s.mu.
 func (s *server) advance() {
-	for _, d := range s.model.Advance(clock.Now()) {
-		if c := s.waiting[d.Key]; c != nil {
-			c <- d.Outcome
-			delete(s.waiting, d.Key)
+	for _, done := range s.model.Advance(clock.Now()) {
+		if outcome := s.waiting[done.Key]; outcome != nil {
+			outcome <- done.Outcome
+			delete(s.waiting, done.Key)
 		}
 	}
 	if s.model.Fallen() {
@@ -141,115 +150,133 @@
 	}
 }
 
-// serve answers what comes on one connection, until either side ends it.
-func (s *server) serve(c *link.Conn, near int, crowded bool) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+// serve answers requests on one connection until either side ends it.
+func (s *server) serve(conn *link.Conn, near int, overloaded bool) {
+	defer func() { _ = conn.Close() }() // the near end may have closed it already
+	in := bufio.NewReader(conn)
 	for first := true; ; first = false {
-		idle := time.AfterFunc(idleTimeout, func() { c.Close() })
+		idle := time.AfterFunc(idleTimeout, func() { _ = conn.Close() })
 		_, err := in.Peek(1)
 		if !idle.Stop() || err != nil {
 			return
 		}
-		began := c.CameAt()
-		r, err := http.ReadRequest(in)
+		firstByteAt := conn.CameAt()
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
-			return
-		}
-		if !s.answer(c, r, ctl.Attempt{Server: s.spec.UID, Boot: s.startedAt, Near: near, ID: r.Header.Get("X-Request-ID"), First: began,
-			Whole: clock.Now(), New: first}, crowded) {
+		if _, err := io.Copy(io.Discard, io.LimitReader(request.Body, maxBodyBytes)); err != nil {
 			return
 		}
-		if r.Close {
+		attempt := ctl.Attempt{Server: s.spec.UID, Boot: s.startedAt, Near: near, ID: request.Header.Get("X-Request-ID"),
+			First: firstByteAt, Whole: clock.Now(), New: first}
+		if !s.handleRequest(conn, request, attempt, overloaded) || request.Close {
 			return
 		}
 	}
 }
 
-// answer answers one request. It tells false where the connection is over.
-func (s *server) answer(c *link.Conn, r *http.Request, a ctl.Attempt, crowded bool) bool {
+// handleRequest answers one request and reports whether the connection can carry another.
+func (s *server) handleRequest(conn *link.Conn, r *http.Request, attempt ctl.Attempt, overloaded bool) (reusable bool) {
 	switch r.URL.Path {
 	case "/healthz", "/load":
 		s.updateModel(func(now int64) { s.model.Arrive(now, model.Job{Work: probeCoreSeconds}) })
-		return s.writeResponse(c, http.StatusOK, "", "ok\n")
+		return s.writeResponse(conn, http.StatusOK, "", "ok\n")
 	}
-	if a.ID == "" {
-		return s.writeResponse(c, http.StatusNotFound, "", "no id\n")
+	if attempt.ID == "" {
+		return s.writeResponse(conn, http.StatusNotFound, "", "no id\n")
 	}
 	work, err := strconv.ParseInt(r.URL.Query().Get("work_ns"), 10, 64)
 	if err != nil || work < 0 {
-		return s.writeResponse(c, http.StatusBadRequest, "", "no work_ns\n")
+		return s.writeResponse(conn, http.StatusBadRequest, "", "no work_ns\n")
+	}
+	attempt.Work = work
+	outcome, answered := s.runJob(conn, s.newJob(r, attempt), &attempt, overloaded)
+	if !answered {
+		s.records.Add(attempt)
+		return false
+	}
+	written := s.writeOutcome(conn, outcome, &attempt)
+	at, flushed := conn.Flushed()
+	switch {
+	case flushed && written:
+		attempt.End = at
+	case conn.ClosedAt() != 0:
+		attempt.End = conn.ClosedAt()
+	default: // this end closed it
+		attempt.End = clock.Now()
 	}
-	a.Work = work
-	job := model.Job{Work: float64(work) / 1e9}
-	if ms, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64); err == nil {
-		job.Deadline = a.Whole + ms*int64(time.Millisecond)
+	s.records.Add(attempt)
+	return written && flushed && !overloaded
+}
+
+// newJob is the work of a request, with its deadline and what a new connection costs besides.
+func (s *server) newJob(r *http.Request, attempt ctl.Attempt) model.Job {
+	job := model.Job{Work: float64(attempt.Work) / 1e9}
+	if timeoutMS, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64); err == nil {
+		job.Deadline = attempt.Whole + timeoutMS*int64(time.Millisecond)
 	}
-	if a.New {
+	if attempt.New {
 		job.Work += s.spec.ConnWork.Seconds()
 	}
+	return job
+}
+
+// runJob waits for a job's outcome. answered is false, and the attempt says why, where the near end hung up or the process ended
+// before that.
+func (s *server) runJob(conn *link.Conn, job model.Job, attempt *ctl.Attempt, overloaded bool) (outcome model.Outcome, answered bool) {
 	ended := make(chan model.Outcome, 1)
-	taken := false
+	accepted := false
 	s.updateModel(func(now int64) {
-		s.key++
-		job.Key = s.key
-		if taken = !crowded && s.model.Arrive(now, job); taken {
+		s.lastKey++
+		job.Key = s.lastKey
+		accepted = !overloaded && s.model.Arrive(now, job)
+		if accepted {
 			s.waiting[job.Key] = ended
 		}
 	})
-	outcome := model.TurnedAway
-	if taken {
-		select {
-		case outcome = <-ended:
-		case <-c.Gone(): // the work goes on all the same
-			a.End, a.How = c.ClosedAt(), "left"
-			s.records.Add(a)
-			return false
-		case <-s.stop:
-			a.End, a.How = clock.Now(), "died"
-			s.records.Add(a)
-			return false
-		}
+	if !accepted {
+		return model.TurnedAway, true
 	}
-	ok := false
+	select {
+	case outcome = <-ended:
+		return outcome, true
+	case <-conn.Gone(): // the work goes on all the same
+		attempt.End, attempt.How = conn.ClosedAt(), "left"
+	case <-s.stop:
+		attempt.End, attempt.How = clock.Now(), "died"
+	}
+	return outcome, false
+}
+
+// writeOutcome writes the response to an outcome and notes the outcome in the attempt.
+func (s *server) writeOutcome(conn *link.Conn, outcome model.Outcome, attempt *ctl.Attempt) bool {
 	switch outcome {
 	case model.Served:
-		a.How = "served"
-		ok = s.writeResponse(c, http.StatusOK, "", Body(s.spec.UID, a.ID))
+		attempt.How = "served"
+		return s.writeResponse(conn, http.StatusOK, "", Body(s.spec.UID, attempt.ID))
 	case model.Failed:
-		a.How = "failed"
-		ok = s.writeResponse(c, http.StatusInternalServerError, "", "error\n")
+		attempt.How = "failed"
+		return s.writeResponse(conn, http.StatusInternalServerError, "", "error\n")
 	default:
-		a.How = "turned"
-		ok = s.writeResponse(c, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
-	}
-	at, flushed := c.Flushed()
-	switch {
-	case flushed && ok:
-		a.End = at
-	case c.ClosedAt() != 0:
-		a.End = c.ClosedAt()
-	default: // this end closed it
-		a.End = clock.Now()
+		attempt.How = "turned"
+		return s.writeResponse(conn, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
-	s.records.Add(a)
-	return ok && flushed && !crowded
 }
 
-// Body is the body of a server's answer: no one else makes it.
+// Body is the body of a server's response to a request, which no other process makes.
 func Body(uid, id string) string { return "recorded " + id + " by " + uid + "\n" }
 
-func (s *server) writeResponse(c *link.Conn, status int, header, body string) bool {
+// writeResponse writes a response, with the server's load report where the model makes one. headers are whole lines.
+func (s *server) writeResponse(conn *link.Conn, status int, headers, body string) bool {
 	s.mu.Lock()
 	load, ok := s.model.Report()
 	s.mu.Unlock()
 	if ok {
 		// The names that the settings give (feedback.names).
-		header += fmt.Sprintf("X-Server-Load: concurrent=%d,depth=%d,err_ps=%.3f\r\n", load.Held, load.Waiting, load.ErrorsPer)
+		headers += fmt.Sprintf("X-Server-Load: concurrent=%d,depth=%d,err_ps=%.3f\r\n", load.Held, load.Waiting, load.ErrorsPer)
 	}
-	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s", status, http.StatusText(status), len(body), header, body)
+	_, err := fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s",
+		status, http.StatusText(status), len(body), headers, body)
 	return err == nil
 }
