--- a/internal/lab/standin/registrar.go
+++ b/internal/lab/standin/registrar.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"slices"
+	"strings"
 	"sync"
 	"time"
 
@@ -13,38 +14,47 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// registrar keeps the servers of a host registered with keepers, as the servers' own agents would. What is wanted of each is
-// kept and told until a keeper has taken it, however long they are down.
+// registrar keeps the servers of a host registered with registry nodes, as the servers' own agents would. It reconciles what the
+// registry has acknowledged with what is desired of each server until both agree, however long the registry is down.
+// A nil registrar accepts desired changes and does nothing.
 type registrar struct {
 	client *client.Client
 	lease  time.Duration
-	stop   context.CancelFunc
+	cancel context.CancelFunc
 	tasks  sync.WaitGroup
-	wake   chan struct{}
+	wake   chan struct{} // holds one value when something desired changed
 
 	mu      sync.Mutex
-	desired map[string]*desiredEntry
+	desired map[string]*desiredEntry // by UID
 }
 
-// desiredEntry is how a server should stand on the list.
+// desiredEntry is how a server should stand in the registry.
 type desiredEntry struct {
 	registration list.Registration
-	state        list.State // that the keepers should show
-	acknowledged list.State // that they have taken
-	crashed      bool       // its process is gone without a word: its lease is left to end
+	state        list.State // that the registry should show
+	acknowledged list.State // that the registry has confirmed
+	crashed      bool       // its process ended without deregistering: its lease is left to expire
 	isolated     bool       // its machine reaches nobody
-	generation   int        // rises with each change of what is wanted
+	generation   int        // rises with each change of what is desired
 }
 
-const reconcileTimeout = 2 * time.Second
+// canSend reports whether the server's agent runs and reaches the registry, with something to register.
+func (e *desiredEntry) canSend() bool { return !e.crashed && !e.isolated && e.registration.UID != "" }
+
+const (
+	reconcileTimeout       = 2 * time.Second
+	reconcileRetryInterval = 100 * time.Millisecond
+	minRenewTimeout        = 100 * time.Millisecond
+	renewalsPerLease       = 3
+)
 
 func newRegistrar(registryNodes []string, lease time.Duration) (*registrar, error) {
-	c, err := client.New(registryNodes)
+	registry, err := client.New(registryNodes)
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	r := &registrar{client: c, lease: lease, stop: stop, wake: make(chan struct{}, 1), desired: map[string]*desiredEntry{}}
+	ctx, cancel := context.WithCancel(context.Background())
+	r := &registrar{client: registry, lease: lease, cancel: cancel, wake: make(chan struct{}, 1), desired: map[string]*desiredEntry{}}
 	r.tasks.Add(1)
 	go func() {
 		defer r.tasks.Done()
@@ -54,24 +64,24 @@
 }
 
 func (r *registrar) close() {
-	r.stop()
+	r.cancel()
 	r.tasks.Wait()
 	r.client.Close()
 }
 
-// updateDesired changes what is wanted of a server.
+// updateDesired changes what is desired of a server.
 func (r *registrar) updateDesired(uid string, change func(*desiredEntry)) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
-	w := r.desired[uid]
-	if w == nil {
-		w = &desiredEntry{}
-		r.desired[uid] = w
+	entry := r.desired[uid]
+	if entry == nil {
+		entry = &desiredEntry{}
+		r.desired[uid] = entry
 	}
-	change(w)
-	w.generation++
+	change(entry)
+	entry.generation++
 	r.mu.Unlock()
 	select {
 	case r.wake <- struct{}{}:
@@ -79,24 +89,24 @@
 	}
 }
 
-// register has a server be on the list.
-func (r *registrar) register(s *model.Spec, port int, bootMS int64) {
-	size := s.SizeHint()
-	r.updateDesired(s.UID, func(w *desiredEntry) {
-		w.registration = list.Registration{Target: list.Target{UID: s.UID, Endpoint: fmt.Sprintf("127.0.0.1:%d", port), Zone: s.Zone, Model: s.Kind,
-			State: list.Serving, Capacity: &size, BootMS: bootMS}, LeaseMS: r.lease.Milliseconds()}
-		w.state, w.acknowledged, w.crashed = list.Serving, "", false
+// register has a server be registered as serving, at a port of this host.
+func (r *registrar) register(spec *model.Spec, port int, bootMS int64) {
+	capacity := spec.SizeHint()
+	r.updateDesired(spec.UID, func(e *desiredEntry) {
+		e.registration = list.Registration{Target: list.Target{UID: spec.UID, Endpoint: fmt.Sprintf("127.0.0.1:%d", port), Zone: spec.Zone,
+			Model: spec.Kind, State: list.Serving, Capacity: &capacity, BootMS: bootMS}, LeaseMS: r.lease.Milliseconds()}
+		e.state, e.acknowledged, e.crashed = list.Serving, "", false
 	})
 }
 
 func (r *registrar) run(ctx context.Context) {
-	renew := time.NewTicker(r.lease / 3)
+	renew := time.NewTicker(r.lease / renewalsPerLease)
 	defer renew.Stop()
 	for {
-		again := r.reconcile(ctx)
+		complete := r.reconcile(ctx)
 		var retry <-chan time.Time
-		if again {
-			retry = time.After(100 * time.Millisecond)
+		if !complete {
+			retry = time.After(reconcileRetryInterval)
 		}
 		select {
 		case <-r.wake:
@@ -109,85 +119,97 @@
 	}
 }
 
-// selectEntries are the servers that have something to tell, in the order of their ids.
-func (r *registrar) selectEntries(is func(*desiredEntry) bool) []desiredEntry {
+// selectEntries copies the entries that match and that may be sent, in the order of their UIDs.
+func (r *registrar) selectEntries(match func(*desiredEntry) bool) []desiredEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var all []desiredEntry
-	for _, w := range r.desired {
-		if !w.crashed && !w.isolated && w.registration.UID != "" && is(w) {
-			all = append(all, *w)
+	var selected []desiredEntry
+	for _, entry := range r.desired {
+		if entry.canSend() && match(entry) {
+			selected = append(selected, *entry)
 		}
 	}
-	slices.SortFunc(all, func(a, b desiredEntry) int {
-		if a.registration.UID < b.registration.UID {
-			return -1
-		}
-		return 1
-	})
-	return all
+	slices.SortFunc(selected, func(a, b desiredEntry) int { return strings.Compare(a.registration.UID, b.registration.UID) })
+	return selected
 }
 
-// reconcile tells the keepers what they have not taken. It tells true where something is left.
-func (r *registrar) reconcile(ctx context.Context) (again bool) {
+// reconcile sends the registry what it has not acknowledged, and reports whether that is complete.
+func (r *registrar) reconcile(ctx context.Context) (complete bool) {
 	ctx, cancel := context.WithTimeout(ctx, reconcileTimeout)
 	defer cancel()
-	var news []list.Registration
-	var of []desiredEntry
-	for _, w := range r.selectEntries(func(w *desiredEntry) bool { return w.state == list.Serving && w.acknowledged != list.Serving }) {
-		news, of = append(news, w.registration), append(of, w)
-	}
-	if len(news) > 0 {
-		if _, err := r.client.Register(ctx, news, nil); err != nil {
-			again = true
-		} else {
-			for _, w := range of {
-				r.acknowledge(w, list.Serving)
-			}
-		}
+	registered := r.registerServing(ctx)
+	return r.sendStateChanges(ctx) && registered
+}
+
+// registerServing registers the servers that should serve in one call. It reports false where that failed.
+func (r *registrar) registerServing(ctx context.Context) bool {
+	entries := r.selectEntries(func(e *desiredEntry) bool { return e.state == list.Serving && e.acknowledged != list.Serving })
+	if len(entries) == 0 {
+		return true
+	}
+	registrations := make([]list.Registration, len(entries))
+	for i, entry := range entries {
+		registrations[i] = entry.registration
 	}
-	for _, w := range r.selectEntries(func(w *desiredEntry) bool { return w.state != list.Serving && w.acknowledged != w.state }) {
-		turn := client.Drain
-		if w.state == list.Deleted {
-			turn = client.Deregister
+	if _, err := r.client.Register(ctx, registrations, nil); err != nil {
+		return false
+	}
+	for _, entry := range entries {
+		r.acknowledge(entry, list.Serving)
+	}
+	return true
+}
+
+// sendStateChanges drains and deregisters servers one by one. It reports false, and leaves the rest, at the first that failed.
+func (r *registrar) sendStateChanges(ctx context.Context) bool {
+	for _, entry := range r.selectEntries(func(e *desiredEntry) bool { return e.state != list.Serving && e.acknowledged != e.state }) {
+		change := client.Drain
+		if entry.state == list.Deleted {
+			change = client.Deregister
 		}
-		var refused *client.RefusedError
-		if _, err := r.client.Change(ctx, turn, w.registration.UID, nil); err != nil && !errors.As(err, &refused) {
-			again = true
-			break
+		_, err := r.client.Change(ctx, change, entry.registration.UID, nil)
+		if refused := new(client.RefusedError); err != nil && !errors.As(err, &refused) {
+			return false
 		}
-		r.acknowledge(w, w.state) // what is not there needs no drain
+		r.acknowledge(entry, entry.state) // an entry that is not there needs no drain
 	}
-	return again
+	return true
 }
 
-// acknowledge notes that the keepers have acknowledge what was wanted, unless something else is by now.
-func (r *registrar) acknowledge(w desiredEntry, state list.State) {
+// acknowledge notes the state that the registry has confirmed, unless another one is desired by now.
+func (r *registrar) acknowledge(sent desiredEntry, state list.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := r.desired[w.registration.UID]; now != nil && now.generation == w.generation {
-		if now.acknowledged = state; state == list.Deleted {
-			delete(r.desired, w.registration.UID)
-		}
+	current := r.desired[sent.registration.UID]
+	if current == nil || current.generation != sent.generation {
+		return
+	}
+	current.acknowledged = state
+	if state == list.Deleted {
+		delete(r.desired, sent.registration.UID)
 	}
 }
 
+// renew renews the leases of all registered servers in one call. A failed call is left to the next renewal.
 func (r *registrar) renew(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, max(r.lease/3, 100*time.Millisecond))
+	ctx, cancel := context.WithTimeout(ctx, max(r.lease/renewalsPerLease, minRenewTimeout))
 	defer cancel()
-	var all []client.Renewal
-	of := map[string]desiredEntry{}
-	for _, w := range r.selectEntries(func(w *desiredEntry) bool { return w.acknowledged == list.Serving || w.acknowledged == list.Draining }) {
-		all, of[w.registration.UID] = append(all, client.Renewal{UID: w.registration.UID, BootMS: w.registration.BootMS}), w
+	var renewals []client.Renewal
+	byUID := map[string]desiredEntry{}
+	registered := func(e *desiredEntry) bool { return e.acknowledged == list.Serving || e.acknowledged == list.Draining }
+	for _, entry := range r.selectEntries(registered) {
+		uid := entry.registration.UID
+		renewals = append(renewals, client.Renewal{UID: uid, BootMS: entry.registration.BootMS})
+		byUID[uid] = entry
 	}
-	if len(all) == 0 {
+	if len(renewals) == 0 {
 		return
 	}
-	unknown, err := r.client.Renew(ctx, all)
+	unknown, err := r.client.Renew(ctx, renewals)
 	if err != nil {
-		return // the next one may come through
+		return
 	}
 	for _, uid := range unknown {
-		r.acknowledge(of[uid], "") // to be told again
+		r.acknowledge(byUID[uid], "") // so that it is registered again
 	}
 }
