--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -14,8 +14,10 @@
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-// Relay leads calls to keepers over links with faults until the orders end. Whatever a keeper writes of the list to one of
-// the first readers near ends is noted line by line, and server by server for the first sidecars ones.
+// Relay forwards calls to registry nodes over links with faults until the orders end. Near ends are numbered: the first sidecars
+// ones are sidecars, the first readers ones may read the list. What a node writes of the list to a reader goes to the file
+// listLines line by line, what it writes of routes to a sidecar to routeLines, and what a sidecar was notified of, server by server,
+// to notified. Relay returns the first error of reading orders or of writing records.
 func Relay(orders io.Reader, news io.Writer, sidecars, readers int, notified, listLines, routeLines string) error {
 	notifiedRecords, err := ctl.NewRecords(notified)
 	if err != nil {
@@ -29,88 +31,112 @@
 	if err != nil {
 		return errors.Join(err, notifiedRecords.Close(), listRecords.Close())
 	}
-	r := &relay{sidecars: sidecars, readers: readers, notified: notifiedRecords, listLines: listRecords, routeLines: routeRecords, networks: map[string]*network{}, stop: make(chan struct{})}
+	forwarder := &relay{sidecars: sidecars, readers: readers, notified: notifiedRecords, listLines: listRecords,
+		routeLines: routeRecords, networks: map[string]*network{}, stop: make(chan struct{})}
 	out := ctl.NewOut(news)
 	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	err = handleOrders(orders, out, r.handleOrder)
+	err = handleOrders(orders, out, forwarder.handleOrder)
+	forwarder.close()
+	return errors.Join(err, notifiedRecords.Close(), listRecords.Close(), routeRecords.Close())
+}
+
+// relay is the network in front of registry nodes. Orders come one at a time.
+type relay struct {
+	sidecars   int
+	readers    int
+	notified   *ctl.Records
+	listLines  *ctl.Records
+	routeLines *ctl.Records
+	networks   map[string]*network // by the node's name
+	listeners  []*link.Listener
+	stop       chan struct{}
+	tasks      sync.WaitGroup
+	lastConn   atomic.Int64 // number of the latest connection that is recorded
+}
+
+// close ends every connection and waits until all is recorded.
+func (r *relay) close() {
 	close(r.stop)
-	for _, l := range r.fronts {
-		l.Close()
+	for _, listener := range r.listeners {
+		_ = listener.Close() // that it listens no more is all that matters
 	}
 	for _, n := range r.networks {
 		n.forEach(nil, (*link.Link).Reset)
 	}
 	r.tasks.Wait()
-	return errors.Join(err, notifiedRecords.Close(), listRecords.Close(), routeRecords.Close())
-}
-
-// relay is the network in front of keepers. Orders come one at a time.
-type relay struct {
-	sidecars            int
-	readers             int
-	notified, listLines *ctl.Records
-	routeLines          *ctl.Records
-	networks            map[string]*network // by the keeper's name
-	fronts              []*link.Listener
-	stop                chan struct{}
-	tasks               sync.WaitGroup
-	conns               atomic.Int64
 }
 
-func (r *relay) handleOrder(o ctl.Order, n *ctl.News) error {
-	net := r.networks[o.UID]
-	if net == nil {
-		net = newNetwork()
-		r.networks[o.UID] = net
+func (r *relay) handleOrder(order ctl.Order, n *ctl.News) error {
+	nodeNet := r.networks[order.UID]
+	if nodeNet == nil {
+		nodeNet = newNetwork()
+		r.networks[order.UID] = nodeNet
 	}
-	switch o.Do {
+	switch order.Do {
 	case "front":
-		l, err := link.Listen(0)
+		port, err := r.listen(order, nodeNet)
 		if err != nil {
 			return err
 		}
-		l.BySource = o.BySource
-		r.fronts = append(r.fronts, l)
-		n.Ports = []int{l.Port()}
-		r.tasks.Add(1)
-		go func() {
-			defer r.tasks.Done()
-			r.accept(l, net, o.UID, o.Front)
-		}()
+		n.Ports = []int{port}
 	case "link", "reset", "forget":
-		net.apply(o)
+		nodeNet.apply(order)
 	default:
-		return fmt.Errorf("unknown order %q", o.Do)
+		return fmt.Errorf("unknown order %q", order.Do)
 	}
 	return nil
 }
 
-func (r *relay) accept(l *link.Listener, n *network, keeper, to string) {
+// listen opens a port in front of a node and returns it.
+func (r *relay) listen(order ctl.Order, nodeNet *network) (int, error) {
+	listener, err := link.Listen(0)
+	if err != nil {
+		return 0, err
+	}
+	listener.BySource = order.BySource
+	r.listeners = append(r.listeners, listener)
+	r.tasks.Add(1)
+	go func() {
+		defer r.tasks.Done()
+		r.accept(listener, nodeNet, registryNode{order.UID, order.Front})
+	}()
+	return listener.Port(), nil
+}
+
+// registryNode is the name and the address of the node that calls are forwarded to.
+type registryNode struct {
+	name    string
+	address string
+}
+
+func (r *relay) accept(listener *link.Listener, nodeNet *network, node registryNode) {
 	for {
-		c, near, err := l.Accept(r.stop)
+		accepted, near, err := listener.Accept(r.stop)
 		if err != nil {
 			return
 		}
-		w := link.Wrap(c, n.link(near))
+		conn := link.Wrap(accepted, nodeNet.link(near))
 		r.tasks.Add(1)
 		go func() {
 			defer r.tasks.Done()
-			r.forward(w, near, keeper, to)
+			r.forward(conn, near, node)
 		}()
 	}
 }
 
-// forward passes a client's bytes both ways until either end is through, and notes what a keeper says of the list.
-func (r *relay) forward(near *link.Conn, index int, keeper, to string) {
-	forwardStream(near, to, nil, func(far net.Conn, first string) {
+// forward copies bytes both ways until either end closes, and records what a node writes of the list and of routes.
+func (r *relay) forward(conn *link.Conn, near int, node registryNode) {
+	forwardStream(conn, node.address, nil, func(far net.Conn, request string) {
 		switch {
-		case index < r.readers && strings.HasPrefix(first, "GET /v1/servers"):
-			r.forwardList(near, far, index, keeper, first)
-		case index < r.sidecars && strings.HasPrefix(first, "GET /v1/routes"):
-			s := ctl.Routes{Near: index, Keeper: keeper, Conn: r.conns.Add(1)}
-			r.forwardObserved(near, far, func(line []byte, at int64) { r.recordRoutes(s, line, at) })
+		case near < r.readers && strings.HasPrefix(request, "GET /v1/servers"):
+			observed := newListObservation(request)
+			observed.Near, observed.Keeper, observed.Conn = near, node.name, r.lastConn.Add(1)
+			forwardObserved(conn, far, func(line []byte, at int64) { r.recordListLine(observed, line, at) })
+		case near < r.sidecars && strings.HasPrefix(request, "GET /v1/routes"):
+			observed := ctl.Routes{Near: near, Keeper: node.name, Conn: r.lastConn.Add(1)}
+			forwardObserved(conn, far, func(line []byte, at int64) { r.recordRouteLine(observed, line, at) })
 		default:
-			copyBytes(near, far)
+			copyBytes(conn, far)
 		}
 	})
 }
--- a/internal/lab/standin/relayrecords.go
+++ b/internal/lab/standin/relayrecords.go
@@ -16,80 +16,97 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// recordRoutes notes a line that a keeper wrote of its route table.
-func (r *relay) recordRoutes(s ctl.Routes, line []byte, at int64) {
-	if len(line) == 0 || json.Unmarshal(line, &s) != nil {
-		return // it says nothing
+// newListObservation is what a request for the list says of its reader.
+func newListObservation(request string) ctl.Shown {
+	observed := ctl.Shown{Holds: -1}
+	parsed, err := http.ReadRequest(bufio.NewReader(strings.NewReader(request)))
+	if err != nil {
+		return observed
 	}
-	s.Bytes, s.At = len(line)+1, at
-	r.routeLines.Add(s)
+	query := parsed.URL.Query()
+	observed.Watch, observed.Cluster = query.Get("watch") == "1", query.Get("cluster")
+	if from, err := strconv.ParseInt(query.Get("from"), 10, 64); err == nil {
+		observed.Holds = from
+	}
+	return observed
 }
 
-// forwardList passes on what a keeper writes and notes what it says of the list, when that has reached the near end.
-func (r *relay) forwardList(near *link.Conn, far net.Conn, index int, keeper, request string) {
-	s := ctl.Shown{Near: index, Keeper: keeper, Conn: r.conns.Add(1), Holds: -1}
-	if req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(request))); err == nil {
-		q := req.URL.Query()
-		s.Watch, s.Cluster = q.Get("watch") == "1", q.Get("cluster")
-		if n, err := strconv.ParseInt(q.Get("from"), 10, 64); err == nil {
-			s.Holds = n
-		}
+// recordListLine records a line of the list that reached a reader at a time. Heartbeats, which are empty, are left out.
+func (r *relay) recordListLine(observed ctl.Shown, line []byte, at int64) {
+	received, err := list.Parse(line)
+	if err != nil {
+		return
+	}
+	observed.Rev, observed.All, observed.N = received.Rev, received.All, len(received.Targets)
+	observed.At, observed.Cluster = at, received.Cluster
+	r.listLines.Add(observed)
+	if observed.Near >= r.sidecars {
+		return
+	}
+	for _, target := range received.Targets {
+		r.notified.Add(ctl.Told{Near: observed.Near, UID: target.UID, State: string(target.State), At: at})
 	}
-	r.forwardObserved(near, far, func(line []byte, at int64) {
-		if l, err := list.Parse(line); err == nil { // an empty line says nothing
-			r.recordList(s, l, at)
-		}
-	})
 }
 
-// forwardObserved passes on what a keeper writes, and hands each line of an answer on with when it has reached the near end.
-func (r *relay) forwardObserved(near *link.Conn, far net.Conn, each func(line []byte, at int64)) {
-	var at atomic.Int64
+// recordRouteLine records a line of a route table that reached a sidecar at a time. Heartbeats, which are empty, are left out.
+func (r *relay) recordRouteLine(observed ctl.Routes, line []byte, at int64) {
+	if len(line) == 0 || json.Unmarshal(line, &observed) != nil {
+		return
+	}
+	observed.Bytes, observed.At = len(line)+1, at
+	r.routeLines.Add(observed)
+}
+
+const observedBufferBytes = 64 << 10
+
+// forwardObserved copies what a node writes, and hands each line of a response to observe with the time at which it had reached the
+// near end, in ns of the lab's clock.
+func forwardObserved(near *link.Conn, far net.Conn, observe func(line []byte, at int64)) {
+	var arrivedAt atomic.Int64
 	copies, feed := io.Pipe()
-	var read sync.WaitGroup
-	read.Add(1)
+	var parsing sync.WaitGroup
+	parsing.Add(1)
 	go func() {
-		defer read.Done()
-		defer copies.Close()
-		resp, err := http.ReadResponse(bufio.NewReader(copies), nil)
-		if err != nil || resp.StatusCode != http.StatusOK {
-			return // a refusal says nothing of the list
-		}
-		lines := bufio.NewScanner(resp.Body)
-		lines.Buffer(nil, list.MostText)
-		for lines.Scan() {
-			each(lines.Bytes(), at.Load())
-		}
+		defer parsing.Done()
+		defer func() { _ = copies.Close() }() // never fails
+		scanResponse(copies, func(line []byte) { observe(line, arrivedAt.Load()) })
 	}()
-	buf := make([]byte, 64<<10)
+	buf := make([]byte, observedBufferBytes)
 	for {
 		n, err := far.Read(buf)
 		if n > 0 {
-			if _, err := near.Write(buf[:n]); err != nil {
-				break
-			}
-			t, ok := near.Flushed()
+			at, ok := writeFlushed(near, buf[:n])
 			if !ok {
 				break
 			}
-			at.Store(t)
-			_, _ = feed.Write(buf[:n]) // the reader may have had enough
+			arrivedAt.Store(at)
+			_, _ = feed.Write(buf[:n]) // the parser may have ended
 		}
 		if err != nil {
 			break
 		}
 	}
-	feed.Close()
-	read.Wait()
+	_ = feed.Close() // never fails
+	parsing.Wait()
+}
+
+// writeFlushed writes bytes, waits until they have reached the near end, and returns when that was.
+func writeFlushed(near *link.Conn, p []byte) (at int64, ok bool) {
+	if _, err := near.Write(p); err != nil {
+		return 0, false
+	}
+	return near.Flushed()
 }
 
-func (r *relay) recordList(s ctl.Shown, l list.List, at int64) {
-	s.Rev, s.All, s.N, s.At, s.Cluster = l.Rev, l.All, len(l.Targets), at, l.Cluster
-	r.listLines.Add(s)
-	if s.Near >= r.sidecars {
+// scanResponse hands on the lines of a successful response. A refusal says nothing of the list.
+func scanResponse(from io.Reader, observe func(line []byte)) {
+	resp, err := http.ReadResponse(bufio.NewReader(from), nil) //nolint:bodyclose // closing would read the rest, which the pipe's end drops
+	if err != nil || resp.StatusCode != http.StatusOK {
 		return
 	}
-	for _, t := range l.Targets {
-		r.notified.Add(ctl.Told{Near: s.Near, UID: t.UID, State: string(t.State), At: at})
+	lines := bufio.NewScanner(resp.Body)
+	lines.Buffer(nil, list.MostText)
+	for lines.Scan() {
+		observe(lines.Bytes())
 	}
 }
--- a/internal/lab/standin/stream.go
+++ b/internal/lab/standin/stream.go
@@ -1,6 +1,7 @@
 package standin
 
 import (
+	"context"
 	"io"
 	"net"
 	"sync"
@@ -9,44 +10,48 @@
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-const relayDialTimeout = time.Second
+const (
+	relayDialTimeout  = time.Second
+	firstRequestBytes = 16 << 10 // read before the far end is dialled
+)
 
-// forwardStream passes bytes on to an address, and has back pass on what comes from there, until either end is through. sent, if set,
-// is told how many bytes went there.
-func forwardStream(near *link.Conn, to string, sent func(int64), back func(far net.Conn, first string)) {
-	defer near.Close()
-	// Danger: a call that the network holds back must not come up at the far end either, or it would show there.
-	first := make([]byte, 16<<10)
-	n, err := near.Read(first)
+// forwardStream copies bytes to an address and has copyBack copy what comes from there, until either end closes. copyBack gets the
+// first bytes of the near end as well. onSent, if set, is called with the number of bytes that went to the address.
+func forwardStream(near *link.Conn, address string, onSent func(int64), copyBack func(far net.Conn, first string)) {
+	defer func() { _ = near.Close() }() // both ends may have closed already
+	// Danger: a call that the network holds back must not arrive at the far end either, or it would show there. So the far end
+	// is dialled after the first bytes came.
+	first := make([]byte, firstRequestBytes)
+	firstLen, err := near.Read(first)
 	if err != nil {
 		return
 	}
-	far, err := net.DialTimeout("tcp4", to, relayDialTimeout)
+	far, err := (&net.Dialer{Timeout: relayDialTimeout}).DialContext(context.Background(), "tcp4", address)
 	if err != nil {
 		near.Reset()
 		return
 	}
-	defer far.Close()
-	var both sync.WaitGroup
-	both.Add(1)
+	defer func() { _ = far.Close() }()
+	var forth sync.WaitGroup
+	forth.Add(1)
 	go func() {
-		defer both.Done()
-		all := int64(n)
-		if _, err := far.Write(first[:n]); err == nil {
-			all += copyBytes(far, near)
+		defer forth.Done()
+		sent := int64(firstLen)
+		if _, err := far.Write(first[:firstLen]); err == nil {
+			sent += copyBytes(far, near)
 		}
-		if sent != nil {
-			sent(all)
+		if onSent != nil {
+			onSent(sent)
 		}
-		far.Close() // which ends the other way
+		_ = far.Close() // ends copyBack
 	}()
-	back(far, string(first[:n]))
-	near.Close() // which ends the first way
-	both.Wait()
+	copyBack(far, string(first[:firstLen]))
+	_ = near.Close() // ends the copying forth
+	forth.Wait()
 }
 
-// copyBytes copies until either end is through, which shows at the other end. Danger: the connections' own shorter ways of copying
-// would lead past the link.
+// copyBytes copies until either end closes, which shows at the other end, and returns the number of bytes. Danger: the connections'
+// own ReadFrom and WriteTo would bypass the link.
 func copyBytes(to io.Writer, from io.Reader) int64 {
 	n, _ := io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 	return n
