--- a/internal/lab/standin/lyingmember.go
+++ b/internal/lab/standin/lyingmember.go
@@ -16,26 +16,27 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// hittersStateKind is the kind of the states among members in which sidecars take reports of clients' work. Were it another one by now, the
-// control with two liars would hold.
+// hittersStateKind is the kind of the members' states in which sidecars expect reports of clients' work. If it were another kind by
+// now, the control experiment with two lying members would pass without any lie.
 const hittersStateKind uint8 = 1
 
-// LyingMember is a member among sidecars that is none of them, until the orders end. As it is told to, it says of clients that they asked it
-// for work, which nobody did, in the form that sidecars believe, once a window as they do.
+// LyingMember is a Byzantine member of the sidecars' gossip that is no sidecar, until the orders end. As orders say, it publishes
+// that clients asked it for work, which nobody did, in the form that sidecars believe and once a window as they do. It returns the
+// first error of joining, of reading orders or of publishing.
 func LyingMember(orders io.Reader, news io.Writer, options members.Options) (err error) {
 	member, err := members.New(options)
 	if err != nil {
-		return fmt.Errorf("liar: %w", err)
+		return fmt.Errorf("lying member: %w", err)
 	}
 	if err := member.Start(context.Background()); err != nil {
-		return fmt.Errorf("liar: %w", err)
+		return fmt.Errorf("lying member: %w", err)
 	}
 	liar := &lyingMember{member: member, stop: make(chan struct{})}
 	liar.tasks.Add(1)
 	go liar.publishReports()
 	out := ctl.NewOut(news)
 	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	err = handleOrders(orders, out, func(options ctl.Order, _ *ctl.News) error { return liar.handleOrder(options) })
+	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.News) error { return liar.handleOrder(o) })
 	close(liar.stop)
 	liar.tasks.Wait()
 	member.Close()
@@ -46,48 +47,53 @@
 	member     *members.Members
 	stop       chan struct{}
 	tasks      sync.WaitGroup
-	publishErr error // of speak, once it has ended
+	publishErr error // set before publishReports ends
 
 	mu     sync.Mutex
-	report []byte // a report; nil: nothing is said
+	report []byte // nil: nothing is published
 }
 
 func (l *lyingMember) handleOrder(o ctl.Order) error {
 	if o.Do != "lie" {
 		return fmt.Errorf("unknown order %q", o.Do)
 	}
-	var says []byte
+	var report []byte
 	if o.On {
 		var err error
-		if says, err = forgedReport(strings.Split(o.Mode, ","), time.Duration(o.By)); err != nil {
+		if report, err = forgedReport(strings.Split(o.Mode, ","), time.Duration(o.By)); err != nil {
 			return err
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.report = says
+	l.report = report
 	return nil
 }
 
-// forgedReport is a report of clients that ask for so much work a second, alike, all of which was served.
-func forgedReport(clients []string, work time.Duration) ([]byte, error) {
-	const whole = 1<<16 - 1
-	r := hitters.Report{Total: uint64(work / time.Microsecond), Requests: 1 << 20, Served: whole, Err: 1, Named: uint8(len(clients))}
-	if len(clients) == 0 || len(clients) > len(r.Keys) {
-		return nil, fmt.Errorf("%d clients are not 1 to %d", len(clients), len(r.Keys))
+// forgedReport is a report that each of some clients asks for the same share of an amount of work a second, all of which was served.
+func forgedReport(clients []string, workPerSecond time.Duration) ([]byte, error) {
+	const fullShare = 1<<16 - 1
+	report := hitters.Report{Total: uint64(workPerSecond / time.Microsecond), Requests: 1 << 20, Served: fullShare, Err: 1,
+		Named: uint8(len(clients))}
+	if len(clients) == 0 || len(clients) > len(report.Keys) {
+		return nil, fmt.Errorf("%d clients are not 1 to %d", len(clients), len(report.Keys))
 	}
-	salt := hitters.Key(0, "") // of a fleet that names none
+	salt := hitters.Key(0, "") // of a fleet without a name
 	for i, name := range clients {
-		r.Keys[i], r.Shares[i] = hitters.Key(salt, name), whole/uint16(len(clients))
+		report.Keys[i], report.Shares[i] = hitters.Key(salt, name), fullShare/uint16(len(clients))
 	}
-	text := r.Append(nil)
-	if back, err := hitters.ParseReport(text); err != nil || !slices.Equal(back.Keys[:], r.Keys[:]) {
-		return nil, fmt.Errorf("nobody would believe it: %w", err)
+	encoded := report.Append(nil)
+	decoded, err := hitters.ParseReport(encoded)
+	if err != nil {
+		return nil, fmt.Errorf("sidecars would reject the forged report: %w", err)
+	}
+	if !slices.Equal(decoded.Keys[:], report.Keys[:]) {
+		return nil, errors.New("sidecars would read other clients in the forged report")
 	}
-	return text, nil
+	return encoded, nil
 }
 
-// publishReports tells the members what there is to say until stop.
+// publishReports publishes the current report once a window until stop, or until publishing fails.
 func (l *lyingMember) publishReports() {
 	defer l.tasks.Done()
 	tick := time.NewTicker(hitters.Defaults().Window)
@@ -99,12 +105,12 @@
 			return
 		}
 		l.mu.Lock()
-		says := l.report
+		report := l.report
 		l.mu.Unlock()
-		if says == nil {
+		if report == nil {
 			continue
 		}
-		if err := l.member.Publish(hittersStateKind, says); err != nil {
+		if err := l.member.Publish(hittersStateKind, report); err != nil {
 			l.publishErr = err
 			return
 		}
--- a/internal/lab/standin/peers.go
+++ b/internal/lab/standin/peers.go
@@ -17,41 +17,43 @@
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-// Peers leads what sidecars say to each other over links with faults until the orders end. In front of each stands a port,
-// for packets and for streams, which knows who calls by the address that he calls at, as servers do. What passed is noted once
-// a second, for all together.
+// Peers forwards what sidecars send to each other over links with faults until the orders end. In front of each sidecar stands
+// a port, for packets and for streams, which knows the caller by the address that it calls, as stand-in servers do. Once a second the
+// traffic of all sidecars together goes to the file gossip. Peers returns the first error of reading orders or of writing records.
 func Peers(orders io.Reader, news io.Writer, gossip string) error {
 	records, err := ctl.NewRecords(gossip)
 	if err != nil {
 		return err
 	}
-	peerNetwork := &peers{fronts: map[string]*front{}, stop: make(chan struct{})}
+	forwarder := &peers{fronts: map[string]*front{}, stop: make(chan struct{})}
 	out := ctl.NewOut(news)
 	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	peerNetwork.tasks.Add(1)
+	forwarder.tasks.Add(1)
 	go func() {
-		defer peerNetwork.tasks.Done()
-		peerNetwork.recordTraffic(records)
+		defer forwarder.tasks.Done()
+		forwarder.recordTraffic(records)
 	}()
-	err = handleOrders(orders, out, peerNetwork.handleOrder)
-	close(peerNetwork.stop)
-	for _, f := range peerNetwork.fronts {
-		f.streams.Close()
-		f.packets.Close()
-		f.net.forEach(nil, (*link.Link).Reset)
-	}
-	peerNetwork.tasks.Wait()
+	err = handleOrders(orders, out, forwarder.handleOrder)
+	forwarder.close()
 	return errors.Join(err, records.Close())
 }
 
 // peers is the network between sidecars. Orders come one at a time.
 type peers struct {
-	fronts map[string]*front // by the sidecar behind it
+	fronts map[string]*front // by the name of the sidecar behind it
 	stop   chan struct{}
 	tasks  sync.WaitGroup
 
-	packets, bytes, streams, streamBytes atomic.Int64
-	delayed                              atomic.Int64 // packets that are on their way
+	traffic traffic
+	delayed atomic.Int64 // packets in flight
+}
+
+// traffic counts what reached sidecars since the latest record.
+type traffic struct {
+	packets     atomic.Int64
+	packetBytes atomic.Int64
+	streams     atomic.Int64
+	streamBytes atomic.Int64
 }
 
 // front is the port at which others reach one sidecar.
@@ -59,52 +61,61 @@
 	net     *network
 	streams *link.Listener
 	packets *net.UDPConn
-	to      netip.AddrPort // where it listens
+	sidecar netip.AddrPort // where the sidecar listens
+}
+
+// close ends every connection and waits for the tasks.
+func (p *peers) close() {
+	close(p.stop)
+	for _, f := range p.fronts {
+		_ = f.streams.Close() // that neither listens any more is all that matters
+		_ = f.packets.Close()
+		f.net.forEach(nil, (*link.Link).Reset)
+	}
+	p.tasks.Wait()
 }
 
 func (p *peers) handleOrder(order ctl.Order, n *ctl.News) error {
-	destination := p.fronts[order.UID]
+	addressed := p.fronts[order.UID]
 	switch {
-	case order.Do == "front" && destination == nil:
-		to, err := netip.ParseAddrPort(order.Front)
-		if err != nil {
-			return fmt.Errorf("front: %w", err)
-		}
-		if destination, err = p.open(to); err != nil {
-			return err
-		}
-		p.fronts[order.UID] = destination
-		n.Ports = []int{destination.streams.Port()}
-		return nil
-	case destination == nil:
+	case order.Do == "front" && addressed == nil:
+		return p.addFront(order, n)
+	case addressed == nil:
 		return fmt.Errorf("%s: no sidecar %q", order.Do, order.UID)
 	case order.Do == "link" || order.Do == "reset" || order.Do == "forget":
-		destination.net.apply(order)
+		addressed.net.apply(order)
 		return nil
 	}
 	return fmt.Errorf("unknown order %q", order.Do)
 }
 
-const maxOpenAttempts = 16 // a number that is free for streams may be taken for packets
-
-func (p *peers) open(to netip.AddrPort) (*front, error) {
-	opened := &front{net: newNetwork(), to: to}
-	var err error
-	for range maxOpenAttempts {
-		if opened.streams, err = link.Listen(0); err != nil {
-			return nil, err
-		}
-		if opened.packets, err = link.ListenPackets(opened.streams.Port()); err == nil {
-			break
-		}
-		opened.streams.Close()
+// addFront opens a port in front of a sidecar.
+func (p *peers) addFront(order ctl.Order, n *ctl.News) error {
+	sidecar, err := netip.ParseAddrPort(order.Front)
+	if err != nil {
+		return fmt.Errorf("front: %w", err)
 	}
+	opened, err := p.open(sidecar)
+	if err != nil {
+		return err
+	}
+	p.fronts[order.UID] = opened
+	n.Ports = []int{opened.streams.Port()}
+	return nil
+}
+
+const maxOpenAttempts = 16 // a port that is free for streams may be in use for packets
+
+// open listens for packets and streams at one port and forwards both.
+func (p *peers) open(sidecar netip.AddrPort) (*front, error) {
+	streams, packets, err := listenBoth()
 	if err != nil {
 		return nil, err
 	}
-	in := ipv4.NewPacketConn(opened.packets)
+	opened := &front{net: newNetwork(), streams: streams, packets: packets, sidecar: sidecar}
+	in := ipv4.NewPacketConn(packets)
 	if err := in.SetControlMessage(ipv4.FlagDst, true); err != nil {
-		return nil, errors.Join(fmt.Errorf("front: %w", err), opened.streams.Close(), opened.packets.Close())
+		return nil, errors.Join(fmt.Errorf("front: %w", err), streams.Close(), packets.Close())
 	}
 	p.tasks.Add(2)
 	go func() {
@@ -118,74 +129,99 @@
 	return opened, nil
 }
 
+// listenBoth listens for streams and packets at one port.
+func listenBoth() (streams *link.Listener, packets *net.UDPConn, err error) {
+	for range maxOpenAttempts {
+		if streams, err = link.Listen(0); err != nil {
+			return nil, nil, err
+		}
+		if packets, err = link.ListenPackets(streams.Port()); err == nil {
+			return streams, packets, nil
+		}
+		_ = streams.Close() // the next attempt takes another port
+	}
+	return nil, nil, err
+}
+
 const (
 	maxPacketBytes    = 64 << 10
-	maxDelayedPackets = 1 << 16 // packets on their way in all: more are lost, as on a full queue
+	maxDelayedPackets = 1 << 16 // of all sidecars together: more are lost, as on a full queue
 )
 
-// forwardPackets passes packets on as their links allow: one that a link holds is lost.
-func (p *peers) forwardPackets(destination *front, in *ipv4.PacketConn) {
+// forwardPackets forwards packets as their links allow: one that a link holds is lost.
+func (p *peers) forwardPackets(to *front, in *ipv4.PacketConn) {
 	buf := make([]byte, maxPacketBytes)
 	for {
-		n, about, _, err := in.ReadFrom(buf)
+		size, about, _, err := in.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil || about == nil {
-			continue // a refusal by an earlier packet's target, which has gone
-		}
-		at, ok := netip.AddrFromSlice(about.Dst)
-		near := -1
-		if ok {
-			near = link.NearIndex(at.Unmap())
-		}
-		if near < 0 {
-			continue // nobody of the experiment
+			continue // an ICMP refusal of an earlier packet, whose receiver has gone
 		}
-		wait, passes := destination.net.link(near).Packet()
-		if !passes {
+		near, ok := senderOf(about)
+		if !ok {
 			continue
 		}
-		if wait <= 0 {
-			p.sendPacket(destination, buf[:n])
-			continue
-		}
-		if p.delayed.Add(1) > maxDelayedPackets {
-			p.delayed.Add(-1)
-			continue
+		if delay, passes := to.net.link(near).Packet(); passes {
+			p.deliver(to, buf[:size], delay)
 		}
-		data := append([]byte(nil), buf[:n]...)
-		time.AfterFunc(wait, func() {
-			p.delayed.Add(-1)
-			p.sendPacket(destination, data)
-		})
 	}
 }
 
-func (p *peers) sendPacket(f *front, data []byte) {
-	if _, err := f.packets.WriteToUDPAddrPort(data, f.to); err == nil { // one that is gone hears nothing
-		p.packets.Add(1)
-		p.bytes.Add(int64(len(data)))
+// senderOf is the near end that sent a packet, by the address that it sent to. ok is false for an address outside the experiment.
+func senderOf(about *ipv4.ControlMessage) (near int, ok bool) {
+	at, ok := netip.AddrFromSlice(about.Dst)
+	if !ok {
+		return 0, false
+	}
+	near = link.NearIndex(at.Unmap())
+	return near, near >= 0
+}
+
+// deliver sends a packet on after a delay. It copies the packet if it has to wait.
+func (p *peers) deliver(to *front, packet []byte, delay time.Duration) {
+	if delay <= 0 {
+		p.sendPacket(to, packet)
+		return
+	}
+	if p.delayed.Add(1) > maxDelayedPackets {
+		p.delayed.Add(-1)
+		return
+	}
+	waiting := append([]byte(nil), packet...)
+	time.AfterFunc(delay, func() {
+		p.delayed.Add(-1)
+		p.sendPacket(to, waiting)
+	})
+}
+
+func (p *peers) sendPacket(to *front, packet []byte) {
+	if _, err := to.packets.WriteToUDPAddrPort(packet, to.sidecar); err != nil {
+		return // the sidecar has gone
 	}
+	p.traffic.packets.Add(1)
+	p.traffic.packetBytes.Add(int64(len(packet)))
 }
 
-func (p *peers) acceptStreams(f *front) {
+func (p *peers) acceptStreams(to *front) {
 	for {
-		c, near, err := f.streams.Accept(p.stop)
+		accepted, near, err := to.streams.Accept(p.stop)
 		if err != nil {
 			return
 		}
-		p.streams.Add(1)
-		w := link.Wrap(c, f.net.link(near))
+		p.traffic.streams.Add(1)
+		conn := link.Wrap(accepted, to.net.link(near))
 		p.tasks.Add(1)
 		go func() {
 			defer p.tasks.Done()
-			forwardStream(w, f.to.String(), func(n int64) { p.streamBytes.Add(n) }, func(far net.Conn, _ string) { p.streamBytes.Add(copyBytes(w, far)) })
+			countBytes := func(n int64) { p.traffic.streamBytes.Add(n) }
+			forwardStream(conn, to.sidecar.String(), countBytes, func(far net.Conn, _ string) { countBytes(copyBytes(conn, far)) })
 		}()
 	}
 }
 
-// recordTraffic writes down once a second what passed in it.
+// recordTraffic records once a second what was forwarded in it.
 func (p *peers) recordTraffic(records *ctl.Records) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -195,7 +231,7 @@
 		case <-p.stop:
 			return
 		}
-		records.Add(ctl.Gossip{At: clock.Now(), Packets: p.packets.Swap(0), Bytes: p.bytes.Swap(0), Streams: p.streams.Swap(0),
-			StreamBytes: p.streamBytes.Swap(0)})
+		records.Add(ctl.Gossip{At: clock.Now(), Packets: p.traffic.packets.Swap(0), Bytes: p.traffic.packetBytes.Swap(0),
+			Streams: p.traffic.streams.Swap(0), StreamBytes: p.traffic.streamBytes.Swap(0)})
 	}
 }
--- a/internal/lab/standin/watchers.go
+++ b/internal/lab/standin/watchers.go
@@ -12,27 +12,27 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// Watchers follows keepers with many clients in one process until the orders end. Each of of is one client's keepers, with
-// slashes between them.
-func Watchers(orders io.Reader, news, log io.Writer, of []string) error {
+// Watchers runs many subscribers of the registry in one process until the orders end. Each element of registries is one subscriber's
+// registry nodes, with slashes between them. Watchers returns the first error of a subscriber's options or of reading orders.
+func Watchers(orders io.Reader, news, log io.Writer, registries []string) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var all sync.WaitGroup
-	for _, addresses := range of {
-		f, err := client.NewListSubscriber(client.ListOptions{Registry: strings.Split(addresses, "/"), ShrinkLimits: client.DefaultShrinkLimits,
-			Log: slog.New(slog.NewTextHandler(log, nil)), OnUpdate: func(client.ListUpdate) {}})
+	var running sync.WaitGroup
+	for _, nodes := range registries {
+		subscriber, err := client.NewListSubscriber(client.ListOptions{Registry: strings.Split(nodes, "/"),
+			ShrinkLimits: client.DefaultShrinkLimits, Log: slog.New(slog.NewTextHandler(log, nil)), OnUpdate: func(client.ListUpdate) {}})
 		if err != nil {
 			return err
 		}
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			f.Run(ctx)
+			defer running.Done()
+			subscriber.Run(ctx)
 		}()
 	}
 	ctl.NewOut(news).Say(ctl.News{Kind: "ready", At: clock.Now()})
 	err := ctl.Lines(orders, func(ctl.Order) error { return nil })
 	cancel()
-	all.Wait()
+	running.Wait()
 	return err
 }
