--- a/internal/lab/standin/plainregistry.go
+++ b/internal/lab/standin/plainregistry.go
@@ -16,33 +16,37 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// PlainRegistry is a list service that agrees with nobody and forgets all when it ends, to show that the checkers find that.
-// It answers at an address until ctx is done, and does what its flaw says besides.
+// registryFlaw is what a plain registry node does wrong, as commands name it. The zero value is nothing beyond its plainness.
+type registryFlaw string
+
+const (
+	registryMute   registryFlaw = "mute" // watches get no changes
+	registryGap    registryFlaw = "gap"  // watches get no change of every gapInterval-th revision
+	registryRewind registryFlaw = "back" // a restore takes the route table's generation back
+)
+
+const (
+	gapInterval        = 5
+	plainCluster       = "plain"
+	maxRegisterBytes   = 1 << 20
+	plainHeaderTimeout = 5 * time.Second
+)
+
+// PlainRegistry is a registry node that replicates with no other and forgets all when it ends, to show that the checkers find that.
+// It answers at an address until ctx is done, and does what its flaw says besides. It returns an error where it cannot listen.
 func PlainRegistry(ctx context.Context, address, flaw string) error {
-	listener, err := net.Listen("tcp4", address)
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", address)
 	if err != nil {
 		return err
 	}
-	registry := &plainRegistry{flaw: flaw, entries: map[string]client.Entry{}, changed: make(chan struct{})}
+	registry := &plainRegistry{flaw: registryFlaw(flaw), entries: map[string]client.Entry{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", registry.handleList)
-	mux.HandleFunc("GET /v1/servers/{uid}", registry.handleServer)
-	mux.HandleFunc("POST /v1/servers", registry.handleRegister)
-	mux.HandleFunc("POST /v1/servers/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { registry.handleStateChange(w, r, list.Draining) })
-	mux.HandleFunc("DELETE /v1/servers/{uid}", func(w http.ResponseWriter, r *http.Request) { registry.handleStateChange(w, r, list.Deleted) })
-	mux.HandleFunc("POST /v1/renew", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, 200, map[string]any{"unknown": []string{}})
-	})
-	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
-		registry.mu.Lock()
-		defer registry.mu.Unlock()
-		writeJSON(w, 200, map[string]any{"role": "leader", "rev": len(registry.changes), "age_ms": 0, "cluster": "plain"})
-	})
-	(&plainRoutes{flaw: flaw}).addHandlers(mux)
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	registry.addHandlers(mux)
+	newPlainRoutes(registryFlaw(flaw)).addHandlers(mux)
+	web := &http.Server{Handler: mux, ReadHeaderTimeout: plainHeaderTimeout}
 	go func() {
 		<-ctx.Done()
-		_ = web.Close()
+		_ = web.Close() // the process ends next
 	}()
 	if err := web.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -51,11 +55,23 @@
 }
 
 type plainRegistry struct {
-	flaw    string
+	flaw    registryFlaw
 	mu      sync.Mutex
-	entries map[string]client.Entry
-	changes []list.Target // that of revision i is at i-1
-	changed chan struct{}
+	entries map[string]client.Entry // by UID
+	changes []list.Target           // that of revision i is at i-1
+	changed chan struct{}           // closed at the next change
+}
+
+func (p *plainRegistry) addHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("GET /v1/servers", p.handleList)
+	mux.HandleFunc("GET /v1/servers/{uid}", p.handleServer)
+	mux.HandleFunc("POST /v1/servers", p.handleRegister)
+	mux.HandleFunc("POST /v1/servers/{uid}/drain", func(w http.ResponseWriter, r *http.Request) { p.handleStateChange(w, r, list.Draining) })
+	mux.HandleFunc("DELETE /v1/servers/{uid}", func(w http.ResponseWriter, r *http.Request) { p.handleStateChange(w, r, list.Deleted) })
+	mux.HandleFunc("POST /v1/renew", func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, http.StatusOK, map[string]any{"unknown": []string{}})
+	})
+	mux.HandleFunc("GET /v1/status", p.handleStatus)
 }
 
 func writeJSON(w http.ResponseWriter, code int, v any) {
@@ -68,125 +84,155 @@
 	writeJSON(w, code, map[string]any{"code": "plain", "reason": reason})
 }
 
-// applyChange notes an entry's new state. k.mu is held.
-func (k *plainRegistry) applyChange(e client.Entry) {
-	k.changes = append(k.changes, e.Target)
-	e.Revision = int64(len(k.changes))
-	if k.entries[e.UID] = e; e.State == list.Deleted {
-		delete(k.entries, e.UID)
+func (p *plainRegistry) handleStatus(w http.ResponseWriter, _ *http.Request) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	writeJSON(w, http.StatusOK, map[string]any{"role": "leader", "rev": len(p.changes), "age_ms": 0, "cluster": plainCluster})
+}
+
+// revision is that of the latest change. The caller holds p.mu.
+func (p *plainRegistry) revision() int64 { return int64(len(p.changes)) }
+
+// applyChange applies an entry's new state as the next revision. The caller holds p.mu.
+func (p *plainRegistry) applyChange(entry client.Entry) {
+	p.changes = append(p.changes, entry.Target)
+	entry.Revision = p.revision()
+	p.entries[entry.UID] = entry
+	if entry.State == list.Deleted {
+		delete(p.entries, entry.UID)
 	}
-	close(k.changed)
-	k.changed = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (k *plainRegistry) handleRegister(w http.ResponseWriter, r *http.Request) {
-	var c struct {
+func (p *plainRegistry) handleRegister(w http.ResponseWriter, r *http.Request) {
+	var call struct {
 		Servers []list.Registration
 		Expect  *int64
 	}
-	if err := json.NewDecoder(io.LimitReader(r.Body, 1<<20)).Decode(&c); err != nil {
-		writeRefusal(w, 400, err.Error())
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxRegisterBytes)).Decode(&call); err != nil {
+		writeRefusal(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	rev := int64(0)
-	for _, s := range c.Servers {
-		if c.Expect != nil && *c.Expect != k.entries[s.UID].Revision {
-			writeRefusal(w, 409, "another revision")
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	revision := int64(0)
+	for _, registration := range call.Servers {
+		existing := p.entries[registration.UID]
+		if call.Expect != nil && *call.Expect != existing.Revision {
+			writeRefusal(w, http.StatusConflict, "another revision")
 			return
 		}
-		old := k.entries[s.UID]
-		if old.State == list.Draining && old.BootMS == s.BootMS {
-			s.State = list.Draining
+		if existing.State == list.Draining && existing.BootMS == registration.BootMS {
+			registration.State = list.Draining
 		}
-		k.applyChange(client.Entry{Target: s.Target, LeaseMS: s.LeaseMS})
-		rev = int64(len(k.changes))
+		p.applyChange(client.Entry{Target: registration.Target, LeaseMS: registration.LeaseMS})
+		revision = p.revision()
 	}
-	writeJSON(w, 200, client.Result{Revision: rev, Cluster: "plain"})
+	writeJSON(w, http.StatusOK, client.Result{Revision: revision, Cluster: plainCluster})
 }
 
-func (k *plainRegistry) handleStateChange(w http.ResponseWriter, r *http.Request, state list.State) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e, ok := k.entries[r.PathValue("uid")]
+func (p *plainRegistry) handleStateChange(w http.ResponseWriter, r *http.Request, state list.State) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	entry, ok := p.entries[r.PathValue("uid")]
 	if !ok {
-		writeRefusal(w, 404, "no such server")
+		writeRefusal(w, http.StatusNotFound, "no such server")
 		return
 	}
-	e.State = state
-	k.applyChange(e)
-	writeJSON(w, 200, client.Result{Revision: int64(len(k.changes)), Cluster: "plain"})
+	entry.State = state
+	p.applyChange(entry)
+	writeJSON(w, http.StatusOK, client.Result{Revision: p.revision(), Cluster: plainCluster})
 }
 
-func (k *plainRegistry) handleServer(w http.ResponseWriter, r *http.Request) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e, ok := k.entries[r.PathValue("uid")]
+func (p *plainRegistry) handleServer(w http.ResponseWriter, r *http.Request) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	entry, ok := p.entries[r.PathValue("uid")]
 	if !ok {
-		writeRefusal(w, 404, "no such server")
+		writeRefusal(w, http.StatusNotFound, "no such server")
 		return
 	}
-	writeJSON(w, 200, client.Result{Revision: e.Revision, Cluster: "plain", Server: &e})
+	writeJSON(w, http.StatusOK, client.Result{Revision: entry.Revision, Cluster: plainCluster, Server: &entry})
 }
 
-// snapshot is the list. k.mu is held.
-func (k *plainRegistry) snapshot() list.List {
-	l := list.List{Rev: int64(len(k.changes)), All: true, Cluster: "plain", Targets: []list.Target{}}
-	for _, e := range k.entries {
-		l.Targets = append(l.Targets, e.Target)
+// snapshot is the complete list.
+func (p *plainRegistry) snapshot() list.List {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	snapshot := list.List{Rev: p.revision(), All: true, Cluster: plainCluster, Targets: []list.Target{}}
+	for _, entry := range p.entries {
+		snapshot.Targets = append(snapshot.Targets, entry.Target)
 	}
-	return l
+	return snapshot
 }
 
-const gapInterval = 5
-
-func (k *plainRegistry) handleList(w http.ResponseWriter, r *http.Request) {
-	k.mu.Lock()
-	l := k.snapshot()
-	k.mu.Unlock()
-	if r.URL.Query().Get("watch") != "1" {
-		writeJSON(w, 200, l)
+// handleList answers with the list, or with a watch of it: a snapshot, unless the caller has a revision of this node, and a line for
+// each change after that.
+func (p *plainRegistry) handleList(w http.ResponseWriter, r *http.Request) {
+	snapshot := p.snapshot()
+	query := r.URL.Query()
+	if query.Get("watch") != "1" {
+		writeJSON(w, http.StatusOK, snapshot)
 		return
 	}
-	out := http.NewResponseController(w)
-	write := func(l list.List) bool {
-		text, err := json.Marshal(l)
-		if err == nil {
-			_, err = fmt.Fprintf(w, "%s\n", text)
+	out := lineWriter{w, http.NewResponseController(w)}
+	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
+	if err != nil || from > snapshot.Rev {
+		from = snapshot.Rev
+		if !out.write(snapshot) {
+			return
 		}
-		return err == nil && out.Flush() == nil
 	}
-	from := l.Rev
-	if n, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64); err == nil && n <= l.Rev {
-		from = n
-	} else if !write(l) {
-		return
-	}
-	for beat := time.NewTicker(list.Heartbeat); ; {
-		k.mu.Lock()
-		changes, changed := k.changes[from:], k.changed
-		k.mu.Unlock()
-		if k.flaw == "mute" {
+	p.watch(r.Context(), out, from)
+}
+
+// watch writes the changes after a revision, and heartbeats, until the caller hangs up.
+func (p *plainRegistry) watch(ctx context.Context, out lineWriter, from int64) {
+	heartbeat := time.NewTicker(list.Heartbeat)
+	defer heartbeat.Stop()
+	for {
+		p.mu.Lock()
+		changes, changed := p.changes[from:], p.changed
+		p.mu.Unlock()
+		if p.flaw == registryMute {
 			changes = nil
 		}
-		for _, t := range changes {
-			if from++; k.flaw == "gap" && from%gapInterval == 0 {
+		for _, target := range changes {
+			from++
+			if p.flaw == registryGap && from%gapInterval == 0 {
 				continue
 			}
-			if !write(list.List{Rev: from, Cluster: "plain", Targets: []list.Target{t}}) {
+			if !out.write(list.List{Rev: from, Cluster: plainCluster, Targets: []list.Target{target}}) {
 				return
 			}
 		}
 		select {
 		case <-changed:
-		case <-beat.C:
-			if !write(list.List{Rev: from, Cluster: "plain", Targets: []list.Target{}}) {
+		case <-heartbeat.C:
+			if !out.write(list.List{Rev: from, Cluster: plainCluster, Targets: []list.Target{}}) {
 				return
 			}
-		case <-r.Context().Done():
-			beat.Stop()
+		case <-ctx.Done():
 			return
 		}
 	}
 }
+
+// lineWriter writes lists to a watch, a line each.
+type lineWriter struct {
+	to         io.Writer
+	controller *http.ResponseController
+}
+
+// write writes and flushes a line, and reports whether that succeeded.
+func (l lineWriter) write(update list.List) bool {
+	text, err := json.Marshal(update)
+	if err != nil {
+		return false
+	}
+	if _, err := fmt.Fprintf(l.to, "%s\n", text); err != nil {
+		return false
+	}
+	return l.controller.Flush() == nil
+}
--- a/internal/lab/standin/plainroutes.go
+++ b/internal/lab/standin/plainroutes.go
@@ -13,13 +13,13 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// plainRoutes is a plain keeper's route table, which agrees with nobody's. It always says the whole. With the flaw "mute" it says no
-// more than the first; with "back" a restore takes the generation back with the table.
+// plainRoutes is the route table of a plain registry node, which replicates it to no other. Every line of a watch is the complete
+// table. With the flaw "mute" a watch gets its first line only; with "back" a restore takes the generation back with the table.
 type plainRoutes struct {
-	flaw    string
+	flaw    registryFlaw
 	mu      sync.Mutex
 	current plainTable
-	changed chan struct{}
+	changed chan struct{} // closed at the next change
 }
 
 type plainTable struct {
@@ -27,20 +27,25 @@
 	Rules routes.Table `json:"rules"`
 }
 
-func (k *plainRoutes) addHandlers(mux *http.ServeMux) {
-	k.changed, k.current.Rules = make(chan struct{}), routes.Table{}
+const plainRoutesHeartbeat = time.Second
+
+func newPlainRoutes(flaw registryFlaw) *plainRoutes {
+	return &plainRoutes{flaw: flaw, current: plainTable{Rules: routes.Table{}}, changed: make(chan struct{})}
+}
+
+func (p *plainRoutes) addHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("PUT /v1/routes", func(w http.ResponseWriter, r *http.Request) {
-		k.handleReplace(w, r, func(t plainTable, gen int64) plainTable { return plainTable{gen + 1, t.Rules} })
+		p.handleReplace(w, r, func(t plainTable, gen int64) plainTable { return plainTable{gen + 1, t.Rules} })
 	})
-	mux.HandleFunc("GET /v1/routes", k.handleGet)
+	mux.HandleFunc("GET /v1/routes", p.handleGet)
 	mux.HandleFunc("GET /v1/backup", func(w http.ResponseWriter, _ *http.Request) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		writeJSON(w, 200, k.current)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		writeJSON(w, http.StatusOK, p.current)
 	})
 	mux.HandleFunc("POST /v1/restore", func(w http.ResponseWriter, r *http.Request) {
-		k.handleReplace(w, r, func(t plainTable, gen int64) plainTable {
-			if k.flaw != "back" {
+		p.handleReplace(w, r, func(t plainTable, gen int64) plainTable {
+			if p.flaw != registryRewind {
 				t.Gen = gen + 1
 			}
 			return t
@@ -48,59 +53,71 @@
 	})
 }
 
-// handleReplace takes a table in the place of the one that is there.
-func (k *plainRoutes) handleReplace(w http.ResponseWriter, r *http.Request, next func(t plainTable, gen int64) plainTable) {
-	var t plainTable
-	if err := json.NewDecoder(io.LimitReader(r.Body, list.MostText)).Decode(&t); err != nil {
-		writeRefusal(w, 400, err.Error())
+// handleReplace replaces the current table by what next makes of the one received and of the current generation. A PUT of the same
+// rules changes nothing.
+func (p *plainRoutes) handleReplace(w http.ResponseWriter, r *http.Request, next func(received plainTable, gen int64) plainTable) {
+	var received plainTable
+	if err := json.NewDecoder(io.LimitReader(r.Body, list.MostText)).Decode(&received); err != nil {
+		writeRefusal(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if r.Method == http.MethodPost || t.Rules.Hash() != k.current.Rules.Hash() {
-		k.current = next(t, k.current.Gen)
-		close(k.changed)
-		k.changed = make(chan struct{})
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if r.Method == http.MethodPost || received.Rules.Hash() != p.current.Rules.Hash() {
+		p.current = next(received, p.current.Gen)
+		close(p.changed)
+		p.changed = make(chan struct{})
 	}
-	writeJSON(w, 200, map[string]any{"gen": k.current.Gen, "cluster": "plain"})
+	writeJSON(w, http.StatusOK, map[string]any{"gen": p.current.Gen, "cluster": plainCluster})
 }
 
-func (k *plainRoutes) handleGet(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	var tags map[string]string
-	for _, pair := range q["tag"] {
-		if tag, v, ok := strings.Cut(pair, ":"); ok {
-			if tags == nil {
-				tags = map[string]string{}
-			}
-			tags[tag] = v
-		}
-	}
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
-	for held := ""; ; {
-		k.mu.Lock()
-		now, changed := k.current, k.changed
-		k.mu.Unlock()
-		t := now.Rules.Relevant(tags, q.Get("service"))
-		if h := t.Hash(); h != held && (held == "" || k.flaw != "mute") {
-			held = h
-			line, err := json.Marshal(map[string]any{"gen": now.Gen, "all": true, "hash": h, "cluster": "plain", "rules": t})
+// handleGet answers with the part of the table that concerns the caller, or with a watch of it. An empty line says that nothing
+// changed.
+func (p *plainRoutes) handleGet(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	tags := parseTags(query["tag"])
+	controller := http.NewResponseController(w)
+	heartbeat := time.NewTicker(plainRoutesHeartbeat)
+	defer heartbeat.Stop()
+	for lastHash := ""; ; {
+		p.mu.Lock()
+		current, changed := p.current, p.changed
+		p.mu.Unlock()
+		relevant := current.Rules.Relevant(tags, query.Get("service"))
+		line := []byte{}
+		if hash := relevant.Hash(); hash != lastHash && (lastHash == "" || p.flaw != registryMute) {
+			lastHash = hash
+			var err error
+			line, err = json.Marshal(map[string]any{"gen": current.Gen, "all": true, "hash": hash, "cluster": plainCluster, "rules": relevant})
 			if err != nil {
 				return
 			}
-			fmt.Fprintf(w, "%s\n", line)
-		} else {
-			fmt.Fprintln(w)
 		}
-		if q.Get("watch") != "1" || http.NewResponseController(w).Flush() != nil {
+		_, _ = fmt.Fprintf(w, "%s\n", line) // an error shows at the flush
+		if query.Get("watch") != "1" || controller.Flush() != nil {
 			return
 		}
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
+
+// parseTags parses pairs "tag:value"; others are left out. No pair gives nil.
+func parseTags(pairs []string) map[string]string {
+	var tags map[string]string
+	for _, pair := range pairs {
+		tag, value, ok := strings.Cut(pair, ":")
+		if !ok {
+			continue
+		}
+		if tags == nil {
+			tags = map[string]string{}
+		}
+		tags[tag] = value
+	}
+	return tags
+}
