--- a/internal/lab/standin/plainsidecar.go
+++ b/internal/lab/standin/plainsidecar.go
@@ -17,47 +17,71 @@
 	"time"
 )
 
-// Plain is the plainest sidecar that keeps the rules: even turns over what the list says, one attempt more where the first
-// certainly did not run. Experiments compare with it, and with one flaw it is the control of a checker. It ends when ctx is
-// done.
+// sidecarFlaw is what a plain sidecar does wrong, as commands name it. The zero value is nothing.
+type sidecarFlaw string
+
+const (
+	sidecarCrash           sidecarFlaw = "crash"            // the process ends
+	sidecarDeaf            sidecarFlaw = "deaf"             // it applies no update after the first
+	sidecarDuplicate       sidecarFlaw = "duplicate"        // it sends an answered request again
+	sidecarHedge           sidecarFlaw = "hedge"            // it makes two attempts at once
+	sidecarLate            sidecarFlaw = "late"             // it answers after the deadline
+	sidecarLeakDescriptors sidecarFlaw = "leak-descriptors" // it opens files and never closes them
+	sidecarLeakMemory      sidecarFlaw = "leak-memory"      // it never frees memory
+	sidecarMute            sidecarFlaw = "mute"             // it never answers
+	sidecarRush            sidecarFlaw = "rush"             // it picks the server that started last
+)
+
+const (
+	flawInterval       = 20               // requests, of which one meets the flaw
+	requestsUntilCrash = 5 * flawInterval // at least
+	leakBytes          = 16 << 20         // per request that meets the flaw
+	leakDescriptors    = 40
+	crashExitCode      = 3
+	lateBy             = 700 * time.Millisecond
+
+	plainDialTimeout     = 250 * time.Millisecond
+	plainIdleTimeout     = 5 * time.Second
+	plainConnsPerServer  = 64
+	plainHeadersTimeout  = 10 * time.Second
+	plainShutdownTimeout = 3 * time.Second
+	plainWatchRetry      = 200 * time.Millisecond
+	maxListLineBytes     = 4 << 20
+)
+
+// Plain is the plainest sidecar that obeys the rules: round robin over the servers of the list, and one more attempt where the
+// first was certainly not processed. Experiments compare with it, and with one flaw it is the control of a checker. It reads its
+// configuration from the file that getenv names as PROXY_CONFIG, and ends when ctx is done.
 func Plain(ctx context.Context, getenv func(string) string, flaw string) error {
-	text, err := os.ReadFile(getenv("PROXY_CONFIG"))
+	config, err := readPlainConfig(getenv("PROXY_CONFIG"))
 	if err != nil {
-		return fmt.Errorf("PROXY_CONFIG: %w", err)
-	}
-	var config struct {
-		Listen    string
-		Discovery string
-		Known     receivedList
-	}
-	if err := json.Unmarshal(text, &config); err != nil {
-		return fmt.Errorf("%s: %w", getenv("PROXY_CONFIG"), err)
+		return err
 	}
-	l, err := net.Listen("tcp4", config.Listen)
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", config.Listen)
 	if err != nil {
 		return err
 	}
-	p := &plain{flaw: flaw, servers: map[string]target{}, client: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second,
-		DialContext: (&net.Dialer{Timeout: 250 * time.Millisecond}).DialContext}}
-	p.applyUpdate(config.Known)
+	sidecar := &plain{flaw: sidecarFlaw(flaw), servers: map[string]listedServer{}, client: &http.Transport{
+		MaxIdleConnsPerHost: plainConnsPerServer, IdleConnTimeout: plainIdleTimeout,
+		DialContext: (&net.Dialer{Timeout: plainDialTimeout}).DialContext}}
+	sidecar.applyUpdate(config.Known)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var tasks sync.WaitGroup
-	tasks.Add(1)
+	tasks.Add(2)
 	go func() {
 		defer tasks.Done()
-		p.watchList(ctx, config.Discovery)
+		sidecar.watchList(ctx, config.Discovery)
 	}()
-	web := &http.Server{Handler: p, ReadHeaderTimeout: 10 * time.Second}
-	tasks.Add(1)
+	web := &http.Server{Handler: sidecar, ReadHeaderTimeout: plainHeadersTimeout}
 	go func() {
 		defer tasks.Done()
 		<-ctx.Done()
-		over, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), plainShutdownTimeout)
 		defer cancel()
-		_ = web.Shutdown(over) // who has not ended by then is cut off with the process
+		_ = web.Shutdown(shutdownCtx) // requests that have not ended by then end with the process
 	}()
-	err = web.Serve(l)
+	err = web.Serve(listener)
 	cancel()
 	tasks.Wait()
 	if errors.Is(err, http.ErrServerClosed) {
@@ -66,108 +90,139 @@
 	return err
 }
 
-type target struct {
+// plainConfig is what a plain sidecar reads of the sidecars' configuration.
+type plainConfig struct {
+	Listen    string
+	Discovery string
+	Known     receivedList
+}
+
+func readPlainConfig(path string) (plainConfig, error) {
+	var config plainConfig
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return config, fmt.Errorf("PROXY_CONFIG: %w", err)
+	}
+	if err := json.Unmarshal(text, &config); err != nil {
+		return config, fmt.Errorf("%s: %w", path, err)
+	}
+	return config, nil
+}
+
+// listedServer is a server of the list.
+type listedServer struct {
 	UID      string
 	Endpoint string
 	State    string
 	BootMS   int64 `json:"boot_ms"`
 }
 
+// receivedList is a line of the list: a snapshot, or changes.
 type receivedList struct {
 	Rev     int64
 	All     bool
-	Targets []target
+	Targets []listedServer
 }
 
+// plain is a plain sidecar. It is safe for concurrent use.
 type plain struct {
-	flaw   string
+	flaw   sidecarFlaw
 	client *http.Transport
 
 	mu           sync.Mutex
-	servers      map[string]target
-	order        []string
-	turn         int
-	rev          int64
+	servers      map[string]listedServer // those that serve, by UID
+	order        []string                // their UIDs, sorted
+	turn         int                     // of the round robin
+	revision     int64
 	requestCount int
 	leakedMemory [][]byte
 	leakedFiles  []*os.File
 }
 
-func (p *plain) applyUpdate(l receivedList) {
+func (p *plain) applyUpdate(received receivedList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.flaw == "deaf" && len(p.servers) > 0 {
+	if p.flaw == sidecarDeaf && len(p.servers) > 0 {
 		return
 	}
-	if l.All {
+	if received.All {
 		clear(p.servers)
 	}
-	for _, t := range l.Targets {
-		if t.State == "SERVING" {
-			p.servers[t.UID] = t
+	for _, server := range received.Targets {
+		if server.State == "SERVING" {
+			p.servers[server.UID] = server
 		} else {
-			delete(p.servers, t.UID)
+			delete(p.servers, server.UID)
 		}
 	}
-	p.rev, p.order = l.Rev, p.order[:0]
+	p.revision, p.order = received.Rev, p.order[:0]
 	for uid := range p.servers {
 		p.order = append(p.order, uid)
 	}
 	slices.Sort(p.order)
 }
 
-// nextServer is the server whose turn it is; ok is false where none is known.
-func (p *plain) nextServer() (t target, ok bool) {
+// nextServer is the next server of the round robin; ok is false where none is known.
+func (p *plain) nextServer() (next listedServer, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.order) == 0 {
-		return target{}, false
+		return listedServer{}, false
 	}
 	p.turn++
-	t = p.servers[p.order[p.turn%len(p.order)]]
-	if p.flaw == "rush" { // to whom was started last
+	next = p.servers[p.order[p.turn%len(p.order)]]
+	if p.flaw == sidecarRush {
 		for _, other := range p.servers {
-			if other.BootMS > t.BootMS {
-				t = other
+			if other.BootMS > next.BootMS {
+				next = other
 			}
 		}
 	}
-	return t, true
+	return next, true
 }
 
-// watchList watches the list, again whenever the watch ends.
+// watchList watches the list until ctx is done, and again whenever a watch ends.
 func (p *plain) watchList(ctx context.Context, discovery string) {
 	client := &http.Transport{DisableKeepAlives: true}
 	for ctx.Err() == nil {
-		p.mu.Lock()
-		from := p.rev
-		p.mu.Unlock()
-		url := "http://" + discovery + "/v1/servers?watch=1&from=" + strconv.FormatInt(from, 10)
-		if req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil); err == nil {
-			if resp, err := client.RoundTrip(req); err == nil {
-				lines := bufio.NewScanner(resp.Body)
-				lines.Buffer(nil, 4<<20)
-				for lines.Scan() {
-					var l receivedList
-					if len(lines.Bytes()) > 0 && json.Unmarshal(lines.Bytes(), &l) == nil {
-						p.applyUpdate(l)
-					}
-				}
-				resp.Body.Close()
-			}
-		}
+		p.watchOnce(ctx, client, discovery)
 		select {
 		case <-ctx.Done():
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(plainWatchRetry):
+		}
+	}
+}
+
+// watchOnce applies the updates of one watch until that ends.
+func (p *plain) watchOnce(ctx context.Context, client *http.Transport, discovery string) {
+	p.mu.Lock()
+	from := p.revision
+	p.mu.Unlock()
+	url := "http://" + discovery + "/v1/servers?watch=1&from=" + strconv.FormatInt(from, 10)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return
+	}
+	resp, err := client.RoundTrip(req)
+	if err != nil {
+		return
+	}
+	defer func() { _ = resp.Body.Close() }() // the watch has ended
+	lines := bufio.NewScanner(resp.Body)
+	lines.Buffer(nil, maxListLineBytes)
+	for lines.Scan() {
+		var received receivedList
+		if len(lines.Bytes()) > 0 && json.Unmarshal(lines.Bytes(), &received) == nil {
+			p.applyUpdate(received)
 		}
 	}
 }
 
-// reply is a server's answer.
+// reply is a server's answer, or the lack of one.
 type reply struct {
-	status       int
+	status       int // 0: no attempt was made
 	body         []byte
-	notProcessed bool // it certainly did not run
+	notProcessed bool // the server certainly did not process the request
 }
 
 // ServeHTTP implements http.Handler.
@@ -179,80 +234,115 @@
 	if err != nil {
 		return
 	}
-	ms, err := strconv.Atoi(r.Header.Get("X-Timeout-Ms"))
+	timeoutMS, err := strconv.Atoi(r.Header.Get("X-Timeout-Ms"))
 	if err != nil {
 		http.Error(w, "no X-Timeout-Ms", http.StatusBadRequest)
 		return
 	}
-	timeout := time.Duration(ms) * time.Millisecond
+	timeout := time.Duration(timeoutMS) * time.Millisecond
 	ctx, cancel := context.WithTimeout(r.Context(), timeout*8/10)
 	defer cancel()
-	flawed := p.countRequest()
-	if flawed && p.flaw == "mute" {
-		<-r.Context().Done() // the client goes away
+	flaw := p.countRequest()
+	if flaw == sidecarMute {
+		<-r.Context().Done() // until the client hangs up
 		return
 	}
-	var a reply
-	if flawed && p.flaw == "hedge" && r.Method == http.MethodGet {
-		a = p.sendHedged(ctx, r, body)
-	} else {
-		for range 2 {
-			if a = p.sendAttempt(ctx, r, body); !a.notProcessed {
-				break
-			}
-		}
-	}
-	if flawed && p.flaw == "duplicate" && a.status != 0 {
-		a = p.sendAttempt(ctx, r, body)
+	answer := p.sendWithFlaw(ctx, r, body, flaw)
+	if flaw == sidecarLate {
+		time.Sleep(timeout + lateBy)
 	}
-	if flawed && p.flaw == "late" {
-		time.Sleep(timeout + 700*time.Millisecond)
-	}
-	switch {
-	case a.status == 0 || a.notProcessed:
+	if answer.status == 0 || answer.notProcessed {
 		w.Header().Set("Retry-After", "0.1")
 		http.Error(w, "no server", http.StatusServiceUnavailable)
-	default:
-		w.WriteHeader(a.status)
-		_, _ = w.Write(a.body) // a client that has gone needs no answer
+		return
 	}
+	w.WriteHeader(answer.status)
+	_, _ = w.Write(answer.body) // a client that has gone needs no answer
 }
 
-const flawInterval = 20 // requests of which one meets the flaw
+// countRequest counts a request and returns the flaw that it meets, if any.
+func (p *plain) countRequest() sidecarFlaw {
+	p.mu.Lock()
+	p.requestCount++
+	count := p.requestCount
+	p.mu.Unlock()
+	if count%flawInterval != 0 {
+		return ""
+	}
+	switch p.flaw {
+	case sidecarCrash:
+		if count > requestsUntilCrash {
+			os.Exit(crashExitCode)
+		}
+	case sidecarLeakMemory:
+		p.leakMemory()
+	case sidecarLeakDescriptors:
+		p.leakDescriptors()
+	}
+	return p.flaw
+}
 
-// countRequest counts a request and tells whether the flaw is due.
-func (p *plain) countRequest() bool {
+func (p *plain) leakMemory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.requestCount++
-	due := p.requestCount%flawInterval == 0
-	switch {
-	case !due:
-	case p.flaw == "crash" && p.requestCount > 5*flawInterval:
-		os.Exit(3)
-	case p.flaw == "leak-memory":
-		p.leakedMemory = append(p.leakedMemory, bytes.Repeat([]byte{1}, 16<<20))
-	case p.flaw == "leak-descriptors":
-		for range 40 {
-			if f, err := os.Open(os.DevNull); err == nil {
-				p.leakedFiles = append(p.leakedFiles, f)
-			}
+	p.leakedMemory = append(p.leakedMemory, bytes.Repeat([]byte{1}, leakBytes))
+}
+
+func (p *plain) leakDescriptors() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for range leakDescriptors {
+		if file, err := os.Open(os.DevNull); err == nil {
+			p.leakedFiles = append(p.leakedFiles, file)
 		}
 	}
-	return due
+}
+
+// sendWithFlaw sends a request as the rules allow, or with the flaw hedge or duplicate as they do not.
+func (p *plain) sendWithFlaw(ctx context.Context, r *http.Request, body []byte, flaw sidecarFlaw) reply {
+	var answer reply
+	if flaw == sidecarHedge && r.Method == http.MethodGet {
+		answer = p.sendHedged(ctx, r, body)
+	} else {
+		answer = p.sendRetried(ctx, r, body)
+	}
+	if flaw == sidecarDuplicate && answer.status != 0 {
+		answer = p.sendAttempt(ctx, r, body)
+	}
+	return answer
+}
+
+// sendRetried makes an attempt, and a second one if the first was not processed.
+func (p *plain) sendRetried(ctx context.Context, r *http.Request, body []byte) reply {
+	answer := p.sendAttempt(ctx, r, body)
+	if answer.notProcessed {
+		answer = p.sendAttempt(ctx, r, body)
+	}
+	return answer
+}
+
+// sendHedged makes two attempts at once, waits for both and returns the first answer.
+func (p *plain) sendHedged(ctx context.Context, r *http.Request, body []byte) reply {
+	answers := make(chan reply, 2)
+	for range 2 {
+		go func() { answers <- p.sendAttempt(ctx, r, body) }()
+	}
+	first := <-answers
+	<-answers
+	return first
 }
 
 // sendAttempt makes one attempt.
 func (p *plain) sendAttempt(ctx context.Context, r *http.Request, body []byte) reply {
-	t, ok := p.nextServer()
+	server, ok := p.nextServer()
 	if !ok {
 		return reply{notProcessed: true}
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+t.Endpoint+r.URL.RequestURI(), bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+server.Endpoint+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return reply{notProcessed: true}
 	}
-	req.GetBody = nil // the transport must not send again by itself
+	req.GetBody = nil // the transport must not retry by itself
 	if len(body) == 0 {
 		req.Body = nil
 	}
@@ -260,24 +350,13 @@
 	req.Header.Set("X-Timeout-Ms", r.Header.Get("X-Timeout-Ms"))
 	resp, err := p.client.RoundTrip(req)
 	if err != nil {
-		var dial *net.OpError
-		return reply{status: http.StatusBadGateway, notProcessed: errors.As(err, &dial) && dial.Op == "dial"}
+		var failed *net.OpError
+		return reply{status: http.StatusBadGateway, notProcessed: errors.As(err, &failed) && failed.Op == "dial"}
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it was read, or failed
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return reply{status: http.StatusBadGateway}
 	}
 	return reply{resp.StatusCode, text, resp.Header.Get("X-Not-Processed") == "1"}
 }
-
-// sendHedged makes two attempts at once and takes the first answer.
-func (p *plain) sendHedged(ctx context.Context, r *http.Request, body []byte) reply {
-	answers := make(chan reply, 2)
-	for range 2 {
-		go func() { answers <- p.sendAttempt(ctx, r, body) }()
-	}
-	a := <-answers
-	<-answers
-	return a
-}
