--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -103,86 +103,86 @@
 	}
 }
 
-func (h *host) handleOrder(o ctl.Order, n *ctl.News) error {
-	switch o.Do {
+func (h *host) handleOrder(order ctl.Order, event *ctl.News) error {
+	switch order.Do {
 	case "clock":
-		h.wallClockSkew += time.Duration(o.By)
+		h.wallClockSkew += time.Duration(order.By)
 		return nil
 	case "add":
-		return h.add(o, n)
+		return h.add(order, event)
 	}
-	target := h.servers[o.UID]
-	if target == nil && h.removed[o.UID] != nil && o.Do != "revive" {
+	target := h.servers[order.UID]
+	if target == nil && h.removed[order.UID] != nil && order.Do != "revive" {
 		return nil // a fault that lasts longer than the machine
 	}
 	if target == nil {
-		return fmt.Errorf("%s: no server %q", o.Do, o.UID)
+		return fmt.Errorf("%s: no server %q", order.Do, order.UID)
 	}
-	switch o.Do {
+	switch order.Do {
 	case "drain", "die", "silent", "remove":
-		h.changeState(target, o)
+		h.changeState(target, order)
 		return nil
 	case "revive":
-		return h.revive(target, n)
+		return h.revive(target, event)
 	case "trouble":
-		return target.injectFault(o)
+		return target.injectFault(order)
 	case "link", "reset", "forget":
-		return target.changeLinks(o)
+		return target.changeLinks(order)
 	}
-	return fmt.Errorf("unknown order %q", o.Do)
+	return fmt.Errorf("unknown order %q", order.Do)
 }
 
 // add starts a server on a new machine with ports of its own.
-func (h *host) add(o ctl.Order, n *ctl.News) error {
-	if o.Spec == nil || h.servers[o.Spec.UID] != nil {
+func (h *host) add(order ctl.Order, event *ctl.News) error {
+	if order.Spec == nil || h.servers[order.Spec.UID] != nil {
 		return errors.New("add: the order names no server, or one that runs already")
 	}
 	added := &machine{net: newNetwork()}
 	ports, err := added.reservePorts(h.groups)
 	if err == nil {
-		err = h.start(added, *o.Spec, o.Cold, ports)
+		err = h.start(added, *order.Spec, order.Cold, ports)
 	}
 	if err != nil {
 		added.releasePorts()
 		return err
 	}
-	h.servers[o.Spec.UID] = added
-	n.UID, n.Ports = o.Spec.UID, added.process.ports
-	if o.Cold {
-		n.BootMS = h.bootMS()
+	h.servers[order.Spec.UID] = added
+	event.UID, event.Ports = order.Spec.UID, added.process.ports
+	if order.Cold {
+		event.BootMS = h.bootMS()
 	}
-	h.register(added, n.BootMS)
+	h.register(added, event.BootMS)
 	return nil
 }
 
 // revive starts a new process where the old one was, on the same ports.
-func (h *host) revive(m *machine, n *ctl.News) error {
+func (h *host) revive(m *machine, event *ctl.News) error {
 	m.stop()
 	if err := h.start(m, m.process.spec, true, m.process.ports); err != nil {
 		return err
 	}
-	n.BootMS, n.Ports = h.bootMS(), m.process.ports
-	h.register(m, n.BootMS)
+	event.BootMS, event.Ports = h.bootMS(), m.process.ports
+	h.register(m, event.BootMS)
 	return nil
 }
 
 // changeState drains, crashes, isolates or removes a server. The registry's entry changes first, as a server's agent would
 // have it.
-func (h *host) changeState(m *machine, o ctl.Order) {
-	switch o.Do {
+func (h *host) changeState(target *machine, order ctl.Order) {
+	switch order.Do {
 	case "drain":
-		h.registrar.updateDesired(o.UID, func(e *desiredEntry) { e.state = list.Draining })
-		m.process.updateModel(func(now int64) { m.process.model.Drain(now) })
+		h.registrar.updateDesired(order.UID, func(e *desiredEntry) { e.state = list.Draining })
+		target.process.updateModel(func(now int64) { target.process.model.Drain(now) })
 	case "die":
-		h.registrar.updateDesired(o.UID, func(e *desiredEntry) { e.crashed = true })
-		m.process.crash()
+		h.registrar.updateDesired(order.UID, func(e *desiredEntry) { e.crashed = true })
+		target.process.crash()
 	case "silent":
-		h.registrar.updateDesired(o.UID, func(e *desiredEntry) { e.isolated = o.On })
+		h.registrar.updateDesired(order.UID, func(e *desiredEntry) { e.isolated = order.On })
 	case "remove":
-		h.registrar.updateDesired(o.UID, func(e *desiredEntry) { e.state = list.Deleted })
-		m.stop()
-		delete(h.servers, o.UID)
-		h.removed[o.UID] = m
+		h.registrar.updateDesired(order.UID, func(e *desiredEntry) { e.state = list.Deleted })
+		target.stop()
+		delete(h.servers, order.UID)
+		h.removed[order.UID] = target
 	}
 }
 
--- a/internal/lab/standin/lyingmember_test.go
+++ b/internal/lab/standin/lyingmember_test.go
@@ -10,40 +10,41 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// TestLiar has a member hear what a liar says while it is told to lie, in the form that sidecars believe.
-func TestLiar(t *testing.T) {
-	heard := make(chan members.News, 100)
-	m, err := members.New(members.Options{Name: "n0", Listen: "127.0.0.1:0", Told: func(n members.News) {
+// TestLyingMember has a member receive what a lying member publishes while it is ordered to lie, in the form that sidecars believe.
+func TestLyingMember(t *testing.T) {
+	received := make(chan members.News, 100)
+	member, err := members.New(members.Options{Name: "n0", Listen: "127.0.0.1:0", Told: func(n members.News) {
 		select {
-		case heard <- n:
-		default: // enough of it
+		case received <- n:
+		default: // the test has enough of them
 		}
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := m.Start(t.Context()); err != nil {
+	if err := member.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	defer m.Close()
-	o, _ := startStandIn(t, func(in io.Reader, out io.Writer) error {
-		return LyingMember(in, out, members.Options{Name: "l0", Listen: "127.0.0.1:0", Join: []string{m.Address()}})
+	defer member.Close()
+	liar, _ := startStandIn(t, func(in io.Reader, out io.Writer) error {
+		return LyingMember(in, out, members.Options{Name: "l0", Listen: "127.0.0.1:0", Join: []string{member.Address()}})
 	})
-	o.give(ctl.Order{Do: "lie", On: true, Mode: "t7,t9", By: int64(40 * time.Second)})
+	liar.send(ctl.Order{Do: "lie", On: true, Mode: "t7,t9", By: int64(40 * time.Second)})
 	select {
-	case n := <-heard:
-		r, err := hitters.ParseReport(n.Payload)
-		if err != nil || n.Origin != "l0" || n.Kind != hittersStateKind {
-			t.Fatalf("heard %+v, %v", n, err)
+	case update := <-received:
+		report, err := hitters.ParseReport(update.Payload)
+		if err != nil || update.Origin != "l0" || update.Kind != hittersStateKind {
+			t.Fatalf("received %+v, %v", update, err)
 		}
-		if r.Total != 40e6 || r.Named != 2 || r.Keys[1] != hitters.Key(hitters.Key(0, ""), "t9") || r.Shares[0] != 1<<15-1 {
-			t.Errorf("heard %+v", r)
+		t9 := hitters.Key(hitters.Key(0, ""), "t9")
+		if report.Total != 40e6 || report.Named != 2 || report.Keys[1] != t9 || report.Shares[0] != 1<<15-1 {
+			t.Errorf("the report is %+v", report)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing is heard of the liar")
+		t.Fatal("no report of the lying member arrived")
 	}
-	o.give(ctl.Order{Do: "lie"})
+	liar.send(ctl.Order{Do: "lie"})
 	if _, err := forgedReport(nil, time.Second); err == nil {
-		t.Error("it tells of nobody")
+		t.Error("a report without clients is no error")
 	}
 }
--- a/internal/lab/standin/peers_test.go
+++ b/internal/lab/standin/peers_test.go
@@ -16,94 +16,139 @@
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-// TestPeers has packets and streams go from one sidecar to another over a link, be lost where it holds or loses them, and come
-// late where it delays; the link of a third is not touched.
-func TestPeers(t *testing.T) {
+const arrivalTimeout = 20 * time.Second
+
+// peersTest is a sidecar behind the network of Peers, and the port in front of it.
+type peersTest struct {
+	t       *testing.T
+	network *orderSender
+	packets net.PacketConn
+	streams net.Listener
+	port    int
+}
+
+func newPeersTest(t *testing.T) *peersTest {
+	t.Helper()
 	records := filepath.Join(t.TempDir(), "gossip")
-	o, _ := startStandIn(t, func(in io.Reader, out io.Writer) error { return Peers(in, out, records) })
-	place, err := link.Reserve(link.Near(7))
+	network, _ := startStandIn(t, func(in io.Reader, out io.Writer) error { return Peers(in, out, records) })
+	reservation, err := link.Reserve(link.Near(7))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer place.Close()
-	far, err := net.ListenPacket("udp4", place.Addr.String())
+	closeAtEnd(t, reservation)
+	address := reservation.Addr.String()
+	packets, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	streams, err := net.Listen("tcp4", place.Addr.String())
+	closeAtEnd(t, packets)
+	streams, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp4", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer streams.Close()
-	port := o.give(ctl.Order{Do: "front", UID: "n7", Front: place.Addr.String()}).Ports[0]
-	send := func(near int, text string) {
-		c, err := net.Dial("udp4", netip.AddrPortFrom(link.Near(near), uint16(port)).String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		if _, err := c.Write([]byte(text)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	heard := func() string {
-		t.Helper()
-		buf := make([]byte, 100)
-		if err := far.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
-			t.Fatal(err)
-		}
-		n, _, err := far.ReadFrom(buf)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(buf[:n])
-	}
-	send(1, "a")
-	if got := heard(); got != "a" {
-		t.Errorf("heard %q", got)
-	}
-	for name, s := range map[string]link.State{"held": {Hold: [2]bool{link.ToFar: true}}, "lost": {Loss: 1}} {
-		o.give(ctl.Order{Do: "link", UID: "n7", Nears: []int{1}, State: &s})
-		send(1, name)
-		send(2, "of another") // each packet goes through one reader, so the one before is lost by now
-		if got := heard(); got != "of another" {
-			t.Errorf("heard %q", got)
-		}
-	}
-	// What it says is held, what it hears is not.
-	o.give(ctl.Order{Do: "link", UID: "n7", Nears: []int{1}, State: &link.State{Hold: [2]bool{link.ToNear: true}, Delay: 50 * time.Millisecond}})
-	began := time.Now()
-	send(1, "late")
-	if got := heard(); got != "late" || time.Since(began) < 50*time.Millisecond {
-		t.Errorf("heard %q after %v", got, time.Since(began))
+	closeAtEnd(t, streams)
+	port := network.send(ctl.Order{Do: "front", UID: "n7", Front: address}).Ports[0]
+	return &peersTest{t: t, network: network, packets: packets, streams: streams, port: port}
+}
+
+// dial opens a connection to the port in front of the sidecar, as the near end.
+func (p *peersTest) dial(protocol string, near int) net.Conn {
+	p.t.Helper()
+	address := netip.AddrPortFrom(link.Near(near), uint16(p.port)).String()
+	conn, err := (&net.Dialer{}).DialContext(p.t.Context(), protocol, address)
+	if err != nil {
+		p.t.Fatal(err)
 	}
-	near, err := net.Dial("tcp4", netip.AddrPortFrom(link.Near(1), uint16(port)).String())
+	closeAtEnd(p.t, conn)
+	return conn
+}
+
+// sendPacket sends the sidecar a packet from a near end.
+func (p *peersTest) sendPacket(near int, text string) {
+	p.t.Helper()
+	if _, err := p.dial("udp4", near).Write([]byte(text)); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// expectPacket fails the test where the next packet that the sidecar receives is not want.
+func (p *peersTest) expectPacket(want string) {
+	p.t.Helper()
+	buf := make([]byte, 100)
+	if err := p.packets.SetReadDeadline(time.Now().Add(arrivalTimeout)); err != nil {
+		p.t.Fatal(err)
+	}
+	n, _, err := p.packets.ReadFrom(buf)
 	if err != nil {
-		t.Fatal(err)
+		p.t.Fatal(err)
+	}
+	if got := string(buf[:n]); got != want {
+		p.t.Errorf("received %q, want %q", got, want)
 	}
-	defer near.Close()
-	fmt.Fprintln(near, "hello")
-	other, err := streams.Accept()
+}
+
+// setLink sets the state of the link from near end 1.
+func (p *peersTest) setLink(state link.State) {
+	p.t.Helper()
+	p.network.send(ctl.Order{Do: "link", UID: "n7", Nears: []int{1}, State: &state})
+}
+
+// TestPeers has packets and streams go from one sidecar to another over a link, be lost where it holds or loses them, and arrive
+// late where it delays; the link of a third is not touched.
+func TestPeers(t *testing.T) {
+	peers := newPeersTest(t)
+	peers.sendPacket(1, "a")
+	peers.expectPacket("a")
+	for name, state := range map[string]link.State{"held": {Hold: [2]bool{link.ToFar: true}}, "lost": {Loss: 1}} {
+		peers.setLink(state)
+		peers.sendPacket(1, name)
+		peers.sendPacket(2, "of another") // one goroutine forwards all packets, so the one before is lost by now
+		peers.expectPacket("of another")
+	}
+	const delay = 50 * time.Millisecond
+	// What the near end sends is delayed, what it would receive is held.
+	peers.setLink(link.State{Hold: [2]bool{link.ToNear: true}, Delay: delay})
+	began := time.Now()
+	peers.sendPacket(1, "late")
+	peers.expectPacket("late")
+	if elapsed := time.Since(began); elapsed < delay {
+		t.Errorf("the packet arrived after %v, want %v at least", elapsed, delay)
+	}
+	peers.checkStream()
+}
+
+// checkStream has a stream from near end 1 arrive, and the reply be held until the link is without fault.
+func (p *peersTest) checkStream() {
+	p.t.Helper()
+	near := p.dial("tcp4", 1)
+	p.writeLine(near, "hello")
+	far, err := p.streams.Accept()
 	if err != nil {
-		t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	defer other.Close()
-	if line, err := bufio.NewReader(other).ReadString('\n'); line != "hello\n" {
-		t.Errorf("read %q, %v", line, err)
+	closeAtEnd(p.t, far)
+	if line, err := bufio.NewReader(far).ReadString('\n'); line != "hello\n" {
+		p.t.Errorf("the sidecar read %q, %v", line, err)
 	}
-	fmt.Fprintln(other, "back")
+	p.writeLine(far, "back")
 	if err := near.SetReadDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
-		t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	if n, err := near.Read(make([]byte, 10)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%d bytes cross a link that holds them, %v", n, err)
+		p.t.Errorf("%d bytes cross a link that holds them, %v", n, err)
 	}
-	o.give(ctl.Order{Do: "link", UID: "n7", Nears: []int{1}, State: &link.State{}})
-	if err := near.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
-		t.Fatal(err)
+	p.setLink(link.State{})
+	if err := near.SetReadDeadline(time.Now().Add(arrivalTimeout)); err != nil {
+		p.t.Fatal(err)
 	}
 	if line, err := bufio.NewReader(near).ReadString('\n'); line != "back\n" {
-		t.Errorf("read %q, %v", line, err)
+		p.t.Errorf("the near end read %q, %v", line, err)
+	}
+}
+
+func (p *peersTest) writeLine(conn net.Conn, line string) {
+	p.t.Helper()
+	if _, err := fmt.Fprintln(conn, line); err != nil {
+		p.t.Fatal(err)
 	}
 }
--- a/internal/lab/standin/plainsidecar.go
+++ b/internal/lab/standin/plainsidecar.go
@@ -22,7 +22,7 @@
 
 const (
 	sidecarCrash           sidecarFlaw = "crash"            // the process ends
-	sidecarDeaf            sidecarFlaw = "deaf"             // it applies no update after the first
+	sidecarStale           sidecarFlaw = "deaf"             // it applies no update after the first
 	sidecarDuplicate       sidecarFlaw = "duplicate"        // it sends an answered request again
 	sidecarHedge           sidecarFlaw = "hedge"            // it makes two attempts at once
 	sidecarLate            sidecarFlaw = "late"             // it answers after the deadline
@@ -142,7 +142,7 @@
 func (p *plain) applyUpdate(received receivedList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.flaw == sidecarDeaf && len(p.servers) > 0 {
+	if p.flaw == sidecarStale && len(p.servers) > 0 {
 		return
 	}
 	if received.All {
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -2,65 +2,84 @@
 
 import (
 	"io"
+	"net/http"
 	"testing"
 
 	"go.uber.org/goleak"
+
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// orders is a stand-in that runs within the test and is given orders one by one.
-type orders struct {
-	t    *testing.T
-	to   io.WriteCloser
-	news chan ctl.News
-	n    int
-	over chan error
+// orderSender is a stand-in that runs within the test and is given orders one by one.
+type orderSender struct {
+	t      *testing.T
+	orders io.WriteCloser
+	events chan ctl.News
+	lastID int
+	ended  chan error
 }
 
-// startStandIn runs a stand-in until the test ends. It returns once that is ready.
-func startStandIn(t *testing.T, run func(in io.Reader, out io.Writer) error) (*orders, ctl.News) {
+// startStandIn runs a stand-in until the test ends. It returns once that is ready, with the ready event.
+func startStandIn(t *testing.T, run func(in io.Reader, out io.Writer) error) (*orderSender, ctl.News) {
 	t.Helper()
-	in, to := io.Pipe()
+	in, orders := io.Pipe()
 	from, out := io.Pipe()
-	o := &orders{t: t, to: to, news: make(chan ctl.News, 100), over: make(chan error, 1)}
+	sender := &orderSender{t: t, orders: orders, events: make(chan ctl.News, 100), ended: make(chan error, 1)}
 	go func() {
-		o.over <- run(in, out)
-		out.Close()
+		sender.ended <- run(in, out)
+		_ = out.Close() // never fails
 	}()
 	go func() {
-		defer close(o.news)
-		_ = ctl.Lines(from, func(n ctl.News) error {
-			o.news <- n
+		defer close(sender.events)
+		_ = ctl.Lines(from, func(event ctl.News) error {
+			sender.events <- event
 			return nil
 		})
 	}()
 	t.Cleanup(func() {
-		to.Close()
-		if err := <-o.over; err != nil {
+		_ = orders.Close() // never fails
+		if err := <-sender.ended; err != nil {
 			t.Error(err)
 		}
-		for range o.news {
+		for range sender.events {
 		}
 	})
-	return o, <-o.news
+	return sender, <-sender.events
 }
 
-func (o *orders) give(order ctl.Order) ctl.News {
-	o.t.Helper()
-	o.n++
-	order.ID = o.n
+// send gives an order and returns its acknowledgement. An order that is refused fails the test.
+func (s *orderSender) send(order ctl.Order) ctl.News {
+	s.t.Helper()
+	s.lastID++
+	order.ID = s.lastID
 	line, err := ctl.Marshal(order)
 	if err != nil {
-		o.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	if _, err := o.to.Write(line); err != nil {
-		o.t.Fatal(err)
+	if _, err := s.orders.Write(line); err != nil {
+		s.t.Fatal(err)
 	}
-	n := <-o.news
-	if n.ID != o.n || n.Error != "" {
-		o.t.Fatalf("%s: %+v", order.Do, n)
+	event := <-s.events
+	if event.ID != s.lastID || event.Error != "" {
+		s.t.Fatalf("%s: %+v", order.Do, event)
 	}
-	return n
+	return event
+}
+
+// newRequest is a GET request that is cancelled as the test ends.
+func newRequest(t *testing.T, url string) *http.Request {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return req
+}
+
+// closeAtEnd closes something as the test ends.
+func closeAtEnd(t *testing.T, c io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { _ = c.Close() }) // which the test may have closed already
 }
