--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -10,56 +10,56 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-// patience bounds how long a stand-in may take for anything.
-const patience = 30 * time.Second
+// standInTimeout bounds how long a stand-in may take for anything.
+const standInTimeout = 30 * time.Second
 
 // child is a stand-in process that obeys orders.
 type child struct {
 	*proc.Process
-	ready ctl.News
-	mu    sync.Mutex
-	next  int
-	wait  map[int]chan ctl.News
-	heard chan struct{} // closed when its output ends
+	ready       ctl.News
+	mu          sync.Mutex
+	lastID      int
+	waiting     map[int]chan ctl.News
+	outputEnded chan struct{} // closed when its output ends
 }
 
 // startChild starts a stand-in and waits until it is ready. tell gets the news that no order asked for.
-func startChild(s *proc.Starter, spec proc.Spec, tell func(ctl.News)) (*child, error) {
+func startChild(s *proc.Starter, spec proc.Spec, onEvent func(ctl.News)) (*child, error) {
 	spec.Piped = true
-	p, err := s.Start(spec)
+	process, err := s.Start(spec)
 	if err != nil {
 		return nil, err
 	}
-	c := &child{Process: p, wait: map[int]chan ctl.News{}, heard: make(chan struct{})}
+	started := &child{Process: process, waiting: map[int]chan ctl.News{}, outputEnded: make(chan struct{})}
 	ready := make(chan ctl.News, 1)
 	go func() {
-		defer close(c.heard)
-		defer p.Out.Close()
-		_ = ctl.Lines(p.Out, func(n ctl.News) error { // a line that cannot be read ends it, which waiters see
+		defer close(started.outputEnded)
+		defer process.Out.Close()
+		_ = ctl.Lines(process.Out, func(n ctl.News) error { // a line that cannot be read ends it, which waiters see
 			switch {
 			case n.ID != 0:
-				c.mu.Lock()
-				w := c.wait[n.ID]
-				delete(c.wait, n.ID)
-				c.mu.Unlock()
+				started.mu.Lock()
+				w := started.waiting[n.ID]
+				delete(started.waiting, n.ID)
+				started.mu.Unlock()
 				if w != nil {
 					w <- n
 				}
 			case n.Kind == "ready":
 				ready <- n
 			default:
-				tell(n)
+				onEvent(n)
 			}
 			return nil
 		})
 	}()
 	select {
-	case c.ready = <-ready:
-		return c, nil
-	case <-c.heard:
-	case <-time.After(patience):
+	case started.ready = <-ready:
+		return started, nil
+	case <-started.outputEnded:
+	case <-time.After(standInTimeout):
 	}
-	p.Kill()
+	process.Kill()
 	return nil, fmt.Errorf("%s did not start: see its log", spec.Name)
 }
 
@@ -67,9 +67,9 @@
 func (c *child) order(o ctl.Order) (ctl.News, error) {
 	wait := make(chan ctl.News, 1)
 	c.mu.Lock()
-	c.next++
-	o.ID = c.next
-	c.wait[o.ID] = wait
+	c.lastID++
+	o.ID = c.lastID
+	c.waiting[o.ID] = wait
 	line, err := ctl.Marshal(o)
 	if err == nil {
 		_, err = c.In.Write(line)
@@ -78,7 +78,7 @@
 	if err != nil {
 		return ctl.News{}, fmt.Errorf("%s: %w", c.Name, err)
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(standInTimeout)
 	defer timer.Stop()
 	select {
 	case n := <-wait:
@@ -86,11 +86,11 @@
 			return n, fmt.Errorf("%s: %s", c.Name, n.Error)
 		}
 		return n, nil
-	case <-c.heard:
-		return ctl.News{}, fmt.Errorf("%s: %w", c.Name, errGone)
+	case <-c.outputEnded:
+		return ctl.News{}, fmt.Errorf("%s: %w", c.Name, errProcessEnded)
 	case <-timer.C:
-		return ctl.News{}, fmt.Errorf("%s: no word within %v", c.Name, patience)
+		return ctl.News{}, fmt.Errorf("%s: no word within %v", c.Name, standInTimeout)
 	}
 }
 
-var errGone = errors.New("the process is gone")
+var errProcessEnded = errors.New("the process is gone")
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -10,12 +10,12 @@
 
 // Spread is the middle and the ends of some values.
 type Spread struct {
-	Least  float64 `json:"least"`
+	Min    float64 `json:"least"`
 	Median float64 `json:"median"`
-	Most   float64 `json:"most"`
+	Max    float64 `json:"most"`
 }
 
-func spread(v []float64) Spread {
+func newSpread(v []float64) Spread {
 	v = slices.Sorted(slices.Values(v))
 	n := len(v)
 	return Spread{v[0], (v[(n-1)/2] + v[n/2]) / 2, v[n-1]}
@@ -32,37 +32,37 @@
 }
 
 // Compare holds runs of A against runs of B, the i-th against the i-th.
-func Compare(a, b []*Result) ([]Compared, error) {
-	if len(a) == 0 || len(a) != len(b) {
-		return nil, fmt.Errorf("%d runs cannot be held against %d", len(a), len(b))
+func Compare(runsA, runsB []*Result) ([]Compared, error) {
+	if len(runsA) == 0 || len(runsA) != len(runsB) {
+		return nil, fmt.Errorf("%d runs cannot be held against %d", len(runsA), len(runsB))
 	}
 	var all []Compared
-	for _, name := range slices.Sorted(maps.Keys(a[0].Figures)) {
-		var as, bs, ratios []float64
-		c := Compared{Figure: name, Runs: len(a)}
-		for i := range a {
-			x, known := a[i].Figures[name]
-			y, both := b[i].Figures[name]
+	for _, name := range slices.Sorted(maps.Keys(runsA[0].Figures)) {
+		var valuesA, valuesB, ratios []float64
+		compared := Compared{Figure: name, Runs: len(runsA)}
+		for i := range runsA {
+			x, known := runsA[i].Figures[name]
+			y, both := runsB[i].Figures[name]
 			if !known || !both {
 				continue
 			}
-			as, bs = append(as, x), append(bs, y)
+			valuesA, valuesB = append(valuesA, x), append(valuesB, y)
 			if y > x {
-				c.Better++
+				compared.Better++
 			}
 			if x != 0 {
 				ratios = append(ratios, y/x)
 			}
 		}
-		if len(as) != len(a) {
+		if len(valuesA) != len(runsA) {
 			continue // not a figure of both
 		}
-		c.A, c.B = spread(as), spread(bs)
-		if len(ratios) == len(a) {
-			s := spread(ratios)
-			c.Ratio = &s
+		compared.A, compared.B = newSpread(valuesA), newSpread(valuesB)
+		if len(ratios) == len(runsA) {
+			s := newSpread(ratios)
+			compared.Ratio = &s
 		}
-		all = append(all, c)
+		all = append(all, compared)
 	}
 	return all, nil
 }
@@ -73,15 +73,15 @@
 	for _, c := range all {
 		ratio := "-"
 		if c.Ratio != nil {
-			ratio = words(*c.Ratio)
+			ratio = formatSpread(*c.Ratio)
 		}
-		fmt.Fprintf(w, "%-20s %30s %30s %28s %5d/%d\n", c.Figure, words(c.A), words(c.B), ratio, c.Better, c.Runs)
+		fmt.Fprintf(w, "%-20s %30s %30s %28s %5d/%d\n", c.Figure, formatSpread(c.A), formatSpread(c.B), ratio, c.Better, c.Runs)
 	}
 }
 
-func words(s Spread) string {
-	if s.Least == s.Most || math.IsNaN(s.Median) {
+func formatSpread(s Spread) string {
+	if s.Min == s.Max || math.IsNaN(s.Median) {
 		return fmt.Sprintf("%.4g", s.Median)
 	}
-	return fmt.Sprintf("%.4g (%.4g to %.4g)", s.Median, s.Least, s.Most)
+	return fmt.Sprintf("%.4g (%.4g to %.4g)", s.Median, s.Min, s.Max)
 }
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -8,56 +8,56 @@
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 )
 
-// gather reads what stand-ins wrote down. Each of them has ended.
-func (f *Fleet) gather(e *check.Evidence) error {
+// readEvidence reads what stand-ins wrote down. Each of them has ended.
+func (f *Fleet) readEvidence(evidence *check.Evidence) error {
 	for i := range f.hosts {
 		all, err := ctl.ReadRecords[ctl.Attempt](f.records("attempts", i))
 		if err != nil {
 			return err
 		}
-		e.Attempts = append(e.Attempts, all...)
+		evidence.Attempts = append(evidence.Attempts, all...)
 	}
 	if f.peers != nil {
 		var err error
-		if e.Gossip, err = ctl.ReadRecords[ctl.Gossip](f.records("gossip", 0)); err != nil {
+		if evidence.Gossip, err = ctl.ReadRecords[ctl.Gossip](f.records("gossip", 0)); err != nil {
 			return err
 		}
 	}
 	lists := 1 // the relay's
 	if f.list != nil {
-		lists = f.list.n
+		lists = f.list.started
 	}
-	if f.keepers != nil {
+	if f.registry != nil {
 		var err error
-		if e.Shown, err = ctl.ReadRecords[ctl.Shown](f.records("shown", 0)); err != nil {
+		if evidence.Shown, err = ctl.ReadRecords[ctl.Shown](f.records("shown", 0)); err != nil {
 			return err
 		}
-		if e.Routes, err = ctl.ReadRecords[ctl.Routes](f.records("routes", 0)); err != nil {
+		if evidence.Routes, err = ctl.ReadRecords[ctl.Routes](f.records("routes", 0)); err != nil {
 			return err
 		}
 		if f.routes != nil {
-			e.Routed = f.routes.put
+			evidence.Routed = f.routes.published
 		}
-		e.Wrote, e.KeeperPeaks = f.writers.wrote, f.keepers.peaks()
+		evidence.Wrote, evidence.KeeperPeaks = f.writers.records, f.registry.peaks()
 	}
 	for i := range lists {
 		all, err := ctl.ReadRecords[ctl.Told](f.records("told", i))
 		if err != nil {
 			return err
 		}
-		e.Told = append(e.Told, all...)
+		evidence.Told = append(evidence.Told, all...)
 	}
 	for _, s := range f.sidecars {
-		e.Runs = append(e.Runs, s.runs)
-		e.Peaks = append(e.Peaks, s.peak)
+		evidence.Runs = append(evidence.Runs, s.runs)
+		evidence.Peaks = append(evidence.Peaks, s.peak)
 	}
-	e.Falls, e.Exits = f.falls, f.Exits()
-	e.Lateness = check.Lateness(e.Tries)
+	evidence.Falls, evidence.Exits = f.falls, f.Exits()
+	evidence.Lateness = check.Lateness(evidence.Tries)
 	return nil
 }
 
-// keep leaves what clients and servers saw in the report's folder.
-func keep(out string, e *check.Evidence, work string) error {
+// saveRecords leaves what clients and servers saw in the report's folder.
+func saveRecords(out string, evidence *check.Evidence, work string) error {
 	for _, pattern := range []string{"requests.jsonl", "attempts-*.jsonl", "told-*.jsonl", "shown-*.jsonl", "routes-*.jsonl", "gossip-*.jsonl", "writes.jsonl"} { // of an experiment before
 		old, err := filepath.Glob(filepath.Join(out, pattern))
 		if err != nil {
@@ -69,11 +69,11 @@
 			}
 		}
 	}
-	if err := write(filepath.Join(out, "requests.jsonl"), e.Tries); err != nil {
+	if err := writeRecords(filepath.Join(out, "requests.jsonl"), evidence.Tries); err != nil {
 		return err
 	}
-	if len(e.Wrote) > 0 {
-		if err := write(filepath.Join(out, "writes.jsonl"), e.Wrote); err != nil {
+	if len(evidence.Wrote) > 0 {
+		if err := writeRecords(filepath.Join(out, "writes.jsonl"), evidence.Wrote); err != nil {
 			return err
 		}
 	}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// write writes records to a file, a line each.
-func write[T any](path string, all []T) error {
+// writeRecords writes records to a file, a line each.
+func writeRecords[T any](path string, all []T) error {
 	r, err := ctl.NewRecords(path)
 	if err != nil {
 		return err
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -28,39 +28,39 @@
 
 // Fleet is the processes of one experiment.
 type Fleet struct {
-	plan    *plan.Plan
-	self    Self
-	work    string // folder for evidence and the processes' own folders
-	logs    string
-	starter *proc.Starter
-	all     proc.All
-	hosts   []*child
-	host    map[string]*child // by server
-	specs   map[string]*model.Spec
-	list    *listProcess // the platform's; nil: keepers hold it
-	keepers *keepers     // nil: there are none
-	peers   *peers       // nil: sidecars do not know each other
-	liars   []*child     // members that are no sidecars
-	writers *writers
-	routes  *router // nil: there are no routes
+	plan         *plan.Plan
+	self         Self
+	work         string // folder for evidence and the processes' own folders
+	logs         string
+	starter      *proc.Starter
+	all          proc.All
+	hosts        []*child
+	host         map[string]*child // by server
+	specs        map[string]*model.Spec
+	list         *listProcess   // the platform's; nil: keepers hold it
+	registry     *registryNodes // nil: there are none
+	peers        *peers         // nil: sidecars do not know each other
+	lyingMembers []*child       // members that are no sidecars
+	writers      *writers
+	routes       *router // nil: there are no routes
 
-	mu       sync.Mutex
-	entries  map[string]ctl.Entry // what is so, which the list learns later
-	known    []ctl.Entry          // at the start
-	told     []ctl.Entry          // what the list has learnt, in order
-	falls    []ctl.News
-	faults   []error
-	sidecars []*sidecar
-	links    *links
-	leave    sync.Once
-	logged   sync.Map // names of processes
+	mu          sync.Mutex
+	entries     map[string]ctl.Entry // what is so, which the list learns later
+	known       []ctl.Entry          // at the start
+	listed      []ctl.Entry          // what the list has learnt, in order
+	falls       []ctl.News
+	faults      []error
+	sidecars    []*sidecar
+	links       *linkFaults
+	releaseOnce sync.Once
+	logged      sync.Map // names of processes
 }
 
 // StartFleet starts all processes that a plan stands on, and waits until every one is ready. On an error none is left.
 func StartFleet(ctx context.Context, p *plan.Plan, self Self, work, logs string) (f *Fleet, err error) {
 	f = &Fleet{plan: p, self: self, work: work, logs: logs, starter: proc.NewStarter(), host: map[string]*child{},
 		specs: map[string]*model.Spec{}, entries: map[string]ctl.Entry{}}
-	f.links = newLinks(f)
+	f.links = newLinkFaults(f)
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -70,7 +70,7 @@
 		f.specs[p.Servers[i].UID] = &p.Servers[i]
 	}
 	if p.File.Keepers.Count > 0 {
-		if err := f.startKeepers(ctx); err != nil {
+		if err := f.startRegistry(ctx); err != nil {
 			return f, err
 		}
 	}
@@ -82,8 +82,8 @@
 			return f, err
 		}
 	}
-	if f.keepers != nil {
-		err = f.fillKeepers(ctx)
+	if f.registry != nil {
+		err = f.awaitRegistration(ctx)
 	} else {
 		err = f.startList()
 	}
@@ -98,7 +98,7 @@
 		if err := os.Mkdir(s.folder, 0o700); err != nil {
 			return f, err
 		}
-		if s.place, err = link.Reserve(link.Near(i)); err != nil {
+		if s.reservation, err = link.Reserve(link.Near(i)); err != nil {
 			return f, err
 		}
 		f.sidecars = append(f.sidecars, s)
@@ -113,13 +113,13 @@
 			if err := f.startSidecar(s); err != nil {
 				return err
 			}
-			return f.ready(ctx, s)
+			return f.awaitReady(ctx, s)
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return f, err
 	}
-	return f, f.startLiars()
+	return f, f.startLyingMembers()
 }
 
 // log is the file that all processes of a name write to; what an earlier experiment left there is removed.
@@ -140,8 +140,8 @@
 	return filepath.Join(f.work, fmt.Sprintf("%s-%d.jsonl", kind, i))
 }
 
-// hear takes what stand-ins say by themselves.
-func (f *Fleet) hear(n ctl.News) {
+// handleEvent takes what stand-ins say by themselves.
+func (f *Fleet) handleEvent(n ctl.News) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n.Kind == "fell" {
@@ -158,7 +158,7 @@
 	return all
 }
 
-const endWithin = 6 * time.Second // for a sidecar to finish after SIGTERM
+const terminationTimeout = 6 * time.Second // for a sidecar to finish after SIGTERM
 
 // Finish ends all sidecars as a platform does, then the stand-ins, and notes who did not end well.
 func (f *Fleet) Finish() {
@@ -167,17 +167,17 @@
 	}
 	var group errgroup.Group
 	for _, s := range f.sidecars {
-		if s.run == nil {
+		if s.process == nil {
 			continue // the experiment was broken off before it joined
 		}
 		group.Go(func() error {
-			if !s.run.End(endWithin) {
-				return fmt.Errorf("%s had to be killed at the end", s.run.Name)
+			if !s.process.End(terminationTimeout) {
+				return fmt.Errorf("%s had to be killed at the end", s.process.Name)
 			}
 			return nil
 		})
 	}
-	f.fault(group.Wait())
+	f.addFault(group.Wait())
 	f.stopStandins()
 }
 
@@ -186,30 +186,30 @@
 		if c == nil {
 			return
 		}
-		if !c.End(endWithin) {
-			f.fault(fmt.Errorf("%s had to be killed at the end", c.Name))
+		if !c.End(terminationTimeout) {
+			f.addFault(fmt.Errorf("%s had to be killed at the end", c.Name))
 		}
-		<-c.heard
+		<-c.outputEnded
 	}
 	for _, c := range f.hosts {
 		end(c)
 	}
 	end(f.list.current())
-	for _, c := range f.liars {
+	for _, c := range f.lyingMembers {
 		end(c)
 	}
 	if f.peers != nil {
 		end(f.peers.relay)
 	}
-	if f.keepers != nil { // from the clients to the network
-		end(f.keepers.watchers)
-		f.keepers.finish()
-		end(f.keepers.relay)
+	if f.registry != nil { // from the clients to the network
+		end(f.registry.watchers)
+		f.registry.stopAll()
+		end(f.registry.relay)
 	}
 }
 
-// fault notes that the lab itself could not do something.
-func (f *Fleet) fault(err error) {
+// addFault notes that the lab itself could not do something.
+func (f *Fleet) addFault(err error) {
 	if err == nil {
 		return
 	}
@@ -225,18 +225,18 @@
 		s.tasks.Wait()
 	}
 	f.all.Kill() // what a task started meanwhile
-	f.leave.Do(func() {
+	f.releaseOnce.Do(func() {
 		for _, s := range f.sidecars {
-			s.place.Close()
+			s.reservation.Close()
 		}
-		if f.list != nil && f.list.place != nil {
-			f.list.place.Close()
+		if f.list != nil && f.list.reservation != nil {
+			f.list.reservation.Close()
 		}
-		if f.keepers != nil {
-			f.keepers.leave()
+		if f.registry != nil {
+			f.registry.releasePorts()
 		}
 		if f.peers != nil {
-			f.peers.leave()
+			f.peers.releasePorts()
 		}
 	})
 	f.starter.Close()
--- a/internal/lab/janitor.go
+++ b/internal/lab/janitor.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-const cleanWithin = 10 * time.Second // for processes that are being killed to let go of their files
+const cleanupTimeout = 10 * time.Second // for processes that are being killed to let go of their files
 
 // startJanitor starts the process that removes the work folder when the lab is gone, however it went. leave has it do so now.
 func startJanitor(self Self, work string) (leave func() error, err error) {
@@ -24,7 +24,7 @@
 	return func() error {
 		defer s.Close()
 		defer p.Out.Close()
-		p.End(cleanWithin + time.Second)
+		p.End(cleanupTimeout + time.Second)
 		if _, err := os.Stat(work); !os.IsNotExist(err) {
 			return fmt.Errorf("%s could not be removed", work)
 		}
@@ -44,7 +44,7 @@
 	for _, folder := range folders {
 		_ = proc.ReadOnly(folder, false) // most were never read-only, and files cannot be
 	}
-	for until := time.Now().Add(cleanWithin); ; time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(cleanupTimeout); ; time.Sleep(20 * time.Millisecond) {
 		err := os.RemoveAll(work)
 		if _, gone := os.Stat(work); err == nil && os.IsNotExist(gone) {
 			return nil
--- a/internal/lab/keeperlinks.go
+++ b/internal/lab/keeperlinks.go
@@ -8,17 +8,17 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// links begins or ends a fault of a keeper's links, and tells the relay what all of them make of every link.
-func (ks *keepers) links(k *keeper, s *plan.Step) (at int64, err error) {
+// applyLinkFault begins or ends a fault of a keeper's applyLinkFault, and tells the relay what all of them make of every link.
+func (ks *registryNodes) applyLinkFault(k *registryNode, s *plan.Step) (at int64, err error) {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
-	nears := ks.nears(k, s.From)
+	nears := ks.affectedNears(k, s.From)
 	if s.Do != plan.Link {
 		n, err := ks.relay.order(ctl.Order{Do: s.Do, UID: k.name, Nears: nears})
 		if err != nil || s.From != "" && s.From != "peers" {
 			return n.At, err
 		}
-		for _, other := range ks.all {
+		for _, other := range ks.nodes {
 			if other != k {
 				if n, err = ks.relay.order(ctl.Order{Do: s.Do, UID: other.name, Nears: []int{ks.fleet.plan.NearKeeper(k.index)}}); err != nil {
 					return n.At, err
@@ -30,16 +30,16 @@
 	if s.On {
 		on := *s
 		on.Sidecar = plan.KeeperIndex(k.index)
-		ks.active = append(ks.active, &on)
+		ks.activeFaults = append(ks.activeFaults, &on)
 	} else {
-		ks.active = slices.DeleteFunc(ks.active, func(a *plan.Step) bool {
+		ks.activeFaults = slices.DeleteFunc(ks.activeFaults, func(a *plan.Step) bool {
 			return a.Fault == s.Fault && a.Sidecar == plan.KeeperIndex(k.index)
 		})
 	}
-	for _, far := range ks.all {
+	for _, far := range ks.nodes {
 		groups := map[link.State][]int{}
 		for near := range ks.fleet.plan.Nears() {
-			state := ks.state(far, near)
+			state := ks.linkState(far, near)
 			groups[state] = append(groups[state], near)
 		}
 		for state, nears := range groups {
@@ -53,24 +53,24 @@
 	return at, nil
 }
 
-// nears are the near ends of a keeper's links: its peers, its clients, or both.
-func (ks *keepers) nears(k *keeper, from string) (all []int) {
+// affectedNears are the near ends of a keeper's links: its peers, its clients, or both.
+func (ks *registryNodes) affectedNears(k *registryNode, from string) (all []int) {
 	for near := range ks.fleet.plan.Nears() {
-		if peer := ks.peer(near); peer != k && ks.meant(near, from) {
+		if peer := ks.peerAt(near); peer != k && ks.affects(near, from) {
 			all = append(all, near)
 		}
 	}
 	return all
 }
 
-// meant tells whether a fault of a keeper's links, from some of its callers, is of the link from a near end.
-func (ks *keepers) meant(near int, from string) bool {
+// affects tells whether a fault of a keeper's links, from some of its callers, is of the link from a near end.
+func (ks *registryNodes) affects(near int, from string) bool {
 	p := ks.fleet.plan
 	switch from {
 	case "peers":
-		return ks.peer(near) != nil
+		return ks.peerAt(near) != nil
 	case "clients":
-		return ks.peer(near) == nil
+		return ks.peerAt(near) == nil
 	case "sidecars":
 		return near < len(p.Sidecars)
 	case "servers":
@@ -79,21 +79,21 @@
 	return true
 }
 
-// peer is the keeper that a near end is; nil: a client.
-func (ks *keepers) peer(near int) *keeper {
-	if i := near - ks.fleet.plan.NearKeeper(0); i >= 0 && i < len(ks.all) {
-		return ks.all[i]
+// peerAt is the keeper that a near end is; nil: a client.
+func (ks *registryNodes) peerAt(near int) *registryNode {
+	if i := near - ks.fleet.plan.NearKeeper(0); i >= 0 && i < len(ks.nodes) {
+		return ks.nodes[i]
 	}
 	return nil
 }
 
-// state is what all faults make of the link from a near end to a keeper. ks.mu is held.
-func (ks *keepers) state(far *keeper, near int) (state link.State) {
-	peer := ks.peer(near)
-	for _, s := range ks.active {
+// linkState is what all faults make of the link from a near end to a keeper. ks.mu is held.
+func (ks *registryNodes) linkState(far *registryNode, near int) (state link.State) {
+	peer := ks.peerAt(near)
+	for _, s := range ks.activeFaults {
 		e := s.Effect
 		switch k, _ := plan.KeeperOf(s.Sidecar); {
-		case k == far.index && ks.meant(near, s.From):
+		case k == far.index && ks.affects(near, s.From):
 		case peer != nil && k == peer.index && (s.From == "" || s.From == "peers"): // its own calls: what it hears comes the other way
 			e.HoldFar, e.HoldNear = e.HoldNear, e.HoldFar
 		default:
--- a/internal/lab/keepers.go
+++ b/internal/lab/keepers.go
@@ -17,95 +17,95 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// keepers is the keepers of an experiment, behind a relay that gives each of their links faults of its own.
-type keepers struct {
+// registryNodes is the registryNodes of an experiment, behind a relay that gives each of their links faults of its own.
+type registryNodes struct {
 	fleet *Fleet
 	relay *child
-	all   []*keeper
+	nodes []*registryNode
 	// watchers is the process of clients that only watch; nil: there are none.
 	watchers *child
 
-	mu     sync.Mutex
-	chosen map[int]*keeper       // by fault: who led when it began
-	turns  map[int]chan struct{} // by process index: closed when its last step is over
-	active []*plan.Step          // faults of links
-	backup []byte
+	mu            sync.Mutex
+	leaderByFault map[int]*registryNode // by fault: who led when it began
+	lastStepDone  map[int]chan struct{} // by process index: closed when its last step is over
+	activeFaults  []*plan.Step          // faults of links
+	backup        []byte
 }
 
-// keeper is one place where a keeper's processes run, one after the other.
-type keeper struct {
+// registryNode is one place where a registryNode's processes run, one after the other.
+type registryNode struct {
 	index      int
 	name       string
 	folder     string
 	http, raft *link.Place // where the process listens
-	fronts     [2]int      // ports of the relay: HTTP, raft
+	relayPorts [2]int      // ports of the relay: HTTP, raft
 
-	mu   sync.Mutex
-	run  *proc.Process
-	peak check.KeeperPeak
+	mu      sync.Mutex
+	process *proc.Process
+	peak    check.KeeperPeak
 }
 
-// keeperAddresses are where a near end reaches the keepers.
-func (f *Fleet) keeperAddresses(near int) (all []string) {
-	for _, k := range f.keepers.all {
-		all = append(all, fmt.Sprintf("%s:%d", link.Near(near), k.fronts[0]))
+// registryAddresses are where a near end reaches the keepers.
+func (f *Fleet) registryAddresses(near int) (all []string) {
+	for _, k := range f.registry.nodes {
+		all = append(all, fmt.Sprintf("%s:%d", link.Near(near), k.relayPorts[0]))
 	}
 	return all
 }
 
-// callKeepers is a client of the keepers for the lab itself, and a context that bounds what it waits for. done ends both.
-func (f *Fleet) callKeepers(ctx context.Context) (c *client.Client, within context.Context, done func(), err error) {
-	if c, err = client.New(f.keeperAddresses(f.plan.NearWriter())); err != nil {
+// dialRegistry is a client of the keepers for the lab itself, and a context that bounds what it waits for. done ends both.
+func (f *Fleet) dialRegistry(ctx context.Context) (c *client.Client, within context.Context, done func(), err error) {
+	if c, err = client.New(f.registryAddresses(f.plan.NearWriter())); err != nil {
 		return nil, nil, nil, err
 	}
-	within, cancel := context.WithTimeout(ctx, patience)
+	within, cancel := context.WithTimeout(ctx, standInTimeout)
 	return c, within, func() { cancel(); c.Close() }, nil
 }
 
-// startKeepers starts the relay and all keepers, and waits until one leads.
-func (f *Fleet) startKeepers(ctx context.Context) error {
+// startRegistry starts the relay and all keepers, and waits until one leads.
+func (f *Fleet) startRegistry(ctx context.Context) error {
 	n := f.plan.File.Keepers.Count
-	ks := &keepers{fleet: f, chosen: map[int]*keeper{}, turns: map[int]chan struct{}{}}
-	f.keepers = ks
+	started := &registryNodes{fleet: f, leaderByFault: map[int]*registryNode{}, lastStepDone: map[int]chan struct{}{}}
+	f.registry = started
 	var err error
-	ks.relay, err = startChild(f.starter, proc.Spec{Name: "relay", Path: f.self.Path, Log: f.log("relay"), Env: f.env("TMPDIR=" + f.work),
+	started.relay, err = startChild(f.starter, proc.Spec{Name: "relay", Path: f.self.Path, Log: f.log("relay"), Env: f.env("TMPDIR=" + f.work),
 		Args: []string{"stand-in", "relay", "--sidecars", fmt.Sprint(len(f.plan.Sidecars)), "--readers", fmt.Sprint(f.plan.Nears()), "--told", f.records("told", 0), "--shown", f.records("shown", 0),
-			"--routes", f.records("routes", 0)}}, f.hear)
+			"--routes", f.records("routes", 0)}}, f.handleEvent)
 	if err != nil {
 		return err
 	}
-	f.all.Add(ks.relay.Process)
+	f.all.Add(started.relay.Process)
 	for i := range n {
-		k := &keeper{index: i, name: plan.KeeperName(i), folder: filepath.Join(f.work, plan.KeeperName(i))}
-		ks.all = append(ks.all, k)
-		if err := os.Mkdir(k.folder, 0o700); err != nil {
+		node := &registryNode{index: i, name: plan.KeeperName(i), folder: filepath.Join(f.work, plan.KeeperName(i))}
+		started.nodes = append(started.nodes, node)
+		if err := os.Mkdir(node.folder, 0o700); err != nil {
 			return err
 		}
 		// A keeper calls its peers from the address that it listens at, by which the relay knows it.
-		if k.raft, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
+		if node.raft, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
 			return err
 		}
-		if k.http, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
+		if node.http, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
 			return err
 		}
-		for j, front := range []ctl.Order{{Front: k.http.Addr.String()}, {Front: k.raft.Addr.String(), BySource: true}} {
-			front.Do, front.UID = "front", k.name
-			news, err := ks.relay.order(front)
+		for j, front := range []ctl.Order{{Front: node.http.Addr.String()}, {Front: node.raft.Addr.String(), BySource: true}} {
+			front.Do, front.UID = "front", node.name
+			news, err := started.relay.order(front)
 			if err != nil {
 				return err
 			}
-			k.fronts[j] = news.Ports[0]
+			node.relayPorts[j] = news.Ports[0]
 		}
 	}
-	for _, k := range ks.all {
-		if err := ks.configure(k); err != nil {
+	for _, node := range started.nodes {
+		if err := started.configure(node); err != nil {
 			return err
 		}
-		if err := ks.start(k); err != nil {
+		if err := started.start(node); err != nil {
 			return err
 		}
 	}
-	c, ctx, done, err := f.callKeepers(ctx)
+	c, ctx, done, err := f.dialRegistry(ctx)
 	if err != nil {
 		return err
 	}
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// fillKeepers waits until all servers that stand are on the keepers' list, and starts whoever else uses it.
-func (f *Fleet) fillKeepers(ctx context.Context) error {
-	c, ctx, done, err := f.callKeepers(ctx)
+// awaitRegistration waits until all servers that stand are on the keepers' list, and starts whoever else uses it.
+func (f *Fleet) awaitRegistration(ctx context.Context) error {
+	c, ctx, done, err := f.dialRegistry(ctx)
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("keepers: %d of %d servers registered within %v", len(l.Targets), f.plan.Standing, patience)
+			return fmt.Errorf("keepers: %d of %d servers registered within %v", len(l.Targets), f.plan.Standing, standInTimeout)
 		}
 	}
 	if f.writers, err = f.startWriters(ctx); err != nil {
@@ -146,22 +146,22 @@
 	return f.startWatchers()
 }
 
-func (ks *keepers) configure(k *keeper) error {
+func (ks *registryNodes) configure(node *registryNode) error {
 	f := ks.fleet.plan.File.Keepers
 	var text strings.Builder
-	own := link.Near(ks.fleet.plan.NearKeeper(k.index)) // by which the relay knows who calls
-	fmt.Fprintf(&text, "name = %q\nfolder = %q\nhttp = %q\nraft = %q\nadvertise_http = \"%s:%d\"\nadvertise_raft = \"127.0.0.1:%d\"\n", k.name,
-		filepath.Join(k.folder, "data"), k.http.Addr, k.raft.Addr, own, k.fronts[0], k.fronts[1])
+	own := link.Near(ks.fleet.plan.NearKeeper(node.index)) // by which the relay knows who calls
+	fmt.Fprintf(&text, "name = %q\nfolder = %q\nhttp = %q\nraft = %q\nadvertise_http = \"%s:%d\"\nadvertise_raft = \"127.0.0.1:%d\"\n", node.name,
+		filepath.Join(node.folder, "data"), node.http.Addr, node.raft.Addr, own, node.relayPorts[0], node.relayPorts[1])
 	fmt.Fprintf(&text, "[leases]\ngrace_ms = %d\nshare = %v\n[timing]\nsnapshot_after = %d\nsnapshot_ms = 200\ntrailing = %d\n", int(f.GraceS*1000),
 		f.Share, f.Snapshot, f.Snapshot)
-	for _, p := range ks.all {
-		fmt.Fprintf(&text, "[[peer]]\nname = %q\nhttp = \"%s:%d\"\nraft = \"127.0.0.1:%d\"\n", p.name, own, p.fronts[0], p.fronts[1])
+	for _, p := range ks.nodes {
+		fmt.Fprintf(&text, "[[peer]]\nname = %q\nhttp = \"%s:%d\"\nraft = \"127.0.0.1:%d\"\n", p.name, own, p.relayPorts[0], p.relayPorts[1])
 	}
-	return os.WriteFile(filepath.Join(k.folder, "keeper.toml"), []byte(text.String()), 0o600)
+	return os.WriteFile(filepath.Join(node.folder, "keeper.toml"), []byte(text.String()), 0o600)
 }
 
 // start starts a process of a keeper.
-func (ks *keepers) start(k *keeper) error {
+func (ks *registryNodes) start(k *registryNode) error {
 	f := ks.fleet
 	args := []string{"keeper", filepath.Join(k.folder, "keeper.toml")}
 	if o := f.plan.File.Keepers; o.Program == "plain" {
@@ -175,18 +175,18 @@
 	f.all.Add(p)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.run = p
+	k.process = p
 	return nil
 }
 
 // sample looks at what each keeper's process holds and has used.
-func (ks *keepers) sample() {
-	for _, k := range ks.all {
+func (ks *registryNodes) sample() {
+	for _, k := range ks.nodes {
 		k.mu.Lock()
-		if v, err := k.run.Sample(); err == nil { // one that has ended holds nothing
+		if v, err := k.process.Sample(); err == nil { // one that has ended holds nothing
 			p := &k.peak
-			if p.Pid != k.run.Pid() || p.First == 0 {
-				p.Pid, p.First, p.Used = k.run.Pid(), v.At, 0
+			if p.Pid != k.process.Pid() || p.First == 0 {
+				p.Pid, p.First, p.Used = k.process.Pid(), v.At, 0
 				p.Before = v.CPU
 			}
 			p.MemoryMB, p.Descriptors = max(p.MemoryMB, v.MemoryMB), max(p.Descriptors, v.Descriptors)
@@ -199,8 +199,8 @@
 }
 
 // peaks are what was sampled.
-func (ks *keepers) peaks() (all []check.KeeperPeak) {
-	for _, k := range ks.all {
+func (ks *registryNodes) peaks() (all []check.KeeperPeak) {
+	for _, k := range ks.nodes {
 		all = append(all, k.peak)
 	}
 	return all
@@ -214,35 +214,35 @@
 	}
 	args := []string{"stand-in", "watchers"}
 	for i := range n {
-		args = append(args, "--of", strings.Join(f.keeperAddresses(f.plan.NearWatcher(i)), "/"))
+		args = append(args, "--of", strings.Join(f.registryAddresses(f.plan.NearWatcher(i)), "/"))
 	}
-	c, err := startChild(f.starter, proc.Spec{Name: "watchers", Path: f.self.Path, Log: f.log("watchers"), Env: f.env("TMPDIR=" + f.work), Args: args}, f.hear)
+	c, err := startChild(f.starter, proc.Spec{Name: "watchers", Path: f.self.Path, Log: f.log("watchers"), Env: f.env("TMPDIR=" + f.work), Args: args}, f.handleEvent)
 	if err != nil {
 		return err
 	}
 	f.all.Add(c.Process)
-	f.keepers.watchers = c
+	f.registry.watchers = c
 	return nil
 }
 
-const settleWithin = 15 * time.Second // for all watchers to hear the last of it, when the faults are over
+const watcherTimeout = 15 * time.Second // for all watchers to hear the last of it, when the faults are over
 
-// settle waits, when all faults are over, until a keeper leads and has told every watcher its revision, or for long enough.
+// awaitWatchers waits, when all faults are over, until a keeper leads and has told every watcher its revision, or for long enough.
 // It returns what the last revision is; 0: nobody leads.
-func (ks *keepers) settle(ctx context.Context) (last check.Last) {
-	ctx, cancel := context.WithTimeout(ctx, settleWithin)
+func (ks *registryNodes) awaitWatchers(ctx context.Context) (last check.Last) {
+	ctx, cancel := context.WithTimeout(ctx, watcherTimeout)
 	defer cancel()
 	path := ks.fleet.records("shown", 0)
 	for {
-		k, err := ks.leader(ctx)
+		leader, err := ks.leader(ctx)
 		if err != nil {
 			return last
 		}
-		c, err := client.New([]string{k.http.Addr.String()})
+		c, err := client.New([]string{leader.http.Addr.String()})
 		if err != nil {
 			return last
 		}
-		all, _ := client.Status[keeperState](ctx, c)
+		all, _ := client.Status[nodeStatus](ctx, c)
 		c.Close()
 		for _, s := range all {
 			last = check.Last{Cluster: s.Cluster, Rev: s.Rev}
@@ -259,17 +259,17 @@
 	}
 }
 
-// finish ends the watchers, then the keepers as a platform would, and the relay last.
-func (ks *keepers) finish() {
-	for _, k := range ks.all {
-		if k.run != nil && !k.run.End(endWithin) {
-			ks.fleet.fault(fmt.Errorf("%s had to be killed at the end", k.name))
+// stopAll ends the watchers, then the keepers as a platform would, and the relay last.
+func (ks *registryNodes) stopAll() {
+	for _, k := range ks.nodes {
+		if k.process != nil && !k.process.End(terminationTimeout) {
+			ks.fleet.addFault(fmt.Errorf("%s had to be killed at the end", k.name))
 		}
 	}
 }
 
-func (ks *keepers) leave() {
-	for _, k := range ks.all {
+func (ks *registryNodes) releasePorts() {
+	for _, k := range ks.nodes {
 		for _, p := range []*link.Place{k.http, k.raft} {
 			if p != nil {
 				p.Close()
--- a/internal/lab/keepersteps.go
+++ b/internal/lab/keepersteps.go
@@ -19,20 +19,20 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// keeperState is what the lab reads of a keeper's status.
-type keeperState struct {
+// nodeStatus is what the lab reads of a keeper's status.
+type nodeStatus struct {
 	Role    string `json:"role"`
 	AgeMS   int64  `json:"age_ms"`
 	Rev     int64  `json:"rev"`
 	Cluster string `json:"cluster"`
 }
 
-const leaderPatience = 10 * time.Second
+const leaderTimeout = 10 * time.Second
 
 // leader asks the keepers who leads, by a way without faults, until one does.
-func (ks *keepers) leader(ctx context.Context) (*keeper, error) {
+func (ks *registryNodes) leader(ctx context.Context) (*registryNode, error) {
 	var own []string
-	for _, k := range ks.all {
+	for _, k := range ks.nodes {
 		own = append(own, k.http.Addr.String())
 	}
 	c, err := client.New(own)
@@ -40,11 +40,11 @@
 		return nil, err
 	}
 	defer c.Close()
-	ctx, cancel := context.WithTimeout(ctx, leaderPatience)
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	for {
-		all, _ := client.Status[keeperState](ctx, c)
-		for _, k := range ks.all {
+		all, _ := client.Status[nodeStatus](ctx, c)
+		for _, k := range ks.nodes {
 			if s, ok := all[k.http.Addr.String()]; ok && s.Role == "leader" && s.AgeMS == 0 {
 				return k, nil
 			}
@@ -57,49 +57,49 @@
 	}
 }
 
-// of is the keeper that a step means: whoever led when its fault began, where it says so.
-func (ks *keepers) of(ctx context.Context, s *plan.Step) (*keeper, error) {
-	if k, ok := plan.KeeperOf(s.Sidecar); ok {
-		return ks.all[k], nil
+// nodeOf is the keeper that a step means: whoever led when its fault began, where it says so.
+func (ks *registryNodes) nodeOf(ctx context.Context, step *plan.Step) (*registryNode, error) {
+	if node, ok := plan.KeeperOf(step.Sidecar); ok {
+		return ks.nodes[node], nil
 	}
 	ks.mu.Lock()
-	k := ks.chosen[s.Fault]
+	node := ks.leaderByFault[step.Fault]
 	ks.mu.Unlock()
-	if k != nil {
-		return k, nil
+	if node != nil {
+		return node, nil
 	}
-	if s.Do == plan.Backup || s.Do == plan.Restore {
+	if step.Do == plan.Backup || step.Do == plan.Restore {
 		return nil, nil // whoever leads
 	}
-	k, err := ks.leader(ctx)
+	node, err := ks.leader(ctx)
 	if err != nil {
 		return nil, err
 	}
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
-	ks.chosen[s.Fault] = k
-	return k, nil
+	ks.leaderByFault[step.Fault] = node
+	return node, nil
 }
 
-// nameOf is whom a step acts on.
-func (ks *keepers) nameOf(s *plan.Step) string {
+// targetName is whom a step acts on.
+func (ks *registryNodes) targetName(s *plan.Step) string {
 	if k, ok := plan.KeeperOf(s.Sidecar); ok {
-		return ks.all[k].name
+		return ks.nodes[k].name
 	}
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
-	if k := ks.chosen[s.Fault]; k != nil {
+	if k := ks.leaderByFault[s.Fault]; k != nil {
 		return k.name
 	}
 	return "leader"
 }
 
-// inTurn has steps that wait run one after the other where they act on one keeper, and beside each other where not.
-func (ks *keepers) inTurn(s *plan.Step, run func()) {
+// runInOrder has steps that wait run one after the other where they act on one keeper, and beside each other where not.
+func (ks *registryNodes) runInOrder(s *plan.Step, run func()) {
 	ks.mu.Lock()
-	before := ks.turns[s.Sidecar]
+	before := ks.lastStepDone[s.Sidecar]
 	own := make(chan struct{})
-	ks.turns[s.Sidecar] = own
+	ks.lastStepDone[s.Sidecar] = own
 	ks.mu.Unlock()
 	go func() {
 		defer close(own)
@@ -110,48 +110,48 @@
 	}()
 }
 
-// step does what a step says to a keeper.
-func (ks *keepers) step(ctx context.Context, s *plan.Step) (int64, error) {
-	k, err := ks.of(ctx, s)
+// applyStep does what a applyStep says to a keeper.
+func (ks *registryNodes) applyStep(ctx context.Context, step *plan.Step) (int64, error) {
+	node, err := ks.nodeOf(ctx, step)
 	if err != nil {
 		return clock.Now(), err
 	}
-	switch s.Do {
+	switch step.Do {
 	case plan.Stop, plan.Cont, plan.Disk:
-		k.mu.Lock()
-		defer k.mu.Unlock()
+		node.mu.Lock()
+		defer node.mu.Unlock()
 		now := clock.Now()
-		switch s.Do {
+		switch step.Do {
 		case plan.Stop:
-			return now, k.run.Signal(syscall.SIGSTOP, false)
+			return now, node.process.Signal(syscall.SIGSTOP, false)
 		case plan.Cont:
-			return now, k.run.Signal(syscall.SIGCONT, false)
+			return now, node.process.Signal(syscall.SIGCONT, false)
 		}
-		return now, k.run.Disk(s.Mode)
+		return now, node.process.Disk(step.Mode)
 	case plan.Tear:
-		return clock.Now(), tear(filepath.Join(k.folder, "data", "raft"), s.Mode)
+		return clock.Now(), truncateStore(filepath.Join(node.folder, "data", "raft"), step.Mode)
 	case plan.Link, plan.Reset, plan.Forget:
-		return ks.links(k, s)
+		return ks.applyLinkFault(node, step)
 	case plan.Backup, plan.Restore:
-		return clock.Now(), ks.save(ctx, s.Do == plan.Backup)
+		return clock.Now(), ks.backupOrRestore(ctx, step.Do == plan.Backup)
 	case plan.Start:
-		return clock.Now(), ks.start(k)
+		return clock.Now(), ks.start(node)
 	}
-	k.mu.Lock()
-	p := k.run
-	k.mu.Unlock()
+	node.mu.Lock()
+	p := node.process
+	node.mu.Unlock()
 	at := clock.Now()
 	sig := syscall.SIGKILL
-	if s.Do == plan.Term {
+	if step.Do == plan.Term {
 		sig = syscall.SIGTERM
 	}
 	_, err = endBy(p, sig)
 	return at, err
 }
 
-// save takes a backup, or restores the one that was taken.
-func (ks *keepers) save(ctx context.Context, take bool) error {
-	c, ctx, done, err := ks.fleet.callKeepers(ctx)
+// backupOrRestore takes a backup, or restores the one that was taken.
+func (ks *registryNodes) backupOrRestore(ctx context.Context, take bool) error {
+	c, ctx, done, err := ks.fleet.dialRegistry(ctx)
 	if err != nil {
 		return err
 	}
@@ -166,8 +166,8 @@
 	return err
 }
 
-// tear takes the end off a keeper's newest log file ("torn") or snapshot ("short").
-func tear(folder, mode string) error {
+// truncateStore takes the end off a keeper's newest log file ("torn") or snapshot ("short").
+func truncateStore(folder, mode string) error {
 	pattern := filepath.Join(folder, "log.bolt")
 	if mode == "short" {
 		pattern = filepath.Join(folder, "snapshots", "*", "state.bin")
@@ -176,17 +176,17 @@
 	if err != nil || len(paths) == 0 {
 		return fmt.Errorf("nothing to tear at %s: %w", pattern, err)
 	}
-	slices.SortFunc(paths, func(a, b string) int { return cmp.Compare(modified(a), modified(b)) })
+	slices.SortFunc(paths, func(a, b string) int { return cmp.Compare(modifiedAt(a), modifiedAt(b)) })
 	path := paths[len(paths)-1]
-	size, err := inUse(path)
+	size, err := bytesInUse(path)
 	if err != nil {
 		return err
 	}
 	return os.Truncate(path, size/2)
 }
 
-// inUse is how many bytes of a file hold anything: a log's file is laid out ahead of what is written, and a tear in that part is none.
-func inUse(path string) (size int64, err error) {
+// bytesInUse is how many bytes of a file hold anything: a log's file is laid out ahead of what is written, and a tear in that part is none.
+func bytesInUse(path string) (size int64, err error) {
 	if filepath.Base(path) != "log.bolt" {
 		info, err := os.Stat(path)
 		if err != nil {
@@ -206,7 +206,7 @@
 	return size, err
 }
 
-func modified(path string) int64 {
+func modifiedAt(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
 		return math.MinInt64
--- a/internal/lab/liars.go
+++ b/internal/lab/liars.go
@@ -9,16 +9,16 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-// startLiars starts the members that are no sidecars. They join sidecars, so these stand already; behind the relay each has a port, as
+// startLyingMembers starts the members that are no sidecars. They join sidecars, so these stand already; behind the relay each has a port, as
 // sidecars have.
-func (f *Fleet) startLiars() error {
+func (f *Fleet) startLyingMembers() error {
 	for i := range f.plan.Liars() {
 		near := f.plan.NearLiar(i)
 		p, err := link.Reserve(link.Near(near))
 		if err != nil {
 			return err
 		}
-		f.peers.places = append(f.peers.places, p)
+		f.peers.reservations = append(f.peers.reservations, p)
 		name := fmt.Sprintf("l%d", i)
 		news, err := f.peers.relay.order(ctl.Order{Do: "front", UID: name, Front: p.Addr.String()})
 		if err != nil {
@@ -27,24 +27,24 @@
 		own := link.Near(near).String()
 		args := []string{"stand-in", "liar", "--name", name, "--listen", p.Addr.String(), "--advertise", fmt.Sprintf("%s:%d", own, news.Ports[0]), "--reach", own}
 		for k, s := range f.plan.Sidecars {
-			if s.Started() == 0 && len(args) < 8+2*joinThrough {
-				args = append(args, "--join", fmt.Sprintf("%s:%d", own, f.peers.fronts[k]))
+			if s.Started() == 0 && len(args) < 8+2*maxJoinAddresses {
+				args = append(args, "--join", fmt.Sprintf("%s:%d", own, f.peers.relayPorts[k]))
 			}
 		}
-		c, err := startChild(f.starter, proc.Spec{Name: name, Path: f.self.Path, Log: f.log(name), Env: f.env("TMPDIR=" + f.work), Args: args}, f.hear)
+		c, err := startChild(f.starter, proc.Spec{Name: name, Path: f.self.Path, Log: f.log(name), Env: f.env("TMPDIR=" + f.work), Args: args}, f.handleEvent)
 		if err != nil {
 			return err
 		}
 		f.all.Add(c.Process)
-		f.liars = append(f.liars, c)
+		f.lyingMembers = append(f.lyingMembers, c)
 	}
 	return nil
 }
 
-// lie has liars begin or end to tell.
-func (f *Fleet) lie(s *plan.Step) (at int64, err error) {
+// orderLie has liars begin or end to tell.
+func (f *Fleet) orderLie(s *plan.Step) (at int64, err error) {
 	for _, i := range s.Nears {
-		n, err := f.liars[i].order(ctl.Order{Do: "lie", Mode: s.Mode, By: int64(s.By), On: s.On})
+		n, err := f.lyingMembers[i].order(ctl.Order{Do: "lie", Mode: s.Mode, By: int64(s.By), On: s.On})
 		if at = n.At; err != nil {
 			return at, err
 		}
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -11,9 +11,9 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// links keeps what all link faults together make of each link. Orders say each link's whole state, so that none is open for
+// linkFaults keeps what all link faults together make of each link. Orders say each link's whole state, so that none is open for
 // a moment between two faults.
-type links struct {
+type linkFaults struct {
 	fleet *Fleet
 	base  link.State // set before the load
 	mu    sync.Mutex
@@ -22,13 +22,13 @@
 
 // farEnd is what faults do to the links of one server, or of the list.
 type farEnd struct {
-	mu     sync.Mutex // held while its process is told
-	active []*plan.Step
+	mu           sync.Mutex // held while its process is told
+	activeFaults []*plan.Step
 }
 
-func newLinks(f *Fleet) *links { return &links{fleet: f, ends: map[string]*farEnd{}} }
+func newLinkFaults(f *Fleet) *linkFaults { return &linkFaults{fleet: f, ends: map[string]*farEnd{}} }
 
-func (l *links) end(uid string) *farEnd {
+func (l *linkFaults) farEndOf(uid string) *farEnd {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ends[uid] == nil {
@@ -38,39 +38,39 @@
 }
 
 // baseline sets the links of all servers as they are without faults.
-func (l *links) baseline(delay time.Duration) error {
+func (l *linkFaults) baseline(delay time.Duration) error {
 	l.base.Delay = delay
 	for i := range l.fleet.plan.Standing {
-		if err := l.again(l.fleet.plan.Servers[i].UID); err != nil {
+		if err := l.resend(l.fleet.plan.Servers[i].UID); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// again says the state of a far end's links to a process that does not know it.
-func (l *links) again(uid string) error {
-	end := l.end(uid)
+// resend says the state of a far end's links to a process that does not know it.
+func (l *linkFaults) resend(uid string) error {
+	end := l.farEndOf(uid)
 	end.mu.Lock()
 	defer end.mu.Unlock()
-	if l.base == (link.State{}) && len(end.active) == 0 {
+	if l.base == (link.State{}) && len(end.activeFaults) == 0 {
 		return nil
 	}
-	_, err := l.send(uid, end)
+	_, err := l.sendStates(uid, end)
 	return err
 }
 
-// set begins or ends a fault of links.
-func (l *links) set(s *plan.Step) (int64, error) {
-	end := l.end(s.Server)
+// apply begins or ends a fault of links.
+func (l *linkFaults) apply(s *plan.Step) (int64, error) {
+	end := l.farEndOf(s.Server)
 	end.mu.Lock()
 	defer end.mu.Unlock()
 	if s.On {
-		end.active = append(end.active, s)
+		end.activeFaults = append(end.activeFaults, s)
 	} else {
-		end.active = slices.DeleteFunc(end.active, func(b *plan.Step) bool { return b.Fault == s.Fault })
+		end.activeFaults = slices.DeleteFunc(end.activeFaults, func(b *plan.Step) bool { return b.Fault == s.Fault })
 	}
-	return l.send(s.Server, end)
+	return l.sendStates(s.Server, end)
 }
 
 // addEffect has a link suffer from one fault more.
@@ -85,14 +85,14 @@
 	}
 }
 
-// send tells a far end the state of all its links. end.mu is held.
-func (l *links) send(uid string, end *farEnd) (at int64, err error) {
+// sendStates tells a far end the state of all its links. end.mu is held.
+func (l *linkFaults) sendStates(uid string, end *farEnd) (at int64, err error) {
 	groups := map[link.State][]int{}
 	cuts := map[int]bool{} // groups in which no call comes up; those of single sidecars come up, and nothing after
 	for i, sidecar := range l.fleet.plan.Sidecars {
 		state := l.base
 		cut := false
-		for _, s := range end.active {
+		for _, s := range end.activeFaults {
 			if len(s.Nears) > 0 && !slices.Contains(s.Nears, i) {
 				continue
 			}
@@ -107,7 +107,7 @@
 			cuts[sidecar.Group] = false
 		}
 	}
-	far := l.fleet.far(uid)
+	far := l.fleet.processOf(uid)
 	for state, nears := range groups {
 		n, err := far.order(ctl.Order{Do: "link", UID: uid, Nears: nears, State: &state})
 		if err != nil {
--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -15,13 +15,13 @@
 
 // listProcess is the list, whose process faults may end and start.
 type listProcess struct {
-	fleet  *Fleet
-	groups string
-	place  *link.Place
+	fleet       *Fleet
+	groups      string
+	reservation *link.Place
 
-	mu    sync.Mutex
-	child *child
-	n     int
+	mu      sync.Mutex
+	child   *child
+	started int
 }
 
 func (l *listProcess) current() *child {
@@ -35,20 +35,20 @@
 
 // start starts the list's process, where the one before was.
 func (l *listProcess) start() error {
-	f := l.fleet
+	fleet := l.fleet
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, err := startChild(f.starter, proc.Spec{Name: "list", Path: f.self.Path, Log: f.log("list"), Env: f.env("TMPDIR=" + f.work),
-		Args: []string{"stand-in", "list", "--groups", l.groups, "--port", strconv.Itoa(int(l.place.Addr.Port())), "--records", f.records("told", l.n)}}, f.hear)
+	c, err := startChild(fleet.starter, proc.Spec{Name: "list", Path: fleet.self.Path, Log: fleet.log("list"), Env: fleet.env("TMPDIR=" + fleet.work),
+		Args: []string{"stand-in", "list", "--groups", l.groups, "--port", strconv.Itoa(int(l.reservation.Addr.Port())), "--records", fleet.records("told", l.started)}}, fleet.handleEvent)
 	if err != nil {
 		return err
 	}
-	l.n++
-	f.all.Add(c.Process)
+	l.started++
+	fleet.all.Add(c.Process)
 	l.child = c
-	f.mu.Lock()
-	told := append([]ctl.Entry(nil), f.told...)
-	f.mu.Unlock()
+	fleet.mu.Lock()
+	told := append([]ctl.Entry(nil), fleet.listed...)
+	fleet.mu.Unlock()
 	for _, e := range told {
 		if _, err := c.order(ctl.Order{Do: "list", Entry: &e}); err != nil {
 			return err
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// tell has the list learn an entry; while its process is down, the next one learns it.
-func (l *listProcess) tell(e ctl.Entry) error {
+// addEntry has the list learn an entry; while its process is down, the next one learns it.
+func (l *listProcess) addEntry(e ctl.Entry) error {
 	l.fleet.mu.Lock()
-	l.fleet.told = append(l.fleet.told, e)
+	l.fleet.listed = append(l.fleet.listed, e)
 	l.fleet.mu.Unlock()
 	c := l.current()
 	select {
@@ -69,7 +69,7 @@
 	default:
 	}
 	_, err := c.order(ctl.Order{Do: "list", Entry: &e})
-	if errors.Is(err, errGone) || errors.Is(err, syscall.EPIPE) {
+	if errors.Is(err, errProcessEnded) || errors.Is(err, syscall.EPIPE) {
 		return nil
 	}
 	return err
@@ -82,14 +82,14 @@
 		groups[i] = strconv.Itoa(s.Group)
 	}
 	f.list = &listProcess{fleet: f, groups: strings.Join(groups, ",")}
-	if f.list.place, err = link.Reserve(link.Anywhere); err != nil {
+	if f.list.reservation, err = link.Reserve(link.Anywhere); err != nil {
 		return err
 	}
 	if err := f.list.start(); err != nil {
 		return err
 	}
 	for _, e := range f.known {
-		if err := f.list.tell(e); err != nil {
+		if err := f.list.addEntry(e); err != nil {
 			return err
 		}
 	}
@@ -98,13 +98,13 @@
 
 // ListAddress is where the first sidecar reaches the list.
 func (f *Fleet) ListAddress() string {
-	if f.keepers != nil {
-		return f.keeperAddresses(0)[0]
+	if f.registry != nil {
+		return f.registryAddresses(0)[0]
 	}
 	return f.listAddress(0)
 }
 
 // listAddress is where the i-th sidecar reaches the list.
 func (f *Fleet) listAddress(i int) string {
-	return netip.AddrPortFrom(link.Near(i), f.list.place.Addr.Port()).String()
+	return netip.AddrPortFrom(link.Near(i), f.list.reservation.Addr.Port()).String()
 }
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -14,49 +14,49 @@
 
 // peers is what sidecars say to each other, behind a relay that gives each link between two of them faults of its own.
 type peers struct {
-	fleet  *Fleet
-	relay  *child
-	places []*link.Place // where each listens; then the liars
-	fronts []int         // ports of the relay, by sidecar
+	fleet        *Fleet
+	relay        *child
+	reservations []*link.Place // where each listens; then the liars
+	relayPorts   []int         // ports of the relay, by sidecar
 
-	mu     sync.Mutex
-	active []*plan.Step // faults of links
-	told   [][]link.State
+	mu           sync.Mutex
+	activeFaults []*plan.Step // faults of links
+	sentStates   [][]link.State
 }
 
 // startPeers starts the relay, and opens a port before each sidecar.
 func (f *Fleet) startPeers() (err error) {
-	n := len(f.plan.Sidecars)
-	ps := &peers{fleet: f, told: make([][]link.State, n)}
-	f.peers = ps
-	ps.relay, err = startChild(f.starter, proc.Spec{Name: "peers", Path: f.self.Path, Log: f.log("peers"), Env: f.env("TMPDIR=" + f.work),
-		Args: []string{"stand-in", "peers", "--gossip", f.records("gossip", 0)}}, f.hear)
+	count := len(f.plan.Sidecars)
+	network := &peers{fleet: f, sentStates: make([][]link.State, count)}
+	f.peers = network
+	network.relay, err = startChild(f.starter, proc.Spec{Name: "peers", Path: f.self.Path, Log: f.log("peers"), Env: f.env("TMPDIR=" + f.work),
+		Args: []string{"stand-in", "peers", "--gossip", f.records("gossip", 0)}}, f.handleEvent)
 	if err != nil {
 		return err
 	}
-	f.all.Add(ps.relay.Process)
-	for i := range n { // all before the first port of the relay, which is then none of theirs
+	f.all.Add(network.relay.Process)
+	for i := range count { // all before the first port of the relay, which is then none of theirs
 		p, err := link.Reserve(link.Near(i))
 		if err != nil {
 			return err
 		}
-		ps.places = append(ps.places, p)
-		ps.told[i] = make([]link.State, n)
+		network.reservations = append(network.reservations, p)
+		network.sentStates[i] = make([]link.State, count)
 	}
-	for i := range n {
-		news, err := ps.relay.order(ctl.Order{Do: "front", UID: f.plan.Sidecars[i].Name, Front: ps.places[i].Addr.String()})
+	for i := range count {
+		news, err := network.relay.order(ctl.Order{Do: "front", UID: f.plan.Sidecars[i].Name, Front: network.reservations[i].Addr.String()})
 		if err != nil {
 			return err
 		}
-		ps.fronts = append(ps.fronts, news.Ports[0])
+		network.relayPorts = append(network.relayPorts, news.Ports[0])
 	}
 	return nil
 }
 
-const joinThrough = 4 // peers that a sidecar is told of
+const maxJoinAddresses = 4 // peers that a sidecar is told of
 
-// config is what the i-th sidecar is told of the others.
-func (ps *peers) config(i int) map[string]any {
+// memberConfig is what the i-th sidecar is told of the others.
+func (ps *peers) memberConfig(i int) map[string]any {
 	p := ps.fleet.plan
 	own := link.Near(i).String()
 	var standing []int
@@ -68,15 +68,15 @@
 	r := rand.New(rand.NewPCG(p.Seed, uint64(i)))
 	r.Shuffle(len(standing), func(a, b int) { standing[a], standing[b] = standing[b], standing[a] })
 	join := []string{}
-	for _, k := range standing[:min(joinThrough, len(standing))] {
-		join = append(join, fmt.Sprintf("%s:%d", own, ps.fronts[k]))
+	for _, k := range standing[:min(maxJoinAddresses, len(standing))] {
+		join = append(join, fmt.Sprintf("%s:%d", own, ps.relayPorts[k]))
 	}
-	return map[string]any{"listen": ps.places[i].Addr.String(), "advertise": fmt.Sprintf("%s:%d", own, ps.fronts[i]), "reach": own, "join": join,
+	return map[string]any{"listen": ps.reservations[i].Addr.String(), "advertise": fmt.Sprintf("%s:%d", own, ps.relayPorts[i]), "reach": own, "join": join,
 		"bound_s": p.File.Members.BoundMS / 1000}
 }
 
-// step begins or ends a fault of the links between sidecars, and tells the relay what all faults make of every link.
-func (ps *peers) step(s *plan.Step) (at int64, err error) {
+// applyLinkFault begins or ends a fault of the links between sidecars, and tells the relay what all faults make of every link.
+func (ps *peers) applyLinkFault(s *plan.Step) (at int64, err error) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	order := func(far int, o ctl.Order) error {
@@ -86,10 +86,10 @@
 		return err
 	}
 	if s.Do != plan.Link { // of all streams between those meant and the others
-		for far := range ps.told {
+		for far := range ps.sentStates {
 			var nears []int
-			for near := range ps.told {
-				if ps.meant(s, far, near) || ps.meant(s, near, far) {
+			for near := range ps.sentStates {
+				if ps.affects(s, far, near) || ps.affects(s, near, far) {
 					nears = append(nears, near)
 				}
 			}
@@ -102,16 +102,16 @@
 		return at, nil
 	}
 	if s.On {
-		ps.active = append(ps.active, s)
+		ps.activeFaults = append(ps.activeFaults, s)
 	} else {
-		ps.active = slices.DeleteFunc(ps.active, func(a *plan.Step) bool { return a.Fault == s.Fault })
+		ps.activeFaults = slices.DeleteFunc(ps.activeFaults, func(a *plan.Step) bool { return a.Fault == s.Fault })
 	}
-	for far := range ps.told {
+	for far := range ps.sentStates {
 		groups := map[link.State][]int{} // of links that change
-		for near := range ps.told {
-			if state := ps.state(far, near); state != ps.told[far][near] {
+		for near := range ps.sentStates {
+			if state := ps.linkState(far, near); state != ps.sentStates[far][near] {
 				groups[state] = append(groups[state], near)
-				ps.told[far][near] = state
+				ps.sentStates[far][near] = state
 			}
 		}
 		for state, nears := range groups {
@@ -123,15 +123,15 @@
 	return at, nil
 }
 
-// meant tells whether a fault is of the links of one, as the far end, to another.
-func (ps *peers) meant(s *plan.Step, one, other int) bool {
+// affects tells whether a fault is of the links of one, as the far end, to another.
+func (ps *peers) affects(s *plan.Step, one, other int) bool {
 	return one != other && slices.Contains(s.Nears, one) && (s.From == "" || ps.fleet.plan.Sidecars[other].Zone == s.From)
 }
 
-// state is what all faults make of the link from a near end to a far one. ps.mu is held.
-func (ps *peers) state(far, near int) (state link.State) {
-	for _, s := range ps.active {
-		far, near := ps.meant(s, far, near), ps.meant(s, near, far) // the near end's own calls: what it hears comes the other way
+// linkState is what all faults make of the link from a near end to a far one. ps.mu is held.
+func (ps *peers) linkState(far, near int) (state link.State) {
+	for _, s := range ps.activeFaults {
+		far, near := ps.affects(s, far, near), ps.affects(s, near, far) // the near end's own calls: what it hears comes the other way
 		if !far && !near {
 			continue
 		}
@@ -142,8 +142,8 @@
 	return state
 }
 
-func (ps *peers) leave() {
-	for _, p := range ps.places {
+func (ps *peers) releasePorts() {
+	for _, p := range ps.reservations {
 		p.Close()
 	}
 }
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -17,15 +17,15 @@
 
 // router makes generations of the route table. What it put is the truth that sidecars are held against.
 type router struct {
-	plan   *plan.Plan
-	client *client.Client
-	rng    *rand.Rand
-	table  routes.Table
-	made   int
-	put    []check.Routed
+	plan        *plan.Plan
+	client      *client.Client
+	rng         *rand.Rand
+	table       routes.Table
+	generations int
+	published   []check.Routed
 }
 
-const routeWithin = 10 * time.Second // for one generation to be taken
+const routeTimeout = 10 * time.Second // for one generation to be taken
 
 // startRoutes puts the first table, before any sidecar asks for one.
 func (f *Fleet) startRoutes(ctx context.Context) (err error) {
@@ -33,14 +33,14 @@
 		return nil
 	}
 	r := &router{plan: f.plan, rng: rand.New(rand.NewPCG(f.plan.Seed, 22))}
-	if r.client, err = client.New(f.keeperAddresses(f.plan.NearWriter())); err != nil {
+	if r.client, err = client.New(f.registryAddresses(f.plan.NearWriter())); err != nil {
 		return err
 	}
 	for i := range f.plan.File.Routes.Apps {
 		r.table = append(r.table, r.rule(fmt.Sprintf("rule-%d", i), fmt.Sprintf("app-%d", i)))
 	}
 	f.routes = r
-	return r.send(ctx, r.table)
+	return r.publish(ctx, r.table)
 }
 
 // rule has a weight for each kind of server.
@@ -59,24 +59,24 @@
 // weight is near one: what is put to the test is how tables come, not how servers bear them.
 func (r *router) weight() float64 { return 0.8 + 0.4*r.rng.Float64() }
 
-// send puts a table and notes it. Danger: one that was not answered may have been taken, so it is sent until it is: the same
+// publish puts a table and notes it. Danger: one that was not answered may have been taken, so it is sent until it is: the same
 // table makes no second generation.
-func (r *router) send(ctx context.Context, table routes.Table) error {
-	ctx, cancel := context.WithTimeout(ctx, routeWithin)
+func (r *router) publish(ctx context.Context, table routes.Table) error {
+	ctx, cancel := context.WithTimeout(ctx, routeTimeout)
 	defer cancel()
 	p := check.Routed{Call: clock.Now(), Table: table}
 	var err error
 	p.Gen, err = r.client.PutRoutes(ctx, table, nil)
 	if p.Return = clock.Now(); err == nil {
-		r.put = append(r.put, p)
+		r.published = append(r.published, p)
 	}
 	return err
 }
 
-// next is the table with one change, or of all weights.
-func (r *router) next() routes.Table {
+// nextTable is the table with one change, or of all weights.
+func (r *router) nextTable() routes.Table {
 	t := slices.Clone(r.table)
-	r.made++
+	r.generations++
 	again := func(i int) {
 		t[i].Destinations = slices.Clone(t[i].Destinations)
 		for j := range t[i].Destinations {
@@ -93,7 +93,7 @@
 		t = slices.Insert(slices.Delete(t, at, at+1), r.rng.IntN(len(t)), r.table[at])
 	case draw == 1 && len(t) < 2*apps: // a rule that goes before the application's own, for one room
 		i := r.rng.IntN(apps)
-		extra := r.rule(fmt.Sprintf("extra-%d", r.made), fmt.Sprintf("app-%d", i))
+		extra := r.rule(fmt.Sprintf("extra-%d", r.generations), fmt.Sprintf("app-%d", i))
 		extra.Source["region"] = r.plan.File.Fleet.Zones[r.rng.IntN(len(r.plan.File.Fleet.Zones))]
 		t = slices.Insert(t, at, extra)
 	case draw == 2 && t[at].Source["region"] != "":
@@ -104,8 +104,8 @@
 	return t
 }
 
-// nowhere is a table that leads to no server.
-func (r *router) nowhere() routes.Table {
+// nowhereTable is a table that leads to no server.
+func (r *router) nowhereTable() routes.Table {
 	t := slices.Clone(r.table)
 	for i := range t {
 		t[i].Destinations = []routes.Destination{{Weight: r.weight(), Match: routes.Match{"version": "nowhere"}}}
@@ -121,12 +121,12 @@
 		if !waitUntil(over, start+int64(at*1e9)) {
 			return
 		}
-		r.table = r.next()
+		r.table = r.nextTable()
 		table := r.table
 		if at >= f.Nowhere[0] && at < f.Nowhere[1] {
-			table = r.nowhere()
+			table = r.nowhereTable()
 		}
-		_ = r.send(over, table)
+		_ = r.publish(over, table)
 		if behind := float64(clock.Now()-start)/1e9 - at; behind > f.EveryS {
 			at += float64(int(behind/f.EveryS)) * f.EveryS // what could not be made in its time is not made up for
 		}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -85,17 +85,17 @@
 	Open     int64         `json:"open"`
 }
 
-const lead = 300 * time.Millisecond // from all being ready to the start of the load
+const startDelay = 300 * time.Millisecond // from all being ready to the start of the load
 
 // Run runs a plan's experiment, and before it the same without floods, if the file wants that; Tick and Up hear of the experiment
 // alone. When ctx is done, it ends early; whatever happens, no process, port or temporary folder is left behind.
-func Run(ctx context.Context, p *plan.Plan, o Options) (*Result, error) {
-	if err := possible(p); err != nil {
+func Run(ctx context.Context, experiment *plan.Plan, o Options) (*Result, error) {
+	if err := checkPossible(experiment); err != nil {
 		return nil, err
 	}
 	var twin *check.Evidence
-	if p.File.Hitters.Twin {
-		calm, err := p.WithoutFloods()
+	if experiment.File.Hitters.Twin {
+		calm, err := experiment.WithoutFloods()
 		if err != nil {
 			return nil, err
 		}
@@ -106,30 +106,30 @@
 			return nil, fmt.Errorf("without floods: %w", err)
 		}
 	}
-	e, effects, err := run(ctx, p, o)
+	evidence, effects, err := run(ctx, experiment, o)
 	if err != nil {
 		return nil, err
 	}
-	if e.Twin = twin; twin != nil {
-		e.Lateness = max(e.Lateness, twin.Lateness) // a late one is nothing to compare with
+	if evidence.Twin = twin; twin != nil {
+		evidence.Lateness = max(evidence.Lateness, twin.Lateness) // a late one is nothing to compare with
 	}
-	r := result(p, e)
+	r := result(experiment, evidence)
 	r.Effects, r.BrokenOff = effects, ctx.Err() != nil
 	return r, nil
 }
 
 // run plays a plan once.
-func run(ctx context.Context, p *plan.Plan, o Options) (e *check.Evidence, effects []Effect, err error) {
+func run(ctx context.Context, experiment *plan.Plan, o Options) (evidence *check.Evidence, effects []Effect, err error) {
 	work, err := os.MkdirTemp("", "gradeusher-lab-")
 	if err != nil {
 		return nil, nil, err
 	}
-	leave, err := startJanitor(o.Self, work)
+	cleanUp, err := startJanitor(o.Self, work)
 	if err != nil {
 		return nil, nil, errors.Join(err, os.RemoveAll(work))
 	}
 	defer func() {
-		if gone := leave(); err == nil {
+		if gone := cleanUp(); err == nil {
 			err = gone
 		}
 	}()
@@ -140,78 +140,78 @@
 	if err := os.MkdirAll(logs, 0o700); err != nil {
 		return nil, nil, err
 	}
-	f, err := StartFleet(ctx, p, o.Self, work, logs)
+	fleet, err := StartFleet(ctx, experiment, o.Self, work, logs)
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", p.File.Name, err)
+		return nil, nil, fmt.Errorf("%s: %w", experiment.File.Name, err)
 	}
-	defer f.Close()
+	defer fleet.Close()
 
-	clients := &load.Clients{Plan: p, Addresses: f.Addresses(), Slack: plan.Millis(p.File.Limits.AnswerSlackMS),
-		Tardy: plan.Millis(p.File.Load.TardyMS)}
-	start := clock.Now() + int64(lead)
+	clients := &load.Clients{Plan: experiment, Addresses: fleet.Addresses(), Slack: plan.Millis(experiment.File.Limits.AnswerSlackMS),
+		Tardy: plan.Millis(experiment.File.Load.TardyMS)}
+	start := clock.Now() + int64(startDelay)
 	if o.Up != nil {
-		o.Up(f)
+		o.Up(fleet)
 	}
-	e = &check.Evidence{Plan: p, Start: start}
+	evidence = &check.Evidence{Plan: experiment, Start: start}
 	over, stop := context.WithCancel(ctx)
 	defer stop()
 	var tasks errgroup.Group
 	tasks.Go(func() error {
-		effects = f.Steps(over, start)
+		effects = fleet.Steps(over, start)
 		return nil
 	})
 	tasks.Go(func() error {
-		f.watch(over, clients, start, o.Tick)
+		fleet.watch(over, clients, start, o.Tick)
 		return nil
 	})
-	if f.writers != nil {
+	if fleet.writers != nil {
 		tasks.Go(func() error {
-			last, cancel := within(ctx, over, lastWithin)
+			last, cancel := cancelAfter(ctx, over, finalReadTimeout)
 			defer cancel()
-			f.writers.run(last, over, start)
+			fleet.writers.run(last, over, start)
 			return nil
 		})
 	}
-	if f.routes != nil {
+	if fleet.routes != nil {
 		tasks.Go(func() error {
-			f.routes.run(over, start)
+			fleet.routes.run(over, start)
 			return nil
 		})
 	}
-	e.Tries = clients.Run(ctx, start)
-	waitUntil(ctx, start+int64(plan.Seconds(p.File.Seconds)))
-	f.Sample()
+	evidence.Tries = clients.Run(ctx, start)
+	waitUntil(ctx, start+int64(plan.Seconds(experiment.File.Seconds)))
+	fleet.Sample()
 	stop()
 	if err := tasks.Wait(); err != nil {
 		return nil, nil, err
 	}
-	if f.keepers != nil {
-		e.Last = f.keepers.settle(ctx)
+	if fleet.registry != nil {
+		evidence.Last = fleet.registry.awaitWatchers(ctx)
 	}
 	for _, x := range effects {
-		if s := p.File.Faults[x.Fault]; s.Do == "kill" && s.On == "keepers" && x.Do == plan.Kill {
-			e.Kills = append(e.Kills, start+int64(x.Seen*1e9))
+		if s := experiment.File.Faults[x.Fault]; s.Do == "kill" && s.On == "keepers" && x.Do == plan.Kill {
+			evidence.Kills = append(evidence.Kills, start+int64(x.Seen*1e9))
 		}
 	}
-	f.Finish()
-	f.Close()
-	if err := f.Err(); err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", p.File.Name, err)
+	fleet.Finish()
+	fleet.Close()
+	if err := fleet.Err(); err != nil {
+		return nil, nil, fmt.Errorf("%s: %w", experiment.File.Name, err)
 	}
-	if err := f.gather(e); err != nil {
+	if err := fleet.readEvidence(evidence); err != nil {
 		return nil, nil, err
 	}
 	if o.Out != "" {
-		if err := keep(o.Out, e, work); err != nil {
+		if err := saveRecords(o.Out, evidence, work); err != nil {
 			return nil, nil, err
 		}
 	}
-	return e, effects, nil
+	return evidence, effects, nil
 }
 
-// within is ctx, and ends a time after over has: what waits for keepers that are gone ends together with it, not one wait after the
+// cancelAfter is ctx, and ends a time after over has: what waits for keepers that are gone ends together with it, not one wait after the
 // other. cancel ends it at once.
-func within(ctx, over context.Context, after time.Duration) (bounded context.Context, cancel func()) {
+func cancelAfter(ctx, over context.Context, after time.Duration) (bounded context.Context, cancel func()) {
 	bounded, end := context.WithCancel(ctx)
 	stop := context.AfterFunc(over, func() {
 		timer := time.NewTimer(after)
@@ -225,8 +225,8 @@
 	return bounded, func() { stop(); end() }
 }
 
-// possible refuses what this machine cannot do, before anything starts.
-func possible(p *plan.Plan) error {
+// checkPossible refuses what this machine cannot do, before anything starts.
+func checkPossible(p *plan.Plan) error {
 	if !slices.ContainsFunc(p.Steps, func(s plan.Step) bool { return s.Do == plan.Disk && s.Mode == "readonly" }) {
 		return nil
 	}
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -19,18 +19,18 @@
 			t.Fatal(err)
 		}
 		const keys = 30
-		w := &writers{fleet: &Fleet{plan: &plan.Plan{File: &plan.File{Keepers: plan.Keepers{Keys: keys, WriteRate: 1}}}}, client: []*client.Client{c}}
+		w := &writers{fleet: &Fleet{plan: &plan.Plan{File: &plan.File{Keepers: plan.Keepers{Keys: keys, WriteRate: 1}}}}, clients: []*client.Client{c}}
 		over, stop := context.WithCancel(t.Context())
 		stop()
-		last, cancel := within(t.Context(), over, lastWithin)
+		last, cancel := cancelAfter(t.Context(), over, finalReadTimeout)
 		defer cancel()
 		began := time.Now()
 		w.run(last, over, clock.Now())
-		if took := time.Since(began); took < lastWithin/2 || took > lastWithin+time.Second {
-			t.Errorf("the last reads took %v, want %v", took, lastWithin)
+		if took := time.Since(began); took < finalReadTimeout/2 || took > finalReadTimeout+time.Second {
+			t.Errorf("the last reads took %v, want %v", took, finalReadTimeout)
 		}
-		if len(w.wrote) != keys {
-			t.Errorf("%d of %d last reads were noted", len(w.wrote), keys)
+		if len(w.records) != keys {
+			t.Errorf("%d of %d last reads were noted", len(w.records), keys)
 		}
 	})
 }
--- a/internal/lab/servers.go
+++ b/internal/lab/servers.go
@@ -12,27 +12,27 @@
 )
 
 func (f *Fleet) startHosts() error {
-	p := f.plan
-	n := p.Hosts()
-	for i := range n {
+	experiment := f.plan
+	count := experiment.Hosts()
+	for i := range count {
 		name := fmt.Sprintf("servers-%d", i)
-		args := []string{"stand-in", "host", "--groups", strconv.Itoa(p.Groups()), "--records", f.records("attempts", i)}
-		if f.keepers != nil {
-			args = append(args, "--keepers", strings.Join(f.keeperAddresses(p.NearHost(i)), ","), "--lease", plan.Seconds(p.File.Keepers.LeaseS).String())
+		args := []string{"stand-in", "host", "--groups", strconv.Itoa(experiment.Groups()), "--records", f.records("attempts", i)}
+		if f.registry != nil {
+			args = append(args, "--keepers", strings.Join(f.registryAddresses(experiment.NearHost(i)), ","), "--lease", plan.Seconds(experiment.File.Keepers.LeaseS).String())
 		}
 		c, err := startChild(f.starter, proc.Spec{Name: name, Path: f.self.Path, Log: f.log(name), Env: f.env("TMPDIR=" + f.work),
-			Args: args}, f.hear)
+			Args: args}, f.handleEvent)
 		if err != nil {
 			return err
 		}
 		f.hosts = append(f.hosts, c)
 		f.all.Add(c.Process)
 	}
-	for i := range p.Servers {
-		f.host[p.Servers[i].UID] = f.hosts[i%n]
+	for i := range experiment.Servers {
+		f.host[experiment.Servers[i].UID] = f.hosts[i%count]
 	}
-	for i := range p.Standing {
-		e, _, err := f.addServer(p.Servers[i].UID, p.File.Fleet.Start == "cold")
+	for i := range experiment.Standing {
+		e, _, err := f.addServer(experiment.Servers[i].UID, experiment.File.Fleet.Start == "cold")
 		if err != nil {
 			return err
 		}
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -17,37 +17,37 @@
 
 // sidecar is one place where a sidecar's processes run, one after the other.
 type sidecar struct {
-	index  int
-	place  *link.Place // its address
-	folder string
+	index       int
+	reservation *link.Place // its address
+	folder      string
 
-	mu    sync.Mutex
-	run   *proc.Process
-	runs  []check.Run
-	peak  check.Peak
-	tasks sync.WaitGroup // that end or start a process
+	mu      sync.Mutex
+	process *proc.Process
+	runs    []check.Run
+	peak    check.Peak
+	tasks   sync.WaitGroup // that end or start a process
 }
 
-func (s *sidecar) address() string { return s.place.Addr.String() }
+func (s *sidecar) address() string { return s.reservation.Addr.String() }
 
 // startSidecar starts a process of a sidecar, which is told the list as it was at the start of the fleet.
-func (f *Fleet) startSidecar(s *sidecar) error {
-	name := f.plan.Sidecars[s.index].Name
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	seed := f.plan.Seed<<20 + uint64(s.index)<<8 + uint64(len(s.runs))
+func (f *Fleet) startSidecar(started *sidecar) error {
+	name := f.plan.Sidecars[started.index].Name
+	started.mu.Lock()
+	defer started.mu.Unlock()
+	seed := f.plan.Seed<<20 + uint64(started.index)<<8 + uint64(len(started.runs))
 	discovery := ""
 	var keepers []string
-	if f.keepers != nil {
-		keepers = f.keeperAddresses(s.index)
+	if f.registry != nil {
+		keepers = f.registryAddresses(started.index)
 	} else {
-		discovery = f.listAddress(s.index)
+		discovery = f.listAddress(started.index)
 	}
 	var members map[string]any
 	if f.peers != nil {
-		members = f.peers.config(s.index)
+		members = f.peers.memberConfig(started.index)
 	}
-	text, err := sidecarConfig(f.plan, s.index, s.address(), discovery, seed, f.known, keepers, members)
+	text, err := sidecarConfig(f.plan, started.index, started.address(), discovery, seed, f.known, keepers, members)
 	if err != nil {
 		return err
 	}
@@ -59,29 +59,29 @@
 	if f.plan.File.Fleet.Program == "plain" {
 		args = []string{"stand-in", "plain", "--flaw", f.plan.File.Fleet.Flaw}
 	}
-	tmp := s.folder
-	if f.keepers != nil && !f.plan.File.Keepers.Cache || !f.plan.File.Fleet.Keep {
+	tmp := started.folder
+	if f.registry != nil && !f.plan.File.Keepers.Cache || !f.plan.File.Fleet.Keep {
 		tmp = ""
 	}
 	began := clock.Now()
-	p, err := f.starter.Start(proc.Spec{Name: name, Path: f.self.Path, Args: args, Log: f.log(name), Folder: s.folder,
-		Env: f.env("TMPDIR="+tmp, "PROXY_CONFIG="+config, "PROXY_NAME="+name, "PROXY_LISTEN="+s.address(), "PROXY_DISCOVERY="+discovery)})
+	p, err := f.starter.Start(proc.Spec{Name: name, Path: f.self.Path, Args: args, Log: f.log(name), Folder: started.folder,
+		Env: f.env("TMPDIR="+tmp, "PROXY_CONFIG="+config, "PROXY_NAME="+name, "PROXY_LISTEN="+started.address(), "PROXY_DISCOVERY="+discovery)})
 	if err != nil {
 		return err
 	}
 	f.all.Add(p)
-	s.run = p
-	s.runs = append(s.runs, check.Run{From: began})
+	started.process = p
+	started.runs = append(started.runs, check.Run{From: began})
 	return nil
 }
 
-// ready waits until a sidecar answers.
-func (f *Fleet) ready(ctx context.Context, s *sidecar) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// awaitReady waits until a sidecar answers.
+func (f *Fleet) awaitReady(ctx context.Context, s *sidecar) error {
+	ctx, cancel := context.WithTimeout(ctx, standInTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	s.mu.Lock()
-	run := s.run
+	run := s.process
 	s.mu.Unlock()
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.address()+"/healthz", nil)
@@ -98,7 +98,7 @@
 		case <-run.Ended():
 			return fmt.Errorf("%s ended as it started: see its log", run.Name)
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready after %v: see its log", run.Name, patience)
+			return fmt.Errorf("%s is not ready after %v: see its log", run.Name, standInTimeout)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
@@ -108,16 +108,16 @@
 func (f *Fleet) Sample() {
 	for _, s := range f.sidecars {
 		s.mu.Lock()
-		if s.run == nil {
+		if s.process == nil {
 			s.mu.Unlock()
 			continue // it has not joined
 		}
-		if v, err := s.run.Sample(); err == nil { // one that has ended holds nothing
+		if v, err := s.process.Sample(); err == nil { // one that has ended holds nothing
 			s.peak.MemoryMB, s.peak.Descriptors = max(s.peak.MemoryMB, v.MemoryMB), max(s.peak.Descriptors, v.Descriptors)
 		}
 		s.mu.Unlock()
 	}
-	if f.keepers != nil {
-		f.keepers.sample()
+	if f.registry != nil {
+		f.registry.sample()
 	}
 }
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -35,17 +35,17 @@
 	var effects []Effect
 	var tasks sync.WaitGroup
 	done := func(s *plan.Step, at int64, err error) {
-		e := Effect{Fault: s.Fault, Do: s.Do, On: f.nameOf(s), Planned: s.At.Seconds(), Seen: float64(at-start) / 1e9}
+		e := Effect{Fault: s.Fault, Do: s.Do, On: f.targetName(s), Planned: s.At.Seconds(), Seen: float64(at-start) / 1e9}
 		if err != nil {
 			e.Error = err.Error()
-			f.fault(fmt.Errorf("%s %s: %w", s.Do, e.On, err))
+			f.addFault(fmt.Errorf("%s %s: %w", s.Do, e.On, err))
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		effects = append(effects, e)
 	}
 	var links errgroup.Group
-	links.SetLimit(mostLinksAtOnce)
+	links.SetLimit(maxConcurrentLinks)
 	for i := range f.plan.Steps {
 		s := &f.plan.Steps[i]
 		if s.At > plan.Seconds(f.plan.File.Seconds) {
@@ -58,7 +58,7 @@
 			tasks.Add(1)
 			run := func() {
 				defer tasks.Done()
-				at, err := f.keepers.step(ctx, s)
+				at, err := f.registry.applyStep(ctx, s)
 				if ctx.Err() != nil {
 					err = nil // the experiment is over, or was broken off
 				}
@@ -66,7 +66,7 @@
 			}
 			switch s.Do {
 			case plan.Kill, plan.Term, plan.Start, plan.Tear, plan.Backup, plan.Restore: // which wait
-				f.keepers.inTurn(s, run)
+				f.registry.runInOrder(s, run)
 			default:
 				run()
 			}
@@ -76,14 +76,14 @@
 			tasks.Add(1)
 			go func() {
 				defer tasks.Done()
-				at, err := f.peers.step(s)
+				at, err := f.peers.applyLinkFault(s)
 				done(s, at, err)
 			}()
 			continue
 		}
 		if s.Do == plan.Link { // of many far ends at once
 			links.Go(func() error {
-				at, err := f.links.set(s)
+				at, err := f.links.apply(s)
 				done(s, at, err)
 				return nil
 			})
@@ -99,7 +99,7 @@
 			}
 			go func() {
 				defer tasks.Done()
-				at, err := f.process(ctx, s)
+				at, err := f.startOrEnd(ctx, s)
 				if ends {
 					f.sidecars[s.Sidecar].tasks.Done()
 				}
@@ -107,7 +107,7 @@
 			}()
 			continue
 		}
-		at, err := f.step(s)
+		at, err := f.applyStep(s)
 		done(s, at, err)
 	}
 	_ = links.Wait()
@@ -116,14 +116,14 @@
 	return effects
 }
 
-const mostLinksAtOnce = 64
+const maxConcurrentLinks = 64
 
 func waitUntil(ctx context.Context, t int64) bool { return clock.Sleep(ctx, clock.Until(t)) }
 
-func (f *Fleet) nameOf(s *plan.Step) string {
+func (f *Fleet) targetName(s *plan.Step) string {
 	switch {
 	case plan.OnKeepers(s.Sidecar):
-		return f.keepers.nameOf(s)
+		return f.registry.targetName(s)
 	case s.Do == plan.Lie:
 		return fmt.Sprintf("%d liars", len(s.Nears))
 	case s.Peers:
@@ -136,21 +136,21 @@
 	return "list"
 }
 
-// step takes one step that needs no waiting.
-func (f *Fleet) step(s *plan.Step) (int64, error) {
+// applyStep takes one applyStep that needs no waiting.
+func (f *Fleet) applyStep(s *plan.Step) (int64, error) {
 	switch s.Do {
 	case plan.Stop, plan.Cont:
-		return f.stop(s)
+		return f.pauseOrResume(s)
 	case plan.Disk:
 		c := f.sidecars[s.Sidecar]
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return clock.Now(), c.run.Disk(s.Mode)
+		return clock.Now(), c.process.Disk(s.Mode)
 	case plan.Silent:
 		n, err := f.host[s.Server].order(ctl.Order{Do: "silent", UID: s.Server, On: s.On})
 		return n.At, err
 	case plan.Lie:
-		return f.lie(s)
+		return f.orderLie(s)
 	case plan.Tell:
 		f.mu.Lock()
 		e := f.entries[s.Server]
@@ -158,14 +158,14 @@
 			e.BootMS = 0
 		}
 		f.mu.Unlock()
-		return clock.Now(), f.list.tell(e)
+		return clock.Now(), f.list.addEntry(e)
 	case plan.Mode:
 		n, err := f.list.current().order(ctl.Order{Do: "list-mode", Mode: s.Mode, Late: s.By.Seconds()})
 		return n.At, err
 	case plan.Add:
 		_, n, err := f.addServer(s.Server, true)
 		if err == nil {
-			err = f.links.again(s.Server)
+			err = f.links.resend(s.Server)
 		}
 		return n.At, err
 	}
@@ -173,7 +173,7 @@
 	if s.Do == plan.Trouble {
 		o.Trouble = &s.Trouble
 	}
-	n, err := f.far(s.Server).order(o)
+	n, err := f.processOf(s.Server).order(o)
 	if err == nil && s.Do == plan.Revive {
 		f.mu.Lock()
 		e := f.entries[s.Server]
@@ -184,29 +184,29 @@
 	return n.At, err
 }
 
-// far is the process where a server or, by "", the list is.
-func (f *Fleet) far(uid string) *child {
+// processOf is the process where a server or, by "", the list is.
+func (f *Fleet) processOf(uid string) *child {
 	if uid == "" {
 		return f.list.current()
 	}
 	return f.host[uid]
 }
 
-func (f *Fleet) stop(s *plan.Step) (int64, error) {
+func (f *Fleet) pauseOrResume(step *plan.Step) (int64, error) {
 	sig := syscall.SIGSTOP
-	if s.Do == plan.Cont {
+	if step.Do == plan.Cont {
 		sig = syscall.SIGCONT
 	}
-	if s.Sidecar == plan.ListIndex {
+	if step.Sidecar == plan.ListIndex {
 		err := f.list.current().Signal(sig, false)
 		return clock.Now(), err
 	}
-	c := f.sidecars[s.Sidecar]
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	run := &c.runs[len(c.runs)-1]
+	target := f.sidecars[step.Sidecar]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	run := &target.runs[len(target.runs)-1]
 	now := clock.Now()
-	err := c.run.Signal(sig, false)
+	err := target.process.Signal(sig, false)
 	if sig == syscall.SIGSTOP {
 		run.Stops = append(run.Stops, check.Span{From: now, To: forever})
 	} else {
@@ -217,18 +217,18 @@
 
 const forever = int64(1) << 62
 
-// process ends or starts a process.
-func (f *Fleet) process(ctx context.Context, s *plan.Step) (int64, error) {
-	if s.Sidecar == plan.ListIndex {
-		return f.listStep(s)
+// startOrEnd ends or starts a startOrEnd.
+func (f *Fleet) startOrEnd(ctx context.Context, step *plan.Step) (int64, error) {
+	if step.Sidecar == plan.ListIndex {
+		return f.applyListStep(step)
 	}
-	c := f.sidecars[s.Sidecar]
-	if s.Do == plan.Start {
-		c.tasks.Wait() // for the end of the one before
-		if err := f.startSidecar(c); err != nil {
+	target := f.sidecars[step.Sidecar]
+	if step.Do == plan.Start {
+		target.tasks.Wait() // for the end of the one before
+		if err := f.startSidecar(target); err != nil {
 			return clock.Now(), err
 		}
-		err := f.ready(ctx, c)
+		err := f.awaitReady(ctx, target)
 		if ctx.Err() != nil {
 			err = nil // the experiment was broken off
 		}
@@ -236,18 +236,18 @@
 	}
 	at := clock.Now()
 	sig := syscall.SIGTERM
-	c.mu.Lock()
-	p := c.run
-	run := &c.runs[len(c.runs)-1] // nobody adds one before this process has ended
-	if s.Do == plan.Kill {
+	target.mu.Lock()
+	p := target.process
+	run := &target.runs[len(target.runs)-1] // nobody adds one before this process has ended
+	if step.Do == plan.Kill {
 		sig, run.Killed = syscall.SIGKILL, at
 	}
-	c.mu.Unlock()
+	target.mu.Unlock()
 	if ended, err := endBy(p, sig); err != nil || !ended {
 		return at, err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	target.mu.Lock()
+	defer target.mu.Unlock()
 	run.To = p.Exit().At
 	return at, nil
 }
@@ -273,7 +273,7 @@
 	return true, nil
 }
 
-func (f *Fleet) listStep(s *plan.Step) (int64, error) {
+func (f *Fleet) applyListStep(s *plan.Step) (int64, error) {
 	c := f.list.current()
 	switch s.Do {
 	case plan.Start:
@@ -281,7 +281,7 @@
 		if err := f.list.start(); err != nil {
 			return clock.Now(), err
 		}
-		return clock.Now(), f.links.again("")
+		return clock.Now(), f.links.resend("")
 	case plan.Kill:
 		err := c.Signal(syscall.SIGKILL, true)
 		<-c.Ended()
--- a/internal/lab/tear_test.go
+++ b/internal/lab/tear_test.go
@@ -33,11 +33,11 @@
 		if err := os.Truncate(path, 1<<20); err != nil { // laid out ahead
 			t.Fatal(err)
 		}
-		used, err := inUse(path)
+		used, err := bytesInUse(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := tear(folder, "torn"); err != nil {
+		if err := truncateStore(folder, "torn"); err != nil {
 			t.Fatal(err)
 		}
 		if info, err := os.Stat(path); err != nil || info.Size() >= used || used >= 1<<20 {
--- a/internal/lab/writers.go
+++ b/internal/lab/writers.go
@@ -18,17 +18,17 @@
 // writers are clients that write and read entries of their own, to see from outside whether keepers agree. The entries drain
 // from the start, so that no sidecar sends there.
 type writers struct {
-	fleet  *Fleet
-	client []*client.Client
-	values atomic.Int64
-	mu     sync.Mutex
-	wrote  []ctl.Wrote
+	fleet   *Fleet
+	clients []*client.Client
+	values  atomic.Int64
+	mu      sync.Mutex
+	records []ctl.Wrote
 }
 
 const (
-	writeWithin = 3 * time.Second  // for one operation; then its outcome is unknown
-	lastWithin  = 20 * time.Second // for the reads at the end
-	readPart    = 0.4              // of the operations
+	writeTimeout     = 3 * time.Second  // for one operation; then its outcome is unknown
+	finalReadTimeout = 20 * time.Second // for the reads at the end
+	readShare        = 0.4              // of the operations
 )
 
 func keyName(key int) string { return fmt.Sprintf("w-%d", key) }
@@ -39,25 +39,25 @@
 
 // startWriters makes the entries.
 func (f *Fleet) startWriters(ctx context.Context) (*writers, error) {
-	o := f.plan.File.Keepers
+	settings := f.plan.File.Keepers
 	w := &writers{fleet: f}
-	if o.Count == 0 || o.WriteRate == 0 {
+	if settings.Count == 0 || settings.WriteRate == 0 {
 		return w, nil
 	}
-	for range o.Writers {
-		c, err := client.New(f.keeperAddresses(f.plan.NearWriter()))
+	for range settings.Writers {
+		c, err := client.New(f.registryAddresses(f.plan.NearWriter()))
 		if err != nil {
 			return nil, err
 		}
-		w.client = append(w.client, c)
+		w.clients = append(w.clients, c)
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, standInTimeout)
 	defer cancel()
-	for key := range o.Keys {
-		if _, err := w.client[0].Register(ctx, []list.Registration{w.entry(key, 0)}, nil); err != nil {
+	for key := range settings.Keys {
+		if _, err := w.clients[0].Register(ctx, []list.Registration{w.entry(key, 0)}, nil); err != nil {
 			return nil, err
 		}
-		if _, err := w.client[0].Change(ctx, client.Drain, keyName(key), nil); err != nil {
+		if _, err := w.clients[0].Change(ctx, client.Drain, keyName(key), nil); err != nil {
 			return nil, err
 		}
 	}
@@ -67,43 +67,43 @@
 // run writes and reads until over is done, and reads each entry once more then, when faults are over, unless ctx is done too.
 func (w *writers) run(ctx, over context.Context, start int64) {
 	p := w.fleet.plan
-	o := p.File.Keepers
+	settings := p.File.Keepers
 	var all sync.WaitGroup
-	for i, c := range w.client {
+	for i, writer := range w.clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			r := rand.New(rand.NewPCG(p.Seed, uint64(i)))
-			revs := make([]int64, o.Keys) // of the entries, as this client last heard
-			pause := float64(len(w.client)) / o.WriteRate
+			revs := make([]int64, settings.Keys) // of the entries, as this client last heard
+			pause := float64(len(w.clients)) / settings.WriteRate
 			for at := r.ExpFloat64() * pause; at < p.File.Seconds; at += r.ExpFloat64() * pause {
-				read, key := r.Float64() < readPart, r.IntN(o.Keys)
+				read, key := r.Float64() < readShare, r.IntN(settings.Keys)
 				if !waitUntil(over, start+int64(at*1e9)) {
 					return
 				}
 				if read || revs[key] == 0 {
-					w.read(over, c, i, key, writeWithin, revs)
+					w.read(over, writer, i, key, writeTimeout, revs)
 				} else {
-					w.write(over, c, i, key, revs)
+					w.write(over, writer, i, key, revs)
 				}
 			}
 		}()
 	}
 	all.Wait()
-	for i, c := range w.client {
+	for i, writer := range w.clients {
 		if i == 0 {
-			for key := range o.Keys {
-				w.read(ctx, c, i, key, lastWithin, make([]int64, o.Keys))
+			for key := range settings.Keys {
+				w.read(ctx, writer, i, key, finalReadTimeout, make([]int64, settings.Keys))
 			}
 		}
-		c.Close()
+		writer.Close()
 	}
 }
 
-func (w *writers) note(v ctl.Wrote) {
+func (w *writers) record(v ctl.Wrote) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.wrote = append(w.wrote, v)
+	w.records = append(w.records, v)
 }
 
 func (w *writers) read(ctx context.Context, c *client.Client, i, key int, within time.Duration, revs []int64) {
@@ -117,25 +117,25 @@
 	} else if ok {
 		revs[key] = e.Revision
 	}
-	w.note(v)
+	w.record(v)
 }
 
 func (w *writers) write(ctx context.Context, c *client.Client, i, key int, revs []int64) {
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	v := ctl.Wrote{Client: i, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), How: "ok", Call: clock.Now()}
-	d, err := c.Register(ctx, []list.Registration{w.entry(key, v.Value)}, &v.Expect)
-	v.Return, v.Rev = clock.Now(), d.Revision
+	record := ctl.Wrote{Client: i, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), How: "ok", Call: clock.Now()}
+	d, err := c.Register(ctx, []list.Registration{w.entry(key, record.Value)}, &record.Expect)
+	record.Return, record.Rev = clock.Now(), d.Revision
 	var refused *client.RefusedError
 	switch {
 	case err == nil:
 		revs[key] = d.Revision
 	case errors.Is(err, client.ErrUncertain):
-		v.How, revs[key] = "uncertain", 0
+		record.How, revs[key] = "uncertain", 0
 	case errors.As(err, &refused) && refused.Status == 409:
-		v.How, revs[key] = "conflict", 0
+		record.How, revs[key] = "conflict", 0
 	default:
-		v.How = "none" // no keeper took it
+		record.How = "none" // no keeper took it
 	}
-	w.note(v)
+	w.record(record)
 }
