--- a/internal/lab/keepers.go
+++ b/internal/lab/registrynodes.go
@@ -206,59 +206,6 @@
 	return all
 }
 
-// startWatchers starts the clients that only watch.
-func (f *Fleet) startWatchers() error {
-	n := f.plan.File.Keepers.Watchers
-	if n == 0 {
-		return nil
-	}
-	args := []string{"stand-in", "watchers"}
-	for i := range n {
-		args = append(args, "--of", strings.Join(f.registryAddresses(f.plan.NearWatcher(i)), "/"))
-	}
-	c, err := startChild(f.starter, proc.Spec{Name: "watchers", Path: f.self.Path, Log: f.log("watchers"), Env: f.env("TMPDIR=" + f.work), Args: args}, f.handleEvent)
-	if err != nil {
-		return err
-	}
-	f.all.Add(c.Process)
-	f.registry.watchers = c
-	return nil
-}
-
-const watcherTimeout = 15 * time.Second // for all watchers to hear the last of it, when the faults are over
-
-// awaitWatchers waits, when all faults are over, until a keeper leads and has told every watcher its revision, or for long enough.
-// It returns what the last revision is; 0: nobody leads.
-func (ks *registryNodes) awaitWatchers(ctx context.Context) (last check.Last) {
-	ctx, cancel := context.WithTimeout(ctx, watcherTimeout)
-	defer cancel()
-	path := ks.fleet.records("shown", 0)
-	for {
-		leader, err := ks.leader(ctx)
-		if err != nil {
-			return last
-		}
-		c, err := client.New([]string{leader.http.Addr.String()})
-		if err != nil {
-			return last
-		}
-		all, _ := client.Status[nodeStatus](ctx, c)
-		c.Close()
-		for _, s := range all {
-			last = check.Last{Cluster: s.Cluster, Rev: s.Rev}
-		}
-		shown, err := ctl.ReadRecords[ctl.Shown](path)
-		if err == nil && len(check.Behind(ks.fleet.plan, shown, last)) == 0 {
-			return last
-		}
-		select {
-		case <-time.After(200 * time.Millisecond):
-		case <-ctx.Done():
-			return last
-		}
-	}
-}
-
 // stopAll ends the watchers, then the keepers as a platform would, and the relay last.
 func (ks *registryNodes) stopAll() {
 	for _, k := range ks.nodes {
--- a/internal/lab/keepersteps.go
+++ b/internal/lab/registrysteps.go
@@ -1,19 +1,12 @@
 package lab
 
 import (
-	"cmp"
 	"context"
 	"errors"
-	"fmt"
-	"math"
-	"os"
 	"path/filepath"
-	"slices"
 	"syscall"
 	"time"
 
-	"go.etcd.io/bbolt"
-
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/plan"
 	"gradeusher.example/gradeusher/internal/sidecar/client"
@@ -165,51 +158,3 @@
 	_, err = c.Restore(ctx, ks.backup)
 	return err
 }
-
-// truncateStore takes the end off a keeper's newest log file ("torn") or snapshot ("short").
-func truncateStore(folder, mode string) error {
-	pattern := filepath.Join(folder, "log.bolt")
-	if mode == "short" {
-		pattern = filepath.Join(folder, "snapshots", "*", "state.bin")
-	}
-	paths, err := filepath.Glob(pattern)
-	if err != nil || len(paths) == 0 {
-		return fmt.Errorf("nothing to tear at %s: %w", pattern, err)
-	}
-	slices.SortFunc(paths, func(a, b string) int { return cmp.Compare(modifiedAt(a), modifiedAt(b)) })
-	path := paths[len(paths)-1]
-	size, err := bytesInUse(path)
-	if err != nil {
-		return err
-	}
-	return os.Truncate(path, size/2)
-}
-
-// bytesInUse is how many bytes of a file hold anything: a log's file is laid out ahead of what is written, and a tear in that part is none.
-func bytesInUse(path string) (size int64, err error) {
-	if filepath.Base(path) != "log.bolt" {
-		info, err := os.Stat(path)
-		if err != nil {
-			return 0, err
-		}
-		return info.Size(), nil
-	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, ReadOnly: true})
-	if err != nil {
-		return 0, err
-	}
-	defer db.Close()
-	err = db.View(func(tx *bbolt.Tx) error {
-		size = tx.Size()
-		return nil
-	})
-	return size, err
-}
-
-func modifiedAt(path string) int64 {
-	info, err := os.Stat(path)
-	if err != nil {
-		return math.MinInt64
-	}
-	return info.ModTime().UnixNano()
-}
