--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -75,31 +75,13 @@
 		"bound_s": p.File.Members.BoundMS / 1000}
 }
 
-// applyLinkFault begins or ends a fault of the links between sidecars, and tells the relay what all faults make of every link.
+// applyLinkFault begins or ends a fault of the links between sidecars, and sends the relay the states that all faults make of
+// them.
 func (ps *peers) applyLinkFault(s *plan.Step) (at int64, err error) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	order := func(far int, o ctl.Order) error {
-		o.UID = ps.fleet.plan.Sidecars[far].Name
-		n, err := ps.relay.order(o)
-		at = max(at, n.At)
-		return err
-	}
-	if s.Do != plan.Link { // of all streams between those meant and the others
-		for far := range ps.sentStates {
-			var nears []int
-			for near := range ps.sentStates {
-				if ps.affects(s, far, near) || ps.affects(s, near, far) {
-					nears = append(nears, near)
-				}
-			}
-			if len(nears) > 0 {
-				if err := order(far, ctl.Order{Do: s.Do, Nears: nears}); err != nil {
-					return at, err
-				}
-			}
-		}
-		return at, nil
+	if s.Do != plan.Link {
+		return ps.orderStreams(s)
 	}
 	if s.On {
 		ps.activeFaults = append(ps.activeFaults, s)
@@ -107,22 +89,58 @@
 		ps.activeFaults = slices.DeleteFunc(ps.activeFaults, func(a *plan.Step) bool { return a.Fault == s.Fault })
 	}
 	for far := range ps.sentStates {
-		groups := map[link.State][]int{} // of links that change
-		for near := range ps.sentStates {
-			if state := ps.linkState(far, near); state != ps.sentStates[far][near] {
-				groups[state] = append(groups[state], near)
-				ps.sentStates[far][near] = state
+		for state, nears := range ps.changedStates(far) {
+			took, err := ps.order(far, ctl.Order{Do: "link", Nears: nears, State: &state})
+			at = max(at, took)
+			if err != nil {
+				return at, err
 			}
 		}
-		for state, nears := range groups {
-			if err := order(far, ctl.Order{Do: "link", Nears: nears, State: &state}); err != nil {
-				return at, err
+	}
+	return at, nil
+}
+
+// order gives the relay an order for the links to a sidecar.
+func (ps *peers) order(far int, o ctl.Order) (at int64, err error) {
+	o.UID = ps.fleet.plan.Sidecars[far].Name
+	n, err := ps.relay.order(o)
+	return n.At, err
+}
+
+// orderStreams resets or forgets all streams between the sidecars that a step affects and the others. The caller holds ps.mu.
+func (ps *peers) orderStreams(s *plan.Step) (at int64, err error) {
+	for far := range ps.sentStates {
+		var nears []int
+		for near := range ps.sentStates {
+			if ps.affects(s, far, near) || ps.affects(s, near, far) {
+				nears = append(nears, near)
 			}
 		}
+		if len(nears) == 0 {
+			continue
+		}
+		took, err := ps.order(far, ctl.Order{Do: s.Do, Nears: nears})
+		at = max(at, took)
+		if err != nil {
+			return at, err
+		}
 	}
 	return at, nil
 }
 
+// changedStates are the near ends whose link to a sidecar has another state than the relay was sent, by the new state, which
+// counts as sent from now on. The caller holds ps.mu.
+func (ps *peers) changedStates(far int) map[link.State][]int {
+	changed := map[link.State][]int{}
+	for near := range ps.sentStates {
+		if state := ps.linkState(far, near); state != ps.sentStates[far][near] {
+			changed[state] = append(changed[state], near)
+			ps.sentStates[far][near] = state
+		}
+	}
+	return changed
+}
+
 // affects tells whether a fault is of the links of one, as the far end, to another.
 func (ps *peers) affects(s *plan.Step, one, other int) bool {
 	return one != other && slices.Contains(s.Nears, one) && (s.From == "" || ps.fleet.plan.Sidecars[other].Zone == s.From)
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -28,95 +28,123 @@
 	Error   string  `json:"error,omitempty"`
 }
 
-// Steps takes all steps of the plan in time, and returns when each took effect. A step that could not be taken is an error
-// of the lab.
+// Steps applies all steps of the plan at their times, and returns when each took effect, in the order of their times. A step that
+// could not be applied is an error of the lab (Err).
 func (f *Fleet) Steps(ctx context.Context, start int64) []Effect {
-	var mu sync.Mutex
-	var effects []Effect
-	var tasks sync.WaitGroup
-	done := func(s *plan.Step, at int64, err error) {
-		e := Effect{Fault: s.Fault, Do: s.Do, On: f.targetName(s), Planned: s.At.Seconds(), Seen: float64(at-start) / 1e9}
-		if err != nil {
-			e.Error = err.Error()
-			f.addFault(fmt.Errorf("%s %s: %w", s.Do, e.On, err))
-		}
-		mu.Lock()
-		defer mu.Unlock()
-		effects = append(effects, e)
-	}
-	var links errgroup.Group
-	links.SetLimit(maxConcurrentLinks)
+	runner := &stepRunner{fleet: f, start: start}
+	runner.links.SetLimit(maxConcurrentLinks)
 	for i := range f.plan.Steps {
 		s := &f.plan.Steps[i]
 		if s.At > plan.Seconds(f.plan.File.Seconds) {
-			break // what a fault would still bring after the load
+			break // what a fault would still change after the load
 		}
 		if !waitUntil(ctx, start+int64(s.At)) {
 			break
 		}
-		if plan.OnKeepers(s.Sidecar) {
-			tasks.Add(1)
-			run := func() {
-				defer tasks.Done()
-				at, err := f.registry.applyStep(ctx, s)
-				if ctx.Err() != nil {
-					err = nil // the experiment is over, or was broken off
-				}
-				done(s, at, err)
-			}
-			switch s.Do {
-			case plan.Kill, plan.Term, plan.Start, plan.Tear, plan.Backup, plan.Restore: // which wait
-				f.registry.runInOrder(s, run)
-			default:
-				run()
-			}
-			continue
-		}
-		if s.Peers { // of many links at once
-			tasks.Add(1)
-			go func() {
-				defer tasks.Done()
-				at, err := f.peers.applyLinkFault(s)
-				done(s, at, err)
-			}()
-			continue
-		}
-		if s.Do == plan.Link { // of many far ends at once
-			links.Go(func() error {
-				at, err := f.links.apply(s)
-				done(s, at, err)
-				return nil
-			})
-			continue
-		}
-		_ = links.Wait() // errors are told to done; what comes after a change of links comes after it
-		switch s.Do {
-		case plan.Term, plan.Kill, plan.Start: // which wait for the process
-			tasks.Add(1)
-			ends := s.Do != plan.Start && s.Sidecar != plan.ListIndex
-			if ends {
-				f.sidecars[s.Sidecar].tasks.Add(1) // before a start that waits for it can begin
-			}
-			go func() {
-				defer tasks.Done()
-				at, err := f.startOrEnd(ctx, s)
-				if ends {
-					f.sidecars[s.Sidecar].tasks.Done()
-				}
-				done(s, at, err)
-			}()
-			continue
+		runner.apply(ctx, s)
+	}
+	_ = runner.links.Wait() // never fails: record gets the errors
+	runner.tasks.Wait()
+	slices.SortStableFunc(runner.effects, func(a, b Effect) int { return cmp.Compare(a.Planned, b.Planned) })
+	return runner.effects
+}
+
+// stepRunner applies steps. Those that wait run in tasks, so that the next one is in time.
+type stepRunner struct {
+	fleet *Fleet
+	start int64          // of the load, ns of the lab's clock
+	tasks sync.WaitGroup // steps that wait
+	links errgroup.Group // steps that change links of servers or of the list
+
+	mu      sync.Mutex
+	effects []Effect
+}
+
+// record records that a step took effect at a time, or why it did not.
+func (r *stepRunner) record(s *plan.Step, at int64, err error) {
+	effect := Effect{Fault: s.Fault, Do: s.Do, On: r.fleet.targetName(s), Planned: s.At.Seconds(), Seen: float64(at-r.start) / 1e9}
+	if err != nil {
+		effect.Error = err.Error()
+		r.fleet.addFault(fmt.Errorf("%s %s: %w", s.Do, effect.On, err))
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.effects = append(r.effects, effect)
+}
+
+// apply applies a step, or starts a task that does.
+func (r *stepRunner) apply(ctx context.Context, s *plan.Step) {
+	switch {
+	case plan.OnKeepers(s.Sidecar):
+		r.applyToRegistry(ctx, s)
+		return
+	case s.Peers: // of many links at once
+		r.goTask(func() {
+			at, err := r.fleet.peers.applyLinkFault(s)
+			r.record(s, at, err)
+		})
+		return
+	case s.Do == plan.Link: // of many far ends at once
+		r.links.Go(func() error {
+			at, err := r.fleet.links.apply(s)
+			r.record(s, at, err)
+			return nil
+		})
+		return
+	}
+	_ = r.links.Wait() // never fails; a step after a change of links comes after it
+	switch s.Do {
+	case plan.Term, plan.Kill, plan.Start: // which wait for the process
+		r.startOrEnd(ctx, s)
+	default:
+		at, err := r.fleet.applyStep(s)
+		r.record(s, at, err)
+	}
+}
+
+func (r *stepRunner) goTask(run func()) {
+	r.tasks.Add(1)
+	go func() {
+		defer r.tasks.Done()
+		run()
+	}()
+}
+
+// applyToRegistry applies a step to a registry node. Steps that wait run in order for each node.
+func (r *stepRunner) applyToRegistry(ctx context.Context, s *plan.Step) {
+	r.tasks.Add(1)
+	run := func() {
+		defer r.tasks.Done()
+		at, err := r.fleet.registry.applyStep(ctx, s)
+		if ctx.Err() != nil {
+			err = nil // the experiment is over, or was broken off
 		}
-		at, err := f.applyStep(s)
-		done(s, at, err)
+		r.record(s, at, err)
+	}
+	switch s.Do {
+	case plan.Kill, plan.Term, plan.Start, plan.Tear, plan.Backup, plan.Restore: // which wait
+		r.fleet.registry.runInOrder(s, run)
+	default:
+		run()
 	}
-	_ = links.Wait()
-	tasks.Wait()
-	slices.SortStableFunc(effects, func(a, b Effect) int { return cmp.Compare(a.Planned, b.Planned) })
-	return effects
 }
 
-const maxConcurrentLinks = 64
+// startOrEnd starts or ends a sidecar's or the list's process in a task.
+func (r *stepRunner) startOrEnd(ctx context.Context, s *plan.Step) {
+	endsSidecar := s.Do != plan.Start && s.Sidecar != plan.ListIndex
+	if endsSidecar {
+		r.fleet.sidecars[s.Sidecar].tasks.Add(1) // before a start that waits for it can begin
+	}
+	r.goTask(func() {
+		at, err := r.fleet.startOrEnd(ctx, s)
+		if endsSidecar {
+			r.fleet.sidecars[s.Sidecar].tasks.Done()
+		}
+		r.record(s, at, err)
+	})
+}
+
+const maxConcurrentLinks = 64 // steps that change links at once
 
 func waitUntil(ctx context.Context, t int64) bool { return clock.Sleep(ctx, clock.Until(t)) }
 
