--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -85,47 +85,25 @@
 	}
 }
 
-// sendStates tells a far end the state of all its links. end.mu is held.
+// sendStates sends a far end the state of all its links. The caller holds end.mu.
 func (l *linkFaults) sendStates(uid string, end *farEnd) (at int64, err error) {
-	groups := map[link.State][]int{}
-	cuts := map[int]bool{} // groups in which no call comes up; those of single sidecars come up, and nothing after
-	for i, sidecar := range l.fleet.plan.Sidecars {
-		state := l.base
-		cut := false
-		for _, s := range end.activeFaults {
-			if len(s.Nears) > 0 && !slices.Contains(s.Nears, i) {
-				continue
-			}
-			e := s.Effect
-			addEffect(&state, e)
-			cut = cut || e.HoldFar || e.HoldNear
-		}
-		groups[state] = append(groups[state], i)
-		if before, seen := cuts[sidecar.Group]; cut && (before || !seen) {
-			cuts[sidecar.Group] = true
-		} else {
-			cuts[sidecar.Group] = false
-		}
-	}
+	states, partitioned := l.states(end)
 	far := l.fleet.processOf(uid)
-	for state, nears := range groups {
+	for state, nears := range states {
 		n, err := far.order(ctl.Order{Do: "link", UID: uid, Nears: nears, State: &state})
 		if err != nil {
 			return n.At, err
 		}
 		at = max(at, n.At)
 	}
-	if uid == "" { // the list has one listener for all
-		all := true
-		for _, cut := range cuts {
-			all = all && cut
-		}
+	if uid == "" { // the list has one listener for all groups
+		all := !slices.Contains(slices.Collect(maps.Values(partitioned)), false)
 		n, err := far.order(ctl.Order{Do: "link", Cut: &all})
 		return max(at, n.At), err
 	}
-	for _, g := range slices.Sorted(maps.Keys(cuts)) {
-		cut := cuts[g]
-		n, err := far.order(ctl.Order{Do: "link", UID: uid, Group: g, Cut: &cut})
+	for _, group := range slices.Sorted(maps.Keys(partitioned)) {
+		isPartitioned := partitioned[group]
+		n, err := far.order(ctl.Order{Do: "link", UID: uid, Group: group, Cut: &isPartitioned})
 		if err != nil {
 			return n.At, err
 		}
@@ -133,3 +111,30 @@
 	}
 	return at, nil
 }
+
+// states are the sidecars by the state of their link to a far end, and whether each group is partitioned from it: whether the links
+// of all its sidecars are held. Calls of a partitioned group do not arrive; those of single sidecars do, and nothing after. The
+// caller holds end.mu.
+func (l *linkFaults) states(end *farEnd) (states map[link.State][]int, partitioned map[int]bool) {
+	states, partitioned = map[link.State][]int{}, map[int]bool{}
+	for i, sidecar := range l.fleet.plan.Sidecars {
+		state, held := l.stateOf(end, i)
+		states[state] = append(states[state], i)
+		before, seen := partitioned[sidecar.Group]
+		partitioned[sidecar.Group] = held && (before || !seen)
+	}
+	return states, partitioned
+}
+
+// stateOf is what all faults make of the link from a sidecar to a far end, and whether one holds it in either direction.
+func (l *linkFaults) stateOf(end *farEnd, index int) (state link.State, held bool) {
+	state = l.base
+	for _, s := range end.activeFaults {
+		if len(s.Nears) > 0 && !slices.Contains(s.Nears, index) {
+			continue
+		}
+		addEffect(&state, s.Effect)
+		held = held || s.Effect.HoldFar || s.Effect.HoldNear
+	}
+	return state, held
+}
--- a/internal/lab/registrylinks.go
+++ b/internal/lab/registrylinks.go
@@ -8,24 +8,12 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// applyLinkFault begins or ends a fault of a keeper's applyLinkFault, and tells the relay what all of them make of every link.
+// applyLinkFault begins or ends a fault of a node's links, and sends the relay the state that all faults make of every link.
 func (ks *registryNodes) applyLinkFault(k *registryNode, s *plan.Step) (at int64, err error) {
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
-	nears := ks.affectedNears(k, s.From)
 	if s.Do != plan.Link {
-		n, err := ks.relay.order(ctl.Order{Do: s.Do, UID: k.name, Nears: nears})
-		if err != nil || s.From != "" && s.From != "peers" {
-			return n.At, err
-		}
-		for _, other := range ks.nodes {
-			if other != k {
-				if n, err = ks.relay.order(ctl.Order{Do: s.Do, UID: other.name, Nears: []int{ks.fleet.plan.NearKeeper(k.index)}}); err != nil {
-					return n.At, err
-				}
-			}
-		}
-		return n.At, nil
+		return ks.orderStreams(k, s)
 	}
 	if s.On {
 		on := *s
@@ -37,12 +25,12 @@
 		})
 	}
 	for _, far := range ks.nodes {
-		groups := map[link.State][]int{}
+		states := map[link.State][]int{}
 		for near := range ks.fleet.plan.Nears() {
 			state := ks.linkState(far, near)
-			groups[state] = append(groups[state], near)
+			states[state] = append(states[state], near)
 		}
-		for state, nears := range groups {
+		for state, nears := range states {
 			n, err := ks.relay.order(ctl.Order{Do: "link", UID: far.name, Nears: nears, State: &state})
 			if err != nil {
 				return n.At, err
@@ -53,6 +41,25 @@
 	return at, nil
 }
 
+// orderStreams resets or forgets the streams to a node, and those from it to its peers where the step affects peers.
+func (ks *registryNodes) orderStreams(k *registryNode, s *plan.Step) (at int64, err error) {
+	n, err := ks.relay.order(ctl.Order{Do: s.Do, UID: k.name, Nears: ks.affectedNears(k, s.From)})
+	affectsPeers := s.From == "" || s.From == "peers"
+	if err != nil || !affectsPeers {
+		return n.At, err
+	}
+	own := []int{ks.fleet.plan.NearKeeper(k.index)}
+	for _, other := range ks.nodes {
+		if other == k {
+			continue
+		}
+		if n, err = ks.relay.order(ctl.Order{Do: s.Do, UID: other.name, Nears: own}); err != nil {
+			return n.At, err
+		}
+	}
+	return n.At, nil
+}
+
 // affectedNears are the near ends of a keeper's links: its peers, its clients, or both.
 func (ks *registryNodes) affectedNears(k *registryNode, from string) (all []int) {
 	for near := range ks.fleet.plan.Nears() {
