--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -6,6 +6,7 @@
 	"maps"
 	"math"
 	"slices"
+	"strings"
 )
 
 // Spread is the middle and the ends of some values.
@@ -69,14 +70,16 @@
 
 // PrintCompared writes a table of it.
 func PrintCompared(w io.Writer, all []Compared) {
-	fmt.Fprintf(w, "%-20s %30s %30s %28s %8s\n", "figure", "A: median (least to most)", "B: median (least to most)", "B/A, run by run", "B higher")
+	var text strings.Builder
+	fmt.Fprintf(&text, "%-20s %30s %30s %28s %8s\n", "figure", "A: median (least to most)", "B: median (least to most)", "B/A, run by run", "B higher")
 	for _, c := range all {
 		ratio := "-"
 		if c.Ratio != nil {
 			ratio = formatSpread(*c.Ratio)
 		}
-		fmt.Fprintf(w, "%-20s %30s %30s %28s %5d/%d\n", c.Figure, formatSpread(c.A), formatSpread(c.B), ratio, c.Better, c.Runs)
+		fmt.Fprintf(&text, "%-20s %30s %30s %28s %5d/%d\n", c.Figure, formatSpread(c.A), formatSpread(c.B), ratio, c.Better, c.Runs)
 	}
+	_, _ = io.WriteString(w, text.String()) // a reader who has gone needs no table
 }
 
 func formatSpread(s Spread) string {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -14,39 +14,41 @@
 
 // Print writes a result for a person: figures, what did not hold, and last how much held.
 func Print(w io.Writer, r *Result) {
-	fmt.Fprintf(w, "%s: %s\n", r.Name, r.States)
-	fmt.Fprintf(w, "seed %d, %d sidecars, %d servers, %.0f requests/s for %.0f s; arrivals %s, faults %s\n", r.Seed, r.Sidecars, r.Servers, r.Rate,
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s: %s\n", r.Name, r.States)
+	fmt.Fprintf(&text, "seed %d, %d sidecars, %d servers, %.0f requests/s for %.0f s; arrivals %s, faults %s\n", r.Seed, r.Sidecars, r.Servers, r.Rate,
 		r.Seconds, r.ArrivalsHash, r.StepsHash)
 	f := r.Figures
-	fmt.Fprintf(w, "served %.4f of the worth (worst 10 s %.4f, worst class %.4f), service %.4f; refused %.4f, failed %.4f of requests\n", f["served"],
+	fmt.Fprintf(&text, "served %.4f of the worth (worst 10 s %.4f, worst class %.4f), service %.4f; refused %.4f, failed %.4f of requests\n", f["served"],
 		f["served_worst_10s"], f["served_worst_class"], f["service"], f["refused"], f["failed"])
-	fmt.Fprintf(w, "latency p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms; %.3f attempts and %.4f new connections a request; the lab's lateness p99 %.2f ms\n",
+	fmt.Fprintf(&text, "latency p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms; %.3f attempts and %.4f new connections a request; the lab's lateness p99 %.2f ms\n",
 		f["p50_ms"], f["p99_ms"], f["p999_ms"], f["attempts"], f["connections"], f["lateness_p99_ms"])
-	printMeasured(w, f, "over the fleet", "spread", "spread_worst10", "spread_rise", "churn", "refused_before", "refused_after", "refused_back_s",
+	printMeasured(&text, f, "over the fleet", "spread", "spread_worst10", "spread_rise", "churn", "refused_before", "refused_after", "refused_back_s",
 		"avoid95_ms", "learn_attempts", "members_packets", "members_bytes")
-	printMeasured(w, f, "keepers", "writes", "writes_uncertain", "write_p99_ms", "write_gap_ms", "failover_p50_ms", "failover_most_ms", "told_p50_ms",
+	printMeasured(&text, f, "keepers", "writes", "writes_uncertain", "write_p99_ms", "write_gap_ms", "failover_p50_ms", "failover_most_ms", "told_p50_ms",
 		"told_p99_ms", "watches", "watches_whole", "keeper_mb", "keeper_cores")
 	if n, ok := f["route_generations"]; ok {
-		fmt.Fprintf(w, "routes: %.0f generations, told after p50 %.1f ms, p99 %.1f ms and %.0f ms at most; %.0f bytes in %.0f whole tables and %.0f changes\n",
+		fmt.Fprintf(&text, "routes: %.0f generations, told after p50 %.1f ms, p99 %.1f ms and %.0f ms at most; %.0f bytes in %.0f whole tables and %.0f changes\n",
 			n, f["route_told_p50_ms"], f["route_told_p99_ms"], f["route_told_most_ms"], f["route_bytes"], f["route_wholes"], f["route_diffs"])
 	}
 	for _, v := range r.Verdicts {
 		if v.Broken > 0 {
-			fmt.Fprintf(w, "broken: %s, %d times: %s\n", v.Name, v.Broken, strings.Join(v.Detail, "; "))
+			fmt.Fprintf(&text, "broken: %s, %d times: %s\n", v.Name, v.Broken, strings.Join(v.Detail, "; "))
 		}
 	}
 	if names := r.NotSeen(); len(names) > 0 {
-		fmt.Fprintf(w, "not seen, for there was nothing to look at: %s\n", strings.Join(names, ", "))
+		fmt.Fprintf(&text, "not seen, for there was nothing to look at: %s\n", strings.Join(names, ", "))
 	}
 	if r.BrokenOff {
-		fmt.Fprintln(w, "broken off before its end")
+		fmt.Fprintln(&text, "broken off before its end")
 	}
 	held, of := r.Held()
-	fmt.Fprintf(w, "held %d of %d\n", held, of)
+	fmt.Fprintf(&text, "held %d of %d\n", held, of)
+	_, _ = io.WriteString(w, text.String()) // a reader who has gone needs no report
 }
 
 // printMeasured writes a line of those figures that were measured.
-func printMeasured(w io.Writer, f check.Figures, what string, names ...string) {
+func printMeasured(text *strings.Builder, f check.Figures, what string, names ...string) {
 	var all []string
 	for _, name := range names {
 		if v, ok := f[name]; ok {
@@ -54,7 +56,7 @@
 		}
 	}
 	if len(all) > 0 {
-		fmt.Fprintf(w, "%s: %s\n", what, strings.Join(all, ", "))
+		fmt.Fprintf(text, "%s: %s\n", what, strings.Join(all, ", "))
 	}
 }
 
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -73,7 +73,9 @@
 
 // PrintTrace writes a trace, a moment a line.
 func PrintTrace(w io.Writer, all []Moment) {
+	var text strings.Builder
 	for _, m := range all {
-		fmt.Fprintf(w, "%10.3f ms  %s\n", m.At, m.Says)
+		fmt.Fprintf(&text, "%10.3f ms  %s\n", m.At, m.Says)
 	}
+	_, _ = io.WriteString(w, text.String()) // a reader who has gone needs no trace
 }
