--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -1,5 +1,12 @@
-// Package lab runs experiments: it starts sidecars, stand-in servers and a list as processes on loopback, sends load, does
-// what the faults of a plan say, and holds what was seen against the invariants.
+// Package lab runs experiments. Whether sidecars keep their promises shows only where real processes meet real faults, and a claim
+// about that is worth something only if it can be repeated. So an experiment follows a plan (package plan), which one seed
+// determines: the lab starts sidecars, stand-in servers, a list or registry nodes as processes on loopback (Fleet), sends load
+// (package load), applies the faults of the plan step by step, and checks what clients and servers saw against the invariants
+// (package check).
+//
+// The terms: a near end opens connections and a far end accepts them; each pair has a link with faults of its own (package link).
+// A stand-in is a child process that obeys orders (packages standin and ctl). A step begins or ends a fault at a time of the plan;
+// its effect is when that was seen to happen. The evidence is everything that the checks look at.
 package lab
 
 import (
@@ -56,7 +63,7 @@
 	logged      sync.Map // names of processes
 }
 
-// StartFleet starts all processes that a plan stands on, and waits until every one is ready. On an error none is left.
+// StartFleet starts all processes that a plan needs, and waits until every one is ready. On an error none is left.
 func StartFleet(ctx context.Context, p *plan.Plan, self Self, work, logs string) (f *Fleet, err error) {
 	f = &Fleet{plan: p, self: self, work: work, logs: logs, starter: proc.NewStarter(), host: map[string]*child{},
 		specs: map[string]*model.Spec{}, entries: map[string]ctl.Entry{}}
@@ -69,45 +76,59 @@
 	for i := range p.Servers {
 		f.specs[p.Servers[i].UID] = &p.Servers[i]
 	}
-	if p.File.Keepers.Count > 0 {
+	if err := f.startStandIns(ctx); err != nil {
+		return f, err
+	}
+	if err := f.links.baseline(plan.Millis(p.File.Fleet.DelayMS)); err != nil {
+		return f, err
+	}
+	if err := f.startSidecars(ctx); err != nil {
+		return f, err
+	}
+	return f, f.startLyingMembers()
+}
+
+// startStandIns starts what sidecars need: registry nodes if the plan has any, servers, the network between sidecars, and the list.
+func (f *Fleet) startStandIns(ctx context.Context) error {
+	if f.plan.File.Keepers.Count > 0 {
 		if err := f.startRegistry(ctx); err != nil {
-			return f, err
+			return err
 		}
 	}
 	if err := f.startHosts(); err != nil {
-		return f, err
+		return err
 	}
-	if p.File.Members.On {
+	if f.plan.File.Members.On {
 		if err := f.startPeers(); err != nil {
-			return f, err
+			return err
 		}
 	}
 	if f.registry != nil {
-		err = f.awaitRegistration(ctx)
-	} else {
-		err = f.startList()
+		return f.awaitRegistration(ctx)
 	}
-	if err != nil {
-		return f, err
-	}
-	if err := f.links.baseline(plan.Millis(p.File.Fleet.DelayMS)); err != nil {
-		return f, err
-	}
-	for i := range p.Sidecars {
-		s := &sidecar{index: i, folder: filepath.Join(work, p.Sidecars[i].Name)}
-		if err := os.Mkdir(s.folder, 0o700); err != nil {
-			return f, err
+	return f.startList()
+}
+
+const maxConcurrentStarts = 8
+
+// startSidecars prepares all sidecars, and starts those that do not join later.
+func (f *Fleet) startSidecars(ctx context.Context) error {
+	for i := range f.plan.Sidecars {
+		prepared := &sidecar{index: i, folder: filepath.Join(f.work, f.plan.Sidecars[i].Name)}
+		if err := os.Mkdir(prepared.folder, 0o700); err != nil {
+			return err
 		}
-		if s.reservation, err = link.Reserve(link.Near(i)); err != nil {
-			return f, err
+		var err error
+		if prepared.reservation, err = link.Reserve(link.Near(i)); err != nil {
+			return err
 		}
-		f.sidecars = append(f.sidecars, s)
+		f.sidecars = append(f.sidecars, prepared)
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(8)
+	group.SetLimit(maxConcurrentStarts)
 	for _, s := range f.sidecars {
 		if f.plan.Sidecars[s.index].Started() > 0 {
-			continue // it joins
+			continue // it joins later
 		}
 		group.Go(func() error {
 			if err := f.startSidecar(s); err != nil {
@@ -116,13 +137,10 @@
 			return f.awaitReady(ctx, s)
 		})
 	}
-	if err := group.Wait(); err != nil {
-		return f, err
-	}
-	return f, f.startLyingMembers()
+	return group.Wait()
 }
 
-// log is the file that all processes of a name write to; what an earlier experiment left there is removed.
+// log is the file that all processes of a name write to. It removes what an earlier experiment left there.
 func (f *Fleet) log(name string) string {
 	path := filepath.Join(f.logs, name+".log")
 	if _, known := f.logged.LoadOrStore(name, true); !known {
@@ -140,7 +158,7 @@
 	return filepath.Join(f.work, fmt.Sprintf("%s-%d.jsonl", kind, i))
 }
 
-// handleEvent takes what stand-ins say by themselves.
+// handleEvent handles events that no order asked for.
 func (f *Fleet) handleEvent(n ctl.News) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
