--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// addEntry has the list learn an entry; while its process is down, the next one learns it.
+// addEntry has the list apply an entry; while its process is down, the next one applies it.
 func (l *listProcess) addEntry(e ctl.Entry) error {
 	l.fleet.mu.Lock()
 	l.fleet.listed = append(l.fleet.listed, e)
--- a/internal/lab/lyingmembers.go
+++ b/internal/lab/lyingmembers.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// orderLie has liars begin or end to tell.
+// orderLie has lying members begin or end their lie.
 func (f *Fleet) orderLie(s *plan.Step) (at int64, err error) {
 	for _, i := range s.Nears {
 		n, err := f.lyingMembers[i].order(ctl.Order{Do: "lie", Mode: s.Mode, By: int64(s.By), On: s.On})
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-// peers is what sidecars say to each other, behind a relay that gives each link between two of them faults of its own.
+// peers is the network between sidecars, behind a relay that gives each link between two of them faults of its own.
 type peers struct {
 	fleet        *Fleet
 	relay        *child
@@ -53,9 +53,9 @@
 	return nil
 }
 
-const maxJoinAddresses = 4 // peers that a sidecar is told of
+const maxJoinAddresses = 4 // of peers, in a sidecar's configuration
 
-// memberConfig is what the i-th sidecar is told of the others.
+// memberConfig is the part of the i-th sidecar's configuration that concerns the other members.
 func (ps *peers) memberConfig(i int) map[string]any {
 	p := ps.fleet.plan
 	own := link.Near(i).String()
@@ -146,7 +146,7 @@
 	return one != other && slices.Contains(s.Nears, one) && (s.From == "" || ps.fleet.plan.Sidecars[other].Zone == s.From)
 }
 
-// linkState is what all faults make of the link from a near end to a far one. ps.mu is held.
+// linkState is what all faults make of the link from a near end to a far one. The caller holds ps.mu.
 func (ps *peers) linkState(far, near int) (state link.State) {
 	for _, s := range ps.activeFaults {
 		far, near := ps.affects(s, far, near), ps.affects(s, near, far) // the near end's own calls: what it hears comes the other way
--- a/internal/lab/registrylinks.go
+++ b/internal/lab/registrylinks.go
@@ -60,7 +60,7 @@
 	return n.At, nil
 }
 
-// affectedNears are the near ends of a keeper's links: its peers, its clients, or both.
+// affectedNears are the near ends of a node's links that a fault of its links from some of its callers affects.
 func (ks *registryNodes) affectedNears(k *registryNode, from string) (all []int) {
 	for near := range ks.fleet.plan.Nears() {
 		if peer := ks.peerAt(near); peer != k && ks.affects(near, from) {
@@ -70,7 +70,7 @@
 	return all
 }
 
-// affects tells whether a fault of a keeper's links, from some of its callers, is of the link from a near end.
+// affects reports whether a fault of a node's links from some of its callers affects the link from a near end.
 func (ks *registryNodes) affects(near int, from string) bool {
 	p := ks.fleet.plan
 	switch from {
@@ -86,7 +86,7 @@
 	return true
 }
 
-// peerAt is the keeper that a near end is; nil: a client.
+// peerAt is the registry node that a near end is; nil: a client.
 func (ks *registryNodes) peerAt(near int) *registryNode {
 	if i := near - ks.fleet.plan.NearKeeper(0); i >= 0 && i < len(ks.nodes) {
 		return ks.nodes[i]
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// linkState is what all faults make of the link from a near end to a keeper. ks.mu is held.
+// linkState is what all faults make of the link from a near end to a node. The caller holds ks.mu.
 func (ks *registryNodes) linkState(far *registryNode, near int) (state link.State) {
 	peer := ks.peerAt(near)
 	for _, s := range ks.activeFaults {
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -17,7 +17,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// registryNodes is the registryNodes of an experiment, behind a relay that gives each of their links faults of its own.
+// registryNodes are the registry nodes of an experiment, behind a relay that gives each of their links faults of its own.
 type registryNodes struct {
 	fleet *Fleet
 	relay *child
@@ -32,7 +32,7 @@
 	backup        []byte
 }
 
-// registryNode is one place where a registryNode's processes run, one after the other.
+// registryNode is where the processes of one registry node run, one after the other.
 type registryNode struct {
 	index      int
 	name       string
@@ -45,7 +45,7 @@
 	peak    check.KeeperPeak
 }
 
-// registryAddresses are where a near end reaches the keepers.
+// registryAddresses are where a near end reaches the registry nodes.
 func (f *Fleet) registryAddresses(near int) (all []string) {
 	for _, k := range f.registry.nodes {
 		all = append(all, fmt.Sprintf("%s:%d", link.Near(near), k.relayPorts[0]))
@@ -53,7 +53,7 @@
 	return all
 }
 
-// dialRegistry is a client of the keepers for the lab itself, and a context that bounds what it waits for. done ends both.
+// dialRegistry returns a client of the registry for the lab itself, and a context that bounds what it waits for. done ends both.
 func (f *Fleet) dialRegistry(ctx context.Context) (c *client.Client, within context.Context, done func(), err error) {
 	if c, err = client.New(f.registryAddresses(f.plan.NearWriter())); err != nil {
 		return nil, nil, nil, err
@@ -62,7 +62,7 @@
 	return c, within, func() { cancel(); c.Close() }, nil
 }
 
-// startRegistry starts the relay and all keepers, and waits until one leads.
+// startRegistry starts the relay and all registry nodes, and waits until one leads.
 func (f *Fleet) startRegistry(ctx context.Context) error {
 	n := f.plan.File.Keepers.Count
 	started := &registryNodes{fleet: f, leaderByFault: map[int]*registryNode{}, lastStepDone: map[int]chan struct{}{}}
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// awaitRegistration waits until all servers that stand are on the keepers' list, and starts whoever else uses it.
+// awaitRegistration waits until all servers of the start are registered, and starts the registry's other clients.
 func (f *Fleet) awaitRegistration(ctx context.Context) error {
 	c, ctx, done, err := f.dialRegistry(ctx)
 	if err != nil {
@@ -206,7 +206,7 @@
 	return all
 }
 
-// stopAll ends the watchers, then the keepers as a platform would, and the relay last.
+// stopAll ends all registry nodes as a platform would.
 func (ks *registryNodes) stopAll() {
 	for _, k := range ks.nodes {
 		if k.process != nil && !k.process.End(terminationTimeout) {
--- a/internal/lab/registrysteps.go
+++ b/internal/lab/registrysteps.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// nodeStatus is what the lab reads of a keeper's status.
+// nodeStatus is what the lab reads of a registry node's status.
 type nodeStatus struct {
 	Role    string `json:"role"`
 	AgeMS   int64  `json:"age_ms"`
@@ -50,7 +50,8 @@
 	}
 }
 
-// nodeOf is the keeper that a step means: whoever led when its fault began, where it says so.
+// nodeOf is the registry node that a step addresses: the leader at the beginning of its fault, where it says so. nil, without an error,
+// is whichever leads.
 func (ks *registryNodes) nodeOf(ctx context.Context, step *plan.Step) (*registryNode, error) {
 	if node, ok := plan.KeeperOf(step.Sidecar); ok {
 		return ks.nodes[node], nil
@@ -74,7 +75,7 @@
 	return node, nil
 }
 
-// targetName is whom a step acts on.
+// targetName is the name of what a step acts on, for the report.
 func (ks *registryNodes) targetName(s *plan.Step) string {
 	if k, ok := plan.KeeperOf(s.Sidecar); ok {
 		return ks.nodes[k].name
@@ -87,7 +88,7 @@
 	return "leader"
 }
 
-// runInOrder has steps that wait run one after the other where they act on one keeper, and beside each other where not.
+// runInOrder runs steps that wait: one after the other where they act on one node, concurrently where not. It does not wait.
 func (ks *registryNodes) runInOrder(s *plan.Step, run func()) {
 	ks.mu.Lock()
 	before := ks.lastStepDone[s.Sidecar]
@@ -103,7 +104,7 @@
 	}()
 }
 
-// applyStep does what a applyStep says to a keeper.
+// applyStep applies a step to a registry node and returns when it took effect.
 func (ks *registryNodes) applyStep(ctx context.Context, step *plan.Step) (int64, error) {
 	node, err := ks.nodeOf(ctx, step)
 	if err != nil {
@@ -142,7 +143,7 @@
 	return at, err
 }
 
-// backupOrRestore takes a backup, or restores the one that was taken.
+// backupOrRestore takes a backup of the registry, or restores the one that was taken.
 func (ks *registryNodes) backupOrRestore(ctx context.Context, take bool) error {
 	c, ctx, done, err := ks.fleet.dialRegistry(ctx)
 	if err != nil {
--- a/internal/lab/registrywatchers.go
+++ b/internal/lab/registrywatchers.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// startWatchers starts the clients that only watch.
+// startWatchers starts the process of subscribers that only watch, if the plan has any.
 func (f *Fleet) startWatchers() error {
 	n := f.plan.File.Keepers.Watchers
 	if n == 0 {
@@ -32,7 +32,7 @@
 
 const watcherTimeout = 15 * time.Second // for all watchers to hear the last of it, when the faults are over
 
-// awaitWatchers waits, when all faults are over, until a keeper leads and has told every watcher its revision, or for long enough.
+// awaitWatchers waits, when all faults are over, until a node leads and every watcher was notified of its revision, or for watcherTimeout.
 // It returns what the last revision is; 0: nobody leads.
 func (ks *registryNodes) awaitWatchers(ctx context.Context) (last check.Last) {
 	ctx, cancel := context.WithTimeout(ctx, watcherTimeout)
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -164,7 +164,7 @@
 	return "list"
 }
 
-// applyStep takes one applyStep that needs no waiting.
+// applyStep applies a step that does not wait for a process.
 func (f *Fleet) applyStep(s *plan.Step) (int64, error) {
 	switch s.Do {
 	case plan.Stop, plan.Cont:
@@ -245,7 +245,7 @@
 
 const forever = int64(1) << 62
 
-// startOrEnd ends or starts a startOrEnd.
+// startOrEnd starts or ends a sidecar's or the list's process, and waits for that.
 func (f *Fleet) startOrEnd(ctx context.Context, step *plan.Step) (int64, error) {
 	if step.Sidecar == plan.ListIndex {
 		return f.applyListStep(step)
--- a/internal/lab/truncate.go
+++ b/internal/lab/truncate.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// truncateStore takes the end off a keeper's newest log file ("torn") or snapshot ("short").
+// truncateStore truncates a registry node's newest log file (mode "torn") or snapshot ("short") to half of the bytes in use.
 func truncateStore(folder, mode string) error {
 	pattern := filepath.Join(folder, "log.bolt")
 	if mode == "short" {
