--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -34,7 +34,7 @@
 	ready := make(chan ctl.News, 1)
 	go func() {
 		defer close(started.outputEnded)
-		defer process.Out.Close()
+		defer func() { _ = process.Out.Close() }()          // it was read to its end
 		_ = ctl.Lines(process.Out, func(n ctl.News) error { // a line that cannot be read ends it, which waiters see
 			switch {
 			case n.ID != 0:
@@ -89,7 +89,7 @@
 	case <-c.outputEnded:
 		return ctl.News{}, fmt.Errorf("%s: %w", c.Name, errProcessEnded)
 	case <-timer.C:
-		return ctl.News{}, fmt.Errorf("%s: no word within %v", c.Name, standInTimeout)
+		return ctl.News{}, fmt.Errorf("%s: no acknowledgement within %v", c.Name, standInTimeout)
 	}
 }
 
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -245,10 +245,10 @@
 	f.all.Kill() // what a task started meanwhile
 	f.releaseOnce.Do(func() {
 		for _, s := range f.sidecars {
-			s.reservation.Close()
+			_ = s.reservation.Close() // a descriptor that the lab's end would close as well
 		}
 		if f.list != nil && f.list.reservation != nil {
-			f.list.reservation.Close()
+			_ = f.list.reservation.Close() // a descriptor that the lab's end would close as well
 		}
 		if f.registry != nil {
 			f.registry.releasePorts()
--- a/internal/lab/janitor.go
+++ b/internal/lab/janitor.go
@@ -23,7 +23,7 @@
 	}
 	return func() error {
 		defer s.Close()
-		defer p.Out.Close()
+		defer func() { _ = p.Out.Close() }() // nothing is read from it
 		p.End(cleanupTimeout + time.Second)
 		if _, err := os.Stat(work); !os.IsNotExist(err) {
 			return fmt.Errorf("%s could not be removed", work)
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -162,6 +162,6 @@
 
 func (ps *peers) releasePorts() {
 	for _, p := range ps.reservations {
-		p.Close()
+		_ = p.Close() // a descriptor that the lab's end would close as well
 	}
 }
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -219,7 +219,7 @@
 	for _, k := range ks.nodes {
 		for _, p := range []*link.Place{k.http, k.raft} {
 			if p != nil {
-				p.Close()
+				_ = p.Close() // a descriptor that the lab's end would close as well
 			}
 		}
 	}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -129,8 +129,8 @@
 		return nil, nil, errors.Join(err, os.RemoveAll(work))
 	}
 	defer func() {
-		if gone := cleanUp(); err == nil {
-			err = gone
+		if cleanUpErr := cleanUp(); err == nil {
+			err = cleanUpErr
 		}
 	}()
 	logs := filepath.Join(work, "logs")
@@ -145,72 +145,92 @@
 		return nil, nil, fmt.Errorf("%s: %w", experiment.File.Name, err)
 	}
 	defer fleet.Close()
+	evidence, effects, err = fleet.play(ctx, o)
+	if err != nil {
+		return nil, nil, err
+	}
+	if o.Out != "" {
+		if err := saveRecords(o.Out, evidence, work); err != nil {
+			return nil, nil, err
+		}
+	}
+	return evidence, effects, nil
+}
 
-	clients := &load.Clients{Plan: experiment, Addresses: fleet.Addresses(), Slack: plan.Millis(experiment.File.Limits.AnswerSlackMS),
-		Tardy: plan.Millis(experiment.File.Load.TardyMS)}
+// play sends the load, applies the plan's steps, ends all processes and reads what they recorded.
+func (f *Fleet) play(ctx context.Context, o Options) (evidence *check.Evidence, effects []Effect, err error) {
+	clients := &load.Clients{Plan: f.plan, Addresses: f.Addresses(), Slack: plan.Millis(f.plan.File.Limits.AnswerSlackMS),
+		Tardy: plan.Millis(f.plan.File.Load.TardyMS)}
 	start := clock.Now() + int64(startDelay)
 	if o.Up != nil {
-		o.Up(fleet)
+		o.Up(f)
 	}
-	evidence = &check.Evidence{Plan: experiment, Start: start}
+	evidence = &check.Evidence{Plan: f.plan, Start: start}
 	over, stop := context.WithCancel(ctx)
 	defer stop()
 	var tasks errgroup.Group
 	tasks.Go(func() error {
-		effects = fleet.Steps(over, start)
+		effects = f.Steps(over, start)
 		return nil
 	})
 	tasks.Go(func() error {
-		fleet.watch(over, clients, start, o.Tick)
+		f.watch(over, clients, start, o.Tick)
 		return nil
 	})
-	if fleet.writers != nil {
-		tasks.Go(func() error {
-			last, cancel := cancelAfter(ctx, over, finalReadTimeout)
-			defer cancel()
-			fleet.writers.run(last, over, start)
-			return nil
-		})
-	}
-	if fleet.routes != nil {
-		tasks.Go(func() error {
-			fleet.routes.run(over, start)
-			return nil
-		})
-	}
+	f.startRegistryClients(ctx, over, &tasks, start)
 	evidence.Tries = clients.Run(ctx, start)
-	waitUntil(ctx, start+int64(plan.Seconds(experiment.File.Seconds)))
-	fleet.Sample()
+	waitUntil(ctx, start+int64(plan.Seconds(f.plan.File.Seconds)))
+	f.Sample()
 	stop()
 	if err := tasks.Wait(); err != nil {
 		return nil, nil, err
 	}
-	if fleet.registry != nil {
-		evidence.Last = fleet.registry.awaitWatchers(ctx)
-	}
-	for _, x := range effects {
-		if s := experiment.File.Faults[x.Fault]; s.Do == "kill" && s.On == "keepers" && x.Do == plan.Kill {
-			evidence.Kills = append(evidence.Kills, start+int64(x.Seen*1e9))
-		}
+	if f.registry != nil {
+		evidence.Last = f.registry.awaitWatchers(ctx)
 	}
-	fleet.Finish()
-	fleet.Close()
-	if err := fleet.Err(); err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", experiment.File.Name, err)
+	evidence.Kills = f.registryKills(effects, start)
+	f.Finish()
+	f.Close()
+	if err := f.Err(); err != nil {
+		return nil, nil, fmt.Errorf("%s: %w", f.plan.File.Name, err)
 	}
-	if err := fleet.readEvidence(evidence); err != nil {
+	if err := f.readEvidence(evidence); err != nil {
 		return nil, nil, err
 	}
-	if o.Out != "" {
-		if err := saveRecords(o.Out, evidence, work); err != nil {
-			return nil, nil, err
+	return evidence, effects, nil
+}
+
+// startRegistryClients starts the tasks that write entries and routes, if the plan has any, until over is done.
+func (f *Fleet) startRegistryClients(ctx, over context.Context, tasks *errgroup.Group, start int64) {
+	if f.writers != nil {
+		tasks.Go(func() error {
+			finalReads, cancel := cancelAfter(ctx, over, finalReadTimeout)
+			defer cancel()
+			f.writers.run(finalReads, over, start)
+			return nil
+		})
+	}
+	if f.routes != nil {
+		tasks.Go(func() error {
+			f.routes.run(over, start)
+			return nil
+		})
+	}
+}
+
+// registryKills are the times at which registry nodes were killed by faults, in ns of the lab's clock.
+func (f *Fleet) registryKills(effects []Effect, start int64) (kills []int64) {
+	for _, effect := range effects {
+		fault := f.plan.File.Faults[effect.Fault]
+		if fault.Do == "kill" && fault.On == "keepers" && effect.Do == plan.Kill {
+			kills = append(kills, start+int64(effect.Seen*1e9))
 		}
 	}
-	return evidence, effects, nil
+	return kills
 }
 
-// cancelAfter is ctx, and ends a time after over has: what waits for keepers that are gone ends together with it, not one wait after the
-// other. cancel ends it at once.
+// cancelAfter derives a context from ctx that ends a time after over has: whatever waits for registry nodes that are gone ends with it
+// together, not one wait after the other. cancel ends it at once.
 func cancelAfter(ctx, over context.Context, after time.Duration) (bounded context.Context, cancel func()) {
 	bounded, end := context.WithCancel(ctx)
 	stop := context.AfterFunc(over, func() {
@@ -225,7 +245,7 @@
 	return bounded, func() { stop(); end() }
 }
 
-// checkPossible refuses what this machine cannot do, before anything starts.
+// checkPossible refuses a plan that this machine cannot play, before anything starts. The error is a *plan.Error.
 func checkPossible(p *plan.Plan) error {
 	if !slices.ContainsFunc(p.Steps, func(s plan.Step) bool { return s.Do == plan.Disk && s.Mode == "readonly" }) {
 		return nil
@@ -234,14 +254,14 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(root)
+	defer func() { _ = os.RemoveAll(root) }() // an empty folder of the system's temporary files
 	if err := proc.CanReadOnly(root); err != nil {
 		return &plan.Error{File: p.File.Path, What: "disk-readonly is not possible in " + os.TempDir() + ": " + err.Error()}
 	}
 	return nil
 }
 
-// watch samples the sidecars and tells live figures once a second.
+// watch samples the processes and hands out live figures once a second.
 func (f *Fleet) watch(ctx context.Context, c *load.Clients, start int64, tell func(Second)) {
 	for n := int64(1); waitUntil(ctx, start+n*int64(time.Second)); n++ {
 		f.Sample()
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -89,7 +89,7 @@
 			return err
 		}
 		if resp, err := client.Do(req); err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close() // only the status counts
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
--- a/internal/lab/truncate.go
+++ b/internal/lab/truncate.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }() // it was only read
 	err = db.View(func(tx *bbolt.Tx) error {
 		size = tx.Size()
 		return nil
