--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -34,21 +34,21 @@
 	ready := make(chan ctl.News, 1)
 	go func() {
 		defer close(started.outputEnded)
-		defer func() { _ = process.Out.Close() }()          // it was read to its end
-		_ = ctl.Lines(process.Out, func(n ctl.News) error { // a line that cannot be read ends it, which waiters see
+		defer func() { _ = process.Out.Close() }()              // it was read to its end
+		_ = ctl.Lines(process.Out, func(event ctl.News) error { // a line that cannot be read ends it, which waiters see
 			switch {
-			case n.ID != 0:
+			case event.ID != 0:
 				started.mu.Lock()
-				w := started.waiting[n.ID]
-				delete(started.waiting, n.ID)
+				w := started.waiting[event.ID]
+				delete(started.waiting, event.ID)
 				started.mu.Unlock()
 				if w != nil {
-					w <- n
+					w <- event
 				}
-			case n.Kind == "ready":
-				ready <- n
+			case event.Kind == "ready":
+				ready <- event
 			default:
-				onEvent(n)
+				onEvent(event)
 			}
 			return nil
 		})
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -64,8 +64,8 @@
 }
 
 // StartFleet starts all processes that a plan needs, and waits until every one is ready. On an error none is left.
-func StartFleet(ctx context.Context, p *plan.Plan, self Self, work, logs string) (f *Fleet, err error) {
-	f = &Fleet{plan: p, self: self, work: work, logs: logs, starter: proc.NewStarter(), host: map[string]*child{},
+func StartFleet(ctx context.Context, experiment *plan.Plan, self Self, work, logs string) (f *Fleet, err error) {
+	f = &Fleet{plan: experiment, self: self, work: work, logs: logs, starter: proc.NewStarter(), host: map[string]*child{},
 		specs: map[string]*model.Spec{}, entries: map[string]ctl.Entry{}}
 	f.links = newLinkFaults(f)
 	defer func() {
@@ -73,13 +73,13 @@
 			f.Close()
 		}
 	}()
-	for i := range p.Servers {
-		f.specs[p.Servers[i].UID] = &p.Servers[i]
+	for i := range experiment.Servers {
+		f.specs[experiment.Servers[i].UID] = &experiment.Servers[i]
 	}
 	if err := f.startStandIns(ctx); err != nil {
 		return f, err
 	}
-	if err := f.links.baseline(plan.Millis(p.File.Fleet.DelayMS)); err != nil {
+	if err := f.links.baseline(plan.Millis(experiment.File.Fleet.DelayMS)); err != nil {
 		return f, err
 	}
 	if err := f.startSidecars(ctx); err != nil {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -56,23 +56,23 @@
 const maxJoinAddresses = 4 // of peers, in a sidecar's configuration
 
 // memberConfig is the part of the i-th sidecar's configuration that concerns the other members.
-func (ps *peers) memberConfig(i int) map[string]any {
-	p := ps.fleet.plan
-	own := link.Near(i).String()
+func (ps *peers) memberConfig(index int) map[string]any {
+	experiment := ps.fleet.plan
+	own := link.Near(index).String()
 	var standing []int
-	for k, s := range p.Sidecars {
-		if k != i && s.Started() == 0 {
+	for k, s := range experiment.Sidecars {
+		if k != index && s.Started() == 0 {
 			standing = append(standing, k)
 		}
 	}
-	r := rand.New(rand.NewPCG(p.Seed, uint64(i)))
+	r := rand.New(rand.NewPCG(experiment.Seed, uint64(index)))
 	r.Shuffle(len(standing), func(a, b int) { standing[a], standing[b] = standing[b], standing[a] })
 	join := []string{}
 	for _, k := range standing[:min(maxJoinAddresses, len(standing))] {
 		join = append(join, fmt.Sprintf("%s:%d", own, ps.relayPorts[k]))
 	}
-	return map[string]any{"listen": ps.reservations[i].Addr.String(), "advertise": fmt.Sprintf("%s:%d", own, ps.relayPorts[i]), "reach": own, "join": join,
-		"bound_s": p.File.Members.BoundMS / 1000}
+	return map[string]any{"listen": ps.reservations[index].Addr.String(), "advertise": fmt.Sprintf("%s:%d", own, ps.relayPorts[index]), "reach": own, "join": join,
+		"bound_s": experiment.File.Members.BoundMS / 1000}
 }
 
 // applyLinkFault begins or ends a fault of the links between sidecars, and sends the relay the states that all faults make of
--- a/internal/lab/plots.go
+++ b/internal/lab/plots.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"html/template"
 	"image/color"
@@ -53,25 +54,25 @@
 
 // plot is a chart of a result, with the faults as bands.
 func (c *chart) plot(r *Result) (*plot.Plot, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text = c.title, "seconds from the start of the load"
-	p.X.Min, p.X.Max = 0, r.Seconds
+	figure := plot.New()
+	figure.Title.Text, figure.X.Label.Text = c.title, "seconds from the start of the load"
+	figure.X.Min, figure.X.Max = 0, r.Seconds
 	most := 0.0
 	for _, l := range c.lines {
 		for _, s := range r.Course {
 			most = max(most, l.value(s))
 		}
 	}
-	p.Y.Min, p.Y.Max = 0, max(most*1.05, 0.01)
+	figure.Y.Min, figure.Y.Max = 0, max(most*1.05, 0.01)
 	for i, b := range r.Bands {
 		to := max(b.To, b.From+r.Seconds/400) // an instant is a thin band
-		area, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: 0}, {X: to, Y: 0}, {X: to, Y: p.Y.Max}, {X: b.From, Y: p.Y.Max}})
+		area, err := plotter.NewPolygon(plotter.XYs{{X: b.From, Y: 0}, {X: to, Y: 0}, {X: to, Y: figure.Y.Max}, {X: b.From, Y: figure.Y.Max}})
 		if err != nil {
 			return nil, fmt.Errorf("plot: %w", err)
 		}
 		shade := bandColor(i)
-		area.Color, area.LineStyle.Width = color.NRGBA{shade.R, shade.G, shade.B, 60}, 0
-		p.Add(area)
+		area.Color, area.Width = color.NRGBA{shade.R, shade.G, shade.B, 60}, 0
+		figure.Add(area)
 	}
 	for _, l := range c.lines {
 		points := make(plotter.XYs, len(r.Course))
@@ -83,11 +84,11 @@
 			return nil, fmt.Errorf("plot: %w", err)
 		}
 		drawn.Color, drawn.Width = l.color, vg.Points(1.3)
-		p.Add(drawn)
-		p.Legend.Add(l.name, drawn)
+		figure.Add(drawn)
+		figure.Legend.Add(l.name, drawn)
 	}
-	p.Legend.Top = true
-	return p, nil
+	figure.Legend.Top = true
+	return figure, nil
 }
 
 // picture is all charts under each other as SVG, their time axes aligned.
@@ -110,7 +111,11 @@
 		return "", fmt.Errorf("plot: %w", err)
 	}
 	svg := text.String()
-	return template.HTML(svg[strings.Index(svg, "<svg"):]), nil // without the XML head; the library escapes what it draws
+	begin := strings.Index(svg, "<svg")
+	if begin < 0 {
+		return "", errors.New("plot: the canvas wrote no <svg element")
+	}
+	return template.HTML(svg[begin:]), nil // without the XML head; the library escapes what it draws
 }
 
 func bandColor(i int) color.RGBA {
--- a/internal/lab/registrylinks.go
+++ b/internal/lab/registrylinks.go
@@ -43,21 +43,21 @@
 
 // orderStreams resets or forgets the streams to a node, and those from it to its peers where the step affects peers.
 func (ks *registryNodes) orderStreams(k *registryNode, s *plan.Step) (at int64, err error) {
-	n, err := ks.relay.order(ctl.Order{Do: s.Do, UID: k.name, Nears: ks.affectedNears(k, s.From)})
+	event, err := ks.relay.order(ctl.Order{Do: s.Do, UID: k.name, Nears: ks.affectedNears(k, s.From)})
 	affectsPeers := s.From == "" || s.From == "peers"
 	if err != nil || !affectsPeers {
-		return n.At, err
+		return event.At, err
 	}
 	own := []int{ks.fleet.plan.NearKeeper(k.index)}
 	for _, other := range ks.nodes {
 		if other == k {
 			continue
 		}
-		if n, err = ks.relay.order(ctl.Order{Do: s.Do, UID: other.name, Nears: own}); err != nil {
-			return n.At, err
+		if event, err = ks.relay.order(ctl.Order{Do: s.Do, UID: other.name, Nears: own}); err != nil {
+			return event.At, err
 		}
 	}
-	return n.At, nil
+	return event.At, nil
 }
 
 // affectedNears are the near ends of a node's links that a fault of its links from some of its callers affects.
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -161,32 +161,32 @@
 }
 
 // start starts a process of a keeper.
-func (ks *registryNodes) start(k *registryNode) error {
+func (ks *registryNodes) start(node *registryNode) error {
 	f := ks.fleet
-	args := []string{"keeper", filepath.Join(k.folder, "keeper.toml")}
+	args := []string{"keeper", filepath.Join(node.folder, "keeper.toml")}
 	if o := f.plan.File.Keepers; o.Program == "plain" {
-		args = []string{"stand-in", "keeper", "--address", k.http.Addr.String(), "--flaw", o.Flaw}
+		args = []string{"stand-in", "keeper", "--address", node.http.Addr.String(), "--flaw", o.Flaw}
 	}
-	p, err := f.starter.Start(proc.Spec{Name: k.name, Path: f.self.Path, Args: args, Log: f.log(k.name), Folder: k.folder,
-		Env: f.env("TMPDIR=" + k.folder)})
+	p, err := f.starter.Start(proc.Spec{Name: node.name, Path: f.self.Path, Args: args, Log: f.log(node.name), Folder: node.folder,
+		Env: f.env("TMPDIR=" + node.folder)})
 	if err != nil {
 		return err
 	}
 	f.all.Add(p)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.process = p
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	node.process = p
 	return nil
 }
 
 // sample looks at what each keeper's process holds and has used.
 func (ks *registryNodes) sample() {
-	for _, k := range ks.nodes {
-		k.mu.Lock()
-		if v, err := k.process.Sample(); err == nil { // one that has ended holds nothing
-			p := &k.peak
-			if p.Pid != k.process.Pid() || p.First == 0 {
-				p.Pid, p.First, p.Used = k.process.Pid(), v.At, 0
+	for _, node := range ks.nodes {
+		node.mu.Lock()
+		if v, err := node.process.Sample(); err == nil { // one that has ended holds nothing
+			p := &node.peak
+			if p.Pid != node.process.Pid() || p.First == 0 {
+				p.Pid, p.First, p.Used = node.process.Pid(), v.At, 0
 				p.Before = v.CPU
 			}
 			p.MemoryMB, p.Descriptors = max(p.MemoryMB, v.MemoryMB), max(p.Descriptors, v.Descriptors)
@@ -194,7 +194,7 @@
 				p.Used = (v.CPU - p.Before) / (float64(v.At-p.First) / 1e9)
 			}
 		}
-		k.mu.Unlock()
+		node.mu.Unlock()
 	}
 }
 
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -89,7 +89,7 @@
 
 // Run runs a plan's experiment, and before it the same without floods, if the file wants that; Tick and Up hear of the experiment
 // alone. When ctx is done, it ends early; whatever happens, no process, port or temporary folder is left behind.
-func Run(ctx context.Context, experiment *plan.Plan, o Options) (*Result, error) {
+func Run(ctx context.Context, experiment *plan.Plan, options Options) (*Result, error) {
 	if err := checkPossible(experiment); err != nil {
 		return nil, err
 	}
@@ -99,14 +99,14 @@
 		if err != nil {
 			return nil, err
 		}
-		if twin, _, err = run(ctx, calm, Options{Self: o.Self}); err != nil {
+		if twin, _, err = run(ctx, calm, Options{Self: options.Self}); err != nil {
 			return nil, fmt.Errorf("without floods: %w", err)
 		}
 		if err := ctx.Err(); err != nil {
 			return nil, fmt.Errorf("without floods: %w", err)
 		}
 	}
-	evidence, effects, err := run(ctx, experiment, o)
+	evidence, effects, err := run(ctx, experiment, options)
 	if err != nil {
 		return nil, err
 	}
@@ -119,12 +119,12 @@
 }
 
 // run plays a plan once.
-func run(ctx context.Context, experiment *plan.Plan, o Options) (evidence *check.Evidence, effects []Effect, err error) {
+func run(ctx context.Context, experiment *plan.Plan, options Options) (evidence *check.Evidence, effects []Effect, err error) {
 	work, err := os.MkdirTemp("", "gradeusher-lab-")
 	if err != nil {
 		return nil, nil, err
 	}
-	cleanUp, err := startJanitor(o.Self, work)
+	cleanUp, err := startJanitor(options.Self, work)
 	if err != nil {
 		return nil, nil, errors.Join(err, os.RemoveAll(work))
 	}
@@ -134,23 +134,23 @@
 		}
 	}()
 	logs := filepath.Join(work, "logs")
-	if o.Out != "" {
-		logs = filepath.Join(o.Out, "logs")
+	if options.Out != "" {
+		logs = filepath.Join(options.Out, "logs")
 	}
 	if err := os.MkdirAll(logs, 0o700); err != nil {
 		return nil, nil, err
 	}
-	fleet, err := StartFleet(ctx, experiment, o.Self, work, logs)
+	fleet, err := StartFleet(ctx, experiment, options.Self, work, logs)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", experiment.File.Name, err)
 	}
 	defer fleet.Close()
-	evidence, effects, err = fleet.play(ctx, o)
+	evidence, effects, err = fleet.play(ctx, options)
 	if err != nil {
 		return nil, nil, err
 	}
-	if o.Out != "" {
-		if err := saveRecords(o.Out, evidence, work); err != nil {
+	if options.Out != "" {
+		if err := saveRecords(options.Out, evidence, work); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -158,12 +158,12 @@
 }
 
 // play sends the load, applies the plan's steps, ends all processes and reads what they recorded.
-func (f *Fleet) play(ctx context.Context, o Options) (evidence *check.Evidence, effects []Effect, err error) {
+func (f *Fleet) play(ctx context.Context, options Options) (evidence *check.Evidence, effects []Effect, err error) {
 	clients := &load.Clients{Plan: f.plan, Addresses: f.Addresses(), Slack: plan.Millis(f.plan.File.Limits.AnswerSlackMS),
 		Tardy: plan.Millis(f.plan.File.Load.TardyMS)}
 	start := clock.Now() + int64(startDelay)
-	if o.Up != nil {
-		o.Up(f)
+	if options.Up != nil {
+		options.Up(f)
 	}
 	evidence = &check.Evidence{Plan: f.plan, Start: start}
 	over, stop := context.WithCancel(ctx)
@@ -174,7 +174,7 @@
 		return nil
 	})
 	tasks.Go(func() error {
-		f.watch(over, clients, start, o.Tick)
+		f.watch(over, clients, start, options.Tick)
 		return nil
 	})
 	f.startRegistryClients(ctx, over, &tasks, start)
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -73,32 +73,32 @@
 }
 
 // apply applies a step, or starts a task that does.
-func (r *stepRunner) apply(ctx context.Context, s *plan.Step) {
+func (r *stepRunner) apply(ctx context.Context, step *plan.Step) {
 	switch {
-	case plan.OnKeepers(s.Sidecar):
-		r.applyToRegistry(ctx, s)
+	case plan.OnKeepers(step.Sidecar):
+		r.applyToRegistry(ctx, step)
 		return
-	case s.Peers: // of many links at once
+	case step.Peers: // of many links at once
 		r.goTask(func() {
-			at, err := r.fleet.peers.applyLinkFault(s)
-			r.record(s, at, err)
+			at, err := r.fleet.peers.applyLinkFault(step)
+			r.record(step, at, err)
 		})
 		return
-	case s.Do == plan.Link: // of many far ends at once
+	case step.Do == plan.Link: // of many far ends at once
 		r.links.Go(func() error {
-			at, err := r.fleet.links.apply(s)
-			r.record(s, at, err)
+			at, err := r.fleet.links.apply(step)
+			r.record(step, at, err)
 			return nil
 		})
 		return
 	}
 	_ = r.links.Wait() // never fails; a step after a change of links comes after it
-	switch s.Do {
+	switch step.Do {
 	case plan.Term, plan.Kill, plan.Start: // which wait for the process
-		r.startOrEnd(ctx, s)
+		r.startOrEnd(ctx, step)
 	default:
-		at, err := r.fleet.applyStep(s)
-		r.record(s, at, err)
+		at, err := r.fleet.applyStep(step)
+		r.record(step, at, err)
 	}
 }
 
@@ -165,48 +165,48 @@
 }
 
 // applyStep applies a step that does not wait for a process.
-func (f *Fleet) applyStep(s *plan.Step) (int64, error) {
-	switch s.Do {
+func (f *Fleet) applyStep(step *plan.Step) (int64, error) {
+	switch step.Do {
 	case plan.Stop, plan.Cont:
-		return f.pauseOrResume(s)
+		return f.pauseOrResume(step)
 	case plan.Disk:
-		c := f.sidecars[s.Sidecar]
+		c := f.sidecars[step.Sidecar]
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return clock.Now(), c.process.Disk(s.Mode)
+		return clock.Now(), c.process.Disk(step.Mode)
 	case plan.Silent:
-		n, err := f.host[s.Server].order(ctl.Order{Do: "silent", UID: s.Server, On: s.On})
+		n, err := f.host[step.Server].order(ctl.Order{Do: "silent", UID: step.Server, On: step.On})
 		return n.At, err
 	case plan.Lie:
-		return f.orderLie(s)
+		return f.orderLie(step)
 	case plan.Tell:
 		f.mu.Lock()
-		e := f.entries[s.Server]
-		if e.State = s.State; s.State == "DELETED" {
+		e := f.entries[step.Server]
+		if e.State = step.State; step.State == "DELETED" {
 			e.BootMS = 0
 		}
 		f.mu.Unlock()
 		return clock.Now(), f.list.addEntry(e)
 	case plan.Mode:
-		n, err := f.list.current().order(ctl.Order{Do: "list-mode", Mode: s.Mode, Late: s.By.Seconds()})
+		n, err := f.list.current().order(ctl.Order{Do: "list-mode", Mode: step.Mode, Late: step.By.Seconds()})
 		return n.At, err
 	case plan.Add:
-		_, n, err := f.addServer(s.Server, true)
+		_, n, err := f.addServer(step.Server, true)
 		if err == nil {
-			err = f.links.resend(s.Server)
+			err = f.links.resend(step.Server)
 		}
 		return n.At, err
 	}
-	o := ctl.Order{Do: s.Do, UID: s.Server, Nears: s.Nears, By: int64(s.By)}
-	if s.Do == plan.Trouble {
-		o.Trouble = &s.Trouble
+	o := ctl.Order{Do: step.Do, UID: step.Server, Nears: step.Nears, By: int64(step.By)}
+	if step.Do == plan.Trouble {
+		o.Trouble = &step.Trouble
 	}
-	n, err := f.processOf(s.Server).order(o)
-	if err == nil && s.Do == plan.Revive {
+	n, err := f.processOf(step.Server).order(o)
+	if err == nil && step.Do == plan.Revive {
 		f.mu.Lock()
-		e := f.entries[s.Server]
+		e := f.entries[step.Server]
 		e.BootMS, e.Ports = n.BootMS, n.Ports
-		f.entries[s.Server] = e
+		f.entries[step.Server] = e
 		f.mu.Unlock()
 	}
 	return n.At, err
@@ -282,39 +282,39 @@
 
 // endBy ends a process by a signal, and by SIGKILL if that is not enough in time. It tells false where the process had ended by
 // itself, which shows in its exit.
-func endBy(p *proc.Process, sig syscall.Signal) (bool, error) {
+func endBy(process *proc.Process, sig syscall.Signal) (bool, error) {
 	select {
-	case <-p.Ended():
+	case <-process.Ended():
 		return false, nil
 	default:
 	}
-	if err := p.Signal(sig, true); err != nil {
+	if err := process.Signal(sig, true); err != nil {
 		return false, err
 	}
 	timer := time.NewTimer(plan.TermGrace)
 	defer timer.Stop()
 	select {
-	case <-p.Ended():
+	case <-process.Ended():
 	case <-timer.C:
-		p.Kill()
+		process.Kill()
 	}
 	return true, nil
 }
 
 func (f *Fleet) applyListStep(s *plan.Step) (int64, error) {
-	c := f.list.current()
+	process := f.list.current()
 	switch s.Do {
 	case plan.Start:
-		<-c.Ended()
+		<-process.Ended()
 		if err := f.list.start(); err != nil {
 			return clock.Now(), err
 		}
 		return clock.Now(), f.links.resend("")
 	case plan.Kill:
-		err := c.Signal(syscall.SIGKILL, true)
-		<-c.Ended()
+		err := process.Signal(syscall.SIGKILL, true)
+		<-process.Ended()
 		return clock.Now(), err
 	}
-	c.End(plan.TermGrace) // by the end of its input: a stand-in knows no SIGTERM of its own
+	process.End(plan.TermGrace) // by the end of its input: a stand-in knows no SIGTERM of its own
 	return clock.Now(), nil
 }
--- a/internal/lab/writers.go
+++ b/internal/lab/writers.go
@@ -69,11 +69,11 @@
 	p := w.fleet.plan
 	settings := p.File.Keepers
 	var all sync.WaitGroup
-	for i, writer := range w.clients {
+	for index, writer := range w.clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			r := rand.New(rand.NewPCG(p.Seed, uint64(i)))
+			r := rand.New(rand.NewPCG(p.Seed, uint64(index)))
 			revs := make([]int64, settings.Keys) // of the entries, as this client last heard
 			pause := float64(len(w.clients)) / settings.WriteRate
 			for at := r.ExpFloat64() * pause; at < p.File.Seconds; at += r.ExpFloat64() * pause {
@@ -82,18 +82,18 @@
 					return
 				}
 				if read || revs[key] == 0 {
-					w.read(over, writer, i, key, writeTimeout, revs)
+					w.read(over, writer, index, key, writeTimeout, revs)
 				} else {
-					w.write(over, writer, i, key, revs)
+					w.write(over, writer, index, key, revs)
 				}
 			}
 		}()
 	}
 	all.Wait()
-	for i, writer := range w.clients {
-		if i == 0 {
+	for index, writer := range w.clients {
+		if index == 0 {
 			for key := range settings.Keys {
-				w.read(ctx, writer, i, key, finalReadTimeout, make([]int64, settings.Keys))
+				w.read(ctx, writer, index, key, finalReadTimeout, make([]int64, settings.Keys))
 			}
 		}
 		writer.Close()
@@ -106,25 +106,25 @@
 	w.records = append(w.records, v)
 }
 
-func (w *writers) read(ctx context.Context, c *client.Client, i, key int, within time.Duration, revs []int64) {
+func (w *writers) read(ctx context.Context, reader *client.Client, index, key int, within time.Duration, revs []int64) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	v := ctl.Wrote{Client: i, Key: key, How: "ok", Call: clock.Now()}
-	e, ok, err := c.Server(ctx, keyName(key))
-	v.Return, v.Rev, v.Value = clock.Now(), e.Revision, e.PodGroup
+	record := ctl.Wrote{Client: index, Key: key, How: "ok", Call: clock.Now()}
+	e, ok, err := reader.Server(ctx, keyName(key))
+	record.Return, record.Rev, record.Value = clock.Now(), e.Revision, e.PodGroup
 	if err != nil {
-		v.How = "none" // a read that was not answered did nothing
+		record.How = "none" // a read that was not answered did nothing
 	} else if ok {
 		revs[key] = e.Revision
 	}
-	w.record(v)
+	w.record(record)
 }
 
-func (w *writers) write(ctx context.Context, c *client.Client, i, key int, revs []int64) {
+func (w *writers) write(ctx context.Context, writer *client.Client, index, key int, revs []int64) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	record := ctl.Wrote{Client: i, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), How: "ok", Call: clock.Now()}
-	d, err := c.Register(ctx, []list.Registration{w.entry(key, record.Value)}, &record.Expect)
+	record := ctl.Wrote{Client: index, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), How: "ok", Call: clock.Now()}
+	d, err := writer.Register(ctx, []list.Registration{w.entry(key, record.Value)}, &record.Expect)
 	record.Return, record.Rev = clock.Now(), d.Revision
 	var refused *client.RefusedError
 	switch {
