--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-// standInTimeout bounds how long a stand-in may take for anything.
+// standInTimeout bounds how long a stand-in may take to start, or to acknowledge an order.
 const standInTimeout = 30 * time.Second
 
 // child is a stand-in process that obeys orders.
@@ -23,7 +23,7 @@
 	outputEnded chan struct{} // closed when its output ends
 }
 
-// startChild starts a stand-in and waits until it is ready. tell gets the news that no order asked for.
+// startChild starts a stand-in and waits until it is ready. onEvent gets the events that no order asked for.
 func startChild(s *proc.Starter, spec proc.Spec, onEvent func(ctl.News)) (*child, error) {
 	spec.Piped = true
 	process, err := s.Start(spec)
--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -50,7 +50,7 @@
 		config["hitters"] = object{"bars": []float64{high, low}}
 	}
 	if len(registryAddresses) > 0 {
-		delete(config, "known") // they tell it
+		delete(config, "known") // the registry publishes it
 		of := object{"addresses": registryAddresses, "reach": link.Near(index).String(), "doubt_share": file.Keepers.DoubtShare, "most_age_s": file.Keepers.MostAgeS}
 		routesConfig(experiment, index, of)
 		config["keepers"] = of
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 )
 
-// readEvidence reads what stand-ins wrote down. Each of them has ended.
+// readEvidence reads what stand-ins recorded, each of which has ended.
 func (f *Fleet) readEvidence(evidence *check.Evidence) error {
 	for i := range f.hosts {
 		all, err := ctl.ReadRecords[ctl.Attempt](f.records("attempts", i))
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// saveRecords leaves what clients and servers saw in the report's folder.
+// saveRecords saves what clients and servers saw to the report's folder.
 func saveRecords(out string, evidence *check.Evidence, work string) error {
 	for _, pattern := range []string{"requests.jsonl", "attempts-*.jsonl", "told-*.jsonl", "shown-*.jsonl", "routes-*.jsonl", "gossip-*.jsonl", "writes.jsonl"} { // of an experiment before
 		old, err := filepath.Glob(filepath.Join(out, pattern))
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -30,7 +30,7 @@
 // Self is how the program starts itself as another process.
 type Self struct {
 	Path string
-	Env  []string // besides what each process is told
+	Env  []string // besides what each process gets
 }
 
 // Fleet is the processes of one experiment.
@@ -44,7 +44,7 @@
 	hosts        []*child
 	host         map[string]*child // by server
 	specs        map[string]*model.Spec
-	list         *listProcess   // the platform's; nil: keepers hold it
+	list         *listProcess   // the platform's; nil: the registry has it
 	registry     *registryNodes // nil: there are none
 	peers        *peers         // nil: sidecars do not know each other
 	lyingMembers []*child       // members that are no sidecars
@@ -52,9 +52,9 @@
 	routes       *router // nil: there are no routes
 
 	mu          sync.Mutex
-	entries     map[string]ctl.Entry // what is so, which the list learns later
+	entries     map[string]ctl.Entry // the truth, which the list learns later
 	known       []ctl.Entry          // at the start
-	listed      []ctl.Entry          // what the list has learnt, in order
+	listed      []ctl.Entry          // sent to the list, in order
 	falls       []ctl.News
 	faults      []error
 	sidecars    []*sidecar
@@ -178,7 +178,7 @@
 
 const terminationTimeout = 6 * time.Second // for a sidecar to finish after SIGTERM
 
-// Finish ends all sidecars as a platform does, then the stand-ins, and notes who did not end well.
+// Finish ends all sidecars as a platform does, then the stand-ins. Processes that had to be killed are errors of the lab (Err).
 func (f *Fleet) Finish() {
 	for _, s := range f.sidecars {
 		s.tasks.Wait()
@@ -226,7 +226,7 @@
 	}
 }
 
-// addFault notes that the lab itself could not do something.
+// addFault records that the lab itself failed.
 func (f *Fleet) addFault(err error) {
 	if err == nil {
 		return
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// linkFaults keeps what all link faults together make of each link. Orders say each link's whole state, so that none is open for
+// linkFaults adds up all faults of each link. Orders carry each link's complete state, so that none is without faults for
 // a moment between two faults.
 type linkFaults struct {
 	fleet *Fleet
@@ -22,7 +22,7 @@
 
 // farEnd is what faults do to the links of one server, or of the list.
 type farEnd struct {
-	mu           sync.Mutex // held while its process is told
+	mu           sync.Mutex // held while its process gets orders
 	activeFaults []*plan.Step
 }
 
@@ -73,7 +73,7 @@
 	return l.sendStates(s.Server, end)
 }
 
-// addEffect has a link suffer from one fault more.
+// addEffect adds a fault to a link's state.
 func addEffect(state *link.State, e plan.LinkEffect) {
 	state.Hold[link.ToFar] = state.Hold[link.ToFar] || e.HoldFar
 	state.Hold[link.ToNear] = state.Hold[link.ToNear] || e.HoldNear
--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -75,7 +75,7 @@
 	return err
 }
 
-// startList starts the platform's list, which knows the servers that stand.
+// startList starts the platform's list with the servers of the start.
 func (f *Fleet) startList() (err error) {
 	groups := make([]string, len(f.plan.Sidecars))
 	for i, s := range f.plan.Sidecars {
--- a/internal/lab/lyingmembers.go
+++ b/internal/lab/lyingmembers.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-// startLyingMembers starts the members that are no sidecars. They join sidecars, so these stand already; behind the relay each has a port, as
+// startLyingMembers starts the members that are no sidecars. They join sidecars, which have started already; behind the relay each has a port, as
 // sidecars have.
 func (f *Fleet) startLyingMembers() error {
 	for i := range f.plan.Liars() {
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -16,7 +16,7 @@
 type peers struct {
 	fleet        *Fleet
 	relay        *child
-	reservations []*link.Place // where each listens; then the liars
+	reservations []*link.Place // where each sidecar listens, then each lying member
 	relayPorts   []int         // ports of the relay, by sidecar
 
 	mu           sync.Mutex
@@ -141,7 +141,7 @@
 	return changed
 }
 
-// affects tells whether a fault is of the links of one, as the far end, to another.
+// affects reports whether a fault affects the links of one, as the far end, from another.
 func (ps *peers) affects(s *plan.Step, one, other int) bool {
 	return one != other && slices.Contains(s.Nears, one) && (s.From == "" || ps.fleet.plan.Sidecars[other].Zone == s.From)
 }
@@ -149,7 +149,7 @@
 // linkState is what all faults make of the link from a near end to a far one. The caller holds ps.mu.
 func (ps *peers) linkState(far, near int) (state link.State) {
 	for _, s := range ps.activeFaults {
-		far, near := ps.affects(s, far, near), ps.affects(s, near, far) // the near end's own calls: what it hears comes the other way
+		far, near := ps.affects(s, far, near), ps.affects(s, near, far) // the second is of the near end's own calls, where directions are swapped
 		if !far && !near {
 			continue
 		}
--- a/internal/lab/registrylinks.go
+++ b/internal/lab/registrylinks.go
@@ -101,7 +101,7 @@
 		e := s.Effect
 		switch k, _ := plan.KeeperOf(s.Sidecar); {
 		case k == far.index && ks.affects(near, s.From):
-		case peer != nil && k == peer.index && (s.From == "" || s.From == "peers"): // its own calls: what it hears comes the other way
+		case peer != nil && k == peer.index && (s.From == "" || s.From == "peers"): // its own calls, where directions are swapped
 			e.HoldFar, e.HoldNear = e.HoldNear, e.HoldFar
 		default:
 			continue
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -81,7 +81,7 @@
 		if err := os.Mkdir(node.folder, 0o700); err != nil {
 			return err
 		}
-		// A keeper calls its peers from the address that it listens at, by which the relay knows it.
+		// A node calls its peers from the address that it listens at, by which the relay knows it.
 		if node.raft, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
 			return err
 		}
@@ -111,7 +111,7 @@
 	}
 	defer done()
 	if _, err := c.List(ctx, f.plan.File.Keepers.Program == "keeper"); err != nil {
-		return fmt.Errorf("keepers: %w", err)
+		return fmt.Errorf("registry: %w", err)
 	}
 	return nil
 }
@@ -126,19 +126,19 @@
 	for {
 		l, err := c.List(ctx, false)
 		if err != nil {
-			return fmt.Errorf("keepers: %w", err)
+			return fmt.Errorf("registry: %w", err)
 		}
 		if len(l.Targets) >= f.plan.Standing || f.plan.File.Keepers.Program == "plain" && f.plan.File.Keepers.Count > 1 {
-			break // plain ones do not know what others were told
+			break // plain ones do not replicate
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("keepers: %d of %d servers registered within %v", len(l.Targets), f.plan.Standing, standInTimeout)
+			return fmt.Errorf("registry: %d of %d servers registered within %v", len(l.Targets), f.plan.Standing, standInTimeout)
 		}
 	}
 	if f.writers, err = f.startWriters(ctx); err != nil {
-		return fmt.Errorf("keepers: %w", err)
+		return fmt.Errorf("registry: %w", err)
 	}
 	if err := f.startRoutes(ctx); err != nil {
 		return fmt.Errorf("routes: %w", err)
@@ -160,7 +160,7 @@
 	return os.WriteFile(filepath.Join(node.folder, "keeper.toml"), []byte(text.String()), 0o600)
 }
 
-// start starts a process of a keeper.
+// start starts a process of a node.
 func (ks *registryNodes) start(node *registryNode) error {
 	f := ks.fleet
 	args := []string{"keeper", filepath.Join(node.folder, "keeper.toml")}
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// sample looks at what each keeper's process holds and has used.
+// sample samples memory, descriptors and CPU of each node's process.
 func (ks *registryNodes) sample() {
 	for _, node := range ks.nodes {
 		node.mu.Lock()
--- a/internal/lab/registrysteps.go
+++ b/internal/lab/registrysteps.go
@@ -22,7 +22,7 @@
 
 const leaderTimeout = 10 * time.Second
 
-// leader asks the keepers who leads, by a way without faults, until one does.
+// leader asks the nodes for the leader, past the relay and its faults, until one leads.
 func (ks *registryNodes) leader(ctx context.Context) (*registryNode, error) {
 	var own []string
 	for _, k := range ks.nodes {
@@ -44,7 +44,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, errors.New("no keeper leads")
+			return nil, errors.New("no registry node leads")
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
--- a/internal/lab/registrywatchers.go
+++ b/internal/lab/registrywatchers.go
@@ -30,7 +30,7 @@
 	return nil
 }
 
-const watcherTimeout = 15 * time.Second // for all watchers to hear the last of it, when the faults are over
+const watcherTimeout = 15 * time.Second // for all watchers to catch up, when the faults are over
 
 // awaitWatchers waits, when all faults are over, until a node leads and every watcher was notified of its revision, or for watcherTimeout.
 // It returns what the last revision is; 0: nobody leads.
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -25,7 +25,7 @@
 	published   []check.Routed
 }
 
-const routeTimeout = 10 * time.Second // for one generation to be taken
+const routeTimeout = 10 * time.Second // for one generation to be accepted
 
 // startRoutes puts the first table, before any sidecar asks for one.
 func (f *Fleet) startRoutes(ctx context.Context) (err error) {
@@ -59,7 +59,7 @@
 // weight is near one: what is put to the test is how tables come, not how servers bear them.
 func (r *router) weight() float64 { return 0.8 + 0.4*r.rng.Float64() }
 
-// publish puts a table and notes it. Danger: one that was not answered may have been taken, so it is sent until it is: the same
+// publish puts a table and records that. Danger: one that was not answered may have been taken, so it is sent until it is: the same
 // table makes no second generation.
 func (r *router) publish(ctx context.Context, table routes.Table) error {
 	ctx, cancel := context.WithTimeout(ctx, routeTimeout)
@@ -113,7 +113,7 @@
 	return t
 }
 
-// run makes generations until over is done. A table that no keeper takes is no error: the keepers may all be gone.
+// run makes generations until over is done. A table that no node accepts is no error: the nodes may all be gone.
 func (r *router) run(over context.Context, start int64) {
 	defer r.client.Close()
 	f := &r.plan.File.Routes
@@ -133,7 +133,7 @@
 	}
 }
 
-// routesConfig is what a sidecar is told of routes.
+// routesConfig adds what concerns routes to the registry part of a sidecar's configuration.
 func routesConfig(p *plan.Plan, i int, keepers map[string]any) {
 	if p.File.Routes.Apps == 0 {
 		return
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -61,7 +61,7 @@
 // NotSeen are the names of the checks that had nothing to look at.
 func (r *Result) NotSeen() []string { return check.Names(r.Verdicts, check.NotSeen) }
 
-// Held tells how many checks held, of those that had something to look at.
+// Held returns how many checks held, and how many had something to look at.
 func (r *Result) Held() (held, of int) {
 	held = len(check.Names(r.Verdicts, check.Held))
 	return held, held + len(r.Broken())
@@ -87,7 +87,7 @@
 
 const startDelay = 300 * time.Millisecond // from all being ready to the start of the load
 
-// Run runs a plan's experiment, and before it the same without floods, if the file wants that; Tick and Up hear of the experiment
+// Run runs a plan's experiment, and before it the same without floods, if the file wants that; Tick and Up are called for the experiment
 // alone. When ctx is done, it ends early; whatever happens, no process, port or temporary folder is left behind.
 func Run(ctx context.Context, experiment *plan.Plan, options Options) (*Result, error) {
 	if err := checkPossible(experiment); err != nil {
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// TestLastReadsEndTogether: however many entries there are, a run whose keepers are gone waits for its last reads once.
+// TestLastReadsEndTogether: however many entries there are, a run whose registry nodes are gone waits for its last reads once.
 func TestLastReadsEndTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := client.New([]string{"127.0.0.1:1"}) // where nobody ever answers
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -15,7 +15,7 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-// sidecar is one place where a sidecar's processes run, one after the other.
+// sidecar is where the processes of one sidecar run, one after the other.
 type sidecar struct {
 	index       int
 	reservation *link.Place // its address
@@ -30,7 +30,7 @@
 
 func (s *sidecar) address() string { return s.reservation.Addr.String() }
 
-// startSidecar starts a process of a sidecar, which is told the list as it was at the start of the fleet.
+// startSidecar starts a process of a sidecar, whose configuration has the list as it was at the start of the fleet.
 func (f *Fleet) startSidecar(started *sidecar) error {
 	name := f.plan.Sidecars[started.index].Name
 	started.mu.Lock()
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -280,7 +280,7 @@
 	return at, nil
 }
 
-// endBy ends a process by a signal, and by SIGKILL if that is not enough in time. It tells false where the process had ended by
+// endBy ends a process by a signal, and by SIGKILL if that is not enough in time. It reports false where the process had ended by
 // itself, which shows in its exit.
 func endBy(process *proc.Process, sig syscall.Signal) (bool, error) {
 	select {
--- a/internal/lab/writers.go
+++ b/internal/lab/writers.go
@@ -15,7 +15,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// writers are clients that write and read entries of their own, to see from outside whether keepers agree. The entries drain
+// writers are clients that write and read entries of their own, to see from outside whether registry nodes agree. The entries drain
 // from the start, so that no sidecar sends there.
 type writers struct {
 	fleet   *Fleet
@@ -74,7 +74,7 @@
 		go func() {
 			defer all.Done()
 			r := rand.New(rand.NewPCG(p.Seed, uint64(index)))
-			revs := make([]int64, settings.Keys) // of the entries, as this client last heard
+			revs := make([]int64, settings.Keys) // of the entries, as this client last read them
 			pause := float64(len(w.clients)) / settings.WriteRate
 			for at := r.ExpFloat64() * pause; at < p.File.Seconds; at += r.ExpFloat64() * pause {
 				read, key := r.Float64() < readShare, r.IntN(settings.Keys)
@@ -135,7 +135,7 @@
 	case errors.As(err, &refused) && refused.Status == 409:
 		record.How, revs[key] = "conflict", 0
 	default:
-		record.How = "none" // no keeper took it
+		record.How = "none" // no node accepted it
 	}
 	w.record(record)
 }
