--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -10,9 +10,19 @@
 	"gradeusher.example/gradeusher/internal/lab/standin"
 )
 
-// sidecarConfig is the file that PROXY_CONFIG of a sidecar names (DEPLOY, "What a sidecar is told"), with the settings by
-// their names on the wire (WIRE).
-func sidecarConfig(experiment *plan.Plan, index int, listen, discovery string, seed uint64, known []ctl.Entry, registryAddresses []string, members map[string]any) ([]byte, error) {
+// sidecarEnvironment is what a sidecar's configuration says of the processes around it.
+type sidecarEnvironment struct {
+	listen            string
+	discovery         string // address of the list; "": the registry has it
+	seed              uint64
+	known             []ctl.Entry    // the list at the start of the fleet
+	registryAddresses []string       // none: there is no registry
+	members           map[string]any // nil: sidecars do not know each other
+}
+
+// sidecarConfig encodes the file that PROXY_CONFIG of the sidecar index names (DEPLOY, "What a sidecar is told"), with the settings
+// by their names on the wire (WIRE). It fails where the plan's own settings contain one that the lab sets.
+func sidecarConfig(experiment *plan.Plan, index int, environment *sidecarEnvironment) ([]byte, error) {
 	type object = map[string]any
 	file := experiment.File
 	planned := experiment.Sidecars[index]
@@ -30,9 +40,10 @@
 		models = append(models, k.Name)
 	}
 	config := object{
-		"name": planned.Name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", seed),
+		"name": planned.Name, "listen": environment.listen, "discovery": environment.discovery,
+		"seed":   fmt.Sprintf("%016x", environment.seed),
 		"limits": object{"cores": 1, "memory_mb": file.Fleet.MemoryMB, "sockets": file.Fleet.Sockets},
-		"known":  json.RawMessage(standin.EncodeList(index, planned.Group, int64(len(known)), true, known)),
+		"known":  json.RawMessage(standin.EncodeList(index, planned.Group, int64(len(environment.known)), true, environment.known)),
 		"settings": object{
 			"ordinal": index, "peers_total": planned.Peers, "my_zone": planned.Zone, "areas": file.Fleet.Zones, "models": models,
 			"discovery": "pushed", "domain_type": "mesh", "tier": 0, "tiers": []string{"rec-api"}, "worth_by": "work", "tenants": []string{},
@@ -49,18 +60,19 @@
 		high, low := file.Hitters.Bars()
 		config["hitters"] = object{"bars": []float64{high, low}}
 	}
-	if len(registryAddresses) > 0 {
+	if len(environment.registryAddresses) > 0 {
 		delete(config, "known") // the registry publishes it
-		of := object{"addresses": registryAddresses, "reach": link.Near(index).String(), "doubt_share": file.Keepers.DoubtShare, "most_age_s": file.Keepers.MostAgeS}
-		routesConfig(experiment, index, of)
-		config["keepers"] = of
+		registry := object{"addresses": environment.registryAddresses, "reach": link.Near(index).String(),
+			"doubt_share": file.Keepers.DoubtShare, "most_age_s": file.Keepers.MostAgeS}
+		routesConfig(experiment, index, registry)
+		config["keepers"] = registry
 	}
-	if members != nil {
-		config["members"] = members
+	if environment.members != nil {
+		config["members"] = environment.members
 	}
 	for key, v := range file.Config {
 		if _, own := config[key]; own {
-			return nil, fmt.Errorf("configuration of %s: the lab tells %s by itself", planned.Name, key)
+			return nil, fmt.Errorf("configuration of %s: the lab sets %s itself", planned.Name, key)
 		}
 		config[key] = v
 	}
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -36,18 +36,16 @@
 	started.mu.Lock()
 	defer started.mu.Unlock()
 	seed := f.plan.Seed<<20 + uint64(started.index)<<8 + uint64(len(started.runs))
-	discovery := ""
-	var keepers []string
+	environment := &sidecarEnvironment{listen: started.address(), seed: seed, known: f.known}
 	if f.registry != nil {
-		keepers = f.registryAddresses(started.index)
+		environment.registryAddresses = f.registryAddresses(started.index)
 	} else {
-		discovery = f.listAddress(started.index)
+		environment.discovery = f.listAddress(started.index)
 	}
-	var members map[string]any
 	if f.peers != nil {
-		members = f.peers.memberConfig(started.index)
+		environment.members = f.peers.memberConfig(started.index)
 	}
-	text, err := sidecarConfig(f.plan, started.index, started.address(), discovery, seed, f.known, keepers, members)
+	text, err := sidecarConfig(f.plan, started.index, environment)
 	if err != nil {
 		return err
 	}
@@ -65,7 +63,7 @@
 	}
 	began := clock.Now()
 	p, err := f.starter.Start(proc.Spec{Name: name, Path: f.self.Path, Args: args, Log: f.log(name), Folder: started.folder,
-		Env: f.env("TMPDIR="+tmp, "PROXY_CONFIG="+config, "PROXY_NAME="+name, "PROXY_LISTEN="+started.address(), "PROXY_DISCOVERY="+discovery)})
+		Env: f.env("TMPDIR="+tmp, "PROXY_CONFIG="+config, "PROXY_NAME="+name, "PROXY_LISTEN="+started.address(), "PROXY_DISCOVERY="+environment.discovery)})
 	if err != nil {
 		return err
 	}
