--- a/cmd/gradeusher/lab.go
+++ b/cmd/gradeusher/lab.go
@@ -12,35 +12,36 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
+// labCommand are the commands for experiments with real processes.
 type labCommand struct {
-	Run     labRun     `cmd:"" help:"Run one experiment. Exit 0: all held; 1: not; 2: bad file or usage."`
-	List    labList    `cmd:"" help:"List the experiments of a folder, with the sentence that each states."`
-	Compare labCompare `cmd:"" help:"Hold two experiments, or two folders with reports, against each other."`
-	Trace   labTrace   `cmd:"" help:"Show what clients and servers saw of one request."`
+	Run     labRunCommand     `cmd:"" help:"Run one experiment. Exit 0: all held; 1: not; 2: bad file or usage."`
+	List    labListCommand    `cmd:"" help:"List the experiments of a folder, with the sentence that each states."`
+	Compare labCompareCommand `cmd:"" help:"Hold two experiments, or two folders with reports, against each other."`
+	Trace   labTraceCommand   `cmd:"" help:"Show what clients and servers saw of one request."`
 }
 
-type labRun struct {
+type labRunCommand struct {
 	File string `arg:"" help:"The experiment, a TOML file."`
 	Seed uint64 `help:"Draws the fleet, the arrivals and the targets of faults." default:"1"`
 	Out  string `help:"Folder for report.json, report.html and the logs of each process."`
 	JSON bool   `help:"Print the report as JSON." name:"json"`
 }
 
-// selfEnv is what the command is told besides when it starts itself as another process: nothing, but in tests.
-var selfEnv []string
+// childEnv is added to the environment of each process of this program that the command starts: nothing, but in tests.
+var childEnv []string
 
-// experiment runs a file once.
-func experiment(ctx context.Context, file string, seed uint64, out string) (*lab.Result, error) {
-	f, err := plan.LoadFile(file)
+// runExperimentFile runs the experiment of a file once.
+func runExperimentFile(ctx context.Context, path string, seed uint64, out string) (*lab.Result, error) {
+	file, err := plan.LoadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return play(ctx, f, seed, lab.Options{Out: out})
+	return runExperiment(ctx, file, seed, lab.Options{Out: out})
 }
 
-// play runs what a file says once.
-func play(ctx context.Context, f *plan.File, seed uint64, o lab.Options) (*lab.Result, error) {
-	p, err := plan.Make(f, seed)
+// runExperiment runs an experiment once.
+func runExperiment(ctx context.Context, file *plan.File, seed uint64, options lab.Options) (*lab.Result, error) {
+	drawn, err := plan.Make(file, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -48,72 +49,86 @@
 	if err != nil {
 		return nil, err
 	}
-	o.Self = lab.Self{Path: path, Env: selfEnv}
-	return lab.Run(ctx, p, o)
+	options.Self = lab.Self{Path: path, Env: childEnv}
+	return lab.Run(ctx, drawn, options)
 }
 
-// Run runs it.
-func (c labRun) Run(ctx context.Context, s streams) error {
-	r, err := experiment(ctx, c.File, c.Seed, c.Out)
+// Run runs the experiment, and writes and prints its report. It fails where an invariant is broken.
+func (c labRunCommand) Run(ctx context.Context, stdio streams) error {
+	result, err := runExperimentFile(ctx, c.File, c.Seed, c.Out)
 	if err != nil {
 		return err
 	}
 	if c.Out != "" {
-		if err := lab.WriteReport(c.Out, r); err != nil {
+		if err := lab.WriteReport(c.Out, result); err != nil {
 			return err
 		}
 	}
-	if c.JSON {
-		d := json.NewEncoder(s.out)
-		d.SetIndent("", " ")
-		if err := d.Encode(r); err != nil {
-			return err
-		}
-	} else {
-		lab.Print(s.out, r)
+	if err := c.print(stdio, result); err != nil {
+		return err
 	}
-	if len(r.Broken()) > 0 || r.BrokenOff {
-		return errBroken
+	if len(result.Broken()) > 0 || result.BrokenOff {
+		return errReported
 	}
 	return nil
 }
 
-type labList struct {
+func (c labRunCommand) print(stdio streams, result *lab.Result) error {
+	if !c.JSON {
+		lab.Print(stdio.out, result)
+		return nil
+	}
+	encoder := json.NewEncoder(stdio.out)
+	encoder.SetIndent("", " ")
+	return encoder.Encode(result)
+}
+
+type labListCommand struct {
 	Folder string `arg:"" help:"Folder with experiments." default:"lab"`
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
-// Run lists them.
-func (c labList) Run(s streams) error {
+// experimentLine is an experiment of the list.
+type experimentLine struct {
+	File   string `json:"file"`
+	States string `json:"states"`
+}
+
+// Run lists the experiments of a folder.
+func (c labListCommand) Run(stdio streams) error {
+	lines, err := c.load()
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(stdio.out).Encode(lines)
+	}
+	for _, line := range lines {
+		stdio.printf("%-24s %s\n", line.File, line.States)
+	}
+	return nil
+}
+
+func (c labListCommand) load() ([]experimentLine, error) {
 	paths, err := filepath.Glob(filepath.Join(c.Folder, "*.toml"))
 	if err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
 	if _, err := os.Stat(c.Folder); err != nil {
-		return fmt.Errorf("%w: %w", errUsage, err)
-	}
-	type line struct {
-		File   string `json:"file"`
-		States string `json:"states"`
+		return nil, fmt.Errorf("%w: %w", errUsage, err)
 	}
-	lines := []line{}
+	lines := []experimentLine{} // encoded as an empty list, not as null
 	for _, path := range paths {
-		f, err := plan.LoadFile(path)
+		file, err := plan.LoadFile(path)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		lines = append(lines, line{path, f.States})
-	}
-	if c.JSON {
-		return json.NewEncoder(s.out).Encode(lines)
-	}
-	for _, l := range lines {
-		fmt.Fprintf(s.out, "%-24s %s\n", l.File, l.States)
+		lines = append(lines, experimentLine{path, file.States})
 	}
-	return nil
+	return lines, nil
 }
 
-type labCompare struct {
+type labCompareCommand struct {
 	A      string `arg:"" help:"An experiment file, or a folder with report.json."`
 	B      string `arg:"" help:"Another."`
 	Repeat int    `help:"Runs of each, one after the other in turn, with rising seeds." default:"1"`
@@ -121,69 +136,85 @@
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
-const mostRepeat = 100
+// maxRepeats bounds the runs of each side of a comparison.
+const maxRepeats = 100
+
+// comparisonRuns are the runs of both sides of a comparison.
+type comparisonRuns struct {
+	a, b []*lab.Result
+	void int // runs in which the lab was late
+}
 
-// Run compares. Files are run in turn, so that whatever else the machine does falls on both.
-func (c labCompare) Run(ctx context.Context, s streams) error {
-	if c.Repeat < 1 || c.Repeat > mostRepeat {
-		return fmt.Errorf("%w: --repeat %d is not within 1 to %d", errUsage, c.Repeat, mostRepeat)
+// Run compares. The sides run alternately, so that whatever else the machine does falls on both.
+func (c labCompareCommand) Run(ctx context.Context, stdio streams) error {
+	if c.Repeat < 1 || c.Repeat > maxRepeats {
+		return fmt.Errorf("%w: --repeat %d is not within 1 to %d", errUsage, c.Repeat, maxRepeats)
 	}
-	get := func(path string, seed uint64) (*lab.Result, error) {
-		if info, err := os.Stat(path); err == nil && info.IsDir() {
-			return lab.ReadReport(path)
-		}
-		return experiment(ctx, path, seed, "")
+	runs, err := c.runBoth(ctx, stdio)
+	if err != nil {
+		return err
+	}
+	all, err := lab.Compare(runs.a, runs.b)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		return json.NewEncoder(stdio.out).Encode(all)
+	}
+	lab.PrintCompared(stdio.out, all)
+	if runs.void > 0 {
+		stdio.printf("%d runs are void: the lab was late\n", runs.void)
+		return errReported
 	}
-	var a, b []*lab.Result
-	void := 0
+	return nil
+}
+
+func (c labCompareCommand) runBoth(ctx context.Context, stdio streams) (runs comparisonRuns, err error) {
 	for i := range c.Repeat {
+		seed := c.Seed + uint64(i)
 		for _, side := range []struct {
 			path string
 			to   *[]*lab.Result
-		}{{c.A, &a}, {c.B, &b}} {
-			r, err := get(side.path, c.Seed+uint64(i))
+		}{{c.A, &runs.a}, {c.B, &runs.b}} {
+			result, err := loadOrRun(ctx, side.path, seed)
 			if err != nil {
-				return err
+				return runs, err
 			}
-			if r.Void {
-				void++
+			if result.Void {
+				runs.void++
 			}
-			if broken := r.Broken(); len(broken) > 0 && !c.JSON {
-				fmt.Fprintf(s.out, "%s, seed %d: broken: %s\n", side.path, r.Seed, strings.Join(broken, ", "))
+			if broken := result.Broken(); len(broken) > 0 && !c.JSON {
+				stdio.printf("%s, seed %d: broken: %s\n", side.path, result.Seed, strings.Join(broken, ", "))
 			}
-			*side.to = append(*side.to, r)
+			*side.to = append(*side.to, result)
 		}
 	}
-	all, err := lab.Compare(a, b)
-	if err != nil {
-		return err
-	}
-	if c.JSON {
-		return json.NewEncoder(s.out).Encode(all)
-	}
-	lab.PrintCompared(s.out, all)
-	if void > 0 {
-		fmt.Fprintf(s.out, "%d runs are void: the lab was late\n", void)
-		return errBroken
+	return runs, nil
+}
+
+// loadOrRun reads the report of a folder, or runs the experiment of a file.
+func loadOrRun(ctx context.Context, path string, seed uint64) (*lab.Result, error) {
+	if info, err := os.Stat(path); err == nil && info.IsDir() {
+		return lab.ReadReport(path)
 	}
-	return nil
+	return runExperimentFile(ctx, path, seed, "")
 }
 
-type labTrace struct {
+type labTraceCommand struct {
 	Folder string `arg:"" help:"The folder that lab run wrote (--out)."`
 	ID     string `arg:"" help:"The request, as a broken invariant names it."`
 	JSON   bool   `help:"Print as JSON." name:"json"`
 }
 
-// Run shows it.
-func (c labTrace) Run(s streams) error {
+// Run prints what clients and servers recorded of the request.
+func (c labTraceCommand) Run(stdio streams) error {
 	all, err := lab.Trace(c.Folder, c.ID)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	if c.JSON {
-		return json.NewEncoder(s.out).Encode(all)
+		return json.NewEncoder(stdio.out).Encode(all)
 	}
-	lab.PrintTrace(s.out, all)
+	lab.PrintTrace(stdio.out, all)
 	return nil
 }
--- a/cmd/gradeusher/standin.go
+++ b/cmd/gradeusher/standin.go
@@ -12,22 +12,22 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// standInCommand is the processes that a lab starts. Its orders come on standard input.
+// standInCommand are the processes that a lab starts. They are controlled by lines on standard input, as package ctl describes.
 type standInCommand struct {
-	Host  hostCommand  `cmd:"" help:"Stand-in servers."`
-	List  listCommand  `cmd:"" help:"The platform's list of servers."`
-	Plain plainCommand `cmd:"" help:"The plainest sidecar, to compare with."`
+	Host  standInHostCommand    `cmd:"" help:"Stand-in servers."`
+	List  standInListCommand    `cmd:"" help:"The platform's list of servers."`
+	Plain standInSidecarCommand `cmd:"" help:"The plainest sidecar, to compare with."`
 
-	Keeper   plainKeeperCommand `cmd:"" help:"A list service that agrees with nobody."`
-	Relay    relayCommand       `cmd:"" help:"The network in front of keepers."`
-	Peers    peersCommand       `cmd:"" help:"The network between sidecars."`
-	Watchers watchersCommand    `cmd:"" help:"Clients that watch the list."`
-	Liar     liarCommand        `cmd:"" help:"A member among sidecars that tells of work that nobody did."`
+	Keeper   standInRegistryCommand `cmd:"" help:"A list service that agrees with nobody."`
+	Relay    standInRelayCommand    `cmd:"" help:"The network in front of keepers."`
+	Peers    standInPeersCommand    `cmd:"" help:"The network between sidecars."`
+	Watchers standInWatchersCommand `cmd:"" help:"Clients that watch the list."`
+	Liar     standInLiarCommand     `cmd:"" help:"A member among sidecars that tells of work that nobody did."`
 
-	Janitor janitorCommand `cmd:"" help:"Removes an experiment's folder when the lab is gone."`
+	Janitor standInJanitorCommand `cmd:"" help:"Removes an experiment's folder when the lab is gone."`
 }
 
-type hostCommand struct {
+type standInHostCommand struct {
 	Groups  int    `help:"Groups of sidecars, each with listeners of its own." default:"1"`
 	Records string `help:"File for what the servers see." required:""`
 
@@ -35,22 +35,22 @@
 	Lease   time.Duration `help:"Of their registrations." default:"3s"`
 }
 
-// Run obeys until standard input ends.
-func (c hostCommand) Run(s streams) error {
-	return standin.Host(s.in, s.out, c.Groups, c.Records, c.Keepers, c.Lease)
+// Run runs stand-in servers until standard input ends.
+func (c standInHostCommand) Run(stdio streams) error {
+	return standin.Host(stdio.in, stdio.out, c.Groups, c.Records, c.Keepers, c.Lease)
 }
 
-type plainKeeperCommand struct {
+type standInRegistryCommand struct {
 	Address string `help:"Where it answers." required:""`
 	Flaw    string `help:"What it does wrong."`
 }
 
-// Run is the list service until SIGTERM.
-func (c plainKeeperCommand) Run(ctx context.Context) error {
+// Run serves a list without a consensus protocol until SIGTERM.
+func (c standInRegistryCommand) Run(ctx context.Context) error {
 	return standin.PlainRegistry(ctx, c.Address, c.Flaw)
 }
 
-type relayCommand struct {
+type standInRelayCommand struct {
 	Sidecars int    `help:"Near ends that are sidecars, the first ones." required:""`
 	Readers  int    `help:"Near ends that may read the list, with the sidecars." required:""`
 	Told     string `help:"File for what sidecars are told." required:""`
@@ -58,19 +58,21 @@
 	Routes   string `help:"File for what keepers say of routes." required:""`
 }
 
-// Run obeys until standard input ends.
-func (c relayCommand) Run(s streams) error {
-	return standin.Relay(s.in, s.out, c.Sidecars, c.Readers, c.Told, c.Shown, c.Routes)
+// Run relays calls to the registry until standard input ends.
+func (c standInRelayCommand) Run(stdio streams) error {
+	return standin.Relay(stdio.in, stdio.out, c.Sidecars, c.Readers, c.Told, c.Shown, c.Routes)
 }
 
-type peersCommand struct {
+type standInPeersCommand struct {
 	Gossip string `help:"File for what sidecars say to each other, by the second." required:""`
 }
 
-// Run obeys until standard input ends.
-func (c peersCommand) Run(s streams) error { return standin.Peers(s.in, s.out, c.Gossip) }
+// Run relays messages between sidecars until standard input ends.
+func (c standInPeersCommand) Run(stdio streams) error {
+	return standin.Peers(stdio.in, stdio.out, c.Gossip)
+}
 
-type liarCommand struct {
+type standInLiarCommand struct {
 	Name      string   `help:"Of the member." required:""`
 	Listen    string   `help:"IP address and port." required:""`
 	Advertise string   `help:"Where others reach it." required:""`
@@ -78,49 +80,58 @@
 	Join      []string `help:"Members to join."`
 }
 
-// Run lies as it is told to until standard input ends.
-func (c liarCommand) Run(s streams) error {
-	return standin.LyingMember(s.in, s.out, members.Options{Name: c.Name, Listen: c.Listen, Advertise: c.Advertise, Reach: c.Reach, Join: c.Join})
+// Run publishes false load, as the control lines ask for, until standard input ends.
+func (c standInLiarCommand) Run(stdio streams) error {
+	return standin.LyingMember(stdio.in, stdio.out, members.Options{Name: c.Name, Listen: c.Listen, Advertise: c.Advertise, Reach: c.Reach, Join: c.Join})
 }
 
-type watchersCommand struct {
+type standInWatchersCommand struct {
 	Of []string `help:"The keepers of one client, with slashes."`
 }
 
-// Run watches until standard input ends.
-func (c watchersCommand) Run(s streams) error { return standin.Watchers(s.in, s.out, s.err, c.Of) }
+// Run runs clients that watch the list until standard input ends.
+func (c standInWatchersCommand) Run(stdio streams) error {
+	return standin.Watchers(stdio.in, stdio.out, stdio.err, c.Of)
+}
 
-type listCommand struct {
+type standInListCommand struct {
 	Groups  string `help:"The group of each sidecar, with commas." required:""`
 	Port    int    `help:"Port to listen at; 0: any that is free." default:"0"`
 	Records string `help:"File for what sidecars are told." required:""`
 }
 
-// Run obeys until standard input ends.
-func (c listCommand) Run(s streams) error {
-	var groups standin.Groups
-	for _, word := range strings.Split(c.Groups, ",") {
-		g, err := strconv.Atoi(word)
+// Run serves the platform's list of servers until standard input ends.
+func (c standInListCommand) Run(stdio streams) error {
+	groups, err := c.parseGroups()
+	if err != nil {
+		return err
+	}
+	return standin.List(stdio.in, stdio.out, groups, c.Port, c.Records)
+}
+
+func (c standInListCommand) parseGroups() (groups standin.Groups, err error) {
+	for text := range strings.SplitSeq(c.Groups, ",") {
+		group, err := strconv.Atoi(text)
 		if err != nil {
-			return fmt.Errorf("%w: --groups: %w", errUsage, err)
+			return nil, fmt.Errorf("%w: --groups: %w", errUsage, err)
 		}
-		groups = append(groups, g)
+		groups = append(groups, group)
 	}
-	return standin.List(s.in, s.out, groups, c.Port, c.Records)
+	return groups, nil
 }
 
-type plainCommand struct {
+type standInSidecarCommand struct {
 	Flaw string `help:"What it does wrong."`
 }
 
-// Run is the sidecar until SIGTERM.
-func (c plainCommand) Run(ctx context.Context, s streams) error {
-	return standin.Plain(ctx, s.env, c.Flaw)
+// Run is the plainest sidecar, to compare with, until SIGTERM.
+func (c standInSidecarCommand) Run(ctx context.Context, stdio streams) error {
+	return standin.Plain(ctx, stdio.env, c.Flaw)
 }
 
-type janitorCommand struct {
+type standInJanitorCommand struct {
 	Folder string `arg:"" help:"What to remove."`
 }
 
-// Run waits until standard input ends, and cleans up.
-func (c janitorCommand) Run(s streams) error { return lab.Clean(s.in, c.Folder) }
+// Run waits until standard input ends, which is the end of the lab, and removes the folder.
+func (c standInJanitorCommand) Run(stdio streams) error { return lab.Clean(stdio.in, c.Folder) }
--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -33,18 +33,18 @@
 	return filepath.Join(folder, "proxy"), filepath.Join(folder, "controlplane"), folder
 }
 
-// TestSystemKeepsRulesThroughEnds runs the real programs through the kill of a keeper and the planned end of a proxy,
+// TestSystemKeepsRulesThroughEnds runs the real programs through the kill of a control-plane node and the planned end of a proxy,
 // with changes of the configuration before and after.
 func TestSystemKeepsRulesThroughEnds(t *testing.T) {
 	proxy, keeper, folder := buildSystem(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 	defer cancel()
-	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: proxy, Keeper: keeper, Folder: folder, Rate: 60, Seed: 7})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: proxy, ControlPlane: keeper, Folder: folder, Rate: 60, Seed: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
 	machines := run.Fleet.Machines
-	added := rules.Route{Name: "added", Host: run.Scene.Config.Routes[0].Host, Prefix: "/added/", Category: "idempotent", Timeout: 2000,
+	added := rules.Route{Name: "added", Host: run.Scenario.Config.Routes[0].Host, Prefix: "/added/", Category: "idempotent", Timeout: 2000,
 		Aim: 400, Priority: 2, Target: "thumbs", MaxTries: 1, Homes: []string{}}
 	ended := make(chan error, 1)
 	for _, step := range []struct {
@@ -83,7 +83,7 @@
 	t.Logf("%v: ended\n%s", run.Now().Round(time.Millisecond), strings.Join(report.Lines(), "\n"))
 }
 
-// observes tells whether the keeper at the control address is an observer that knows the configuration and passes reads on.
+// observes tells whether the node at the control address is an observer that knows the configuration and forwards reads.
 func observes(ctx context.Context, address string) error {
 	var client admin.Client
 	s, err := client.NodeStatus(ctx, address)
--- a/internal/lab/check/figures.go
+++ b/internal/lab/check/figures.go
@@ -1,21 +1,20 @@
 package check
 
 import (
-	"fmt"
 	"math"
-	"slices"
-	"strings"
+	"net/http"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"gradeusher.example/gradeusher/internal/lab/load"
+	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
 // Second is what happened in one second of the load, by the arrival of requests.
 type Second struct {
-	Asked    float64 `json:"asked"`  // worth
-	Served   float64 `json:"served"` // worth, less for answers after the aim
+	Asked    float64 `json:"asked"`  // value of the requests
+	Served   float64 `json:"served"` // value that was served, less for responses after the latency target
 	Requests int     `json:"requests"`
 	Refused  int     `json:"refused"`
 	Failed   int     `json:"failed"`
@@ -25,174 +24,188 @@
 	Spread   float64 `json:"spread,omitempty"` // of the window that the second is in; 0: it is in none
 }
 
-// Figures are an experiment's results by name: those of plan.Figures, and some a class ("served:fetch").
+// Figures are the results of a run by name: those of plan.Figures, and some by class ("served:fetch").
 type Figures map[string]float64
 
-// most of a latency histogram, in microseconds.
-const mostLatency = int64(time.Minute / time.Microsecond)
+// maxLatencyMicros is the upper bound of latency histograms, in microseconds.
+const maxLatencyMicros = int64(time.Minute / time.Microsecond)
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostLatency, 3) }
+// newHistogram returns a histogram of latencies in microseconds, exact to three digits.
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
-func note(h *hdrhistogram.Histogram, ns int64) {
-	_ = h.RecordValue(min(max(ns/int64(time.Microsecond), 1), mostLatency)) // always within its range
+// recordLatency records a latency in ns, limited to the range of the histogram.
+func recordLatency(histogram *hdrhistogram.Histogram, ns int64) {
+	_ = histogram.RecordValue(min(max(ns/int64(time.Microsecond), 1), maxLatencyMicros)) // always within its range
 }
 
-func quantile(h *hdrhistogram.Histogram, q float64) float64 {
-	return float64(h.ValueAtQuantile(q)) / 1000
+// quantile is a percentile of a histogram, in ms.
+func quantile(histogram *hdrhistogram.Histogram, q float64) float64 {
+	return float64(histogram.ValueAtQuantile(q)) / 1000
 }
 
-// Measure computes the figures and the course of a run. Worth is counted for each unit of work, as BRIEF has it.
-func Measure(e *Evidence) (Figures, []Second) {
-	p := e.Plan
-	n := int(math.Ceil(p.File.Seconds))
-	course := make([]Second, n)
-	latency := newHistogram()
-	within := make([]*hdrhistogram.Histogram, n)
-	for i := range within {
-		within[i] = newHistogram()
+// Measure computes the figures and the course of a run. Value is counted per unit of work, as BRIEF has it.
+func Measure(evidence *Evidence) (Figures, []Second) {
+	measured := newMeasurement(evidence)
+	attempts := map[int][]*load.Attempt{} // of each arrival
+	for i := range evidence.ClientAttempts {
+		attempt := &evidence.ClientAttempts[i]
+		attempts[attempt.Arrival] = append(attempts[attempt.Arrival], attempt)
 	}
-	tries := map[int][]*load.Try{}
-	conns, lateRefusals := 0, 0
-	for i := range e.Tries {
-		t := &e.Tries[i]
-		tries[t.Arrival] = append(tries[t.Arrival], t)
-		if t.Status != 200 && t.Status != 0 && t.Ended-t.Sent > int64(t.Timeout)/2 {
-			lateRefusals++
-		}
+	for arrival, all := range attempts {
+		measured.addRequest(&evidence.Plan.Arrivals[arrival], all)
 	}
-	type sum struct{ asked, served float64 }
-	var whole sum
-	classes := make([]sum, len(p.File.Classes))
-	answered, refused, failed := 0, 0, 0
-	for i, all := range tries {
-		a := &p.Arrivals[i]
-		class := &p.File.Classes[a.Class]
-		second := &course[min(int(a.At/time.Second), n-1)]
-		worth := class.Worth * a.Work.Seconds()
-		got := 0.0
-		last := all[0]
-		for _, t := range all {
-			if t.Retry {
-				last = t
-			}
-			if t.Status != 200 {
-				continue
-			}
-			took := float64(t.Ended-e.Start-int64(a.At)) / 1e6
-			switch {
-			case took <= class.AimMS:
-				got = worth
-			case took <= class.GiveUpMS:
-				got = worth * class.LateWorth
-			}
-			note(latency, t.Ended-e.Start-int64(a.At))
-			note(within[min(int(a.At/time.Second), n-1)], t.Ended-e.Start-int64(a.At))
-		}
-		served := slices.ContainsFunc(all, func(t *load.Try) bool { return t.Status == 200 })
-		switch {
-		case served:
-			answered++
-		case last.Status == 429 || last.Status == 503:
-			refused++
-			second.Refused++
-		default:
-			failed++
-			second.Failed++
-		}
-		second.Requests++
-		second.Asked += worth
-		second.Served += got
-		whole.asked += worth
-		whole.served += got
-		classes[a.Class].asked += worth
-		classes[a.Class].served += got
+	for i := range measured.course {
+		measured.course[i].P50, measured.course[i].P99 = quantile(measured.latencyBySecond[i], 50), quantile(measured.latencyBySecond[i], 99)
 	}
-	for _, a := range e.Attempts {
-		if a.New {
-			conns++
-		}
-		if s := int((a.First - e.Start) / int64(time.Second)); s >= 0 && s < n && a.First >= e.Start {
-			course[s].Attempts++
-		}
+	figures := measured.requestFigures()
+	measured.addServerAttempts(figures)
+	evidence.registryFigures(figures)
+	evidence.routeFigures(figures)
+	evidence.hitterFigures(figures)
+	evidence.spreadFigures(figures, measured.course)
+	evidence.churnFigure(figures)
+	evidence.rejectionFigures(figures, measured.course)
+	evidence.avoidanceFigures(figures)
+	evidence.gossipFigures(figures)
+	measured.valueFigures(figures)
+	return figures, measured.course
+}
+
+// valueSum is the value of requests, and what of it was served.
+type valueSum struct{ asked, served float64 }
+
+func (v *valueSum) add(asked, served float64) { v.asked, v.served = v.asked+asked, v.served+served }
+
+// share is the share of the value that was served; 1 where nothing was asked.
+func (v valueSum) share() float64 {
+	if v.asked == 0 {
+		return 1
 	}
-	for i := range course {
-		course[i].P50, course[i].P99 = quantile(within[i], 50), quantile(within[i], 99)
+	return v.served / v.asked
+}
+
+// measurement is what Measure counts of requests.
+type measurement struct {
+	*Evidence
+	course                     []Second
+	latency                    *hdrhistogram.Histogram // of served attempts, from the arrival
+	latencyBySecond            []*hdrhistogram.Histogram
+	total                      valueSum
+	classes                    []valueSum
+	answered, rejected, failed int // requests
+}
+
+func newMeasurement(e *Evidence) *measurement {
+	seconds := int(math.Ceil(e.Plan.File.Seconds))
+	m := &measurement{Evidence: e, course: make([]Second, seconds), latency: newHistogram(), latencyBySecond: make([]*hdrhistogram.Histogram, seconds),
+		classes: make([]valueSum, len(e.Plan.File.Classes))}
+	for i := range m.latencyBySecond {
+		m.latencyBySecond[i] = newHistogram()
 	}
-	requests := float64(max(1, answered+refused+failed))
-	share := func(s sum) float64 {
-		if s.asked == 0 {
-			return 1
+	return m
+}
+
+// addRequest counts one request by all its attempts, of which there is at least one.
+func (m *measurement) addRequest(arrival *plan.Arrival, attempts []*load.Attempt) {
+	class := &m.Plan.File.Classes[arrival.Class]
+	index := min(int(arrival.At/time.Second), len(m.course)-1)
+	second := &m.course[index]
+	value, served := class.Value*arrival.Work.Seconds(), 0.0
+	answered, last := false, attempts[0]
+	for _, attempt := range attempts {
+		if attempt.Retry {
+			last = attempt
 		}
-		return s.served / s.asked
-	}
-	f := Figures{"served": share(whole), "answered": float64(answered) / requests, "refused": float64(refused) / requests,
-		"failed": float64(failed) / requests, "attempts": float64(len(e.Attempts)) / requests, "late_refusals": float64(lateRefusals) / requests,
-		"p50_ms": quantile(latency, 50), "p99_ms": quantile(latency, 99), "p999_ms": quantile(latency, 99.9),
-		"connections": float64(conns) / requests, "requests": requests, "lateness_p99_ms": float64(e.Lateness) / 1e6}
-	worst := 1.0
-	for i, c := range classes {
-		f["served:"+p.File.Classes[i].Name] = share(c)
-		worst = min(worst, share(c))
-	}
-	f["served_worst_class"] = worst
-	e.keeperFigures(f)
-	e.routeFigures(f)
-	e.hitterFigures(f)
-	e.spreadFigures(f, course)
-	e.churnFigure(f)
-	e.refusals(f, course)
-	e.avoidFigures(f)
-	e.gossip(f)
-	worst = 1.0
-	for i := range max(1, n-worstSeconds+1) {
-		var s sum
-		for _, c := range course[i:min(i+worstSeconds, n)] {
-			s.asked += c.Asked
-			s.served += c.Served
+		if attempt.Status != http.StatusOK {
+			continue
 		}
-		worst = min(worst, share(s))
+		answered = true
+		took := attempt.Ended - m.Start - int64(arrival.At)
+		switch ms := float64(took) / 1e6; {
+		case ms <= class.LatencyTargetMS:
+			served = value
+		case ms <= class.GiveUpMS:
+			served = value * class.LateValue
+		}
+		recordLatency(m.latency, took)
+		recordLatency(m.latencyBySecond[index], took)
+	}
+	switch {
+	case answered:
+		m.answered++
+	case last.Status == http.StatusTooManyRequests || last.Status == http.StatusServiceUnavailable:
+		m.rejected++
+		second.Refused++
+	default:
+		m.failed++
+		second.Failed++
 	}
-	f["served_worst_10s"] = worst
-	f["service"] = 0.5*f["served"] + 0.3*f["served_worst_10s"] + 0.2*f["served_worst_class"] // BRIEF, how we count
-	return f, course
+	second.Requests++
+	second.Asked += value
+	second.Served += served
+	m.total.add(value, served)
+	m.classes[arrival.Class].add(value, served)
 }
 
-// Lateness is how late the lab sent, at the 99th percentile.
-func Lateness(tries []load.Try) time.Duration {
-	h := newHistogram()
-	for i := range tries {
-		note(h, tries[i].Began-tries[i].Due)
+// requests is the number of requests, at least 1.
+func (m *measurement) requests() float64 { return float64(max(1, m.answered+m.rejected+m.failed)) }
+
+// requestFigures are the figures of requests by their outcome and latency.
+func (m *measurement) requestFigures() Figures {
+	lateRejections := 0
+	for i := range m.ClientAttempts {
+		attempt := &m.ClientAttempts[i]
+		rejected := attempt.Status != http.StatusOK && attempt.Status != 0
+		if rejected && attempt.Ended-attempt.Sent > int64(attempt.Timeout)/2 {
+			lateRejections++
+		}
 	}
-	return time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
+	requests := m.requests()
+	return Figures{"answered": float64(m.answered) / requests, "refused": float64(m.rejected) / requests, "failed": float64(m.failed) / requests,
+		"late_refusals": float64(lateRejections) / requests, "requests": requests, "lateness_p99_ms": float64(m.Lateness) / 1e6,
+		"p50_ms": quantile(m.latency, 50), "p99_ms": quantile(m.latency, 99), "p999_ms": quantile(m.latency, 99.9)}
 }
 
-// Bars holds the figures against what the file wants of them. A figure that was not measured does not reach its bar.
-func Bars(e *Evidence, f Figures) []Verdict {
-	var verdicts []Verdict
-	for _, b := range e.Plan.File.Bars {
-		v := Verdict{Name: "bar " + b.Figure, LookedAt: 1}
-		value, known := f[b.Figure]
-		reached := known
-		var wants []string
-		if b.Least != nil {
-			wants = append(wants, fmt.Sprintf("at least %v", *b.Least))
-			reached = reached && value >= *b.Least
-		}
-		if b.Most != nil {
-			wants = append(wants, fmt.Sprintf("at most %v", *b.Most))
-			reached = reached && value <= *b.Most
+// addServerAttempts adds the figures of attempts and connections at servers, and counts attempts in the course.
+func (m *measurement) addServerAttempts(figures Figures) {
+	connections := 0
+	for _, attempt := range m.ServerAttempts {
+		if attempt.New {
+			connections++
 		}
-		v.Bar = strings.Join(wants, ", ")
-		found := "not measured"
-		if known {
-			v.Value, found = &value, fmt.Sprintf("%.4g", value)
+		second := int((attempt.First - m.Start) / int64(time.Second))
+		if attempt.First >= m.Start && second < len(m.course) {
+			m.course[second].Attempts++
 		}
-		if !reached {
-			v.Broken = 1
-			v.Detail = []string{fmt.Sprintf("it is %s, wanted %s", found, v.Bar)}
+	}
+	figures["attempts"] = float64(len(m.ServerAttempts)) / m.requests()
+	figures["connections"] = float64(connections) / m.requests()
+}
+
+// valueFigures adds the served share of the value: in all, by class, in the worst class and the worst 10 s, and together.
+func (m *measurement) valueFigures(figures Figures) {
+	worstClass := 1.0
+	for i, class := range m.classes {
+		figures["served:"+m.Plan.File.Classes[i].Name] = class.share()
+		worstClass = min(worstClass, class.share())
+	}
+	worstTime := 1.0
+	for i := range max(1, len(m.course)-worstSeconds+1) {
+		var sum valueSum
+		for _, second := range m.course[i:min(i+worstSeconds, len(m.course))] {
+			sum.add(second.Asked, second.Served)
 		}
-		v.judge()
-		verdicts = append(verdicts, v)
+		worstTime = min(worstTime, sum.share())
+	}
+	figures["served"], figures["served_worst_class"], figures["served_worst_10s"] = m.total.share(), worstClass, worstTime
+	figures["service"] = 0.5*figures["served"] + 0.3*figures["served_worst_10s"] + 0.2*figures["served_worst_class"] // BRIEF, how we count
+}
+
+// Lateness is the 99th percentile of how late the lab sent.
+func Lateness(attempts []load.Attempt) time.Duration {
+	histogram := newHistogram()
+	for i := range attempts {
+		recordLatency(histogram, attempts[i].Began-attempts[i].Due)
 	}
-	return verdicts
+	return time.Duration(histogram.ValueAtQuantile(99)) * time.Microsecond
 }
--- a/internal/lab/check/routes.go
+++ b/internal/lab/check/routes.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
@@ -11,148 +10,77 @@
 	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// Routed is a route table that the lab put, and a keeper took.
-type Routed struct {
+// Table is a route table that the lab put and a registry node accepted. Times are ns of the lab's clock.
+type Table struct {
 	Gen          int64
 	Call, Return int64
 	Table        routes.Table
 }
 
-// routesOf is the hash of what a sidecar needs of a table.
-func routesOf(p *plan.Plan, near int, t routes.Table) string {
+// relevantHash is the hash of the rules of a table that a sidecar needs.
+func relevantHash(p *plan.Plan, near int, t routes.Table) string {
 	return t.Relevant(map[string]string{"service": p.AppOf(near), "region": p.Sidecars[near].Zone}, "rec-api").Hash()
 }
 
-// routesDue is when each sidecar has to know the last table: the bound after it, and after the last fault.
+// routesDue is when each sidecar has to have the last table: the bound after it was accepted, and after the last fault.
 func (e *Evidence) routesDue() int64 {
-	last := e.Routed[len(e.Routed)-1].Return
+	last := e.Tables[len(e.Tables)-1].Return
 	for _, b := range e.Plan.Bands {
 		last = max(last, e.Start+int64(b.To))
 	}
 	return last + int64(plan.Seconds(e.Plan.File.Routes.BoundS))
 }
 
-// routes checks what keepers wrote of routes to sidecars against the tables that the lab put. Nothing that a sidecar says of itself counts.
-func (e *Evidence) routes(f findings) {
-	if e.Plan.File.Routes.Apps == 0 {
+// checkRoutes checks what registry nodes wrote of routes to sidecars against the tables that the lab put. What a sidecar says of itself
+// does not count. It observes nothing where no generation was made while the load ran.
+func (e *Evidence) checkRoutes(found findings) {
+	if e.Plan.File.Routes.Apps == 0 || len(e.Tables) < 2 {
 		return
 	}
-	if len(e.Routed) < 2 {
-		return // no generation was made while the load ran
+	tables := map[int64]routes.Table{} // by generation
+	for _, table := range e.Tables {
+		tables[table.Gen] = table.Table
 	}
-	put := map[int64]int{}
-	for i, r := range e.Routed {
-		put[r.Gen] = i
+	updates := map[int][]ctl.RouteUpdate{} // by sidecar
+	for _, update := range e.RouteUpdates {
+		updates[update.Near] = append(updates[update.Near], update)
 	}
-	said := map[int][]ctl.Routes{}
-	for _, s := range e.Routes {
-		said[s.Near] = append(said[s.Near], s)
-	}
-	last, due := e.Routed[len(e.Routed)-1], e.routesDue()
 	for near := range e.Plan.Sidecars {
-		if !reader(e.Plan, near) {
-			continue
-		}
-		all := said[near]
-		slices.SortStableFunc(all, func(a, b ctl.Routes) int { return cmp.Compare(a.At, b.At) })
-		name := e.Plan.Sidecars[near].Name
-		held, at, gen := "", int64(0), map[string]int64{}
-		for _, s := range all {
-			if s.Gen < gen[s.Cluster] && s.Cluster != "" {
-				f.add("routes", "%s was told generation %d at %s, after %d", name, s.Gen, e.when(s.At), gen[s.Cluster])
-			}
-			if s.Cluster == "" || s.Hash == "" {
-				continue // it says only that nothing changed
-			}
-			gen[s.Cluster] = s.Gen
-			f.look("routes", 1)
-			if i, known := put[s.Gen]; known && s.Hash != routesOf(e.Plan, near, e.Routed[i].Table) {
-				f.add("routes", "%s was told another table for generation %d at %s than was put", name, s.Gen, e.when(s.At))
-			}
-			if held != s.Hash {
-				held, at = s.Hash, s.At
-			}
-		}
-		switch {
-		case held != routesOf(e.Plan, near, last.Table):
-			f.add("routes", "%s was not told generation %d", name, last.Gen)
-		case at > due:
-			f.add("routes", "%s was told generation %d %v after it was due", name, last.Gen, time.Duration(at-due).Round(time.Millisecond))
+		if isReader(e.Plan, near) {
+			all := updates[near]
+			slices.SortStableFunc(all, func(a, b ctl.RouteUpdate) int { return cmp.Compare(a.At, b.At) })
+			e.checkRouteUpdates(found, near, all, tables)
 		}
 	}
 }
 
-// astray is the share of the attempts, while tables led to no server, that went to servers to which the ones before did not lead
-// (route_astray). That requests are answered does not show whether sidecars held the table before: where none serves, any server does.
-func (e *Evidence) astray(f Figures) {
-	r := &e.Plan.File.Routes
-	if !r.Narrow || r.Nowhere[1] == 0 {
-		return
-	}
-	led := map[string]bool{}
-	for i := range e.Plan.Servers {
-		led[e.Plan.Servers[i].UID] = e.Plan.Servers[i].Kind == e.Plan.File.Kinds[0].Name
-	}
-	from, to := e.Start+int64(plan.Seconds(r.Nowhere[0])), e.Start+int64(plan.Seconds(r.Nowhere[1]))
-	all, other := 0, 0
-	for _, a := range e.Attempts {
-		if a.First >= from && a.First < to {
-			if all++; !led[a.Server] {
-				other++
-			}
+// checkRouteUpdates checks the updates of one sidecar, in order of time: no generation goes back, each has the table that was put, and
+// the last table is there in time.
+func (e *Evidence) checkRouteUpdates(found findings, near int, updates []ctl.RouteUpdate, tables map[int64]routes.Table) {
+	name := e.Plan.Sidecars[near].Name
+	hash, since := "", int64(0)       // of the table that the sidecar has
+	generations := map[string]int64{} // by cluster
+	for _, update := range updates {
+		if update.Cluster != "" && update.Generation < generations[update.Cluster] {
+			found.violation("routes", "%s was told generation %d at %s, after %d", name, update.Generation, e.when(update.At), generations[update.Cluster])
 		}
-	}
-	if all > 0 {
-		f["route_astray"] = float64(other) / float64(all)
-	}
-}
-
-// routeFigures are the bytes that keepers wrote of routes to sidecars, besides beats, and how long generations took to the sidecars
-// that need them.
-func (e *Evidence) routeFigures(f Figures) {
-	if e.Plan.File.Routes.Apps == 0 || len(e.Routed) == 0 {
-		return
-	}
-	e.astray(f)
-	said := map[int][]ctl.Routes{}
-	var sum, wholes, diffs float64
-	for _, s := range e.Routes {
-		switch {
-		case s.Hash == "":
-			continue
-		case s.All:
-			wholes++
-		default:
-			diffs++
+		if update.Cluster == "" || update.Hash == "" {
+			continue // it says only that nothing changed
 		}
-		sum += float64(s.Bytes)
-		said[s.Near] = append(said[s.Near], s)
-	}
-	f["route_generations"], f["route_bytes"], f["route_wholes"], f["route_diffs"] = float64(len(e.Routed)), sum, wholes, diffs
-	h := newHistogram()
-	most := int64(0)
-	for near := range e.Plan.Sidecars {
-		if !reader(e.Plan, near) {
-			continue
+		generations[update.Cluster] = update.Generation
+		found.observe("routes", 1)
+		if table, known := tables[update.Generation]; known && update.Hash != relevantHash(e.Plan, near, table) {
+			found.violation("routes", "%s was told another table for generation %d at %s than was put", name, update.Generation, e.when(update.At))
 		}
-		lines := said[near]
-		slices.SortStableFunc(lines, func(a, b ctl.Routes) int { return cmp.Compare(a.At, b.At) })
-		next := 0
-		for i := 1; i < len(e.Routed); i++ {
-			r := e.Routed[i]
-			if routesOf(e.Plan, near, r.Table) == routesOf(e.Plan, near, e.Routed[i-1].Table) {
-				continue
-			}
-			for next < len(lines) && (lines[next].Gen < r.Gen || lines[next].At < r.Call) {
-				next++
-			}
-			took := int64(math.MaxInt64)
-			if next < len(lines) {
-				took = lines[next].At - r.Call
-			}
-			note(h, took)
-			most = max(most, min(took, mostLatency*int64(time.Microsecond)))
+		if hash != update.Hash {
+			hash, since = update.Hash, update.At
 		}
 	}
-	f["route_told_p50_ms"], f["route_told_p99_ms"], f["route_told_most_ms"] = quantile(h, 50), quantile(h, 99), float64(most)/1e6
+	last, due := e.Tables[len(e.Tables)-1], e.routesDue()
+	switch {
+	case hash != relevantHash(e.Plan, near, last.Table):
+		found.violation("routes", "%s was not told generation %d", name, last.Gen)
+	case since > due:
+		found.violation("routes", "%s was told generation %d %v after it was due", name, last.Gen, time.Duration(since-due).Round(time.Millisecond))
+	}
 }
--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -16,26 +16,26 @@
 // child is a stand-in process that obeys orders.
 type child struct {
 	*proc.Process
-	ready       ctl.News
+	ready       ctl.Event
 	mu          sync.Mutex
 	lastID      int
-	waiting     map[int]chan ctl.News
+	waiting     map[int]chan ctl.Event
 	outputEnded chan struct{} // closed when its output ends
 }
 
 // startChild starts a stand-in and waits until it is ready. onEvent gets the events that no order asked for.
-func startChild(s *proc.Starter, spec proc.Spec, onEvent func(ctl.News)) (*child, error) {
+func startChild(s *proc.Starter, spec proc.Spec, onEvent func(ctl.Event)) (*child, error) {
 	spec.Piped = true
 	process, err := s.Start(spec)
 	if err != nil {
 		return nil, err
 	}
-	started := &child{Process: process, waiting: map[int]chan ctl.News{}, outputEnded: make(chan struct{})}
-	ready := make(chan ctl.News, 1)
+	started := &child{Process: process, waiting: map[int]chan ctl.Event{}, outputEnded: make(chan struct{})}
+	ready := make(chan ctl.Event, 1)
 	go func() {
 		defer close(started.outputEnded)
-		defer func() { _ = process.Out.Close() }()              // it was read to its end
-		_ = ctl.Lines(process.Out, func(event ctl.News) error { // a line that cannot be read ends it, which waiters see
+		defer func() { _ = process.Out.Close() }()               // it was read to its end
+		_ = ctl.Lines(process.Out, func(event ctl.Event) error { // a line that cannot be read ends it, which waiters see
 			switch {
 			case event.ID != 0:
 				started.mu.Lock()
@@ -64,8 +64,8 @@
 }
 
 // order gives an order and waits until it is done.
-func (c *child) order(o ctl.Order) (ctl.News, error) {
-	wait := make(chan ctl.News, 1)
+func (c *child) order(o ctl.Order) (ctl.Event, error) {
+	wait := make(chan ctl.Event, 1)
 	c.mu.Lock()
 	c.lastID++
 	o.ID = c.lastID
@@ -76,7 +76,7 @@
 	}
 	c.mu.Unlock()
 	if err != nil {
-		return ctl.News{}, fmt.Errorf("%s: %w", c.Name, err)
+		return ctl.Event{}, fmt.Errorf("%s: %w", c.Name, err)
 	}
 	timer := time.NewTimer(standInTimeout)
 	defer timer.Stop()
@@ -87,9 +87,9 @@
 		}
 		return n, nil
 	case <-c.outputEnded:
-		return ctl.News{}, fmt.Errorf("%s: %w", c.Name, errProcessEnded)
+		return ctl.Event{}, fmt.Errorf("%s: %w", c.Name, errProcessEnded)
 	case <-timer.C:
-		return ctl.News{}, fmt.Errorf("%s: no acknowledgement within %v", c.Name, standInTimeout)
+		return ctl.Event{}, fmt.Errorf("%s: no acknowledgement within %v", c.Name, standInTimeout)
 	}
 }
 
--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -32,8 +32,8 @@
 		if c.Safe {
 			effect = "idempotent"
 		}
-		classes = append(classes, object{"name": c.Name, "effect": effect, "aim_s": c.AimMS / 1000, "deadline_s": c.GiveUpMS / 1000,
-			"credit": c.Worth, "late_value": c.LateWorth, "group": "all", "window_s": 5, "stream": false})
+		classes = append(classes, object{"name": c.Name, "effect": effect, "aim_s": c.LatencyTargetMS / 1000, "deadline_s": c.GiveUpMS / 1000,
+			"credit": c.Value, "late_value": c.LateValue, "group": "all", "window_s": 5, "stream": false})
 	}
 	var models []string
 	for _, k := range file.Kinds {
@@ -57,13 +57,13 @@
 		},
 	}
 	if _, set := file.Config["hitters"]; file.Hitters.On && !set {
-		high, low := file.Hitters.Bars()
+		high, low := file.Hitters.Thresholds()
 		config["hitters"] = object{"bars": []float64{high, low}}
 	}
 	if len(environment.registryAddresses) > 0 {
 		delete(config, "known") // the registry publishes it
 		registry := object{"addresses": environment.registryAddresses, "reach": link.Near(index).String(),
-			"doubt_share": file.Keepers.DoubtShare, "most_age_s": file.Keepers.MostAgeS}
+			"doubt_share": file.Registry.MaxRemovalShare, "most_age_s": file.Registry.MaxStalenessS}
 		routesConfig(experiment, index, registry)
 		config["keepers"] = registry
 	}
--- a/internal/lab/ctl/ctl.go
+++ b/internal/lab/ctl/ctl.go
@@ -1,235 +1,91 @@
-// Package ctl is what the lab and its stand-in processes say to each other: orders as JSON lines on standard input, and
-// acknowledgements and news as JSON lines on standard output. A stand-in ends when its input does, so none outlives the lab.
-// What a stand-in saw goes to a file of its own, a record a line, for the checkers.
+// Package ctl is the control protocol between the lab and its stand-in processes (servers, the list, registry nodes).
+//
+// The lab writes orders to the standard input of a stand-in, and the stand-in writes events, of which some acknowledge orders, to its
+// standard output; both as JSON lines. A stand-in ends when its input does, so none outlives the lab. What a stand-in observes it appends
+// to a file of records, one JSON line each, which the checkers read.
+//
+// Terms: a near end is a process that connects to the stand-in, by the index of its address (package link). All times are ns of
+// the lab's clock (package clock) unless a name says otherwise. The JSON names are a format and stay.
 package ctl
 
 import (
-	"bufio"
-	"encoding/json"
-	"errors"
-	"fmt"
 	"io"
-	"os"
 	"sync"
 
 	"gradeusher.example/gradeusher/internal/lab/link"
 	"gradeusher.example/gradeusher/internal/lab/model"
 )
 
-// Order is one thing that the lab has a stand-in do. Fields that an order does not name are not looked at.
+// Order is one command of the lab to a stand-in. Do says which; the comments of the other fields name the orders that read them.
 type Order struct {
-	ID int    `json:"id"`
-	Do string `json:"do"`
+	ID int    `json:"id"` // that the event which acknowledges it repeats
+	Do string `json:"do"` // the command
 
-	UID     string         `json:"uid,omitempty"`   // the server meant
-	Spec    *model.Spec    `json:"spec,omitempty"`  // add
-	Cold    bool           `json:"cold,omitempty"`  // add, revive: started just now
-	Trouble *model.Trouble `json:"wrong,omitempty"` // trouble
-	By      int64          `json:"by,omitempty"`    // clock: ns that the wall clock jumps
+	UID   string       `json:"uid,omitempty"`   // the server that it acts on
+	Spec  *model.Spec  `json:"spec,omitempty"`  // add
+	Cold  bool         `json:"cold,omitempty"`  // add, revive: starts cold
+	Fault *model.Fault `json:"wrong,omitempty"` // trouble: the fault from now on
+	By    int64        `json:"by,omitempty"`    // clock: ns by which the wall clock jumps
 
-	Nears []int       `json:"nears,omitempty"` // link, reset, forget: the near ends meant; none: all
-	State *link.State `json:"state,omitempty"` // link
-	Cut   *bool       `json:"cut,omitempty"`   // link: whether calls of group come up
-	Group int         `json:"group,omitempty"` // link: the group of near ends that Cut means
+	Nears       []int       `json:"nears,omitempty"` // link, reset, forget: the near ends that it acts on; none: all
+	State       *link.State `json:"state,omitempty"` // link
+	Partitioned *bool       `json:"cut,omitempty"`   // link: whether no call of Group is established
+	Group       int         `json:"group,omitempty"` // link: the group of near ends that Partitioned acts on
 
-	Front    string `json:"front,omitempty"`     // front: where the relay leads calls to UID
-	BySource bool   `json:"by_source,omitempty"` // front: callers are told by where they call from
-	On       bool   `json:"on,omitempty"`        // silent
+	Front    string `json:"front,omitempty"`     // front: the address to which the relay forwards calls to UID
+	BySource bool   `json:"by_source,omitempty"` // front: near ends are identified by their source address
+	On       bool   `json:"on,omitempty"`        // silent: begins or ends
 
-	Entry *Entry  `json:"entry,omitempty"` // list: what it learns
+	Entry *Entry  `json:"entry,omitempty"` // list: what the list learns
 	Mode  string  `json:"mode,omitempty"`  // list-mode: "", "late", "old", "cut", "garbled"
 	Late  float64 `json:"late,omitempty"`  // list-mode late: seconds
 }
 
-// Entry is one server of the list, without the host of its address, which differs from one sidecar to the next.
+// Entry is one server of the list, without the host of its address, which differs between sidecars.
 type Entry struct {
 	UID    string `json:"uid"`
-	Ports  []int  `json:"ports"` // by the group of the sidecar
+	Ports  []int  `json:"ports"` // by group of sidecars
 	Zone   string `json:"az"`
 	Kind   string `json:"model"`
 	State  string `json:"state"`
-	BootMS int64  `json:"boot_ms"`
+	BootMS int64  `json:"boot_ms"` // start of its process, Unix time in ms
 
-	Size float64 `json:"capacity_hint"`
+	Size float64 `json:"capacity_hint"` // relative capacity
 }
 
-// News is what a stand-in says to the lab.
-type News struct {
-	ID     int    `json:"id,omitempty"` // of the order that this acknowledges; 0: none
-	At     int64  `json:"at"`           // when it took effect, in ns of the lab's clock
-	Error  string `json:"error,omitempty"`
-	Kind   string `json:"kind,omitempty"` // "ready", "fell"
+// Event is one message of a stand-in to the lab.
+type Event struct {
+	ID     int    `json:"id,omitempty"`    // of the order that it acknowledges; 0: none
+	At     int64  `json:"at"`              // when the order took effect, or the event happened
+	Error  string `json:"error,omitempty"` // why the order failed
+	Kind   string `json:"kind,omitempty"`  // EventReady or EventFell; "": an acknowledgement
 	UID    string `json:"uid,omitempty"`
-	Ports  []int  `json:"ports,omitempty"`   // add: where the server listens, by group
+	Ports  []int  `json:"ports,omitempty"`   // add: the ports of the server, by group of sidecars
 	BootMS int64  `json:"boot_ms,omitempty"` // add, revive
 }
 
-// Attempt is what a server saw of one attempt.
-type Attempt struct {
-	Server string `json:"s"`
-	Boot   int64  `json:"b"` // start of the process that got it, ns
-	Near   int    `json:"n"` // the sidecar
-	ID     string `json:"i"` // of the request
-	First  int64  `json:"f"` // when the sidecar sent its first bytes
-	Whole  int64  `json:"w"` // when its last byte had arrived
-	End    int64  `json:"e"` // when either side hung up, or the answer was written whole; 0: neither happened
-	How    string `json:"h"` // "served", "failed", "turned", "left": the sidecar hung up, "died": the server did
-	New    bool   `json:"c"` // the first on its connection
-	Work   int64  `json:"k"` // ns of a core of speed 1
-}
-
-// Told is what a list wrote to one sidecar.
-type Told struct {
-	Near  int    `json:"n"`
-	UID   string `json:"u"`
-	State string `json:"s"`
-	At    int64  `json:"t"` // when it was written whole
-}
-
-// Shown is one line of the list that a keeper wrote to one who reads it.
-type Shown struct {
-	Near    int    `json:"n"`
-	Keeper  string `json:"k"`
-	Conn    int64  `json:"c"` // the connection, a number of its own
-	Watch   bool   `json:"w"`
-	Holds   int64  `json:"h"` // the revision that the reader said he holds as he called; below 0: none
-	Cluster string `json:"l"` // whose it is
-	Rev     int64  `json:"r"`
-	All     bool   `json:"a"`
-	N       int    `json:"x"` // servers in it
-	At      int64  `json:"t"` // when it was written whole
-}
-
-// Routes is one line of the route table that a keeper wrote to one who watches it.
-type Routes struct {
-	Near    int    `json:"n"`
-	Keeper  string `json:"k"`
-	Conn    int64  `json:"c"` // the connection, a number of its own
-	Bytes   int    `json:"b"`
-	At      int64  `json:"t"` // when it was written whole
-	Gen     int64  `json:"gen"`
-	All     bool   `json:"all"`
-	Hash    string `json:"hash"`    // of what it leads to; "": it says only that nothing changed
-	Cluster string `json:"cluster"` // whose generation it is; "": as in the line before
-}
-
-// Gossip is what sidecars said to each other since the last one.
-type Gossip struct {
-	At          int64 `json:"t"`
-	Packets     int64 `json:"p"`
-	Bytes       int64 `json:"b"` // of packets, without their heads
-	Streams     int64 `json:"s"`
-	StreamBytes int64 `json:"c"`
-}
-
-// Wrote is one write or read that a client of the keepers made, by the content that it wrote or found.
-type Wrote struct {
-	Client int    `json:"c"`
-	Key    int    `json:"k"`
-	Write  bool   `json:"w"`
-	Expect int64  `json:"e"` // write: the revision that the entry had to have
-	Value  int    `json:"v"`
-	Rev    int64  `json:"r"` // of the entry after it
-	How    string `json:"h"` // "ok", "conflict", "uncertain": it may have been done, and may yet be; "none": it was not
-	Call   int64  `json:"f"` // ns
-	Return int64  `json:"t"` // ns
-}
-
-// Marshal is a value as a line.
-func Marshal(v any) ([]byte, error) {
-	line, err := json.Marshal(v)
-	if err != nil {
-		return nil, fmt.Errorf("line: %w", err)
-	}
-	return append(line, '\n'), nil
-}
+// The kinds of events that are no acknowledgements.
+const (
+	EventReady = "ready" // the stand-in accepts orders
+	EventFell  = "fell"  // a warming server was sent too much and has ended
+)
 
-// Out writes news, one line each. It is safe for concurrent use.
-type Out struct {
-	mu sync.Mutex
-	to io.Writer
+// EventWriter writes events, one line each. It is safe for concurrent use.
+type EventWriter struct {
+	mu     sync.Mutex
+	writer io.Writer
 }
 
-// NewOut writes to a lab.
-func NewOut(to io.Writer) *Out { return &Out{to: to} }
+// NewEventWriter returns a writer to the lab.
+func NewEventWriter(writer io.Writer) *EventWriter { return &EventWriter{writer: writer} }
 
-// Say writes one piece of news. A lab that is gone is no error: the input ends too.
-func (o *Out) Say(n News) {
-	line, err := Marshal(n)
+// Send writes one event. A lab that has ended is no error: the input of the stand-in ends then too.
+func (o *EventWriter) Send(event Event) {
+	line, err := Marshal(event)
 	if err != nil {
-		return // News always marshals
+		return // an event always marshals
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	_, _ = o.to.Write(line)
-}
-
-const mostLine = 1 << 20
-
-// Lines reads JSON lines until the input ends, and hands each to do. It is an error if one cannot be read.
-func Lines[T any](from io.Reader, do func(T) error) error {
-	lines := bufio.NewScanner(from)
-	lines.Buffer(nil, mostLine)
-	for n := 1; lines.Scan(); n++ {
-		var v T
-		if err := json.Unmarshal(lines.Bytes(), &v); err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
-		}
-		if err := do(v); err != nil {
-			return err
-		}
-	}
-	return lines.Err()
-}
-
-// Records is a file of records. It is safe for concurrent use. Each is written at once: what a killed process saw is kept.
-type Records struct {
-	mu   sync.Mutex
-	file *os.File
-	err  error
-}
-
-// NewRecords makes the file.
-func NewRecords(path string) (*Records, error) {
-	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("records: %w", err)
-	}
-	return &Records{file: f}, nil
-}
-
-// Add writes one.
-func (r *Records) Add(v any) {
-	line, err := Marshal(v)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if err == nil {
-		_, err = r.file.Write(line)
-	}
-	r.err = errors.Join(r.err, err)
-}
-
-// Close returns the first errors of all that was added.
-func (r *Records) Close() error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return errors.Join(r.err, r.file.Close())
-}
-
-// ReadRecords reads all records of a file.
-func ReadRecords[T any](path string) ([]T, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, fmt.Errorf("records: %w", err)
-	}
-	defer f.Close()
-	var all []T
-	err = Lines(f, func(v T) error {
-		all = append(all, v)
-		return nil
-	})
-	if err != nil {
-		return nil, fmt.Errorf("records: %s: %w", path, err)
-	}
-	return all, nil
+	_, _ = o.writer.Write(line)
 }
--- a/internal/lab/evidence.go
+++ b/internal/lab/evidence.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			return err
 		}
-		evidence.Attempts = append(evidence.Attempts, all...)
+		evidence.ServerAttempts = append(evidence.ServerAttempts, all...)
 	}
 	if f.peers != nil {
 		var err error
@@ -29,30 +29,30 @@
 	}
 	if f.registry != nil {
 		var err error
-		if evidence.Shown, err = ctl.ReadRecords[ctl.Shown](f.records("shown", 0)); err != nil {
+		if evidence.RegistryUpdates, err = ctl.ReadRecords[ctl.RegistryUpdate](f.records("shown", 0)); err != nil {
 			return err
 		}
-		if evidence.Routes, err = ctl.ReadRecords[ctl.Routes](f.records("routes", 0)); err != nil {
+		if evidence.RouteUpdates, err = ctl.ReadRecords[ctl.RouteUpdate](f.records("routes", 0)); err != nil {
 			return err
 		}
 		if f.routes != nil {
-			evidence.Routed = f.routes.published
+			evidence.Tables = f.routes.published
 		}
-		evidence.Wrote, evidence.KeeperPeaks = f.writers.records, f.registry.peaks()
+		evidence.RegistryCalls, evidence.NodePeaks = f.writers.records, f.registry.peaks()
 	}
 	for i := range lists {
-		all, err := ctl.ReadRecords[ctl.Told](f.records("told", i))
+		all, err := ctl.ReadRecords[ctl.ListUpdate](f.records("told", i))
 		if err != nil {
 			return err
 		}
-		evidence.Told = append(evidence.Told, all...)
+		evidence.ListUpdates = append(evidence.ListUpdates, all...)
 	}
 	for _, s := range f.sidecars {
 		evidence.Runs = append(evidence.Runs, s.runs)
 		evidence.Peaks = append(evidence.Peaks, s.peak)
 	}
 	evidence.Falls, evidence.Exits = f.falls, f.Exits()
-	evidence.Lateness = check.Lateness(evidence.Tries)
+	evidence.Lateness = check.Lateness(evidence.ClientAttempts)
 	return nil
 }
 
@@ -69,11 +69,11 @@
 			}
 		}
 	}
-	if err := writeRecords(filepath.Join(out, "requests.jsonl"), evidence.Tries); err != nil {
+	if err := writeRecords(filepath.Join(out, "requests.jsonl"), evidence.ClientAttempts); err != nil {
 		return err
 	}
-	if len(evidence.Wrote) > 0 {
-		if err := writeRecords(filepath.Join(out, "writes.jsonl"), evidence.Wrote); err != nil {
+	if len(evidence.RegistryCalls) > 0 {
+		if err := writeRecords(filepath.Join(out, "writes.jsonl"), evidence.RegistryCalls); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -40,7 +40,7 @@
 	work         string // folder for evidence and the processes' own folders
 	logs         string
 	starter      *proc.Starter
-	all          proc.All
+	all          proc.Group
 	hosts        []*child
 	host         map[string]*child // by server
 	specs        map[string]*model.Spec
@@ -55,7 +55,7 @@
 	entries     map[string]ctl.Entry // the truth, which the list learns later
 	known       []ctl.Entry          // at the start
 	listed      []ctl.Entry          // sent to the list, in order
-	falls       []ctl.News
+	falls       []ctl.Event
 	faults      []error
 	sidecars    []*sidecar
 	links       *linkFaults
@@ -90,7 +90,7 @@
 
 // startStandIns starts what sidecars need: registry nodes if the plan has any, servers, the network between sidecars, and the list.
 func (f *Fleet) startStandIns(ctx context.Context) error {
-	if f.plan.File.Keepers.Count > 0 {
+	if f.plan.File.Registry.Count > 0 {
 		if err := f.startRegistry(ctx); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 }
 
 // handleEvent handles events that no order asked for.
-func (f *Fleet) handleEvent(n ctl.News) {
+func (f *Fleet) handleEvent(n ctl.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n.Kind == "fell" {
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -40,7 +40,7 @@
 // baseline sets the links of all servers as they are without faults.
 func (l *linkFaults) baseline(delay time.Duration) error {
 	l.base.Delay = delay
-	for i := range l.fleet.plan.Standing {
+	for i := range l.fleet.plan.InitialServers {
 		if err := l.resend(l.fleet.plan.Servers[i].UID); err != nil {
 			return err
 		}
@@ -98,12 +98,12 @@
 	}
 	if uid == "" { // the list has one listener for all groups
 		all := !slices.Contains(slices.Collect(maps.Values(partitioned)), false)
-		n, err := far.order(ctl.Order{Do: "link", Cut: &all})
+		n, err := far.order(ctl.Order{Do: "link", Partitioned: &all})
 		return max(at, n.At), err
 	}
 	for _, group := range slices.Sorted(maps.Keys(partitioned)) {
 		isPartitioned := partitioned[group]
-		n, err := far.order(ctl.Order{Do: "link", UID: uid, Group: group, Cut: &isPartitioned})
+		n, err := far.order(ctl.Order{Do: "link", UID: uid, Group: group, Partitioned: &isPartitioned})
 		if err != nil {
 			return n.At, err
 		}
--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -17,7 +17,7 @@
 type listProcess struct {
 	fleet       *Fleet
 	groups      string
-	reservation *link.Place
+	reservation *link.PortReservation
 
 	mu      sync.Mutex
 	child   *child
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -16,8 +16,8 @@
 type peers struct {
 	fleet        *Fleet
 	relay        *child
-	reservations []*link.Place // where each sidecar listens, then each lying member
-	relayPorts   []int         // ports of the relay, by sidecar
+	reservations []*link.PortReservation // where each sidecar listens, then each lying member
+	relayPorts   []int                   // ports of the relay, by sidecar
 
 	mu           sync.Mutex
 	activeFaults []*plan.Step // faults of links
--- a/internal/lab/registrylinks.go
+++ b/internal/lab/registrylinks.go
@@ -17,11 +17,11 @@
 	}
 	if s.On {
 		on := *s
-		on.Sidecar = plan.KeeperIndex(k.index)
+		on.Sidecar = plan.NodeIndex(k.index)
 		ks.activeFaults = append(ks.activeFaults, &on)
 	} else {
 		ks.activeFaults = slices.DeleteFunc(ks.activeFaults, func(a *plan.Step) bool {
-			return a.Fault == s.Fault && a.Sidecar == plan.KeeperIndex(k.index)
+			return a.Fault == s.Fault && a.Sidecar == plan.NodeIndex(k.index)
 		})
 	}
 	for _, far := range ks.nodes {
@@ -48,7 +48,7 @@
 	if err != nil || !affectsPeers {
 		return event.At, err
 	}
-	own := []int{ks.fleet.plan.NearKeeper(k.index)}
+	own := []int{ks.fleet.plan.NearNode(k.index)}
 	for _, other := range ks.nodes {
 		if other == k {
 			continue
@@ -88,7 +88,7 @@
 
 // peerAt is the registry node that a near end is; nil: a client.
 func (ks *registryNodes) peerAt(near int) *registryNode {
-	if i := near - ks.fleet.plan.NearKeeper(0); i >= 0 && i < len(ks.nodes) {
+	if i := near - ks.fleet.plan.NearNode(0); i >= 0 && i < len(ks.nodes) {
 		return ks.nodes[i]
 	}
 	return nil
@@ -99,7 +99,7 @@
 	peer := ks.peerAt(near)
 	for _, s := range ks.activeFaults {
 		e := s.Effect
-		switch k, _ := plan.KeeperOf(s.Sidecar); {
+		switch k, _ := plan.NodeOf(s.Sidecar); {
 		case k == far.index && ks.affects(near, s.From):
 		case peer != nil && k == peer.index && (s.From == "" || s.From == "peers"): // its own calls, where directions are swapped
 			e.HoldFar, e.HoldNear = e.HoldNear, e.HoldFar
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -37,12 +37,12 @@
 	index      int
 	name       string
 	folder     string
-	http, raft *link.Place // where the process listens
-	relayPorts [2]int      // ports of the relay: HTTP, raft
+	http, raft *link.PortReservation // where the process listens
+	relayPorts [2]int                // ports of the relay: HTTP, raft
 
 	mu      sync.Mutex
 	process *proc.Process
-	peak    check.KeeperPeak
+	peak    check.NodePeak
 }
 
 // registryAddresses are where a near end reaches the registry nodes.
@@ -64,7 +64,7 @@
 
 // startRegistry starts the relay and all registry nodes, and waits until one leads.
 func (f *Fleet) startRegistry(ctx context.Context) error {
-	n := f.plan.File.Keepers.Count
+	n := f.plan.File.Registry.Count
 	started := &registryNodes{fleet: f, leaderByFault: map[int]*registryNode{}, lastStepDone: map[int]chan struct{}{}}
 	f.registry = started
 	var err error
@@ -76,16 +76,16 @@
 	}
 	f.all.Add(started.relay.Process)
 	for i := range n {
-		node := &registryNode{index: i, name: plan.KeeperName(i), folder: filepath.Join(f.work, plan.KeeperName(i))}
+		node := &registryNode{index: i, name: plan.NodeName(i), folder: filepath.Join(f.work, plan.NodeName(i))}
 		started.nodes = append(started.nodes, node)
 		if err := os.Mkdir(node.folder, 0o700); err != nil {
 			return err
 		}
 		// A node calls its peers from the address that it listens at, by which the relay knows it.
-		if node.raft, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
+		if node.raft, err = link.Reserve(link.Near(f.plan.NearNode(i))); err != nil {
 			return err
 		}
-		if node.http, err = link.Reserve(link.Near(f.plan.NearKeeper(i))); err != nil {
+		if node.http, err = link.Reserve(link.Near(f.plan.NearNode(i))); err != nil {
 			return err
 		}
 		for j, front := range []ctl.Order{{Front: node.http.Addr.String()}, {Front: node.raft.Addr.String(), BySource: true}} {
@@ -110,7 +110,7 @@
 		return err
 	}
 	defer done()
-	if _, err := c.List(ctx, f.plan.File.Keepers.Program == "keeper"); err != nil {
+	if _, err := c.List(ctx, f.plan.File.Registry.Program == "keeper"); err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
 	return nil
@@ -128,13 +128,13 @@
 		if err != nil {
 			return fmt.Errorf("registry: %w", err)
 		}
-		if len(l.Targets) >= f.plan.Standing || f.plan.File.Keepers.Program == "plain" && f.plan.File.Keepers.Count > 1 {
+		if len(l.Targets) >= f.plan.InitialServers || f.plan.File.Registry.Program == "plain" && f.plan.File.Registry.Count > 1 {
 			break // plain ones do not replicate
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("registry: %d of %d servers registered within %v", len(l.Targets), f.plan.Standing, standInTimeout)
+			return fmt.Errorf("registry: %d of %d servers registered within %v", len(l.Targets), f.plan.InitialServers, standInTimeout)
 		}
 	}
 	if f.writers, err = f.startWriters(ctx); err != nil {
@@ -147,13 +147,13 @@
 }
 
 func (ks *registryNodes) configure(node *registryNode) error {
-	f := ks.fleet.plan.File.Keepers
+	f := ks.fleet.plan.File.Registry
 	var text strings.Builder
-	own := link.Near(ks.fleet.plan.NearKeeper(node.index)) // by which the relay knows who calls
+	own := link.Near(ks.fleet.plan.NearNode(node.index)) // by which the relay knows who calls
 	fmt.Fprintf(&text, "name = %q\nfolder = %q\nhttp = %q\nraft = %q\nadvertise_http = \"%s:%d\"\nadvertise_raft = \"127.0.0.1:%d\"\n", node.name,
 		filepath.Join(node.folder, "data"), node.http.Addr, node.raft.Addr, own, node.relayPorts[0], node.relayPorts[1])
 	fmt.Fprintf(&text, "[leases]\ngrace_ms = %d\nshare = %v\n[timing]\nsnapshot_after = %d\nsnapshot_ms = 200\ntrailing = %d\n", int(f.GraceS*1000),
-		f.Share, f.Snapshot, f.Snapshot)
+		f.MaxExpiringShare, f.Snapshot, f.Snapshot)
 	for _, p := range ks.nodes {
 		fmt.Fprintf(&text, "[[peer]]\nname = %q\nhttp = \"%s:%d\"\nraft = \"127.0.0.1:%d\"\n", p.name, own, p.relayPorts[0], p.relayPorts[1])
 	}
@@ -164,7 +164,7 @@
 func (ks *registryNodes) start(node *registryNode) error {
 	f := ks.fleet
 	args := []string{"keeper", filepath.Join(node.folder, "keeper.toml")}
-	if o := f.plan.File.Keepers; o.Program == "plain" {
+	if o := f.plan.File.Registry; o.Program == "plain" {
 		args = []string{"stand-in", "keeper", "--address", node.http.Addr.String(), "--flaw", o.Flaw}
 	}
 	p, err := f.starter.Start(proc.Spec{Name: node.name, Path: f.self.Path, Args: args, Log: f.log(node.name), Folder: node.folder,
@@ -199,7 +199,7 @@
 }
 
 // peaks are what was sampled.
-func (ks *registryNodes) peaks() (all []check.KeeperPeak) {
+func (ks *registryNodes) peaks() (all []check.NodePeak) {
 	for _, k := range ks.nodes {
 		all = append(all, k.peak)
 	}
@@ -217,7 +217,7 @@
 
 func (ks *registryNodes) releasePorts() {
 	for _, k := range ks.nodes {
-		for _, p := range []*link.Place{k.http, k.raft} {
+		for _, p := range []*link.PortReservation{k.http, k.raft} {
 			if p != nil {
 				_ = p.Close() // a descriptor that the lab's end would close as well
 			}
--- a/internal/lab/registrysteps.go
+++ b/internal/lab/registrysteps.go
@@ -53,7 +53,7 @@
 // nodeOf is the registry node that a step addresses: the leader at the beginning of its fault, where it says so. nil, without an error,
 // is whichever leads.
 func (ks *registryNodes) nodeOf(ctx context.Context, step *plan.Step) (*registryNode, error) {
-	if node, ok := plan.KeeperOf(step.Sidecar); ok {
+	if node, ok := plan.NodeOf(step.Sidecar); ok {
 		return ks.nodes[node], nil
 	}
 	ks.mu.Lock()
@@ -77,7 +77,7 @@
 
 // targetName is the name of what a step acts on, for the report.
 func (ks *registryNodes) targetName(s *plan.Step) string {
-	if k, ok := plan.KeeperOf(s.Sidecar); ok {
+	if k, ok := plan.NodeOf(s.Sidecar); ok {
 		return ks.nodes[k].name
 	}
 	ks.mu.Lock()
@@ -121,7 +121,7 @@
 		case plan.Cont:
 			return now, node.process.Signal(syscall.SIGCONT, false)
 		}
-		return now, node.process.Disk(step.Mode)
+		return now, node.process.SetDiskFault(step.Mode)
 	case plan.Tear:
 		return clock.Now(), truncateStore(filepath.Join(node.folder, "data", "raft"), step.Mode)
 	case plan.Link, plan.Reset, plan.Forget:
--- a/internal/lab/registrywatchers.go
+++ b/internal/lab/registrywatchers.go
@@ -13,7 +13,7 @@
 
 // startWatchers starts the process of subscribers that only watch, if the plan has any.
 func (f *Fleet) startWatchers() error {
-	n := f.plan.File.Keepers.Watchers
+	n := f.plan.File.Registry.Watchers
 	if n == 0 {
 		return nil
 	}
@@ -52,8 +52,8 @@
 		for _, s := range all {
 			last = check.Last{Cluster: s.Cluster, Rev: s.Rev}
 		}
-		shown, err := ctl.ReadRecords[ctl.Shown](path)
-		if err == nil && len(check.Behind(ks.fleet.plan, shown, last)) == 0 {
+		shown, err := ctl.ReadRecords[ctl.RegistryUpdate](path)
+		if err == nil && len(check.LaggingReaders(ks.fleet.plan, shown, last)) == 0 {
 			return last
 		}
 		select {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -63,7 +63,7 @@
 
 // Held returns how many checks held, and how many had something to look at.
 func (r *Result) Held() (held, of int) {
-	held = len(check.Names(r.Verdicts, check.Held))
+	held = len(check.Names(r.Verdicts, check.Passed))
 	return held, held + len(r.Broken())
 }
 
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if evidence.Twin = twin; twin != nil {
+	if evidence.WithoutFloods = twin; twin != nil {
 		evidence.Lateness = max(evidence.Lateness, twin.Lateness) // a late one is nothing to compare with
 	}
 	r := result(experiment, evidence)
@@ -160,7 +160,7 @@
 // play sends the load, applies the plan's steps, ends all processes and reads what they recorded.
 func (f *Fleet) play(ctx context.Context, options Options) (evidence *check.Evidence, effects []Effect, err error) {
 	clients := &load.Clients{Plan: f.plan, Addresses: f.Addresses(), Slack: plan.Millis(f.plan.File.Limits.AnswerSlackMS),
-		Tardy: plan.Millis(f.plan.File.Load.TardyMS)}
+		SendDelay: plan.Millis(f.plan.File.Load.SendDelayMS)}
 	start := clock.Now() + int64(startDelay)
 	if options.Up != nil {
 		options.Up(f)
@@ -178,7 +178,7 @@
 		return nil
 	})
 	f.startRegistryClients(ctx, over, &tasks, start)
-	evidence.Tries = clients.Run(ctx, start)
+	evidence.ClientAttempts = clients.Run(ctx, start)
 	waitUntil(ctx, start+int64(plan.Seconds(f.plan.File.Seconds)))
 	f.Sample()
 	stop()
@@ -255,7 +255,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(root) }() // an empty folder of the system's temporary files
-	if err := proc.CanReadOnly(root); err != nil {
+	if err := proc.CheckReadOnly(root); err != nil {
 		return &plan.Error{File: p.File.Path, What: "disk-readonly is not possible in " + os.TempDir() + ": " + err.Error()}
 	}
 	return nil
@@ -274,7 +274,7 @@
 
 func result(p *plan.Plan, e *check.Evidence) *Result {
 	r := &Result{Name: p.File.Name, States: p.File.States, Seed: p.Seed, Seconds: p.File.Seconds, ArrivalsHash: p.ArrivalsHash,
-		StepsHash: p.StepsHash, Servers: p.Standing, Sidecars: len(p.Sidecars), Rate: p.Rate(), Peaks: e.Peaks, Exits: e.Exits,
+		StepsHash: p.StepsHash, Servers: p.InitialServers, Sidecars: len(p.Sidecars), Rate: p.Rate(), Peaks: e.Peaks, Exits: e.Exits,
 		Machine: Machine{runtime.NumCPU(), runtime.Version()}}
 	r.Verdicts = check.Invariants(e)
 	r.Figures, r.Course = check.Measure(e)
--- a/internal/lab/servers.go
+++ b/internal/lab/servers.go
@@ -18,7 +18,7 @@
 		name := fmt.Sprintf("servers-%d", i)
 		args := []string{"stand-in", "host", "--groups", strconv.Itoa(experiment.Groups()), "--records", f.records("attempts", i)}
 		if f.registry != nil {
-			args = append(args, "--keepers", strings.Join(f.registryAddresses(experiment.NearHost(i)), ","), "--lease", plan.Seconds(experiment.File.Keepers.LeaseS).String())
+			args = append(args, "--keepers", strings.Join(f.registryAddresses(experiment.NearHost(i)), ","), "--lease", plan.Seconds(experiment.File.Registry.LeaseS).String())
 		}
 		c, err := startChild(f.starter, proc.Spec{Name: name, Path: f.self.Path, Log: f.log(name), Env: f.env("TMPDIR=" + f.work),
 			Args: args}, f.handleEvent)
@@ -31,7 +31,7 @@
 	for i := range experiment.Servers {
 		f.host[experiment.Servers[i].UID] = f.hosts[i%count]
 	}
-	for i := range experiment.Standing {
+	for i := range experiment.InitialServers {
 		e, _, err := f.addServer(experiment.Servers[i].UID, experiment.File.Fleet.Start == "cold")
 		if err != nil {
 			return err
@@ -42,7 +42,7 @@
 }
 
 // addServer starts a server and keeps what the list will say of it.
-func (f *Fleet) addServer(uid string, cold bool) (ctl.Entry, ctl.News, error) {
+func (f *Fleet) addServer(uid string, cold bool) (ctl.Entry, ctl.Event, error) {
 	spec := f.specs[uid]
 	n, err := f.host[uid].order(ctl.Order{Do: "add", Spec: spec, Cold: cold})
 	if err != nil {
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -18,7 +18,7 @@
 // sidecar is where the processes of one sidecar run, one after the other.
 type sidecar struct {
 	index       int
-	reservation *link.Place // its address
+	reservation *link.PortReservation // its address
 	folder      string
 
 	mu      sync.Mutex
@@ -58,7 +58,7 @@
 		args = []string{"stand-in", "plain", "--flaw", f.plan.File.Fleet.Flaw}
 	}
 	tmp := started.folder
-	if f.registry != nil && !f.plan.File.Keepers.Cache || !f.plan.File.Fleet.Keep {
+	if f.registry != nil && !f.plan.File.Registry.Cache || !f.plan.File.Fleet.Keep {
 		tmp = ""
 	}
 	began := clock.Now()
--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	servers := &host{out: ctl.NewOut(news), groups: max(1, groups), records: recorder, servers: map[string]*machine{},
+	servers := &host{out: ctl.NewEventWriter(news), groups: max(1, groups), records: recorder, servers: map[string]*machine{},
 		removed: map[string]*machine{}}
 	if len(registryNodes) > 0 {
 		if servers.registrar, err = newRegistrar(registryNodes, lease); err != nil {
@@ -46,7 +46,7 @@
 		}
 		defer servers.registrar.close()
 	}
-	servers.out.Say(ctl.News{Kind: "ready", At: clock.Now()})
+	servers.out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
 	err = servers.run(orders)
 	servers.close()
 	return errors.Join(err, recorder.Close())
@@ -54,7 +54,7 @@
 
 // host is the servers of one process. Orders other than link orders come one at a time.
 type host struct {
-	out           *ctl.Out
+	out           *ctl.EventWriter
 	groups        int
 	records       *ctl.Records
 	servers       map[string]*machine
@@ -68,8 +68,8 @@
 type machine struct {
 	process           *server
 	net               *network
-	reservedPorts     []*link.Place // as long as the experiment lasts, so that nobody else gets them
-	partitionedGroups sync.Map      // the keys are the groups whose calls do not arrive
+	reservedPorts     []*link.PortReservation // as long as the experiment lasts, so that nobody else gets them
+	partitionedGroups sync.Map                // the keys are the groups whose calls do not arrive
 }
 
 // run applies orders until they end. Link orders are applied concurrently, since partitioning takes milliseconds; every other
@@ -103,7 +103,7 @@
 	}
 }
 
-func (h *host) handleOrder(order ctl.Order, event *ctl.News) error {
+func (h *host) handleOrder(order ctl.Order, event *ctl.Event) error {
 	switch order.Do {
 	case "clock":
 		h.wallClockSkew += time.Duration(order.By)
@@ -133,7 +133,7 @@
 }
 
 // add starts a server on a new machine with ports of its own.
-func (h *host) add(order ctl.Order, event *ctl.News) error {
+func (h *host) add(order ctl.Order, event *ctl.Event) error {
 	if order.Spec == nil || h.servers[order.Spec.UID] != nil {
 		return errors.New("add: the order names no server, or one that runs already")
 	}
@@ -156,7 +156,7 @@
 }
 
 // revive starts a new process where the old one was, on the same ports.
-func (h *host) revive(m *machine, event *ctl.News) error {
+func (h *host) revive(m *machine, event *ctl.Event) error {
 	m.stop()
 	if err := h.start(m, m.process.spec, true, m.process.ports); err != nil {
 		return err
@@ -200,14 +200,14 @@
 	started, err := startServer(spec, cold, ports, m.net, h.records, func(s *server) {
 		s.crash()
 		h.registrar.updateDesired(spec.UID, func(e *desiredEntry) { e.crashed = true })
-		h.out.Say(ctl.News{Kind: "fell", UID: spec.UID, At: clock.Now()})
+		h.out.Send(ctl.Event{Kind: "fell", UID: spec.UID, At: clock.Now()})
 	})
 	if err != nil {
 		return err
 	}
 	m.process = started
 	m.partitionedGroups.Range(func(group, _ any) bool {
-		err = errors.Join(err, started.listeners[group.(int)].Cut(true))
+		err = errors.Join(err, started.listeners[group.(int)].SetPartitioned(true))
 		return true
 	})
 	return err
@@ -241,18 +241,18 @@
 
 // injectFault sets the fault of the machine's process.
 func (m *machine) injectFault(o ctl.Order) error {
-	if o.Trouble == nil {
+	if o.Fault == nil {
 		return errors.New("trouble: the order names no fault")
 	}
-	m.process.updateModel(func(now int64) { m.process.model.Set(now, *o.Trouble) })
+	m.process.updateModel(func(now int64) { m.process.model.SetFault(now, *o.Fault) })
 	return nil
 }
 
 // changeLinks changes the links to the machine, and partitions a group from it where the order says so.
 func (m *machine) changeLinks(o ctl.Order) error {
 	m.net.apply(o)
-	if o.Do == "link" && o.Cut != nil {
-		return m.setPartitioned(o.Group, *o.Cut)
+	if o.Do == "link" && o.Partitioned != nil {
+		return m.setPartitioned(o.Group, *o.Partitioned)
 	}
 	return nil
 }
@@ -267,7 +267,7 @@
 	} else {
 		m.partitionedGroups.Delete(group)
 	}
-	err := m.process.listeners[group].Cut(partitioned)
+	err := m.process.listeners[group].SetPartitioned(partitioned)
 	if errors.Is(err, net.ErrClosed) {
 		return nil // no process runs; the machine's next one is partitioned as it starts
 	}
--- a/internal/lab/standin/host_test.go
+++ b/internal/lab/standin/host_test.go
@@ -99,8 +99,8 @@
 	}
 	var outcomes []string
 	for _, attempt := range attempts {
-		outcomes = append(outcomes, attempt.ID+" "+attempt.How)
-		inOrder := attempt.First <= attempt.Whole && attempt.Whole <= attempt.End
+		outcomes = append(outcomes, attempt.ID+" "+attempt.Outcome)
+		inOrder := attempt.First <= attempt.Received && attempt.Received <= attempt.End
 		if attempt.Near != near || !inOrder || attempt.End == 0 {
 			t.Errorf("the attempt is recorded as %+v", attempt)
 		}
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -50,9 +50,9 @@
 		changed: make(chan struct{}), stop: make(chan struct{}), listener: listener}
 	platform.tasks.Add(1)
 	go platform.accept()
-	out := ctl.NewOut(news)
-	out.Say(ctl.News{Kind: "ready", Ports: []int{listener.Port()}, At: clock.Now()})
-	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.News) error { return platform.handleOrder(o) })
+	out := ctl.NewEventWriter(news)
+	out.Send(ctl.Event{Kind: "ready", Ports: []int{listener.Port()}, At: clock.Now()})
+	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.Event) error { return platform.handleOrder(o) })
 	close(platform.stop)
 	_ = listener.Close() // that it listens no more is all that matters
 	platform.net.forEach(nil, (*link.Link).Reset)
@@ -102,8 +102,8 @@
 		l.mode, l.updateDelay = listMode(order.Mode), time.Duration(order.Late*float64(time.Second))
 	case "link":
 		l.net.apply(order)
-		if order.Cut != nil {
-			return l.listener.Cut(*order.Cut)
+		if order.Partitioned != nil {
+			return l.listener.SetPartitioned(*order.Partitioned)
 		}
 	case "reset", "forget":
 		l.net.apply(order)
--- a/internal/lab/standin/list_test.go
+++ b/internal/lab/standin/list_test.go
@@ -87,8 +87,8 @@
 func awaitNotified(t *testing.T, records string, near int, state string) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		notified, err := ctl.ReadRecords[ctl.Told](records)
-		if err == nil && slices.ContainsFunc(notified, func(r ctl.Told) bool { return r.Near == near && r.State == state }) {
+		notified, err := ctl.ReadRecords[ctl.ListUpdate](records)
+		if err == nil && slices.ContainsFunc(notified, func(r ctl.ListUpdate) bool { return r.Near == near && r.State == state }) {
 			return
 		}
 		if time.Now().After(deadline) {
@@ -100,7 +100,7 @@
 // notifiedStates are the states of a server that a sidecar was notified of, in order.
 func notifiedStates(t *testing.T, records string, near int, uid string) []string {
 	t.Helper()
-	notified, err := ctl.ReadRecords[ctl.Told](records)
+	notified, err := ctl.ReadRecords[ctl.ListUpdate](records)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/standin/listwatch.go
+++ b/internal/lab/standin/listwatch.go
@@ -87,7 +87,7 @@
 	case <-heartbeat:
 		_, err := out.Write([]byte{'\n'})
 		return err == nil
-	case <-conn.Gone():
+	case <-conn.PeerClosed():
 		return false
 	case <-l.stop:
 		return false
@@ -97,12 +97,12 @@
 
 // recordNotified records what a sidecar was notified of. It reports false where the connection ended before all was written.
 func (l *platformList) recordNotified(conn *link.Conn, near int, entries []ctl.Entry) bool {
-	at, ok := conn.Flushed()
+	at, ok := conn.WaitFlushed()
 	if !ok {
 		return false
 	}
 	for _, e := range entries {
-		l.records.Add(ctl.Told{Near: near, UID: e.UID, State: e.State, At: at})
+		l.records.Add(ctl.ListUpdate{Near: near, UID: e.UID, State: e.State, At: at})
 	}
 	return true
 }
--- a/internal/lab/standin/lyingmember.go
+++ b/internal/lab/standin/lyingmember.go
@@ -34,9 +34,9 @@
 	liar := &lyingMember{member: member, stop: make(chan struct{})}
 	liar.tasks.Add(1)
 	go liar.publishReports()
-	out := ctl.NewOut(news)
-	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
-	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.News) error { return liar.handleOrder(o) })
+	out := ctl.NewEventWriter(news)
+	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
+	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.Event) error { return liar.handleOrder(o) })
 	close(liar.stop)
 	liar.tasks.Wait()
 	member.Close()
--- a/internal/lab/standin/lyingmember_test.go
+++ b/internal/lab/standin/lyingmember_test.go
@@ -12,8 +12,8 @@
 
 // TestLyingMember has a member receive what a lying member publishes while it is ordered to lie, in the form that sidecars believe.
 func TestLyingMember(t *testing.T) {
-	received := make(chan members.News, 100)
-	member, err := members.New(members.Options{Name: "n0", Listen: "127.0.0.1:0", Told: func(n members.News) {
+	received := make(chan members.Update, 100)
+	member, err := members.New(members.Options{Name: "n0", Listen: "127.0.0.1:0", OnUpdate: func(n members.Update) {
 		select {
 		case received <- n:
 		default: // the test has enough of them
--- a/internal/lab/standin/orders.go
+++ b/internal/lab/standin/orders.go
@@ -8,7 +8,7 @@
 )
 
 // handleOrders applies each order as it comes, one after the other, until there are no more.
-func handleOrders(orders io.Reader, out *ctl.Out, apply func(ctl.Order, *ctl.News) error) error {
+func handleOrders(orders io.Reader, out *ctl.EventWriter, apply func(ctl.Order, *ctl.Event) error) error {
 	return ctl.Lines(orders, func(o ctl.Order) error {
 		acknowledgeOrder(o, out, apply)
 		return nil
@@ -16,11 +16,11 @@
 }
 
 // acknowledgeOrder applies an order and acknowledges that it took effect, or says why it did not.
-func acknowledgeOrder(o ctl.Order, out *ctl.Out, apply func(ctl.Order, *ctl.News) error) {
-	n := ctl.News{ID: o.ID, UID: o.UID}
+func acknowledgeOrder(o ctl.Order, out *ctl.EventWriter, apply func(ctl.Order, *ctl.Event) error) {
+	n := ctl.Event{ID: o.ID, UID: o.UID}
 	if err := apply(o, &n); err != nil {
 		n.Error = err.Error()
 	}
 	n.At = clock.Now()
-	out.Say(n)
+	out.Send(n)
 }
--- a/internal/lab/standin/peers.go
+++ b/internal/lab/standin/peers.go
@@ -26,8 +26,8 @@
 		return err
 	}
 	forwarder := &peers{fronts: map[string]*front{}, stop: make(chan struct{})}
-	out := ctl.NewOut(news)
-	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
+	out := ctl.NewEventWriter(news)
+	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
 	forwarder.tasks.Add(1)
 	go func() {
 		defer forwarder.tasks.Done()
@@ -75,7 +75,7 @@
 	p.tasks.Wait()
 }
 
-func (p *peers) handleOrder(order ctl.Order, n *ctl.News) error {
+func (p *peers) handleOrder(order ctl.Order, n *ctl.Event) error {
 	addressed := p.fronts[order.UID]
 	switch {
 	case order.Do == "front" && addressed == nil:
@@ -90,7 +90,7 @@
 }
 
 // addFront opens a port in front of a sidecar.
-func (p *peers) addFront(order ctl.Order, n *ctl.News) error {
+func (p *peers) addFront(order ctl.Order, n *ctl.Event) error {
 	sidecar, err := netip.ParseAddrPort(order.Front)
 	if err != nil {
 		return fmt.Errorf("front: %w", err)
@@ -163,7 +163,7 @@
 		if !ok {
 			continue
 		}
-		if delay, passes := to.net.link(near).Packet(); passes {
+		if delay, passes := to.net.link(near).DrawPacket(); passes {
 			p.deliver(to, buf[:size], delay)
 		}
 	}
--- a/internal/lab/standin/plainregistry.go
+++ b/internal/lab/standin/plainregistry.go
@@ -189,7 +189,7 @@
 
 // watch writes the changes after a revision, and heartbeats, until the caller hangs up.
 func (p *plainRegistry) watch(ctx context.Context, out lineWriter, from int64) {
-	heartbeat := time.NewTicker(list.Heartbeat)
+	heartbeat := time.NewTicker(list.HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		p.mu.Lock()
--- a/internal/lab/standin/plainroutes.go
+++ b/internal/lab/standin/plainroutes.go
@@ -57,7 +57,7 @@
 // rules changes nothing.
 func (p *plainRoutes) handleReplace(w http.ResponseWriter, r *http.Request, next func(received plainTable, gen int64) plainTable) {
 	var received plainTable
-	if err := json.NewDecoder(io.LimitReader(r.Body, list.MostText)).Decode(&received); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, list.MaxListBytes)).Decode(&received); err != nil {
 		writeRefusal(w, http.StatusBadRequest, err.Error())
 		return
 	}
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -33,8 +33,8 @@
 	}
 	forwarder := &relay{sidecars: sidecars, readers: readers, notified: notifiedRecords, listLines: listRecords,
 		routeLines: routeRecords, networks: map[string]*network{}, stop: make(chan struct{})}
-	out := ctl.NewOut(news)
-	out.Say(ctl.News{Kind: "ready", At: clock.Now()})
+	out := ctl.NewEventWriter(news)
+	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
 	err = handleOrders(orders, out, forwarder.handleOrder)
 	forwarder.close()
 	return errors.Join(err, notifiedRecords.Close(), listRecords.Close(), routeRecords.Close())
@@ -66,7 +66,7 @@
 	r.tasks.Wait()
 }
 
-func (r *relay) handleOrder(order ctl.Order, n *ctl.News) error {
+func (r *relay) handleOrder(order ctl.Order, n *ctl.Event) error {
 	nodeNet := r.networks[order.UID]
 	if nodeNet == nil {
 		nodeNet = newNetwork()
@@ -130,10 +130,10 @@
 		switch {
 		case near < r.readers && strings.HasPrefix(request, "GET /v1/servers"):
 			observed := newListObservation(request)
-			observed.Near, observed.Keeper, observed.Conn = near, node.name, r.lastConn.Add(1)
+			observed.Near, observed.Node, observed.Conn = near, node.name, r.lastConn.Add(1)
 			forwardObserved(conn, far, func(line []byte, at int64) { r.recordListLine(observed, line, at) })
 		case near < r.sidecars && strings.HasPrefix(request, "GET /v1/routes"):
-			observed := ctl.Routes{Near: near, Keeper: node.name, Conn: r.lastConn.Add(1)}
+			observed := ctl.RouteUpdate{Near: near, Node: node.name, Conn: r.lastConn.Add(1)}
 			forwardObserved(conn, far, func(line []byte, at int64) { r.recordRouteLine(observed, line, at) })
 		default:
 			copyBytes(conn, far)
--- a/internal/lab/standin/relayrecords.go
+++ b/internal/lab/standin/relayrecords.go
@@ -17,8 +17,8 @@
 )
 
 // newListObservation is what a request for the list says of its reader.
-func newListObservation(request string) ctl.Shown {
-	observed := ctl.Shown{Holds: -1}
+func newListObservation(request string) ctl.RegistryUpdate {
+	observed := ctl.RegistryUpdate{KnownRevision: -1}
 	parsed, err := http.ReadRequest(bufio.NewReader(strings.NewReader(request)))
 	if err != nil {
 		return observed
@@ -26,30 +26,30 @@
 	query := parsed.URL.Query()
 	observed.Watch, observed.Cluster = query.Get("watch") == "1", query.Get("cluster")
 	if from, err := strconv.ParseInt(query.Get("from"), 10, 64); err == nil {
-		observed.Holds = from
+		observed.KnownRevision = from
 	}
 	return observed
 }
 
 // recordListLine records a line of the list that reached a reader at a time. Heartbeats, which are empty, are left out.
-func (r *relay) recordListLine(observed ctl.Shown, line []byte, at int64) {
+func (r *relay) recordListLine(observed ctl.RegistryUpdate, line []byte, at int64) {
 	received, err := list.Parse(line)
 	if err != nil {
 		return
 	}
-	observed.Rev, observed.All, observed.N = received.Rev, received.All, len(received.Targets)
+	observed.Rev, observed.Complete, observed.ServerCount = received.Rev, received.All, len(received.Targets)
 	observed.At, observed.Cluster = at, received.Cluster
 	r.listLines.Add(observed)
 	if observed.Near >= r.sidecars {
 		return
 	}
 	for _, target := range received.Targets {
-		r.notified.Add(ctl.Told{Near: observed.Near, UID: target.UID, State: string(target.State), At: at})
+		r.notified.Add(ctl.ListUpdate{Near: observed.Near, UID: target.UID, State: string(target.State), At: at})
 	}
 }
 
 // recordRouteLine records a line of a route table that reached a sidecar at a time. Heartbeats, which are empty, are left out.
-func (r *relay) recordRouteLine(observed ctl.Routes, line []byte, at int64) {
+func (r *relay) recordRouteLine(observed ctl.RouteUpdate, line []byte, at int64) {
 	if len(line) == 0 || json.Unmarshal(line, &observed) != nil {
 		return
 	}
@@ -95,7 +95,7 @@
 	if _, err := near.Write(p); err != nil {
 		return 0, false
 	}
-	return near.Flushed()
+	return near.WaitFlushed()
 }
 
 // scanResponse hands on the lines of a successful response. A refusal says nothing of the list.
@@ -105,7 +105,7 @@
 		return
 	}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, list.MostText)
+	lines.Buffer(nil, list.MaxListBytes)
 	for lines.Scan() {
 		observe(lines.Bytes())
 	}
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -160,7 +160,7 @@
 		if !idle.Stop() || err != nil {
 			return
 		}
-		firstByteAt := conn.CameAt()
+		firstByteAt := conn.ReceivedAt()
 		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -169,7 +169,7 @@
 			return
 		}
 		attempt := ctl.Attempt{Server: s.spec.UID, Boot: s.startedAt, Near: near, ID: request.Header.Get("X-Request-ID"),
-			First: firstByteAt, Whole: clock.Now(), New: first}
+			First: firstByteAt, Received: clock.Now(), New: first}
 		if !s.handleRequest(conn, request, attempt, overloaded) || request.Close {
 			return
 		}
@@ -197,12 +197,12 @@
 		return false
 	}
 	written := s.writeOutcome(conn, outcome, &attempt)
-	at, flushed := conn.Flushed()
+	at, flushed := conn.WaitFlushed()
 	switch {
 	case flushed && written:
 		attempt.End = at
-	case conn.ClosedAt() != 0:
-		attempt.End = conn.ClosedAt()
+	case conn.PeerClosedAt() != 0:
+		attempt.End = conn.PeerClosedAt()
 	default: // this end closed it
 		attempt.End = clock.Now()
 	}
@@ -214,7 +214,7 @@
 func (s *server) newJob(r *http.Request, attempt ctl.Attempt) model.Job {
 	job := model.Job{Work: float64(attempt.Work) / 1e9}
 	if timeoutMS, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64); err == nil {
-		job.Deadline = attempt.Whole + timeoutMS*int64(time.Millisecond)
+		job.Deadline = attempt.Received + timeoutMS*int64(time.Millisecond)
 	}
 	if attempt.New {
 		job.Work += s.spec.ConnWork.Seconds()
@@ -236,15 +236,15 @@
 		}
 	})
 	if !accepted {
-		return model.TurnedAway, true
+		return model.Rejected, true
 	}
 	select {
 	case outcome = <-ended:
 		return outcome, true
-	case <-conn.Gone(): // the work goes on all the same
-		attempt.End, attempt.How = conn.ClosedAt(), "left"
+	case <-conn.PeerClosed(): // the work goes on all the same
+		attempt.End, attempt.Outcome = conn.PeerClosedAt(), "left"
 	case <-s.stop:
-		attempt.End, attempt.How = clock.Now(), "died"
+		attempt.End, attempt.Outcome = clock.Now(), "died"
 	}
 	return outcome, false
 }
@@ -253,13 +253,13 @@
 func (s *server) writeOutcome(conn *link.Conn, outcome model.Outcome, attempt *ctl.Attempt) bool {
 	switch outcome {
 	case model.Served:
-		attempt.How = "served"
+		attempt.Outcome = "served"
 		return s.writeResponse(conn, http.StatusOK, "", Body(s.spec.UID, attempt.ID))
 	case model.Failed:
-		attempt.How = "failed"
+		attempt.Outcome = "failed"
 		return s.writeResponse(conn, http.StatusInternalServerError, "", "error\n")
 	default:
-		attempt.How = "turned"
+		attempt.Outcome = "turned"
 		return s.writeResponse(conn, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
 }
@@ -274,7 +274,7 @@
 	s.mu.Unlock()
 	if ok {
 		// The names that the settings give (feedback.names).
-		headers += fmt.Sprintf("X-Server-Load: concurrent=%d,depth=%d,err_ps=%.3f\r\n", load.Held, load.Waiting, load.ErrorsPer)
+		headers += fmt.Sprintf("X-Server-Load: concurrent=%d,depth=%d,err_ps=%.3f\r\n", load.InFlight, load.Waiting, load.ErrorsPerSecond)
 	}
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n%s",
 		status, http.StatusText(status), len(body), headers, body)
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/standin/standin_test.go
@@ -16,24 +16,24 @@
 type orderSender struct {
 	t      *testing.T
 	orders io.WriteCloser
-	events chan ctl.News
+	events chan ctl.Event
 	lastID int
 	ended  chan error
 }
 
 // startStandIn runs a stand-in until the test ends. It returns once that is ready, with the ready event.
-func startStandIn(t *testing.T, run func(in io.Reader, out io.Writer) error) (*orderSender, ctl.News) {
+func startStandIn(t *testing.T, run func(in io.Reader, out io.Writer) error) (*orderSender, ctl.Event) {
 	t.Helper()
 	in, orders := io.Pipe()
 	from, out := io.Pipe()
-	sender := &orderSender{t: t, orders: orders, events: make(chan ctl.News, 100), ended: make(chan error, 1)}
+	sender := &orderSender{t: t, orders: orders, events: make(chan ctl.Event, 100), ended: make(chan error, 1)}
 	go func() {
 		sender.ended <- run(in, out)
 		_ = out.Close() // never fails
 	}()
 	go func() {
 		defer close(sender.events)
-		_ = ctl.Lines(from, func(event ctl.News) error {
+		_ = ctl.Lines(from, func(event ctl.Event) error {
 			sender.events <- event
 			return nil
 		})
@@ -50,7 +50,7 @@
 }
 
 // send gives an order and returns its acknowledgement. An order that is refused fails the test.
-func (s *orderSender) send(order ctl.Order) ctl.News {
+func (s *orderSender) send(order ctl.Order) ctl.Event {
 	s.t.Helper()
 	s.lastID++
 	order.ID = s.lastID
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -75,7 +75,7 @@
 // apply applies a step, or starts a task that does.
 func (r *stepRunner) apply(ctx context.Context, step *plan.Step) {
 	switch {
-	case plan.OnKeepers(step.Sidecar):
+	case plan.IsNode(step.Sidecar):
 		r.applyToRegistry(ctx, step)
 		return
 	case step.Peers: // of many links at once
@@ -150,9 +150,9 @@
 
 func (f *Fleet) targetName(s *plan.Step) string {
 	switch {
-	case plan.OnKeepers(s.Sidecar):
+	case plan.IsNode(s.Sidecar):
 		return f.registry.targetName(s)
-	case s.Do == plan.Lie:
+	case s.Do == plan.FalseReports:
 		return fmt.Sprintf("%d liars", len(s.Nears))
 	case s.Peers:
 		return fmt.Sprintf("%d sidecars", len(s.Nears))
@@ -173,13 +173,13 @@
 		c := f.sidecars[step.Sidecar]
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return clock.Now(), c.process.Disk(step.Mode)
-	case plan.Silent:
+		return clock.Now(), c.process.SetDiskFault(step.Mode)
+	case plan.Isolate:
 		n, err := f.host[step.Server].order(ctl.Order{Do: "silent", UID: step.Server, On: step.On})
 		return n.At, err
-	case plan.Lie:
+	case plan.FalseReports:
 		return f.orderLie(step)
-	case plan.Tell:
+	case plan.UpdateList:
 		f.mu.Lock()
 		e := f.entries[step.Server]
 		if e.State = step.State; step.State == "DELETED" {
@@ -187,7 +187,7 @@
 		}
 		f.mu.Unlock()
 		return clock.Now(), f.list.addEntry(e)
-	case plan.Mode:
+	case plan.ListMode:
 		n, err := f.list.current().order(ctl.Order{Do: "list-mode", Mode: step.Mode, Late: step.By.Seconds()})
 		return n.At, err
 	case plan.Add:
@@ -198,8 +198,8 @@
 		return n.At, err
 	}
 	o := ctl.Order{Do: step.Do, UID: step.Server, Nears: step.Nears, By: int64(step.By)}
-	if step.Do == plan.Trouble {
-		o.Trouble = &step.Trouble
+	if step.Do == plan.ServerFault {
+		o.Fault = &step.Trouble
 	}
 	n, err := f.processOf(step.Server).order(o)
 	if err == nil && step.Do == plan.Revive {
--- a/internal/lab/testcluster/probe.go
+++ b/internal/lab/testcluster/probe.go
@@ -12,34 +12,34 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-const probeWithin = 2 * time.Second
+const probeTimeout = 2 * time.Second
 
 // Probe sends one request straight to a proxy, on a connection of its own, to see which configuration is in force there.
-func (w *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Try {
-	t := &rules.Try{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
+func (w *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Attempt {
+	attempt := &rules.Attempt{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
 		Proxy: proxy, Probe: true, Sent: w.Now()}
 	defer func() {
-		t.Ended = w.Now()
-		w.Evidence.Try(t)
+		attempt.Ended = w.Now()
+		w.Evidence.RecordAttempt(attempt)
 	}()
-	ctx, cancel := context.WithTimeout(ctx, probeWithin)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	c, err := dial(ctx, proxy)
+	conn, err := dial(ctx, proxy)
 	if err != nil {
-		t.Outcome = rules.Unreached
-		return t
+		attempt.Outcome = rules.Unreached
+		return attempt
 	}
-	defer c.tcp.Close()
-	w.links.sent(t.ID, proxy)
+	defer func() { _ = conn.tcp.Close() }() // the answer has come, or none does
+	w.links.recordSender(attempt.ID, proxy)
 	until, _ := ctx.Deadline()
-	c.exchange(&send{try: t, deadline: until, headers: [][2]string{
-		{"X-Time-Left-Ms", fmt.Sprint(probeWithin.Milliseconds())}, {"X-Model", "m"}, {"X-Token-Count", "10,5"},
-		{"X-Prompt-Prefix", t.ID + ":10"}}}, w.Now)
-	return t
+	conn.exchange(&attemptSpec{attempt: attempt, deadline: until, headers: [][2]string{
+		{"X-Time-Left-Ms", fmt.Sprint(probeTimeout.Milliseconds())}, {"X-Model", "m"}, {"X-Token-Count", "10,5"},
+		{"X-Prompt-Prefix", attempt.ID + ":10"}}}, w.Now)
+	return attempt
 }
 
-// Ready is how many processes answer GET /readiness with 200.
-func (w *Environment) Ready(ctx context.Context, addresses []string) int {
+// CountReady is how many processes answer GET /readiness with 200.
+func (w *Environment) CountReady(ctx context.Context, addresses []string) int {
 	answers := make(chan bool, len(addresses))
 	for _, at := range addresses {
 		go func() {
--- a/internal/lab/testcluster/relay.go
+++ b/internal/lab/testcluster/relay.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	relayDial   = time.Second
-	relayBuffer = 16 << 10
-	mostRelayed = 2048 // connections of one relay at a time; more are reset
-	mostPackets = 1024 // on their way over one relay at a time; more are lost
+	relayDialTimeout  = time.Second
+	relayBufferBytes  = 16 << 10
+	maxRelayedConns   = 2048 // connections of one relay at a time; more are reset
+	maxPendingPackets = 1024 // on their way over one relay at a time; more are lost
 )
 
 // relay leads connections to an address over a link with faults. A call to one that nobody answers comes up and is reset.
@@ -27,15 +27,15 @@
 	to       string
 	link     *link.Link
 	// pick gives the link of a connection by its first bytes; nil: they all have the same.
-	pick func(first []byte) *link.Link
-	open atomic.Int32
-	near sync.Map // link.Conn by the address from which the far end is called
-	wait sync.WaitGroup
-
-	mu     sync.Mutex
-	closed bool
-	silent map[*net.TCPConn]bool // connections on which nothing has come yet, where there is pick
-	picked map[*link.Link]bool
+	pick      func(first []byte) *link.Link
+	open      atomic.Int32
+	nearConns sync.Map // link.Conn by the address from which the far end is called
+	wait      sync.WaitGroup
+
+	mu                 sync.Mutex
+	closed             bool
+	awaitingFirstBytes map[*net.TCPConn]bool // connections on which nothing has come yet, where there is pick
+	picked             map[*link.Link]bool
 }
 
 func newRelay(at, to string, over *link.Link) (*relay, error) {
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{listener: l, to: to, link: over, pick: pick, silent: map[*net.TCPConn]bool{}, picked: map[*link.Link]bool{}}
+	r := &relay{listener: l, to: to, link: over, pick: pick, awaitingFirstBytes: map[*net.TCPConn]bool{}, picked: map[*link.Link]bool{}}
 	r.wait.Go(r.accept)
 	return r, nil
 }
@@ -60,40 +60,40 @@
 			return // the relay was closed
 		}
 		tcp, ok := c.(*net.TCPConn)
-		if !ok || r.open.Load() >= mostRelayed {
+		if !ok || r.open.Load() >= maxRelayedConns {
 			_ = c.Close()
 			continue
 		}
 		r.open.Add(1)
 		r.wait.Go(func() {
 			defer r.open.Add(-1)
-			if over := r.over(tcp); over != nil {
-				r.lead(link.Wrap(tcp, over))
+			if over := r.linkOf(tcp); over != nil {
+				r.forward(link.Wrap(tcp, over))
 			}
 		})
 	}
 }
 
-// over gives the link of a connection, once its first bytes are there where they tell which; nil: it was closed before.
-func (r *relay) over(c *net.TCPConn) *link.Link {
+// linkOf gives the link of a connection, once its first bytes are there where they tell which; nil: it was closed before.
+func (r *relay) linkOf(conn *net.TCPConn) *link.Link {
 	if r.pick == nil {
 		return r.link
 	}
 	r.mu.Lock()
 	if r.closed {
 		r.mu.Unlock()
-		_ = c.Close()
+		_ = conn.Close()
 		return nil
 	}
-	r.silent[c] = true
+	r.awaitingFirstBytes[conn] = true
 	r.mu.Unlock()
-	first := make([]byte, relayBuffer)
-	n := peek(c, first)
+	first := make([]byte, relayBufferBytes)
+	n := peek(conn, first)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.silent, c)
+	delete(r.awaitingFirstBytes, conn)
 	if n <= 0 || r.closed {
-		_ = c.Close()
+		_ = conn.Close()
 		return nil
 	}
 	over := r.pick(first[:n])
@@ -118,44 +118,44 @@
 	return n
 }
 
-// lead passes bytes both ways until either end is through. Danger: a call that the link holds back must not come up at the
+// forward passes bytes both ways until either end is through. Danger: a call that the link holds back must not come up at the
 // far end before its first bytes have crossed.
-func (r *relay) lead(near *link.Conn) {
-	defer near.Close()
-	first := make([]byte, relayBuffer)
-	n, err := near.Read(first)
+func (r *relay) forward(near *link.Conn) {
+	defer func() { _ = near.Close() }() // it may be closed already
+	first := make([]byte, relayBufferBytes)
+	count, err := near.Read(first)
 	if err != nil {
 		return
 	}
-	c, err := net.DialTimeout("tcp4", r.to, relayDial)
+	far, err := (&net.Dialer{Timeout: relayDialTimeout}).DialContext(context.Background(), "tcp4", r.to)
 	if err != nil {
 		near.Reset()
 		return
 	}
-	defer c.Close()
-	r.near.Store(c.LocalAddr().String(), near)
-	defer r.near.Delete(c.LocalAddr().String())
+	defer func() { _ = far.Close() }() // it may be closed already
+	r.nearConns.Store(far.LocalAddr().String(), near)
+	defer r.nearConns.Delete(far.LocalAddr().String())
 	var back sync.WaitGroup
 	back.Go(func() {
-		_, err := io.Copy(struct{ io.Writer }{near}, struct{ io.Reader }{c}) // not by ways that lead past the link
+		_, err := io.Copy(struct{ io.Writer }{near}, struct{ io.Reader }{far}) // not by ways that lead past the link
 		if err != nil && !errors.Is(err, net.ErrClosed) {
 			near.Reset() // as the far end did
 			return
 		}
 		_ = near.Close() // which ends the other way
 	})
-	if _, err := c.Write(first[:n]); err == nil {
-		_, _ = io.Copy(struct{ io.Writer }{c}, struct{ io.Reader }{near}) // the way back tells how it ended
+	if _, err := far.Write(first[:count]); err == nil {
+		_, _ = io.Copy(struct{ io.Writer }{far}, struct{ io.Reader }{near}) // the way back tells how it ended
 	}
-	_ = c.Close() // which ends the way back
+	_ = far.Close() // which ends the way back
 	back.Wait()
 }
 
 // sentAgo is how long ago the last bytes that came from an address were sent by the near end; 0: it is not known.
 func (r *relay) sentAgo(far string, now int64) time.Duration {
-	if near, ok := r.near.Load(far); ok {
+	if near, ok := r.nearConns.Load(far); ok {
 		if conn, ok := near.(*link.Conn); ok {
-			return max(0, time.Duration(now-conn.CameAt()))
+			return max(0, time.Duration(now-conn.ReceivedAt()))
 		}
 	}
 	return 0
@@ -167,7 +167,7 @@
 	r.link.Reset()
 	r.mu.Lock()
 	r.closed = true
-	for c := range r.silent {
+	for c := range r.awaitingFirstBytes {
 		_ = c.Close()
 	}
 	for l := range r.picked {
@@ -177,8 +177,8 @@
 	r.wait.Wait()
 }
 
-// packets leads packets to an address over a link with faults, one way.
-type packets struct {
+// packetRelay leads packetRelay to an address over a link with faults, one way.
+type packetRelay struct {
 	in      net.PacketConn
 	out     net.Conn
 	link    *link.Link
@@ -186,30 +186,30 @@
 	wait    sync.WaitGroup
 }
 
-func newPackets(at, to string, over *link.Link) (*packets, error) {
+func newPacketRelay(at, to string, over *link.Link) (*packetRelay, error) {
 	in, err := new(net.ListenConfig).ListenPacket(context.Background(), "udp4", at)
 	if err != nil {
 		return nil, err
 	}
-	out, err := net.Dial("udp4", to)
+	out, err := new(net.Dialer).DialContext(context.Background(), "udp4", to)
 	if err != nil {
 		_ = in.Close()
 		return nil, err
 	}
-	p := &packets{in: in, out: out, link: over}
+	p := &packetRelay{in: in, out: out, link: over}
 	p.wait.Go(p.run)
 	return p, nil
 }
 
-func (p *packets) run() {
-	buf := make([]byte, relayBuffer)
+func (p *packetRelay) run() {
+	buf := make([]byte, relayBufferBytes)
 	for {
 		n, _, err := p.in.ReadFrom(buf)
 		if err != nil {
 			return // closed
 		}
-		wait, passes := p.link.Packet()
-		if !passes || p.pending.Load() >= mostPackets {
+		wait, passes := p.link.DrawPacket()
+		if !passes || p.pending.Load() >= maxPendingPackets {
 			continue
 		}
 		if wait <= 0 {
@@ -227,7 +227,7 @@
 	}
 }
 
-func (p *packets) close() {
+func (p *packetRelay) close() {
 	_ = p.in.Close()
 	p.wait.Wait()
 	_ = p.out.Close()
--- /dev/null
+++ b/internal/lab/testcluster/scenario.go
@@ -0,0 +1,78 @@
+package testcluster
+
+import (
+	"fmt"
+	"time"
+
+	"gradeusher.example/gradeusher/internal/lab/testcluster/engine"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
+)
+
+// Scenario is the small stand-in deployment: two regions, three zones, four machines of which three have a disk.
+type Scenario struct {
+	Machines []Machine
+	Bounds   rules.Bounds
+	Config   *rules.Config
+	Servers  []ServerSpec
+	Kinds    []RequestKind
+}
+
+const (
+	scenarioHost = "assistant.example"
+	modelService = "usher-lm"
+	thumbService = "thumbs"
+)
+
+// SmallScenario gives it, with rate requests a second in all.
+func SmallScenario(rate float64) *Scenario {
+	scenario := &Scenario{Bounds: rules.Bounds{Contact: 4 * time.Second, Drain: 4 * time.Second, ConfigApply: 3 * time.Second,
+		RevertSlack: 250 * time.Millisecond, Evacuate: 5 * time.Second, Grace: 8 * time.Second, LossSlack: 200 * time.Millisecond,
+		Stretch: 6 * time.Second, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 64, ColdExcess: 1.5, ColdSlack: 5}}
+	zones := []struct{ zone, region string }{{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}}
+	for i := range 4 {
+		place := zones[min(i, 2)]
+		scenario.Machines = append(scenario.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: place.zone, Region: place.region, Disk: i < 3})
+	}
+	spec := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 5 * time.Millisecond, PerRunning: 50 * time.Microsecond,
+		PrefillRate: 50, Chunk: 512}
+	for i := range 6 {
+		place := zones[i%3]
+		scenario.Servers = append(scenario.Servers, ServerSpec{Service: modelService, Zone: place.zone, Region: place.region, Address: fmt.Sprintf("127.0.2.%d:0", i+1),
+			HealthPath: "/health", MaxConns: 200, IdleTimeout: 15 * time.Second, ReportsLoad: true, WarmUp: 3 * time.Second, WarmUpPerSecond: 20,
+			WarmUpCrashFactor: 4, Engine: spec})
+	}
+	for i, place := range zones {
+		scenario.Servers = append(scenario.Servers, ServerSpec{Service: thumbService, Zone: place.zone, Region: place.region, Address: fmt.Sprintf("127.0.3.%d:0", i+1),
+			HealthPath: "/health", MaxConns: 130, IdleTimeout: 15 * time.Second, ReportsLoad: true,
+			Plain: &PlainSpec{Slots: 6, Queue: 12, Work: 20 * time.Millisecond, Bytes: 800}})
+	}
+	scenario.Config = scenarioConfig(spec)
+	routes := scenario.Config.Routes
+	scenario.Kinds = []RequestKind{
+		{Route: &routes[0], Rate: 0.1 * rate, Deadline: 8 * time.Second, Retries: 1, Subjects: 8, Shared: 4000, Own: 1000, Out: 120, Bytes: 4000},
+		{Route: &routes[1], Rate: 0.6 * rate, Deadline: 5 * time.Second, Retries: 1, Subjects: 30, Shared: 90, Own: 290, Out: 45, Bytes: 1000},
+		{Route: &routes[2], Rate: 0.3 * rate, Deadline: 2500 * time.Millisecond, Retries: 1, Bytes: 100},
+	}
+	return scenario
+}
+
+func scenarioConfig(spec *engine.Spec) *rules.Config {
+	stream := func(name, prefix string, priority, latencyTarget, timeout int, resumable bool) rules.Route {
+		return rules.Route{Name: name, Host: scenarioHost, Prefix: prefix, Category: "streaming", Timeout: timeout, Aim: latencyTarget, Priority: priority,
+			Target: modelService, MaxTries: 2, Sticky: true, Resumable: resumable, GapAim: 600, Homes: []string{}}
+	}
+	return &rules.Config{Revision: 1,
+		Routes: []rules.Route{
+			stream("chapter-summary", "/summary/", 1, 1000, 8000, true),
+			stream("clip-question", "/question/", 0, 800, 5000, false),
+			{Name: "thumb-fetch", Host: scenarioHost, Prefix: "/thumb/", Category: "idempotent", Timeout: 2500, Aim: 400, Priority: 2,
+				Target: thumbService, MaxTries: 2, Homes: []string{}},
+		},
+		Services: []rules.Service{
+			{Name: modelService, HealthPath: "/health", MaxConns: 200, Protocol: "h1", ColdFor: 3, ColdPerSecond: 20, Engine: &rules.Engine{
+				Slots: spec.Slots, CacheTokens: spec.MemoryTokens, TokenBytes: 163840, LinkMbps: 1e6, Stride: spec.Stride, Models: []rules.Model{{Name: "m"}}}},
+			{Name: thumbService, HealthPath: "/health", MaxConns: 130, Protocol: "h1"},
+		},
+		Limits: rules.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderTimeout: 3000, Idle: 15000},
+	}
+}
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -21,17 +21,17 @@
 // Trace is what clients and servers saw of a request and its retry, from the records in a report's folder. It fails where no
 // client knows the id.
 func Trace(folder, id string) ([]Moment, error) {
-	tries, err := ctl.ReadRecords[load.Try](filepath.Join(folder, "requests.jsonl"))
+	tries, err := ctl.ReadRecords[load.Attempt](filepath.Join(folder, "requests.jsonl"))
 	if err != nil {
 		return nil, err
 	}
-	i := slices.IndexFunc(tries, func(t load.Try) bool { return t.ID == id })
+	i := slices.IndexFunc(tries, func(t load.Attempt) bool { return t.ID == id })
 	if i < 0 {
 		return nil, fmt.Errorf("%s: no request %q", folder, id)
 	}
 	arrival := tries[i].Arrival
-	tries = slices.DeleteFunc(tries, func(t load.Try) bool { return t.Arrival != arrival })
-	slices.SortFunc(tries, func(a, b load.Try) int { return cmp.Compare(a.Due, b.Due) })
+	tries = slices.DeleteFunc(tries, func(t load.Attempt) bool { return t.Arrival != arrival })
+	slices.SortFunc(tries, func(a, b load.Attempt) int { return cmp.Compare(a.Due, b.Due) })
 	var all []Moment
 	add := func(at int64, form string, args ...any) {
 		if at != 0 {
@@ -42,11 +42,11 @@
 	for _, t := range tries {
 		ids[t.ID] = true
 		add(t.Began, "client: %s to sidecar %d, class %d, time-out %v", t.ID, t.Sidecar, t.Class, t.Timeout)
-		add(t.Again, "client: %s once more, the connection had been closed", t.ID)
+		add(t.ResentAt, "client: %s once more, the connection had been closed", t.ID)
 		if t.Status == 0 {
 			add(t.Ended, "client: %s got no answer: %s", t.ID, t.Fault)
 		} else {
-			add(t.Ended, "client: %s got %d%s", t.ID, t.Status, strings.TrimSuffix(" from "+t.By, " from "))
+			add(t.Ended, "client: %s got %d%s", t.ID, t.Status, strings.TrimSuffix(" from "+t.ServedBy, " from "))
 		}
 	}
 	paths, err := filepath.Glob(filepath.Join(folder, "attempts-*.jsonl"))
@@ -62,8 +62,8 @@
 			if ids[a.ID] {
 				add(a.First, "sidecar %d: %s to server %s, %.1f ms of work%s", a.Near, a.ID, a.Server, float64(a.Work)/1e6,
 					map[bool]string{true: ", on a new connection"}[a.New])
-				add(a.Whole, "server %s: %s is there whole", a.Server, a.ID)
-				add(a.End, "server %s: %s %s", a.Server, a.ID, a.How)
+				add(a.Received, "server %s: %s is there whole", a.Server, a.ID)
+				add(a.End, "server %s: %s %s", a.Server, a.ID, a.Outcome)
 			}
 		}
 	}
--- a/internal/lab/writers.go
+++ b/internal/lab/writers.go
@@ -22,7 +22,7 @@
 	clients []*client.Client
 	values  atomic.Int64
 	mu      sync.Mutex
-	records []ctl.Wrote
+	records []ctl.RegistryCall
 }
 
 const (
@@ -39,7 +39,7 @@
 
 // startWriters makes the entries.
 func (f *Fleet) startWriters(ctx context.Context) (*writers, error) {
-	settings := f.plan.File.Keepers
+	settings := f.plan.File.Registry
 	w := &writers{fleet: f}
 	if settings.Count == 0 || settings.WriteRate == 0 {
 		return w, nil
@@ -67,7 +67,7 @@
 // run writes and reads until over is done, and reads each entry once more then, when faults are over, unless ctx is done too.
 func (w *writers) run(ctx, over context.Context, start int64) {
 	p := w.fleet.plan
-	settings := p.File.Keepers
+	settings := p.File.Registry
 	var all sync.WaitGroup
 	for index, writer := range w.clients {
 		all.Add(1)
@@ -100,7 +100,7 @@
 	}
 }
 
-func (w *writers) record(v ctl.Wrote) {
+func (w *writers) record(v ctl.RegistryCall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.records = append(w.records, v)
@@ -109,11 +109,11 @@
 func (w *writers) read(ctx context.Context, reader *client.Client, index, key int, within time.Duration, revs []int64) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	record := ctl.Wrote{Client: index, Key: key, How: "ok", Call: clock.Now()}
+	record := ctl.RegistryCall{Client: index, Key: key, Outcome: "ok", Call: clock.Now()}
 	e, ok, err := reader.Server(ctx, keyName(key))
 	record.Return, record.Rev, record.Value = clock.Now(), e.Revision, e.PodGroup
 	if err != nil {
-		record.How = "none" // a read that was not answered did nothing
+		record.Outcome = "none" // a read that was not answered did nothing
 	} else if ok {
 		revs[key] = e.Revision
 	}
@@ -123,7 +123,7 @@
 func (w *writers) write(ctx context.Context, writer *client.Client, index, key int, revs []int64) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	record := ctl.Wrote{Client: index, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), How: "ok", Call: clock.Now()}
+	record := ctl.RegistryCall{Client: index, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), Outcome: "ok", Call: clock.Now()}
 	d, err := writer.Register(ctx, []list.Registration{w.entry(key, record.Value)}, &record.Expect)
 	record.Return, record.Rev = clock.Now(), d.Revision
 	var refused *client.RefusedError
@@ -131,11 +131,11 @@
 	case err == nil:
 		revs[key] = d.Revision
 	case errors.Is(err, client.ErrUncertain):
-		record.How, revs[key] = "uncertain", 0
+		record.Outcome, revs[key] = "uncertain", 0
 	case errors.As(err, &refused) && refused.Status == 409:
-		record.How, revs[key] = "conflict", 0
+		record.Outcome, revs[key] = "conflict", 0
 	default:
-		record.How = "none" // no node accepted it
+		record.Outcome = "none" // no node accepted it
 	}
 	w.record(record)
 }
--- a/internal/sidecar/answerstream.go
+++ b/internal/sidecar/answerstream.go
@@ -11,8 +11,8 @@
 
 const (
 	chunkBytes   = 16 << 10               // bytes that are read at once of what flows
-	holdTime     = 100 * time.Millisecond // an answer of unknown length is held back for its end, after its head
-	stallTimeout = 10 * time.Second       // a peer that takes or gives nothing for so long is given up
+	holdTime     = 100 * time.Millisecond // an answer of unknown length is held until its end, after its head
+	stallTimeout = 10 * time.Second       // a peer that takes or sends nothing for so long is given up
 )
 
 var (
@@ -49,8 +49,8 @@
 
 func (b *byteBudget) release(n int) { b.used.Add(-int64(n)) }
 
-// answerStream is an answer on its way. Until it begins it is held, so that it can still be given up; then it goes to the client
-// as it comes, and no faster than the client takes it.
+// answerStream is an answer that is being received. Until it starts it is held, so that it can still be dropped; then it goes to
+// the client as it comes, and no faster than the client takes it.
 type answerStream struct {
 	length      int64 // -1: unknown
 	contentType string
@@ -71,7 +71,7 @@
 
 func newAnswerStream(length int64, ctype string, room *byteBudget, begin func(*answerStream)) *answerStream {
 	f := &answerStream{length: length, contentType: ctype, budget: room, begin: begin}
-	if 0 < length && length <= maxHeldBytes {
+	if 0 < length && length <= maxBufferedBytes {
 		f.pending = make([]byte, 0, length)
 	}
 	f.moved.L = &f.mu
@@ -94,7 +94,7 @@
 // receive takes the answer in, and returns it if it came to its end before it began to flow.
 func (f *answerStream) receive(body io.Reader) (whole []byte, err error) {
 	defer f.releaseBudget()
-	if f.begin != nil && f.length > maxHeldBytes {
+	if f.begin != nil && f.length > maxBufferedBytes {
 		f.start()
 	} else if f.begin != nil && f.length < 0 {
 		hold := time.AfterFunc(holdTime, f.start)
@@ -117,15 +117,16 @@
 	}
 }
 
-// add takes in the next bytes once there is room for them, or tells that there is none before it flows.
-func (f *answerStream) add(p []byte) bool {
+// add holds the next bytes, or, once the stream has started, hands them over when the client has taken those before. It reports
+// false if they cannot be held.
+func (f *answerStream) add(chunk []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.started {
-		if len(f.pending)+len(p) > maxHeldBytes || !f.budget.reserve(len(p)) {
+		if len(f.pending)+len(chunk) > maxBufferedBytes || !f.budget.reserve(len(chunk)) {
 			return false
 		}
-		f.reserved += len(p)
+		f.reserved += len(chunk)
 	}
 	if f.started {
 		f.stallTimer.Stop() // the client's time
@@ -135,13 +136,13 @@
 		f.stallTimer.Reset(stallTimeout)
 	}
 	if !f.abandoned {
-		f.pending = append(f.pending, p...)
+		f.pending = append(f.pending, chunk...)
 	}
 	f.moved.Broadcast()
 	return true
 }
 
-// end takes in how the server's side ended. If it flows, it waits for the client's side.
+// end notes how the server's side ended. A stream that has started waits for the client's side.
 func (f *answerStream) end(err error) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -8,8 +8,6 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Here is a request's life between its client and the Balancer, up to its final answer.
-
 // answerMargin is kept free before the client's deadline for the way of the final answer.
 const answerMargin = 5 * time.Millisecond
 
@@ -27,7 +25,7 @@
 	kind        answerKind
 	body        []byte        // served
 	contentType string        // served
-	retryAfter  time.Duration // refused: when to come back; 0: not said
+	retryAfter  time.Duration // refused: the wait before a retry; 0: not said
 	stream      *answerStream // served: in place of body, the answer as it comes
 }
 
@@ -74,43 +72,43 @@
 	}
 }
 
-func (h *host) beginCall(c *call) {
+func (h *host) beginCall(started *call) {
 	h.counts.requests.Add(1)
 	h.lastID++
-	c.number = h.lastID
-	h.calls[c.number] = c
-	r := balance.Request{ID: c.number, Class: c.class, Tenant: c.tenant, TimeLeft: c.timeout, BodyIncomplete: c.rest != nil, Client: c.client}
+	started.number = h.lastID
+	h.calls[started.number] = started
+	r := balance.Request{ID: started.number, Class: started.class, Tenant: started.tenant, TimeLeft: started.timeout, BodyIncomplete: started.rest != nil, Client: started.client}
 	if j := h.balancer.HeavyHitters(); j != nil {
-		j.SetName(c.client, c.name)
+		j.SetName(started.client, started.name)
 	}
 	if !r.BodyIncomplete {
-		h.startTimer(c)
-		r.TimeLeft = c.deadline.Sub(h.origin) - h.now
+		h.startTimer(started)
+		r.TimeLeft = started.deadline.Sub(h.origin) - h.now
 	}
 	h.balancer.Request(h.now, r)
 }
 
-// startTimer has a request be abandoned that is without an answer behind its deadline. Danger: one that the Balancer left
-// without an answer would hang until the client gives up.
+// startTimer abandons a request that has no answer after its deadline. One that the Balancer left without an answer would hang
+// until the client gives up.
 func (h *host) startTimer(c *call) {
 	c.overdueTimer = time.AfterFunc(time.Until(c.deadline)+answerMargin/2, func() { h.post(func() { h.abandon(c, true) }) })
 }
 
 // bodyComplete begins a request's time: its body has come.
-func (h *host) bodyComplete(c *call) {
-	if c.finished {
+func (h *host) bodyComplete(ongoing *call) {
+	if ongoing.finished {
 		return
 	}
 	now := h.origin.Add(h.now)
-	c.deadline = h.shutdown.bound(now.Add(c.timeout))
-	h.startTimer(c)
-	for _, t := range c.attempts {
+	ongoing.deadline = h.shutdown.bound(now.Add(ongoing.timeout))
+	h.startTimer(ongoing)
+	for _, t := range ongoing.attempts {
 		if t.timer == nil {
 			t.sentAt = h.now
-			t.startTimer(c.deadline)
+			t.startTimer(ongoing.deadline)
 		}
 	}
-	h.balancer.BodyComplete(h.now, c.number, c.deadline.Sub(now))
+	h.balancer.BodyComplete(h.now, ongoing.number, ongoing.deadline.Sub(now))
 }
 
 // startTimer ends an attempt at a time, unless its timer is stopped before.
@@ -118,49 +116,49 @@
 	t.timer = time.AfterFunc(time.Until(end), func() { t.cancel(context.DeadlineExceeded) })
 }
 
-// answerStarted takes in that an attempt's answer comes and is to be passed on, which makes it the request's final one.
-func (h *host) answerStarted(ctx context.Context, c *call, n int, f *answerStream) {
-	if c.finished || ctx.Err() != nil {
+// answerStarted handles that an attempt's answer is to be forwarded as it comes, which makes it the request's final one.
+func (h *host) answerStarted(ctx context.Context, ongoing *call, index int, f *answerStream) {
+	if ongoing.finished || ctx.Err() != nil {
 		f.abandon()
 		return
 	}
-	t := c.attempts[n]
+	t := ongoing.attempts[index]
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 	t.answerAt = h.now
-	h.answer(c, answer{kind: served, stream: f})
-	h.balancer.AnswerStarted(h.now, c.number, n)
+	h.answer(ongoing, answer{kind: served, stream: f})
+	h.balancer.AnswerStarted(h.now, ongoing.number, index)
 }
 
 // abandon ends a request that nobody waits for any more, or that is overdue.
-func (h *host) abandon(c *call, overdue bool) {
-	if c.finished {
+func (h *host) abandon(ongoing *call, overdue bool) {
+	if ongoing.finished {
 		return
 	}
 	if overdue {
-		h.log.Warn("request overdue", "class", c.class)
-		h.expire(c)
-		h.answer(c, answer{kind: failed}) // unless the Balancer has answered
+		h.log.Warn("request overdue", "class", ongoing.class)
+		h.expire(ongoing)
+		h.answer(ongoing, answer{kind: failed}) // unless the Balancer has answered
 	} else {
 		h.counts.gone.Add(1)
-		c.finish()
+		ongoing.finish()
 	}
-	h.balancer.ClientDisconnected(h.now, c.number)
-	h.forget(c)
+	h.balancer.ClientDisconnected(h.now, ongoing.number)
+	h.forget(ongoing)
 }
 
-// expire tells the Balancer that the attempts of an overdue request have timed out, without waiting for their results.
-// Danger: an attempt that is ended at the deadline takes time to return. Its timer and the request's race on a busy
-// machine, and the answer must not depend on which of them wins.
-func (h *host) expire(c *call) {
-	for n, t := range c.attempts {
+// expire reports the attempts of an overdue request as timed out, without waiting for their results. An attempt that is ended at
+// the deadline takes time to return; its timer and the request's race on a busy machine, and the answer must not depend on which
+// of them wins.
+func (h *host) expire(ongoing *call) {
+	for index, t := range ongoing.attempts {
 		t.cancel(context.DeadlineExceeded)
 		outcome := balance.TimedOut
 		if errors.Is(context.Cause(t.ctx), context.Canceled) { // called off before, or its result is just being posted
 			outcome = balance.Cancelled
 		}
-		h.reportResult(c, n, outcome)
+		h.reportResult(ongoing, index, outcome)
 	}
 }
 
--- a/internal/sidecar/client/cache_test.go
+++ b/internal/sidecar/client/cache_test.go
@@ -71,11 +71,11 @@
 
 // TestListCacheBounds reads back the longest list that a reader can have, and quarantines a longer file.
 func TestListCacheBounds(t *testing.T) {
-	now, widest := time.Now(), strings.Repeat("<", list.MostName) // JSON escapes it
+	now, widest := time.Now(), strings.Repeat("<", list.MaxNameBytes) // JSON escapes it
 	cache, longest, capacity := NewListCache(t.TempDir(), "n"), list.List{Rev: 1, All: true}, 2.2250738585072014e-308
 	for i := range 2 * state.MaxServers {
 		longest.Targets = append(longest.Targets, list.Target{
-			UID:      fmt.Sprintf("%0*d", list.MostName, i),
+			UID:      fmt.Sprintf("%0*d", list.MaxNameBytes, i),
 			Endpoint: "[2001:db8:1111:2222:3333:4444:5555:6666]:65535",
 			Zone:     widest,
 			Model:    widest,
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -17,11 +17,11 @@
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
-	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>16&63, pid>>8&255, 1+pid&127))
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>16&63, pid>>8&255, 1+pid&127))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
@@ -40,11 +40,11 @@
 // dialControl sends a text to a control address and returns all that comes back.
 func dialControl(t *testing.T, at, text string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", at)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
 		t.Fatal(err)
 	}
@@ -94,25 +94,25 @@
 // TestIdleCallers has callers take all places at control and say nothing, or half a line: who has something to say is
 // answered, and nobody keeps a place for good.
 func TestIdleCallers(t *testing.T) {
-	l := listen(t)
+	listener := listen(t)
 	c := newControl(slog.New(slog.DiscardHandler), func(call []string) string { return "ok " + call[0] + "\n" })
 	c.timeout = patience
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool)
-	go func() { c.serve(ctx, l); close(ended) }()
+	go func() { c.serve(ctx, listener); close(ended) }()
 	defer cancel()
 	var idle []net.Conn
 	for range 3 * maxCallers {
-		conn, err := net.Dial("tcp", l.Addr().String())
+		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 		if _, err := io.WriteString(conn, "PI"); err != nil {
 			t.Fatal(err)
 		}
 		idle = append(idle, conn)
-		if answer := dialControl(t, l.Addr().String(), "PING\n"); answer != "ok PING\n" {
+		if answer := dialControl(t, listener.Addr().String(), "PING\n"); answer != "ok PING\n" {
 			t.Fatalf("with %d idle callers the answer is %q", len(idle), answer)
 		}
 	}
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	for _, env := range []string{"PROXY_CONTROL=here", "PROXY_CONTROL=127.0.0.1", "PROXY_FD=x", "PROXY_FD=-1", "PROXY_FD=1"} {
 		if _, err := load(t, text, env); err == nil {
 			t.Errorf("no error with %s", env)
@@ -167,7 +167,7 @@
 		}
 	}
 	if l, err := inherit(int(file.Fd())); err == nil {
-		l.Close()
+		_ = l.Close()
 		t.Error("a file passes for a listening socket")
 	}
 }
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -18,18 +18,18 @@
 	reportCheckInterval = 200 * time.Millisecond // it looks whether there is something to say
 	repeatPerMember     = 10 * time.Millisecond  // for each member, until it says again what it condemns
 	quietInterval       = 15 * time.Second       // it says its zone and level, for who came since
-	viewSettleTime      = 600 * time.Millisecond // without a change, before places are taken by it
+	viewStableTime      = 600 * time.Millisecond // without a change, before places are taken by it
 	maxViewWait         = 3 * time.Second        // with changes
 )
 
 // fleetState is what the loop knows of the members.
 type fleetState struct {
 	view         members.View
-	peers        map[string]balance.Peer // by name, as they last said
-	pendingSince balance.Time            // of the first change that the Balancer was not told; 0: it knows all
+	peers        map[string]balance.Peer // by name, as they last reported
+	pendingSince balance.Time            // of the first change that the Balancer does not know; 0: it knows all
 	lastChange   balance.Time            // change
 	published    signals.Report
-	publishedAt  balance.Time // when that was said
+	publishedAt  balance.Time // when that was
 	reportTTL    time.Duration
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// updateMembers takes in who is a member. The loop alone calls it, and what follows.
+// updateMembers notes who is a member. The loop alone calls it, and what follows.
 func (h *host) updateMembers(v members.View) {
 	for name := range h.fleet.peers {
 		if !slices.Contains(v.Names, name) {
@@ -52,37 +52,37 @@
 	h.fleet.changed(h.now)
 }
 
-// receiveSignals takes in what a member says of servers. What cannot be read is passed over.
-func (h *host) receiveSignals(n members.News) {
-	r, err := signals.Decode(n.Payload)
+// receiveSignals receives what a member states of servers. What cannot be read is ignored.
+func (h *host) receiveSignals(news members.Update) {
+	r, err := signals.Decode(news.Payload)
 	if err != nil {
-		h.log.Debug("signals", "origin", n.Origin, "err", err)
+		h.log.Debug("signals", "origin", news.Origin, "err", err)
 		return
 	}
 	h.post(func() {
-		c := &h.fleet
-		if !slices.Contains(c.view.Names, n.Origin) {
+		state := &h.fleet
+		if !slices.Contains(state.view.Names, news.Origin) {
 			return
 		}
 		for i := range r.Verdicts {
 			v := &r.Verdicts[i]
-			boot, known := h.upstream.boot(v.Server)
-			if known && bootMS(boot) == v.Start {
-				v.Start = int64(h.started(Target{Boot: boot}))
+			boot, known := h.upstream.startOf(v.Server)
+			if known && startMS(boot) == v.Start {
+				v.Start = int64(h.started(Target{Started: boot}))
 			} else {
 				v.Start = -1 // another process than the one listed here; it counts for how much the witness condemns
 			}
 		}
-		if p := (balance.Peer{Zone: r.Zone, TrafficLevel: r.TrafficLevel}); c.peers[n.Origin] != p {
-			c.peers[n.Origin] = p
-			c.changed(h.now)
+		if p := (balance.Peer{Zone: r.Zone, TrafficLevel: r.TrafficLevel}); state.peers[news.Origin] != p {
+			state.peers[news.Origin] = p
+			state.changed(h.now)
 		}
-		h.balancer.ReceiveReport(h.now, signals.Statement{Origin: n.Origin, Start: n.Start, Seq: n.Seq, Age: n.Age, Report: r})
+		h.balancer.ReceiveReport(h.now, signals.Statement{Origin: news.Origin, Start: news.Start, Seq: news.Seq, Age: news.Age, Report: r})
 	})
 }
 
-// bootMS is a server process's start as sidecars tell each other; 0: not known.
-func bootMS(boot time.Time) int64 {
+// startMS is a server process's start as reports have it; 0: not known.
+func startMS(boot time.Time) int64 {
 	if boot.IsZero() {
 		return 0
 	}
@@ -103,28 +103,28 @@
 	}
 }
 
-// updatePositions tells the Balancer the places of the members once they rest. Danger: in a fleet that starts each arrival would move
-// the subsets of all. One that is alone is as one that knows nobody.
+// updatePositions hands the members' positions to the Balancer once they have settled. In a fleet that starts, each arrival would
+// move the subsets of all. A sidecar that is alone is as one that knows nobody.
 func (h *host) updatePositions() {
-	c := &h.fleet
-	if c.pendingSince == 0 || h.now-c.lastChange < viewSettleTime && h.now-c.pendingSince < maxViewWait {
+	state := &h.fleet
+	if state.pendingSince == 0 || h.now-state.lastChange < viewStableTime && h.now-state.pendingSince < maxViewWait {
 		return
 	}
-	c.pendingSince = 0
-	h.log.Info("members", "count", c.view.Count, "place", c.view.Place, "epoch", c.view.Epoch)
-	if c.view.Count < 2 {
+	state.pendingSince = 0
+	h.log.Info("members", "count", state.view.Count, "place", state.view.Index, "epoch", state.view.Epoch)
+	if state.view.Count < 2 {
 		h.balancer.SetMembers(h.now, -1, nil)
 		return
 	}
-	peers := make([]balance.Peer, len(c.view.Names))
-	for i, name := range c.view.Names {
-		peers[i] = c.peers[name]
+	peers := make([]balance.Peer, len(state.view.Names))
+	for i, name := range state.view.Names {
+		peers[i] = state.peers[name]
 	}
-	peers[c.view.Place] = balance.Peer{Zone: c.published.Zone, TrafficLevel: c.published.TrafficLevel}
-	h.balancer.SetMembers(h.now, c.view.Place, peers)
+	peers[state.view.Index] = balance.Peer{Zone: state.published.Zone, TrafficLevel: state.published.TrafficLevel}
+	h.balancer.SetMembers(h.now, state.view.Index, peers)
 }
 
-// sameVerdicts tells whether two reports say the same of the same servers, of kinds from least on.
+// sameVerdicts reports whether two reports condemn the same servers for the same, of kinds from least on.
 func sameVerdicts(a, b []signals.Verdict, least signals.Kind) bool {
 	counts := func(v signals.Verdict) bool { return v.Kind >= least }
 	for _, pair := range [2][2][]signals.Verdict{{a, b}, {b, a}} {
@@ -137,32 +137,32 @@
 	return true
 }
 
-// publishReport tells the members what this sidecar saw of servers, and what it is.
+// publishReport publishes to the members what this sidecar saw of servers, and what it is.
 func (h *host) publishReport() {
-	c, r := &h.fleet, h.balancer.LocalReport(h.now)
-	same, grave := sameVerdicts(r.Verdicts, c.published.Verdicts, signals.None), sameVerdicts(r.Verdicts, c.published.Verdicts, signals.Failing)
-	if r.TrafficLevel != c.published.TrafficLevel {
+	state, report := &h.fleet, h.balancer.LocalReport(h.now)
+	same, grave := sameVerdicts(report.Verdicts, state.published.Verdicts, signals.None), sameVerdicts(report.Verdicts, state.published.Verdicts, signals.Failing)
+	if report.TrafficLevel != state.published.TrafficLevel {
 		same, grave = false, false
-		c.changed(h.now)
+		state.changed(h.now)
 	}
-	// What it condemns it says again within the bound, the more members there are the less often. Who fails to answer is said
-	// sooner. Danger: in a jam, what is full or slow changes all the time, and each word goes to all members.
-	again, bound := quietInterval, c.reportTTL
-	if len(r.Verdicts)+len(c.published.Verdicts) > 0 {
-		again = min(max(repeatPerMember*time.Duration(c.view.Count), bound*35/100), bound*70/100)
+	// What it condemns it repeats within the TTL, the more members there are the less often. That a server does not answer is
+	// published sooner: in an overload, what is full or slow changes all the time, and each report goes to all members.
+	again, bound := quietInterval, state.reportTTL
+	if len(report.Verdicts)+len(state.published.Verdicts) > 0 {
+		again = min(max(repeatPerMember*time.Duration(state.view.Count), bound*35/100), bound*70/100)
 	}
 	if !grave {
 		again /= 2
 	}
-	if (same || len(r.Verdicts)+len(c.published.Verdicts) > 0) && c.publishedAt > 0 && h.now-c.publishedAt < again {
+	if (same || len(report.Verdicts)+len(state.published.Verdicts) > 0) && state.publishedAt > 0 && h.now-state.publishedAt < again {
 		return
 	}
-	c.published, c.publishedAt = r, h.now
-	told := r
-	told.Verdicts = slices.Clone(r.Verdicts)
+	state.published, state.publishedAt = report, h.now
+	told := report
+	told.Verdicts = slices.Clone(report.Verdicts)
 	for i := range told.Verdicts {
-		boot, _ := h.upstream.boot(told.Verdicts[i].Server)
-		told.Verdicts[i].Start = bootMS(boot)
+		boot, _ := h.upstream.startOf(told.Verdicts[i].Server)
+		told.Verdicts[i].Start = startMS(boot)
 	}
 	text, err := signals.Encode(told)
 	if err == nil {
--- a/internal/sidecar/registry/serverlessor.go
+++ b/internal/sidecar/registry/serverlessor.go
@@ -148,7 +148,7 @@
 	return len(l.leases), l.pending
 }
 
-const serverLeaseInterval = list.LeastLease / 4 // between two evaluations
+const serverLeaseInterval = list.MinLease / 4 // between two evaluations
 
 // runServerLeases ends leases of servers until ctx ends with this node's leadership.
 func (n *Node) runServerLeases(ctx context.Context) {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -28,11 +28,11 @@
 type server struct {
 	host          *host
 	config        *Config
-	maxPending    atomic.Int64 // requests held at once
+	maxPending    atomic.Int64 // bound of pending
 	connections   *connLimiter
 	shuttingDown  atomic.Bool    // for good
 	shutdown      *shutdownClock // when that began
-	drainingSince atomic.Int64   // since when, in nanoseconds of Unix time, until staff end it; 0: not
+	drainingSince atomic.Int64   // since when, in nanoseconds of Unix time, until operators end it; 0: not
 	active        atomic.Int64   // handlers at work
 	pending       atomic.Int64   // requests
 	counts        *counts
@@ -48,7 +48,7 @@
 // resize keeps to a part of the limits: to all of them, or to half where parts is 2.
 func (s *server) resize(parts int) {
 	most := (s.config.Sockets - max(spareSockets, s.config.Sockets/spareSocketsDivisor)) / parts / socketsPerCall
-	if held := s.config.Limits.MostHeld; held > 0 {
+	if held := s.config.Limits.MaxPending; held > 0 {
 		most = min(most, held)
 	}
 	s.maxPending.Store(int64(most))
@@ -56,7 +56,7 @@
 	s.host.upstream.budget.limit.Store(budgetOf(s.config.MemoryMB) / int64(parts))
 }
 
-// shareLimits keeps to half of the limits while another process stands beside this one.
+// shareLimits keeps to half of the limits while another process of this sidecar runs.
 func (s *server) shareLimits(beside bool) {
 	parts := 1
 	if beside {
@@ -80,7 +80,7 @@
 	defer s.active.Add(-1)
 	s.askToClose(w)
 	conn := http.NewResponseController(w)
-	// Danger: a client that does not read its answer would hold its connection for good.
+	// A client that does not read its answer would hold its connection for good.
 	if err := conn.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
 		return
 	}
@@ -116,27 +116,27 @@
 
 // api answers a request of the application.
 func (s *server) api(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, body *pacedBody) {
-	c, rejection := s.receive(r, body)
+	received, rejection := s.receive(r, body)
 	if rejection != nil {
-		s.reject(w, c, rejection)
+		s.reject(w, received, rejection)
 		return
 	}
-	defer s.host.upstream.budget.release(c.reserved)
+	defer s.host.upstream.budget.release(received.reserved)
 	defer s.pending.Add(-1)
-	if c.rest == nil {
+	if received.rest == nil {
 		s.counts.open.Add(1)
 		defer s.counts.open.Add(-1)
 	}
-	a, ok := s.decide(r.Context(), c)
-	if c.rest != nil {
-		broken := c.rest.stop()
-		if c.rest.isComplete() {
+	final, ok := s.decide(r.Context(), received)
+	if received.rest != nil {
+		broken := received.rest.stop()
+		if received.rest.isComplete() {
 			defer s.counts.open.Add(-1)
 		} else {
 			w.Header().Set("Connection", "close")
 		}
 		if broken != nil {
-			s.reject(w, c, bodyError(broken))
+			s.reject(w, received, bodyError(broken))
 			return
 		}
 	}
@@ -144,9 +144,9 @@
 		return
 	}
 	s.askToClose(w) // again: the drain may have begun since
-	err := s.writeAnswer(w, r, conn, a)
-	s.countAnswer(c, a, err)
-	if err != nil && a.stream != nil {
+	err := s.writeAnswer(w, r, conn, final)
+	s.countAnswer(received, final, err)
+	if err != nil && final.stream != nil {
 		breakOff(r)
 	}
 }
@@ -208,22 +208,22 @@
 }
 
 // readBody reads a body as far as it is held. What is longer is left to arrive.
-func (s *server) readBody(c *call, r *http.Request, body *pacedBody) *requestError {
+func (s *server) readBody(received *call, r *http.Request, body *pacedBody) *requestError {
 	if r.ContentLength > maxBodyBytes {
 		return bodyError(new(http.MaxBytesError))
 	}
 	if r.ContentLength == 0 {
-		c.deadline = s.shutdown.bound(time.Now().Add(c.timeout))
+		received.deadline = s.shutdown.bound(time.Now().Add(received.timeout))
 		return nil
 	}
-	switch err := s.holdBody(c, body); {
+	switch err := s.holdBody(received, body); {
 	case err == nil:
-		c.length = r.ContentLength
-		c.rest = s.newUpload(c, body)
+		received.length = r.ContentLength
+		received.rest = s.newUpload(received, body)
 	case errors.Is(err, io.EOF):
-		c.deadline = s.shutdown.bound(time.Now().Add(c.timeout))
+		received.deadline = s.shutdown.bound(time.Now().Add(received.timeout))
 	default:
-		s.host.upstream.budget.release(c.reserved)
+		s.host.upstream.budget.release(received.reserved)
 		return bodyError(err)
 	}
 	return nil
@@ -234,13 +234,13 @@
 	chunk := chunks.Get().(*[chunkBytes]byte)
 	defer chunks.Put(chunk)
 	for {
-		n, err := body.Read(chunk[:min(chunkBytes, maxHeldBytes-len(c.body))])
+		n, err := body.Read(chunk[:min(chunkBytes, maxBufferedBytes-len(c.body))])
 		reserved := s.host.upstream.budget.reserve(n)
 		if reserved {
 			c.reserved += n
 		}
 		c.body = append(c.body, chunk[:n]...)
-		if err != nil || !reserved || len(c.body) == maxHeldBytes {
+		if err != nil || !reserved || len(c.body) == maxBufferedBytes {
 			return err
 		}
 	}
@@ -272,7 +272,7 @@
 	f.write(w)
 }
 
-// bodyError is the answer to a client whose body has not come whole.
+// bodyError is the answer to a client whose body has not arrived completely.
 func bodyError(err error) *requestError {
 	switch long := new(http.MaxBytesError); {
 	case errors.As(err, &long):
@@ -290,7 +290,7 @@
 	defer f.abandon()
 	stop := context.AfterFunc(r.Context(), f.abandon)
 	defer stop()
-	// Danger: a guessed type would be another answer than the server's.
+	// A guessed type would be another answer than the server's.
 	w.Header()["Content-Type"] = nil
 	if f.contentType != "" {
 		w.Header().Set("Content-Type", f.contentType)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -18,15 +18,15 @@
 func TestLateRequests(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	settings := strings.ReplaceAll(strings.ReplaceAll(testSettings, `"aim_s":20.0`, `"aim_s":0.5`), `"deadline_s":60.0`, `"deadline_s":0.5`)
-	p := startDraining(t, configText(startRegistry(t).address, serving(1, b), settings),
+	prog := startDraining(t, configText(startRegistry(t).address, serving(1, b), settings),
 		drainTimes{accept: time.Second, quietTime: 10 * time.Millisecond, closeIdle: patience, finish: patience})
 	const head = "X-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	begin := func(size int) net.Conn {
-		c, err := net.Dial("tcp", p.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", head, size, long[:size-1])
 		if size == 1 {
 			text = "POST /api HTTP/1.1\r\nHost: x\r\n"
@@ -45,18 +45,18 @@
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		if err != nil || resp.StatusCode != status || !resp.Close {
 			t.Errorf("%d bytes: answer %+v, error %v, want %d", size, resp, err, status)
 		}
 	}
-	sizes := []int{1, 100, 2 * maxHeldBytes} // in the head, in a body that is held, in one that flows
+	sizes := []int{1, 100, 2 * maxBufferedBytes} // in the head, in a body that is held, in one that flows
 	var inTime, late []net.Conn
 	for _, size := range sizes {
 		inTime, late = append(inTime, begin(size)), append(late, begin(size))
 	}
 	time.Sleep(50 * time.Millisecond)
-	p.stop()
+	prog.stop()
 	time.Sleep(10 * time.Millisecond) // if it has not heard by then, the test sees less
 	for i, size := range sizes {
 		finish(inTime[i], size, 200)
@@ -71,24 +71,24 @@
 	}
 }
 
-// TestFinalAnswerBeforeTheKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
+// TestFinalAnswerBeforeKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
 // final answer before the process would be killed, though it would wait for longer.
-func TestFinalAnswerBeforeTheKill(t *testing.T) {
-	l := &shutdownClock{}
-	l.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
+func TestFinalAnswerBeforeKill(t *testing.T) {
+	clock := &shutdownClock{}
+	clock.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
 	now := time.Now()
-	if end := now.Add(time.Hour); !l.bound(end).Equal(end) || l.isLate(now) {
+	if end := now.Add(time.Hour); !clock.bound(end).Equal(end) || clock.isLate(now) {
 		t.Error("a process that was not told to leave is in a hurry")
 	}
-	l.begin(now)
+	clock.begin(now)
 	kill := now.Add(maxLongestDeadline + killMargin)
-	if end := l.bound(now.Add(time.Hour)); !end.Before(kill) || end.Before(kill.Add(-time.Second)) {
+	if end := clock.bound(now.Add(time.Hour)); !end.Before(kill) || end.Before(kill.Add(-time.Second)) {
 		t.Errorf("the last answer is due %v before the kill", kill.Sub(end))
 	}
-	if end := now.Add(time.Second); !l.bound(end).Equal(end) {
+	if end := now.Add(time.Second); !clock.bound(end).Equal(end) {
 		t.Error("what is due early is moved")
 	}
-	if l.isLate(now.Add(time.Second)) || !l.isLate(kill.Add(-finalAnswerMargin)) {
+	if clock.isLate(now.Add(time.Second)) || !clock.isLate(kill.Add(-finalAnswerMargin)) {
 		t.Error("late at the wrong time")
 	}
 }
--- a/internal/sidecar/state/rolerules.go
+++ b/internal/sidecar/state/rolerules.go
@@ -95,8 +95,8 @@
 	case lease < MinRoleLease:
 		return refuse(Invalid, "a lease of %d ms is too short for the margin of %d ms that drift of clocks needs: %d at least", call.TTLMS,
 			RoleLeaseMargin(lease).Milliseconds(), MinRoleLease.Milliseconds())
-	case len(call.Location) > list.MostName || len(call.RoleLocation) > list.MostName:
-		return refuse(Invalid, "a room has %d bytes at most", list.MostName)
+	case len(call.Location) > list.MaxNameBytes || len(call.RoleLocation) > list.MaxNameBytes:
+		return refuse(Invalid, "a room has %d bytes at most", list.MaxNameBytes)
 	case call.Load < 0 || call.Load > maxLoad:
 		return refuse(Invalid, "a load of %d is not within 0 to %d", call.Load, maxLoad)
 	}
--- a/internal/sidecar/state/state.go
+++ b/internal/sidecar/state/state.go
@@ -5,7 +5,7 @@
 //
 // Terms: an entry is a server with its lease; the revision counts changes of the list; the history is the list's latest changes,
 // from which a watch resumes; a generation is a version of the route table; a role is work that one process does at a time
-// (docs/duties.md).
+// (docs/singleton-roles.md).
 //
 // Invariants: the revision only rises, by one with each change; a server has one entry; the history has no gap and reaches up to the
 // revision; a refused command changes nothing. The types routeHistory and roleTable state those of routes and roles.
@@ -173,8 +173,8 @@
 
 // foundCluster sets the id of the cluster, once: a later command keeps the first id and is no error.
 func (m *Machine) foundCluster(id string) *Error {
-	if id == "" || len(id) > list.MostName {
-		return refuse(Invalid, "a cluster needs an id of at most %d bytes", list.MostName)
+	if id == "" || len(id) > list.MaxNameBytes {
+		return refuse(Invalid, "a cluster needs an id of at most %d bytes", list.MaxNameBytes)
 	}
 	if m.cluster == "" {
 		m.cluster = id
@@ -183,7 +183,7 @@
 }
 
 func checkNodeName(n *Node) *Error {
-	if n == nil || n.Name == "" || len(n.Name) > list.MostName {
+	if n == nil || n.Name == "" || len(n.Name) > list.MaxNameBytes {
 		return refuse(Invalid, "a keeper needs a name")
 	}
 	return nil
--- a/internal/sidecar/state/state_model_test.go
+++ b/internal/sidecar/state/state_model_test.go
@@ -82,10 +82,10 @@
 		rm.recordChange(target, list.Serving, "")
 	case reason == DrainRequested:
 		target.State = list.Draining
-		if old.Changed(target) {
+		if old.Differs(target) {
 			rm.recordChange(target, list.Draining, DrainRequested)
 		}
-	case old.Changed(target):
+	case old.Differs(target):
 		rm.recordChange(target, list.Serving, "")
 	}
 	return true
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -14,6 +14,7 @@
 	"path/filepath"
 	"regexp"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -25,20 +26,24 @@
 
 // TestMain lets a test start this binary as a sidecar.
 func TestMain(m *testing.M) {
-	if os.Getenv("TEST_AS_SIDECAR") != "" {
-		stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-		defer cancel()
-		c, err := LoadConfig(os.Getenv)
-		if err == nil {
-			err = Run(stop, c, slog.New(slog.NewTextHandler(os.Stderr, nil)), nil, nil)
-		}
-		if err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(1)
-		}
-		os.Exit(0)
+	if os.Getenv("TEST_AS_SIDECAR") == "" {
+		os.Exit(m.Run())
 	}
-	os.Exit(m.Run())
+	if err := runAsSidecar(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	os.Exit(0)
+}
+
+func runAsSidecar() error {
+	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
+	defer cancel()
+	config, err := LoadConfig(os.Getenv)
+	if err != nil {
+		return err
+	}
+	return Run(stop, config, slog.New(slog.NewTextHandler(os.Stderr, nil)), nil, nil)
 }
 
 // platform holds the clients' listening socket, and starts processes that inherit it.
@@ -57,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { socket.Close() })
+	t.Cleanup(func() { _ = socket.Close() })
 	dir := t.TempDir()
 	file := filepath.Join(dir, "config.json")
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
@@ -78,32 +83,32 @@
 // start starts one more process and waits until it says yes.
 func (f *platform) start() *child {
 	f.t.Helper()
-	s := &child{t: f.t, control: freeAddress(f.t), process: exec.Command(os.Args[0]), ended: make(chan error, 1)}
-	s.process.Env = append(f.env, "PROXY_CONTROL="+s.control)
-	s.process.ExtraFiles = []*os.File{f.socket}
+	started := &child{t: f.t, control: freeAddress(f.t), process: exec.CommandContext(context.WithoutCancel(f.t.Context()), os.Args[0]), ended: make(chan error, 1)}
+	started.process.Env = append(slices.Clone(f.env), "PROXY_CONTROL="+started.control)
+	started.process.ExtraFiles = []*os.File{f.socket}
 	var text strings.Builder
-	s.process.Stderr = &text
-	if err := s.process.Start(); err != nil {
+	started.process.Stderr = &text
+	if err := started.process.Start(); err != nil {
 		f.t.Fatal(err)
 	}
 	var over sync.WaitGroup
 	over.Add(1)
 	go func() {
 		defer over.Done()
-		s.ended <- s.process.Wait()
+		started.ended <- started.process.Wait()
 	}()
 	f.t.Cleanup(func() {
-		_ = s.process.Process.Kill()
+		_ = started.process.Process.Kill()
 		over.Wait()
 		if f.t.Failed() {
 			f.t.Logf("a process said:\n%s", text.String())
 		}
 	})
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		if c, err := net.Dial("tcp", s.control); err == nil {
-			c.Close()
-			if strings.HasPrefix(s.call("PING"), "ok ") {
-				return s
+		if c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", started.control); err == nil {
+			_ = c.Close()
+			if strings.HasPrefix(started.call("PING"), "ok ") {
+				return started
 			}
 		}
 		if time.Now().After(end) {
@@ -135,8 +140,8 @@
 	if err != nil {
 		return false, err
 	}
-	defer resp.Body.Close()
-	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != "ok" {
+	defer func() { _ = resp.Body.Close() }()
+	if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != http.StatusOK || string(body) != "ok" {
 		return false, fmt.Errorf("status %d, body %q, error %w", resp.StatusCode, body, err)
 	}
 	return resp.Close, nil
@@ -146,12 +151,12 @@
 func (f *platform) askUntil(done func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(patience); ; {
-		c, err := net.Dial("tcp", f.address)
+		c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", f.address)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		_, err = f.ask(c, bufio.NewReader(c))
-		c.Close()
+		_ = c.Close()
 		if err == nil && done() {
 			return
 		}
@@ -161,6 +166,37 @@
 	}
 }
 
+// askOnConnections sends requests until stop is closed, on one connection as long as it is kept or on one each.
+func (f *platform) askOnConnections(t *testing.T, stop <-chan bool, reuse bool) {
+	t.Helper()
+	var conn net.Conn
+	var reader *bufio.Reader
+	for {
+		select {
+		case <-stop:
+			return
+		default:
+		}
+		if conn == nil {
+			var err error
+			if conn, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address); err != nil {
+				t.Errorf("no connection: %v", err)
+				return
+			}
+			reader = bufio.NewReader(conn)
+		}
+		closing, err := f.ask(conn, reader)
+		if err != nil {
+			t.Errorf("a request failed: %v", err)
+			return
+		}
+		if closing || !reuse {
+			_ = conn.Close()
+			conn = nil
+		}
+	}
+}
+
 // TestUpgrade has clients go on asking, on kept connections and on new ones, while one process takes over from another,
 // three times: none is turned away.
 func TestUpgrade(t *testing.T) {
@@ -169,37 +205,8 @@
 	old := f.start()
 	stop := make(chan bool)
 	var clients sync.WaitGroup
-	for kept := range 4 {
-		clients.Add(1)
-		go func() {
-			defer clients.Done()
-			var c net.Conn
-			var in *bufio.Reader
-			for {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				if c == nil {
-					var err error
-					if c, err = net.Dial("tcp", f.address); err != nil {
-						t.Errorf("no connection: %v", err)
-						return
-					}
-					in = bufio.NewReader(c)
-				}
-				closing, err := f.ask(c, in)
-				if err != nil {
-					t.Errorf("a request failed: %v", err)
-					return
-				}
-				if closing || kept == 0 {
-					c.Close()
-					c = nil
-				}
-			}
-		}()
+	for i := range 4 {
+		clients.Go(func() { f.askOnConnections(t, stop, i > 0) })
 	}
 	for range 3 {
 		next := f.start()
@@ -210,15 +217,15 @@
 	clients.Wait()
 }
 
-// TestLeaveUnaccepted has a process leave while a connection waits in the backlog: it is left to the other process.
-func TestLeaveUnaccepted(t *testing.T) {
+// TestShutdownLeavesBacklog has a process leave while a connection waits in the backlog: it is left to the other process.
+func TestShutdownLeavesBacklog(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
 	l := &drainListener{TCPListener: inner, quietTime: patience}
-	c, err := net.Dial("tcp", inner.Addr().String())
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := l.stopNow(); err != nil {
 		t.Fatal(err)
 	}
@@ -227,10 +234,10 @@
 	}
 }
 
-// TestLeaveBlocked has a process wait for a connection in the kernel, as the platform has made the shared socket one that blocks,
+// TestShutdownWhileBlocked has a process wait for a connection in the kernel, as the platform has made the shared socket one that blocks,
 // and leave then.
-func TestLeaveBlocked(t *testing.T) {
-	c, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
+func TestShutdownWhileBlocked(t *testing.T) {
+	conn, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -239,18 +246,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer socket.Close()
-	if c.InheritedFD, err = syscall.Dup(int(socket.Fd())); err != nil {
+	defer func() { _ = socket.Close() }()
+	if conn.InheritedFD, err = syscall.Dup(int(socket.Fd())); err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, &logText{}, drainTimes{quietTime: time.Millisecond, finish: patience})
+	prog := startLogging(t, conn, &logText{}, drainTimes{quietTime: time.Millisecond, finish: patience})
 	// As os/exec does, which hands descriptors on.
 	if flags, err := unix.FcntlInt(socket.Fd(), unix.F_GETFL, 0); err != nil || flags&unix.O_NONBLOCK != 0 {
 		t.Fatalf("asking for the descriptor has not made the socket block: flags %#x, error %v", flags, err)
 	}
 	dial := func() {
-		if c, err := net.Dial("tcp", shared.Addr().String()); err == nil {
-			c.Close()
+		if conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", shared.Addr().String()); err == nil {
+			_ = conn.Close()
 		}
 	}
 	defer dial() // so that nothing waits on, even if it did not leave
@@ -262,24 +269,24 @@
 			t.Fatal("nobody waits in the kernel")
 		}
 	}
-	p.stop()
-	if err := within(t, p.ended, "end"); err != nil {
+	prog.stop()
+	if err := within(t, prog.ended, "end"); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestLeavingClosesIdle has connections idle, or wait in the middle of a head, while a process leaves: the one in the
+// TestShutdownClosesIdle has connections idle, or wait in the middle of a head, while a process leaves: the one in the
 // middle is served, the others end.
-func TestLeavingClosesIdle(t *testing.T) {
+func TestShutdownClosesIdle(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	s := f.start()
+	leaving := f.start()
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", f.address)
+		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
 	silent, idle, slow := dial(), dial(), dial()
@@ -293,16 +300,16 @@
 	}
 	time.Sleep(100 * time.Millisecond) // it is read by then; if not, the test sees less
 	left := make(chan bool)
-	go func() { s.leave(); close(left) }()
+	go func() { leaving.leave(); close(left) }()
 	for _, c := range []net.Conn{silent, idle} {
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := c.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the connection's own error, not one that wraps it
 			t.Errorf("an idle connection ended with %v", err)
 		}
 	}
 	if _, err := io.WriteString(slow, "rity-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: 2\r\n\r\nhi"); err != nil {
 		t.Fatal(err)
 	}
-	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
+	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != http.StatusOK || !resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		t.Errorf("answer %+v, error %v to a request that had begun", resp, err)
 	}
 	within(t, left, "end")
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -51,28 +51,28 @@
 		{"late", say(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
 		{"unavailable, may have run", say(503, "", ""), balance.Errored},
 		{"error that claims not to have run", say(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
-		{"too long", say(200, "", strings.Repeat("x", maxHeldBytes+1)), balance.Errored},
+		{"too long", say(200, "", strings.Repeat("x", maxBufferedBytes+1)), balance.Errored},
 		{"reset", hangUp, balance.Reset},
 		{"end", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
-		{"no HTTP", func(c net.Conn, _ *http.Request, _ []byte) bool { fmt.Fprint(c, "what\r\n\r\n"); return false }, balance.Reset},
+		{"no HTTP", func(c net.Conn, _ *http.Request, _ []byte) bool { _, _ = fmt.Fprint(c, "what\r\n\r\n"); return false }, balance.Reset},
 		{"half a body", func(c net.Conn, _ *http.Request, _ []byte) bool {
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			return false
 		}, balance.Reset},
 		{"half a chunked body", func(c net.Conn, _ *http.Request, _ []byte) bool {
-			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
+			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 			return false
 		}, balance.Reset},
 	}
-	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) {
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
 			for _, m := range []*message{get(), post(""), post("k")} {
-				b := startBackend(t, tt.do)
+				b := startBackend(t, test.do)
 				r := to(t, b).attempt(context.Background(), "s-0", m, nil)
-				if r.outcome != tt.want {
-					t.Errorf("%s with key %q: outcome %d, want %d", m.method, m.key, r.outcome, tt.want)
+				if r.outcome != test.want {
+					t.Errorf("%s with key %q: outcome %d, want %d", m.method, m.key, r.outcome, test.want)
 				}
-				if tt.name == "served" && string(r.body) != "slot" {
+				if test.name == "served" && string(r.body) != "slot" {
 					t.Errorf("body %q", r.body)
 				}
 				if n := b.count(); n != 1 {
@@ -92,8 +92,8 @@
 		"101 X\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n":            balance.Errored,
 	} {
 		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-			fmt.Fprint(c, "HTTP/1.1 "+text)
-			return silent(c, r, body)
+			_, _ = fmt.Fprint(c, "HTTP/1.1 "+text)
+			return neverAnswer(c, r, body)
 		})
 		ended := make(chan reply, 1)
 		go func() { ended <- to(t, b).attempt(context.Background(), "s-0", post(""), nil) }()
@@ -104,15 +104,15 @@
 }
 
 func TestNeverRan(t *testing.T) {
-	b := startBackend(t, silent)
-	u := to(t, b)
+	b := startBackend(t, neverAnswer)
+	connections := to(t, b)
 	gone := listen(t)
 	closed := entry("s-1", gone.Addr().String(), "SERVING", 0)
-	gone.Close()
-	u.update(list(t, listText(2, false, closed)))
+	_ = gone.Close()
+	connections.update(list(t, listText(2, false, closed)))
 	over, cancel := context.WithCancel(context.Background())
 	cancel()
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		name, to string
 		ctx      context.Context
 		want     balance.Outcome
@@ -121,8 +121,8 @@
 		{"unknown server", "s-9", context.Background(), balance.NotSent},
 		{"called off before", "s-0", over, balance.NotSent},
 	} {
-		if r := u.attempt(tt.ctx, tt.to, post(""), nil); r.outcome != tt.want {
-			t.Errorf("%s: outcome %d, want %d", tt.name, r.outcome, tt.want)
+		if r := connections.attempt(test.ctx, test.to, post(""), nil); r.outcome != test.want {
+			t.Errorf("%s: outcome %d, want %d", test.name, r.outcome, test.want)
 		}
 	}
 	if n := b.count(); n != 0 {
@@ -153,8 +153,8 @@
 	}
 }
 
-func TestSilence(t *testing.T) {
-	b := startBackend(t, silent)
+func TestAnswerTimeout(t *testing.T) {
+	b := startBackend(t, neverAnswer)
 	u := to(t, b)
 	late := newEndable()
 	ended := make(chan reply, 1)
@@ -164,7 +164,7 @@
 	if r := within(t, ended, "end"); r.outcome != balance.TimedOut {
 		t.Errorf("outcome %d, want a time-out", r.outcome)
 	}
-	b = startBackend(t, silent)
+	b = startBackend(t, neverAnswer)
 	u = to(t, b)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { ended <- u.attempt(ctx, "s-0", post(""), nil) }()
@@ -178,7 +178,7 @@
 // TestStaleConnection has a server answer once and then reset the connection on the next request. The transport
 // would send GETs and keyed requests again by itself.
 func TestStaleConnection(t *testing.T) {
-	for _, m := range []*message{get(), post(""), post("k")} {
+	for _, sent := range []*message{get(), post(""), post("k")} {
 		first := true
 		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if first {
@@ -188,14 +188,14 @@
 			return hangUp(c, r, body)
 		})
 		u := to(t, b)
-		if r := u.attempt(context.Background(), "s-0", m, nil); r.outcome != balance.Served {
+		if r := u.attempt(context.Background(), "s-0", sent, nil); r.outcome != balance.Served {
 			t.Fatalf("first outcome %d", r.outcome)
 		}
-		if r := u.attempt(context.Background(), "s-0", m, nil); r.outcome != balance.Reset {
-			t.Errorf("%s with key %q: outcome %d, want a reset", m.method, m.key, r.outcome)
+		if r := u.attempt(context.Background(), "s-0", sent, nil); r.outcome != balance.Reset {
+			t.Errorf("%s with key %q: outcome %d, want a reset", sent.method, sent.key, r.outcome)
 		}
 		if n := b.count(); n != 2 {
-			t.Errorf("%s with key %q: %d requests for two attempts", m.method, m.key, n)
+			t.Errorf("%s with key %q: %d requests for two attempts", sent.method, sent.key, n)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	defer cancel()
 	to(t, b).attempt(ctx, "s-0", post("k-7"), nil)
 	r := within(t, b.came, "request")
-	if r.Method != "POST" || r.RequestURI != "/api?k=a%20b" || r.Header.Get("X-Request-ID") != "id-1" ||
+	if r.Method != http.MethodPost || r.RequestURI != "/api?k=a%20b" || r.Header.Get("X-Request-ID") != "id-1" ||
 		r.Header.Get("Idempotency-Key") != "k-7" || r.Header.Get("Accept-Encoding") != "" || r.ContentLength != 4 {
 		t.Errorf("got %+v", r)
 	}
@@ -230,27 +230,27 @@
 		conns <- c
 		return say(200, "", "")(c, r, body)
 	})
-	u := to(t, b)
+	connections := to(t, b)
 	ask := func() net.Conn {
-		if r := u.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.Served {
+		if r := connections.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.Served {
 			t.Fatalf("outcome %d", r.outcome)
 		}
 		return within(t, conns, "connection")
 	}
 	first := ask()
-	u.update(list(t, listText(2, false, entry("s-0", b.address, "DRAINING", 0))))
+	connections.update(list(t, listText(2, false, entry("s-0", b.address, "DRAINING", 0))))
 	if ask() != first {
 		t.Error("a change of state cost the connection")
 	}
-	u.update(list(t, listText(3, false, entry("s-0", b.address, "SERVING", 1700000000000))))
+	connections.update(list(t, listText(3, false, entry("s-0", b.address, "SERVING", 1700000000000))))
 	if ask() == first {
 		t.Error("a request went to the former process's connection")
 	}
-	u.update(list(t, listText(4, false, entry("s-0", b.address, "DELETED", 0))))
-	if r := u.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.NotSent {
+	connections.update(list(t, listText(4, false, entry("s-0", b.address, "DELETED", 0))))
+	if r := connections.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.NotSent {
 		t.Errorf("outcome %d at a removed server", r.outcome)
 	}
-	u.update(list(t, listText(5, false, entry("s-0", b.address, "SERVING", 0))))
+	connections.update(list(t, listText(5, false, entry("s-0", b.address, "SERVING", 0))))
 	ask()
 }
 
@@ -258,11 +258,11 @@
 // used again.
 func TestOneBrokenConnection(t *testing.T) {
 	half := func(c net.Conn, _ *http.Request, _ []byte) bool {
-		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 		return false
 	}
 	for name, fault := range map[string]func(net.Conn, *http.Request, []byte) bool{"just used": hangUp, "half an answer": half,
-		"passed by an answer": silent} {
+		"passed by an answer": neverAnswer} {
 		t.Run(name, func(t *testing.T) {
 			type exchange struct {
 				conn  net.Conn
@@ -319,17 +319,17 @@
 			conns <- c
 			switch <-verdict {
 			case "silent":
-				return silent(c, r, body)
+				return neverAnswer(c, r, body)
 			case "reset":
 				return hangUp(c, r, body)
 			}
 			return say(200, "", "")(c, r, body)
 		})
-		u := to(t, b)
-		u.minOutage = 0
+		connections := to(t, b)
+		connections.minOutage = 0
 		ended := make(chan reply, 2)
 		for range 2 {
-			go func() { ended <- u.attempt(context.Background(), "s-0", get(), nil) }()
+			go func() { ended <- connections.attempt(context.Background(), "s-0", get(), nil) }()
 		}
 		old := map[net.Conn]bool{within(t, conns, "connection"): true, within(t, conns, "connection"): true}
 		for range 2 {
@@ -337,7 +337,7 @@
 			within(t, ended, "end")
 		}
 		ctx, want := newEndable(), balance.Reset
-		go func() { ended <- u.attempt(ctx, "s-0", get(), nil) }()
+		go func() { ended <- connections.attempt(ctx, "s-0", get(), nil) }()
 		if c := within(t, conns, "connection"); !old[c] {
 			t.Fatal("the request did not reuse a connection")
 		}
@@ -351,7 +351,7 @@
 		if r := within(t, ended, "end"); r.outcome != want {
 			t.Errorf("outcome %d, want %d", r.outcome, want)
 		}
-		go func() { ended <- u.attempt(context.Background(), "s-0", get(), nil) }()
+		go func() { ended <- connections.attempt(context.Background(), "s-0", get(), nil) }()
 		if c := within(t, conns, "connection"); old[c] {
 			t.Error("a request went to an idle connection of a server that failed")
 		}
