--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -151,7 +151,7 @@
 	paths := []testcluster.Path{{From: proxy, To: testcluster.ControlPlaneName(other)}, {From: testcluster.ProxyName(other), To: proxy}, {From: keeper, To: testcluster.ListEnd},
 		{From: keeper, To: testcluster.ControlPlaneName(other)}, {From: testcluster.ProxyName(other), To: keeper}, {From: testcluster.ControlPlaneName(other), To: testcluster.ListEnd},
 		{To: server}, {To: "127.0.2.2:0"}, {From: proxy, To: server}, {From: proxy, To: "127.0.2.2:0"}, {From: testcluster.ProxyName(other), To: server}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		kind          Kind
 		target        string
 		servers       []string
@@ -162,7 +162,7 @@
 		{PartitionServer, server, nil, nil, []int{6, 8, 10}}, {PartitionFromServers, ip, []string{server}, []int{8}, nil},
 		{PartitionFromServers, ip, []string{server, "127.0.2.2:0"}, []int{8, 9}, nil}, {PartitionFromServers, ip, nil, nil, nil},
 	} {
-		calls, called := Fault{Kind: c.kind, Target: c.target, Servers: c.servers}.matchPaths()
+		calls, called := Fault{Kind: test.kind, Target: test.target, Servers: test.servers}.matchPaths()
 		var got, gotCalled []int
 		for i, p := range paths {
 			if calls(p) {
@@ -172,11 +172,11 @@
 				gotCalled = append(gotCalled, i)
 			}
 		}
-		if !slices.Equal(got, c.calls) || !slices.Equal(gotCalled, c.called) {
-			t.Errorf("%s: calls %v, called %v", c.kind, got, gotCalled)
+		if !slices.Equal(got, test.calls) || !slices.Equal(gotCalled, test.called) {
+			t.Errorf("%s: calls %v, called %v", test.kind, got, gotCalled)
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		one     Fault
 		out, in link.State
 	}{
@@ -186,8 +186,8 @@
 		{Fault{Kind: PartitionFromServers, Direction: Outbound}, link.State{Hold: [2]bool{link.ToFar: true}}, link.State{Hold: [2]bool{link.ToNear: true}}},
 		{Fault{Kind: SlowProxy, Delay: 5, Jitter: 2}, link.State{Delay: 5, Jitter: 2}, link.State{Delay: 5, Jitter: 2}},
 	} {
-		if out, in := c.one.linkStates(); out != c.out || in != c.in {
-			t.Errorf("%v: out %+v, in %+v", c.one, out, in)
+		if out, in := test.one.linkStates(); out != test.out || in != test.in {
+			t.Errorf("%v: out %+v, in %+v", test.one, out, in)
 		}
 	}
 }
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -23,7 +23,7 @@
 
 // TestEvaluateNamesFailures: each kind of fault ends a seed as broken, under its name. Danger: one that is seen and not told.
 func TestEvaluateNamesFailures(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		report testcluster.Report
 		player func(p *player)
@@ -37,18 +37,18 @@
 		{name: "RECOVER", player: func(p *player) { p.recordFailure("RECOVER", "not\nserved") }},
 	} {
 		p := judged()
-		if c.player != nil {
-			c.player(p)
+		if test.player != nil {
+			test.player(p)
 		}
-		r := p.evaluate(&c.report)
-		if r.Passed() != (c.name == "") || c.name != "" && (len(r.Broken) != 1 || !strings.HasPrefix(r.Broken[0], c.name+": ") || strings.Contains(r.Broken[0], "\n")) {
-			t.Errorf("%s: %q", c.name, r.Broken)
+		r := p.evaluate(&test.report)
+		if r.Passed() != (test.name == "") || test.name != "" && (len(r.Broken) != 1 || !strings.HasPrefix(r.Broken[0], test.name+": ") || strings.Contains(r.Broken[0], "\n")) {
+			t.Errorf("%s: %q", test.name, r.Broken)
 		}
 		if word := " held "; strings.Contains(r.String(), word) != r.Passed() {
-			t.Errorf("%s: %s", c.name, r)
+			t.Errorf("%s: %s", test.name, r)
 		}
 		if line, err := json.Marshal(r); err != nil || !strings.Contains(string(line), `"seed":7`) || strings.Contains(string(line), "null") {
-			t.Errorf("%s: %s, %v", c.name, line, err)
+			t.Errorf("%s: %s, %v", test.name, line, err)
 		}
 	}
 }
@@ -72,14 +72,14 @@
 // TestCheckSettled: a seed is not over while no control-plane node is current, or while an evacuation is held that was taken back.
 func TestCheckSettled(t *testing.T) {
 	var status admin.NodeStatus
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if err := json.NewEncoder(w).Encode(status); err != nil {
 			t.Error(err)
 		}
 	}))
-	defer s.Close()
+	defer server.Close()
 	w := &invariantMonitor{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
-	keepers := []string{s.Listener.Addr().String()}
+	keepers := []string{server.Listener.Addr().String()}
 	for _, c := range []struct {
 		status admin.NodeStatus
 		good   bool
@@ -93,7 +93,7 @@
 			t.Errorf("%+v: %v", c.status, err)
 		}
 	}
-	s.Close()
+	server.Close()
 	if err := w.checkSettled(t.Context(), keepers); err == nil {
 		t.Error("no keeper answers, and that is taken for settled")
 	}
--- a/internal/lab/soak/watch_test.go
+++ b/internal/lab/soak/watch_test.go
@@ -20,7 +20,7 @@
 	defer s.Close()
 	w := &invariantMonitor{}
 	addresses := map[string]string{"proxy-a": s.Listener.Addr().String(), "proxy-b": "127.0.0.1:1"}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		answer string
 		lines  []string
 	}{
@@ -32,10 +32,10 @@
 		{`{"version":1}`, []string{"VIOLATION: more than the pace at proxy-a, 1 times", "VIOLATION: warm too early at proxy-a, 3 times"}},
 		{`not JSON`, []string{"VIOLATION: more than the pace at proxy-a, 1 times", "VIOLATION: warm too early at proxy-a, 3 times"}},
 	} {
-		answer = c.answer
+		answer = test.answer
 		w.pollAll(t.Context(), addresses)
-		if got := w.lines(); !slices.Equal(got, c.lines) {
-			t.Errorf("after %s: %q", c.answer, got)
+		if got := w.lines(); !slices.Equal(got, test.lines) {
+			t.Errorf("after %s: %q", test.answer, got)
 		}
 	}
 	if w.polls != 5 {
--- a/internal/lab/testcluster/client_pool_test.go
+++ b/internal/lab/testcluster/client_pool_test.go
@@ -15,7 +15,7 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-func TestNearer(t *testing.T) {
+func TestSortByDistance(t *testing.T) {
 	all := []Directory{{"far", "s-a", "s"}, {"region", "n-b", "n"}, {"zone", "n-a", "n"}, {"far2", "s-a", "s"}}
 	var got []string
 	for _, d := range sortByDistance(all, "n-a", "n") {
@@ -46,7 +46,7 @@
 // TestResolve: PROTOCOL.md "Ingress": three directories at most, a second for each; an answer without addresses or time fails.
 func TestResolve(t *testing.T) {
 	const good = `{"addresses":["10.1.0.13:8161"],"ttl_s":2}`
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		bodies map[string]string
 		ttl    time.Duration
@@ -60,44 +60,44 @@
 		{"no time", map[string]string{"d1": `{"addresses":["a"]}`, "d2": good}, 2 * time.Second, 2, 0},
 		{"no JSON", map[string]string{"d1": `oops`, "d2": good}, 2 * time.Second, 2, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &directories{bodies: c.bodies}
-				e := &clientPool{resolver: resolver{"h", "n-a", "n", &http.Client{Transport: d}}, resolvedOnce: make(chan struct{}),
+				d := &directories{bodies: test.bodies}
+				pool := &clientPool{resolver: resolver{"h", "n-a", "n", &http.Client{Transport: d}}, resolvedOnce: make(chan struct{}),
 					directories: []Directory{{Address: "d1"}, {Address: "d2"}, {Address: "d3"}, {Address: "d4"}}}
 				start := time.Now()
-				ttl := e.resolve(t.Context())
-				if ttl != c.ttl || len(d.asked) != c.asked || time.Since(start) != c.took {
+				ttl := pool.resolve(t.Context())
+				if ttl != test.ttl || len(d.asked) != test.asked || time.Since(start) != test.took {
 					t.Errorf("%v after %v, asked %v", ttl, time.Since(start), d.asked)
 				}
 				if d.asked[0] != "d1?name=h&region=n&zone=n-a" {
 					t.Errorf("asked %s", d.asked[0])
 				}
 				if ttl == 0 {
-					if e.directories[0].Address != "d4" {
-						t.Errorf("the fourth does not get its turn: %v", e.directories)
+					if pool.directories[0].Address != "d4" {
+						t.Errorf("the fourth does not get its turn: %v", pool.directories)
 					}
 					return
 				}
-				<-e.resolvedOnce
+				<-pool.resolvedOnce
 			})
 		})
 	}
 }
 
-// TestPick: addresses that failed are not drawn again before the next answer, unless all have.
-func TestPick(t *testing.T) {
-	e := &clientPool{rng: rand.New(rand.NewPCG(1, 1)), resolvedOnce: make(chan struct{})}
-	if _, ok := e.pickAddress(); ok {
+// TestPickAddress: addresses that failed are not drawn again before the next answer, unless all have.
+func TestPickAddress(t *testing.T) {
+	pool := &clientPool{rng: rand.New(rand.NewPCG(1, 1)), resolvedOnce: make(chan struct{})}
+	if _, ok := pool.pickAddress(); ok {
 		t.Error("there is an address before any answer")
 	}
-	e.applyAddresses([]string{"a", "b", "c"})
-	e.markFailed("a")
-	e.markFailed("c")
+	pool.applyAddresses([]string{"a", "b", "c"})
+	pool.markFailed("a")
+	pool.markFailed("c")
 	drawn := func() string {
 		seen := map[string]bool{}
 		for range 100 {
-			a, _ := e.pickAddress()
+			a, _ := pool.pickAddress()
 			seen[a] = true
 		}
 		return fmt.Sprint(len(seen), seen["b"])
@@ -105,60 +105,60 @@
 	if got := drawn(); got != "1 true" {
 		t.Error(got)
 	}
-	e.markFailed("b")
+	pool.markFailed("b")
 	if got := drawn(); got != "3 true" {
 		t.Error(got)
 	}
-	e.applyAddresses([]string{"a", "b"})
+	pool.applyAddresses([]string{"a", "b"})
 	if got := drawn(); got != "2 true" {
 		t.Error(got)
 	}
 }
 
-// TestEnds: what the end of a connection tells of the request. Danger: one that was read is taken for one that was not.
-func TestEnds(t *testing.T) {
-	for _, c := range []struct {
+// TestClassifyEnd: what the end of a connection tells of the request. Danger: one that was read is taken for one that was not.
+func TestClassifyEnd(t *testing.T) {
+	for _, test := range []struct {
 		name string
 		peer func(net.Conn)
 		want rules.Outcome
 	}{
-		{"read, then closed", func(c net.Conn) { readHead(c) }, rules.Truncated},
-		{"closed unread", func(c net.Conn) { _, _ = c.Read(make([]byte, 1)) }, rules.ClosedUnread}, // the rest lies in the socket
-		{"cut amid the answer", func(c net.Conn) {
-			readHead(c)
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab")
+		{"read, then closed", func(test net.Conn) { readHead(test) }, rules.Truncated},
+		{"closed unread", func(test net.Conn) { _, _ = test.Read(make([]byte, 1)) }, rules.ClosedUnread}, // the rest lies in the socket
+		{"cut amid the answer", func(test net.Conn) {
+			readHead(test)
+			_, _ = io.WriteString(test, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab")
 		}, rules.Truncated},
-		{"cut amid the head", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nCont") }, rules.Truncated},
-		{"a malformed head", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nCont\r\n\r\n") }, rules.Malformed},
-		{"no answer", func(c net.Conn) { readHead(c); _, _ = io.WriteString(c, "oops, this is not HTTP\r\n\r\n") }, rules.Malformed},
-		{"answered", func(c net.Conn) {
-			readHead(c)
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab")
+		{"cut amid the head", func(test net.Conn) { readHead(test); _, _ = io.WriteString(test, "HTTP/1.1 200 OK\r\nCont") }, rules.Truncated},
+		{"a malformed head", func(test net.Conn) { readHead(test); _, _ = io.WriteString(test, "HTTP/1.1 200 OK\r\nCont\r\n\r\n") }, rules.Malformed},
+		{"no answer", func(test net.Conn) { readHead(test); _, _ = io.WriteString(test, "oops, this is not HTTP\r\n\r\n") }, rules.Malformed},
+		{"answered", func(test net.Conn) {
+			readHead(test)
+			_, _ = io.WriteString(test, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab")
 		}, rules.Answered},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
+		t.Run(test.name, func(t *testing.T) {
+			listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = l.Close() }()
+			defer func() { _ = listener.Close() }()
 			go func() {
-				peer, err := l.Accept()
+				peer, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				c.peer(peer)
+				test.peer(peer)
 				_ = peer.Close()
 			}()
-			client, err := dial(t.Context(), l.Addr().String())
+			client, err := dial(t.Context(), listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = client.tcp.Close() }()
 			try := &rules.Attempt{ID: "one", Method: "POST", Path: "/", Host: "h"}
 			client.exchange(&attemptSpec{attempt: try, deadline: time.Now().Add(10 * time.Second)}, func() time.Duration { return 0 })
-			if try.Outcome != c.want {
-				t.Errorf("%v, want %v", try.Outcome, c.want)
+			if try.Outcome != test.want {
+				t.Errorf("%v, want %v", try.Outcome, test.want)
 			}
 		})
 	}
--- a/internal/lab/testcluster/engine/engine_test.go
+++ b/internal/lab/testcluster/engine/engine_test.go
@@ -13,28 +13,28 @@
 // TestConformance plays tables taken from PROTOCOL.md "Requests" in virtual time.
 func TestConformance(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var e *Engine
+		var server *Engine
 		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string {
 			if data.Cmd == "server" {
-				s := Spec{Slots: 2, Queue: 2, MemoryTokens: 1000, Stride: 2, Step: time.Millisecond, PrefillRate: 100, Chunk: 100}
+				spec := Spec{Slots: 2, Queue: 2, MemoryTokens: 1000, Stride: 2, Step: time.Millisecond, PrefillRate: 100, Chunk: 100}
 				for _, a := range data.CmdArgs {
 					switch a.Key {
 					case "slots":
-						data.ScanArgs(t, a.Key, &s.Slots)
+						data.ScanArgs(t, a.Key, &spec.Slots)
 					case "queue":
-						data.ScanArgs(t, a.Key, &s.Queue)
+						data.ScanArgs(t, a.Key, &spec.Queue)
 					case "memory":
-						data.ScanArgs(t, a.Key, &s.MemoryTokens)
+						data.ScanArgs(t, a.Key, &spec.MemoryTokens)
 					case "stride":
-						data.ScanArgs(t, a.Key, &s.Stride)
+						data.ScanArgs(t, a.Key, &spec.Stride)
 					case "chunk":
-						data.ScanArgs(t, a.Key, &s.Chunk)
+						data.ScanArgs(t, a.Key, &spec.Chunk)
 					}
 				}
-				e = New(s, 0)
+				server = New(spec, 0)
 				return ""
 			}
-			return play(t, e, data)
+			return play(t, server, data)
 		})
 	})
 }
@@ -207,15 +207,15 @@
 }
 
 func (h *history) invariants() {
-	e := h.e
-	if len(e.running) > e.Slots {
-		h.Fatalf("%d run in %d slots", len(e.running), e.Slots)
+	engine := h.e
+	if len(engine.running) > engine.Slots {
+		h.Fatalf("%d run in %d slots", len(engine.running), engine.Slots)
 	}
-	if used, idle := e.memory(); used < 0 || idle < 0 || used+idle > e.MemoryTokens {
-		h.Fatalf("%d in use and %d idle of %d tokens", used, idle, e.MemoryTokens)
+	if used, idle := engine.memory(); used < 0 || idle < 0 || used+idle > engine.MemoryTokens {
+		h.Fatalf("%d in use and %d idle of %d tokens", used, idle, engine.MemoryTokens)
 	}
 	var own, held, idle int64
-	for _, j := range e.running {
+	for _, j := range engine.running {
 		own += j.ownTokens
 	}
 	counted := map[*cachedPart]bool{}
@@ -228,15 +228,15 @@
 			}
 		}
 	}
-	for _, p := range e.cache.parts {
+	for _, p := range engine.cache.parts {
 		count(p)
 	}
-	for _, j := range e.running {
+	for _, j := range engine.running {
 		for _, p := range j.pinned {
 			count(p)
 		}
 	}
-	if own != e.ownTokens || held != e.cache.cachedTokens || idle != e.cache.idleTokens {
-		h.Fatalf("own %d counted as %d, kept %d as %d, idle %d as %d", own, e.ownTokens, held, e.cache.cachedTokens, idle, e.cache.idleTokens)
+	if own != engine.ownTokens || held != engine.cache.cachedTokens || idle != engine.cache.idleTokens {
+		h.Fatalf("own %d counted as %d, kept %d as %d, idle %d as %d", own, engine.ownTokens, held, engine.cache.cachedTokens, idle, engine.cache.idleTokens)
 	}
 }
--- a/internal/lab/testcluster/faulty_proxy_test.go
+++ b/internal/lab/testcluster/faulty_proxy_test.go
@@ -98,9 +98,9 @@
 	scene := SmallScenario(1)
 	scene.Bounds.Drain, scene.Bounds.Evacuate, scene.Bounds.ConfigApply, scene.Bounds.RetrySlack = 0, 0, 0, 2
 	scene.Config.Routes[2].Homes = []string{"north"}
-	c := &faultyProxy{client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
-	c.front = httptest.NewServer(c)
-	c.keeper = httptest.NewServer(http.HandlerFunc(c.operate))
+	proxy := &faultyProxy{client: &http.Client{Transport: &http.Transport{DisableCompression: true}}}
+	proxy.front = httptest.NewServer(proxy)
+	proxy.keeper = httptest.NewServer(http.HandlerFunc(proxy.operate))
 	quick := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 500 * time.Microsecond, PrefillRate: 5000, Chunk: 5000}
 	for i := range scene.Servers {
 		s := &scene.Servers[i]
@@ -112,17 +112,17 @@
 		scene.Kinds[i].Out = min(scene.Kinds[i].Out, 30)
 	}
 	w, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: map[string]string{"north-a": "north"}, Bounds: scene.Bounds,
-		Directories: []Directory{{Address: c.front.Listener.Addr().String(), Zone: "north-a", Region: "north"}}, MaxTTL: time.Second,
-		ControlAddresses: []string{c.keeper.Listener.Addr().String()}, ListRate: 10, Seed: 1})
+		Directories: []Directory{{Address: proxy.front.Listener.Addr().String(), Zone: "north-a", Region: "north"}}, MaxTTL: time.Second,
+		ControlAddresses: []string{proxy.keeper.Listener.Addr().String()}, ListRate: 10, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.w = w
-	c.service = func(path string) *Server {
+	proxy.w = w
+	proxy.service = func(path string) *Server {
 		if strings.HasPrefix(path, "/thumb/") {
-			return c.server(thumbService, "north")
+			return proxy.server(thumbService, "north")
 		}
-		return c.server(modelService, "north")
+		return proxy.server(modelService, "north")
 	}
 	if err := w.Operator.Replace(t.Context(), scene.Config, 0); err != nil {
 		t.Fatal(err)
@@ -130,11 +130,11 @@
 	t.Cleanup(func() {
 		w.traffic.running.Wait()
 		w.Close()
-		c.client.CloseIdleConnections()
-		c.front.Close()
-		c.keeper.Close()
+		proxy.client.CloseIdleConnections()
+		proxy.front.Close()
+		proxy.keeper.Close()
 	})
-	return c
+	return proxy
 }
 
 // play has clients send n requests of every kind, and gives the rules that were broken.
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -51,23 +51,23 @@
 func config(idx *index, verdict *Verdict) {
 	bases := map[int64]*Change{}
 	var newest *Change
-	for _, c := range idx.Changes {
-		if c.Config == nil {
+	for _, change := range idx.Changes {
+		if change.Config == nil {
 			continue
 		}
 		verdict.Checked++
-		if c.AcknowledgedAt == Never {
+		if change.AcknowledgedAt == Never {
 			continue
 		}
-		if c.Invalid {
-			verdict.violation("the invalid version %d was acknowledged", c.Config.Revision)
+		if change.Invalid {
+			verdict.violation("the invalid version %d was acknowledged", change.Config.Revision)
 		}
-		if other := bases[c.Base]; other != nil && other.Config.Revision != c.Config.Revision {
-			verdict.violation("versions %d and %d on top of version %d were both acknowledged", other.Config.Revision, c.Config.Revision, c.Base)
+		if other := bases[change.Base]; other != nil && other.Config.Revision != change.Config.Revision {
+			verdict.violation("versions %d and %d on top of version %d were both acknowledged", other.Config.Revision, change.Config.Revision, change.Base)
 		}
-		bases[c.Base] = c
-		if newest == nil || c.Config.Revision > newest.Config.Revision {
-			newest = c
+		bases[change.Base] = change
+		if newest == nil || change.Config.Revision > newest.Config.Revision {
+			newest = change
 		}
 	}
 	idx.checkReadBack(newest, verdict)
--- a/internal/lab/testcluster/rules/changes_test.go
+++ b/internal/lab/testcluster/rules/changes_test.go
@@ -187,9 +187,9 @@
 
 // repeat adds one request that arrives n+1 times, apart by gap.
 func (s *scenario) repeat(n int, at, gap Time) {
-	t, a := s.serve("/thumb/9", "thumbs", at)
+	_, a := s.serve("/thumb/9", "thumbs", at)
 	for i := range n {
-		s.again(t, *a, at+gap*Time(i))
+		s.again(*a, at+gap*Time(i))
 	}
 }
 
--- a/internal/lab/testcluster/rules/check_test.go
+++ b/internal/lab/testcluster/rules/check_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	second   = Time(time.Second)
+	second   = time.Second
 	host     = "assistant.example"
 	oneProxy = "127.0.1.1:1"
 )
@@ -28,8 +28,8 @@
 	}}
 }
 
-// newScene has the first version acknowledged at 0 and one request of each kind served, a second apart from 10 s on.
-func newScene() *scenario {
+// newScenario has the first version acknowledged at 0 and one request of each kind served, a second apart from 10 s on.
+func newScenario() *scenario {
 	s := &scenario{Evidence: &Evidence{Bounds: Bounds{Contact: 4 * second, Drain: 4 * second, ConfigApply: 3 * second, RevertSlack: second / 4,
 		Evacuate: 5 * second, Grace: 8 * second, LossSlack: second / 5, Stretch: 6 * second, RetryWindow: 10 * second, RetryRatio: 0.2,
 		RetrySlack: 4, ColdExcess: 1.5, ColdSlack: 5}}}
@@ -66,7 +66,7 @@
 }
 
 // again adds another arrival of a request.
-func (s *scenario) again(t *Attempt, of Arrival, at Time) *Arrival {
+func (s *scenario) again(of Arrival, at Time) *Arrival {
 	of.At, of.ExecutedAt, of.Seal, of.Server = at, at, of.Seal+" again", of.Server+" 2"
 	s.RecordArrival(&of)
 	return &of
@@ -101,13 +101,13 @@
 
 // TestControls doctors good evidence. Danger: a checker that sees nothing passes every run.
 func TestControls(t *testing.T) {
-	if names := brokenRules(newScene().Evidence); names != nil {
+	if names := brokenRules(newScenario().Evidence); names != nil {
 		t.Fatalf("good evidence breaks %v", names)
 	}
 	for _, group := range [][]control{answerControls, streamControls, placeControls, changeControls, rateControls} {
 		for _, c := range group {
 			t.Run(c.name, func(t *testing.T) {
-				s := newScene()
+				s := newScenario()
 				c.edit(s)
 				got := brokenRules(s.Evidence)
 				if want := fields(c.broken); !slices.Equal(got, want) {
@@ -136,7 +136,7 @@
 }
 
 func TestInTouch(t *testing.T) {
-	s := newScene()
+	s := newScenario()
 	all := len(s.Attempts)
 	if n := s.CountInContact(); all == 0 || n != all {
 		t.Errorf("%d of %d without trouble", n, all)
@@ -147,9 +147,9 @@
 	}
 }
 
-func TestWaited(t *testing.T) {
-	s := newScene()
-	s.serve("/mail/2", "mailer", 20*second) // ends 0.1 s later
+func TestCountWaiting(t *testing.T) {
+	seen := newScenario()
+	seen.serve("/mail/2", "mailer", 20*second) // ends 0.1 s later
 	for _, c := range []struct {
 		proxy    string
 		from, to Time
@@ -158,13 +158,13 @@
 		{oneProxy, 19 * second, 20*second + second/20, 1}, {oneProxy, 19 * second, 19*second + second/2, 0}, {oneProxy, 19 * second, 21 * second, 0},
 		{oneProxy, 20*second + 1, 20*second + second/20, 0}, {"other", 19 * second, 20*second + second/20, 0},
 	} {
-		s.Faults = nil
-		s.BeginFault(Fault{Proxy: c.proxy, Kind: Pause, At: c.from})(c.to)
-		if n := s.CountWaiting(); n != c.waited {
+		seen.Faults = nil
+		seen.BeginFault(Fault{Proxy: c.proxy, Kind: Pause, At: c.from})(c.to)
+		if n := seen.CountWaiting(); n != c.waited {
 			t.Errorf("%+v: %d", c, n)
 		}
-		s.Faults[0].Kind = "cut"
-		if n := s.CountWaiting(); n != 0 {
+		seen.Faults[0].Kind = "cut"
+		if n := seen.CountWaiting(); n != 0 {
 			t.Errorf("%d waited at a proxy that was cut off", n)
 		}
 	}
--- a/internal/lab/testcluster/rules/controls_test.go
+++ b/internal/lab/testcluster/rules/controls_test.go
@@ -25,19 +25,19 @@
 	}, ""},
 
 	{"an id that no client sent", func(s *scenario) {
-		t, a := s.serve("/mail/2", "mailer", 20*second)
-		s.again(t, *a, 20*second).ID = "smuggled"
+		_, a := s.serve("/mail/2", "mailer", 20*second)
+		s.again(*a, 20*second).ID = "smuggled"
 	}, "UNASKED"},
 	{"another path", func(s *scenario) { _, a := s.serve("/mail/2", "mailer", 20*second); a.Path = "/mail/3" }, "UNASKED"},
 	{"another method", func(s *scenario) { _, a := s.serve("/mail/2", "mailer", 20*second); a.Method = "PUT" }, "UNASKED"},
 	{"another body", func(s *scenario) { _, a := s.serve("/mail/2", "mailer", 20*second); a.Body++ }, "UNASKED"},
 
-	{"two runs", func(s *scenario) { t, a := s.serve("/mail/2", "mailer", 20*second); s.again(t, *a, 20*second) }, "TWICE"},
-	{"two runs of a stream", func(s *scenario) { t, a := s.stream("/chat/2", 20*second); s.again(t, *a, 20*second) }, "TWICE"},
-	{"two runs that may be", func(s *scenario) { t, a := s.serve("/thumb/2", "thumbs", 20*second); s.again(t, *a, 20*second) }, ""},
+	{"two runs", func(s *scenario) { _, a := s.serve("/mail/2", "mailer", 20*second); s.again(*a, 20*second) }, "TWICE"},
+	{"two runs of a stream", func(s *scenario) { _, a := s.stream("/chat/2", 20*second); s.again(*a, 20*second) }, "TWICE"},
+	{"two runs that may be", func(s *scenario) { _, a := s.serve("/thumb/2", "thumbs", 20*second); s.again(*a, 20*second) }, ""},
 	{"a second server after a refusal", func(s *scenario) {
-		t, a := s.serve("/mail/2", "mailer", 20*second)
-		b := s.again(t, *a, 20*second)
+		_, a := s.serve("/mail/2", "mailer", 20*second)
+		b := s.again(*a, 20*second)
 		b.ExecutedAt, b.Rejected, b.Seal = Never, 503, ""
 	}, ""},
 
@@ -94,19 +94,19 @@
 	{"pieces of two runs that may not be joined", func(s *scenario) {
 		t, a := s.stream("/chat/2", 20*second)
 		a.ExecutedAt, a.SentEvents = Never, 4 // so that only the joining is wrong
-		b := s.again(t, *a, 20*second)
+		b := s.again(*a, 20*second)
 		b.From, b.ExecutedAt = 4, 20*second
 		t.Events = []Segment{{a.Seal, 1, 4}, {b.Seal, 5, 10}}
 	}, "ORDER"},
 	{"a run that goes on where the last one was cut", func(s *scenario) {
 		t, a := s.stream("/long/2", 20*second)
-		b := s.again(t, *a, 20*second)
+		b := s.again(*a, 20*second)
 		b.From = 4
 		t.Events = []Segment{{a.Seal, 1, 4}, {b.Seal, 5, 10}}
 	}, ""},
 	{"a run from the start is joined as if it went on", func(s *scenario) {
 		t, a := s.stream("/long/2", 20*second)
-		b := s.again(t, *a, 20*second)
+		b := s.again(*a, 20*second)
 		t.Events = []Segment{{a.Seal, 1, 4}, {b.Seal, 5, 10}}
 	}, "ORDER"},
 	{"a client goes on after a cut", func(s *scenario) {
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -144,27 +144,27 @@
 }
 
 // evacuation: some time after a zone's evacuation was acknowledged, and until it is taken back, nothing is sent there.
-func evacuation(x *index, verdict *Verdict) {
-	for i, c := range x.Changes {
-		if c.Config != nil || !c.Start || c.AcknowledgedAt == Never {
+func evacuation(idx *index, verdict *Verdict) {
+	for i, change := range idx.Changes {
+		if change.Config != nil || !change.Start || change.AcknowledgedAt == Never {
 			continue
 		}
 		until := Time(1<<63 - 1)
-		for _, later := range x.Changes[i+1:] {
-			if later.Config == nil && later.Zone == c.Zone && !later.Start {
+		for _, later := range idx.Changes[i+1:] {
+			if later.Config == nil && later.Zone == change.Zone && !later.Start {
 				until = later.Sent
 				break
 			}
 		}
-		for _, arrival := range x.Arrivals {
+		for _, arrival := range idx.Arrivals {
 			sent := arrival.sentAt()
-			from := c.AcknowledgedAt + x.Bounds.Evacuate + x.stretch(c.AcknowledgedAt, sent)
-			if arrival.Zone != c.Zone || arrival.At <= c.AcknowledgedAt || arrival.At >= until || !arrival.reached() {
+			from := change.AcknowledgedAt + idx.Bounds.Evacuate + idx.stretch(change.AcknowledgedAt, sent)
+			if arrival.Zone != change.Zone || arrival.At <= change.AcknowledgedAt || arrival.At >= until || !arrival.reached() {
 				continue
 			}
 			verdict.Checked++
-			if sent > from && x.inContact(x.sender(arrival), sent) {
-				verdict.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-c.AcknowledgedAt)
+			if sent > from && idx.inContact(idx.sender(arrival), sent) {
+				verdict.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-change.AcknowledgedAt)
 			}
 		}
 	}
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -40,8 +40,15 @@
 	return &engine.Spec{Slots: 1, Queue: 1, MemoryTokens: 1000, Stride: 2, Step: 200 * time.Microsecond, PrefillRate: 5000, Chunk: 5000}
 }
 
-// call sends a request and gives the answer with its whole body.
-func call(t *testing.T, s *Server, path string, headers ...string) (*http.Response, string, error) {
+// answerHead is an answer without its body.
+type answerHead struct {
+	StatusCode int
+	Header     http.Header
+	Close      bool // the connection ends with it
+}
+
+// call sends a request and returns the answer's head, and its complete body.
+func call(t *testing.T, s *Server, path string, headers ...string) (*answerHead, string, error) {
 	t.Helper()
 	method := http.MethodPost
 	if path == "/health" || path == "/report" {
@@ -62,7 +69,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return resp, string(body), err
+	return &answerHead{resp.StatusCode, resp.Header, resp.Close}, string(body), err
 }
 
 // TestServerConformance: PROTOCOL.md "Servers".
@@ -93,7 +100,7 @@
 		t.Errorf("after event 3 of %d: %q, %v", made, rest, err)
 	}
 	checkStatuses(t, server)
-	_, body, err = call(t, server, "/report") //nolint:bodyclose // call closes it
+	_, body, err = call(t, server, "/report")
 	var report map[string]any
 	if err != nil || json.Unmarshal([]byte(body), &report) != nil || report["stage"] != "both" || report["cache_capacity"] != 1000.0 {
 		t.Errorf("report %q, %v", body, err)
@@ -181,7 +188,7 @@
 				t.Errorf("the answer came, or ended otherwise: %v", err)
 			}
 			s.LoseAnswers(0)
-			if resp, _, err := call(t, s, "/x/1", "X-Attempt-Id: two", "X-Token-Count: 10,10"); err != nil || resp.StatusCode != 200 {
+			if resp, _, err := call(t, s, "/x/1", "X-Attempt-Id: two", "X-Token-Count: 10,10"); err != nil || resp.StatusCode != http.StatusOK {
 				t.Errorf("%+v, %v", resp, err)
 			}
 			w.Evidence.Update(func() {
@@ -286,21 +293,21 @@
 func TestServerConnections(t *testing.T) {
 	_, s := lone(t, ServerSpec{Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, Bytes: 100}, MaxConns: 2})
 	for index := range 3 {
-		c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", s.address)
+		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp4", s.address)
 		if err != nil {
 			if index < 2 {
 				t.Fatal(err)
 			}
 			break // it was reset at once
 		}
-		defer func() { _ = c.Close() }()
-		if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		defer func() { _ = conn.Close() }()
+		if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		text := make([]byte, 12)
-		_, err = io.WriteString(c, "GET /health HTTP/1.1\r\nHost: s\r\n\r\n")
+		_, err = io.WriteString(conn, "GET /health HTTP/1.1\r\nHost: s\r\n\r\n")
 		if err == nil {
-			_, err = io.ReadFull(c, text)
+			_, err = io.ReadFull(conn, text)
 		}
 		if good := err == nil && string(text) == "HTTP/1.1 200"; good != (index < 2) {
 			t.Errorf("connection %d: %q, %v", index+1, text, err)
