--- a/internal/lab/plan/arrivals.go
+++ b/internal/lab/plan/arrivals.go
@@ -17,56 +17,72 @@
 	client   func() int
 }
 
+// drawArrivals draws the arrivals of the load and of the faults that add to it, in order of time.
 func (p *Plan) drawArrivals() error {
-	file := p.File
-	each := p.clientSampler()
-	all := []arrivalStream{{p.Rate(), 0, Seconds(file.Seconds), p.sidecarSampler(""), each}}
-	for index := range file.Faults {
-		fault := &file.Faults[index]
-		at, end, rate := Seconds(fault.At), Seconds(fault.At+fault.For), fault.Size*p.Rate()
-		switch fault.Do {
-		case "burst":
-			if !slices.ContainsFunc(p.Sidecars, func(s Sidecar) bool { return fault.Zone == "" || s.Zone == fault.Zone }) {
-				return file.errorAt("fault", index, "zone", "no sidecar is in %s", fault.Zone)
-			}
-			all = append(all, arrivalStream{rate, at, end, p.sidecarSampler(fault.Zone), each})
-		case "flood":
-			if fault.dry {
-				rate = 0
-			}
-			through, err := p.floodSidecars(index, fault, at, end)
-			if err != nil {
-				return err
-			}
-			for j := range max(1, fault.Count) {
-				client := p.floodClient(index, j)
-				who := func() int { return client }
-				if fault.Distinct {
-					next := client
-					who = func() int { next++; return next }
-				}
-				all = append(all, arrivalStream{rate, at, end, func(time.Duration) []float64 { return through }, who})
-			}
+	client := p.clientSampler()
+	streams := []arrivalStream{{p.Rate(), 0, Seconds(p.File.Seconds), p.sidecarSampler(""), client}}
+	for index := range p.File.Faults {
+		more, err := p.faultStreams(index, client)
+		if err != nil {
+			return err
 		}
+		streams = append(streams, more...)
 	}
 	total := 0.0
-	for _, l := range all {
-		total += l.rate * (l.to - l.from).Seconds()
+	for _, arrivals := range streams {
+		total += arrivals.rate * (arrivals.to - arrivals.from).Seconds()
 	}
 	if total > maxArrivals {
-		return file.errorAt("load", -1, "rate", "%.0f requests in all, %d at most", total, maxArrivals)
+		return p.File.errorAt("load", -1, "rate", "%.0f requests in all, %d at most", total, maxArrivals)
 	}
-	for index, l := range all {
+	for index, arrivals := range streams {
 		label := "arrivals"
 		if index > 0 {
 			label = fmt.Sprintf("arrivals %d", index)
 		}
-		p.drawStream(stream(p.Seed, label), l)
+		p.drawStream(stream(p.Seed, label), arrivals)
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	return nil
 }
 
+// faultStreams are the streams of arrivals that a fault adds: of a burst by the clients of the load, of a flood by clients of its own.
+func (p *Plan) faultStreams(index int, client func() int) ([]arrivalStream, error) {
+	fault := &p.File.Faults[index]
+	at, end, rate := Seconds(fault.At), Seconds(fault.At+fault.For), fault.Size*p.Rate()
+	switch fault.Do {
+	case "burst":
+		if !slices.ContainsFunc(p.Sidecars, func(s Sidecar) bool { return fault.inZone(s.Zone) }) {
+			return nil, p.File.errorAt("fault", index, "zone", "no sidecar is in %s", fault.Zone)
+		}
+		return []arrivalStream{{rate, at, end, p.sidecarSampler(fault.Zone), client}}, nil
+	case "flood":
+		if fault.dry {
+			rate = 0
+		}
+		weights, err := p.floodSidecars(index, fault, at, end)
+		if err != nil {
+			return nil, err
+		}
+		var streams []arrivalStream
+		for i := range max(1, fault.Count) {
+			sidecars := func(time.Duration) []float64 { return weights }
+			streams = append(streams, arrivalStream{rate, at, end, sidecars, p.floodClients(index, i)})
+		}
+		return streams, nil
+	}
+	return nil, nil
+}
+
+// floodClients returns the clients of one stream of a flood: always the same one, or each time the next one.
+func (p *Plan) floodClients(fault, index int) func() int {
+	client := p.floodClient(fault, index)
+	if !p.File.Faults[fault].Distinct {
+		return func() int { return client }
+	}
+	return func() int { client++; return client }
+}
+
 // drawStream draws the arrivals of one stream.
 func (p *Plan) drawStream(rng *rand.Rand, l arrivalStream) {
 	file := p.File
@@ -130,7 +146,7 @@
 func (p *Plan) floodSidecars(fault int, flood *Fault, at, end time.Duration) ([]float64, error) {
 	var all []int
 	for i, s := range p.Sidecars {
-		if s.runsThroughout(at, end) && (flood.Zone == "" || s.Zone == flood.Zone) {
+		if s.runsThroughout(at, end) && flood.inZone(s.Zone) {
 			all = append(all, i)
 		}
 	}
--- a/internal/lab/plan/fault.go
+++ b/internal/lab/plan/fault.go
@@ -92,3 +92,6 @@
 	maxLyingMembers    = 16 // members of one lie
 	maxReportedClients = len(hitters.Report{}.Keys)
 )
+
+// inZone reports whether a fault acts on a zone.
+func (t *Fault) inZone(zone string) bool { return t.Zone == "" || t.Zone == zone }
--- a/internal/lab/plan/linksteps.go
+++ b/internal/lab/plan/linksteps.go
@@ -93,7 +93,7 @@
 func (d *stepDrawer) drawPeerLinkFault(fault *Fault, at, end time.Duration) error {
 	var chosen []int
 	for i, s := range d.Sidecars { // also who joins later: a link is between places
-		if fault.Zone == "" || s.Zone == fault.Zone {
+		if fault.inZone(s.Zone) {
 			chosen = append(chosen, i)
 		}
 	}
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -21,50 +21,31 @@
 // Started is when its first process starts; 0: before the load.
 func (s *Sidecar) Started() time.Duration { return max(0, s.From-joinLead) }
 
-// drawSidecars draws those that stand, and when which others join and leave.
+// drawSidecars draws the sidecars that run at the start, and when which others join and leave.
 func (p *Plan) drawSidecars() error {
-	file := p.File
-	r := stream(p.Seed, "sidecars")
-	for index := range file.Fleet.Sidecars {
-		p.addSidecar(r, index, 0, file.Fleet.Sidecars)
+	rng := stream(p.Seed, "sidecars")
+	for index := range p.File.Fleet.Sidecars {
+		p.addSidecar(rng, index, 0, p.File.Fleet.Sidecars)
 	}
-	for index := range file.Faults {
-		fault := &file.Faults[index]
-		at := Seconds(fault.At)
-		r := stream(p.Seed, fmt.Sprintf("fault %d", index))
-		switch fault.Do {
+	for index := range p.File.Faults {
+		var err error
+		switch p.File.Faults[index].Do {
 		case "join":
-			if fault.Count+len(p.Sidecars) > maxSidecars {
-				return file.errorAt("fault", index, "count", "%d sidecars at most", maxSidecars)
-			}
-			peers := p.runningAt(at) + fault.Count
-			for j := range fault.Count {
-				p.addSidecar(r, len(p.Sidecars), at+Seconds(fault.For*float64(j)/float64(fault.Count))+joinLead, peers)
-				p.Sidecars[len(p.Sidecars)-1].joined = index + 1
-			}
+			err = p.drawJoin(index)
 		case "leave":
-			var all []int
-			for k, s := range p.Sidecars {
-				if s.runsThroughout(at, at+Seconds(fault.For)) && (fault.Zone == "" || s.Zone == fault.Zone) {
-					all = append(all, k)
-				}
-			}
-			chosen, err := choose(r, fault, all, func(k int) string { return p.Sidecars[k].Name })
-			if err != nil {
-				return file.errorAt("fault", index, "do", "%v", err)
-			}
-			for j, k := range chosen {
-				p.Sidecars[k].left = index + 1
-				p.Sidecars[k].To = at + Seconds(fault.For*float64(j)/float64(len(chosen)))
-			}
+			err = p.drawLeave(index)
+		}
+		if err != nil {
+			return err
 		}
 	}
 	for _, s := range p.Sidecars {
-		if !slices.ContainsFunc(p.Sidecars, func(o Sidecar) bool { return o.Zone == s.Zone && o.From == 0 && o.To == 0 }) {
-			return file.errorAt("fault", -1, "do", "no sidecar of %s stays throughout", s.Zone)
+		stays := func(other Sidecar) bool { return other.Zone == s.Zone && other.From == 0 && other.To == 0 }
+		if !slices.ContainsFunc(p.Sidecars, stays) {
+			return p.File.errorAt("fault", -1, "do", "no sidecar of %s stays throughout", s.Zone)
 		}
 	}
-	if file.Registry.Count > 0 {
+	if p.File.Registry.Count > 0 {
 		for index := range p.Sidecars {
 			p.Sidecars[index].Group = 0 // a server registers one address for all
 		}
@@ -72,6 +53,45 @@
 	return nil
 }
 
+// drawJoin draws the sidecars that a fault adds, evenly over its time.
+func (p *Plan) drawJoin(index int) error {
+	fault := &p.File.Faults[index]
+	if fault.Count+len(p.Sidecars) > maxSidecars {
+		return p.File.errorAt("fault", index, "count", "%d sidecars at most", maxSidecars)
+	}
+	rng := stream(p.Seed, fmt.Sprintf("fault %d", index))
+	at := Seconds(fault.At)
+	peers := p.runningAt(at) + fault.Count
+	for i := range fault.Count {
+		from := at + Seconds(fault.For*float64(i)/float64(fault.Count)) + joinLead
+		p.addSidecar(rng, len(p.Sidecars), from, peers)
+		p.Sidecars[len(p.Sidecars)-1].joined = index + 1
+	}
+	return nil
+}
+
+// drawLeave draws which sidecars a fault ends, evenly over its time.
+func (p *Plan) drawLeave(index int) error {
+	fault := &p.File.Faults[index]
+	at := Seconds(fault.At)
+	var candidates []int
+	for i, s := range p.Sidecars {
+		if s.runsThroughout(at, at+Seconds(fault.For)) && fault.inZone(s.Zone) {
+			candidates = append(candidates, i)
+		}
+	}
+	rng := stream(p.Seed, fmt.Sprintf("fault %d", index))
+	chosen, err := choose(rng, fault, candidates, func(i int) string { return p.Sidecars[i].Name })
+	if err != nil {
+		return p.File.errorAt("fault", index, "do", "%v", err)
+	}
+	for i, sidecar := range chosen {
+		p.Sidecars[sidecar].left = index + 1
+		p.Sidecars[sidecar].To = at + Seconds(fault.For*float64(i)/float64(len(chosen)))
+	}
+	return nil
+}
+
 // runningAt is how many sidecars there are at a time.
 func (p *Plan) runningAt(at time.Duration) (n int) {
 	for _, s := range p.Sidecars {
@@ -95,7 +115,6 @@
 // sidecarSampler gives the sums of the weights of the sidecars that clients send to at a time, "" or only in one zone. The first zone has
 // its part of the traffic and zone_skew of the others' besides, whoever is there. Times have to rise.
 func (p *Plan) sidecarSampler(only string) func(time.Duration) []float64 {
-	file := p.File
 	var changes []time.Duration
 	for _, s := range p.Sidecars {
 		changes = append(changes, s.From, s.To)
@@ -111,24 +130,31 @@
 		if !stale {
 			return now
 		}
-		weights := make([]float64, len(p.Sidecars))
-		zones := map[string]float64{}
-		for i, s := range p.Sidecars {
-			if s.From <= at && (s.To == 0 || s.To > at) && (only == "" || s.Zone == only) {
-				weights[i] = s.Weight
-				zones[s.Zone] += s.Weight
-			}
+		now = cumulativeSums(p.sidecarWeights(only, at))
+		return now
+	}
+}
+
+// sidecarWeights are the weights of the sidecars that clients send to at a time, "" or only in one zone; others have 0.
+func (p *Plan) sidecarWeights(only string, at time.Duration) []float64 {
+	file := p.File
+	weights := make([]float64, len(p.Sidecars))
+	zones := map[string]float64{}
+	for i, s := range p.Sidecars {
+		used := s.From <= at && (s.To == 0 || s.To > at)
+		if used && (only == "" || s.Zone == only) {
+			weights[i] = s.Weight
+			zones[s.Zone] += s.Weight
 		}
-		for i, s := range p.Sidecars {
-			part := (1 - file.Load.ZoneSkew) / float64(len(file.Fleet.Zones))
-			if s.Zone == file.Fleet.Zones[0] {
-				part += file.Load.ZoneSkew
-			}
-			if weights[i] > 0 {
-				weights[i] *= part / zones[s.Zone]
-			}
+	}
+	for i, s := range p.Sidecars {
+		share := (1 - file.Load.ZoneSkew) / float64(len(file.Fleet.Zones))
+		if s.Zone == file.Fleet.Zones[0] {
+			share += file.Load.ZoneSkew
+		}
+		if weights[i] > 0 {
+			weights[i] *= share / zones[s.Zone]
 		}
-		now = cumulativeSums(weights)
-		return now
 	}
+	return weights
 }
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -123,7 +123,7 @@
 	}
 	var all []int
 	for i, s := range d.Sidecars {
-		if s.runsThroughout(Seconds(fault.At), Seconds(fault.At+fault.For)) && (fault.Zone == "" || s.Zone == fault.Zone) {
+		if s.runsThroughout(Seconds(fault.At), Seconds(fault.At+fault.For)) && fault.inZone(s.Zone) {
 			all = append(all, i)
 		}
 	}
@@ -150,7 +150,7 @@
 func (d *stepDrawer) chooseServers(fault *Fault, from, to time.Duration) ([]int, error) {
 	var all []int
 	for i, l := range d.lifetimes {
-		if l.from <= from && l.to >= to && (fault.Zone == "" || d.Servers[l.index].Zone == fault.Zone) {
+		if l.from <= from && l.to >= to && fault.inZone(d.Servers[l.index].Zone) {
 			all = append(all, i)
 		}
 	}
