--- a/internal/lab/plan/arrivals.go
+++ b/internal/lab/plan/arrivals.go
@@ -84,27 +84,27 @@
 }
 
 // drawStream draws the arrivals of one stream.
-func (p *Plan) drawStream(rng *rand.Rand, l arrivalStream) {
+func (p *Plan) drawStream(rng *rand.Rand, arrivals arrivalStream) {
 	file := p.File
 	var classes []float64
 	for _, c := range file.Classes {
 		classes = append(classes, c.Share)
 	}
 	classes = cumulativeSums(classes)
-	if l.rate <= 0 {
+	if arrivals.rate <= 0 {
 		return
 	}
 	// In seconds from the start of the stream.
-	for t := rng.ExpFloat64() / l.rate; l.from+Seconds(t) < l.to; t += rng.ExpFloat64() / l.rate {
-		at := l.from + Seconds(t)
-		arrival := Arrival{At: at, Sidecar: pickWeighted(rng, l.sidecars(at)), Class: pickWeighted(rng, classes), TimeoutShare: uniform(rng, [2]float64{0.7, 1}), Backoff: -1}
+	for t := rng.ExpFloat64() / arrivals.rate; arrivals.from+Seconds(t) < arrivals.to; t += rng.ExpFloat64() / arrivals.rate {
+		at := arrivals.from + Seconds(t)
+		arrival := Arrival{At: at, Sidecar: pickWeighted(rng, arrivals.sidecars(at)), Class: pickWeighted(rng, classes), TimeoutShare: uniform(rng, [2]float64{0.7, 1}), Backoff: -1}
 		// At most ten times the mean, so that a single draw cannot push a server over.
 		arrival.Work = Seconds(min(rng.ExpFloat64(), 10) * file.Classes[arrival.Class].WorkMS / 1000 * file.Load.WorkPart)
 		backoff := Seconds(uniform(rng, [2]float64{0.017, 0.13}))
 		if file.Load.Retries {
 			arrival.Backoff = backoff
 		}
-		arrival.Client = l.client()
+		arrival.Client = arrivals.client()
 		p.Arrivals = append(p.Arrivals, arrival)
 	}
 }
--- a/internal/lab/plan/fleet_test.go
+++ b/internal/lab/plan/fleet_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-func make1(t *testing.T, text string) *Plan {
+func makePlan(t *testing.T, text string) *Plan {
 	t.Helper()
-	p, err := Make(parse(t, text), 4)
+	plan, err := Make(parse(t, text), 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return plan
 }
 
-// TestComeAndGo has sidecars come and go: clients send to none that is not there, and the rate stays what it is.
-func TestComeAndGo(t *testing.T) {
-	p := make1(t, "states = \"x\"\nseconds = 40\n[fleet]\nsidecars = 10\n[load]\nrate = 200\nuneven = 0.5\n"+
+// TestJoinAndLeave has sidecars come and go: clients send to none that is not there, and the rate stays what it is.
+func TestJoinAndLeave(t *testing.T) {
+	plan := makePlan(t, "states = \"x\"\nseconds = 40\n[fleet]\nsidecars = 10\n[load]\nrate = 200\nuneven = 0.5\n"+
 		"[[fault]]\ndo = \"join\"\nat = 10\nfor = 2\ncount = 10\n[[fault]]\ndo = \"leave\"\nat = 24\nfor = 2\npart = 0.5\n")
-	if n, m := len(p.Sidecars), p.runningAt(20*time.Second); n != 20 || m != 20 || p.runningAt(30*time.Second) != 10 || p.Sidecars[0].Peers != 10 || p.Sidecars[19].Peers != 20 {
-		t.Fatalf("%d sidecars, %d at once: %+v", n, m, p.Sidecars)
+	if n, m := len(plan.Sidecars), plan.runningAt(20*time.Second); n != 20 || m != 20 || plan.runningAt(30*time.Second) != 10 || plan.Sidecars[0].Peers != 10 || plan.Sidecars[19].Peers != 20 {
+		t.Fatalf("%d sidecars, %d at once: %+v", n, m, plan.Sidecars)
 	}
 	starts, ends := map[int]time.Duration{}, map[int]time.Duration{}
-	for _, s := range p.Steps {
+	for _, s := range plan.Steps {
 		if s.Do == Start {
 			starts[s.Sidecar] = s.At
 		} else {
@@ -36,7 +36,7 @@
 		t.Errorf("%d start and %d end", len(starts), len(ends))
 	}
 	after := map[int]int{} // by sidecar, of those that joined
-	for _, a := range p.Arrivals {
+	for _, a := range plan.Arrivals {
 		if end, ok := ends[a.Sidecar]; ok && a.At >= end || a.Sidecar >= 10 && a.At < starts[a.Sidecar]+joinLead {
 			t.Fatalf("at %v to sidecar %d, from %v to %v", a.At, a.Sidecar, starts[a.Sidecar], end)
 		}
@@ -44,14 +44,14 @@
 			after[a.Sidecar]++
 		}
 	}
-	if len(after) != 10 || math.Abs(float64(len(p.Arrivals))/8000-1) > 0.05 {
-		t.Errorf("%d requests, %v", len(p.Arrivals), after)
+	if len(after) != 10 || math.Abs(float64(len(plan.Arrivals))/8000-1) > 0.05 {
+		t.Errorf("%d requests, %v", len(plan.Arrivals), after)
 	}
 }
 
 // TestRoll has every sidecar be ended and started again once, a batch at a time.
 func TestRoll(t *testing.T) {
-	p := make1(t, head+"[fleet]\nsidecars = 20\n[[fault]]\ndo = \"roll\"\nat = 4\nfor = 16\nbatch = 0.1\nrestart = 0.2\n")
+	p := makePlan(t, head+"[fleet]\nsidecars = 20\n[[fault]]\ndo = \"roll\"\nat = 4\nfor = 16\nbatch = 0.1\nrestart = 0.2\n")
 	at := map[time.Duration]int{}
 	ended := map[int]time.Duration{}
 	for _, s := range p.Steps {
@@ -69,14 +69,14 @@
 
 // TestClients has clients ask by name with the skew, bursts raise the rate, and floods come besides, through whom they should.
 func TestClients(t *testing.T) {
-	p := make1(t, "states = \"x\"\nseconds = 100\n[fleet]\nsidecars = 10\n[load]\nrate = 100\nclients = 50\nskew = 1\n"+
+	plan := makePlan(t, "states = \"x\"\nseconds = 100\n[fleet]\nsidecars = 10\n[load]\nrate = 100\nclients = 50\nskew = 1\n"+
 		"[[fault]]\ndo = \"burst\"\nat = 20\nfor = 20\nsize = 0.5\nzone = \"room-b\"\n"+
 		"[[fault]]\ndo = \"flood\"\nat = 50\nfor = 10\nsize = 0.3\ncount = 2\nthrough = 1\n"+
 		"[[fault]]\ndo = \"flood\"\nat = 70\nfor = 10\nsize = 0.3\ndistinct = true\n")
 	own, flood, burst, distinct := map[int]int{}, map[int]int{}, 0, map[int]bool{}
 	through := map[int]bool{}
-	for i, a := range p.Arrivals {
-		if i > 0 && a.At < p.Arrivals[i-1].At {
+	for i, a := range plan.Arrivals {
+		if i > 0 && a.At < plan.Arrivals[i-1].At {
 			t.Fatal("arrivals run backwards")
 		}
 		if fault, ok := Flooder(a.Client); ok && fault == 1 {
@@ -87,7 +87,7 @@
 		} else {
 			own[a.Client]++
 		}
-		if a.At >= 20*time.Second && a.At < 40*time.Second && p.Sidecars[a.Sidecar].Zone == "room-b" {
+		if a.At >= 20*time.Second && a.At < 40*time.Second && plan.Sidecars[a.Sidecar].Zone == "room-b" {
 			burst++
 		}
 	}
@@ -112,7 +112,7 @@
 
 // TestWithoutFloods has the twin of an experiment be the same but for who floods: also what is drawn after the flood.
 func TestWithoutFloods(t *testing.T) {
-	p := make1(t, head+"[hitters]\non = true\ntwin = true\n[[fault]]\ndo = \"flood\"\nat = 3\nfor = 6\nsize = 1.0\n"+
+	p := makePlan(t, head+"[hitters]\non = true\ntwin = true\n[[fault]]\ndo = \"flood\"\nat = 3\nfor = 6\nsize = 1.0\n"+
 		"[[fault]]\ndo = \"burst\"\nat = 5\nfor = 5\nsize = 0.5\n")
 	twin, err := p.WithoutFloods()
 	if err != nil {
@@ -127,22 +127,22 @@
 	}
 }
 
-// TestLie has each lie have members of its own, and tell a multiple of what is asked for meanwhile.
-func TestLie(t *testing.T) {
-	on := head + "[members]\non = true\n[hitters]\non = true\n"
+// TestFalseReports has each lie have members of its own, and tell a multiple of what is asked for meanwhile.
+func TestFalseReports(t *testing.T) {
+	members := head + "[members]\non = true\n[hitters]\non = true\n"
 	lie := "[[fault]]\ndo = \"lie\"\nat = 2\nfor = 5\nsize = 2.0\ncount = 2\nnames = [\"t1\", \"t2\"]\n"
-	p := make1(t, on+lie+lie)
+	plan := makePlan(t, members+lie+lie)
 	work := 0.0
-	for _, a := range p.Arrivals {
+	for _, a := range plan.Arrivals {
 		if a.At >= 2*time.Second && a.At < 7*time.Second {
 			work += a.Work.Seconds()
 		}
 	}
-	s := p.Steps[1]
-	if p.LyingMembers() != 4 || s.Do != FalseReports || !slices.Equal(s.Nears, []int{2, 3}) || s.Mode != "t1,t2" || s.By != Seconds(work/5*2*2) {
-		t.Errorf("%d liars, %+v, of %v s", p.LyingMembers(), s, work)
+	step := plan.Steps[1]
+	if plan.LyingMembers() != 4 || step.Do != FalseReports || !slices.Equal(step.Nears, []int{2, 3}) || step.Mode != "t1,t2" || step.By != Seconds(work/5*2*2) {
+		t.Errorf("%d liars, %+v, of %v s", plan.LyingMembers(), step, work)
 	}
-	for _, bad := range []string{head + lie, on + strings.Replace(lie, "count = 2", "count = 0", 1), on + strings.Replace(lie, "\"t1\", \"t2\"", "", 1)} {
+	for _, bad := range []string{head + lie, members + strings.Replace(lie, "count = 2", "count = 0", 1), members + strings.Replace(lie, "\"t1\", \"t2\"", "", 1)} {
 		if _, err := Parse("x.toml", []byte(bad)); err == nil {
 			t.Errorf("taken: %s", bad)
 		}
--- a/internal/lab/plan/parse.go
+++ b/internal/lab/plan/parse.go
@@ -36,11 +36,11 @@
 
 // Parse reads the text of an experiment.
 func Parse(path string, text []byte) (*File, error) {
-	f := Defaults()
-	f.text, f.Path = text, path
+	file := Defaults()
+	file.text, file.Path = text, path
 	name := path[strings.LastIndexByte(path, '/')+1:]
-	f.Name = strings.TrimSuffix(name, ".toml")
-	meta, err := toml.NewDecoder(bytes.NewReader(text)).Decode(&f)
+	file.Name = strings.TrimSuffix(name, ".toml")
+	meta, err := toml.NewDecoder(bytes.NewReader(text)).Decode(&file)
 	if err != nil {
 		line := 0
 		what := err.Error()
@@ -51,25 +51,25 @@
 	}
 	// The library counts what is deep in a map as not decoded.
 	if extra := slices.DeleteFunc(meta.Undecoded(), func(k toml.Key) bool { return k[0] == "config" }); len(extra) > 0 {
-		return nil, &Error{path, f.lineOf(extra[0][:len(extra[0])-1], -1, extra[0][len(extra[0])-1]), fmt.Sprintf("unknown key %q", extra[0])}
+		return nil, &Error{path, file.lineOf(extra[0][:len(extra[0])-1], -1, extra[0][len(extra[0])-1]), fmt.Sprintf("unknown key %q", extra[0])}
 	}
-	if len(f.Kinds) == 0 {
-		f.Kinds = slices.Clone(defaultKinds)
+	if len(file.Kinds) == 0 {
+		file.Kinds = slices.Clone(defaultKinds)
 	}
-	if len(f.Classes) == 0 {
-		f.Classes = slices.Clone(defaultClasses)
+	if len(file.Classes) == 0 {
+		file.Classes = slices.Clone(defaultClasses)
 	}
-	if err := f.check(); err != nil {
+	if err := file.check(); err != nil {
 		return nil, err
 	}
-	return &f, nil
+	return &file, nil
 }
 
 // lineOf finds where a key stands: in the index-th table of its path, below 0: in any. 0: nowhere.
 func (f *File) lineOf(path []string, index int, key string) int {
 	table, seen, here := strings.Join(path, "."), -1, len(path) == 0
 	header := 0
-	for i, line := range strings.Split(string(f.text), "\n") {
+	for number, line := range strings.Split(string(f.text), "\n") {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
 			name := strings.Trim(strings.TrimSpace(strings.SplitN(line, "#", 2)[0]), "[] ")
@@ -77,13 +77,13 @@
 			if name == table {
 				seen++
 				if here = index < 0 || seen == index; here {
-					header = i + 1
+					header = number + 1
 				}
 			}
 			continue
 		}
 		if word, _, ok := strings.Cut(line, "="); here && ok && strings.Trim(strings.TrimSpace(word), `"`) == key {
-			return i + 1
+			return number + 1
 		}
 	}
 	return header
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -185,24 +185,24 @@
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Make draws the plan of a file for a seed. It fails with an *Error where the faults cannot all be.
-func Make(f *File, seed uint64) (*Plan, error) {
-	p := &Plan{File: f, Seed: seed}
-	if err := p.drawSidecars(); err != nil {
+func Make(file *File, seed uint64) (*Plan, error) {
+	plan := &Plan{File: file, Seed: seed}
+	if err := plan.drawSidecars(); err != nil {
 		return nil, err
 	}
-	kinds := p.drawKinds(f.Fleet.Servers)
-	for i := range f.Fleet.Servers {
-		p.Servers = append(p.Servers, p.drawSpec(i, f.Fleet.Zones[i%len(f.Fleet.Zones)], kinds[i]))
+	kinds := plan.drawKinds(file.Fleet.Servers)
+	for i := range file.Fleet.Servers {
+		plan.Servers = append(plan.Servers, plan.drawSpec(i, file.Fleet.Zones[i%len(file.Fleet.Zones)], kinds[i]))
 	}
-	p.InitialServers = len(p.Servers)
-	if err := p.drawArrivals(); err != nil {
+	plan.InitialServers = len(plan.Servers)
+	if err := plan.drawArrivals(); err != nil {
 		return nil, err
 	}
-	if err := p.drawSteps(); err != nil {
+	if err := plan.drawSteps(); err != nil {
 		return nil, err
 	}
-	p.setHashes()
-	return p, nil
+	plan.setHashes()
+	return plan, nil
 }
 
 // Groups is how many groups of sidecars there are, each with listeners of its own at every server.
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -24,7 +24,7 @@
 
 // TestRefused has each bad file be refused with its line and a reason, before anything is started.
 func TestRefused(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		text string
 		line int
 		says string
@@ -51,17 +51,17 @@
 		{head + "[[bar]]\nfigure = \"joy\"\nleast = 1\n", 6, "unknown figure"},
 		{head + "[[bar]]\nfigure = \"served\"\n", 6, "neither least nor most"},
 	} {
-		_, err := Parse("lab/x.toml", []byte(tt.text))
+		_, err := Parse("lab/x.toml", []byte(test.text))
 		var bad *Error
-		if !errors.As(err, &bad) || bad.Line != tt.line || !strings.Contains(bad.What, tt.says) {
-			t.Errorf("%q: %v, want line %d and %q", tt.text, err, tt.line, tt.says)
+		if !errors.As(err, &bad) || bad.Line != test.line || !strings.Contains(bad.What, test.says) {
+			t.Errorf("%q: %v, want line %d and %q", test.text, err, test.line, test.says)
 		}
 	}
 }
 
 // TestImpossible has faults that get into each other's way be refused when the plan is made.
 func TestImpossible(t *testing.T) {
-	for _, tt := range []struct{ text, says string }{
+	for _, test := range []struct{ text, says string }{
 		{"[[fault]]\ndo = \"kill\"\nat = 5\nnames = [\"n0\"]\n[[fault]]\ndo = \"stop\"\nat = 9\nfor = 1\nnames = [\"n0\"]\n", "acts on n0 while fault 1"},
 		{"[[fault]]\ndo = \"kill\"\nat = 5\nnames = [\"n77\"]\n", "no \"n77\""},
 		{"[[fault]]\ndo = \"hang\"\nat = 5\nfor = 1\ncount = 11\n", "only 10"},
@@ -69,10 +69,10 @@
 		{"[[fault]]\ndo = \"die\"\nat = 5\n[[fault]]\ndo = \"lose\"\nat = 8\nfor = 1\n", "nothing to act on"},
 		{"[[fault]]\ndo = \"list-old\"\nat = 5\nfor = 3\n[[fault]]\ndo = \"list-cut\"\nat = 7\nfor = 1\n", "the list's answers while fault 1"},
 	} {
-		_, err := Make(parse(t, head+tt.text), 1)
+		_, err := Make(parse(t, head+test.text), 1)
 		var bad *Error
-		if !errors.As(err, &bad) || bad.Line == 0 || !strings.Contains(bad.What, tt.says) {
-			t.Errorf("%q: %v, want %q", tt.text, err, tt.says)
+		if !errors.As(err, &bad) || bad.Line == 0 || !strings.Contains(bad.What, test.says) {
+			t.Errorf("%q: %v, want %q", test.text, err, test.says)
 		}
 	}
 }
@@ -101,14 +101,14 @@
 
 // TestSameSeed has the same seed give the same plan, and another seed another.
 func TestSameSeed(t *testing.T) {
-	make := func(seed uint64) *Plan {
-		p, err := Make(parse(t, rich), seed)
+	draw := func(seed uint64) *Plan {
+		plan, err := Make(parse(t, rich), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return p
+		return plan
 	}
-	a, b, c := make(7), make(7), make(8)
+	a, b, c := draw(7), draw(7), draw(8)
 	if a.ArrivalsHash != b.ArrivalsHash || a.StepsHash != b.StepsHash {
 		t.Error("one seed gave two plans")
 	}
@@ -119,31 +119,31 @@
 
 // TestLoad has the load be what the file asks for.
 func TestLoad(t *testing.T) {
-	p, err := Make(parse(t, "states = \"x\"\nseconds = 300\n[load]\nshare = 0.5\nzone_skew = 0.4\n"), 3)
+	plan, err := Make(parse(t, "states = \"x\"\nseconds = 300\n[load]\nshare = 0.5\nzone_skew = 0.4\n"), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	work, first := 0.0, 0
-	for i, a := range p.Arrivals {
+	for i, a := range plan.Arrivals {
 		work += a.Work.Seconds()
-		if p.Sidecars[a.Sidecar].Group == 0 {
+		if plan.Sidecars[a.Sidecar].Group == 0 {
 			first++
 		}
-		if i > 0 && a.At < p.Arrivals[i-1].At {
+		if i > 0 && a.At < plan.Arrivals[i-1].At {
 			t.Fatal("arrivals run backwards")
 		}
 	}
-	if share := work / 300 / p.Capacity(); math.Abs(share-0.5) > 0.02 {
+	if share := work / 300 / plan.Capacity(); math.Abs(share-0.5) > 0.02 {
 		t.Errorf("%v of the capacity is asked for, want 0.5", share)
 	}
-	if part := float64(first) / float64(len(p.Arrivals)); math.Abs(part-0.7) > 0.02 {
+	if part := float64(first) / float64(len(plan.Arrivals)); math.Abs(part-0.7) > 0.02 {
 		t.Errorf("%v of the traffic is in the first zone, want 0.3 and 0.4 more", part)
 	}
 }
 
 // TestFromOne has one sidecar's links fail, and no other's.
 func TestFromOne(t *testing.T) {
-	p := make1(t, head+"[[fault]]\ndo = \"partition\"\nat = 2\nfor = 3\nfrom = \"n2\"\n")
+	p := makePlan(t, head+"[[fault]]\ndo = \"partition\"\nat = 2\nfor = 3\nfrom = \"n2\"\n")
 	for _, s := range p.Steps {
 		if !slices.Equal(s.Nears, []int{2}) {
 			t.Errorf("a step of %v", s.Nears)
@@ -156,8 +156,8 @@
 
 // TestSizes has the list tell sizes near the true ones, and no other draw move for it.
 func TestSizes(t *testing.T) {
-	alike := make1(t, head)
-	rough := make1(t, head+"[list]\nsizes = \"rough\"\n")
+	alike := makePlan(t, head)
+	rough := makePlan(t, head+"[list]\nsizes = \"rough\"\n")
 	for i := range rough.Servers {
 		s := rough.Servers[i]
 		if r := s.SizeHint() / s.Capacity(); r < 0.8 || r > 1.2 || alike.Servers[i].SizeHint() != 1 {
@@ -172,25 +172,25 @@
 // TestDeploy has every server chosen be replaced once, in its zone and kind, its end after its drain, within the time.
 func TestDeploy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, err := Parse("x.toml", []byte(head+"[fleet]\nservers = 12\n[[fault]]\ndo = \"deploy\"\nat = 2\nfor = 20\npart = 0.98\ndrain = 3\n"))
+		file, err := Parse("x.toml", []byte(head+"[fleet]\nservers = 12\n[[fault]]\ndo = \"deploy\"\nat = 2\nfor = 20\npart = 0.98\ndrain = 3\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, err := Make(f, rapid.Uint64().Draw(t, "seed"))
+		plan, err := Make(file, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		at := map[string]map[string]time.Duration{}
-		for _, s := range p.Steps {
+		for _, s := range plan.Steps {
 			if at[s.Server] == nil {
 				at[s.Server] = map[string]time.Duration{}
 			}
 			at[s.Server][s.Do+s.State] = s.At
 		}
 		added := 0
-		for i, s := range p.Servers {
+		for i, s := range plan.Servers {
 			steps := at[s.UID]
-			if i >= p.InitialServers {
+			if i >= plan.InitialServers {
 				added++
 				if steps[Add] < 5*time.Second || steps[Add] > 22*time.Second || steps["tellSERVING"] <= steps[Add] {
 					t.Fatalf("successor %s: %v", s.UID, steps)
--- a/internal/lab/plan/processsteps.go
+++ b/internal/lab/plan/processsteps.go
@@ -12,14 +12,14 @@
 	if err != nil {
 		return err
 	}
-	for _, i := range chosen {
+	for _, process := range chosen {
 		name := "the list"
-		if i >= 0 {
-			name = d.Sidecars[i].Name
+		if process >= 0 {
+			name = d.Sidecars[process].Name
 		}
-		if k, ok := NodeOf(i); ok {
+		if k, ok := NodeOf(process); ok {
 			name = NodeName(k)
-		} else if i == LeaderIndex {
+		} else if process == LeaderIndex {
 			name = "the leader of the keepers"
 		}
 		until := end
@@ -34,17 +34,17 @@
 		}
 		switch fault.Do {
 		case "kill", "term":
-			d.addStep(Step{At: at, Do: fault.Do, Sidecar: i})
+			d.addStep(Step{At: at, Do: fault.Do, Sidecar: process})
 			if fault.Restart != nil {
 				// After the end of the process, which the lab waits for.
-				d.addStep(Step{At: at + Seconds(*fault.Restart), Do: Start, Sidecar: i})
+				d.addStep(Step{At: at + Seconds(*fault.Restart), Do: Start, Sidecar: process})
 			}
 		case "stop":
-			d.addStep(Step{At: at, Do: Stop, Sidecar: i})
-			d.addStep(Step{At: end, Do: Cont, Sidecar: i})
+			d.addStep(Step{At: at, Do: Stop, Sidecar: process})
+			d.addStep(Step{At: end, Do: Cont, Sidecar: process})
 		default:
-			d.addStep(Step{At: at, Do: Disk, Sidecar: i, Mode: strings.TrimPrefix(fault.Do, "disk-")})
-			d.addStep(Step{At: end, Do: Disk, Sidecar: i})
+			d.addStep(Step{At: at, Do: Disk, Sidecar: process, Mode: strings.TrimPrefix(fault.Do, "disk-")})
+			d.addStep(Step{At: end, Do: Disk, Sidecar: process})
 		}
 	}
 	return nil
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -96,21 +96,21 @@
 		}
 		return chosen, nil
 	}
-	n := len(all)
+	count := len(all)
 	switch {
 	case fault.Count > len(all):
 		return nil, fmt.Errorf("there are only %d to act on then, not %d", len(all), fault.Count)
 	case fault.Count > 0:
-		n = fault.Count
+		count = fault.Count
 	case fault.Part > 0:
-		n = max(1, int(math.Round(fault.Part*float64(len(all)))))
+		count = max(1, int(math.Round(fault.Part*float64(len(all)))))
 	}
 	if len(all) == 0 {
 		return nil, fmt.Errorf("there is nothing to act on then")
 	}
 	chosen := slices.Clone(all)
 	rng.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
-	return chosen[:n], nil
+	return chosen[:count], nil
 }
 
 // chooseProcesses are those that a fault on processes means.
--- a/internal/lab/plan/validatefault.go
+++ b/internal/lab/plan/validatefault.go
@@ -7,18 +7,18 @@
 
 // checkFault rejects a fault that makes no sense by itself. It sets On where the file leaves it out. The first error is the one that
 // is reported.
-func (f *File) checkFault(i int) *Error {
-	fault := &f.Faults[i]
+func (f *File) checkFault(index int) *Error {
+	fault := &f.Faults[index]
 	kind, ok := faultKinds[fault.Do]
 	if !ok {
-		return f.errorAt("fault", i, "do", "unknown fault %q", fault.Do)
+		return f.errorAt("fault", index, "do", "unknown fault %q", fault.Do)
 	}
 	if fault.On == "" {
 		fault.On = kind.on[0]
 	}
 	for _, check := range []func(int, *Fault, faultKind) *Error{f.checkFaultTime, f.checkFaultChoice, f.checkFaultTarget, f.checkFaultLink,
 		f.checkFaultSize, f.checkClientFault, f.checkLyingMembers, f.checkFlood, f.checkFaultTimings, f.checkFaultKeys} {
-		if err := check(i, fault, kind); err != nil {
+		if err := check(index, fault, kind); err != nil {
 			return err
 		}
 	}
@@ -26,69 +26,69 @@
 }
 
 // checkFaultTime rejects what a fault cannot act on, and times outside of the load.
-func (f *File) checkFaultTime(i int, fault *Fault, kind faultKind) *Error {
+func (f *File) checkFaultTime(index int, fault *Fault, kind faultKind) *Error {
 	switch {
 	case fault.Do == "clock" && fault.On == "sidecars":
-		return f.errorAt("fault", i, "on", "a sidecar takes no clock but the machine's")
+		return f.errorAt("fault", index, "on", "a sidecar takes no clock but the machine's")
 	case !slices.Contains(kind.on, fault.On):
-		return f.errorAt("fault", i, "on", "%s cannot act on %q, only on %s", fault.Do, fault.On, strings.Join(kind.on, " or "))
+		return f.errorAt("fault", index, "on", "%s cannot act on %q, only on %s", fault.Do, fault.On, strings.Join(kind.on, " or "))
 	case fault.At < 0 || fault.At >= f.Seconds:
-		return f.errorAt("fault", i, "at", "at %v s is not within the %v s of load", fault.At, f.Seconds)
+		return f.errorAt("fault", index, "at", "at %v s is not within the %v s of load", fault.At, f.Seconds)
 	case kind.lasts && fault.For <= 0:
-		return f.errorAt("fault", i, "for", "%s needs for, the seconds that it lasts", fault.Do)
+		return f.errorAt("fault", index, "for", "%s needs for, the seconds that it lasts", fault.Do)
 	case !kind.lasts && fault.For != 0:
-		return f.errorAt("fault", i, "for", "%s happens at once: it has no for", fault.Do)
+		return f.errorAt("fault", index, "for", "%s happens at once: it has no for", fault.Do)
 	case fault.At+fault.For > f.Seconds:
-		return f.errorAt("fault", i, "for", "it ends at %v s, after the %v s of load", fault.At+fault.For, f.Seconds)
+		return f.errorAt("fault", index, "for", "it ends at %v s, after the %v s of load", fault.At+fault.For, f.Seconds)
 	}
 	return nil
 }
 
 // checkFaultChoice rejects a choice of targets by more than one key.
-func (f *File) checkFaultChoice(i int, fault *Fault, _ faultKind) *Error {
+func (f *File) checkFaultChoice(index int, fault *Fault, _ faultKind) *Error {
 	byPart, byCount, byName := fault.Part > 0, fault.Count > 0, len(fault.Names) > 0
 	countAndNames := byCount && byName && fault.Do != "lie" // a lie has names of clients, not of its targets
 	switch {
 	case fault.Part < 0 || fault.Part > 1:
-		return f.errorAt("fault", i, "part", "part %v is not within 0 to 1", fault.Part)
+		return f.errorAt("fault", index, "part", "part %v is not within 0 to 1", fault.Part)
 	case byPart && (byCount || byName) || countAndNames:
-		return f.errorAt("fault", i, "part", "only one of part, count and names can be given")
+		return f.errorAt("fault", index, "part", "only one of part, count and names can be given")
 	case fault.Count < 0:
-		return f.errorAt("fault", i, "count", "count %d is below 0", fault.Count)
+		return f.errorAt("fault", index, "count", "count %d is below 0", fault.Count)
 	}
 	return nil
 }
 
 // checkFaultTarget rejects targets that the experiment does not have.
-func (f *File) checkFaultTarget(i int, fault *Fault, _ faultKind) *Error {
+func (f *File) checkFaultTarget(index int, fault *Fault, _ faultKind) *Error {
 	switch {
 	case fault.On == "keepers" && f.Registry.Count == 0:
-		return f.errorAt("fault", i, "on", "there are no keepers: [keepers] needs count")
+		return f.errorAt("fault", index, "on", "there are no keepers: [keepers] needs count")
 	case fault.On == "peers" && !f.Members.On:
-		return f.errorAt("fault", i, "on", "sidecars do not know each other: [members] needs on")
+		return f.errorAt("fault", index, "on", "sidecars do not know each other: [members] needs on")
 	case fault.On == "list" && f.Registry.Count > 0:
-		return f.errorAt("fault", i, "on", "keepers hold the list: on = \"keepers\"")
+		return f.errorAt("fault", index, "on", "keepers hold the list: on = \"keepers\"")
 	case fault.On == "keepers" && fault.Zone != "":
-		return f.errorAt("fault", i, "zone", "keepers have no zone")
+		return f.errorAt("fault", index, "zone", "keepers have no zone")
 	}
 	return nil
 }
 
 // checkFaultLink rejects ends of links that the experiment does not have.
-func (f *File) checkFaultLink(i int, fault *Fault, _ faultKind) *Error {
+func (f *File) checkFaultLink(index int, fault *Fault, _ faultKind) *Error {
 	isZone := slices.Contains(f.Fleet.Zones, fault.From)
 	isSidecarOfServers := fault.On == "servers" && f.isSidecar(fault.From)
 	switch {
 	case fault.On == "keepers" && !slices.Contains(registryLinkEnds, fault.From):
-		return f.errorAt("fault", i, "from", "from %q is none of peers, clients, sidecars and servers", fault.From)
+		return f.errorAt("fault", index, "from", "from %q is none of peers, clients, sidecars and servers", fault.From)
 	case fault.On == "servers" && fault.From != "" && f.Registry.Count > 0:
-		return f.errorAt("fault", i, "from", "with keepers all sidecars reach servers by one listener: from is not possible")
+		return f.errorAt("fault", index, "from", "with keepers all sidecars reach servers by one listener: from is not possible")
 	case fault.Zone != "" && !slices.Contains(f.Fleet.Zones, fault.Zone):
-		return f.errorAt("fault", i, "zone", "no zone %q", fault.Zone)
+		return f.errorAt("fault", index, "zone", "no zone %q", fault.Zone)
 	case fault.From != "" && fault.On != "keepers" && !isZone && !isSidecarOfServers:
-		return f.errorAt("fault", i, "from", "no zone %q, nor a sidecar", fault.From)
+		return f.errorAt("fault", index, "from", "no zone %q, nor a sidecar", fault.From)
 	case fault.On == "list" && (fault.Zone != "" || fault.chooses()):
-		return f.errorAt("fault", i, "on", "there is one list: zone, part, count and names choose nothing")
+		return f.errorAt("fault", index, "on", "there is one list: zone, part, count and names choose nothing")
 	}
 	return nil
 }
@@ -100,29 +100,29 @@
 func (t *Fault) chooses() bool { return t.Part > 0 || t.Count > 0 || len(t.Names) > 0 }
 
 // checkFaultSize rejects a size out of range and an unknown direction.
-func (f *File) checkFaultSize(i int, fault *Fault, kind faultKind) *Error {
+func (f *File) checkFaultSize(index int, fault *Fault, kind faultKind) *Error {
 	switch {
 	case kind.hasSize() && (fault.Size < kind.size[0] || fault.Size > kind.size[1]):
-		return f.errorAt("fault", i, "size", "%s needs a size within %v to %v", fault.Do, kind.size[0], kind.size[1])
+		return f.errorAt("fault", index, "size", "%s needs a size within %v to %v", fault.Do, kind.size[0], kind.size[1])
 	case fault.Way != "" && fault.Way != "to-far" && fault.Way != "to-near":
-		return f.errorAt("fault", i, "way", "way %q is neither to-far nor to-near", fault.Way)
+		return f.errorAt("fault", index, "way", "way %q is neither to-far nor to-near", fault.Way)
 	case fault.Do == "silence" && fault.Way == "":
-		return f.errorAt("fault", i, "way", "silence needs a way, to-far or to-near")
+		return f.errorAt("fault", index, "way", "silence needs a way, to-far or to-near")
 	}
 	return nil
 }
 
 // checkClientFault rejects a choice among clients, who are not chosen.
-func (f *File) checkClientFault(i int, fault *Fault, _ faultKind) *Error {
+func (f *File) checkClientFault(index int, fault *Fault, _ faultKind) *Error {
 	countOfNoFlood := fault.Count > 0 && fault.Do != "flood"
 	if fault.On == "clients" && (fault.Part > 0 || len(fault.Names) > 0 || countOfNoFlood) {
-		return f.errorAt("fault", i, "on", "part and names choose no clients, and count only those of a flood")
+		return f.errorAt("fault", index, "on", "part and names choose no clients, and count only those of a flood")
 	}
 	return nil
 }
 
 // checkLyingMembers rejects false reports that nobody would receive, or that are not complete.
-func (f *File) checkLyingMembers(i int, fault *Fault, _ faultKind) *Error {
+func (f *File) checkLyingMembers(index int, fault *Fault, _ faultKind) *Error {
 	if fault.Do != "lie" {
 		return nil
 	}
@@ -130,47 +130,47 @@
 	namesPossible := len(fault.Names) >= 1 && len(fault.Names) <= maxReportedClients
 	switch {
 	case !f.Members.On || !f.Hitters.On:
-		return f.errorAt("fault", i, "do", "nobody would hear a lie: it needs on in [members] and in [hitters]")
+		return f.errorAt("fault", index, "do", "nobody would hear a lie: it needs on in [members] and in [hitters]")
 	case !countPossible || !namesPossible || fault.Part > 0 || fault.Zone != "":
-		return f.errorAt("fault", i, "count", "a lie needs count, 1 to %d, and names, 1 to %d, and nothing else that chooses", maxLyingMembers,
+		return f.errorAt("fault", index, "count", "a lie needs count, 1 to %d, and names, 1 to %d, and nothing else that chooses", maxLyingMembers,
 			maxReportedClients)
 	}
 	return nil
 }
 
 // checkFlood rejects floods by too many clients, and keys of floods at other faults.
-func (f *File) checkFlood(i int, fault *Fault, _ faultKind) *Error {
+func (f *File) checkFlood(index int, fault *Fault, _ faultKind) *Error {
 	switch {
 	case fault.Do == "flood" && (fault.Count > maxFlooders || fault.Through < 0):
-		return f.errorAt("fault", i, "count", "a flood has %d clients at most, and goes through no fewer than 0 sidecars", maxFlooders)
+		return f.errorAt("fault", index, "count", "a flood has %d clients at most, and goes through no fewer than 0 sidecars", maxFlooders)
 	case fault.Distinct && fault.Do != "flood":
-		return f.errorAt("fault", i, "distinct", "%s has no distinct", fault.Do)
+		return f.errorAt("fault", index, "distinct", "%s has no distinct", fault.Do)
 	}
 	return nil
 }
 
 // checkFaultTimings rejects joins without a number, restarts outside of the load and negative times.
-func (f *File) checkFaultTimings(i int, fault *Fault, _ faultKind) *Error {
+func (f *File) checkFaultTimings(index int, fault *Fault, _ faultKind) *Error {
 	negative := fault.Batch < 0 || fault.Drain < 0 || fault.Jitter < 0 || fault.Every < 0
 	switch {
 	case fault.Do == "join" && (fault.Count < 1 || fault.Part > 0 || len(fault.Names) > 0 || fault.Zone != ""):
-		return f.errorAt("fault", i, "count", "join needs count, and nothing else that chooses")
+		return f.errorAt("fault", index, "count", "join needs count, and nothing else that chooses")
 	case fault.Restart != nil && (*fault.Restart < 0 || fault.At+*fault.Restart >= f.Seconds):
-		return f.errorAt("fault", i, "restart", "a restart after %v s is not within the load", *fault.Restart)
+		return f.errorAt("fault", index, "restart", "a restart after %v s is not within the load", *fault.Restart)
 	case negative || fault.Batch > 1:
-		return f.errorAt("fault", i, "do", "batch, drain, jitter and every cannot be below 0, nor batch above 1")
+		return f.errorAt("fault", index, "do", "batch, drain, jitter and every cannot be below 0, nor batch above 1")
 	case fault.Do == "flap" && fault.Every <= 0:
-		return f.errorAt("fault", i, "every", "flap needs every, the seconds up and down")
+		return f.errorAt("fault", index, "every", "flap needs every, the seconds up and down")
 	}
 	return nil
 }
 
 // checkFaultKeys rejects keys that a kind of fault does not have.
-func (f *File) checkFaultKeys(i int, fault *Fault, kind faultKind) *Error {
+func (f *File) checkFaultKeys(index int, fault *Fault, kind faultKind) *Error {
 	for key, given := range map[string]bool{"restart": fault.Restart != nil, "size": fault.Size != 0, "every": fault.Every != 0, "from": fault.From != "",
 		"way": fault.Way != "", "jitter": fault.Jitter != 0, "batch": fault.Batch != 0, "drain": fault.Drain != 0, "through": fault.Through != 0} {
 		if given && !kind.hasKey(key) {
-			return f.errorAt("fault", i, key, "%s has no %s", fault.Do, key)
+			return f.errorAt("fault", index, key, "%s has no %s", fault.Do, key)
 		}
 	}
 	return nil
