--- /dev/null
+++ b/internal/lab/plan/make.go
@@ -0,0 +1,137 @@
+package plan
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"gradeusher.example/gradeusher/internal/lab/model"
+)
+
+// Make draws the plan of a file for a seed. It fails with an *Error where the faults cannot all be.
+func Make(file *File, seed uint64) (*Plan, error) {
+	plan := &Plan{File: file, Seed: seed}
+	if err := plan.drawSidecars(); err != nil {
+		return nil, err
+	}
+	kinds := plan.drawKinds(file.Fleet.Servers)
+	for i := range file.Fleet.Servers {
+		plan.Servers = append(plan.Servers, plan.drawSpec(i, file.Fleet.Zones[i%len(file.Fleet.Zones)], kinds[i]))
+	}
+	plan.InitialServers = len(plan.Servers)
+	if err := plan.drawArrivals(); err != nil {
+		return nil, err
+	}
+	if err := plan.drawSteps(); err != nil {
+		return nil, err
+	}
+	plan.setHashes()
+	return plan, nil
+}
+
+// Groups is how many groups of sidecars there are, each with listeners of its own at every server.
+func (p *Plan) Groups() int {
+	if p.File.Registry.Count > 0 {
+		return 1
+	}
+	return len(p.File.Fleet.Zones)
+}
+
+// drawKinds gives n servers their kinds, by share as nearly as whole servers can, in drawn order.
+func (p *Plan) drawKinds(n int) []int {
+	sum := 0.0
+	for _, k := range p.File.Kinds {
+		sum += k.Share
+	}
+	var kinds []int
+	due := 0.0
+	for k, kind := range p.File.Kinds {
+		due += kind.Share / sum * float64(n)
+		for len(kinds) < int(math.Round(due)) {
+			kinds = append(kinds, k)
+		}
+	}
+	r := stream(p.Seed, "kinds")
+	r.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
+	return kinds
+}
+
+// drawSpec draws the i-th server, after the site file's ranges where BRIEF has none.
+func (p *Plan) drawSpec(i int, zone string, kind int) model.Spec {
+	rng := stream(p.Seed, fmt.Sprintf("server %d", i))
+	k := p.File.Kinds[kind]
+	spec := model.Spec{
+		UID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: zone, Kind: k.Name, Cores: k.Cores, Speed: uniform(rng, k.Speed), Slots: k.Cores,
+		Queue: k.Cores * (200 + rng.IntN(500)), Thrash: uniform(rng, [2]float64{0.015, 0.07}), ThrashAt: uniform(rng, [2]float64{2.6, 7}),
+		ColdFrom: uniform(rng, [2]float64{0.14, 0.36}), ColdFor: Seconds(uniform(rng, [2]float64{11, 24})),
+		FallMultiple: 3, FallFor: 1500 * time.Millisecond, ErrorRate: p.File.Fleet.ErrorRate, DropsExpired: rng.IntN(2) == 0,
+		ConnCap: k.Cores * (600 + rng.IntN(300)), ConnWork: Seconds(uniform(rng, [2]float64{0.00078, 0.0015})),
+		ReportEvery: Seconds(uniform(rng, [2]float64{0.32, 1.2})), ReportDelay: Seconds(uniform(rng, [2]float64{0.23, 0.48})), Seed: rng.Uint64(),
+	}
+	if p.File.List.Sizes == "rough" {
+		rough := stream(p.Seed, fmt.Sprintf("size %d", i))
+		spec.Hint = spec.Capacity() * uniform(rough, [2]float64{0.8, 1.2})
+	}
+	return spec
+}
+
+// Capacity is the work a second of all servers at the start when warm.
+func (p *Plan) Capacity() float64 {
+	sum := 0.0
+	for i := range p.InitialServers {
+		sum += p.Servers[i].Capacity()
+	}
+	return sum
+}
+
+// Rate is the requests a second that arrive on average.
+func (p *Plan) Rate() float64 {
+	f := p.File
+	if f.Load.Rate > 0 {
+		return f.Load.Rate
+	}
+	shares, work := 0.0, 0.0
+	for _, c := range f.Classes {
+		shares += c.Share
+		work += c.Share * c.WorkMS / 1000 * f.Load.WorkPart
+	}
+	return f.Load.Share * p.Capacity() / (work / shares)
+}
+
+func (p *Plan) setHashes() {
+	hasher := xxhash.New()
+	put := func(v ...any) {
+		for _, x := range v {
+			_ = binary.Write(hasher, binary.LittleEndian, x) // a hash takes everything
+		}
+	}
+	for _, a := range p.Arrivals {
+		put(int64(a.At), int64(a.Sidecar), int64(a.Class), int64(a.Work), a.TimeoutShare, int64(a.Backoff), int64(a.Client))
+	}
+	p.ArrivalsHash = fmt.Sprintf("%016x", hasher.Sum64())
+	hasher.Reset()
+	for _, s := range p.Steps {
+		_, _ = fmt.Fprintf(hasher, "%+v\n", s) // a hash takes everything
+	}
+	for _, s := range p.Servers {
+		_, _ = fmt.Fprintf(hasher, "%+v\n", s) // a hash takes everything
+	}
+	p.StepsHash = fmt.Sprintf("%016x", hasher.Sum64())
+}
+
+// stream is a source of random numbers of its own, so that a change of one draw moves no other.
+func stream(seed uint64, label string) *rand.Rand {
+	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(label)))
+}
+
+func uniform(r *rand.Rand, v [2]float64) float64 { return v[0] + r.Float64()*(v[1]-v[0]) }
+
+// Seconds is a time in seconds, as experiment files have it.
+func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// Millis is a time in milliseconds.
+func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/plan/parse.go
+++ b/internal/lab/plan/parse.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"cmp"
+	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -44,8 +45,9 @@
 	if err != nil {
 		line := 0
 		what := err.Error()
-		if p, ok := err.(toml.ParseError); ok { // the library returns it unwrapped
-			line, what = p.Position.Line, cmp.Or(p.Message, what)
+		var parseError toml.ParseError
+		if errors.As(err, &parseError) {
+			line, what = parseError.Position.Line, cmp.Or(parseError.Message, what)
 		}
 		return nil, &Error{path, line, strings.ReplaceAll(what, "\n", " ")} // the library quotes the text as it stands
 	}
