--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -96,21 +96,21 @@
 		}
 		return chosen, nil
 	}
-	n := len(all)
+	count := len(all)
 	switch {
 	case fault.Count > len(all):
 		return nil, fmt.Errorf("there are only %d to act on then, not %d", len(all), fault.Count)
 	case fault.Count > 0:
-		n = fault.Count
+		count = fault.Count
 	case fault.Part > 0:
-		n = max(1, int(math.Round(fault.Part*float64(len(all)))))
+		count = max(1, int(math.Round(fault.Part*float64(len(all)))))
 	}
 	if len(all) == 0 {
 		return nil, fmt.Errorf("there is nothing to act on then")
 	}
 	chosen := slices.Clone(all)
 	rng.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
-	return chosen[:n], nil
+	return chosen[:count], nil
 }
 
 // chooseProcesses are those that a fault on processes means.
@@ -123,7 +123,7 @@
 	}
 	var all []int
 	for i, s := range d.Sidecars {
-		if s.runsThroughout(Seconds(fault.At), Seconds(fault.At+fault.For)) && (fault.Zone == "" || s.Zone == fault.Zone) {
+		if s.runsThroughout(Seconds(fault.At), Seconds(fault.At+fault.For)) && fault.inZone(s.Zone) {
 			all = append(all, i)
 		}
 	}
@@ -150,7 +150,7 @@
 func (d *stepDrawer) chooseServers(fault *Fault, from, to time.Duration) ([]int, error) {
 	var all []int
 	for i, l := range d.lifetimes {
-		if l.from <= from && l.to >= to && (fault.Zone == "" || d.Servers[l.index].Zone == fault.Zone) {
+		if l.from <= from && l.to >= to && fault.inZone(d.Servers[l.index].Zone) {
 			all = append(all, i)
 		}
 	}
