--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -40,7 +40,7 @@
 	seq       uint64 // the verdict stands when this record is committed
 	confirmed bool   // the verdict needs no confirmation of the epoch any more
 	done      bool
-	outcome   Outcome
+	outcome   CallOutcome
 	closedAt  time.Duration
 }
 
@@ -143,7 +143,7 @@
 	})
 }
 
-func (cd *changeDecider) closeChange(change *pendingChange, outcome Outcome) {
+func (cd *changeDecider) closeChange(change *pendingChange, outcome CallOutcome) {
 	change.done, change.outcome, change.closedAt = true, outcome, cd.now
 	cd.sendAnswer(change)
 }
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -14,21 +14,21 @@
 	maxPendingCalls    = 1024
 )
 
-// Outcome says what became of a change or read.
-type Outcome uint8
+// CallOutcome says what became of a change or read.
+type CallOutcome uint8
 
 // The outcomes. Their numbers are on the wire.
 const (
-	Answered Outcome = 1 // the verdict stands
-	Refused  Outcome = 2 // it was not applied, nor will be
-	Unknown  Outcome = 3 // it may or may not be applied
+	Answered CallOutcome = 1 // the verdict stands
+	Refused  CallOutcome = 2 // it was not applied, nor will be
+	Unknown  CallOutcome = 3 // it may or may not be applied
 )
 
 // Completion ends a Submit or Read. State is set for a read that was answered.
 type Completion struct {
 	ID      uint64 // as passed to Submit or Read
 	Read    bool
-	Outcome Outcome
+	Outcome CallOutcome
 	Verdict controlstate.Verdict // on a change that was answered
 	Seq     uint64               // the record that verdict or state rests on, committed
 	State   State
@@ -130,7 +130,7 @@
 	}
 }
 
-func (s *pendingSubmit) outcomeAtDeadline() Outcome {
+func (s *pendingSubmit) outcomeAtDeadline() CallOutcome {
 	if s.attemptInProgress || s.uncertain {
 		return Unknown
 	}
@@ -166,7 +166,7 @@
 	if call == nil {
 		return
 	}
-	switch outcome := Outcome(msg.GetOutcome()); {
+	switch outcome := CallOutcome(msg.GetOutcome()); {
 	case outcome == Refused, outcome == Unknown && idempotent(call.change):
 		call.attemptInProgress, call.uncertain = false, call.uncertain || outcome == Unknown
 		call.retryAt = cc.now + cc.cfg.HeartbeatInterval
