--- a/internal/system/distribution/rpc/transport_test.go
+++ b/internal/system/distribution/rpc/transport_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// breakEverySecond makes calls, and tells how many came to a peer that breaks every second one of a connection, and how many
+// breakEverySecond makes calls, and returns how many came to a peer that breaks every second one of a connection, and how many
 // failed.
 func breakEverySecond(ctx context.Context, t *testing.T, calls int) (came, failed int) {
 	t.Helper()
--- a/internal/system/distribution/server_list.go
+++ b/internal/system/distribution/server_list.go
@@ -111,7 +111,7 @@
 	return s.table.Servers(time.Now())
 }
 
-// ListVersion tells the fence and version of the newest complete reading of the platform's list that has come here, and its
+// ListVersion returns the fence and version of the newest complete reading of the platform's list that has come here, and its
 // greatest possible age; zeros and the longest duration before any has.
 func (s *Server) ListVersion() (fence, version uint64, age time.Duration) {
 	s.mu.Lock()
--- a/internal/system/distribution/server_loads.go
+++ b/internal/system/distribution/server_loads.go
@@ -20,7 +20,7 @@
 	return loadAggregator{total: loadreport.NewVector(false), local: loadreport.NewVector(false)}
 }
 
-// publish adds the loads up as of now, and tells which of the sums changed.
+// publish adds the loads up as of now, and reports which of the sums changed.
 func (a *loadAggregator) publish(now time.Time, sessions *sessionSet, peers *peerSet) (localChanged, totalChanged bool) {
 	sums := map[string]pick.Load{}
 	for _, each := range sessions.byNode {
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -9,8 +9,9 @@
 
 const (
 	// defaultRetryAfter is the Retry-After of responses for which neither the picker nor a server has named a wait: there is no
-	// configuration yet, no memory for the body, a body that came too slowly, or no further attempt is allowed. It is not pick's constant of that name, which is
-	// longer and stands for another case: the picker was asked and knows of no server that could take the request.
+	// configuration yet, no memory for the body, a body that came too slowly, or no further attempt is allowed. It is not pick's
+	// constant of that name, which is longer and stands for another case: the picker was asked and knows of no server that could
+	// take the request.
 	defaultRetryAfter = 300 * time.Millisecond
 	// minRetryAfter is the least Retry-After. It has the value of pick's constant of that name, and applies to the waits that servers
 	// asked for and to defaultRetryAfter as well, which the picker has not bounded.
@@ -42,8 +43,8 @@
 	}
 }
 
-// respondError answers with a status of the proxy's own. A not-executed status comes with a Retry-After;
-// 0: the default.
+// respondError answers with a status of the proxy's own. A not-executed status comes with a Retry-After; 0 stands for
+// the default.
 func (c *clientRequest) respondError(status int, retryAfter time.Duration) {
 	if impliesNotExecuted(status) {
 		if retryAfter <= 0 {
