--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestVerdictsOfOthers(t *testing.T) {
+func TestDownReportsOfOthers(t *testing.T) {
 	server := newIdleServer()
 	now := time.Now()
 	member := softstate.Member{Node: "p", Incarnation: 5}
