--- a/internal/system/distribution/rpc/transport_test.go
+++ b/internal/system/distribution/rpc/transport_test.go
@@ -28,12 +28,12 @@
 	}
 }
 
-// breakEverySecond makes calls, and tells how many came to a peer that breaks every second one of a connection, and how many
+// breakEverySecond makes calls, and returns how many came to a peer that breaks every second one of a connection, and how many
 // failed.
 func breakEverySecond(ctx context.Context, t *testing.T, calls int) (came, failed int) {
 	t.Helper()
 	arrived := make(chan uint64, 4*calls)
-	peer, err := resetserver.Listen(func(body []byte) {
+	peer, err := resetserver.Listen(func(body []byte) { //nolint:contextcheck // it takes none: Close below ends it
 		var req distributionpb.ShareRequest
 		if err := proto.Unmarshal(body, &req); err != nil {
 			t.Errorf("a body that is no call: %v", err)
