--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -37,11 +37,11 @@
 func (t *fakePicker) PromptDemands() map[string]pick.Load                 { return nil }
 func (t *fakePicker) RecordRequest(pick.Time, *pick.Request)              {}
 func (t *fakePicker) FirstEvent(pick.Time, uint64)                        { t.firstEvents++ }
-func (t *fakePicker) Started(pick.Time, uint64)                           {}
+func (t *fakePicker) ResponseStarted(pick.Time, uint64)                   {}
 func (t *fakePicker) WarmingUp(pick.Time, string, time.Duration)          {}
 func (t *fakePicker) ServerDraining(pick.Time, string)                    {}
 func (t *fakePicker) AwaitsServerList() bool                              { return false }
-func (t *fakePicker) Stalled(pick.Time)                                   {}
+func (t *fakePicker) RecordStall(pick.Time)                               {}
 func (t *fakePicker) AwaitsControlPlane() bool                            { return false }
 func (t *fakePicker) Stats() pick.Stats                                   { return pick.Stats{} }
 func (t *fakePicker) Describe(pick.Time) string                           { return "fake" }
