--- a/internal/lab/plan/fleet_test.go
+++ b/internal/lab/plan/fleet_test.go
@@ -17,7 +17,7 @@
 	return plan
 }
 
-// TestJoinAndLeave has sidecars come and go: clients send to none that is not there, and the rate stays what it is.
+// TestJoinAndLeave lets sidecars join and leave: clients send to none that does not run, and the rate stays the same.
 func TestJoinAndLeave(t *testing.T) {
 	plan := makePlan(t, "states = \"x\"\nseconds = 40\n[fleet]\nsidecars = 10\n[load]\nrate = 200\nuneven = 0.5\n"+
 		"[[fault]]\ndo = \"join\"\nat = 10\nfor = 2\ncount = 10\n[[fault]]\ndo = \"leave\"\nat = 24\nfor = 2\npart = 0.5\n")
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestRoll has every sidecar be ended and started again once, a batch at a time.
+// TestRoll ends and restarts every sidecar once, a batch at a time.
 func TestRoll(t *testing.T) {
 	p := makePlan(t, head+"[fleet]\nsidecars = 20\n[[fault]]\ndo = \"roll\"\nat = 4\nfor = 16\nbatch = 0.1\nrestart = 0.2\n")
 	at := map[time.Duration]int{}
@@ -67,50 +67,64 @@
 	}
 }
 
-// TestClients has clients ask by name with the skew, bursts raise the rate, and floods come besides, through whom they should.
+// TestClients draws named clients with the skew, a burst that raises the rate, and floods through the sidecars that they should use.
 func TestClients(t *testing.T) {
 	plan := makePlan(t, "states = \"x\"\nseconds = 100\n[fleet]\nsidecars = 10\n[load]\nrate = 100\nclients = 50\nskew = 1\n"+
 		"[[fault]]\ndo = \"burst\"\nat = 20\nfor = 20\nsize = 0.5\nzone = \"room-b\"\n"+
 		"[[fault]]\ndo = \"flood\"\nat = 50\nfor = 10\nsize = 0.3\ncount = 2\nthrough = 1\n"+
 		"[[fault]]\ndo = \"flood\"\nat = 70\nfor = 10\nsize = 0.3\ndistinct = true\n")
-	own, flood, burst, distinct := map[int]int{}, map[int]int{}, 0, map[int]bool{}
-	through := map[int]bool{}
-	for i, a := range plan.Arrivals {
-		if i > 0 && a.At < plan.Arrivals[i-1].At {
-			t.Fatal("arrivals run backwards")
-		}
-		if fault, ok := Flooder(a.Client); ok && fault == 1 {
-			flood[a.Client]++
-			through[a.Sidecar] = true
-		} else if ok {
-			distinct[a.Client] = true
-		} else {
-			own[a.Client]++
-		}
-		if a.At >= 20*time.Second && a.At < 40*time.Second && plan.Sidecars[a.Sidecar].Zone == "room-b" {
-			burst++
-		}
-	}
-	if sum := 4.4992; math.Abs(float64(own[1])/11000*sum-1) > 0.1 || len(own) != 50 || own[0] != 0 { // the 50th harmonic number
-		t.Errorf("the first of %d clients asks %d times", len(own), own[1])
+	counts := countRequests(t, plan)
+	if sum := 4.4992; math.Abs(float64(counts.own[1])/11000*sum-1) > 0.1 || len(counts.own) != 50 || counts.own[0] != 0 { // the 50th harmonic number
+		t.Errorf("the first of %d clients asks %d times", len(counts.own), counts.own[1])
 	}
-	if math.Abs(float64(burst)/2000-1) > 0.1 {
-		t.Errorf("%d requests in the burst's room, want 1000 and as many more", burst)
+	if math.Abs(float64(counts.burst)/2000-1) > 0.1 {
+		t.Errorf("%d requests in the burst's room, want 1000 and as many more", counts.burst)
 	}
-	if len(flood) != 2 || len(through) != 1 {
-		t.Errorf("floods %v through %v", flood, through)
+	if len(counts.flood) != 2 || len(counts.through) != 1 {
+		t.Errorf("floods %v through %v", counts.flood, counts.through)
 	}
-	for client, n := range flood {
+	for client, n := range counts.flood {
 		if math.Abs(float64(n)/300-1) > 0.25 {
 			t.Errorf("%s floods %d times, want 300", ClientName(client), n)
 		}
 	}
-	if n := len(distinct); math.Abs(float64(n)/300-1) > 0.25 {
+	if n := len(counts.distinct); math.Abs(float64(n)/300-1) > 0.25 {
 		t.Errorf("%d clients of the distinct flood, want 300", n)
 	}
 }
 
-// TestWithoutFloods has the twin of an experiment be the same but for who floods: also what is drawn after the flood.
+// requestCounts are the requests of TestClients by who sends them.
+type requestCounts struct {
+	own, flood        map[int]int  // by client: of the load, and of the flood through one sidecar
+	through, distinct map[int]bool // sidecars of that flood; clients of the distinct flood
+	burst             int          // in the zone and time of the burst
+}
+
+func countRequests(t *testing.T, plan *Plan) requestCounts {
+	t.Helper()
+	counts := requestCounts{own: map[int]int{}, flood: map[int]int{}, through: map[int]bool{}, distinct: map[int]bool{}}
+	for i, arrival := range plan.Arrivals {
+		if i > 0 && arrival.At < plan.Arrivals[i-1].At {
+			t.Fatal("arrivals run backwards")
+		}
+		fault, floods := Flooder(arrival.Client)
+		switch {
+		case floods && fault == 1:
+			counts.flood[arrival.Client]++
+			counts.through[arrival.Sidecar] = true
+		case floods:
+			counts.distinct[arrival.Client] = true
+		default:
+			counts.own[arrival.Client]++
+		}
+		if arrival.At >= 20*time.Second && arrival.At < 40*time.Second && plan.Sidecars[arrival.Sidecar].Zone == "room-b" {
+			counts.burst++
+		}
+	}
+	return counts
+}
+
+// TestWithoutFloods draws the same plan but for the clients that flood, also of what is drawn after the flood.
 func TestWithoutFloods(t *testing.T) {
 	p := makePlan(t, head+"[hitters]\non = true\ntwin = true\n[[fault]]\ndo = \"flood\"\nat = 3\nfor = 6\nsize = 1.0\n"+
 		"[[fault]]\ndo = \"burst\"\nat = 5\nfor = 5\nsize = 0.5\n")
@@ -127,7 +141,7 @@
 	}
 }
 
-// TestFalseReports has each lie have members of its own, and tell a multiple of what is asked for meanwhile.
+// TestFalseReports gives each lie members of its own, which report a multiple of what arrives meanwhile.
 func TestFalseReports(t *testing.T) {
 	members := head + "[members]\non = true\n[hitters]\non = true\n"
 	lie := "[[fault]]\ndo = \"lie\"\nat = 2\nfor = 5\nsize = 2.0\ncount = 2\nnames = [\"t1\", \"t2\"]\n"
@@ -140,7 +154,7 @@
 	}
 	step := plan.Steps[1]
 	if plan.LyingMembers() != 4 || step.Do != FalseReports || !slices.Equal(step.Nears, []int{2, 3}) || step.Mode != "t1,t2" || step.By != Seconds(work/5*2*2) {
-		t.Errorf("%d liars, %+v, of %v s", plan.LyingMembers(), step, work)
+		t.Errorf("%d lying members, %+v, of %v s", plan.LyingMembers(), step, work)
 	}
 	for _, bad := range []string{head + lie, members + strings.Replace(lie, "count = 2", "count = 0", 1), members + strings.Replace(lie, "\"t1\", \"t2\"", "", 1)} {
 		if _, err := Parse("x.toml", []byte(bad)); err == nil {
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -22,7 +22,7 @@
 	return f
 }
 
-// TestRefused has each bad file be refused with its line and a reason, before anything is started.
+// TestRefused rejects each bad file with its line and a reason, before anything is started.
 func TestRefused(t *testing.T) {
 	for _, test := range []struct {
 		text string
@@ -51,15 +51,17 @@
 		{head + "[[bar]]\nfigure = \"joy\"\nleast = 1\n", 6, "unknown figure"},
 		{head + "[[bar]]\nfigure = \"served\"\n", 6, "neither least nor most"},
 	} {
-		_, err := Parse("lab/x.toml", []byte(test.text))
-		var bad *Error
-		if !errors.As(err, &bad) || bad.Line != test.line || !strings.Contains(bad.What, test.says) {
-			t.Errorf("%q: %v, want line %d and %q", test.text, err, test.line, test.says)
-		}
+		t.Run(test.says, func(t *testing.T) {
+			_, err := Parse("lab/x.toml", []byte(test.text))
+			var bad *Error
+			if !errors.As(err, &bad) || bad.Line != test.line || !strings.Contains(bad.What, test.says) {
+				t.Errorf("%q: %v, want line %d and %q", test.text, err, test.line, test.says)
+			}
+		})
 	}
 }
 
-// TestImpossible has faults that get into each other's way be refused when the plan is made.
+// TestImpossible rejects faults that exclude each other when the plan is made.
 func TestImpossible(t *testing.T) {
 	for _, test := range []struct{ text, says string }{
 		{"[[fault]]\ndo = \"kill\"\nat = 5\nnames = [\"n0\"]\n[[fault]]\ndo = \"stop\"\nat = 9\nfor = 1\nnames = [\"n0\"]\n", "acts on n0 while fault 1"},
@@ -69,11 +71,13 @@
 		{"[[fault]]\ndo = \"die\"\nat = 5\n[[fault]]\ndo = \"lose\"\nat = 8\nfor = 1\n", "nothing to act on"},
 		{"[[fault]]\ndo = \"list-old\"\nat = 5\nfor = 3\n[[fault]]\ndo = \"list-cut\"\nat = 7\nfor = 1\n", "the list's answers while fault 1"},
 	} {
-		_, err := Make(parse(t, head+test.text), 1)
-		var bad *Error
-		if !errors.As(err, &bad) || bad.Line == 0 || !strings.Contains(bad.What, test.says) {
-			t.Errorf("%q: %v, want %q", test.text, err, test.says)
-		}
+		t.Run(test.says, func(t *testing.T) {
+			_, err := Make(parse(t, head+test.text), 1)
+			var bad *Error
+			if !errors.As(err, &bad) || bad.Line == 0 || !strings.Contains(bad.What, test.says) {
+				t.Errorf("%q: %v, want %q", test.text, err, test.says)
+			}
+		})
 	}
 }
 
@@ -99,7 +103,7 @@
 count = 2
 `
 
-// TestSameSeed has the same seed give the same plan, and another seed another.
+// TestSameSeed draws the same plan from the same seed, and another one from another seed.
 func TestSameSeed(t *testing.T) {
 	draw := func(seed uint64) *Plan {
 		plan, err := Make(parse(t, rich), seed)
@@ -117,7 +121,7 @@
 	}
 }
 
-// TestLoad has the load be what the file asks for.
+// TestLoad draws the load that the file asks for.
 func TestLoad(t *testing.T) {
 	plan, err := Make(parse(t, "states = \"x\"\nseconds = 300\n[load]\nshare = 0.5\nzone_skew = 0.4\n"), 3)
 	if err != nil {
@@ -141,7 +145,7 @@
 	}
 }
 
-// TestFromOne has one sidecar's links fail, and no other's.
+// TestFromOne partitions the links of one sidecar, and no other's.
 func TestFromOne(t *testing.T) {
 	p := makePlan(t, head+"[[fault]]\ndo = \"partition\"\nat = 2\nfor = 3\nfrom = \"n2\"\n")
 	for _, s := range p.Steps {
@@ -154,7 +158,7 @@
 	}
 }
 
-// TestSizes has the list tell sizes near the true ones, and no other draw move for it.
+// TestSizes publishes sizes near the true ones, which changes no other draw.
 func TestSizes(t *testing.T) {
 	alike := makePlan(t, head)
 	rough := makePlan(t, head+"[list]\nsizes = \"rough\"\n")
@@ -169,7 +173,7 @@
 	}
 }
 
-// TestDeploy has every server chosen be replaced once, in its zone and kind, its end after its drain, within the time.
+// TestDeploy replaces every chosen server once, in its zone and kind, its end after its drain, within the time.
 func TestDeploy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		file, err := Parse("x.toml", []byte(head+"[fleet]\nservers = 12\n[[fault]]\ndo = \"deploy\"\nat = 2\nfor = 20\npart = 0.98\ndrain = 3\n"))
@@ -180,34 +184,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := map[string]map[string]time.Duration{}
-		for _, s := range plan.Steps {
-			if at[s.Server] == nil {
-				at[s.Server] = map[string]time.Duration{}
+		steps := stepTimes(plan)
+		for _, old := range plan.Servers[:plan.InitialServers] {
+			at := steps[old.UID]
+			if at[Remove]-at[Drain] != 3*time.Second || at["tellDELETED"] < at[Remove] || at["tellDRAINING"] < at[Drain] {
+				t.Fatalf("server %s: %v", old.UID, at)
 			}
-			at[s.Server][s.Do+s.State] = s.At
 		}
-		added := 0
-		for i, s := range plan.Servers {
-			steps := at[s.UID]
-			if i >= plan.InitialServers {
-				added++
-				if steps[Add] < 5*time.Second || steps[Add] > 22*time.Second || steps["tellSERVING"] <= steps[Add] {
-					t.Fatalf("successor %s: %v", s.UID, steps)
-				}
-				continue
-			}
-			if steps[Remove]-steps[Drain] != 3*time.Second || steps["tellDELETED"] < steps[Remove] || steps["tellDRAINING"] < steps[Drain] {
-				t.Fatalf("server %s: %v", s.UID, steps)
+		successors := plan.Servers[plan.InitialServers:]
+		for _, successor := range successors {
+			at := steps[successor.UID]
+			if at[Add] < 5*time.Second || at[Add] > 22*time.Second || at["tellSERVING"] <= at[Add] {
+				t.Fatalf("successor %s: %v", successor.UID, at)
 			}
 		}
-		if added != 12 {
-			t.Fatalf("%d successors, want 12", added)
+		if len(successors) != 12 {
+			t.Fatalf("%d successors, want 12", len(successors))
 		}
 	})
 }
 
-// FuzzParse has any text be read or refused with one line of reason.
+// stepTimes is when each server has its steps, by the step and the state that it publishes.
+func stepTimes(plan *Plan) map[string]map[string]time.Duration {
+	times := map[string]map[string]time.Duration{}
+	for _, step := range plan.Steps {
+		if times[step.Server] == nil {
+			times[step.Server] = map[string]time.Duration{}
+		}
+		times[step.Server][step.Do+step.State] = step.At
+	}
+	return times
+}
+
+// FuzzParse reads any text, or rejects it with one line of reason.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(rich))
 	f.Add([]byte(head + "[[bar]]\nfigure = \"served:fetch\"\nleast = 1\n"))
