--- a/internal/lab/plan/file.go
+++ b/internal/lab/plan/file.go
@@ -1,12 +1,18 @@
-// Package plan turns an experiment file and a seed into everything that an experiment will do: the fleet, each arrival, and
-// each step of each fault with its time. It is pure: the same file and seed give the same plan, and its hash says so.
+// Package plan turns an experiment file and a seed into everything that an experiment will do: the fleet, each arrival, and each step of
+// each fault with its time.
+//
+// Terms: a fault is an entry of the file; a step is one action of the lab, by which a fault begins or ends; an arrival is one request of a
+// client; a bar is a bound on a figure of the report.
+//
+// Invariant: a plan is a pure function of file and seed. Each draw has a random stream of its own, labelled by its purpose, so a
+// change of one draw moves no other. ArrivalsHash and StepsHash identify a plan in reports.
 package plan
 
-// File is an experiment as it is written down. Times are in seconds from the start of the load unless the name says ms.
+// File is an experiment file. Times are in seconds from the start of the load unless the name says ms.
 type File struct {
-	States   string   `toml:"states"`  // the sentence that the experiment puts to the test
-	Seconds  float64  `toml:"seconds"` // of load
-	Breaks   string   `toml:"breaks"`  // controls: the invariant that must be found broken
+	States   string   `toml:"states"`  // the claim that the experiment tests
+	Seconds  float64  `toml:"seconds"` // duration of the load
+	Breaks   string   `toml:"breaks"`  // controls: the invariant or bar that has to be found broken
 	Fleet    Fleet    `toml:"fleet"`
 	Load     Load     `toml:"load"`
 	Limits   Limits   `toml:"limits"`
@@ -15,7 +21,7 @@
 	Hitters  Hitters  `toml:"hitters"`
 	Members  Members  `toml:"members"`
 	Routes   Routes   `toml:"routes"`
-	// Config is written into each sidecar's configuration as it stands, beside what the lab tells it.
+	// Config is copied into the configuration of each sidecar, beside what the lab sets.
 	Config  map[string]any `toml:"config"`
 	Kinds   []Kind         `toml:"kind"`
 	Classes []Class        `toml:"class"`
@@ -23,7 +29,7 @@
 	Bars    []Bar          `toml:"bar"`
 
 	Path string `toml:"-"`
-	Name string `toml:"-"` // of the file, without folder and ending
+	Name string `toml:"-"` // of the file, without directory and extension
 	text []byte
 }
 
@@ -34,8 +40,8 @@
 	Sidecars  int      `toml:"sidecars"`
 	PerHost   int      `toml:"per_host"`  // stand-in servers in one process
 	Program   string   `toml:"program"`   // "sidecar": the program; "plain": the stand-in to compare with
-	Flaw      string   `toml:"flaw"`      // of the stand-in sidecar
-	MemoryMB  int      `toml:"memory_mb"` // that a sidecar is told
+	Flaw      string   `toml:"flaw"`      // of the stand-in sidecar, one of Flaws
+	MemoryMB  int      `toml:"memory_mb"` // limit in the configuration of a sidecar
 	Sockets   int      `toml:"sockets"`
 	DelayMS   float64  `toml:"delay_ms"` // one way between any sidecar and server
 	Start     string   `toml:"start"`    // "warm" or "cold": servers at the start
@@ -49,18 +55,18 @@
 	Rate        float64 `toml:"rate"`      // or requests a second
 	Uneven      float64 `toml:"uneven"`    // coefficient of variation of the sidecars' shares
 	ZoneSkew    float64 `toml:"zone_skew"` // how much more of the traffic the first zone has, 0 to 1
-	Retries     bool    `toml:"retries"`   // clients try once more
-	SendDelayMS float64 `toml:"tardy_ms"`  // the lab sends this much late: for the control of its own lateness
+	Retries     bool    `toml:"retries"`   // clients retry once
+	SendDelayMS float64 `toml:"tardy_ms"`  // delay of every arrival, for the control that the lab finds its own lateness
 	WorkPart    float64 `toml:"work_part"` // of the classes' mean work, so that more requests fit the same servers
-	Clients     int     `toml:"clients"`   // who ask by name, in the header X-Tenant-Id; 0: nobody does
-	Skew        float64 `toml:"skew"`      // the i-th client has a part of the requests by i to the power of -skew
+	Clients     int     `toml:"clients"`   // number of tenants, in the header X-Tenant-Id; 0: none
+	Skew        float64 `toml:"skew"`      // exponent of Zipf's law: the i-th client has requests in proportion to i to the power of -skew
 }
 
-// Limits are what checkers hold runs to.
+// Limits are the limits that invariants check.
 type Limits struct {
 	AnswerSlackMS float64 `toml:"answer_slack_ms"` // past the client's time-out (FLEET.md: half a second)
-	DrainGraceMS  float64 `toml:"drain_grace_ms"`  // after a sidecar was told
-	SlackMS       float64 `toml:"slack_ms"`        // PROTOCOL's for every time limit
+	DrainGraceMS  float64 `toml:"drain_grace_ms"`  // after a sidecar was notified
+	SlackMS       float64 `toml:"slack_ms"`        // of every time limit (PROTOCOL)
 	MemoryMB      float64 `toml:"memory_mb"`       // of a sidecar's process
 	Descriptors   int     `toml:"descriptors"`
 	LatenessMS    float64 `toml:"lateness_ms"` // of the lab, at the 99th percentile
@@ -70,32 +76,32 @@
 type List struct {
 	NoticeS      [2]float64 `toml:"notice_s"` // until it knows that a process drains or ended
 	AddS         [2]float64 `toml:"add_s"`    // until it knows a new one
-	UnreachableS [2]float64 `toml:"silent_s"` // until it knows that a machine is silent
-	Sizes        string     `toml:"sizes"`    // what it tells of the servers' sizes: "alike", or "rough": the true ones, up to a fifth wrong
+	UnreachableS [2]float64 `toml:"silent_s"` // until it knows that a machine does not respond
+	Sizes        string     `toml:"sizes"`    // published capacities: "alike", or "rough": the true ones, up to a fifth wrong
 }
 
-// Registry are who hold the list, in place of the platform's.
+// Registry is the service registry that publishes the servers, in place of the platform's list.
 type Registry struct {
-	Count            int     `toml:"count"`       // 0: the platform's list
-	Program          string  `toml:"program"`     // "keeper": the program; "plain": stand-ins, each by itself and without a disk
-	Flaw             string  `toml:"flaw"`        // of the stand-in keepers
+	Count            int     `toml:"count"`       // of nodes; 0: the platform's list
+	Program          string  `toml:"program"`     // "keeper": the program; "plain": stand-ins that do not replicate and have no disk
+	Flaw             string  `toml:"flaw"`        // of the stand-in nodes, one of RegistryFlaws
 	LeaseS           float64 `toml:"lease_s"`     // of the servers' registrations
 	GraceS           float64 `toml:"grace_s"`     // from the end of a lease to the server's removal
 	MaxExpiringShare float64 `toml:"share"`       // of the leases that may end within 30 s
-	Snapshot         int     `toml:"snapshot"`    // commands after which a keeper takes a snapshot, and as many it keeps behind it
+	Snapshot         int     `toml:"snapshot"`    // commands between snapshots, and that stay in the log behind one
 	Writers          int     `toml:"writers"`     // clients that write and read entries of their own, side by side
 	WriteRate        float64 `toml:"write_rate"`  // their operations a second in all
 	Keys             int     `toml:"keys"`        // entries that they share
-	MaxRemovalShare  float64 `toml:"doubt_share"` // of the servers, that sidecars let go at once where a whole list lacks them
-	MaxStalenessS    float64 `toml:"most_age_s"`  // sidecars leave a keeper that was out of touch for longer
+	MaxRemovalShare  float64 `toml:"doubt_share"` // of the servers, that sidecars remove at once where a complete list lacks them
+	MaxStalenessS    float64 `toml:"most_age_s"`  // sidecars leave a node that has had no contact for longer
 	Cache            bool    `toml:"cache"`       // sidecars keep the last list on disk
 	Watchers         int     `toml:"watchers"`    // clients besides the sidecars that only watch
 }
 
-// Members is whether sidecars know each other.
+// Members is whether sidecars exchange updates with each other.
 type Members struct {
 	On      bool    `toml:"on"`
-	BoundMS float64 `toml:"bound_ms"` // news that is older counts for nothing
+	BoundMS float64 `toml:"bound_ms"` // older updates are ignored
 }
 
 // Kind is a kind of server (BRIEF).
@@ -114,18 +120,18 @@
 	LatencyTargetMS float64 `toml:"aim_ms"`
 	GiveUpMS        float64 `toml:"give_up_ms"`
 	Value           float64 `toml:"worth"`
-	LateValue       float64 `toml:"late_worth"` // share of the worth of an answer after the aim
-	Safe            bool    `toml:"safe"`       // to repeat
+	LateValue       float64 `toml:"late_worth"` // share of the value of a response after the latency target
+	Safe            bool    `toml:"safe"`       // idempotent: it may be retried
 }
 
-// Bar is a figure of the report that must be reached.
+// Bar is a bound, or two, of a figure of the report.
 type Bar struct {
 	Figure string   `toml:"figure"`
 	Min    *float64 `toml:"least"`
 	Max    *float64 `toml:"most"`
 }
 
-// Defaults is a file with all that may be left out: today's fleet as BRIEF has it.
+// Defaults is a file with the defaults of all keys: today's fleet of BRIEF.
 func Defaults() File {
 	return File{
 		Seconds: 20,
--- a/internal/lab/plan/names.go
+++ b/internal/lab/plan/names.go
@@ -1,6 +1,6 @@
 package plan
 
-// Invariants are the names of what every experiment holds its runs to, with what each says.
+// Invariants are the names and statements of the invariants that every run is checked for. Both are part of reports.
 var Invariants = []struct{ Name, Says string }{
 	{"one-answer", "each request that a running sidecar has taken gets one final answer, that a server made if it is served"},
 	{"in-time", "the answer is there before the client gives up, with the slack"},
@@ -18,7 +18,7 @@
 	{"lab-on-time", "the lab sends on time; if not, the run is void"},
 }
 
-// Figures are what a bar may name.
+// Figures are the names of the figures that a bar may bound.
 var Figures = []string{"service", "served", "served_worst_10s", "served_worst_class", "answered", "refused", "failed", "attempts",
 	"late_refusals", "p50_ms", "p99_ms", "p999_ms", "connections", "lateness_p99_ms", "requests",
 	"writes", "writes_uncertain", "write_p99_ms", "write_gap_ms", "told_p50_ms", "told_p99_ms", "watches", "watches_whole",
@@ -28,8 +28,8 @@
 	"avoid95_ms", "learn_attempts", "members_packets", "members_bytes",
 	"keeper_mb", "keeper_cores", "failover_p50_ms", "failover_most_ms"}
 
-// Flaws of the stand-in sidecar, for the controls; "" is none.
+// Flaws are the flaws that the stand-in sidecar may have in controls; "" is none.
 var Flaws = []string{"", "duplicate", "hedge", "mute", "late", "deaf", "rush", "crash", "leak-memory", "leak-descriptors"}
 
-// RegistryFlaws are those of the stand-in keepers; "" is none but to be each by itself.
+// RegistryFlaws are the flaws that stand-in registry nodes may have; "" is none but that they do not replicate.
 var RegistryFlaws = []string{"", "gap", "mute", "back"}
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -6,104 +6,105 @@
 	"gradeusher.example/gradeusher/internal/lab/model"
 )
 
-// Plan is all that an experiment will do. Times are counted from the start of the load.
+// Plan is everything that an experiment will do. Times count from the start of the load.
 type Plan struct {
 	File           *File
 	Seed           uint64
-	Servers        []model.Spec // first those that stand at the start, then successors
-	InitialServers int          // of Servers at the start
+	Servers        []model.Spec // first those that run at the start, then their successors
+	InitialServers int          // how many of Servers run at the start
 	Sidecars       []Sidecar
 	Arrivals       []Arrival
 	Steps          []Step
 	Bands          []Band
 
-	ArrivalsHash string // of all that clients will do
-	StepsHash    string // of all that faults will do, and to whom
+	ArrivalsHash string // of all arrivals, 16 hexadecimal digits
+	StepsHash    string // of all steps and servers; the names of their fields are part of it
 }
 
-// Sidecar is one sidecar and the clients beside it.
+// Sidecar is one sidecar and the clients that use it.
 type Sidecar struct {
 	Name   string
 	Zone   string
-	Group  int // the index of its zone
-	Weight float64
-	Peers  int           // how many sidecars there are as it starts, which is what it is told
-	From   time.Duration // from when clients send to it; 0: the start of the load
-	To     time.Duration // until when; 0: the end
+	Group  int           // by which servers distinguish sidecars: the index of its zone, or 0 with a registry
+	Weight float64       // of its clients, before it is shared out within its zone
+	Peers  int           // how many sidecars run when it starts, which its configuration says
+	From   time.Duration // when clients begin to send to it; 0: with the load
+	To     time.Duration // when they stop; 0: at the end
 
-	joined, left int // by which fault, from 1; 0: by none
+	joined, left int // the fault that makes it join or leave, from 1; 0: none
 }
 
-// Arrival is one request's first try.
+// Arrival is the first attempt of one request, with what its retry needs.
 type Arrival struct {
 	At           time.Duration
-	Sidecar      int
-	Class        int
+	Sidecar      int           // index in the plan
+	Class        int           // index in the file
 	Work         time.Duration // of a core of speed 1
-	TimeoutShare float64       // of the give-up time after which a try is given up, 0.7 to 1
-	Backoff      time.Duration // before the second try; below 0: there is none
-	Client       int           // who asks, from 1; 0: nobody by name
+	TimeoutShare float64       // of the give-up time that one attempt may take, 0.7 to 1
+	Backoff      time.Duration // before the retry; negative: there is none
+	Client       int           // number of the tenant, from 1; 0: none
 }
 
-// Band is a fault as the report shows it.
+// Band is the period of a fault as the report shows it.
 type Band struct {
-	Fault    int // index in the file
-	Says     string
+	Fault    int    // index in the file
+	Says     string // the fault and its targets
 	From, To time.Duration
 }
 
-// Steps that the lab takes, by the process that they act on.
+// The kinds of steps, with the processes that they act on. The values are part of StepsHash and of reports.
 const (
-	Kill  = "kill"  // sidecar, list or keeper
-	Term  = "term"  // sidecar, list or keeper
-	Stop  = "stop"  // sidecar, list or keeper
-	Cont  = "cont"  // sidecar, list or keeper
-	Start = "start" // sidecar, list or keeper
-	Disk  = "disk"  // sidecar or keeper: Mode "full", "readonly" or ""
-	Tear  = "tear"  // keeper that is down: Mode "torn" or "short"
-
-	Backup  = "backup"  // keepers
-	Restore = "restore" // keepers
-
-	Drain       = "drain"   // server
-	Die         = "die"     // server
-	Remove      = "remove"  // server
-	Revive      = "revive"  // server
-	Add         = "add"     // server
-	ServerFault = "trouble" // server
-	Clock       = "clock"   // server: By
-	Link        = "link"    // server or list: what holds between far end and Nears
-	Reset       = "reset"   // server or list
-	Forget      = "forget"  // server or list
-
-	Isolate = "silent" // server: its machine cannot reach the keepers while On
-
-	FalseReports = "lie" // members that are no sidecars, Nears of them, tell of work by the clients Mode, By a second in all, while On
-
-	UpdateList = "tell" // the list learns State of a server
-	ListMode   = "mode" // the list's answers are as Mode says
+	Kill  = "kill"  // sidecar, list or registry node: SIGKILL
+	Term  = "term"  // sidecar, list or registry node: SIGTERM, and SIGKILL after TermGrace
+	Stop  = "stop"  // sidecar, list or registry node: SIGSTOP
+	Cont  = "cont"  // sidecar, list or registry node: SIGCONT
+	Start = "start" // sidecar, list or registry node: a new process
+	Disk  = "disk"  // sidecar or registry node: Mode "full", "readonly" or ""
+	Tear  = "tear"  // registry node that does not run: Mode "torn" (log) or "short" (snapshot)
+
+	Backup  = "backup"  // registry: its state is saved
+	Restore = "restore" // registry: its state is replaced by what was saved last
+
+	Drain       = "drain"   // server: it rejects further requests
+	Die         = "die"     // server: its process ends
+	Remove      = "remove"  // server: its process ends for good
+	Revive      = "revive"  // server: a new process, cold
+	Add         = "add"     // server: a successor starts
+	ServerFault = "trouble" // server: its fault state is Step.Trouble from now on
+	Clock       = "clock"   // server: its wall clock jumps by By
+	Link        = "link"    // server or list: Effect begins or ends on the links from Nears
+	Reset       = "reset"   // server or list: connections are reset
+	Forget      = "forget"  // server or list: the far end loses its connections
+
+	Isolate = "silent" // server: its machine cannot reach the registry while On
+
+	// FalseReports makes the lying members Nears, which are no sidecars, report By of work per second in all by the clients Mode, while On.
+	FalseReports = "lie"
+
+	UpdateList = "tell" // the list learns the State of a server
+	ListMode   = "mode" // the list answers as Mode says
 )
 
-// Step is one thing that the lab does at a time.
+// Step is one action of the lab. The names of its fields are part of StepsHash.
 type Step struct {
 	At      time.Duration
 	Fault   int // index in the file
 	Do      string
-	Sidecar int         // or ListIndex
-	Server  string      // uid
-	Trouble model.Fault // what the server suffers from then on
-	State   string      // tell
+	Sidecar int         // index of the process: a sidecar, ListIndex, LeaderIndex or NodeIndex
+	Server  string      // UID
+	Trouble model.Fault // ServerFault: the state from now on
+	State   string      // UpdateList: what the list learns
 	Mode    string
-	By      time.Duration // clock, late; lie: the work a second
-	Nears   []int         // link faults; none: all. Of peers: the sidecars meant. Lie: the liars meant, from 0
-	Peers   bool          // link faults: of the links between sidecars
-	Effect  LinkEffect    // that begins or ends
-	On      bool          // link: it begins
-	From    string        // link of a keeper: "peers", "clients", or ""; of peers: the zone of the others, or ""
-	Group   int           // link: whose calls are cut off; below 0: nobody's
+	By      time.Duration // Clock: the jump; ListMode "late": the delay; FalseReports: the work per second
+	Nears   []int         // links: the near ends, none: all; of peers: the sidecars; FalseReports: the lying members, from 0
+	Peers   bool          // links: those between sidecars
+	Effect  LinkEffect    // Link: what begins or ends
+	On      bool          // Link, Isolate, FalseReports: it begins
+	From    string        // links of a registry node: the other ends, "": all; of peers: the zone of the others, "": all
+	Group   int           // Link: the group whose calls are not established; negative: none
 }
 
-// LinkEffect is one fault's part of a link's state. All that hold at once add up.
+// LinkEffect is the effect of one fault on a link. Effects at the same time add up. The names of its fields are part of StepsHash.
 type LinkEffect struct {
 	HoldFar, HoldNear bool
 	Delay, Jitter     time.Duration
--- a/internal/lab/plan/processes.go
+++ b/internal/lab/plan/processes.go
@@ -2,43 +2,44 @@
 
 import "fmt"
 
-// Process indexes that mean no sidecar.
+// Process indexes that are not those of sidecars.
 const (
-	ListIndex   = -1
-	LeaderIndex = -2  // the keeper that leads when the step is taken; what ends a fault acts on whom it began with
-	firstNode   = -10 // and those below
+	ListIndex   = -1  // the list
+	LeaderIndex = -2  // the registry node that leads when the step is taken; the end of a fault acts on the node of its beginning
+	firstNode   = -10 // the first registry node; further ones are below
 )
 
-// NodeIndex is the process index of the k-th keeper, from 0.
+// NodeIndex is the process index of the k-th registry node, from 0.
 func NodeIndex(k int) int { return firstNode - k }
 
-// NodeOf undoes NodeIndex; it tells false for others, LeaderIndex with them.
+// NodeOf is the inverse of NodeIndex; ok is false for other processes and LeaderIndex.
 func NodeOf(process int) (k int, ok bool) { return firstNode - process, process <= firstNode }
 
-// IsNode tells whether a process index means a keeper.
+// IsNode reports whether a process index is that of a registry node or LeaderIndex.
 func IsNode(process int) bool { return process == LeaderIndex || process <= firstNode }
 
-// Indexes of the near ends besides the sidecars, each with its own address (link.Near).
+// The near ends of links (link.Near) have indexes: first the sidecars, then those of the following methods.
 
-// NearWriter is that of the lab's own clients of the keepers.
+// NearWriter is the near end of the lab's own clients of the registry.
 func (p *Plan) NearWriter() int { return len(p.Sidecars) }
 
-// NearNode is that of the k-th keeper, as it calls others.
+// NearNode is the near end of the k-th registry node.
 func (p *Plan) NearNode(k int) int { return len(p.Sidecars) + 1 + k }
 
-// NearHost is that of the i-th process of servers, as it registers them.
+// NearHost is the near end of the i-th process of servers, which registers them.
 func (p *Plan) NearHost(i int) int { return len(p.Sidecars) + 1 + p.File.Registry.Count + i }
 
-// NearWatcher is that of the i-th client that only watches.
+// NearWatcher is the near end of the i-th client that only watches.
 func (p *Plan) NearWatcher(i int) int { return p.NearHost(p.Hosts()) + i }
 
-// NearLyingMember is that of the i-th member that is no sidecar.
+// NearLyingMember is the near end of the i-th lying member.
 func (p *Plan) NearLyingMember(i int) int { return p.NearWatcher(p.File.Registry.Watchers) + i }
 
-// Nears is how many near ends there are.
+// Nears is the number of near ends.
 func (p *Plan) Nears() int { return p.NearLyingMember(p.LyingMembers()) }
 
-// LyingMembers is how many members there are that are no sidecars: those of each lie have their own places, in the order of the file.
+// LyingMembers is the number of members that are no sidecars and send false reports (Byzantine): each lie of the file has its own, in
+// order.
 func (p *Plan) LyingMembers() (n int) {
 	for i := range p.File.Faults {
 		if t := &p.File.Faults[i]; t.Do == "lie" {
@@ -48,10 +49,10 @@
 	return n
 }
 
-// Hosts is how many processes of stand-in servers there are.
+// Hosts is the number of processes of stand-in servers.
 func (p *Plan) Hosts() int {
 	return (p.InitialServers + p.File.Fleet.PerHost - 1) / p.File.Fleet.PerHost
 }
 
-// NodeName is the name of the k-th keeper.
+// NodeName is the name of the k-th registry node, from 0.
 func NodeName(k int) string { return fmt.Sprintf("k%d", k+1) }
