--- a/internal/lab/plan/arrivals.go
+++ b/internal/lab/plan/arrivals.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// arrivalStream is a stream of arrivals, by rate, time and sidecars.
+// arrivalStream is a Poisson stream of arrivals.
 type arrivalStream struct {
-	rate     float64 // a second
+	rate     float64 // per second
 	from, to time.Duration
-	sidecars func(at time.Duration) []float64 // sums of weights
-	client   func() int
+	sidecars func(at time.Duration) []float64 // cumulative weights
+	client   func() int                       // draws the client of the next arrival
 }
 
 // drawArrivals draws the arrivals of the load and of the faults that add to it, in order of time.
@@ -109,7 +109,7 @@
 	}
 }
 
-// clientSampler draws who asks: the i-th, from 1, by i to the power of -skew (Zipf's law).
+// clientSampler returns a function that draws clients: the i-th, from 1, in proportion to i to the power of -skew (Zipf's law).
 func (p *Plan) clientSampler() func() int {
 	n := p.File.Load.Clients
 	if n == 0 {
@@ -124,7 +124,7 @@
 	return func() int { return pickWeighted(r, weights) + 1 }
 }
 
-// ClientName is the value of a client's header; "" is for nobody by name.
+// ClientName is the value of a client's header; "" is no tenant.
 func ClientName(client int) string {
 	if client == 0 {
 		return ""
@@ -132,17 +132,17 @@
 	return fmt.Sprintf("t%d", client)
 }
 
-const floodClients = 1 << 22 // for each fault, above the numbers of all clients
+const floodClients = 1 << 22 // numbers for each fault, above those of all other clients
 
-// floodClient is the j-th client of a flood, a client that asks for nothing else; of a distinct flood, the one before the first.
+// floodClient is the j-th client of a flood, which sends nothing else; of a distinct flood, the number before the first client.
 func (p *Plan) floodClient(fault, j int) int {
 	return (fault+1)*floodClients + j*floodClients/maxFlooders
 }
 
-// Flooder tells whether a client is one of a flood, and of which fault.
+// Flooder reports whether a client is one of a flood, and of which fault.
 func Flooder(client int) (fault int, ok bool) { return client/floodClients - 1, client >= floodClients }
 
-// floodSidecars are the weights of those that a flood goes through: all alike, or as many as the fault says, drawn.
+// floodSidecars are the cumulative weights of the sidecars that a flood uses: all equally, or as many as the fault says, drawn.
 func (p *Plan) floodSidecars(fault int, flood *Fault, at, end time.Duration) ([]float64, error) {
 	var all []int
 	for i, s := range p.Sidecars {
@@ -165,6 +165,7 @@
 	return cumulativeSums(weights), nil
 }
 
+// cumulativeSums replaces each value by the sum up to it.
 func cumulativeSums(v []float64) []float64 {
 	sum := 0.0
 	for i := range v {
@@ -174,6 +175,7 @@
 	return v
 }
 
+// pickWeighted draws an index by cumulative weights.
 func pickWeighted(r *rand.Rand, sums []float64) int {
 	x := r.Float64() * sums[len(sums)-1]
 	i, found := slices.BinarySearch(sums, x)
--- a/internal/lab/plan/fault.go
+++ b/internal/lab/plan/fault.go
@@ -4,17 +4,17 @@
 	"gradeusher.example/gradeusher/balance/hitters"
 )
 
-// Fault is one thing that goes wrong, as the file has it.
+// Fault is a fault of the file.
 type Fault struct {
 	Do      string   `toml:"do"`
 	At      float64  `toml:"at"`
 	For     float64  `toml:"for"`
 	On      string   `toml:"on"`      // "sidecars", "servers", "list", "keepers", "clients", "members" or "peers" (links between sidecars), where do leaves a choice
-	Zone    string   `toml:"zone"`    // only those of it
-	Part    float64  `toml:"part"`    // this share of them, drawn; 0: all
+	Zone    string   `toml:"zone"`    // only targets of this zone
+	Part    float64  `toml:"part"`    // share of the targets, drawn; 0: all
 	Count   int      `toml:"count"`   // or this many
-	Names   []string `toml:"names"`   // or just these
-	Restart *float64 `toml:"restart"` // seconds after the end until a process is started again; left out: never
+	Names   []string `toml:"names"`   // or these
+	Restart *float64 `toml:"restart"` // seconds after the end until the process restarts; left out: never
 	Size    float64  `toml:"size"`
 	Every   float64  `toml:"every"`  // steal: seconds on, and off
 	From    string   `toml:"from"`   // links: the zone of the sidecars, or one sidecar; "": all
@@ -25,10 +25,10 @@
 
 	Through  int  `toml:"through"`  // flood: as many sidecars, drawn; 0: all, alike
 	Distinct bool `toml:"distinct"` // flood: each request has a client of its own
-	dry      bool // flood: nobody asks for anything
+	dry      bool // flood: without any request (WithoutFloods)
 }
 
-// faultKind says what a fault needs.
+// faultKind says what a kind of fault acts on and needs.
 type faultKind struct {
 	on    []string // what it may act on; the first is the default
 	lasts bool     // it needs for
@@ -36,10 +36,11 @@
 	keys  []string // besides do, at, for, on, zone, part, count, names
 }
 
+// The targets of faults on processes and on links.
 var processTargets = []string{"sidecars", "list", "keepers"}
 var linkTargets = []string{"servers", "list", "keepers", "peers"}
 
-// faultKinds are the faults there are.
+// faultKinds are the kinds of faults by name.
 var faultKinds = map[string]faultKind{
 	"kill":          {on: processTargets, keys: []string{"restart"}},                                                 // SIGKILL
 	"term":          {on: processTargets, keys: []string{"restart"}},                                                 // SIGTERM, and SIGKILL if that is not enough
@@ -77,7 +78,7 @@
 	"clock":         {on: []string{"servers"}, size: [2]float64{-86400, 86400}},                                      // the wall clock of the servers' machines jumps by size seconds
 }
 
-// isSidecar tells whether a name is that of a sidecar that stands at the start.
+// isSidecar reports whether a name is that of an initial sidecar.
 func (f *File) isSidecar(name string) bool {
 	for i := range f.Fleet.Sidecars {
 		if name == sidecarName(i) {
--- a/internal/lab/plan/linksteps.go
+++ b/internal/lab/plan/linksteps.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// drawLinkFault draws the links that a fault acts on, and adds its steps.
 func (d *stepDrawer) drawLinkFault(fault *Fault, at, end time.Duration) error {
 	if fault.On == "keepers" {
 		return d.drawRegistryLinkFault(fault, at, end)
@@ -24,9 +25,9 @@
 			return fmt.Errorf("no sidecar is in %s", fault.From)
 		}
 	}
-	uids := []string{""} // the list
+	uids := []string{""} // "" is the list
 	if fault.On == "servers" {
-		// Also those that come later: a link is between places. So they are chosen by zone alone, or by name.
+		// A link exists whether its sidecar runs or not, so sidecars are chosen by zone or name alone.
 		servers, err := d.chooseServers(fault, at, at)
 		if err != nil {
 			return err
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// addLinkSteps adds the steps of a fault on the links that s names: one where it happens at once, else its beginning and its end.
+// addLinkSteps adds the steps of a fault on the links of a step: one where it happens at once, else its beginning and its end.
 func (d *stepDrawer) addLinkSteps(fault *Fault, at, end time.Duration, step Step) {
 	step.At, step.Do, step.Effect, step.On = at, Link, fault.effect(), true
 	switch fault.Do {
@@ -58,7 +59,7 @@
 	}
 }
 
-// effect is what a fault makes of a link.
+// effect is the effect of a fault on a link.
 func (t *Fault) effect() (e LinkEffect) {
 	switch t.Do {
 	case "delay":
@@ -75,8 +76,8 @@
 	return e
 }
 
-// drawRegistryLinkFault draws a fault of the links of keepers, to their peers and their clients. Far is the keeper: "to-far" is what it
-// hears, whoever called.
+// drawRegistryLinkFault draws a fault of the links of registry nodes, to their peers and clients. The far end is the node: "to-far" is what
+// it receives, whoever connected.
 func (d *stepDrawer) drawRegistryLinkFault(fault *Fault, at, end time.Duration) error {
 	chosen, err := d.chooseNodes(fault)
 	if err != nil {
@@ -88,11 +89,11 @@
 	return nil
 }
 
-// drawPeerLinkFault draws a fault of the links between sidecars: of those chosen, to all others or to those of a zone. Far is who is
-// chosen: "to-far" is what he hears, whoever called.
+// drawPeerLinkFault draws a fault of the links between sidecars: of those chosen, to all others or to those of a zone. The far end is the
+// chosen one: "to-far" is what it receives, whoever connected.
 func (d *stepDrawer) drawPeerLinkFault(fault *Fault, at, end time.Duration) error {
 	var chosen []int
-	for i, s := range d.Sidecars { // also who joins later: a link is between places
+	for i, s := range d.Sidecars { // also those that join later: a link exists whether its sidecar runs or not
 		if fault.inZone(s.Zone) {
 			chosen = append(chosen, i)
 		}
--- a/internal/lab/plan/make.go
+++ b/internal/lab/plan/make.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/lab/model"
 )
 
-// Make draws the plan of a file for a seed. It fails with an *Error where the faults cannot all be.
+// Make draws the plan of a file for a seed. It fails with an *Error where the faults exclude each other.
 func Make(file *File, seed uint64) (*Plan, error) {
 	plan := &Plan{File: file, Seed: seed}
 	if err := plan.drawSidecars(); err != nil {
@@ -41,7 +41,7 @@
 	return len(p.File.Fleet.Zones)
 }
 
-// drawKinds gives n servers their kinds, by share as nearly as whole servers can, in drawn order.
+// drawKinds draws the kinds of n servers: by share, as closely as whole servers allow, in random order.
 func (p *Plan) drawKinds(n int) []int {
 	sum := 0.0
 	for _, k := range p.File.Kinds {
@@ -60,7 +60,7 @@
 	return kinds
 }
 
-// drawSpec draws the i-th server, after the site file's ranges where BRIEF has none.
+// drawSpec draws the i-th server, in the ranges of BRIEF, or of the site file where BRIEF has none.
 func (p *Plan) drawSpec(i int, zone string, kind int) model.Spec {
 	rng := stream(p.Seed, fmt.Sprintf("server %d", i))
 	k := p.File.Kinds[kind]
@@ -79,7 +79,7 @@
 	return spec
 }
 
-// Capacity is the work a second of all servers at the start when warm.
+// Capacity is the work per second of all initial servers when warm.
 func (p *Plan) Capacity() float64 {
 	sum := 0.0
 	for i := range p.InitialServers {
@@ -88,7 +88,7 @@
 	return sum
 }
 
-// Rate is the requests a second that arrive on average.
+// Rate is the mean number of requests per second of the load.
 func (p *Plan) Rate() float64 {
 	f := p.File
 	if f.Load.Rate > 0 {
@@ -102,6 +102,7 @@
 	return f.Load.Share * p.Capacity() / (work / shares)
 }
 
+// setHashes sets the hashes that identify the plan. StepsHash includes the names of the fields of Step, LinkEffect and model.Spec.
 func (p *Plan) setHashes() {
 	hasher := xxhash.New()
 	put := func(v ...any) {
@@ -123,11 +124,12 @@
 	p.StepsHash = fmt.Sprintf("%016x", hasher.Sum64())
 }
 
-// stream is a source of random numbers of its own, so that a change of one draw moves no other.
+// stream returns a random stream of its own for a purpose, so that a change of one draw moves no other.
 func stream(seed uint64, label string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(label)))
 }
 
+// uniform draws a value of a range.
 func uniform(r *rand.Rand, v [2]float64) float64 { return v[0] + r.Float64()*(v[1]-v[0]) }
 
 // Seconds is a time in seconds, as experiment files have it.
--- a/internal/lab/plan/parse.go
+++ b/internal/lab/plan/parse.go
@@ -12,7 +12,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Error is what is wrong with a file, and where.
+// Error says what is wrong with an experiment file, and where.
 type Error struct {
 	File string
 	Line int // 0: of the file as a whole
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.What)
 }
 
-// LoadFile reads an experiment. Errors are *Error, with the line where there is one.
+// LoadFile reads an experiment file. Its errors are of type *Error, with the line where there is one.
 func LoadFile(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads the text of an experiment.
+// Parse reads the text of an experiment file. Its errors are of type *Error.
 func Parse(path string, text []byte) (*File, error) {
 	file := Defaults()
 	file.text, file.Path = text, path
@@ -67,7 +67,7 @@
 	return &file, nil
 }
 
-// lineOf finds where a key stands: in the index-th table of its path, below 0: in any. 0: nowhere.
+// lineOf is the line of a key in the index-th table of its path, or in any where index is negative; 0: it is not in the file.
 func (f *File) lineOf(path []string, index int, key string) int {
 	table, seen, here := strings.Join(path, "."), -1, len(path) == 0
 	header := 0
--- a/internal/lab/plan/processsteps.go
+++ b/internal/lab/plan/processsteps.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// drawProcessFault draws the processes that a fault acts on, and adds its steps.
 func (d *stepDrawer) drawProcessFault(fault *Fault, at, end time.Duration) error {
 	chosen, err := d.chooseProcesses(fault)
 	if err != nil {
@@ -36,7 +37,7 @@
 		case "kill", "term":
 			d.addStep(Step{At: at, Do: fault.Do, Sidecar: process})
 			if fault.Restart != nil {
-				// After the end of the process, which the lab waits for.
+				// The lab waits for the end of the process.
 				d.addStep(Step{At: at + Seconds(*fault.Restart), Do: Start, Sidecar: process})
 			}
 		case "stop":
@@ -50,12 +51,12 @@
 	return nil
 }
 
-// drawJoinOrLeave has sidecars start or end that were drawn to.
+// drawJoinOrLeave adds the steps of the sidecars that were drawn to join or leave.
 func (d *stepDrawer) drawJoinOrLeave(fault *Fault) error {
 	for i, s := range d.Sidecars {
 		switch {
 		case fault.Do == "join" && s.joined == d.fault+1:
-			if s.Started() > 0 { // else it stands as the load starts
+			if s.Started() > 0 { // else it runs before the load starts
 				d.addStep(Step{At: s.Started(), Do: Start, Sidecar: i})
 			}
 		case fault.Do == "leave" && s.left == d.fault+1:
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// drawRollingRestart ends sidecars batch by batch, evenly over the time, and starts each again.
+// drawRollingRestart ends and restarts sidecars batch by batch, evenly over the time of the fault.
 func (d *stepDrawer) drawRollingRestart(fault *Fault, at time.Duration) error {
 	chosen, err := d.chooseProcesses(fault)
 	if err != nil {
@@ -91,6 +92,6 @@
 	return nil
 }
 
-// TermGrace is how long a process that was told to end by SIGTERM has until SIGKILL (PROTOCOL: the longest deadline, at least 3 s,
+// TermGrace is the time from SIGTERM to SIGKILL (PROTOCOL: the longest deadline, at least 3 s,
 // and 0.7 s).
 const TermGrace = 3700 * time.Millisecond
--- a/internal/lab/plan/routes.go
+++ b/internal/lab/plan/routes.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Routes is the route table that keepers hold, and how it changes. Sidecars belong to applications in turn, and each application has
+// Routes is the route table of the registry, and how it changes. Sidecars belong to applications in turn, and each application has
 // a rule of its own.
 type Routes struct {
 	Apps    int        `toml:"apps"`    // applications; 0: there are no routes
@@ -11,7 +11,7 @@
 	Narrow  bool       `toml:"narrow"`  // tables lead to the first kind of servers alone
 	Wide    bool       `toml:"wide"`    // each changes the weights of all rules; else mostly one
 	Nowhere [2]float64 `toml:"nowhere"` // from when to when tables lead to no server
-	BoundS  float64    `toml:"bound_s"` // after the last generation and the last fault, within which each sidecar is told
+	BoundS  float64    `toml:"bound_s"` // after the last generation and the last fault, within which each sidecar has to have the table
 }
 
 // AppOf is the application that a sidecar belongs to.
@@ -25,7 +25,7 @@
 	return p.File.Seconds
 }
 
-// checkRoutes refuses what makes no sense.
+// checkRoutes rejects route tables that make no sense.
 func (f *File) checkRoutes() *Error {
 	r := &f.Routes
 	switch {
--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -10,19 +10,22 @@
 	"gradeusher.example/gradeusher/internal/lab/model"
 )
 
+// isolate adds a step that begins or ends the isolation of a server's machine from the registry.
 func (d *stepDrawer) isolate(at time.Duration, uid string, on bool) {
 	if d.File.Registry.Count > 0 {
 		d.addStep(Step{At: at, Do: Isolate, Server: uid, On: on})
 	}
 }
 
+// updateList adds a step by which the list learns the state of a server.
 func (d *stepDrawer) updateList(at time.Duration, uid, state string) {
 	if d.File.Registry.Count > 0 {
-		return // servers tell the keepers by themselves
+		return // servers register by themselves
 	}
 	d.addStep(Step{At: at, Do: UpdateList, Sidecar: ListIndex, Server: uid, State: state})
 }
 
+// drawDelay draws a delay of the list, in a range of seconds.
 func (d *stepDrawer) drawDelay(v [2]float64) time.Duration { return Seconds(uniform(d.rng, v)) }
 
 // drawServerFault draws the steps of a fault of one server, by its index in lifetimes.
@@ -110,7 +113,7 @@
 	d.updateList(end+d.drawDelay(d.File.List.AddS), uid, "SERVING")
 }
 
-// drawDeployment replaces servers batch by batch, evenly over the time.
+// drawDeployment replaces servers batch by batch, evenly over the time of the fault.
 func (d *stepDrawer) drawDeployment(fault *Fault, at time.Duration) error {
 	chosen, err := d.chooseServers(fault, at, Seconds(fault.At+fault.For))
 	if err != nil {
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// joinLead is from the start of a sidecar that joins until clients send to it.
+// joinLead is the time from the start of a joining sidecar until clients send to it.
 const joinLead = 2 * time.Second
 
+// sidecarName is the name of the i-th sidecar, from 0.
 func sidecarName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// runsThroughout tells whether a sidecar runs throughout a time.
+// runsThroughout reports whether a sidecar runs throughout a period.
 func (s *Sidecar) runsThroughout(from, to time.Duration) bool {
 	return s.Started() <= from && (s.To == 0 || s.To >= to)
 }
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// runningAt is how many sidecars there are at a time.
+// runningAt is how many sidecars run at a time.
 func (p *Plan) runningAt(at time.Duration) (n int) {
 	for _, s := range p.Sidecars {
 		if s.runsThroughout(at, at) {
@@ -102,18 +103,18 @@
 	return n
 }
 
-// addSidecar draws a sidecar's weight, before it is shared out within its zone.
+// addSidecar adds a sidecar and draws its weight, which is later shared out within its zone.
 func (p *Plan) addSidecar(r *rand.Rand, i int, from time.Duration, peers int) {
 	f := p.File
-	// A log-normal spread of the wished coefficient of variation (mean 1).
+	// A log-normal distribution with mean 1 and the coefficient of variation of the file.
 	sigma := math.Sqrt(math.Log(1 + f.Load.Uneven*f.Load.Uneven))
 	zone := i % len(f.Fleet.Zones)
 	w := math.Exp(r.NormFloat64()*sigma - sigma*sigma/2)
 	p.Sidecars = append(p.Sidecars, Sidecar{Name: sidecarName(i), Zone: f.Fleet.Zones[zone], Group: zone, Weight: w, Peers: peers, From: from})
 }
 
-// sidecarSampler gives the sums of the weights of the sidecars that clients send to at a time, "" or only in one zone. The first zone has
-// its part of the traffic and zone_skew of the others' besides, whoever is there. Times have to rise.
+// sidecarSampler returns the cumulative weights of the sidecars that clients send to at a time, in all zones ("") or one. The first zone has
+// its share of the traffic and zone_skew of the others' besides, whatever runs there. Times must not decrease.
 func (p *Plan) sidecarSampler(only string) func(time.Duration) []float64 {
 	var changes []time.Duration
 	for _, s := range p.Sidecars {
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -10,29 +10,32 @@
 	"time"
 )
 
-// stepDrawer turns faults into steps, in the order of the file.
+// stepDrawer draws the steps of faults, in the order of the file, and rejects faults that exclude each other.
 type stepDrawer struct {
 	*Plan
-	fault        int
-	rng          *rand.Rand
-	lifetimes    []lifetime // of servers, as far as faults decide it
-	claims       map[string][]claimedPeriod
-	lyingMembers int // of the lies before
+	fault        int                        // index in the file
+	rng          *rand.Rand                 // of the fault
+	lifetimes    []lifetime                 // of servers
+	claims       map[string][]claimedPeriod // by what a fault acts on
+	lyingMembers int                        // of earlier faults
 }
 
-// lifetime is when a server stands on a list.
+// lifetime is the period in which a server may be the target of faults.
 type lifetime struct {
 	index    int // in Servers
 	from, to time.Duration
 }
 
+// claimedPeriod is a period in which a fault acts on something.
 type claimedPeriod struct {
 	from, to time.Duration
 	fault    int
 }
 
+// endOfTime is later than any time of a run.
 const endOfTime = time.Duration(math.MaxInt64)
 
+// drawSteps draws the steps of all faults, in order of time.
 func (p *Plan) drawSteps() error {
 	drawer := &stepDrawer{Plan: p, claims: map[string][]claimedPeriod{}}
 	for i := range p.InitialServers {
@@ -50,6 +53,7 @@
 	return nil
 }
 
+// describe is the targets of a fault as reports show them.
 func (d *stepDrawer) describe(fault *Fault) string {
 	text := " " + fault.On
 	if len(fault.Names) > 0 {
@@ -67,7 +71,7 @@
 	return text
 }
 
-// claim keeps two faults from acting on one process, or one property of one server, at a time.
+// claim rejects a second fault that acts on the same process, or the same property of a server, at the same time.
 func (d *stepDrawer) claim(what string, from, to time.Duration) error {
 	for _, s := range d.claims[what] {
 		if from < s.to && s.from < to {
@@ -78,12 +82,13 @@
 	return nil
 }
 
+// addStep adds a step of the current fault.
 func (d *stepDrawer) addStep(s Step) {
 	s.Fault = d.fault
 	d.Steps = append(d.Steps, s)
 }
 
-// choose draws n of what there is, by part, count or names.
+// choose draws the targets of a fault among all, by part, count or names.
 func choose[T any](rng *rand.Rand, fault *Fault, all []T, name func(T) string) ([]T, error) {
 	if len(fault.Names) > 0 {
 		var chosen []T
@@ -113,7 +118,7 @@
 	return chosen[:count], nil
 }
 
-// chooseProcesses are those that a fault on processes means.
+// chooseProcesses draws the processes that a fault acts on, by process index.
 func (d *stepDrawer) chooseProcesses(fault *Fault) ([]int, error) {
 	if fault.On == "list" {
 		return []int{ListIndex}, nil
@@ -130,7 +135,7 @@
 	return choose(d.rng, fault, all, func(i int) string { return d.Sidecars[i].Name })
 }
 
-// chooseNodes are those that a fault means, as process indexes: "leader" is drawn by the chooseNodes themselves.
+// chooseNodes draws the registry nodes that a fault acts on, by process index. The name "leader" stands for the node that leads then.
 func (d *stepDrawer) chooseNodes(fault *Fault) ([]int, error) {
 	if slices.Equal(fault.Names, []string{"leader"}) {
 		return []int{LeaderIndex}, nil
@@ -145,8 +150,8 @@
 	})
 }
 
-// chooseServers are those that stand throughout a time, as indexes into living. A server is named "1", "2", ... in the order of
-// the start.
+// chooseServers draws among the servers that run throughout a period, as indexes into lifetimes. A server is named "1", "2", ... in the
+// order of starts.
 func (d *stepDrawer) chooseServers(fault *Fault, from, to time.Duration) ([]int, error) {
 	var all []int
 	for i, l := range d.lifetimes {
