--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -33,7 +33,7 @@
 	work    string // folder for evidence and the processes' own folders
 	logs    string
 	starter *proc.Starter
-	all     proc.All
+	all     proc.Group
 	hosts   []*child
 	host    map[string]*child // by server
 	specs   map[string]*model.Spec
@@ -171,7 +171,7 @@
 			continue // the experiment was broken off before it joined
 		}
 		group.Go(func() error {
-			if !s.run.End(endWithin) {
+			if !s.run.Terminate(endWithin) {
 				return fmt.Errorf("%s had to be killed at the end", s.run.Name)
 			}
 			return nil
@@ -186,7 +186,7 @@
 		if c == nil {
 			return
 		}
-		if !c.End(endWithin) {
+		if !c.Terminate(endWithin) {
 			f.fault(fmt.Errorf("%s had to be killed at the end", c.Name))
 		}
 		<-c.heard
--- a/internal/lab/janitor.go
+++ b/internal/lab/janitor.go
@@ -15,7 +15,7 @@
 // startJanitor starts the process that removes the work folder when the lab is gone, however it went. leave has it do so now.
 func startJanitor(self Self, work string) (leave func() error, err error) {
 	s := proc.NewStarter()
-	p, err := s.Start(proc.Spec{Name: "janitor", Path: self.Path, Args: []string{"stand-in", "janitor", work}, Log: os.DevNull, Piped: true, Stays: true,
+	p, err := s.Start(proc.Spec{Name: "janitor", Path: self.Path, Args: []string{"stand-in", "janitor", work}, Log: os.DevNull, Piped: true, OutlivesLab: true,
 		Env: append([]string{"TMPDIR=" + os.TempDir()}, self.Env...)})
 	if err != nil {
 		s.Close()
@@ -24,7 +24,7 @@
 	return func() error {
 		defer s.Close()
 		defer p.Out.Close()
-		p.End(cleanWithin + time.Second)
+		p.Terminate(cleanWithin + time.Second)
 		if _, err := os.Stat(work); !os.IsNotExist(err) {
 			return fmt.Errorf("%s could not be removed", work)
 		}
@@ -42,7 +42,7 @@
 		return err
 	}
 	for _, folder := range folders {
-		_ = proc.ReadOnly(folder, false) // most were never read-only, and files cannot be
+		_ = proc.SetReadOnly(folder, false) // most were never read-only, and files cannot be
 	}
 	for until := time.Now().Add(cleanWithin); ; time.Sleep(20 * time.Millisecond) {
 		err := os.RemoveAll(work)
--- a/internal/lab/keepers.go
+++ b/internal/lab/keepers.go
@@ -262,7 +262,7 @@
 // finish ends the watchers, then the keepers as a platform would, and the relay last.
 func (ks *keepers) finish() {
 	for _, k := range ks.all {
-		if k.run != nil && !k.run.End(endWithin) {
+		if k.run != nil && !k.run.Terminate(endWithin) {
 			ks.fleet.fault(fmt.Errorf("%s had to be killed at the end", k.name))
 		}
 	}
--- a/internal/lab/keepersteps.go
+++ b/internal/lab/keepersteps.go
@@ -127,7 +127,7 @@
 		case plan.Cont:
 			return now, k.run.Signal(syscall.SIGCONT, false)
 		}
-		return now, k.run.Disk(s.Mode)
+		return now, k.run.SetDiskState(s.Mode)
 	case plan.Tear:
 		return clock.Now(), tear(filepath.Join(k.folder, "data", "raft"), s.Mode)
 	case plan.Link, plan.Reset, plan.Forget:
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -51,14 +51,14 @@
 
 // Spec is a process to start.
 type Spec struct {
-	Name   string
-	Path   string
-	Args   []string
-	Env    []string // all of it
-	Log    string   // file that standard error is added to
-	Piped  bool     // standard input and output are pipes to the lab
-	Folder string   // its TMPDIR
-	Stays  bool     // it outlives the lab, if only to clean up
+	Name        string
+	Path        string
+	Args        []string
+	Env         []string // all of it
+	Log         string   // file that standard error is added to
+	Piped       bool     // standard input and output are pipes to the lab
+	Folder      string   // its TMPDIR
+	OutlivesLab bool     // it outlives the lab, if only to clean up
 }
 
 // Exit is how a process ended.
@@ -90,14 +90,14 @@
 		return nil, fmt.Errorf("%s: log: %w", spec.Name, err)
 	}
 	defer log.Close() // the process has its own
-	p := &Process{Spec: spec, ended: make(chan struct{}), cmd: exec.Command(spec.Path, spec.Args...)}
-	p.cmd.Env, p.cmd.Stderr = spec.Env, log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if spec.Stays {
-		p.cmd.SysProcAttr.Pdeathsig = 0
+	process := &Process{Spec: spec, ended: make(chan struct{}), cmd: exec.Command(spec.Path, spec.Args...)}
+	process.cmd.Env, process.cmd.Stderr = spec.Env, log
+	process.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	if spec.OutlivesLab {
+		process.cmd.SysProcAttr.Pdeathsig = 0
 	}
 	if spec.Piped {
-		if p.In, err = p.cmd.StdinPipe(); err != nil {
+		if process.In, err = process.cmd.StdinPipe(); err != nil {
 			return nil, fmt.Errorf("%s: %w", spec.Name, err)
 		}
 		var out *os.File
@@ -106,24 +106,24 @@
 			return nil, fmt.Errorf("%s: %w", spec.Name, err)
 		}
 		defer out.Close()
-		p.cmd.Stdout, p.Out = out, in
+		process.cmd.Stdout, process.Out = out, in
 	}
 	done := make(chan error)
-	s.calls <- func() { done <- p.cmd.Start() }
+	s.calls <- func() { done <- process.cmd.Start() }
 	if err := <-done; err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	p.Started = clock.Now()
+	process.Started = clock.Now()
 	go func() {
-		err := p.cmd.Wait()
-		p.exit = Exit{Name: spec.Name, At: clock.Now(), Code: p.cmd.ProcessState.ExitCode(), How: p.cmd.ProcessState.String(), Wanted: p.wanted.Load()}
+		err := process.cmd.Wait()
+		process.exit = Exit{Name: spec.Name, At: clock.Now(), Code: process.cmd.ProcessState.ExitCode(), How: process.cmd.ProcessState.String(), Wanted: process.wanted.Load()}
 		var exit *exec.ExitError
 		if err != nil && !errors.As(err, &exit) {
-			p.exit.How = err.Error()
+			process.exit.How = err.Error()
 		}
-		close(p.ended)
+		close(process.ended)
 	}()
-	return p, nil
+	return process, nil
 }
 
 // Pid is the process's number.
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// End has it finish: by the end of its input or SIGTERM, and after a time by SIGKILL. It tells false where that was needed.
-func (p *Process) End(within time.Duration) bool {
+// Terminate has it finish: by the end of its input or SIGTERM, and after a time by SIGKILL. It tells false where that was needed.
+func (p *Process) Terminate(within time.Duration) bool {
 	p.wanted.Store(true)
 	_ = p.cmd.Process.Signal(syscall.SIGCONT) // what fails because it has ended shows below
 	if p.In != nil {
@@ -228,25 +228,25 @@
 	return (user + system) / ticksPerSecond, err
 }
 
-// Disk has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
-func (p *Process) Disk(mode string) error {
-	full := uint64(unix.RLIM_INFINITY)
+// SetDiskState has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
+func (p *Process) SetDiskState(mode string) error {
+	maxFileBytes := uint64(unix.RLIM_INFINITY)
 	if mode == "full" {
 		// No file of the process can grow. A disk that is full says so with another word (ENOSPC, not EFBIG).
-		full = 0
+		maxFileBytes = 0
 	}
-	limit := unix.Rlimit{Cur: full, Max: unix.RLIM_INFINITY}
+	limit := unix.Rlimit{Cur: maxFileBytes, Max: unix.RLIM_INFINITY}
 	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
 		return fmt.Errorf("%s: file size limit: %w", p.Name, err)
 	}
-	return ReadOnly(p.Folder, mode == "readonly")
+	return SetReadOnly(p.Folder, mode == "readonly")
 }
 
-const immutable = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
+const immutableFlag = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
 
-// ReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
+// SetReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
 // marked immutable (chattr(1)), which not every file system knows.
-func ReadOnly(folder string, on bool) error {
+func SetReadOnly(folder string, on bool) error {
 	if os.Geteuid() != 0 {
 		mode := os.FileMode(0o700)
 		if on {
@@ -254,23 +254,23 @@
 		}
 		return os.Chmod(folder, mode)
 	}
-	f, err := os.Open(folder)
+	folderFile, err := os.Open(folder)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	flags, err := unix.IoctlGetInt(int(f.Fd()), unix.FS_IOC_GETFLAGS)
+	defer folderFile.Close()
+	flags, err := unix.IoctlGetInt(int(folderFile.Fd()), unix.FS_IOC_GETFLAGS)
 	if err != nil {
 		return fmt.Errorf("read-only folder: %w", err)
 	}
-	want := flags &^ immutable
+	want := flags &^ immutableFlag
 	if on {
-		want |= immutable
+		want |= immutableFlag
 	}
 	if want == flags {
 		return nil
 	}
-	if err := unix.IoctlSetPointerInt(int(f.Fd()), unix.FS_IOC_SETFLAGS, want); err != nil {
+	if err := unix.IoctlSetPointerInt(int(folderFile.Fd()), unix.FS_IOC_SETFLAGS, want); err != nil {
 		return fmt.Errorf("read-only folder: %w", err)
 	}
 	return nil
@@ -282,32 +282,32 @@
 	if err := os.Mkdir(probe, 0o700); err != nil {
 		return err
 	}
-	if err := ReadOnly(probe, true); err != nil {
+	if err := SetReadOnly(probe, true); err != nil {
 		return errors.Join(err, os.Remove(probe))
 	}
-	return errors.Join(ReadOnly(probe, false), os.Remove(probe))
+	return errors.Join(SetReadOnly(probe, false), os.Remove(probe))
 }
 
-// All is the processes that run, so that every one of them can be ended.
-type All struct {
-	mu    sync.Mutex
-	alive []*Process
+// Group is the processes that run, so that every one of them can be ended.
+type Group struct {
+	mu        sync.Mutex
+	processes []*Process
 }
 
 // Add takes a process in.
-func (a *All) Add(p *Process) {
+func (a *Group) Add(p *Process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.alive = append(a.alive, p)
+	a.processes = append(a.processes, p)
 }
 
 // Kill ends all at once.
-func (a *All) Kill() { a.Each((*Process).Kill) }
+func (a *Group) Kill() { a.Each((*Process).Kill) }
 
 // Each calls do with each process that was started, ended or not.
-func (a *All) Each(do func(*Process)) {
+func (a *Group) Each(do func(*Process)) {
 	a.mu.Lock()
-	all := append([]*Process(nil), a.alive...)
+	all := append([]*Process(nil), a.processes...)
 	a.mu.Unlock()
 	for _, p := range all {
 		do(p)
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -17,82 +17,82 @@
 // shell starts a shell that reads its lines from the test.
 func shell(t *testing.T, script string) (*Process, *bufio.Scanner) {
 	t.Helper()
-	s := NewStarter()
-	t.Cleanup(s.Close)
+	starter := NewStarter()
+	t.Cleanup(starter.Close)
 	folder := t.TempDir()
-	p, err := s.Start(Spec{Name: "shell", Path: "/bin/sh", Args: []string{"-c", script}, Log: filepath.Join(t.TempDir(), "log"), Piped: true,
+	process, err := starter.Start(Spec{Name: "shell", Path: "/bin/sh", Args: []string{"-c", script}, Log: filepath.Join(t.TempDir(), "log"), Piped: true,
 		Folder: folder, Env: []string{"TMPDIR=" + folder}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		p.Kill()
-		p.Out.Close()
+		process.Kill()
+		process.Out.Close()
 	})
-	return p, bufio.NewScanner(p.Out)
+	return process, bufio.NewScanner(process.Out)
 }
 
-// TestDisk has a process find its folder full, only readable, and well again.
-func TestDisk(t *testing.T) {
+// TestDiskStates has a process find its folder full, only readable, and well again.
+func TestDiskStates(t *testing.T) {
 	if err := CanReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
-	p, says := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo well || echo failed; done`)
+	process, output := shell(t, `trap "" XFSZ; while read name; do (echo text > "$TMPDIR/$name") 2>/dev/null && test -s "$TMPDIR/$name" && echo well || echo failed; done`)
 	for i, step := range []struct{ mode, want string }{{"", "well"}, {"full", "failed"}, {"", "well"}, {"readonly", "failed"}, {"", "well"}} {
-		if err := p.Disk(step.mode); err != nil {
+		if err := process.SetDiskState(step.mode); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(p.In, "file%d\n", i)
-		if !says.Scan() || says.Text() != step.want {
-			t.Errorf("step %d, disk %q: the process says %q, want %q", i, step.mode, says.Text(), step.want)
+		fmt.Fprintf(process.In, "file%d\n", i)
+		if !output.Scan() || output.Text() != step.want {
+			t.Errorf("step %d, disk %q: the process says %q, want %q", i, step.mode, output.Text(), step.want)
 		}
 	}
 }
 
-// TestEnd has a process end by itself, by the end of its input, by SIGKILL where that does nothing, and from a stop.
-func TestEnd(t *testing.T) {
-	p, _ := shell(t, "exit 3")
-	<-p.Ended()
-	if x := p.Exit(); x.Code != 3 || x.Wanted {
-		t.Errorf("%+v", x)
-	}
-	p, _ = shell(t, "read line")
-	if !p.End(10*time.Second) || !p.Exit().Wanted {
-		t.Errorf("%+v", p.Exit())
-	}
-	p, _ = shell(t, "exec sleep 60")
-	if p.End(10 * time.Millisecond) {
+// TestTerminate has a process end by itself, by the end of its input, by SIGKILL where that does nothing, and from a stop.
+func TestTerminate(t *testing.T) {
+	process, _ := shell(t, "exit 3")
+	<-process.Ended()
+	if exit := process.Exit(); exit.Code != 3 || exit.Wanted {
+		t.Errorf("%+v", exit)
+	}
+	process, _ = shell(t, "read line")
+	if !process.Terminate(10*time.Second) || !process.Exit().Wanted {
+		t.Errorf("%+v", process.Exit())
+	}
+	process, _ = shell(t, "exec sleep 60")
+	if process.Terminate(10 * time.Millisecond) {
 		t.Error("one that does not listen ended well")
 	}
-	if x := p.Exit(); x.Code >= 0 {
-		t.Errorf("%+v", x)
+	if exit := process.Exit(); exit.Code >= 0 {
+		t.Errorf("%+v", exit)
 	}
-	p, says := shell(t, "echo up; read line")
-	says.Scan()
-	if err := p.Signal(syscall.SIGSTOP, false); err != nil {
+	process, output := shell(t, "echo up; read line")
+	output.Scan()
+	if err := process.Signal(syscall.SIGSTOP, false); err != nil {
 		t.Fatal(err)
 	}
-	if !p.End(10 * time.Second) {
+	if !process.Terminate(10 * time.Second) {
 		t.Error("one that was stopped had to be killed")
 	}
 }
 
 // TestSample has a process's memory and descriptors be seen.
 func TestSample(t *testing.T) {
-	p, says := shell(t, `exec 7</dev/null 8</dev/null; echo up; read line`)
-	says.Scan()
-	v, err := p.Sample()
-	if err != nil || v.Descriptors < 5 || v.MemoryMB <= 0 {
-		t.Errorf("%+v, %v", v, err)
-	}
-	p.Kill()
-	if _, err := p.Sample(); err == nil {
+	process, output := shell(t, `exec 7</dev/null 8</dev/null; echo up; read line`)
+	output.Scan()
+	sample, err := process.Sample()
+	if err != nil || sample.Descriptors < 5 || sample.MemoryMB <= 0 {
+		t.Errorf("%+v, %v", sample, err)
+	}
+	process.Kill()
+	if _, err := process.Sample(); err == nil {
 		t.Error("a process that has ended holds something")
 	}
 }
 
-// TestFolderStays has what was in a read-only folder be there, and nothing new.
-func TestFolderStays(t *testing.T) {
+// TestReadOnlyFolder has what was in a read-only folder be there, and nothing new.
+func TestReadOnlyFolder(t *testing.T) {
 	if err := CanReadOnly(t.TempDir()); err != nil {
 		t.Skip(err)
 	}
@@ -100,11 +100,11 @@
 	if err := os.WriteFile(filepath.Join(folder, "old"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := ReadOnly(folder, true); err != nil {
+	if err := SetReadOnly(folder, true); err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := ReadOnly(folder, false); err != nil {
+		if err := SetReadOnly(folder, false); err != nil {
 			t.Error(err)
 		}
 	}()
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -145,7 +145,7 @@
 		c := f.sidecars[s.Sidecar]
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return clock.Now(), c.run.Disk(s.Mode)
+		return clock.Now(), c.run.SetDiskState(s.Mode)
 	case plan.Silent:
 		n, err := f.host[s.Server].order(ctl.Order{Do: "silent", UID: s.Server, On: s.On})
 		return n.At, err
@@ -287,6 +287,6 @@
 		<-c.Ended()
 		return clock.Now(), err
 	}
-	c.End(plan.TermGrace) // by the end of its input: a stand-in knows no SIGTERM of its own
+	c.Terminate(plan.TermGrace) // by the end of its input: a stand-in knows no SIGTERM of its own
 	return clock.Now(), nil
 }
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -235,7 +235,7 @@
 	}
 	until := time.Now().Add(within)
 	for name, p := range f.all() {
-		if !p.End(time.Until(until)) {
+		if !p.Terminate(time.Until(until)) {
 			killed = append(killed, name)
 		}
 	}
