--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -8,17 +8,12 @@
 	"io"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"runtime"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"gradeusher.example/gradeusher/internal/lab/clock"
 )
 
@@ -172,144 +167,3 @@
 	_ = p.cmd.Process.Kill() // fails only where it has ended
 	<-p.ended
 }
-
-// Sample is what a process holds now.
-type Sample struct {
-	At          int64   `json:"at"`
-	MemoryMB    float64 `json:"memory_mb"` // resident
-	Descriptors int     `json:"descriptors"`
-	CPU         float64 `json:"cpu_s"` // of a core, since its start
-}
-
-// Sample looks at /proc; it fails where the process has ended.
-func (p *Process) Sample() (Sample, error) {
-	root := "/proc/" + strconv.Itoa(p.Pid())
-	text, err := os.ReadFile(root + "/statm")
-	if err != nil {
-		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
-	}
-	fields := strings.Fields(string(text))
-	if len(fields) < 2 {
-		return Sample{}, fmt.Errorf("%s: %q is no memory", p.Name, text)
-	}
-	pages, err := strconv.Atoi(fields[1])
-	if err != nil {
-		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
-	}
-	cpu, err := cpuSeconds(root + "/stat")
-	if err != nil {
-		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
-	}
-	open, err := os.ReadDir(root + "/fd")
-	if err != nil {
-		return Sample{}, fmt.Errorf("%s: %w", p.Name, err)
-	}
-	return Sample{clock.Now(), float64(pages*os.Getpagesize()) / (1 << 20), len(open), cpu}, nil
-}
-
-const ticksPerSecond = 100 // of /proc's times (USER_HZ), on all that Go runs on
-
-// cpuSeconds reads the time that a process has had (proc(5), fields 14 and 15).
-func cpuSeconds(path string) (float64, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return 0, err
-	}
-	// The name, in parentheses, may hold anything.
-	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-	if len(fields) < 13 {
-		return 0, fmt.Errorf("%q has no times", text)
-	}
-	user, err := strconv.ParseFloat(fields[11], 64)
-	if err != nil {
-		return 0, err
-	}
-	system, err := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / ticksPerSecond, err
-}
-
-// SetDiskState has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
-func (p *Process) SetDiskState(mode string) error {
-	maxFileBytes := uint64(unix.RLIM_INFINITY)
-	if mode == "full" {
-		// No file of the process can grow. A disk that is full says so with another word (ENOSPC, not EFBIG).
-		maxFileBytes = 0
-	}
-	limit := unix.Rlimit{Cur: maxFileBytes, Max: unix.RLIM_INFINITY}
-	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
-		return fmt.Errorf("%s: file size limit: %w", p.Name, err)
-	}
-	return SetReadOnly(p.Folder, mode == "readonly")
-}
-
-const immutableFlag = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
-
-// SetReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
-// marked immutable (chattr(1)), which not every file system knows.
-func SetReadOnly(folder string, on bool) error {
-	if os.Geteuid() != 0 {
-		mode := os.FileMode(0o700)
-		if on {
-			mode = 0o500
-		}
-		return os.Chmod(folder, mode)
-	}
-	folderFile, err := os.Open(folder)
-	if err != nil {
-		return err
-	}
-	defer folderFile.Close()
-	flags, err := unix.IoctlGetInt(int(folderFile.Fd()), unix.FS_IOC_GETFLAGS)
-	if err != nil {
-		return fmt.Errorf("read-only folder: %w", err)
-	}
-	want := flags &^ immutableFlag
-	if on {
-		want |= immutableFlag
-	}
-	if want == flags {
-		return nil
-	}
-	if err := unix.IoctlSetPointerInt(int(folderFile.Fd()), unix.FS_IOC_SETFLAGS, want); err != nil {
-		return fmt.Errorf("read-only folder: %w", err)
-	}
-	return nil
-}
-
-// CanReadOnly tells why no folder under root can be made read-only; nil: it can.
-func CanReadOnly(root string) error {
-	probe := filepath.Join(root, "readonly")
-	if err := os.Mkdir(probe, 0o700); err != nil {
-		return err
-	}
-	if err := SetReadOnly(probe, true); err != nil {
-		return errors.Join(err, os.Remove(probe))
-	}
-	return errors.Join(SetReadOnly(probe, false), os.Remove(probe))
-}
-
-// Group is the processes that run, so that every one of them can be ended.
-type Group struct {
-	mu        sync.Mutex
-	processes []*Process
-}
-
-// Add takes a process in.
-func (a *Group) Add(p *Process) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.processes = append(a.processes, p)
-}
-
-// Kill ends all at once.
-func (a *Group) Kill() { a.Each((*Process).Kill) }
-
-// Each calls do with each process that was started, ended or not.
-func (a *Group) Each(do func(*Process)) {
-	a.mu.Lock()
-	all := append([]*Process(nil), a.processes...)
-	a.mu.Unlock()
-	for _, p := range all {
-		do(p)
-	}
-}
