--- a/internal/lab/proc/disk.go
+++ b/internal/lab/proc/disk.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// SetDiskState has the process's folder be full ("full"), only readable ("readonly"), or as it was ("").
+// SetDiskState makes the process's folder full ("full"), read-only ("readonly"), or as it was ("").
 func (p *Process) SetDiskState(mode string) error {
 	maxFileBytes := uint64(unix.RLIM_INFINITY)
 	if mode == "full" {
@@ -25,12 +25,12 @@
 
 const immutableFlag = 0x10 // FS_IMMUTABLE_FL of linux/fs.h
 
-// SetReadOnly has nothing be made, renamed or removed in a folder. Rights do not bind the superuser: for him the folder is
+// SetReadOnly decides whether files can be made, renamed and removed in a folder. Rights do not bind the superuser: for it the folder is
 // marked immutable (chattr(1)), which not every file system knows.
-func SetReadOnly(folder string, on bool) error {
+func SetReadOnly(folder string, readOnly bool) error {
 	if os.Geteuid() != 0 {
 		mode := os.FileMode(0o700)
-		if on {
+		if readOnly {
 			mode = 0o500
 		}
 		return os.Chmod(folder, mode)
@@ -39,13 +39,13 @@
 	if err != nil {
 		return err
 	}
-	defer folderFile.Close()
+	defer func() { _ = folderFile.Close() }() // nothing was written
 	flags, err := unix.IoctlGetInt(int(folderFile.Fd()), unix.FS_IOC_GETFLAGS)
 	if err != nil {
 		return fmt.Errorf("read-only folder: %w", err)
 	}
 	want := flags &^ immutableFlag
-	if on {
+	if readOnly {
 		want |= immutableFlag
 	}
 	if want == flags {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// CanReadOnly tells why no folder under root can be made read-only; nil: it can.
+// CanReadOnly returns why no folder under root can be made read-only; nil: it can.
 func CanReadOnly(root string) error {
 	probe := filepath.Join(root, "readonly")
 	if err := os.Mkdir(probe, 0o700); err != nil {
--- a/internal/lab/proc/group.go
+++ b/internal/lab/proc/group.go
@@ -4,13 +4,13 @@
 	"sync"
 )
 
-// Group is the processes that run, so that every one of them can be ended.
+// Group is the processes of an experiment, so that every one of them can be ended.
 type Group struct {
 	mu        sync.Mutex
 	processes []*Process
 }
 
-// Add takes a process in.
+// Add adds a process.
 func (a *Group) Add(p *Process) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,4 +1,7 @@
-// Package proc starts the processes of an experiment, ends each of them whatever happens, and does to them what faults say.
+// Package proc starts the processes of an experiment, ends each of them whatever happens, and injects faults into them: signals, a full
+// disk, a read-only folder.
+//
+// No process outlives the lab unless it is meant to: the kernel kills each with the thread that started it (PR_SET_PDEATHSIG).
 package proc
 
 import (
@@ -25,7 +28,7 @@
 	close sync.Once
 }
 
-// NewStarter begins; Close ends it, after all processes.
+// NewStarter starts the thread. Close ends it; call that after all processes have ended.
 func NewStarter() *Starter {
 	s := &Starter{calls: make(chan func()), ended: make(chan struct{})}
 	go func() {
@@ -65,7 +68,7 @@
 	Wanted bool   `json:"wanted"` // the lab or a fault ended it
 }
 
-// Process is one that was started.
+// Process is a process that was started.
 type Process struct {
 	Spec
 	Started int64
@@ -84,8 +87,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: log: %w", spec.Name, err)
 	}
-	defer log.Close() // the process has its own
-	process := &Process{Spec: spec, ended: make(chan struct{}), cmd: exec.Command(spec.Path, spec.Args...)}
+	defer func() { _ = log.Close() }() // the process has its own
+	process := &Process{Spec: spec, ended: make(chan struct{}), cmd: exec.CommandContext(context.Background(), spec.Path, spec.Args...)}
 	process.cmd.Env, process.cmd.Stderr = spec.Env, log
 	process.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if spec.OutlivesLab {
@@ -100,7 +103,7 @@
 		if in, out, err = os.Pipe(); err != nil {
 			return nil, fmt.Errorf("%s: %w", spec.Name, err)
 		}
-		defer out.Close()
+		defer func() { _ = out.Close() }() // the process has its own
 		process.cmd.Stdout, process.Out = out, in
 	}
 	done := make(chan error)
@@ -121,13 +124,13 @@
 	return process, nil
 }
 
-// Pid is the process's number.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Ended is closed when the process has ended.
+// Ended returns a channel that is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Exit is how it ended, once Ended is closed.
+// Exit returns how the process ended. It is valid once Ended is closed.
 func (p *Process) Exit() Exit { return p.exit }
 
 // Signal sends a signal. wanted: the process may end by it.
@@ -141,12 +144,12 @@
 	return nil
 }
 
-// Terminate has it finish: by the end of its input or SIGTERM, and after a time by SIGKILL. It tells false where that was needed.
+// Terminate ends the process: by the end of its input or SIGTERM, and after a time by SIGKILL. It returns false where that was needed.
 func (p *Process) Terminate(within time.Duration) bool {
 	p.wanted.Store(true)
 	_ = p.cmd.Process.Signal(syscall.SIGCONT) // what fails because it has ended shows below
 	if p.In != nil {
-		p.In.Close()
+		_ = p.In.Close() // it may have ended
 	} else {
 		_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	}
@@ -161,7 +164,7 @@
 	return false
 }
 
-// Kill ends it at once.
+// Kill ends the process by SIGKILL and waits for that.
 func (p *Process) Kill() {
 	p.wanted.Store(true)
 	_ = p.cmd.Process.Kill() // fails only where it has ended
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -27,7 +27,7 @@
 	}
 	t.Cleanup(func() {
 		process.Kill()
-		process.Out.Close()
+		_ = process.Out.Close() // the process has ended
 	})
 	return process, bufio.NewScanner(process.Out)
 }
@@ -42,7 +42,7 @@
 		if err := process.SetDiskState(step.mode); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(process.In, "file%d\n", i)
+		_, _ = fmt.Fprintf(process.In, "file%d\n", i)
 		if !output.Scan() || output.Text() != step.want {
 			t.Errorf("step %d, disk %q: the process says %q, want %q", i, step.mode, output.Text(), step.want)
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestSample has a process's memory and descriptors be seen.
+// TestSample samples a process's memory and descriptors.
 func TestSample(t *testing.T) {
 	process, output := shell(t, `exec 7</dev/null 8</dev/null; echo up; read line`)
 	output.Scan()
--- a/internal/lab/proc/sample.go
+++ b/internal/lab/proc/sample.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/lab/clock"
 )
 
-// Sample is what a process holds now.
+// Sample is the resources that a process uses at a time.
 type Sample struct {
 	At          int64   `json:"at"`
 	MemoryMB    float64 `json:"memory_mb"` // resident
@@ -17,7 +17,7 @@
 	CPU         float64 `json:"cpu_s"` // of a core, since its start
 }
 
-// Sample looks at /proc; it fails where the process has ended.
+// Sample reads /proc; it fails where the process has ended.
 func (p *Process) Sample() (Sample, error) {
 	root := "/proc/" + strconv.Itoa(p.Pid())
 	text, err := os.ReadFile(root + "/statm")
