--- a/internal/system/distribution/server_members.go
+++ b/internal/system/distribution/server_members.go
@@ -10,7 +10,7 @@
 
 // Why a proxy is marked down, as logged.
 const (
-	downByReport    = "other proxies have no contact to it"
+	downByReport     = "other proxies have no contact to it"
 	downDisconnected = "its connection ended"
 	downTimedOut     = "it does not call any more"
 	downOrphaned     = "the control-plane node that it followed timed out too"
--- a/internal/system/distribution/subscriber_announcement.go
+++ b/internal/system/distribution/subscriber_announcement.go
@@ -19,9 +19,9 @@
 
 // announcement is what a proxy says of itself and of other proxies. The subscriber's mu guards it.
 type announcement struct {
-	self            softstate.Member
-	ackedRevision   uint64            // revision of self that a node has acknowledged
-	revisionAcked   chan struct{}     // closed when ackedRevision rises
+	self               softstate.Member
+	ackedRevision      uint64            // revision of self that a node has acknowledged
+	revisionAcked      chan struct{}     // closed when ackedRevision rises
 	pendingDownReports map[string]uint64 // proxies without contact: node to incarnation
 }
 
