--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -12,8 +12,8 @@
 	maxCaughtUpLag     = 64                     // records that a new chain replica may lack
 )
 
-// planner works out the view that this node would have instead of the present one, from what heartbeats say of the others. It only
-// proposes: mayLead sees to it that a head holds what was acknowledged, and the acceptors decide what is chosen.
+// planner works out the view that this node would have instead of the present one, from what heartbeats say of the others. It sends
+// nothing and decides nothing: mayLead sees to it that a head holds what was acknowledged, and the acceptors decide what is chosen.
 type planner struct {
 	*environment
 	headlessSince     time.Duration // when it was first seen that no chain replica may lead; negative: one may
@@ -24,28 +24,35 @@
 	chain    *chainReplica
 }
 
-// plan returns the view that this node would have instead of the present one, nil when all is well or nothing can be done, and its turn
-// among the nodes that see the same.
-func (pl *planner) plan() (next *View, rank int) {
+// viewPlan is what a planner works out.
+type viewPlan struct {
+	next        *View // that this node would have instead of the present one; nil: all is well or nothing can be done
+	rank        int   // its turn to propose next, among the nodes that see the same
+	sealsWanted bool  // replicas are to seal the present epoch, so that a head is found later
+}
+
+// plan works out the next view. It sends nothing, but remembers since when there has been no replica that may lead.
+func (pl *planner) plan() viewPlan {
 	current := pl.acceptor.view
 	if current.Epoch == 0 {
-		return pl.planFirst()
+		next, rank := pl.planFirst()
+		return viewPlan{next: next, rank: rank}
 	}
 	voters, replaced := pl.planVoters()
 	if !pl.liveness.hasMajorityAlive(current.Voters) || !pl.liveness.hasMajorityAlive(voters) {
-		return nil, 0
+		return viewPlan{}
 	}
-	chain := pl.planChain(voters, replaced)
+	chain, sealsWanted := pl.planChain(voters, replaced)
 	if chain == nil {
-		return nil, 0
+		return viewPlan{sealsWanted: sealsWanted}
 	}
-	next = &View{Epoch: current.Epoch + 1, Chain: chain, Voters: voters}
+	next := &View{Epoch: current.Epoch + 1, Chain: chain, Voters: voters}
 	if next.hasSameMembers(current) && !pl.isSealed() {
-		return nil, 0
+		return viewPlan{}
 	}
 	next.minHeadEpoch = pl.liveness.durableEpochsOf(chain[0]).active
 	next.earlierChains = pl.earlierChains()
-	return next, pl.rank()
+	return viewPlan{next: next, rank: pl.rank()}
 }
 
 // rank counts the eligible voters before this node.
@@ -63,31 +70,32 @@
 }
 
 // planChain picks the chain: the present replicas that are fit to stay, and voters that have caught up. It is nil when no chain that
-// may acknowledge can be formed. replaced is the voter that planVoters gives up, empty for none.
-func (pl *planner) planChain(voters []Member, replaced ID) []ID {
+// may acknowledge can be formed, and sealsWanted says whether seals may help. replaced is the voter that planVoters gives up, empty for
+// none.
+func (pl *planner) planChain(voters []Member, replaced ID) (chain []ID, sealsWanted bool) {
 	replicas := pl.stayingReplicas(replaced)
 	heads := pl.possibleHeads(replicas)
 	if len(heads) > 0 {
 		pl.headlessSince = -1
 	} else {
-		if heads = pl.findHead(voters); len(heads) == 0 {
-			return nil
+		if heads, sealsWanted = pl.findHead(voters); len(heads) == 0 {
+			return nil, sealsWanted
 		}
 		replicas = slices.DeleteFunc(replicas, func(m Member) bool { return m == heads[0] })
 		replicas = pl.mutuallyReachable(append(replicas, heads...))
 		if !slices.Contains(replicas, heads[0]) {
-			return nil
+			return nil, false
 		}
 	}
 	if replicas = pl.addReplicas(replicas, heads, voters); len(replicas) < pl.cfg.minChainLength() {
-		return nil
+		return nil, false
 	}
 	arrange(replicas, heads)
 	pl.keepHead(replicas, heads)
 	if current := pl.acceptor.view; isChainOf(replicas, current) && replicas[0].ID == current.Head() {
-		return current.Chain
+		return current.Chain, false
 	}
-	return idsOfMembers(replicas)
+	return idsOfMembers(replicas), false
 }
 
 // keepHead puts the present head in front where the chain keeps its members and the head may lead: to change a head that works costs
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -94,14 +94,23 @@
 
 // wantedView returns the view to propose, nil when none is, and this node's turn.
 func (pr *proposer) wantedView() (next *View, rank int) {
-	if next, rank = pr.planner.plan(); next != nil || pr.acceptor.acceptedView == nil {
-		return next, rank
+	if wanted := pr.plan(); wanted.next != nil || pr.acceptor.acceptedView == nil {
+		return wanted.next, wanted.rank
 	}
 	// A proposal that ended halfway keeps the voters from confirming this epoch: complete it.
 	index := slices.IndexFunc(pr.acceptor.view.Voters, func(m Member) bool { return m.ID == pr.self.ID })
 	return pr.acceptor.acceptedView, 1 + index
 }
 
+// plan asks the planner, and the replicas for the seals that it wants.
+func (pr *proposer) plan() viewPlan {
+	wanted := pr.planner.plan()
+	if wanted.sealsWanted {
+		pr.requestSeals()
+	}
+	return wanted
+}
+
 // backOff keeps two proposers from preempting each other for ever.
 func (pr *proposer) backOff() {
 	pr.backoffUntil = pr.now + minProposerDelay + pr.jitter(proposerJitter)
@@ -179,7 +188,7 @@
 		return
 	}
 	if attempt.value = attempt.highestAcceptedView; attempt.value == nil {
-		attempt.value, _ = pr.planner.plan()
+		attempt.value = pr.plan().next
 	}
 	if attempt.value == nil {
 		pr.proposal = nil // the reason for the proposal has passed
--- a/internal/system/replication/sealing.go
+++ b/internal/system/replication/sealing.go
@@ -8,34 +8,34 @@
 const sealTimeout = time.Second // without a chain replica that may lead
 
 // findHead looks for a head outside the chain, when no replica of the chain may lead because all that were active are lost. Where a
-// voter could lead once the others have sealed the epoch, they are asked to, and the search goes on when they have.
-func (pl *planner) findHead(voters []Member) []Member {
+// voter could lead once the others have sealed the epoch, seals are wanted, once in sealTimeout, and the search goes on when they are there.
+func (pl *planner) findHead(voters []Member) (head []Member, sealsWanted bool) {
 	if pl.headlessSince < 0 {
 		pl.headlessSince = pl.now
 	}
 	if pl.now-pl.headlessSince < sealTimeout {
-		return nil
+		return nil, false
 	}
 	canLead := func(seals sealing) func(Member) bool {
 		return func(m Member) bool { return pl.liveness.isHealthy(m.ID) && pl.mayLead(m.ID, seals) }
 	}
 	if i := slices.IndexFunc(voters, canLead(asSealed)); i >= 0 {
-		return []Member{voters[i]}
+		return []Member{voters[i]}, false
 	}
-	if slices.ContainsFunc(voters, canLead(assumingSealed)) {
-		pl.requestSeals()
+	if sealsWanted = slices.ContainsFunc(voters, canLead(assumingSealed)); sealsWanted {
+		pl.headlessSince = pl.now
 	}
-	return nil
+	return nil, sealsWanted
 }
 
-// requestSeals asks the replicas that are alive to seal the epoch, once in sealTimeout.
-func (pl *planner) requestSeals() {
-	for _, id := range pl.acceptor.view.Chain {
-		if pl.liveness.isAlive(id) {
-			pl.send(id, sealMessage(pl.acceptor.view.Epoch))
+// requestSeals asks the replicas that are alive to seal the epoch.
+func (pr *proposer) requestSeals() {
+	view := pr.acceptor.view
+	for _, id := range view.Chain {
+		if pr.liveness.isAlive(id) {
+			pr.send(id, sealMessage(view.Epoch))
 		}
 	}
-	pl.headlessSince = pl.now
 }
 
 // isSealed reports whether a replica has sealed the present epoch, so that it needs a successor whatever else is well.
