--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -88,7 +88,7 @@
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if fewestAfterPartition(t, TestingKnobs{AcceptDownVerdicts: true}) == censusMembers {
+		if fewestAfterPartition(t, TestingKnobs{AcceptDownEntries: true}) == censusMembers {
 			t.Error("control: nothing was lost where every mark is believed")
 		}
 	})
--- a/internal/system/distribution/server_members.go
+++ b/internal/system/distribution/server_members.go
@@ -10,7 +10,7 @@
 
 // Why a proxy is marked down, as logged.
 const (
-	downByVerdict    = "other proxies have no contact to it"
+	downByReport     = "other proxies have no contact to it"
 	downDisconnected = "its connection ended"
 	downTimedOut     = "it does not call any more"
 	downOrphaned     = "the control-plane node that it followed timed out too"
@@ -44,9 +44,9 @@
 	s.mergeEntry(now, softstate.Entry{Key: stored.Key, Fence: stored.Fence, Version: stored.Version + 1, Value: m.Encode()}, softstate.Age{})
 }
 
-// applyVerdict takes in what another proxy says of one: the node that it follows knows better, while that one is in contact. The
+// applyDownReport takes in that another proxy reports one down: the node that this one follows knows better, while that one is in contact. The
 // caller holds mu.
-func (s *Server) applyVerdict(now time.Time, node string, incarnation uint64) {
+func (s *Server) applyDownReport(now time.Time, node string, incarnation uint64) {
 	stored := s.table.Get(softstate.MemberPrefix + node)
 	if stored == nil || stored.Deleted {
 		return
@@ -61,7 +61,7 @@
 	if m.Owner != s.options.Self && s.peers.hasContact(now, m.Owner) {
 		return
 	}
-	s.markDown(now, stored, m, downByVerdict)
+	s.markDown(now, stored, m, downByReport)
 }
 
 // hasLiveSession reports whether an incarnation of a proxy has called this node lately. The caller holds mu.
@@ -84,12 +84,12 @@
 // the evaluation of those that followed a node without contact. The caller holds mu.
 func (s *Server) evaluateLiveness(now time.Time) {
 	dropped, disconnected := s.sessions.dropTimedOut(now, s.limits.SubscriberTimeout)
-	type verdict struct {
+	type downMember struct {
 		stored *softstate.StoredEntry
 		member softstate.Member
 		reason string
 	}
-	var down []verdict
+	var down []downMember
 	var deleted []*softstate.StoredEntry
 	for _, stored := range s.table.Live(softstate.MemberPrefix) {
 		m, _ := stored.Member()
@@ -101,7 +101,7 @@
 			delete(s.sessions.byNode, m.Node)
 			dropped = true
 		case markMemberDown:
-			down = append(down, verdict{stored, m, reason})
+			down = append(down, downMember{stored, m, reason})
 		case deleteMember:
 			deleted = append(deleted, stored)
 		}
--- a/internal/system/distribution/server_sessions.go
+++ b/internal/system/distribution/server_sessions.go
@@ -143,7 +143,7 @@
 	return out
 }
 
-// beginCall takes in what a call says: the member, its acknowledgement, its loads, its verdicts. It returns nil where there are too many
+// beginCall takes in what a call says: the member, its acknowledgement, its loads, its down reports. It returns nil where there are too many
 // subscribers.
 func (s *Server) beginCall(member softstate.Member, req *distributionpb.FollowRequest) *session {
 	now := time.Now()
@@ -164,8 +164,8 @@
 		caller.member = member
 	}
 	s.assertAlive(now, caller.member)
-	for _, verdict := range req.GetDown() {
-		s.applyVerdict(now, verdict.GetNode(), verdict.GetIncarnation())
+	for _, report := range req.GetDown() {
+		s.applyDownReport(now, report.GetNode(), report.GetIncarnation())
 	}
 	return caller
 }
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -258,7 +258,7 @@
 // has contact to the proxy knows better: this node, or the one that the proxy follows. The caller holds mu.
 func (s *Server) mergePeerEntry(now time.Time, from string, entry softstate.Entry, age softstate.Age) {
 	live, marksDown := s.marksLiveMemberDown(entry)
-	if !marksDown || s.options.knobs.AcceptDownVerdicts {
+	if !marksDown || s.options.knobs.AcceptDownEntries {
 		s.mergeEntry(now, entry, age)
 		return
 	}
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestVerdictsOfOthers(t *testing.T) {
+func TestDownReportsOfOthers(t *testing.T) {
 	server := newIdleServer()
 	now := time.Now()
 	member := softstate.Member{Node: "p", Incarnation: 5}
@@ -108,10 +108,10 @@
 	}
 	server.sessions.byNode["p"].lastCall = now.Add(-time.Second)
 	if say(4) {
-		t.Error("a verdict on another incarnation counts")
+		t.Error("a report on another incarnation counts")
 	}
 	if !say(5) {
-		t.Error("a verdict on a timed out proxy does not count")
+		t.Error("a report on a timed out proxy does not count")
 	}
 }
 
--- a/internal/system/distribution/subscriber_announcement.go
+++ b/internal/system/distribution/subscriber_announcement.go
@@ -13,26 +13,26 @@
 const (
 	// leaveTimeout bounds Leave.
 	leaveTimeout = 300 * time.Millisecond
-	// maxPendingVerdicts bounds the verdicts that wait for a node.
-	maxPendingVerdicts = 256
+	// maxPendingDownReports bounds the down reports that wait for a node.
+	maxPendingDownReports = 256
 )
 
 // announcement is what a proxy says of itself and of other proxies. The subscriber's mu guards it.
 type announcement struct {
-	self            softstate.Member
-	ackedRevision   uint64            // revision of self that a node has acknowledged
-	revisionAcked   chan struct{}     // closed when ackedRevision rises
-	pendingVerdicts map[string]uint64 // proxies without contact: node to incarnation
+	self               softstate.Member
+	ackedRevision      uint64            // revision of self that a node has acknowledged
+	revisionAcked      chan struct{}     // closed when ackedRevision rises
+	pendingDownReports map[string]uint64 // proxies without contact: node to incarnation
 }
 
 func newAnnouncement(self softstate.Member) announcement {
-	return announcement{self: self, revisionAcked: make(chan struct{}), pendingVerdicts: map[string]uint64{}}
+	return announcement{self: self, revisionAcked: make(chan struct{}), pendingDownReports: map[string]uint64{}}
 }
 
 // addTo adds what is to be announced to a request.
 func (a *announcement) addTo(req *distributionpb.FollowRequest) {
 	req.Member = a.self.ToProto()
-	for node, incarnation := range a.pendingVerdicts {
+	for node, incarnation := range a.pendingDownReports {
 		req.Down = append(req.Down, &distributionpb.Verdict{Node: node, Incarnation: incarnation})
 	}
 }
@@ -44,9 +44,9 @@
 		close(a.revisionAcked)
 		a.revisionAcked = make(chan struct{})
 	}
-	for _, verdict := range req.GetDown() {
-		if a.pendingVerdicts[verdict.GetNode()] == verdict.GetIncarnation() {
-			delete(a.pendingVerdicts, verdict.GetNode())
+	for _, report := range req.GetDown() {
+		if a.pendingDownReports[report.GetNode()] == report.GetIncarnation() {
+			delete(a.pendingDownReports, report.GetNode())
 		}
 	}
 }
@@ -98,12 +98,12 @@
 	return s.announced.self.Revision
 }
 
-// Report passes on the verdict that there is no contact to an incarnation of a proxy.
+// Report passes on the failure detector's report that there is no contact to an incarnation of a proxy.
 func (s *Subscriber) Report(node string, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.announced.pendingVerdicts) < maxPendingVerdicts {
-		s.announced.pendingVerdicts[node] = incarnation
+	if len(s.announced.pendingDownReports) < maxPendingDownReports {
+		s.announced.pendingDownReports[node] = incarnation
 		signal(s.callRequested)
 	}
 }
--- a/internal/system/distribution/testing_knobs.go
+++ b/internal/system/distribution/testing_knobs.go
@@ -2,9 +2,9 @@
 
 // TestingKnobs take protections out, one each, so that a test can show what the protection is for. All are false outside tests.
 type TestingKnobs struct {
-	// AcceptDownVerdicts has a server merge every entry of a peer that marks a proxy down, also where the server or the owner of
+	// AcceptDownEntries has a server merge every entry of a peer that marks a proxy down, also where the server or the owner of
 	// the proxy is still in contact with it (D7).
-	AcceptDownVerdicts bool
+	AcceptDownEntries bool
 	// OwnContactsOnly has a server take a peer for lost that does not synchronise with it, whatever other peers report (D7).
 	OwnContactsOnly bool
 	// SkipRejoinDelay has a server that was isolated serve proxies as soon as its chain is current (D8).
