--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -108,10 +108,10 @@
 	}
 	server.sessions.byNode["p"].lastCall = now.Add(-time.Second)
 	if say(4) {
-		t.Error("a verdict on another incarnation counts")
+		t.Error("a report on another incarnation counts")
 	}
 	if !say(5) {
-		t.Error("a verdict on a timed out proxy does not count")
+		t.Error("a report on a timed out proxy does not count")
 	}
 }
 
