--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -22,7 +22,7 @@
 	tried   map[string][]string
 }
 
-var outcomes = map[string]Outcome{"served": Served, "not-executed": NotExecuted, "misdirected": Misdirected,
+var outcomes = map[string]AttemptOutcome{"served": Served, "not-executed": NotExecuted, "misdirected": Misdirected,
 	"unreached": ConnectFailed, "broken": ConnectionLost, "silent": TimedOut, "failed": ServerError, "abandoned": Canceled}
 
 // TestConformance plays the tables of testdata, taken from the design page and the rules.
@@ -182,7 +182,7 @@
 
 func (b *table) pick(name string, offered bool) string {
 	result := b.picker.Pick(b.now, b.request[name], b.tried[name], offered)
-	switch result.Verdict {
+	switch result.Decision {
 	case Send:
 		b.tickets[name] = result.Ticket
 		b.tried[name] = append(b.tried[name], result.Server.ID)
--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -10,14 +10,19 @@
 )
 
 const (
-	// defaultRetryAfter is the Retry-After where no server is known that could take the request.
+	// defaultRetryAfter is the Retry-After where no server is known that could take the request. It is not the proxy's constant of that
+	// name, which is shorter and stands for responses for which the picker has named no wait.
 	defaultRetryAfter = 400 * time.Millisecond
-	minRetryAfter     = 50 * time.Millisecond
+	// minRetryAfter is the least Retry-After of a Result. The proxy has a constant of the same name and value for the waits that do not
+	// come from a Result; this package may not import it.
+	minRetryAfter = 50 * time.Millisecond
+	// retryAfterDivisor: a client is told to wait for at most one part in so many of the time that it has left.
+	retryAfterDivisor = 3
 	// retryAfterFactor is how many times what it would have waited a client is told to come back after.
 	retryAfterFactor = 2
 	// minOverloadRetryAfterMS and maxOverloadRetryAfterMS bound that, in milliseconds.
 	minOverloadRetryAfterMS, maxOverloadRetryAfterMS = 100, 2000
-	// maxUnsentAttempts is how many servers beyond MaxTries may be tried where nothing reaches them.
+	// maxUnsentAttempts is how many servers beyond MaxAttempts may be tried where nothing reaches them.
 	maxUnsentAttempts = 3
 	// maxQueueingShare is how long, as a multiple of the latency target, a request may be estimated to wait for others. Estimates are high
 	// rather than low.
@@ -39,7 +44,7 @@
 func (p *Picker) Pick(now Time, r *Request, tried []string, mayHaveRun bool) Result {
 	result := Result{Priority: min(max(r.Route.Priority, 0), maxPriority)}
 	if mayHaveRun && !r.Route.Idempotent() || r.hasNoTriesLeft(len(tried)) {
-		result.Verdict = GiveUp
+		result.Decision = GiveUp
 		return result
 	}
 	rotation := p.rotations.Of(r.Route)
@@ -65,7 +70,12 @@
 	return result.withoutServer(input, retryAfterMS)
 }
 
-// hasNoTriesLeft reports whether r has used up its attempts, of which tried had a server.
+// hasNoTriesLeft reports whether r has used up its attempts. tried is how many servers it was sent to by the caller's count.
+//
+// The proxy counts the attempts as well, and applies this rule and that on requests that may have run (mayRetry). Both count on purpose.
+// The proxy needs the answer where it does not ask the picker. The picker needs its own count, arrived, to tell retries from first
+// attempts for the retry budget; it includes the attempt under way, and goes back where nothing of it was sent. And the limit holds though
+// one of the two counts is wrong.
 func (r *Request) hasNoTriesLeft(tried int) bool {
 	return r.arrived >= r.maxTries() || tried >= r.maxTries()+maxUnsentAttempts
 }
@@ -114,10 +124,10 @@
 	if !math.IsInf(retryAfterMS, 1) {
 		result.RetryAfter = durationMS(retryAfterMS)
 	}
-	result.RetryAfter = max(min(result.RetryAfter, input.request.TimeLeft/3), minRetryAfter)
-	result.Verdict = Reject
+	result.RetryAfter = max(min(result.RetryAfter, input.request.TimeLeft/retryAfterDivisor), minRetryAfter)
+	result.Decision = Reject
 	if len(input.tried) > 0 || input.request.arrived > 0 {
-		result.Verdict = GiveUp
+		result.Decision = GiveUp
 	}
 	return result
 }
@@ -133,6 +143,7 @@
 // pickInGroup finds the group's server for a request: in the order of the rotation, the first of those that cost about the least, where a
 // due server with more of this proxy's requests in flight yields to the next.
 func (p *Picker) pickInGroup(input *pickInput, members *group) groupResult {
+	p.recordPrompt(input, members)
 	model := p.initCostModel(input, members)
 	estimates := p.estimateCosts(input, members, model)
 	if math.IsInf(estimates.minTotalMS, 1) {
--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -18,9 +18,6 @@
 	minDemandTokens      = 20_000 // decayed tokens of all proxies from which their work says anything
 )
 
-// demandKey names the entry of a service's demand among the loads that proxies share. No server's id begins so.
-func demandKey(service string) string { return "\x00demand " + service }
-
 // isLongPrompt reports whether a prompt is long. Its length is compared with the rate that all proxies are configured with, not the
 // learned one, as all have to agree.
 func (p *Picker) isLongPrompt(tokens int) bool {
@@ -45,8 +42,8 @@
 		return 0, false
 	}
 	g.demand.Decay(now)
-	long := g.demand.Long + float64(g.peerDemand.Prefill)
-	short := g.demand.Short + float64(g.peerDemand.Tokens)
+	long := g.demand.Long + float64(g.peerDemand.Long)
+	short := g.demand.Short + float64(g.peerDemand.Short)
 	if long+short < minDemandTokens {
 		return 0, false
 	}
@@ -58,7 +55,7 @@
 	var byRegion [promptpool.MaxRegions][]*server
 	for _, s := range members.servers {
 		s.inPromptPool = false
-		if s.regionIndex < promptpool.MaxRegions && !s.Draining && !p.state.Evacuated[s.Zone] {
+		if s.regionIndex < promptpool.MaxRegions && p.isInService(s) {
 			byRegion[s.regionIndex] = append(byRegion[s.regionIndex], s)
 		}
 	}
@@ -79,15 +76,19 @@
 	}
 }
 
-// recordPrompt notes which kind of prompt r brings to g.
-func (p *Picker) recordPrompt(now Time, r *Request, g *group, isLong bool) {
-	if isLong {
-		g.mix.RecordLong(now)
+// recordPrompt notes which kind of prompt a request brings to a group, if its servers run a model. That comes before the group's costs are
+// estimated, as they depend on the mix.
+func (p *Picker) recordPrompt(input *pickInput, g *group) {
+	if g.engine() == nil {
+		return
+	}
+	if p.isLongPrompt(max(input.request.TokensIn, 0)) {
+		g.mix.RecordLong(input.now)
 		return
 	}
 	for region, name := range p.regions.names {
-		if region < promptpool.MaxRegions && r.allowsRegion(name) {
-			g.mix.RecordShort(now, region)
+		if region < promptpool.MaxRegions && input.request.allowsRegion(name) {
+			g.mix.RecordShort(input.now, region)
 		}
 	}
 }
@@ -141,7 +142,15 @@
 	return true
 }
 
-// isAvailable reports whether s takes requests at all, as far as the list, the evacuations and its own answers say.
+// isAvailable reports whether s takes requests at all, as far as the list, the evacuations and its own answers say. Unlike eligibility it
+// asks for no request, and a server that was ejected is not available until it has answered, also while it may get a probe: homes of
+// prefixes and separate regions do not change with each probe.
 func (p *Picker) isAvailable(s *server) bool {
-	return !s.Draining && !s.misdirected && !p.state.Evacuated[s.Zone] && !s.outlier.WasEjected()
+	return p.isInService(s) && !s.misdirected && !s.outlier.WasEjected()
+}
+
+// isInService reports whether the published state lets requests go to s: it neither drains nor lies in an evacuated zone. All proxies that
+// have the same state agree on it. eligibility has the two apart, as they are different reasons.
+func (p *Picker) isInService(s *server) bool {
+	return !s.Draining && !p.state.Evacuated[s.Zone]
 }
--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -11,7 +11,8 @@
 // PrefixPart is one part of a prompt.
 type PrefixPart = prefixcache.Part
 
-// Request is a client's request.
+// Request is a client's request. The caller sets its fields before each call of Pick, and does not reuse it before its last
+// attempt is Done.
 type Request struct {
 	Route        *config.Route
 	Model        string
@@ -22,7 +23,9 @@
 	Age          time.Duration // since the head was read here
 	Resumed      bool          // continues a stream after Last-Event-Id
 
-	arrived int // attempts that reached a server, or are under way to one
+	// arrived is how many attempts reached a server, or are under way to one. Only the Picker changes it: send counts an attempt, and Done
+	// takes it back with ConnectFailed. So one Request has to be passed with all its attempts. hasNoTriesLeft says why the caller counts too.
+	arrived int
 }
 
 // allowsRegion reports whether r may go to a region, by its route's home regions.
@@ -33,34 +36,34 @@
 // maxTries is how many attempts of r may reach a server.
 func (r *Request) maxTries() int { return max(r.Route.MaxAttempts, 1) }
 
-// Outcome is how one attempt at a server ended.
-type Outcome uint8
+// AttemptOutcome is how one attempt at a server ended.
+type AttemptOutcome uint8
 
 // The outcomes.
 const (
-	Served         Outcome = iota // a whole answer
-	NotExecuted                   // the server said that it did not run it (X-Not-Executed): full, or too late in its queue
-	Misdirected                   // 421: another server has the address now
-	ConnectFailed                 // no connection, or not a byte was sent
-	ConnectionLost                // sent, then a reset, a close or bytes that are no answer: may have run
-	TimedOut                      // sent, and no answer in the time that was given: may have run
-	ServerError                   // an answer of 5xx that ran
-	Canceled                      // the client went away, or this end gave it up
+	Served         AttemptOutcome = iota // a whole answer
+	NotExecuted                          // the server said that it did not run it (X-Not-Executed): full, or too late in its queue
+	Misdirected                          // 421: another server has the address now
+	ConnectFailed                        // no connection, or not a byte was sent
+	ConnectionLost                       // sent, then a reset, a close or bytes that are no answer: may have run
+	TimedOut                             // sent, and no answer in the time that was given: may have run
+	ServerError                          // an answer of 5xx that ran
+	Canceled                             // the client went away, or this end gave it up
 )
 
-// Verdict is what is to be done with a request now.
-type Verdict uint8
+// Decision is what is to be done with a request now.
+type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	Send   Verdict = iota // to Result.Server
-	Reject                // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
-	GiveUp                // no further attempt is allowed (tries, budget, no other server): answer with what there is
+	Send   Decision = iota // to Result.Server
+	Reject                 // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
+	GiveUp                 // no further attempt is allowed (tries, budget, no other server): answer with what there is
 )
 
-// Result is a verdict with what it needs.
+// Result is a decision with what it needs.
 type Result struct {
-	Verdict    Verdict
+	Decision   Decision
 	Server     Server
 	Ticket     uint64        // names this attempt in ResponseStarted, FirstEvent and Done
 	Priority   int           // for the Priority header, 0 to 9
