--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -224,7 +224,7 @@
 func (p *player) startZone(ctx context.Context, zone string) error {
 	some := p.servers(zone)
 	for i, s := range some {
-		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) {
+		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) { //nolint:contextcheck // the server outlives the fault that starts it
 			return err
 		}
 		if i < len(some)-1 {
@@ -318,7 +318,7 @@
 		clock.Sleep(ctx, p.Scenario.Bounds.Drain+time.Second)
 		s.Stop()
 		clock.Sleep(ctx, t.Length-p.Scenario.Bounds.Drain-time.Second-s.WarmUp-coldMargin)
-		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) {
+		if err := s.Start(true); err != nil && !errors.Is(err, testcluster.ErrRunning) { //nolint:contextcheck // the server outlives the fault that starts it
 			return err
 		}
 		clock.Sleep(ctx, s.WarmUp+coldMargin)
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -76,7 +76,7 @@
 		play.checkRecovery(ctx)
 	}
 	play.monitor.pollAll(ctx, play.addresses())
-	result := play.evaluate(run.Finish())
+	result := play.evaluate(run.Finish()) //nolint:contextcheck // the run is finished also when ctx has ended
 	if err := ctx.Err(); err != nil {
 		return nil, errors.Wrapf(err, "seed %d was broken off, and is not judged", options.Plan.Seed)
 	}
--- a/internal/sidecar/registry/join.go
+++ b/internal/sidecar/registry/join.go
@@ -69,8 +69,9 @@
 	}
 	var lastErr error
 	addresses := n.peerAddresses()
-	for i := 0; i < len(addresses); i++ {
-		code, answer, err := postJoin(ctx, client, addresses[i], body)
+	for asked := 0; asked < len(addresses); asked++ {
+		address := addresses[asked]
+		code, answer, err := postJoin(ctx, client, address, body)
 		if errors.Is(err, errPeerAddress) {
 			return 0, err
 		}
@@ -82,9 +83,9 @@
 			return code, nil
 		}
 		if code == http.StatusConflict {
-			n.log.Warn("join", "peer", addresses[i], "err", answer.Reason)
+			n.log.Warn("join", "peer", address, "err", answer.Reason)
 		}
-		lastErr = fmt.Errorf("%s: %s", addresses[i], answer.Reason)
+		lastErr = fmt.Errorf("%s: %s", address, answer.Reason)
 		leader := answer.LeaderHTTP // it may be missing in this node's configuration
 		if leader != "" && !slices.Contains(addresses, leader) && len(addresses) < maxPeersAsked {
 			addresses = append(addresses, leader)
--- a/internal/system/failuredetector/golden_trace_test.go
+++ b/internal/system/failuredetector/golden_trace_test.go
@@ -184,7 +184,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	golden := map[string]string{}
 	for in := bufio.NewScanner(f); in.Scan(); {
 		if parts := strings.SplitN(in.Text(), " ", 3); len(parts) == 3 {
