--- a/internal/sidecar/registry.go
+++ b/internal/sidecar/registry.go
@@ -43,7 +43,7 @@
 }
 
 // target is a server in the sidecar's own form.
-func (k *Registry) target(t fleet.Target) Target {
+func (r *Registry) target(t fleet.Target) Target {
 	converted := Target{ID: t.UID, Address: t.Endpoint, Zone: t.Zone, Kind: t.Model, Cell: t.PodGroup, Size: 1}
 	switch t.State {
 	case fleet.Serving:
@@ -59,8 +59,8 @@
 	if t.BootMS > 0 {
 		converted.Started = time.UnixMilli(t.BootMS)
 	}
-	if _, port, err := net.SplitHostPort(t.Endpoint); err == nil && k.Reach != "" {
-		converted.Address = net.JoinHostPort(k.Reach, port)
+	if _, port, err := net.SplitHostPort(t.Endpoint); err == nil && r.Reach != "" {
+		converted.Address = net.JoinHostPort(r.Reach, port)
 	}
 	return converted
 }
