--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -34,11 +34,11 @@
 	prompt  *prefixcache.Chain
 }
 
-// Pick decides where r goes now. tried has the ids of the servers that this request was sent to, offered says that one of these attempts
+// Pick decides where r goes now. tried has the ids of the servers that this request was sent to, mayHaveRun says that one of these attempts
 // may have run. With Send it registers the attempt: Done has to follow, exactly once.
-func (p *Picker) Pick(now Time, r *Request, tried []string, offered bool) Result {
+func (p *Picker) Pick(now Time, r *Request, tried []string, mayHaveRun bool) Result {
 	result := Result{Priority: min(max(r.Route.Priority, 0), maxPriority)}
-	if offered && !r.Route.Idempotent() || r.hasNoTriesLeft(len(tried)) {
+	if mayHaveRun && !r.Route.Idempotent() || r.hasNoTriesLeft(len(tried)) {
 		result.Verdict = GiveUp
 		return result
 	}
