--- a/internal/system/proxy/pick/doc.go
+++ b/internal/system/proxy/pick/doc.go
@@ -8,7 +8,7 @@
 //
 // # Terms
 //
-// A Picker gives a Result for each attempt of a Request; Started, FirstEvent and Done tell it how the attempt went, as in gRPC's balancer
+// A Picker gives a Result for each attempt of a Request; ResponseStarted, FirstEvent and Done tell it how the attempt went, as in gRPC's balancer
 // interface. A group is the servers of one service. A server is eligible where no rule, ejection or pacing excludes it. It warms up where
 // it may get few requests for a time after its start; the proxies that may send it any are its senders. The control plane is in contact
 // where it has published a state; a state is Stale where others may have given this proxy up.
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -348,7 +348,7 @@
 	request := d.open[index]
 	d.open = slices.Delete(d.open, index, index+1)
 	if d.rng.IntN(4) > 0 {
-		d.p.Started(d.now, request.ticket)
+		d.p.ResponseStarted(d.now, request.ticket)
 		d.p.FirstEvent(d.now, request.ticket)
 	}
 	out := drivenOutcomes[d.rng.IntN(len(drivenOutcomes))]
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -188,7 +188,7 @@
 		return
 	}
 	if rapid.Bool().Draw(run.T, "began") {
-		run.picker.Started(run.now, request.ticket)
+		run.picker.ResponseStarted(run.now, request.ticket)
 		run.picker.FirstEvent(run.now, request.ticket)
 	}
 	outcome := Outcome(rapid.IntRange(0, int(Canceled)).Draw(run.T, "outcome"))
--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -62,7 +62,7 @@
 type Result struct {
 	Verdict    Verdict
 	Server     Server
-	Ticket     uint64        // names this attempt in Started, FirstEvent and Done
+	Ticket     uint64        // names this attempt in ResponseStarted, FirstEvent and Done
 	Priority   int           // for the Priority header, 0 to 9
 	RetryAfter time.Duration // with Reject: when there will be capacity
 	SendWithin time.Duration // with Send: the request goes out so soon after the choice, or not at all; 0: whenever it can
--- a/internal/system/proxy/pick/send.go
+++ b/internal/system/proxy/pick/send.go
@@ -57,8 +57,8 @@
 	p.prefixes.Record(&s.prefixes, input.prompt, int64(indexedMemoryShare*float64(s.group.engine().CacheTokens)))
 }
 
-// Started notes that the head of an answer has come: the server lives.
-func (p *Picker) Started(now Time, ticket uint64) {
+// ResponseStarted notes that the head of an answer has come: the server lives.
+func (p *Picker) ResponseStarted(now Time, ticket uint64) {
 	a := p.attempts.byTicket[ticket]
 	if a == nil {
 		return
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -435,6 +435,6 @@
 	t, p := f.tallies[call.kind.name], f.pickers[call.proxy]
 	t.latencies = append(t.latencies, ms(call.first))
 	p.ServerLoad(f.now, call.result.Server.ID, running, waiting, f.slots)
-	p.Started(f.now, call.result.Ticket)
+	p.ResponseStarted(f.now, call.result.Ticket)
 	p.FirstEvent(f.now, call.result.Ticket)
 }
