--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -129,7 +129,7 @@
 		c.handleFailure(attempt, err)
 		return tryNextServer
 	}
-	c.proxy.picker.Started(choice.Ticket, choice.Server.ID, parseServerHints(resp.Header, resp.Close))
+	c.proxy.picker.ResponseStarted(choice.Ticket, choice.Server.ID, parseServerHints(resp.Header, resp.Close))
 	return c.handleResponse(attempt)
 }
 
--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -37,7 +37,7 @@
 func (t *fakePicker) PromptDemands() map[string]pick.Load                 { return nil }
 func (t *fakePicker) RecordRequest(pick.Time, *pick.Request)              {}
 func (t *fakePicker) FirstEvent(pick.Time, uint64)                        { t.firstEvents++ }
-func (t *fakePicker) Started(pick.Time, uint64)                           {}
+func (t *fakePicker) ResponseStarted(pick.Time, uint64)                   {}
 func (t *fakePicker) WarmingUp(pick.Time, string, time.Duration)          {}
 func (t *fakePicker) ServerDraining(pick.Time, string)                    {}
 func (t *fakePicker) AwaitsServerList() bool                              { return false }
--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -23,7 +23,7 @@
 	RecordRequest(now pick.Time, r *pick.Request)
 	Pick(now pick.Time, r *pick.Request, tried []string, mayHaveRun bool) pick.Result
 	ServerLoad(now pick.Time, id string, running, waiting, slots int)
-	Started(now pick.Time, ticket uint64)
+	ResponseStarted(now pick.Time, ticket uint64)
 	FirstEvent(now pick.Time, ticket uint64)
 	Done(now pick.Time, ticket uint64, outcome pick.Outcome, retryAfter time.Duration)
 	WarmingUp(now pick.Time, id string, timeLeft time.Duration)
@@ -141,10 +141,10 @@
 	p.withLock(func(inner picker, now pick.Time) { inner.Done(now, ticket, outcome, retryAfter) })
 }
 
-// Started reports that the head of a server's response has come, and what it says about the server.
-func (p *lockedPicker) Started(ticket uint64, serverID string, hints serverHints) {
+// ResponseStarted reports that the head of a server's response has come, and what it says about the server.
+func (p *lockedPicker) ResponseStarted(ticket uint64, serverID string, hints serverHints) {
 	p.withLock(func(inner picker, now pick.Time) {
-		inner.Started(now, ticket)
+		inner.ResponseStarted(now, ticket)
 		if hints.hasLoad {
 			inner.ServerLoad(now, serverID, hints.running, hints.waiting, hints.slots)
 		}
