--- a/internal/system/proxy/pick/stall_test.go
+++ b/internal/system/proxy/pick/stall_test.go
@@ -10,7 +10,7 @@
 	fleet := newWarmUpFleet(12)
 	picker := fleet.pickers[0]
 	picker.UpdateClusterState(0, fleet.state(0, 1, 0))
-	picker.Stalled(at)
+	picker.RecordStall(at)
 	return picker, fleet
 }
 
@@ -59,7 +59,7 @@
 		if !picker.servers["s0"].warmUp.isSender {
 			continue
 		}
-		picker.Stalled(woke)
+		picker.RecordStall(woke)
 		if _, may := picker.warmUps.sendsFrom(woke, picker.servers["s0"]); may {
 			t.Error("it holds on as it wakes")
 		}
--- a/internal/system/proxy/pick/warmup_state.go
+++ b/internal/system/proxy/pick/warmup_state.go
@@ -154,10 +154,10 @@
 	}
 }
 
-// Stalled notes that the process was paused until now, and without contact to the control plane since. Servers may have begun to warm up
+// RecordStall notes that the process was paused until now, and without contact to the control plane since. Servers may have begun to warm up
 // meanwhile, and requests have piled up: all servers that can warm up are paced as if they did, until UpdateClusterState brings what the
 // control plane knew after the pause, or until a warm-up that began by its end would be over.
-func (p *Picker) Stalled(now Time) {
+func (p *Picker) RecordStall(now Time) {
 	p.fleet.recordStall(now)
 	for _, s := range p.servers {
 		p.warmUps.paceUntilConfirmed(now, s)
