--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -41,7 +41,7 @@
 func (t *fakePicker) WarmingUp(pick.Time, string, time.Duration)          {}
 func (t *fakePicker) ServerDraining(pick.Time, string)                    {}
 func (t *fakePicker) AwaitsServerList() bool                              { return false }
-func (t *fakePicker) Stalled(pick.Time)                                   {}
+func (t *fakePicker) RecordStall(pick.Time)                               {}
 func (t *fakePicker) AwaitsControlPlane() bool                            { return false }
 func (t *fakePicker) Stats() pick.Stats                                   { return pick.Stats{} }
 func (t *fakePicker) Describe(pick.Time) string                           { return "fake" }
--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -32,7 +32,7 @@
 	Describe(now pick.Time) string
 	Stats() pick.Stats
 	AwaitsServerList() bool
-	Stalled(now pick.Time)
+	RecordStall(now pick.Time)
 	AwaitsControlPlane() bool
 }
 
@@ -65,7 +65,7 @@
 	now := time.Since(p.start)
 	stalled = p.stalls.observeRun(now)
 	if stalled {
-		p.inner.Stalled(now)
+		p.inner.RecordStall(now)
 	}
 	call(p.inner, now)
 	if !p.inner.AwaitsControlPlane() {
