--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -182,7 +182,7 @@
 
 func (b *table) pick(name string, offered bool) string {
 	result := b.picker.Pick(b.now, b.request[name], b.tried[name], offered)
-	switch result.Verdict {
+	switch result.Decision {
 	case Send:
 		b.tickets[name] = result.Ticket
 		b.tried[name] = append(b.tried[name], result.Server.ID)
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -66,12 +66,12 @@
 	return fmt.Sprintf("%s %d %d %s", name, seed, tr.steps, hex.EncodeToString(tr.sum.Sum(nil)))
 }
 
-// verdictTags name verdicts in the trace.
-var verdictTags = map[Verdict]byte{Send: 'S', Reject: 'R', GiveUp: 'X'}
+// decisionTags name decisions in the trace.
+var decisionTags = map[Decision]byte{Send: 'S', Reject: 'R', GiveUp: 'X'}
 
 // choice takes in a choice of a picker, what the send registered and what the picker has spent.
 func (tr *trace) choice(now Time, p *Picker, r *Request, tried int, offered bool, c Result) {
-	tr.step(verdictTags[c.Verdict])
+	tr.step(decisionTags[c.Decision])
 	tr.num(int64(now), int64(r.arrived), int64(tried), int64(r.TimeLeft))
 	tr.flag(offered)
 	tr.text(c.Server.ID)
@@ -330,7 +330,7 @@
 func (d *driver) choose(o *drivenRequest) {
 	c := d.p.Pick(d.now, o.r, o.tried, o.offered)
 	d.tr.choice(d.now, d.p, o.r, len(o.tried), o.offered, c)
-	if c.Verdict == Send {
+	if c.Decision == Send {
 		o.ticket, o.tried = c.Ticket, append(o.tried, c.Server.ID)
 		d.open = append(d.open, o)
 	}
--- a/internal/system/proxy/pick/homes_test.go
+++ b/internal/system/proxy/pick/homes_test.go
@@ -79,8 +79,8 @@
 	run.now += 300 * time.Millisecond
 	r.TimeLeft = 5 * time.Second
 	result := p.Pick(run.now, r, nil, false)
-	if result.Verdict != Send {
-		run.Fatalf("verdict %d", result.Verdict)
+	if result.Decision != Send {
+		run.Fatalf("decision %d", result.Decision)
 	}
 	p.FirstEvent(run.now+250*time.Millisecond, result.Ticket)
 	p.Done(run.now+250*time.Millisecond, result.Ticket, Served, 0)
--- a/internal/system/proxy/pick/idle_conns_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -17,8 +17,8 @@
 	send := func(now Time, outcome Outcome) string {
 		t.Helper()
 		c := picker.Pick(now, &Request{Route: route, TokensIn: 100, MaxTokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
-		if c.Verdict != Send {
-			t.Fatalf("verdict %d", c.Verdict)
+		if c.Decision != Send {
+			t.Fatalf("decision %d", c.Decision)
 		}
 		picker.Done(now, c.Ticket, outcome, 0)
 		return c.Server.ID
--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -39,7 +39,7 @@
 func (p *Picker) Pick(now Time, r *Request, tried []string, mayHaveRun bool) Result {
 	result := Result{Priority: min(max(r.Route.Priority, 0), maxPriority)}
 	if mayHaveRun && !r.Route.Idempotent() || r.hasNoTriesLeft(len(tried)) {
-		result.Verdict = GiveUp
+		result.Decision = GiveUp
 		return result
 	}
 	rotation := p.rotations.Of(r.Route)
@@ -115,9 +115,9 @@
 		result.RetryAfter = durationMS(retryAfterMS)
 	}
 	result.RetryAfter = max(min(result.RetryAfter, input.request.TimeLeft/3), minRetryAfter)
-	result.Verdict = Reject
+	result.Decision = Reject
 	if len(input.tried) > 0 || input.request.arrived > 0 {
-		result.Verdict = GiveUp
+		result.Decision = GiveUp
 	}
 	return result
 }
--- a/internal/system/proxy/pick/probe_test.go
+++ b/internal/system/proxy/pick/probe_test.go
@@ -23,7 +23,7 @@
 		}
 		knocks := 0
 		for range 20 {
-			if ask(100*time.Millisecond).Verdict == Send {
+			if ask(100*time.Millisecond).Decision == Send {
 				knocks++
 			}
 		}
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -130,7 +130,7 @@
 		request = run.newRequest()
 	}
 	result := run.picker.Pick(run.now, request.request, request.tried, request.offered)
-	if result.Verdict != Send {
+	if result.Decision != Send {
 		run.checkRefusal(request, result)
 		return
 	}
@@ -141,10 +141,10 @@
 }
 
 func (run *randomRun) checkRefusal(request *randomRequest, result Result) {
-	if result.Verdict == Reject && len(request.tried) > 0 {
+	if result.Decision == Reject && len(request.tried) > 0 {
 		run.Fatal("rejected after a send")
 	}
-	if result.Verdict == Reject && result.RetryAfter <= 0 {
+	if result.Decision == Reject && result.RetryAfter <= 0 {
 		run.Fatal("a rejection that does not say when to come back")
 	}
 }
@@ -253,7 +253,7 @@
 					picker.UpdateClusterState(now, run.state(i, run.after, now))
 				}
 				result := picker.Pick(now, &Request{Route: run.config.Routes[0], TimeLeft: time.Second}, nil, false)
-				if result.Verdict == Send {
+				if result.Decision == Send {
 					sent = append(sent, now)
 					picker.Done(now, result.Ticket, Served, 0)
 				}
@@ -372,7 +372,7 @@
 	var tried []string
 	for {
 		result := picker.Pick(now, r, tried, false)
-		if result.Verdict != Send {
+		if result.Decision != Send {
 			return retries
 		}
 		if len(tried) > 0 {
--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -48,19 +48,19 @@
 	Canceled                      // the client went away, or this end gave it up
 )
 
-// Verdict is what is to be done with a request now.
-type Verdict uint8
+// Decision is what is to be done with a request now.
+type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	Send   Verdict = iota // to Result.Server
-	Reject                // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
-	GiveUp                // no further attempt is allowed (tries, budget, no other server): answer with what there is
+	Send   Decision = iota // to Result.Server
+	Reject                 // answer 503 with Retry-After: nothing can serve it in time (only where it has not run)
+	GiveUp                 // no further attempt is allowed (tries, budget, no other server): answer with what there is
 )
 
-// Result is a verdict with what it needs.
+// Result is a decision with what it needs.
 type Result struct {
-	Verdict    Verdict
+	Decision   Decision
 	Server     Server
 	Ticket     uint64        // names this attempt in ResponseStarted, FirstEvent and Done
 	Priority   int           // for the Priority header, 0 to 9
--- a/internal/system/proxy/pick/send.go
+++ b/internal/system/proxy/pick/send.go
@@ -36,7 +36,7 @@
 		started.expectedAt = now + durationMS(estimated.firstEventMS+plainOverdueFactor*target.group.serviceTimeMS)
 	}
 	target.pending.add(started)
-	result.Verdict, result.Server, result.Ticket = Send, target.Server, started.ticket
+	result.Decision, result.Server, result.Ticket = Send, target.Server, started.ticket
 	return result
 }
 
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -281,7 +281,7 @@
 	if f.onPick != nil {
 		f.onPick(call.proxy, call.request, len(call.tried), call.offered, call.result)
 	}
-	if call.result.Verdict != Send {
+	if call.result.Decision != Send {
 		f.refuse(call)
 		return
 	}
--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -66,7 +66,7 @@
 		}
 		w.request.TimeLeft = w.until - now
 		c := picker.Pick(now, w.request, nil, false)
-		if c.Verdict != Send {
+		if c.Decision != Send {
 			left = append(left, w)
 			continue
 		}
--- a/internal/system/proxy/pick/warmup_listing_test.go
+++ b/internal/system/proxy/pick/warmup_listing_test.go
@@ -166,7 +166,7 @@
 				continue
 			}
 			result := p.Pick(now, &Request{Route: run.fleet.config.Routes[0], TimeLeft: time.Second}, nil, false)
-			if result.Verdict != Send {
+			if result.Decision != Send {
 				continue
 			}
 			if warmingUp && p.servers["s0"].warmingUp(now) { // sends of proxies that can't know yet are another matter
--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -44,7 +44,7 @@
 		}
 		for _, p := range f.pickers {
 			c := p.Pick(now, &Request{Route: f.config.Routes[0], TimeLeft: time.Second}, nil, false)
-			if c.Verdict != Send {
+			if c.Decision != Send {
 				continue
 			}
 			if c.Server.ID == "s0" {
