--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -104,7 +104,7 @@
 	now := time.Since(picker.start)
 	sendsBefore := picker.picker.Stats().WarmUpSends
 	choice := picker.picker.Pick(now, &pick.Request{Route: w.config.Routes[0], TimeLeft: time.Second}, nil, false)
-	if choice.Verdict != pick.Send {
+	if choice.Decision != pick.Send {
 		return
 	}
 	picker.picker.Done(now, choice.Ticket, pick.Served, 0)
--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -55,7 +55,7 @@
 	defer func() { c.proxy.memory.release(c.reservedBytes) }()
 	for {
 		choice := c.chooseServer(ctx)
-		if choice.Verdict != pick.Send {
+		if choice.Decision != pick.Send {
 			c.answerUnserved(choice)
 			return
 		}
@@ -95,7 +95,7 @@
 	c.proxy.picker.awaitContact(ctx)
 	timeLeft := time.Until(c.deadline)
 	if timeLeft <= 0 || c.clientGone() || c.unreachedCount >= maxUnreachedServers || !c.mayRetry(c.mayHaveRun) {
-		return pick.Result{Verdict: pick.GiveUp}
+		return pick.Result{Decision: pick.GiveUp}
 	}
 	return c.askPicker(timeLeft, c.mayHaveRun)
 }
@@ -183,7 +183,7 @@
 		return false
 	}
 	choice := c.askPicker(timeLeft, true)
-	if choice.Verdict != pick.Send {
+	if choice.Decision != pick.Send {
 		return false
 	}
 	c.nextChoice = &choice
--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -68,9 +68,9 @@
 		}
 	}
 	if offered {
-		return pick.Result{Verdict: pick.GiveUp}
+		return pick.Result{Decision: pick.GiveUp}
 	}
-	return pick.Result{Verdict: pick.Reject, RetryAfter: t.retryAfter}
+	return pick.Result{Decision: pick.Reject, RetryAfter: t.retryAfter}
 }
 
 func (t *fakePicker) Done(_ pick.Time, ticket uint64, o pick.Outcome, _ time.Duration) {
--- a/internal/system/proxy/stall_test.go
+++ b/internal/system/proxy/stall_test.go
@@ -39,7 +39,7 @@
 	got := map[string]int{}
 	for range requests {
 		one := *r
-		if c := p.Pick(&one, nil, false); c.Verdict == pick.Send {
+		if c := p.Pick(&one, nil, false); c.Decision == pick.Send {
 			got[c.Server.ID]++
 		}
 	}
