--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -22,7 +22,7 @@
 	tried   map[string][]string
 }
 
-var outcomes = map[string]Outcome{"served": Served, "not-executed": NotExecuted, "misdirected": Misdirected,
+var outcomes = map[string]AttemptOutcome{"served": Served, "not-executed": NotExecuted, "misdirected": Misdirected,
 	"unreached": ConnectFailed, "broken": ConnectionLost, "silent": TimedOut, "failed": ServerError, "abandoned": Canceled}
 
 // TestConformance plays the tables of testdata, taken from the design page and the rules.
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -337,7 +337,7 @@
 }
 
 // drivenOutcomes are those that are drawn, the usual ones more often.
-var drivenOutcomes = []Outcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, ConnectFailed, ConnectionLost, TimedOut, ServerError, Canceled}
+var drivenOutcomes = []AttemptOutcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, ConnectFailed, ConnectionLost, TimedOut, ServerError, Canceled}
 
 // endOne ends a send and asks again where it failed.
 func (d *driver) endOne() {
--- a/internal/system/proxy/pick/idle_conns_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -14,7 +14,7 @@
 	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxAttempts: 1,
 		Shares: []config.Share{{Service: "lm", Weight: 1}}}
 	picker := newPoolPicker(6)
-	send := func(now Time, outcome Outcome) string {
+	send := func(now Time, outcome AttemptOutcome) string {
 		t.Helper()
 		c := picker.Pick(now, &Request{Route: route, TokensIn: 100, MaxTokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
 		if c.Decision != Send {
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -191,7 +191,7 @@
 		run.picker.ResponseStarted(run.now, request.ticket)
 		run.picker.FirstEvent(run.now, request.ticket)
 	}
-	outcome := Outcome(rapid.IntRange(0, int(Canceled)).Draw(run.T, "outcome"))
+	outcome := AttemptOutcome(rapid.IntRange(0, int(Canceled)).Draw(run.T, "outcome"))
 	run.picker.Done(run.now, request.ticket, outcome, time.Duration(rapid.IntRange(0, 900).Draw(run.T, "after"))*time.Millisecond)
 	run.picker.Done(run.now, request.ticket, TimedOut, 0) // the second end of an attempt is no end
 	request.ticket = 0
--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -33,19 +33,19 @@
 // maxTries is how many attempts of r may reach a server.
 func (r *Request) maxTries() int { return max(r.Route.MaxAttempts, 1) }
 
-// Outcome is how one attempt at a server ended.
-type Outcome uint8
+// AttemptOutcome is how one attempt at a server ended.
+type AttemptOutcome uint8
 
 // The outcomes.
 const (
-	Served         Outcome = iota // a whole answer
-	NotExecuted                   // the server said that it did not run it (X-Not-Executed): full, or too late in its queue
-	Misdirected                   // 421: another server has the address now
-	ConnectFailed                 // no connection, or not a byte was sent
-	ConnectionLost                // sent, then a reset, a close or bytes that are no answer: may have run
-	TimedOut                      // sent, and no answer in the time that was given: may have run
-	ServerError                   // an answer of 5xx that ran
-	Canceled                      // the client went away, or this end gave it up
+	Served         AttemptOutcome = iota // a whole answer
+	NotExecuted                          // the server said that it did not run it (X-Not-Executed): full, or too late in its queue
+	Misdirected                          // 421: another server has the address now
+	ConnectFailed                        // no connection, or not a byte was sent
+	ConnectionLost                       // sent, then a reset, a close or bytes that are no answer: may have run
+	TimedOut                             // sent, and no answer in the time that was given: may have run
+	ServerError                          // an answer of 5xx that ran
+	Canceled                             // the client went away, or this end gave it up
 )
 
 // Decision is what is to be done with a request now.
--- a/internal/system/proxy/pick/send.go
+++ b/internal/system/proxy/pick/send.go
@@ -86,7 +86,7 @@
 
 // Done ends an attempt. retryAfter is what the server's Retry-After said, 0 if nothing. A ticket that is not known, or was ended before,
 // does nothing.
-func (p *Picker) Done(now Time, ticket uint64, outcome Outcome, retryAfter time.Duration) {
+func (p *Picker) Done(now Time, ticket uint64, outcome AttemptOutcome, retryAfter time.Duration) {
 	ended := p.attempts.byTicket[ticket]
 	if ended == nil {
 		return
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -66,7 +66,7 @@
 	maxEventGap time.Duration // the longest between events
 	first       func(running, waiting int)
 	done        func(served bool)
-	lost        func(Outcome)
+	lost        func(AttemptOutcome)
 }
 
 // engine is a model server: it reads prompts in pieces between the steps in which every running request gets a token.
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -347,7 +347,7 @@
 }
 
 // done ends the proxy's attempt.
-func (f *simulation) done(call *serverCall, outcome Outcome) {
+func (f *simulation) done(call *serverCall, outcome AttemptOutcome) {
 	f.pickers[call.proxy].Done(f.now, call.result.Ticket, outcome, 0)
 }
 
@@ -404,7 +404,7 @@
 func (f *simulation) newJob(call *serverCall) *job {
 	r := call.request
 	request := &job{chain: prefixcache.NewChain(r.Prefix), in: r.TokensIn, out: r.MaxTokensOut, priority: call.result.Priority, deadline: call.since + call.kind.deadline}
-	request.lost = func(outcome Outcome) {
+	request.lost = func(outcome AttemptOutcome) {
 		f.done(call, outcome)
 		if call.kind.resumable {
 			f.retry(call, true)
