--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -216,7 +216,7 @@
 }
 
 // failureOutcome is what a failed attempt says about its server.
-func (c *clientRequest) failureOutcome(attempt *upstreamAttempt, err error) pick.Outcome {
+func (c *clientRequest) failureOutcome(attempt *upstreamAttempt, err error) pick.AttemptOutcome {
 	switch {
 	case c.clientGone():
 		return pick.Canceled
@@ -231,7 +231,7 @@
 	return pick.ConnectionLost
 }
 
-func (c *clientRequest) reportOutcome(attempt *upstreamAttempt, outcome pick.Outcome) {
+func (c *clientRequest) reportOutcome(attempt *upstreamAttempt, outcome pick.AttemptOutcome) {
 	c.proxy.picker.Done(attempt.choice.Ticket, outcome, 0)
 }
 
--- a/internal/system/proxy/eventrelay_test.go
+++ b/internal/system/proxy/eventrelay_test.go
@@ -23,33 +23,33 @@
 		second    serverBehavior
 		resumes   string // the complete body where the stream is resumable; "": it is truncated
 		last      string // Last-Event-Id that the second server gets; "": it is not asked
-		outcomes  []pick.Outcome
+		outcomes  []pick.AttemptOutcome
 		otherwise string // the body of a stream that is not resumable
 		complete  bool   // the stream that is not resumable
 	}{
-		{"whole", respondEvents(1, 3, true), nil, streamText(1, 3), "", []pick.Outcome{pick.Served}, streamText(1, 3), true},
-		{"cut", respondEventsThen(3, closeConn), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
-		{"reset", respondEventsThen(3, resetConn), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, "", false},
+		{"whole", respondEvents(1, 3, true), nil, streamText(1, 3), "", []pick.AttemptOutcome{pick.Served}, streamText(1, 3), true},
+		{"cut", respondEventsThen(3, closeConn), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.AttemptOutcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
+		{"reset", respondEventsThen(3, resetConn), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.AttemptOutcome{pick.ConnectionLost, pick.Served}, "", false},
 		{"cut within an event", respondEventsThen(2, writeText(chunk("id: 3\ndata"), false)), respondEvents(3, 4, true), streamText(1, 4), "2",
-			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
+			[]pick.AttemptOutcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
 		{"cut behind an event's data", respondEventsThen(2, writeText(chunk("id: 3\ndata: d3\n"), false)), respondEvents(3, 4, true), streamText(1, 4), "2",
-			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
+			[]pick.AttemptOutcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
 		{"garbage", respondEventsThen(2, writeText("zz\r\nwhat\r\n", true)), respondEvents(3, 4, true), streamText(1, 4), "2",
-			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
+			[]pick.AttemptOutcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
 		{"an event again", respondEventsThen(2, writeText(eventChunk(2)+eventChunk(3)+"0\r\n\r\n", true)), respondEvents(3, 4, true), streamText(1, 4), "2",
-			[]pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
-		{"cut at its end", respondEventsThen(3, closeConn), respondEvents(4, 3, true), streamText(1, 3), "3", []pick.Outcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
-		{"repeated by the second", respondEventsThen(3, closeConn), respondEvents(3, 6, true), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
-		{"started anew by the second", respondEventsThen(3, closeConn), respondEvents(1, 6, true), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
-		{"failed by the second", respondEventsThen(3, closeConn), respondWith(500, "oh"), "", "3", []pick.Outcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
+			[]pick.AttemptOutcome{pick.ConnectionLost, pick.Served}, streamText(1, 2), false},
+		{"cut at its end", respondEventsThen(3, closeConn), respondEvents(4, 3, true), streamText(1, 3), "3", []pick.AttemptOutcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
+		{"repeated by the second", respondEventsThen(3, closeConn), respondEvents(3, 6, true), "", "3", []pick.AttemptOutcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
+		{"started anew by the second", respondEventsThen(3, closeConn), respondEvents(1, 6, true), "", "3", []pick.AttemptOutcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
+		{"failed by the second", respondEventsThen(3, closeConn), respondWith(500, "oh"), "", "3", []pick.AttemptOutcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
 		{"refused by the second", respondEventsThen(3, closeConn), respondWith(503, "", "X-Not-Executed: 1"), "", "3",
-			[]pick.Outcome{pick.ConnectionLost, pick.NotExecuted}, streamText(1, 3), false},
+			[]pick.AttemptOutcome{pick.ConnectionLost, pick.NotExecuted}, streamText(1, 3), false},
 		{"no stream from the second", respondEventsThen(3, closeConn), respondWith(200, streamText(4, 6)), "", "3",
-			[]pick.Outcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
+			[]pick.AttemptOutcome{pick.ConnectionLost, pick.ServerError}, streamText(1, 3), false},
 		{"another's stream from the second", respondEventsThen(3, closeConn), respondRaw("HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\nX-Server-Seal: s\r\n"+
 			"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"+eventChunk(4)+"0\r\n\r\n", true), "", "3",
-			[]pick.Outcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
-		{"events without ids", respondEventsThen(2, writeText(chunk("data: x\n\n"), false)), nil, "", "", []pick.Outcome{pick.ConnectionLost},
+			[]pick.AttemptOutcome{pick.ConnectionLost, pick.ConnectionLost}, streamText(1, 3), false},
+		{"events without ids", respondEventsThen(2, writeText(chunk("data: x\n\n"), false)), nil, "", "", []pick.AttemptOutcome{pick.ConnectionLost},
 			streamText(1, 2) + "data: x\n\n", false},
 	} {
 		t.Run(fmt.Sprint(test.name, true), func(t *testing.T) {
@@ -67,7 +67,7 @@
 	body        string // "" of an incomplete stream: any
 	complete    bool
 	lastEventID string // that the second server gets; "": it is not asked
-	outcomes    []pick.Outcome
+	outcomes    []pick.AttemptOutcome
 }
 
 // checkStream plays a stream of a first server, and perhaps a second one, and compares what comes of it.
--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -15,7 +15,7 @@
 	clusterState pick.ClusterState
 	route        *config.Route
 	lastTicket   uint64
-	outcomes     []pick.Outcome
+	outcomes     []pick.AttemptOutcome
 	firstEvents  int
 	lastLoad     string
 	resumedCount int
@@ -73,7 +73,7 @@
 	return pick.Result{Decision: pick.Reject, RetryAfter: t.retryAfter}
 }
 
-func (t *fakePicker) Done(_ pick.Time, ticket uint64, o pick.Outcome, _ time.Duration) {
+func (t *fakePicker) Done(_ pick.Time, ticket uint64, o pick.AttemptOutcome, _ time.Duration) {
 	t.outcomes = append(t.outcomes, o)
 	if o == pick.ConnectFailed {
 		t.unreachable[t.serverOf[ticket]] = true
--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -25,7 +25,7 @@
 	ServerLoad(now pick.Time, id string, running, waiting, slots int)
 	ResponseStarted(now pick.Time, ticket uint64)
 	FirstEvent(now pick.Time, ticket uint64)
-	Done(now pick.Time, ticket uint64, outcome pick.Outcome, retryAfter time.Duration)
+	Done(now pick.Time, ticket uint64, outcome pick.AttemptOutcome, retryAfter time.Duration)
 	WarmingUp(now pick.Time, id string, timeLeft time.Duration)
 	ServerDraining(now pick.Time, id string)
 	SetIdleTimeout(id string, timeout time.Duration)
@@ -137,7 +137,7 @@
 }
 
 // Done reports how an attempt ended.
-func (p *lockedPicker) Done(ticket uint64, outcome pick.Outcome, retryAfter time.Duration) {
+func (p *lockedPicker) Done(ticket uint64, outcome pick.AttemptOutcome, retryAfter time.Duration) {
 	p.withLock(func(inner picker, now pick.Time) { inner.Done(now, ticket, outcome, retryAfter) })
 }
 
--- a/internal/system/proxy/notexecuted_test.go
+++ b/internal/system/proxy/notexecuted_test.go
@@ -19,7 +19,7 @@
 		for _, category := range []config.Category{config.NonIdempotent, config.Idempotent} {
 			t.Run(fmt.Sprint(status, category), func(t *testing.T) {
 				proxy := startProxy(t, []*fakeServer{startServer(t, respondWith(status, long)), startServer(t, respondWith(200, "second"))}, withCategory(category))
-				want, wantOutcomes := http.StatusBadGateway, []pick.Outcome{pick.ServerError}
+				want, wantOutcomes := http.StatusBadGateway, []pick.AttemptOutcome{pick.ServerError}
 				if category == config.Idempotent {
 					want, wantOutcomes = http.StatusOK, append(wantOutcomes, pick.Served)
 				}
--- a/internal/system/proxy/pools_test.go
+++ b/internal/system/proxy/pools_test.go
@@ -132,7 +132,7 @@
 				if len(server.requests) != 2 || len(other.requests) != 0 {
 					t.Errorf("%d and %d requests came", len(server.requests), len(other.requests))
 				}
-				if outcomes := proxy.outcomes(); !slices.Equal(outcomes, []pick.Outcome{pick.Served, pick.ConnectionLost}) {
+				if outcomes := proxy.outcomes(); !slices.Equal(outcomes, []pick.AttemptOutcome{pick.Served, pick.ConnectionLost}) {
 					t.Errorf("attempts ended as %v", outcomes)
 				}
 			})
--- a/internal/system/proxy/response_test.go
+++ b/internal/system/proxy/response_test.go
@@ -19,7 +19,7 @@
 		name        string
 		behavior    serverBehavior
 		once, again int // status; where it may run again, 200 is the second server's
-		outcome     pick.Outcome
+		outcome     pick.AttemptOutcome
 	}{
 		{"served", respondWith(200, "first"), 200, 200, pick.Served},
 		{"created", respondWith(201, "first"), 201, 201, pick.Served},
@@ -66,13 +66,13 @@
 type expectedResponse struct {
 	status   int
 	body     string
-	outcomes []pick.Outcome
+	outcomes []pick.AttemptOutcome
 }
 
 // expectResponse is the expectation for a first attempt that ends with an outcome. Where that is no success and the status is
 // the second server's, the body is too.
-func expectResponse(outcome pick.Outcome, status int, secondMayServe bool) expectedResponse {
-	want := expectedResponse{status: status, body: "first", outcomes: []pick.Outcome{outcome}}
+func expectResponse(outcome pick.AttemptOutcome, status int, secondMayServe bool) expectedResponse {
+	want := expectedResponse{status: status, body: "first", outcomes: []pick.AttemptOutcome{outcome}}
 	switch {
 	case outcome != pick.Served && secondMayServe:
 		want.body, want.outcomes = "second", append(want.outcomes, pick.Served)
@@ -138,7 +138,7 @@
 		if got := proxy.roundTrip(t, "id-1", ""); got.StatusCode != http.StatusOK {
 			t.Errorf("status %d", got.StatusCode)
 		}
-		if outcomes := proxy.outcomes(); !slices.Equal(outcomes, []pick.Outcome{pick.ConnectFailed, pick.Served}) {
+		if outcomes := proxy.outcomes(); !slices.Equal(outcomes, []pick.AttemptOutcome{pick.ConnectFailed, pick.Served}) {
 			t.Errorf("attempts ended as %v", outcomes)
 		}
 	})
--- a/internal/system/proxy/senddeadline_test.go
+++ b/internal/system/proxy/senddeadline_test.go
@@ -40,9 +40,9 @@
 					return open(ctx, address, within)
 				}
 				w, _ := piped.roundTrip(t.Context())
-				want, wantOutcomes := 0, []pick.Outcome{pick.Served}
+				want, wantOutcomes := 0, []pick.AttemptOutcome{pick.Served}
 				if test.within > 0 && test.opens > test.within {
-					want, wantOutcomes = 1, []pick.Outcome{pick.ConnectFailed, pick.Served}
+					want, wantOutcomes = 1, []pick.AttemptOutcome{pick.ConnectFailed, pick.Served}
 				}
 				if w.Code != http.StatusOK || len(ran) != 1 || <-ran != want || !slices.Equal(piped.fake.outcomes, wantOutcomes) {
 					t.Errorf("status %d, attempts ended as %v, want %v at server %d", w.Code, piped.fake.outcomes, wantOutcomes, want)
--- a/internal/system/proxy/servertimeout_test.go
+++ b/internal/system/proxy/servertimeout_test.go
@@ -26,25 +26,25 @@
 		status   int
 		body     string
 		took     time.Duration
-		outcomes []pick.Outcome
+		outcomes []pick.AttemptOutcome
 	}{
 		{"may run once", withCategory(config.NonIdempotent), []serverBehavior{neverRespond, respondWith(200, "x")}, 504, "", 8*time.Second - maxDeadlineMargin,
-			[]pick.Outcome{pick.TimedOut}},
+			[]pick.AttemptOutcome{pick.TimedOut}},
 		{"may run again", withCategory(config.Idempotent), []serverBehavior{neverRespond, respondWith(200, "x")}, 200, "x", 1600 * time.Millisecond,
-			[]pick.Outcome{pick.TimedOut, pick.Served}},
-		{"nowhere to go", withCategory(config.Idempotent), []serverBehavior{neverRespond}, 504, "", 8*time.Second - maxDeadlineMargin, []pick.Outcome{pick.TimedOut}},
+			[]pick.AttemptOutcome{pick.TimedOut, pick.Served}},
+		{"nowhere to go", withCategory(config.Idempotent), []serverBehavior{neverRespond}, 504, "", 8*time.Second - maxDeadlineMargin, []pick.AttemptOutcome{pick.TimedOut}},
 		{"half an answer, may run again", withCategory(config.Idempotent), []serverBehavior{respondEventsThen(0, neverRespond), respondWith(200, "x")}, 200, "x",
-			1600 * time.Millisecond, []pick.Outcome{pick.TimedOut, pick.Served}},
+			1600 * time.Millisecond, []pick.AttemptOutcome{pick.TimedOut, pick.Served}},
 		{"a stream may be resumed", withResumable, []serverBehavior{first, respondEvents(3, 4, true)}, 200, streamText(1, 4), 1200 * time.Millisecond,
-			[]pick.Outcome{pick.TimedOut, pick.Served}},
+			[]pick.AttemptOutcome{pick.TimedOut, pick.Served}},
 		{"a stream may not be resumed", withCategory(config.Streaming), []serverBehavior{first, respondEvents(3, 4, true)}, 200, streamText(1, 2),
-			8*time.Second - maxDeadlineMargin, []pick.Outcome{pick.TimedOut}},
+			8*time.Second - maxDeadlineMargin, []pick.AttemptOutcome{pick.TimedOut}},
 		{"nobody answers a call", withCategory(config.NonIdempotent), []serverBehavior{nil, respondWith(200, "x")}, 200, "x", sameRegionDialTimeout,
-			[]pick.Outcome{pick.ConnectFailed, pick.Served}},
+			[]pick.AttemptOutcome{pick.ConnectFailed, pick.Served}},
 		{"nobody answers any call", withCategory(config.NonIdempotent), []serverBehavior{nil, nil}, 503, "", 2 * sameRegionDialTimeout,
-			[]pick.Outcome{pick.ConnectFailed, pick.ConnectFailed}},
+			[]pick.AttemptOutcome{pick.ConnectFailed, pick.ConnectFailed}},
 		{"all are silent", withCategory(config.Idempotent), []serverBehavior{neverRespond, neverRespond, neverRespond, neverRespond}, 504, "", 8*time.Second - maxDeadlineMargin,
-			[]pick.Outcome{pick.TimedOut, pick.TimedOut, pick.TimedOut}},
+			[]pick.AttemptOutcome{pick.TimedOut, pick.TimedOut, pick.TimedOut}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -131,7 +131,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				_, took := piped.roundTrip(ctx)
-				if took != time.Second || !slices.Equal(piped.fake.outcomes, []pick.Outcome{pick.Canceled}) || piped.Counters().ClientGone.Load() != 1 {
+				if took != time.Second || !slices.Equal(piped.fake.outcomes, []pick.AttemptOutcome{pick.Canceled}) || piped.Counters().ClientGone.Load() != 1 {
 					t.Errorf("after %v, attempts ended as %v", took, piped.fake.outcomes)
 				}
 			})
--- a/internal/system/proxy/testproxy_test.go
+++ b/internal/system/proxy/testproxy_test.go
@@ -90,7 +90,7 @@
 }
 
 // outcomes are how the attempts have ended so far.
-func (f *testProxy) outcomes() (outcomes []pick.Outcome) {
+func (f *testProxy) outcomes() (outcomes []pick.AttemptOutcome) {
 	f.picker.withLock(func(picker, pick.Time) { outcomes = slices.Clone(f.fake.outcomes) })
 	return outcomes
 }
