--- a/internal/system/proxy/pick/doc.go
+++ b/internal/system/proxy/pick/doc.go
@@ -8,8 +8,8 @@
 //
 // # Terms
 //
-// A Picker gives a Result for each attempt of a Request; ResponseStarted, FirstEvent and Done tell it how the attempt went, as in gRPC's balancer
-// interface. A group is the servers of one service. A server is eligible where no rule, ejection or pacing excludes it. It warms up where
+// A Picker gives a Result for each attempt of a Request; ResponseStarted, FirstEvent and Done tell it how the attempt went, as in gRPC's
+// balancer interface. A group is the servers of one service. A server is eligible where no rule, ejection or pacing excludes it. It warms up where
 // it may get few requests for a time after its start; the proxies that may send it any are its senders. The control plane is in contact
 // where it has published a state; a state is Stale where others may have given this proxy up.
 //
@@ -35,8 +35,8 @@
 // # Invariants
 //
 // Rules: no attempt goes to a server that drains, lies in an evacuated zone or outside the route's home regions, or was tried before; at
-// most MaxTries attempts of a request reach a server; one that may have run is not sent again unless it is idempotent. Argument: Pick
-// checks the last two before all else, and eligibility the others for each server, also for probes; an attempt counts for MaxTries from its
+// most MaxAttempts attempts of a request reach a server; one that may have run is not sent again unless it is idempotent. Argument: Pick
+// checks the last two before all else, and eligibility the others for each server, also for probes; an attempt counts for MaxAttempts from its
 // start, and only one of which not a byte was sent is taken back.
 //
 // Retry budget: in any window all proxies together retry at most RetryRatio × requests + RetrySlack. Argument: package retrybudget bounds
--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -17,7 +17,7 @@
 	retryAfterFactor = 2
 	// minOverloadRetryAfterMS and maxOverloadRetryAfterMS bound that, in milliseconds.
 	minOverloadRetryAfterMS, maxOverloadRetryAfterMS = 100, 2000
-	// maxUnsentAttempts is how many servers beyond MaxTries may be tried where nothing reaches them.
+	// maxUnsentAttempts is how many servers beyond MaxAttempts may be tried where nothing reaches them.
 	maxUnsentAttempts = 3
 	// maxQueueingShare is how long, as a multiple of the latency target, a request may be estimated to wait for others. Estimates are high
 	// rather than low.
--- a/internal/system/proxy/pick/warmup_quota.go
+++ b/internal/system/proxy/pick/warmup_quota.go
@@ -30,7 +30,7 @@
 	// newSenderDelay is how long a new sender waits until the others count it as one, too.
 	newSenderDelay = time.Second
 	// successorDelay is longer than a proxy that others have given up goes on as a sender: it is Stale 1.6 s after the last contact with
-	// the control plane (distribution.FreshnessTTL).
+	// the control plane (catchup.FreshnessTTL).
 	successorDelay = 1800 * time.Millisecond
 )
 
