--- a/internal/system/proxy/pick/eligibility.go
+++ b/internal/system/proxy/pick/eligibility.go
@@ -22,7 +22,8 @@
 		"doubted", "cold: its allowance is used or held by others"}[e]
 }
 
-// eligibility says whether a candidate can get the request, or, with a nil request, any request. The first four reasons are rules and never relaxed.
+// eligibility says whether a candidate can get the request, or, with a nil request, any request. The first four reasons are rules and
+// never relaxed.
 func (p *Picker) eligibility(input *pickInput, candidate *server) eligibility {
 	switch {
 	case candidate.Draining:
@@ -35,7 +36,7 @@
 		return alreadyTried
 	case candidate.misdirected:
 		return misdirected
-	case candidate.outlier.Ejected(input.now), input.request != nil && candidate.outlier.Suspected() && !candidate.outlier.MayProbe(input.now, input.canRetry()):
+	case input.isExcludedByOutlier(candidate):
 		return ejected
 	case candidate.warmingUp(input.now) && !p.warmUps.maySend(input.now, candidate):
 		return warmUpPaced
@@ -43,6 +44,18 @@
 	return eligible
 }
 
+// isExcludedByOutlier reports whether outlier detection keeps the request from a candidate: it is ejected, or it is suspected and this
+// request may not be its probe. Where no request is asked for, a suspected server counts as eligible, as some request may go there.
+func (input *pickInput) isExcludedByOutlier(candidate *server) bool {
+	if candidate.outlier.Ejected(input.now) {
+		return true
+	}
+	if input.request == nil || !candidate.outlier.Suspected() {
+		return false
+	}
+	return !candidate.outlier.MayProbe(input.now, input.canRetry())
+}
+
 // canRetry reports whether the request could be retried at another server after this attempt.
 func (input *pickInput) canRetry() bool {
 	return len(input.tried) == 0 && input.request.Route.MaxAttempts > 1
