--- a/internal/system/proxy/pick/eligibility.go
+++ b/internal/system/proxy/pick/eligibility.go
@@ -12,8 +12,8 @@
 	outsideHomeRegions
 	alreadyTried
 	misdirected
-	ejected
-	warmUpPaced // it warms up, and this proxy may send it nothing now
+	excludedByOutlier // it is ejected, or suspected and not to be probed by this request
+	warmUpPaced       // it warms up, and this proxy may send it nothing now
 )
 
 // String is for operators; the conformance tables pin it.
@@ -37,7 +37,7 @@
 	case candidate.misdirected:
 		return misdirected
 	case input.isExcludedByOutlier(candidate):
-		return ejected
+		return excludedByOutlier
 	case candidate.warmingUp(input.now) && !p.warmUps.maySend(input.now, candidate):
 		return warmUpPaced
 	}
--- a/internal/system/proxy/pick/probe.go
+++ b/internal/system/proxy/pick/probe.go
@@ -25,7 +25,7 @@
 
 // mayBeProbed reports whether nothing but its ejection keeps s from the request.
 func (p *Picker) mayBeProbed(input *pickInput, s *server) bool {
-	if p.eligibility(input, s) != ejected {
+	if p.eligibility(input, s) != excludedByOutlier {
 		return false
 	}
 	if s.warmingUp(input.now) && !p.warmUps.maySend(input.now, s) {
