--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -10,9 +10,12 @@
 )
 
 const (
-	// defaultRetryAfter is the Retry-After where no server is known that could take the request.
+	// defaultRetryAfter is the Retry-After where no server is known that could take the request. It is not the proxy's constant of that
+	// name, which is shorter and stands for responses for which the picker has named no wait.
 	defaultRetryAfter = 400 * time.Millisecond
-	minRetryAfter     = 50 * time.Millisecond
+	// minRetryAfter is the least Retry-After of a Result. The proxy has a constant of the same name and value for the waits that do not
+	// come from a Result; this package may not import it.
+	minRetryAfter = 50 * time.Millisecond
 	// retryAfterFactor is how many times what it would have waited a client is told to come back after.
 	retryAfterFactor = 2
 	// minOverloadRetryAfterMS and maxOverloadRetryAfterMS bound that, in milliseconds.
