--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -11,7 +11,7 @@
 // PrefixPart is one part of a prompt.
 type PrefixPart = prefixcache.Part
 
-// Request is a client's request.
+// Request is a client's request. The caller sets its fields before each call of Pick, and owns it until its last attempt is Done.
 type Request struct {
 	Route        *config.Route
 	Model        string
@@ -22,7 +22,9 @@
 	Age          time.Duration // since the head was read here
 	Resumed      bool          // continues a stream after Last-Event-Id
 
-	arrived int // attempts that reached a server, or are under way to one
+	// arrived is how many attempts reached a server, or are under way to one. Only the Picker changes it: send counts an attempt, and Done
+	// takes it back with ConnectFailed. So one Request has to be passed with all its attempts. hasNoTriesLeft says why the caller counts too.
+	arrived int
 }
 
 // allowsRegion reports whether r may go to a region, by its route's home regions.
