--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -70,10 +70,10 @@
 
 // hasNoTriesLeft reports whether r has used up its attempts. tried is how many servers it was sent to by the caller's count.
 //
-// The proxy's requests count their attempts as well, and apply this rule and that on requests that may have run (mayRetry). Both count on
-// purpose. The proxy needs the answer where it does not ask the picker. The picker holds the rules whatever its caller does: arrived is
-// its own count, which includes the attempt under way and goes back where nothing of it was sent, and is also what tells retries, for the
-// retry budget, from first attempts. So either of the two keeps a request from running too often though the other is wrong.
+// The proxy counts the attempts as well, and applies this rule and that on requests that may have run (mayRetry). Both count on purpose.
+// The proxy needs the answer where it does not ask the picker. The picker needs its own count, arrived, to tell retries from first
+// attempts for the retry budget; it includes the attempt under way, and goes back where nothing of it was sent. And the limit holds though
+// one of the two counts is wrong.
 func (r *Request) hasNoTriesLeft(tried int) bool {
 	return r.arrived >= r.maxTries() || tried >= r.maxTries()+maxUnsentAttempts
 }
--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -11,7 +11,8 @@
 // PrefixPart is one part of a prompt.
 type PrefixPart = prefixcache.Part
 
-// Request is a client's request. The caller sets its fields before each call of Pick, and owns it until its last attempt is Done.
+// Request is a client's request. The caller sets its fields before each call of Pick, and does not reuse it before its last
+// attempt is Done.
 type Request struct {
 	Route        *config.Route
 	Model        string
