--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -58,7 +58,7 @@
 	var byRegion [promptpool.MaxRegions][]*server
 	for _, s := range members.servers {
 		s.inPromptPool = false
-		if s.regionIndex < promptpool.MaxRegions && !s.Draining && !p.state.Evacuated[s.Zone] {
+		if s.regionIndex < promptpool.MaxRegions && p.isInService(s) {
 			byRegion[s.regionIndex] = append(byRegion[s.regionIndex], s)
 		}
 	}
@@ -141,7 +141,15 @@
 	return true
 }
 
-// isAvailable reports whether s takes requests at all, as far as the list, the evacuations and its own answers say.
+// isAvailable reports whether s takes requests at all, as far as the list, the evacuations and its own answers say. Unlike eligibility it
+// asks for no request, and a server that was ejected is not available before it has answered, also while it may get a probe: where it
+// counted for a moment at each probe, homes of prefixes and separate regions would go to and fro.
 func (p *Picker) isAvailable(s *server) bool {
-	return !s.Draining && !s.misdirected && !p.state.Evacuated[s.Zone] && !s.outlier.WasEjected()
+	return p.isInService(s) && !s.misdirected && !s.outlier.WasEjected()
+}
+
+// isInService reports whether the published state lets requests go to s: it neither drains nor lies in an evacuated zone. All proxies that
+// have the same state agree on it. eligibility has the two apart, as they are different reasons.
+func (p *Picker) isInService(s *server) bool {
+	return !s.Draining && !p.state.Evacuated[s.Zone]
 }
