--- a/internal/system/proxy/pick/cost.go
+++ b/internal/system/proxy/pick/cost.go
@@ -70,7 +70,7 @@
 	placement    promptPlacement
 }
 
-// initCostModel works out what the costs of a group's servers have in common. It records the request's prompt in the group's mix.
+// initCostModel works out what the costs of a group's servers have in common. The model is valid until the next call.
 func (p *Picker) initCostModel(input *pickInput, members *group) *costModel {
 	model := &p.scratch.costModel
 	*model = costModel{now: input.now, request: input.request, network: &p.network, peerLoadsAt: p.peerLoadsAt, toleranceMS: plainTolerance}
@@ -86,7 +86,6 @@
 	key, shared := input.prompt.Shared()
 	terms.sharedTokens = min(shared, terms.tokensIn)
 	isLong := p.isLongPrompt(terms.tokensIn)
-	p.recordPrompt(input.now, input.request, members, isLong)
 	terms.placement = p.placePrompt(input.now, input.request, members, isLong)
 	if shared > 0 {
 		terms.homes = p.homesOf(key, input, members, &terms.placement)
--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -141,6 +141,7 @@
 // pickInGroup finds the group's server for a request: in the order of the rotation, the first of those that cost about the least, where a
 // due server with more of this proxy's requests in flight yields to the next.
 func (p *Picker) pickInGroup(input *pickInput, members *group) groupResult {
+	p.recordPrompt(input, members)
 	model := p.initCostModel(input, members)
 	estimates := p.estimateCosts(input, members, model)
 	if math.IsInf(estimates.minTotalMS, 1) {
--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -79,15 +79,19 @@
 	}
 }
 
-// recordPrompt notes which kind of prompt r brings to g.
-func (p *Picker) recordPrompt(now Time, r *Request, g *group, isLong bool) {
-	if isLong {
-		g.mix.RecordLong(now)
+// recordPrompt notes which kind of prompt a request brings to a group, if its servers run a model. That comes before the group's costs are
+// estimated, as they depend on the mix.
+func (p *Picker) recordPrompt(input *pickInput, g *group) {
+	if g.engine() == nil {
+		return
+	}
+	if p.isLongPrompt(max(input.request.TokensIn, 0)) {
+		g.mix.RecordLong(input.now)
 		return
 	}
 	for region, name := range p.regions.names {
-		if region < promptpool.MaxRegions && r.allowsRegion(name) {
-			g.mix.RecordShort(now, region)
+		if region < promptpool.MaxRegions && input.request.allowsRegion(name) {
+			g.mix.RecordShort(input.now, region)
 		}
 	}
 }
