--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -146,8 +146,8 @@
 }
 
 // isAvailable reports whether s takes requests at all, as far as the list, the evacuations and its own answers say. Unlike eligibility it
-// asks for no request, and a server that was ejected is not available before it has answered, also while it may get a probe: where it
-// counted for a moment at each probe, homes of prefixes and separate regions would go to and fro.
+// asks for no request, and a server that was ejected is not available until it has answered, also while it may get a probe: homes of
+// prefixes and separate regions do not change with each probe.
 func (p *Picker) isAvailable(s *server) bool {
 	return p.isInService(s) && !s.misdirected && !s.outlier.WasEjected()
 }
