--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -16,6 +16,8 @@
 	// minRetryAfter is the least Retry-After of a Result. The proxy has a constant of the same name and value for the waits that do not
 	// come from a Result; this package may not import it.
 	minRetryAfter = 50 * time.Millisecond
+	// retryAfterDivisor: a client is told to wait for at most one part in so many of the time that it has left.
+	retryAfterDivisor = 3
 	// retryAfterFactor is how many times what it would have waited a client is told to come back after.
 	retryAfterFactor = 2
 	// minOverloadRetryAfterMS and maxOverloadRetryAfterMS bound that, in milliseconds.
@@ -122,7 +124,7 @@
 	if !math.IsInf(retryAfterMS, 1) {
 		result.RetryAfter = durationMS(retryAfterMS)
 	}
-	result.RetryAfter = max(min(result.RetryAfter, input.request.TimeLeft/3), minRetryAfter)
+	result.RetryAfter = max(min(result.RetryAfter, input.request.TimeLeft/retryAfterDivisor), minRetryAfter)
 	result.Decision = Reject
 	if len(input.tried) > 0 || input.request.arrived > 0 {
 		result.Decision = GiveUp
