--- a/internal/system/proxy/pick/load.go
+++ b/internal/system/proxy/pick/load.go
@@ -71,7 +71,7 @@
 		if g.engine() == nil {
 			continue
 		}
-		g.peerDemand = loads[demandKey(name)]
+		g.peerDemand = demandOfLoad(loads[demandKey(name)])
 		p.assignPromptPools(now, g)
 	}
 }
@@ -86,16 +86,3 @@
 	}
 	return loads
 }
-
-// PromptDemands is the prompt tokens that this proxy had prefilled of late for long prompts (Prefill) and for short ones (Tokens), by keys
-// that no server's id equals. They are shared with the loads, and come back summed in UpdatePeerLoads. The map is the caller's.
-func (p *Picker) PromptDemands() map[string]Load {
-	demands := map[string]Load{}
-	for name, g := range p.groups {
-		demand := Load{Prefill: int64(g.demand.Long), Tokens: int64(g.demand.Short)}
-		if demand != (Load{}) {
-			demands[demandKey(name)] = demand
-		}
-	}
-	return demands
-}
--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -18,9 +18,6 @@
 	minDemandTokens      = 20_000 // decayed tokens of all proxies from which their work says anything
 )
 
-// demandKey names the entry of a service's demand among the loads that proxies share. No server's id begins so.
-func demandKey(service string) string { return "\x00demand " + service }
-
 // isLongPrompt reports whether a prompt is long. Its length is compared with the rate that all proxies are configured with, not the
 // learned one, as all have to agree.
 func (p *Picker) isLongPrompt(tokens int) bool {
@@ -45,8 +42,8 @@
 		return 0, false
 	}
 	g.demand.Decay(now)
-	long := g.demand.Long + float64(g.peerDemand.Prefill)
-	short := g.demand.Short + float64(g.peerDemand.Tokens)
+	long := g.demand.Long + float64(g.peerDemand.Long)
+	short := g.demand.Short + float64(g.peerDemand.Short)
 	if long+short < minDemandTokens {
 		return 0, false
 	}
