--- a/internal/system/proxy/pick/evacuation_end_test.go
+++ b/internal/system/proxy/pick/evacuation_end_test.go
@@ -10,22 +10,22 @@
 // TestEvacuationEndWithUnseenWarmUp: the servers of an evacuated zone turn cold 200 ms before it is taken back, and the list shows
 // it 950 ms after that. Danger: until then they look warm.
 func TestEvacuationEndWithUnseenWarmUp(t *testing.T) {
-	const back, cold, told = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
+	const back, warmUpStart, publishedAt = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
 	fleet := newWarmUpFleet(12)
 	for i, picker := range fleet.pickers {
 		state := fleet.state(i, 5, 0)
 		state.Evacuated = map[string]bool{"z": true}
 		picker.UpdateClusterState(0, state)
 	}
-	fleet.sendAll(back, cold+warmUpDuration, 40*time.Millisecond, func(now Time) {
+	fleet.sendAll(back, warmUpStart+warmUpDuration, 40*time.Millisecond, func(now Time) {
 		for i, picker := range fleet.pickers {
 			switch {
 			case now == back:
 				state := fleet.state(i, 5, 0)
 				state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 6
 				picker.UpdateClusterState(now, state)
-			case now >= told && now < told+40*time.Millisecond:
-				state := fleet.state(i, 5, cold+warmUpDuration-now)
+			case now >= publishedAt && now < publishedAt+40*time.Millisecond:
+				state := fleet.state(i, 5, warmUpStart+warmUpDuration-now)
 				state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 7
 				picker.UpdateClusterState(now, state)
 			}
@@ -72,12 +72,12 @@
 
 // TestEvacuationEndUnseen: proxies that never saw the evacuation, as it began and ended between two updates, or before their start.
 func TestEvacuationEndUnseen(t *testing.T) {
-	const back, cold, told = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
+	const back, warmUpStart, publishedAt = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
 	for name, starts := range map[string]bool{"between two updates": false, "before the start": true} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newWarmUpFleet(12)
-			world := func(i int, cold time.Duration, covers uint64) ClusterState {
-				state := fleet.state(i, 5, cold)
+			stateCovering := func(i int, warmUpLeft time.Duration, covers uint64) ClusterState {
+				state := fleet.state(i, 5, warmUpLeft)
 				state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, covers
 				return state
 			}
@@ -85,14 +85,14 @@
 				if !starts {
 					picker.UpdateClusterState(0, fleet.state(i, 5, 0))
 				}
-				picker.UpdateClusterState(back, world(i, 0, 6))
+				picker.UpdateClusterState(back, stateCovering(i, 0, 6))
 			}
-			fleet.sendAll(back, cold+warmUpDuration, 40*time.Millisecond, func(now Time) {
-				if now < told || now >= told+40*time.Millisecond {
+			fleet.sendAll(back, warmUpStart+warmUpDuration, 40*time.Millisecond, func(now Time) {
+				if now < publishedAt || now >= publishedAt+40*time.Millisecond {
 					return
 				}
 				for i, picker := range fleet.pickers {
-					picker.UpdateClusterState(now, world(i, cold+warmUpDuration-now, 7))
+					picker.UpdateClusterState(now, stateCovering(i, warmUpStart+warmUpDuration-now, 7))
 				}
 			})
 			fleet.checkBound(t)
--- a/internal/system/proxy/pick/idle_conns_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -10,7 +10,7 @@
 // TestIdleConnections: of model servers that cost the same, those get requests to which a connection is kept; nobody prefers one whose
 // connections have been without use for longer than the servers keep them, or one that could not be reached.
 func TestIdleConnections(t *testing.T) {
-	const told = 10 * time.Second
+	const announcedTimeout = 10 * time.Second
 	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxAttempts: 1,
 		Shares: []config.Share{{Service: "lm", Weight: 1}}}
 	picker := newPoolPicker(6)
@@ -24,18 +24,18 @@
 		return c.Server.ID
 	}
 	first := send(0, Served)
-	picker.SetIdleTimeout(first, told)
+	picker.SetIdleTimeout(first, announcedTimeout)
 	for now := time.Second; now < 20*time.Second; now += time.Second {
 		if id := send(now, Served); id != first {
 			t.Fatalf("at %v a new connection to %s, while one to %s is kept", now, id, first)
 		}
 	}
-	idle := 19*time.Second + IdleTimeout(told) + time.Millisecond
+	idle := 19*time.Second + IdleTimeout(announcedTimeout) + time.Millisecond
 	second := send(idle, ConnectFailed)
 	if second == first {
 		t.Error("the rotation stays at a server whose connections have been without use for too long")
 	}
-	if picker.servers[second].idle.usable(idle, told) {
+	if picker.servers[second].idle.usable(idle, announcedTimeout) {
 		t.Error("a connection to a server that was not reached counts as kept")
 	}
 }
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -24,13 +24,13 @@
 // TestWarmUpEndInvariantControl: a word of the cold state that ends 80 ms early is seen with the next reading, and another cold state
 // that begins after the first request is not taken for it.
 func TestWarmUpEndInvariantControl(t *testing.T) {
-	play := func(cold, later time.Duration) {
+	play := func(warmUpLeft, later time.Duration) {
 		fleet := newWarmUpFleet(1)
-		fleet.pickers[0].UpdateClusterState(0, fleet.state(0, 1, cold))
-		fleet.sendAll(0, cold+40*time.Millisecond, 10*time.Millisecond, nil)
+		fleet.pickers[0].UpdateClusterState(0, fleet.state(0, 1, warmUpLeft))
+		fleet.sendAll(0, warmUpLeft+40*time.Millisecond, 10*time.Millisecond, nil)
 		state := fleet.state(0, 1, later)
 		state.Servers[0].WarmUpMin = later
-		fleet.pickers[0].UpdateClusterState(cold+40*time.Millisecond, state)
+		fleet.pickers[0].UpdateClusterState(warmUpLeft+40*time.Millisecond, state)
 	}
 	invarianttest.Expect(t, warmUpEndInvariant, func() { play(warmUpDuration-80*time.Millisecond, 40*time.Millisecond) })
 	before := warmUpEndInvariant.Violations()
--- a/internal/system/proxy/pick/stall_test.go
+++ b/internal/system/proxy/pick/stall_test.go
@@ -18,17 +18,17 @@
 func TestStalledAwaitsLaterContact(t *testing.T) {
 	const woke = 10 * time.Second
 	picker, fleet := stalledPicker(woke)
-	for _, word := range []struct{ came, age, delay time.Duration }{
+	for _, update := range []struct{ came, age, delay time.Duration }{
 		{100 * time.Millisecond, 5 * time.Second, 0},
 		{100 * time.Millisecond, 101 * time.Millisecond, 0},
 		{100 * time.Millisecond, 10 * time.Millisecond, 91 * time.Millisecond},
 	} {
 		state := fleet.state(0, 2, 0)
-		state.ContactAge, state.Age = word.age, word.delay
-		picker.UpdateClusterState(woke+word.came, state)
+		state.ContactAge, state.Age = update.age, update.delay
+		picker.UpdateClusterState(woke+update.came, state)
 		for id, s := range picker.servers {
 			if !picker.AwaitsControlPlane() || !s.warmingUp(woke+warmUpDuration-1) || s.warmingUp(woke+warmUpDuration) {
-				t.Errorf("%+v: %s is cold until %v, want %v", word, id, s.warmUp.until, woke+warmUpDuration)
+				t.Errorf("%+v: %s is cold until %v, want %v", update, id, s.warmUp.until, woke+warmUpDuration)
 			}
 		}
 	}
