--- a/internal/system/proxy/pick/stall_test.go
+++ b/internal/system/proxy/pick/stall_test.go
@@ -14,7 +14,8 @@
 	return picker, fleet
 }
 
-// TestStalledAwaitsLaterContact: what a keeper told before the end of the stall says nothing of servers that turned cold in it.
+// TestStalledAwaitsLaterContact: what the control plane published before the end of the stall says nothing of servers that began to warm
+// up in it.
 func TestStalledAwaitsLaterContact(t *testing.T) {
 	const woke = 10 * time.Second
 	picker, fleet := stalledPicker(woke)
@@ -28,7 +29,7 @@
 		picker.UpdateClusterState(woke+update.came, state)
 		for id, s := range picker.servers {
 			if !picker.AwaitsControlPlane() || !s.warmingUp(woke+warmUpDuration-1) || s.warmingUp(woke+warmUpDuration) {
-				t.Errorf("%+v: %s is cold until %v, want %v", update, id, s.warmUp.until, woke+warmUpDuration)
+				t.Errorf("%+v: %s is warming up until %v, want %v", update, id, s.warmUp.until, woke+warmUpDuration)
 			}
 		}
 	}
@@ -36,21 +37,21 @@
 	state.ContactAge = 100 * time.Millisecond
 	picker.UpdateClusterState(woke+100*time.Millisecond, state)
 	if picker.AwaitsControlPlane() || picker.servers["s0"].warmingUp(woke+100*time.Millisecond) {
-		t.Error("a word from after the stall says that the server is warm")
+		t.Error("an update from after the stall says that the server is warm")
 	}
 }
 
-// TestStalledLearnsOfWarmUp: the word tells that the server turned cold during the stall.
+// TestStalledLearnsOfWarmUp: the update says that the server began to warm up during the stall.
 func TestStalledLearnsOfWarmUp(t *testing.T) {
 	const woke = 10 * time.Second
 	picker, fleet := stalledPicker(woke)
 	picker.UpdateClusterState(woke+100*time.Millisecond, fleet.state(0, 1, 2*time.Second))
 	if s := picker.servers["s0"]; s.warmUp.until != woke+2100*time.Millisecond {
-		t.Errorf("cold until %v", s.warmUp.until)
+		t.Errorf("warming up until %v", s.warmUp.until)
 	}
 }
 
-// TestStalledSenderStops: in a large fleet others have taken the place of a holder that stood still.
+// TestStalledSenderStops: in a large fleet others have taken the place of a sender whose process was paused.
 func TestStalledSenderStops(t *testing.T) {
 	const woke = 10 * time.Second
 	fleet := newWarmUpFleet(60)
@@ -61,16 +62,16 @@
 		}
 		picker.RecordStall(woke)
 		if _, may := picker.warmUps.sendsFrom(woke, picker.servers["s0"]); may {
-			t.Error("it holds on as it wakes")
+			t.Error("it still sends as it wakes")
 		}
 		picker.UpdateClusterState(woke+time.Second, fleet.state(i, 1, time.Minute))
 		if from, may := picker.warmUps.sendsFrom(woke+time.Second, picker.servers["s0"]); !may || from != woke+time.Second+successorDelay {
-			t.Errorf("it holds again %v, from %v", may, from)
+			t.Errorf("it sends again %v, from %v", may, from)
 		}
 	}
 }
 
-// TestDelayedClusterStateCountsDown: durations are counted from when they were told.
+// TestDelayedClusterStateCountsDown: durations are counted from when they were published.
 func TestDelayedClusterStateCountsDown(t *testing.T) {
 	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
 	state := fleet.state(0, 1, 2*time.Second)
