--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -34,7 +34,7 @@
 	done chan uint64
 }
 
-func (a *arrivals) told(n Update) {
+func (a *arrivals) countUpdate(n Update) {
 	if n.Kind != 1 {
 		return
 	}
@@ -55,7 +55,7 @@
 	all := make([]*Members, n)
 	began := time.Now()
 	for i := range all {
-		o := Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0", OnUpdate: a.told}
+		o := Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0", OnUpdate: a.countUpdate}
 		if i > 0 {
 			o.Join = []string{all[0].Address()}
 		}
@@ -113,12 +113,12 @@
 	epoch := all[0].View().Epoch >> 32
 
 	// Nothing to say.
-	rate(b, all, "idle", 5*time.Second, func(time.Duration) {})
+	measureRate(b, all, "idle", 5*time.Second, func(time.Duration) {})
 
 	// One that speaks.
 	h := hdrhistogram.New(1, 60_000, 3)
 	sent := map[uint64]time.Time{}
-	rate(b, all, "one", 20*time.Second, func(left time.Duration) {
+	measureRate(b, all, "one", 20*time.Second, func(left time.Duration) {
 		end := time.After(left)
 		tick := time.NewTicker(200 * time.Millisecond)
 		defer tick.Stop()
@@ -140,7 +140,7 @@
 	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99_ms")
 
 	// All speak, 300 bytes a second each.
-	rate(b, all, "all300", 10*time.Second, func(left time.Duration) {
+	measureRate(b, all, "all300", 10*time.Second, func(left time.Duration) {
 		end := time.After(left)
 		tick := time.NewTicker(time.Second / time.Duration(n))
 		defer tick.Stop()
@@ -177,8 +177,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// rate measures what is sent while do runs for a time.
-func rate(b *testing.B, all []*Members, what string, d time.Duration, do func(time.Duration)) {
+// measureRate measures what is sent while do runs for a time.
+func measureRate(b *testing.B, all []*Members, what string, d time.Duration, do func(time.Duration)) {
 	var from, to syscall.Rusage
 	before := make([]Counts, len(all))
 	for i, m := range all {
--- a/internal/sidecar/members/members_test.go
+++ b/internal/sidecar/members/members_test.go
@@ -46,17 +46,17 @@
 // peer is a member in this process and what it was told.
 type peer struct {
 	*Members
-	views chan View
-	news  chan Update
+	views   chan View
+	updates chan Update
 }
 
 func start(t *testing.T, o Options) *peer {
 	t.Helper()
-	p := &peer{views: make(chan View, 4096), news: make(chan Update, 4096)}
+	p := &peer{views: make(chan View, 4096), updates: make(chan Update, 4096)}
 	o.OnView = func(v View) { p.views <- v }
 	o.OnUpdate = func(n Update) {
 		select {
-		case p.news <- n:
+		case p.updates <- n:
 		default: // nobody looks
 		}
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// settled waits until all have the same view of so many.
-func settled(t *testing.T, count int, peers ...*peer) {
+// awaitSameView waits until all have the same view of so many.
+func awaitSameView(t *testing.T, count int, peers ...*peer) {
 	t.Helper()
 	for epoch := uint64(0); ; {
 		same := true
@@ -115,7 +115,7 @@
 	a := start(t, Options{Name: "a"})
 	b := start(t, Options{Name: "b", Join: []string{a.Address()}})
 	c := start(t, Options{Name: "c", Join: []string{b.Address()}})
-	settled(t, 3, a, b, c)
+	awaitSameView(t, 3, a, b, c)
 	places := map[int]bool{}
 	for _, p := range []*peer{a, b, c} {
 		v := p.View()
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	for _, p := range []*peer{b, c} {
-		n := await(t, p.news, "the word", func(n Update) bool { return n.Origin == "a" && string(n.Payload) == "word" })
+		n := await(t, p.updates, "the word", func(n Update) bool { return n.Origin == "a" && string(n.Payload) == "word" })
 		if n.Kind != 2 || n.Start != a.start || n.Seq != 1 || n.Age > 2*time.Second {
 			t.Fatalf("%+v", n)
 		}
@@ -142,7 +142,7 @@
 	defer again.Stop()
 	for told := false; !told; {
 		select {
-		case n := <-d.news:
+		case n := <-d.updates:
 			told = n.Origin == "a" && string(n.Payload) == "word"
 		case <-again.C:
 			if err := a.Publish(2, []byte("word")); err != nil {
@@ -159,7 +159,7 @@
 	if v.Epoch <= before.Epoch {
 		t.Fatal("the epoch did not rise")
 	}
-	settled(t, 3, a, c, d)
+	awaitSameView(t, 3, a, c, d)
 	if a.Publish(MaxKinds, nil) == nil || a.Publish(0, make([]byte, MaxPayloadBytes+1)) == nil {
 		t.Fatal("over the bounds")
 	}
@@ -169,7 +169,7 @@
 func TestUpgradeIsOneMember(t *testing.T) {
 	a := start(t, Options{Name: "a"})
 	old := start(t, Options{Name: "b", Join: []string{a.Address()}})
-	settled(t, 2, a, old)
+	awaitSameView(t, 2, a, old)
 	before := a.View()
 	next := start(t, Options{Name: "b", Listen: old.Address(), Join: []string{a.Address()}})
 	if next.Address() != "" {
@@ -180,12 +180,12 @@
 	if err := next.Publish(0, []byte("new")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, a.news, "the new one's word", func(n Update) bool { return n.Start == next.start })
+	await(t, a.updates, "the new one's word", func(n Update) bool { return n.Start == next.start })
 	side := start(t, Options{Name: "b", Join: []string{a.Address()}}) // side by side
 	if err := side.Publish(0, []byte("newer")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, a.news, "the newer one's word", func(n Update) bool { return n.Start == side.start })
+	await(t, a.updates, "the newer one's word", func(n Update) bool { return n.Start == side.start })
 	next.Close()
 	if v := a.View(); v.Count != 2 || v.Names[v.Index] != "a" {
 		t.Fatalf("%+v then %+v", before, v)
@@ -208,7 +208,7 @@
 	at := func(host string, port int) string { return fmt.Sprintf("%s:%d", host, port) }
 	a = start(t, Options{Name: "a", Listen: at("127.0.0.2", port), Advertise: at("127.0.0.9", port), Reach: "127.0.0.2"})
 	b := start(t, Options{Name: "b", Listen: "127.0.0.2:0", Advertise: "", Reach: "127.0.0.2", Join: []string{at("127.0.0.9", port)}})
-	settled(t, 2, a, b)
+	awaitSameView(t, 2, a, b)
 	for len(b.views) > 0 {
 		<-b.views
 	}
@@ -217,7 +217,7 @@
 		if err := a.Publish(0, []byte{byte(n)}); err != nil {
 			t.Fatal(err)
 		}
-		await(t, b.news, "a number", func(m Update) bool { return m.Payload[0] == byte(n) })
+		await(t, b.updates, "a number", func(m Update) bool { return m.Payload[0] == byte(n) })
 		time.Sleep(probeInterval)
 	}
 	for len(b.views) > 0 {
@@ -262,8 +262,8 @@
 	c, _ := startProcess(t, "b", a.Address())
 	startProcess(t, "c", a.Address())
 	var last uint64
-	await(t, a.news, "news of c", func(n Update) bool { return n.Origin == "c" })
-	await(t, a.news, "news of b", func(n Update) bool { last = n.Seq; return n.Origin == "b" && n.Seq > 5 })
+	await(t, a.updates, "news of c", func(n Update) bool { return n.Origin == "c" })
+	await(t, a.updates, "news of b", func(n Update) bool { last = n.Seq; return n.Origin == "b" && n.Seq > 5 })
 	stopped := time.Now()
 	if err := c.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -272,8 +272,8 @@
 	if took := time.Since(stopped); took > 4*time.Second {
 		t.Errorf("known after %v", took)
 	}
-	for len(a.news) > 0 {
-		if n := <-a.news; n.Origin == "b" {
+	for len(a.updates) > 0 {
+		if n := <-a.updates; n.Origin == "b" {
 			last = max(last, n.Seq)
 		}
 	}
@@ -281,7 +281,7 @@
 	if err := c.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	n := await(t, a.news, "news of b again", func(n Update) bool { return n.Origin == "b" })
+	n := await(t, a.updates, "news of b again", func(n Update) bool { return n.Origin == "b" })
 	if n.Seq <= last || n.Age > a.options.TTL {
 		t.Fatalf("%+v after %d", n, last)
 	}
--- a/internal/sidecar/members/news_test.go
+++ b/internal/sidecar/members/news_test.go
@@ -14,23 +14,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkNews has all of a fleet tell two states a second, of 300 bytes together, while 13 in 100 packets are lost and one
-// member is killed: go test -run '^$' -bench News -benchtime 1x ./internal/sidecar/members. It says how old news is when it comes,
+// BenchmarkUpdates has all of a fleet tell two states a second, of 300 bytes together, while 13 in 100 packets are lost and one
+// member is killed: go test -run '^$' -bench Updates -benchtime 1x ./internal/sidecar/members. It says how old news is when it comes,
 // how many of all (reader, origin, kind) hold nothing within the bound, and what a member sends and takes a second.
-func BenchmarkNews(b *testing.B) {
+func BenchmarkUpdates(b *testing.B) {
 	for _, n := range []int{20, 100, 200, 300} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			for range b.N {
 				f := startFleet(b, n, 0.13)
-				f.tell(b, 20*time.Second, 100, 200)
+				f.measureUpdates(b, 20*time.Second, 100, 200)
 				f.close()
 			}
 		})
 	}
 }
 
-// newsFleet is many members in this process, and what they heard.
-type newsFleet struct {
+// updateFleet is many members in this process, and what they heard.
+type updateFleet struct {
 	all    []*Members
 	latest [][][2]atomic.Int64 // Unix nanoseconds when what a reader heard last was told, by origin and kind
 	ages   []*hdrhistogram.Histogram
@@ -39,8 +39,8 @@
 }
 
 // startFleet starts members in waves, each of which is a quarter of those that are there, and waits until all know all.
-func startFleet(b testing.TB, n int, loss float64) *newsFleet {
-	f := &newsFleet{all: make([]*Members, n), latest: make([][][2]atomic.Int64, n), ages: make([]*hdrhistogram.Histogram, n), under: make([]time.Duration, n)}
+func startFleet(b testing.TB, n int, loss float64) *updateFleet {
+	f := &updateFleet{all: make([]*Members, n), latest: make([][][2]atomic.Int64, n), ages: make([]*hdrhistogram.Histogram, n), under: make([]time.Duration, n)}
 	late := time.Now().Add(time.Minute)
 	for i, wave := 0, 0; i < n; i++ {
 		f.latest[i], f.ages[i] = make([][2]atomic.Int64, n), hdrhistogram.New(1, 60_000, 3)
@@ -78,7 +78,7 @@
 	return f
 }
 
-func (f *newsFleet) settled(n int) bool {
+func (f *updateFleet) settled(n int) bool {
 	for _, m := range f.all[:n] {
 		if m.View().Count != n {
 			return false
@@ -87,7 +87,7 @@
 	return true
 }
 
-func (f *newsFleet) close() {
+func (f *updateFleet) close() {
 	f.loss.Store(0)
 	var g sync.WaitGroup
 	for _, m := range f.all {
@@ -107,8 +107,8 @@
 	m.mu.Unlock()
 }
 
-// tell has each member tell states of two sizes a second for a time, in the middle of which the last one is killed, and reports.
-func (f *newsFleet) tell(b *testing.B, d time.Duration, sizes ...int) {
+// measureUpdates has each member measureUpdates states of two sizes a second for a time, in the middle of which the last one is killed, and reports.
+func (f *updateFleet) measureUpdates(b *testing.B, d time.Duration, sizes ...int) {
 	n := len(f.all)
 	turns := rand.Perm(n)
 	before := make([]Counts, n)
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -13,8 +13,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// air carries what members without sockets send, and loses some of it. Time goes by in steps.
-type air struct {
+// simulatedNetwork carries what members without sockets send, and loses some of it. Time goes by in steps.
+type simulatedNetwork struct {
 	all         map[string]*Members
 	list        []*Members
 	asks        []time.Duration // when each asks next
@@ -22,10 +22,10 @@
 	bytes, lost int
 }
 
-const airStep = 10 * time.Millisecond
+const networkStep = 10 * time.Millisecond
 
-func newAir(t *testing.T, n int, loss float64) *air {
-	a := &air{all: map[string]*Members{}, asks: make([]time.Duration, n), loss: loss}
+func newSimulatedNetwork(t *testing.T, n int, loss float64) *simulatedNetwork {
+	a := &simulatedNetwork{all: map[string]*Members{}, asks: make([]time.Duration, n), loss: loss}
 	for i := range n {
 		m, err := New(Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0"})
 		if err != nil {
@@ -45,7 +45,7 @@
 }
 
 // carry brings packets to a peer, and what it answers back.
-func (a *air) carry(to string, packets [][]byte) {
+func (a *simulatedNetwork) carry(to string, packets [][]byte) {
 	for _, b := range packets {
 		if a.bytes += len(b); rand.Float64() < a.loss {
 			a.lost++
@@ -61,7 +61,7 @@
 }
 
 // step has all ask whose time it is, and gossip every gossipInterval.
-func (a *air) step(now time.Duration) {
+func (a *simulatedNetwork) step(now time.Duration) {
 	for i, m := range a.list {
 		for _, f := range m.releaseDelayed() {
 			m.queueFrame(f)
@@ -72,7 +72,7 @@
 			a.asks[i] = now + busyExchangeInterval*3/4 + rand.N(busyExchangeInterval/2)
 		}
 		for range gossipNodes {
-			if (now+time.Duration(i%10)*airStep)%gossipInterval != 0 {
+			if (now+time.Duration(i%10)*networkStep)%gossipInterval != 0 {
 				continue
 			}
 			to, whole := rand.IntN(len(a.list)), rand.Float64() >= a.loss
@@ -87,7 +87,7 @@
 
 // News of all reaches all in time, with 13% of packets lost, also while one tells a hundred times its share: one that holds back
 // itself, and one that does not, which the others cut.
-func TestNewsReachesAll(t *testing.T) {
+func TestUpdatesReachAllMembers(t *testing.T) {
 	for _, tt := range []struct {
 		n             int
 		floods, rogue bool
@@ -98,15 +98,15 @@
 			}
 			synctest.Test(t, func(t *testing.T) {
 				const lasts = 5 * time.Second
-				a := newAir(t, tt.n, 0.13)
+				a := newSimulatedNetwork(t, tt.n, 0.13)
 				ages := hdrhistogram.New(1, 10_000, 3)
 				latest := make([]map[string]time.Time, tt.n)
 				began, flooded := time.Now(), 0
-				for now := time.Duration(0); now < lasts; now += airStep {
-					time.Sleep(airStep)
+				for now := time.Duration(0); now < lasts; now += networkStep {
+					time.Sleep(networkStep)
 					for i, m := range a.list {
-						if every := time.Second / airStep; (int(now/airStep)+i*37)%int(every) < 2 {
-							kind := uint8((int(now/airStep) + i*37) % int(every))
+						if every := time.Second / networkStep; (int(now/networkStep)+i*37)%int(every) < 2 {
+							kind := uint8((int(now/networkStep) + i*37) % int(every))
 							if err := m.Publish(kind, append(binary.BigEndian.AppendUint64(nil, uint64(time.Since(began))), make([]byte, 92+100*int(kind))...)); err != nil {
 								t.Fatal(err)
 							}
