--- a/internal/sidecar/members/budget.go
+++ b/internal/sidecar/members/budget.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// byteBudget is a bound on bytes: so many a second, and at once what was saved up.
+// byteBudget is a token bucket in bytes: it fills at a rate and holds a burst at most.
 type byteBudget struct {
 	left float64
-	at   time.Duration // when that was counted; 0: never
+	at   time.Duration // when left was computed, by the process's own clock; 0: never
 }
 
-// hasBytes tells whether something may be told, at a time of the own clock, by a rate in bytes a second and the most that is saved up.
+// hasBytes reports whether something may be sent at a time of the process's own clock. rate is in bytes a second; most is the burst in bytes.
 func (b *byteBudget) hasBytes(now time.Duration, rate, most float64) bool {
 	if b.at == 0 {
 		b.left = most
@@ -18,7 +18,7 @@
 	return b.left > 0
 }
 
-// spend takes bytes if it is open. The last ones may be borrowed: a frame is told whole.
+// spend takes bytes if any are left, and reports whether it did. It may overdraw the budget, since a frame is sent complete.
 func (b *byteBudget) spend(bytes int, now time.Duration, rate, most float64) bool {
 	if !b.hasBytes(now, rate, most) {
 		return false
@@ -27,18 +27,18 @@
 	return true
 }
 
-// The bounds on news. Danger: without them one member that tells too much fills the packets of all.
+// The bounds on updates. Without them, one member that publishes too much would fill the packets of all members.
 const (
-	updateBytesPerSecond    = 192_000 // bytes a second that all origins together may tell
+	updateBytesPerSecond    = 192_000 // bytes a second that all origins together may publish
 	maxOriginBytesPerSecond = 16_000  // an origin, in a small fleet
 	minOriginBytesPerSecond = 64      // and in the largest
-	burstSeconds            = 2       // seconds of its share that an origin may tell at once
-	receiveLenience         = 1.5     // by which others let an origin tell more than it may: what was held back comes at once
+	burstSeconds            = 2       // seconds of its share that an origin may publish at once
+	receiveLenience         = 1.5     // factor by which receivers exceed an origin's share: delayed states arrive in a burst
 	exchangeBytesPerSecond  = 256_000 // bytes a second that a member sends in exchanges
 	exchangeBurstBytes      = exchangeBytesPerSecond / 4
 )
 
-// originShare is how many bytes a second one of so many may tell.
+// originShare returns how many bytes a second each of so many members may publish.
 func originShare(members int) float64 {
 	return min(max(updateBytesPerSecond/float64(max(members, 1)), minOriginBytesPerSecond), maxOriginBytesPerSecond)
 }
--- a/internal/sidecar/members/delegate.go
+++ b/internal/sidecar/members/delegate.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Here is what memberlist calls, and what comes of it. Danger: it calls under its own lock, so nothing here calls it back.
+// This file implements memberlist's callbacks. memberlist calls them under its own lock, so a call back into it would deadlock.
 
 var (
 	_ memberlist.Delegate       = (*Members)(nil)
@@ -21,7 +21,7 @@
 	_ memberlist.NamedBroadcast = (*broadcast)(nil)
 )
 
-// broadcast is a frame that is passed on. One of the same name takes its place.
+// broadcast is a frame to gossip. A later broadcast of the same name replaces it.
 type broadcast struct {
 	name    string
 	encoded []byte
@@ -45,7 +45,7 @@
 // Finished implements memberlist.Broadcast.
 func (b *broadcast) Finished() {}
 
-// queueFrame has a frame be passed on. The lock is not held.
+// queueFrame queues a frame for gossip. m.mu must not be held.
 func (m *Members) queueFrame(f frame) {
 	b := &broadcast{name: strconv.Itoa(int(f.kind)) + "/" + f.name, encoded: f.encode()}
 	b.age = func() time.Duration {
@@ -56,7 +56,7 @@
 	m.queue.QueueBroadcast(b)
 }
 
-// queueClaim has the own claim be passed on, in place of earlier ones.
+// queueClaim queues the member's own claim for gossip, in place of earlier ones. m.mu is held.
 func (m *Members) queueClaim(c claim) {
 	m.unsent = append(m.unsent, &broadcast{name: "epoch", encoded: c.encode()})
 	wake(m.wakeWorker)
@@ -65,7 +65,7 @@
 // NodeMeta implements memberlist.Delegate, as do the methods after it.
 func (m *Members) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg takes in a frame.
+// NotifyMsg receives a frame.
 func (m *Members) NotifyMsg(b []byte) { m.receive(b, true) }
 
 // GetBroadcasts gives frames to send.
@@ -73,7 +73,7 @@
 	return m.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState gives all that is held and within the bound, for a peer that may have missed some.
+// LocalState returns all stored claims and the states within the TTL, for a peer that may have missed some.
 func (m *Members) LocalState(bool) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,7 +90,7 @@
 	return pack(frames)
 }
 
-// MergeRemoteState takes in what a peer holds. What is new to one that joins is old to the others, and is not passed on.
+// MergeRemoteState merges a peer's state. While joining, nothing is forwarded: what is new to this member is known to the others.
 func (m *Members) MergeRemoteState(b []byte, join bool) {
 	if err := unpack(b, func(f []byte) { m.receive(f, !join) }); err != nil {
 		m.mu.Lock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// receive takes in a frame from a peer, and passes on what is new.
+// receive processes a frame from a peer, and forwards it if it is new.
 func (m *Members) receive(b []byte, mayForward bool) {
 	if m.receiveExchange(b) {
 		return
@@ -132,8 +132,8 @@
 	}
 }
 
-// processLeaves takes in the farewell of a process, and tells whether that is new. The lock is held. Danger: memberlist does not say
-// whether one that is gone has left or died, and the place of one that died is not to be kept.
+// processLeaves records the farewell of a process, and reports whether it is new. m.mu is held. The farewell is needed because
+// memberlist does not say whether a process left or died, and only the index of one that left is reserved for its successor.
 func (m *Members) processLeaves(p process) bool {
 	known := m.members[p.name] == p.start && p.name != m.options.Name
 	for name := range m.lost {
@@ -149,14 +149,14 @@
 	return true
 }
 
-// acceptFrame merges a frame and tells whether it is to be told and passed on. The lock is held.
+// acceptFrame merges a frame and reports whether it is to be notified and forwarded. m.mu is held.
 func (m *Members) acceptFrame(received frame, err error) bool {
 	now := m.clock()
 	switch start, known := m.members[received.name]; {
 	case err != nil:
 		m.counts.Malformed++
 		return false
-	case received.name == m.options.Name: // the own, come back; or of another process of this member, which is not for this one
+	case received.name == m.options.Name: // this process's own frame, come back, or one of another process of this member
 		m.counts.Duplicates++
 		return false
 	case !known || received.start != start:
@@ -196,7 +196,7 @@
 	wake(m.wakeWorker)
 }
 
-// NotifyLeave takes in that a process left, or is taken for dead.
+// NotifyLeave records that a process left, or was declared dead.
 func (m *Members) NotifyLeave(n *memberlist.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -214,13 +214,13 @@
 	wake(m.wakeJoiner)
 }
 
-// NotifyUpdate has nothing to take in: members have no data of their own here.
+// NotifyUpdate does nothing: members have no metadata.
 func (m *Members) NotifyUpdate(*memberlist.Node) {}
 
-// node is memberlist's name for a process.
+// node returns memberlist's name for a process.
 func (p process) node() string { return p.name + separator + strconv.FormatInt(p.start, 36) }
 
-// parse is the member and process that memberlist's name means. A foreign one is a member whose process started long ago.
+// parse returns the process that a name of memberlist stands for. A name without a start is a member whose process has start 0.
 func parse(name string) process {
 	if at := strings.LastIndex(name, separator); at > 0 {
 		if start, err := strconv.ParseInt(name[at+1:], 36, 64); err == nil && start > 0 {
@@ -230,9 +230,9 @@
 	return process{name, 0}
 }
 
-// runWorker tells of views and news until the member ends. A view changes only minViewDelay to maxViewDelay after members did.
-// Danger: all that see a change at once would each call the new set by a count of their own; as it is, most hear of the first
-// one's before.
+// runWorker notifies of views and updates until the member ends. A view changes minViewDelay to maxViewDelay, and a further delay
+// for each member, after the members did. The delay is random because members that saw a change at the same time would each claim
+// a count of their own for the new set; with it, most of them receive the first one's claim before.
 func (m *Members) runWorker() {
 	defer m.goroutines.Done()
 	tick := time.NewTicker(sweepEvery)
@@ -277,16 +277,16 @@
 	}
 }
 
-// turn is what there is to tell and to do.
+// turn is what the worker has to notify and to send.
 type turn struct {
 	view    View
-	changed bool // and is to be told
+	changed bool // the view's epoch has not been notified yet
 	news    []Update
 	owed    []*broadcast
-	stale   bool // the view is to be taken again soon
+	stale   bool // the view is to be computed again soon
 }
 
-// turn takes what there is to tell, and the view again if told to look.
+// turn takes what there is to notify, and computes the view again if look is set and it is stale.
 func (m *Members) turn(look bool) (t turn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -311,8 +311,9 @@
 	return t
 }
 
-// dropExpired lets go of what is over the bound: its number and start are kept until its origin is gone. And it has the own claim be
-// said again now and then: whoever missed a count would else differ until its next exchange, a minute in a large fleet.
+// dropExpired drops the payloads of states older than the TTL; their numbers and starts are kept until the origin is gone. It also
+// repeats the member's own claim periodically: a member that missed a count would otherwise differ until its next push-pull with
+// a peer, which takes a minute in a large fleet.
 func (m *Members) dropExpired() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -13,7 +13,7 @@
 // newer, and wants by short name what is newer there, which the first then sends. So a state goes to a member about once, while gossip, which
 // does not know what is known, sends it as often as it takes until the last member has drawn it: six times at 300 members.
 //
-// Short names are drawn anew for each question: two states of one name cost one exchange, not the news.
+// Short names are drawn anew for each question: two states of one name cost one exchange, not the update.
 
 const (
 	askForm   = 4
@@ -55,7 +55,7 @@
 	return uint32((id ^ uint64(salt)*0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 >> 40)
 }
 
-// low are the bits of a number that an ask tells; the last bit says that nothing newer is wanted now.
+// low returns the bits of a number that an ask carries; the last bit says that nothing newer is wanted now.
 func low(seq uint64, enough bool) uint16 {
 	if enough {
 		return uint16(seq)<<1 | 1
@@ -66,7 +66,7 @@
 // parts is in how many parts a question about so many states goes.
 func parts(states int) uint8 { return uint8(min(1+states/(maxAskEntries*3/4), maxParts)) }
 
-// ask is a question to any peer, in parts that each fit into a packet: what of the held states is within the bound. enough tells of which
+// ask is a question to any peer, in parts that each fit into a packet: what of the held states is within the bound. enough reports of which
 // origins nothing more is wanted for now.
 func (s *states) ask(who process, salt uint32, now, bound time.Duration, enough func(name string) bool) [][]byte {
 	n := parts(len(s.latest))
--- a/internal/sidecar/members/epoch.go
+++ b/internal/sidecar/members/epoch.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// Here is how members agree on a number for the set that they are, without any of them deciding it.
+// This file has members agree on a number for the set that they form, without any of them deciding it.
 
 // claim says that somebody calls the set with this hash by this count.
 type claim struct{ count, hash uint32 }
@@ -30,7 +30,7 @@
 	droppedCount uint32            // the highest count that gave way
 }
 
-// adoptSet takes in the hash of the own set, and tells whether others are to be told of the own claim.
+// adoptSet sets the hash of the member's own set, and reports whether its claim is to be sent to the others.
 func (e *epochs) adoptSet(hash uint32) (say bool) {
 	if e.own.count > 0 && hash == e.own.hash {
 		return false
@@ -48,10 +48,10 @@
 	return true
 }
 
-// receiveClaim takes in a claim, and tells whether the own epoch rose by it: then it is to be passed on. Danger: where sets change fast,
-// as in a fleet that starts, claims of sets that were nobody's for long would be most of what goes round.
+// receiveClaim records a claim, and reports whether the member's own epoch rose by it: only then it is to be forwarded. Where sets
+// change fast, as in a fleet that starts, claims of short-lived sets would otherwise be most of the gossip.
 func (e *epochs) receiveClaim(c claim) (rose bool) {
-	// Danger: a claim that gave way would be new each time that it comes, and go round for ever.
+	// A claim that was evicted would be new each time that it arrives, and circulate for ever.
 	if c.count <= e.claims[c.hash] || c.count <= e.droppedCount && c.hash != e.own.hash {
 		return false
 	}
@@ -64,7 +64,7 @@
 	return false
 }
 
-// storeClaim keeps a claim. The lowest gives way to it: the sets of old are the ones that do not come back.
+// storeClaim stores a claim. Over maxClaims the lowest is evicted: the oldest sets are the ones that do not come back.
 func (e *epochs) storeClaim(c claim) {
 	if e.claims == nil {
 		e.claims = map[uint32]uint32{}
@@ -85,7 +85,7 @@
 	}
 }
 
-// storedClaims are the claims that are kept.
+// storedClaims returns the stored claims, in no order.
 func (e *epochs) storedClaims() []claim {
 	var c []claim
 	for hash, count := range maps.All(e.claims) {
--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -7,20 +7,20 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Here is how news gets to all, whatever there is of it. Gossip passes on what is young: it is the quickest while there is
+// This file brings updates to all members, however many there are. Gossip forwards young ones: it is the quickest while there is
 // little, and carries no more than its packets do. What it leaves out, or a network loses, comes by exchanges: every
 // pushPullInterval each member asks one other, drawn, what that one has newer, and both get what they lack (digest.go). The share of those
 // who lack a state then shrinks in each such time by a factor of e squared or so, whatever there is besides it.
 //
 // Bounds: a member sends exchangeBytesPerSecond bytes a second in exchanges, and gossip's gossipNodes packets each gossipInterval; an origin
-// tells its share (budget.go), which it keeps to itself, and to which the others hold it.
+// publishes at most its share (budget.go), which it enforces on itself and the others enforce on it.
 
 // The timing of exchanges.
 const (
-	busyExchangeInterval  = 150 * time.Millisecond // between own questions, while there is news
+	busyExchangeInterval  = 150 * time.Millisecond // between own questions, while there are updates
 	quietExchangeInterval = 600 * time.Millisecond // and else
-	busyTime              = time.Second            // after the last news
-	maxGossipAge          = 500 * time.Millisecond // news that is older is not gossiped on
+	busyTime              = time.Second            // after the last update
+	maxGossipAge          = 500 * time.Millisecond // older updates are not gossiped
 	maxQueued             = 24                     // states to gossip on: with more, each member's own ones would wait behind them
 	maxQuestions          = 64                     // questions to answer
 	maxDeltas             = 16                     // packets in answer to one
@@ -74,7 +74,7 @@
 	m.counts.SendLimited++
 }
 
-// nextQuestion is what to ask whom now, and whether there was news lately.
+// nextQuestion returns what to ask whom now, and whether there was an update within busyTime.
 func (m *Members) nextQuestion() (to string, asks [][]byte, lively bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +99,7 @@
 	return m.peers[rand.IntN(len(m.peers))].address, asks, now-m.lastUpdateAt < busyTime
 }
 
-// receiveExchange takes in a frame of an exchange, and tells whether it is one. Questions are put by for the exchanger.
+// receiveExchange processes a frame of an exchange, and reports whether it is one. Questions are queued for runExchange.
 func (m *Members) receiveExchange(b []byte) bool {
 	var question any
 	var err error
@@ -161,8 +161,8 @@
 	return n.address, append(packets, deltas[:min(len(deltas), maxDeltas)]...)
 }
 
-// mayReceiveFrom tells whether another origin may tell more, as seen here. The own states are held back where they are told. The lock
-// is held, as in the next one.
+// mayReceiveFrom reports whether another origin's budget, as counted here, allows more. The member's own states are limited in
+// Publish. m.mu is held.
 func (m *Members) mayReceiveFrom(name string, now time.Duration) bool {
 	if name == m.options.Name {
 		return true
@@ -172,7 +172,7 @@
 	return b == nil || b.hasBytes(now, rate, rate*burstSeconds)
 }
 
-// spendBudget counts a frame of another's on the share of its origin, and tells whether it is within.
+// spendBudget charges a frame to the budget of its origin, and reports whether it is within. m.mu is held.
 func (m *Members) spendBudget(f frame, now time.Duration) bool {
 	b := m.budgets[f.name]
 	if b == nil {
@@ -183,7 +183,7 @@
 	return b.spend(f.size(), now, rate, rate*burstSeconds)
 }
 
-// releaseDelayed has own states that wait be told, as far as the own share goes, and returns them. The lock is not held.
+// releaseDelayed publishes delayed states as far as the member's share goes, and returns them. m.mu must not be held.
 func (m *Members) releaseDelayed() []frame {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sidecar/members/frame.go
+++ b/internal/sidecar/members/frame.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The bounds of what members tell each other. A frame fits into one UDP packet with room for memberlist's own heads.
+// The bounds of what members send each other. A frame fits into one UDP packet with room for memberlist's own heads.
 const (
 	MaxPayloadBytes = 768 // bytes of one state
 	MaxKinds        = 8   // kinds of states: 0 to 7
@@ -14,7 +14,7 @@
 	maxStateBytes   = 1 << 19
 )
 
-// The frames. One of a form that is not known comes from a later version: it is passed over and counted.
+// The forms of frames. A frame of an unknown form comes from a later version: it is ignored and counted as malformed.
 const (
 	updateForm   = 1
 	claimForm    = 2
@@ -29,8 +29,8 @@
 	name         string
 	kind         uint8
 	start        int64         // of the origin's process
-	seq          uint64        // counts up with each state that the process tells, of whatever kind
-	madeAt       time.Duration // when it was told, by the clock of the origin's process, from 0 at its start
+	seq          uint64        // rises with each state that the process publishes, of whatever kind
+	madeAt       time.Duration // when it was published, by the clock of the origin's process, from 0 at its start
 	forwardedAge time.Duration // its age when this copy was sent, as far as those who passed it on held it
 	payload      []byte
 	key          uint64   // see hash; of a state that is held, as is
@@ -67,7 +67,7 @@
 	return b
 }
 
-// roundUpMS rounds up. Danger: rounded down, news would grow younger at each hop.
+// roundUpMS returns an age in milliseconds, rounded up: rounded down, an update would grow younger at each hop.
 func roundUpMS(age time.Duration) uint32 {
 	return uint32(min(max(0, (age+time.Millisecond-1)/time.Millisecond), 1<<32-1))
 }
--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -13,14 +13,14 @@
 
 // The timing. A death is known after about 1.6 probe intervals until one probes the dead, one more in which it and its
 // helpers hear nothing, suspicion for suspicionMult * log10(members) intervals, and gossip: at 300 members 0.3 + 0.2 + 1.5 +
-// 0.3 s. Danger: shorter ones take a process for dead that waits for its core, or whose one prober does.
+// 0.3 s. Shorter ones would declare a process dead that waits for a processor, or whose only prober does.
 const (
 	probeInterval       = 200 * time.Millisecond
 	probeTimeout        = 150 * time.Millisecond
 	suspicionMult       = 3 // so one other member has to miss it too; else suspicion lasts six times as long
 	gossipInterval      = 100 * time.Millisecond
 	gossipNodes         = 4
-	retransmitMult      = 2 // times log10(members), rounded up: at 300 each passes news on 6 times, and 1 in 400 misses it
+	retransmitMult      = 2 // times log10(members), rounded up: at 300 each forwards an update 6 times, and 1 in 400 misses it
 	pushPullInterval    = 5 * time.Second
 	streamTimeout       = time.Second
 	gossipToDeadTime    = 30 * time.Second
@@ -90,7 +90,7 @@
 }
 
 // runJoin listens, where that is not done, and joins others, until the member ends. Once nobody is missing it waits until
-// somebody is. Danger: all that lost sight of each other together would try again together; so the pauses are drawn.
+// somebody is. The pauses are random: members that lost each other at the same time would otherwise try again at the same time.
 func (m *Members) runJoin(isListening bool) {
 	defer m.goroutines.Done()
 	pauses := backoff.NewExponentialBackOff()
@@ -114,7 +114,7 @@
 	}
 }
 
-// joinAndWait joins the members that are missing, and waits until it is to be tried again. It tells false once the member ends.
+// joinAndWait joins the members that are missing, and waits until it is to be tried again. It returns false once the member ends.
 func (m *Members) joinAndWait(pauses *backoff.ExponentialBackOff, isListening bool) bool {
 	var woken <-chan struct{}
 	var wait <-chan time.Time
@@ -146,7 +146,7 @@
 }
 
 // missing are addresses of members that may be there but are not seen: of processes that are lost, and those to join at
-// which nobody is known. later tells of some that were lost just now. The host of the latter counts only where no host is reached in place of it.
+// which nobody is known. later reports that some were lost less than rejoinDelay ago. The host of the latter counts only where no host is reached in place of it.
 func (m *Members) missing() (at []string, later bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -173,7 +173,7 @@
 	return at, later
 }
 
-// tryJoin joins through one that is missing, or two, and tells whether that found anybody.
+// tryJoin joins through one that is missing, or two, and reports whether that found any member.
 func (m *Members) tryJoin(missing []string) bool {
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	before := m.count()
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -47,11 +47,11 @@
 	Advertise string        // IP address and port where others reach it; "": Listen
 	Join      []string      // hosts and ports of any members; those that are gone are tried again, ever more rarely
 	Reach     string        // every peer is reached at this IP address, at the port of its own; "": at its own
-	TTL       time.Duration // news that is older counts for nothing; 0: 2 s
+	TTL       time.Duration // updates that are older are dropped; 0: DefaultTTL
 	Log       *slog.Logger  // nil: none
 
-	// Told is called for each piece of news, and Changed for each new view; one call at a time, from one goroutine. A state
-	// that is replaced before its turn is not told. Nil: nobody listens.
+	// OnUpdate is called for each update, and OnView for each new view; one call at a time, from one goroutine. A state that is
+	// replaced before its turn is not notified. Nil: no calls.
 	OnUpdate func(Update)
 	OnView   func(View)
 
@@ -67,25 +67,25 @@
 	Names []string
 }
 
-// Update is the newest state of one kind that an origin told.
+// Update is the newest state of one kind that an origin published.
 type Update struct {
 	Origin  string // a member's name
 	Start   int64  // of its process: a later one replaces an earlier
 	Seq     uint64 // of that process, over all kinds
 	Kind    uint8
-	Age     time.Duration // since it was told, when this call was made; see states
+	Age     time.Duration // since it was published, at the time of this call; see states
 	Payload []byte
 }
 
-// DefaultTTL is Options.Bound where none is set.
+// DefaultTTL is Options.TTL where none is set.
 const DefaultTTL = 2 * time.Second
 
 // Counts is what a member did since its start.
 type Counts struct {
 	Traffic
 	Updates, Duplicates, Expired, Malformed, NonMembers int64 // frames: new ones, known ones, over the bound, not readable, of no member
-	Delayed                                             int64 // own states that had to wait, as this member told too much; see Publish
-	RateLimited                                         int64 // frames not taken in, or states not asked for, as their origin told too much
+	Delayed                                             int64 // own states that had to wait, as this member published too much; see Publish
+	RateLimited                                         int64 // frames rejected, or states not asked for, as their origin published too much
 	SendLimited                                         int64 // packets of exchanges not sent, as this member sent too much, or was asked too much
 	Queued                                              int   // frames to pass on
 	Joins, JoinsFailed                                  int64 // attempts to join
@@ -126,10 +126,10 @@
 	view          View
 	pending       map[stateKey]struct{}
 	viewStale     bool          // the view
-	notifiedEpoch uint64        // the epoch last told of
+	notifiedEpoch uint64        // the epoch of the last notification
 	unsent        []*broadcast  // claims and farewells to pass on
 	peers         []peerNode    // processes of others; nil: to be taken from nodes
-	lastUpdateAt  time.Duration // when there was news last
+	lastUpdateAt  time.Duration // when the last update was published or accepted
 	budgets       map[string]*byteBudget
 	delayed       []frame // own states that wait, one a kind
 	questions     chan any
@@ -217,7 +217,7 @@
 	return host, int(n), nil
 }
 
-// Start has the member listen and join until Close; from when ctx is done it tells nothing more. Where the address is in use, as by the process that this
+// Start has the member listen and join until Close; once ctx is done it notifies and publishes nothing more. Where the address is in use, as by the process that this
 // one follows, it goes on trying; other errors are returned.
 func (m *Members) Start(ctx context.Context) error {
 	m.ctx, m.cancel = context.WithCancel(ctx)
@@ -258,8 +258,8 @@
 }
 
 // Publish has the payload be this member's state of a kind, in place of the last one. The payload is not to be changed after.
-// A member that tells more than its share (see originShare: 640 bytes a second at 300 members, heads included) tells its newest
-// later, and what is replaced before its turn not at all.
+// A member that publishes more than its share (see originShare: 640 bytes a second at 300 members, headers included) sends its
+// newest state later, and a state that is replaced before its turn not at all.
 func (m *Members) Publish(kind uint8, payload []byte) error {
 	if kind >= MaxKinds || len(payload) > MaxPayloadBytes {
 		return fmt.Errorf("members: kind %d with %d bytes is over the bounds of %d and %d", kind, len(payload), MaxKinds-1, MaxPayloadBytes)
@@ -333,7 +333,7 @@
 	for name := range m.members {
 		names = append(names, name)
 	}
-	// Danger: between the farewell of an old process and the arrival of the new one all places would change, twice.
+	// Without the leaving members, all indexes would change twice: at the farewell of an old process and at the arrival of the new one.
 	for name, p := range m.leaving {
 		if _, there := m.members[name]; now.Sub(p.at) >= handoverTime {
 			delete(m.leaving, name)
--- a/internal/sidecar/members/states.go
+++ b/internal/sidecar/members/states.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Here is what a member holds of what the others told: a join of lattices, so that loss, repeats and order do not matter.
+// This file stores what the others published: a join of lattices, so that loss, duplicates and order do not matter.
 
 // maxClockDrift is how far the clocks of two machines may run apart, each second, at most: the kernel slews by 500 ppm at most.
 const maxClockDrift = 500e-6
@@ -26,7 +26,7 @@
 // clock of each process is from the own. merge is commutative, associative and idempotent over copies, each with the time at
 // which it came.
 //
-// Age is never told by comparing wall clocks. A copy says the age that those who held it saw go by, which misses the time
+// An age is never computed by comparing wall clocks. A copy says the age that those who held it saw go by, which misses the time
 // that it was on its way. So for each process the least of (own time at arrival - stamp - said age) is kept: it is the
 // distance of the clocks plus the quickest way ever seen, and what a later copy needed beyond that is its age, also when a
 // network, a stopped peer or a full buffer held it back. Promise: an age is too low by the quickest way that any copy from
@@ -41,7 +41,7 @@
 	return &states{latest: map[stateKey]frame{}, offsets: map[process]*float64{}}
 }
 
-// merge takes in a copy that came at a time of the own clock. It tells whether its state is newer than the one held.
+// merge merges a copy that arrived at a time of the process's own clock, and reports whether its state is newer than the stored one.
 func (s *states) merge(f frame, now time.Duration) bool {
 	p := process{f.name, f.start}
 	distance := (now - f.madeAt - f.forwardedAge).Seconds() - maxClockDrift*now.Seconds()
@@ -58,7 +58,7 @@
 	return true
 }
 
-// isNewer tells whether a frame's state is newer than the one held.
+// isNewer reports whether a frame's state is newer than the stored one.
 func (s *states) isNewer(f frame) bool {
 	old, known := s.latest[stateKey{f.name, f.kind}]
 	return !known || newer(f, old)
@@ -68,7 +68,7 @@
 	return f.start > old.start || f.start == old.start && f.seq > old.seq
 }
 
-// age is how long ago a state was told. That of a process of which nothing is held is beyond any bound.
+// age returns how long ago a state was published. For a process of which nothing is stored it is beyond any TTL.
 func (s *states) age(f frame, now time.Duration) time.Duration {
 	least := f.offset // of one that is held
 	if least == nil {
@@ -80,7 +80,7 @@
 	return max(0, now-f.madeAt-time.Duration(distance*float64(time.Second)))
 }
 
-// retain lets go of all processes but those that fit.
+// retain drops all processes but those that fit.
 func (s *states) retain(fits func(process) bool) {
 	for p := range s.offsets {
 		if !fits(p) {
--- a/internal/sidecar/members/transport.go
+++ b/internal/sidecar/members/transport.go
@@ -15,13 +15,13 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic is what went over the sockets since the start, membership and news together.
+// Traffic is what went over the sockets since the start, membership and updates together.
 type Traffic struct {
 	PacketsSent, PacketsReceived, StreamsOpened, StreamsTaken int64
 	BytesSent, BytesReceived                                  int64 // of packets and streams, without the heads of UDP, TCP and IP
 }
 
-// transport is UDP and TCP at one port, which counts, and reaches every peer at one host if told to. memberlist's own takes a
+// transport is UDP and TCP at one port, which counts, and reaches every peer at one host if reach is set. memberlist's own takes a
 // new buffer of 64 kB for each packet: at a few hundred packets a second most of its time would go to that.
 type transport struct {
 	packetConn *net.UDPConn
@@ -121,7 +121,7 @@
 	}
 }
 
-// continueAfter waits a moment after a fault, as when descriptors are short, and tells whether it is not the end.
+// continueAfter waits a moment after a fault, as when descriptors are short, and reports whether the transport is still open.
 func (t *transport) continueAfter(err error) bool {
 	if err == nil {
 		return true
@@ -140,7 +140,7 @@
 // StreamCh hands out the streams that peers opened.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// FinalAdvertiseAddr is the address that others are told.
+// FinalAdvertiseAddr returns the address that is advertised to others.
 func (t *transport) FinalAdvertiseAddr(host string, port int) (net.IP, int, error) {
 	ip := net.ParseIP(host)
 	if ip == nil {
