--- a/internal/sidecar/members/compat_test.go
+++ b/internal/sidecar/members/compat_test.go
@@ -8,20 +8,20 @@
 
 // TestFrameBytes: sidecars of several versions read each other's frames during an upgrade.
 func TestFrameBytes(t *testing.T) {
-	f := frame{name: "n7", kind: 3, start: 0x0102030405060708, seq: 300, madeAt: 1500 * time.Microsecond, forwardedAge: 1234 * time.Millisecond,
+	update := frame{name: "n7", kind: 3, start: 0x0102030405060708, seq: 300, madeAt: 1500 * time.Microsecond, forwardedAge: 1234 * time.Millisecond,
 		payload: []byte("news")}
-	c := claim{count: 5, hash: 0x0a0b0c0d}
+	ownClaim := claim{count: 5, hash: 0x0a0b0c0d}
 	for name, v := range map[string]struct {
 		got  []byte
 		want string
-	}{"news": {f.encode(), "0103000004d20102030405060708ac02dc0b026e3700046e657773"}, "claim": {c.encode(), "02000000050a0b0c0d"}, "pack": {pack([][]byte{c.encode(), []byte("x")}), "000902000000050a0b0c0d000178"}} {
+	}{"news": {update.encode(), "0103000004d20102030405060708ac02dc0b026e3700046e657773"}, "claim": {ownClaim.encode(), "02000000050a0b0c0d"}, "pack": {pack([][]byte{ownClaim.encode(), []byte("x")}), "000902000000050a0b0c0d000178"}} {
 		if got := hex.EncodeToString(v.got); got != v.want {
 			t.Errorf("%s: %s, want %s", name, got, v.want)
 		}
 	}
-	got, err := decodeUpdate(f.encode())
-	if err != nil || got.name != f.name || got.kind != f.kind || got.start != f.start || got.seq != f.seq || got.madeAt != f.madeAt ||
-		got.forwardedAge != f.forwardedAge || string(got.payload) != "news" {
+	got, err := decodeUpdate(update.encode())
+	if err != nil || got.name != update.name || got.kind != update.kind || got.start != update.start || got.seq != update.seq || got.madeAt != update.madeAt ||
+		got.forwardedAge != update.forwardedAge || string(got.payload) != "news" {
 		t.Errorf("%+v %v", got, err)
 	}
 }
--- a/internal/sidecar/members/delegate.go
+++ b/internal/sidecar/members/delegate.go
@@ -264,7 +264,7 @@
 			m.options.viewChanged(t.view)
 		}
 		if m.options.OnUpdate != nil {
-			for _, n := range t.news {
+			for _, n := range t.updates {
 				m.options.OnUpdate(n)
 			}
 		}
@@ -281,7 +281,7 @@
 type turn struct {
 	view    View
 	changed bool // the view's epoch has not been notified yet
-	news    []Update
+	updates []Update
 	owed    []*broadcast
 	stale   bool // the view is to be computed again soon
 }
@@ -303,11 +303,11 @@
 	for key := range m.pending {
 		f, held := m.states.latest[key]
 		if age := m.states.age(f, now); held && age <= m.options.TTL {
-			t.news = append(t.news, Update{f.name, f.start, f.seq, f.kind, age, f.payload})
+			t.updates = append(t.updates, Update{f.name, f.start, f.seq, f.kind, age, f.payload})
 		}
 	}
 	clear(m.pending)
-	slices.SortFunc(t.news, func(x, y Update) int { return cmp.Or(strings.Compare(x.Origin, y.Origin), cmp.Compare(x.Kind, y.Kind)) })
+	slices.SortFunc(t.updates, func(x, y Update) int { return cmp.Or(strings.Compare(x.Origin, y.Origin), cmp.Compare(x.Kind, y.Kind)) })
 	return t
 }
 
--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -190,7 +190,7 @@
 	return m.releaseDelayedLocked()
 }
 
-func (m *Members) releaseDelayedLocked() (told []frame) {
+func (m *Members) releaseDelayedLocked() (released []frame) {
 	b := m.budgets[m.options.Name]
 	if b == nil {
 		b = &byteBudget{}
@@ -204,7 +204,7 @@
 		f.seq = m.seq
 		m.states.merge(f, f.madeAt)
 		m.lastUpdateAt = m.clock()
-		told = append(told, f)
+		released = append(released, f)
 	}
-	return told
+	return released
 }
--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -47,22 +47,22 @@
 }
 
 func benchFleet(b *testing.B, n int) {
-	a := &arrivals{seen: map[uint64]int{}, want: (n - 1) * 95 / 100, done: make(chan uint64, 1000)}
+	arrived := &arrivals{seen: map[uint64]int{}, want: (n - 1) * 95 / 100, done: make(chan uint64, 1000)}
 	var mu sync.Mutex
 	counts := make([]int, n)
 	short := make(chan int, 1)
 	var target int
 	all := make([]*Members, n)
 	began := time.Now()
-	for i := range all {
-		o := Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0", OnUpdate: a.countUpdate}
-		if i > 0 {
-			o.Join = []string{all[0].Address()}
+	for index := range all {
+		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0", OnUpdate: arrived.countUpdate}
+		if index > 0 {
+			options.Join = []string{all[0].Address()}
 		}
-		o.OnView = func(v View) {
+		options.OnView = func(v View) {
 			mu.Lock()
 			defer mu.Unlock()
-			counts[i] = v.Count
+			counts[index] = v.Count
 			there := 0
 			for _, c := range counts {
 				if c == target {
@@ -77,10 +77,10 @@
 			}
 		}
 		var err error
-		if all[i], err = New(o); err != nil {
+		if all[index], err = New(options); err != nil {
 			b.Fatal(err)
 		}
-		if err := all[i].Start(b.Context()); err != nil {
+		if err := all[index].Start(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -116,7 +116,7 @@
 	measureRate(b, all, "idle", 5*time.Second, func(time.Duration) {})
 
 	// One that speaks.
-	h := hdrhistogram.New(1, 60_000, 3)
+	latencies := hdrhistogram.New(1, 60_000, 3)
 	sent := map[uint64]time.Time{}
 	measureRate(b, all, "one", 20*time.Second, func(left time.Duration) {
 		end := time.After(left)
@@ -128,26 +128,26 @@
 				sent[id] = time.Now()
 				_ = all[int(id)%n].Publish(1, binary.BigEndian.AppendUint64(nil, id))
 				id++
-			case id := <-a.done:
-				_ = h.RecordValue(time.Since(sent[id]).Milliseconds())
+			case id := <-arrived.done:
+				_ = latencies.RecordValue(time.Since(sent[id]).Milliseconds())
 			case <-end:
 				return
 			}
 		}
 	})
-	b.ReportMetric(float64(len(sent)-int(h.TotalCount())), "never95")
-	b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50_ms")
-	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99_ms")
+	b.ReportMetric(float64(len(sent)-int(latencies.TotalCount())), "never95")
+	b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "p50_ms")
+	b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "p99_ms")
 
 	// All speak, 300 bytes a second each.
 	measureRate(b, all, "all300", 10*time.Second, func(left time.Duration) {
 		end := time.After(left)
 		tick := time.NewTicker(time.Second / time.Duration(n))
 		defer tick.Stop()
-		for i := 0; ; i++ {
+		for index := 0; ; index++ {
 			select {
 			case <-tick.C:
-				_ = all[i%n].Publish(2, make([]byte, 300))
+				_ = all[index%n].Publish(2, make([]byte, 300))
 			case <-end:
 				return
 			}
@@ -178,16 +178,16 @@
 }
 
 // measureRate measures what is sent while do runs for a time.
-func measureRate(b *testing.B, all []*Members, what string, d time.Duration, do func(time.Duration)) {
+func measureRate(b *testing.B, all []*Members, what string, duration time.Duration, do func(time.Duration)) {
 	var from, to syscall.Rusage
 	before := make([]Counts, len(all))
 	for i, m := range all {
 		before[i] = m.Counts()
 	}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &from)
-	do(d)
+	do(duration)
 	if what == "idle" {
-		time.Sleep(d)
+		time.Sleep(duration)
 	}
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &to)
 	var packets, bytes, most float64
@@ -200,7 +200,7 @@
 		old += c.Expired - before[i].Expired
 		waiting = max(waiting, int64(c.Queued))
 	}
-	seconds := d.Seconds()
+	seconds := duration.Seconds()
 	n := float64(len(all)) * seconds
 	cpu := time.Duration(to.Utime.Nano() + to.Stime.Nano() - from.Utime.Nano() - from.Stime.Nano()).Seconds()
 	b.ReportMetric(packets/n, what+"_packets/s")
--- a/internal/sidecar/members/members_test.go
+++ b/internal/sidecar/members/members_test.go
@@ -24,23 +24,23 @@
 
 // child is a member as a process of its own: it says again and again what it is told in the environment, until its input ends.
 func child(name string) {
-	m, err := New(Options{Name: name, Listen: "127.0.0.1:0", Join: strings.Fields(os.Getenv("MEMBER_JOIN"))})
+	member, err := New(Options{Name: name, Listen: "127.0.0.1:0", Join: strings.Fields(os.Getenv("MEMBER_JOIN"))})
 	if err == nil {
-		err = m.Start(context.Background())
+		err = member.Start(context.Background())
 	}
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	fmt.Println(m.Address())
+	fmt.Println(member.Address())
 	go func() {
 		for n := 0; ; n++ {
-			_ = m.Publish(1, fmt.Appendf(nil, "%s %d", name, n))
+			_ = member.Publish(1, fmt.Appendf(nil, "%s %d", name, n))
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
 	_, _ = os.Stdin.Read(make([]byte, 1))
-	m.Close()
+	member.Close()
 }
 
 // peer is a member in this process and what it was told.
@@ -50,28 +50,28 @@
 	updates chan Update
 }
 
-func start(t *testing.T, o Options) *peer {
+func start(t *testing.T, options Options) *peer {
 	t.Helper()
-	p := &peer{views: make(chan View, 4096), updates: make(chan Update, 4096)}
-	o.OnView = func(v View) { p.views <- v }
-	o.OnUpdate = func(n Update) {
+	started := &peer{views: make(chan View, 4096), updates: make(chan Update, 4096)}
+	options.OnView = func(v View) { started.views <- v }
+	options.OnUpdate = func(n Update) {
 		select {
-		case p.updates <- n:
+		case started.updates <- n:
 		default: // nobody looks
 		}
 	}
-	if o.Listen == "" {
-		o.Listen = "127.0.0.1:0"
+	if options.Listen == "" {
+		options.Listen = "127.0.0.1:0"
 	}
 	var err error
-	if p.Members, err = New(o); err != nil {
+	if started.Members, err = New(options); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Start(t.Context()); err != nil {
+	if err := started.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.Close)
-	return p
+	t.Cleanup(started.Close)
+	return started
 }
 
 // await returns the first of those from a channel that fits.
@@ -112,14 +112,14 @@
 }
 
 func TestMembersLearnOfEachOther(t *testing.T) {
-	a := start(t, Options{Name: "a"})
-	b := start(t, Options{Name: "b", Join: []string{a.Address()}})
-	c := start(t, Options{Name: "c", Join: []string{b.Address()}})
-	awaitSameView(t, 3, a, b, c)
+	first := start(t, Options{Name: "a"})
+	second := start(t, Options{Name: "b", Join: []string{first.Address()}})
+	third := start(t, Options{Name: "c", Join: []string{second.Address()}})
+	awaitSameView(t, 3, first, second, third)
 	places := map[int]bool{}
-	for _, p := range []*peer{a, b, c} {
+	for _, p := range []*peer{first, second, third} {
 		v := p.View()
-		if v.Names[v.Index] != p.options.Name || v.Epoch != a.View().Epoch {
+		if v.Names[v.Index] != p.options.Name || v.Epoch != first.View().Epoch {
 			t.Fatalf("%+v", v)
 		}
 		places[v.Index] = true
@@ -127,25 +127,25 @@
 	if len(places) != 3 {
 		t.Fatal(places)
 	}
-	if err := a.Publish(2, []byte("word")); err != nil {
+	if err := first.Publish(2, []byte("word")); err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range []*peer{b, c} {
+	for _, p := range []*peer{second, third} {
 		n := await(t, p.updates, "the word", func(n Update) bool { return n.Origin == "a" && string(n.Payload) == "word" })
-		if n.Kind != 2 || n.Start != a.start || n.Seq != 1 || n.Age > 2*time.Second {
+		if n.Kind != 2 || n.Start != first.start || n.Seq != 1 || n.Age > 2*time.Second {
 			t.Fatalf("%+v", n)
 		}
 	}
 	// One that comes later is told too.
-	d := start(t, Options{Name: "d", Join: []string{c.Address()}})
-	again := time.NewTicker(a.options.TTL / 2) // a word ends with its age
+	later := start(t, Options{Name: "d", Join: []string{third.Address()}})
+	again := time.NewTicker(first.options.TTL / 2) // a word ends with its age
 	defer again.Stop()
-	for told := false; !told; {
+	for received := false; !received; {
 		select {
-		case n := <-d.updates:
-			told = n.Origin == "a" && string(n.Payload) == "word"
+		case n := <-later.updates:
+			received = n.Origin == "a" && string(n.Payload) == "word"
 		case <-again.C:
-			if err := a.Publish(2, []byte("word")); err != nil {
+			if err := first.Publish(2, []byte("word")); err != nil {
 				t.Fatal(err)
 			}
 		case <-t.Context().Done():
@@ -153,25 +153,25 @@
 		}
 	}
 
-	before := a.View()
-	b.Close()
-	v := await(t, a.views, "the farewell", func(v View) bool { return !slices.Contains(v.Names, "b") })
+	before := first.View()
+	second.Close()
+	v := await(t, first.views, "the farewell", func(v View) bool { return !slices.Contains(v.Names, "b") })
 	if v.Epoch <= before.Epoch {
 		t.Fatal("the epoch did not rise")
 	}
-	awaitSameView(t, 3, a, c, d)
-	if a.Publish(MaxKinds, nil) == nil || a.Publish(0, make([]byte, MaxPayloadBytes+1)) == nil {
+	awaitSameView(t, 3, first, third, later)
+	if first.Publish(MaxKinds, nil) == nil || first.Publish(0, make([]byte, MaxPayloadBytes+1)) == nil {
 		t.Fatal("over the bounds")
 	}
 }
 
 // Old and new process of an upgrade are one member, also at one address, and the old one's farewell leaves the new one in.
 func TestUpgradeIsOneMember(t *testing.T) {
-	a := start(t, Options{Name: "a"})
-	old := start(t, Options{Name: "b", Join: []string{a.Address()}})
-	awaitSameView(t, 2, a, old)
-	before := a.View()
-	next := start(t, Options{Name: "b", Listen: old.Address(), Join: []string{a.Address()}})
+	other := start(t, Options{Name: "a"})
+	old := start(t, Options{Name: "b", Join: []string{other.Address()}})
+	awaitSameView(t, 2, other, old)
+	before := other.View()
+	next := start(t, Options{Name: "b", Listen: old.Address(), Join: []string{other.Address()}})
 	if next.Address() != "" {
 		t.Fatal("both listen")
 	}
@@ -180,24 +180,24 @@
 	if err := next.Publish(0, []byte("new")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, a.updates, "the new one's word", func(n Update) bool { return n.Start == next.start })
-	side := start(t, Options{Name: "b", Join: []string{a.Address()}}) // side by side
+	await(t, other.updates, "the new one's word", func(n Update) bool { return n.Start == next.start })
+	side := start(t, Options{Name: "b", Join: []string{other.Address()}}) // side by side
 	if err := side.Publish(0, []byte("newer")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, a.updates, "the newer one's word", func(n Update) bool { return n.Start == side.start })
+	await(t, other.updates, "the newer one's word", func(n Update) bool { return n.Start == side.start })
 	next.Close()
-	if v := a.View(); v.Count != 2 || v.Names[v.Index] != "a" {
+	if v := other.View(); v.Count != 2 || v.Names[v.Index] != "a" {
 		t.Fatalf("%+v then %+v", before, v)
 	}
-	for len(a.views) > 0 {
-		if v := <-a.views; v.Count != 2 && v.Epoch > before.Epoch {
+	for len(other.views) > 0 {
+		if v := <-other.views; v.Count != 2 && v.Epoch > before.Epoch {
 			t.Fatalf("%+v", v)
 		}
 	}
 	// That is how it ends when nobody follows.
 	side.Close()
-	await(t, a.views, "that b is gone", func(v View) bool { return v.Count == 1 })
+	await(t, other.views, "that b is gone", func(v View) bool { return v.Count == 1 })
 }
 
 // Peers advertise an address where nobody listens: only the host at which they are reached leads to them, also for acks.
@@ -258,34 +258,34 @@
 
 // One that is stopped is out in time; when it wakes it comes back, and nothing that it said before is believed.
 func TestStoppedProcessWakes(t *testing.T) {
-	a := start(t, Options{Name: "a"})
-	c, _ := startProcess(t, "b", a.Address())
-	startProcess(t, "c", a.Address())
+	watcher := start(t, Options{Name: "a"})
+	stoppable, _ := startProcess(t, "b", watcher.Address())
+	startProcess(t, "c", watcher.Address())
 	var last uint64
-	await(t, a.updates, "news of c", func(n Update) bool { return n.Origin == "c" })
-	await(t, a.updates, "news of b", func(n Update) bool { last = n.Seq; return n.Origin == "b" && n.Seq > 5 })
+	await(t, watcher.updates, "news of c", func(n Update) bool { return n.Origin == "c" })
+	await(t, watcher.updates, "news of b", func(n Update) bool { last = n.Seq; return n.Origin == "b" && n.Seq > 5 })
 	stopped := time.Now()
-	if err := c.Process.Signal(syscall.SIGSTOP); err != nil {
+	if err := stoppable.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	await(t, a.views, "that b is gone", func(v View) bool { return v.Count == 2 && time.Since(stopped) > 100*time.Millisecond })
+	await(t, watcher.views, "that b is gone", func(v View) bool { return v.Count == 2 && time.Since(stopped) > 100*time.Millisecond })
 	if took := time.Since(stopped); took > 4*time.Second {
 		t.Errorf("known after %v", took)
 	}
-	for len(a.updates) > 0 {
-		if n := <-a.updates; n.Origin == "b" {
+	for len(watcher.updates) > 0 {
+		if n := <-watcher.updates; n.Origin == "b" {
 			last = max(last, n.Seq)
 		}
 	}
-	time.Sleep(time.Until(stopped.Add(a.options.TTL + time.Second))) // the test is of age
-	if err := c.Process.Signal(syscall.SIGCONT); err != nil {
+	time.Sleep(time.Until(stopped.Add(watcher.options.TTL + time.Second))) // the test is of age
+	if err := stoppable.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	n := await(t, a.updates, "news of b again", func(n Update) bool { return n.Origin == "b" })
-	if n.Seq <= last || n.Age > a.options.TTL {
+	n := await(t, watcher.updates, "news of b again", func(n Update) bool { return n.Origin == "b" })
+	if n.Seq <= last || n.Age > watcher.options.TTL {
 		t.Fatalf("%+v after %d", n, last)
 	}
-	await(t, a.views, "that b is back", func(v View) bool { return v.Count == 3 })
+	await(t, watcher.views, "that b is back", func(v View) bool { return v.Count == 3 })
 }
 
 func TestBadOptions(t *testing.T) {
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -25,23 +25,23 @@
 const networkStep = 10 * time.Millisecond
 
 func newSimulatedNetwork(t *testing.T, n int, loss float64) *simulatedNetwork {
-	a := &simulatedNetwork{all: map[string]*Members{}, asks: make([]time.Duration, n), loss: loss}
+	network := &simulatedNetwork{all: map[string]*Members{}, asks: make([]time.Duration, n), loss: loss}
 	for i := range n {
 		m, err := New(Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.all[fmt.Sprintf("127.0.0.1:%d", i+1)] = m
-		a.list = append(a.list, m)
-		a.asks[i] = rand.N(busyExchangeInterval)
+		network.all[fmt.Sprintf("127.0.0.1:%d", i+1)] = m
+		network.list = append(network.list, m)
+		network.asks[i] = rand.N(busyExchangeInterval)
 	}
-	for _, m := range a.list {
-		for i, o := range a.list {
+	for _, m := range network.list {
+		for i, o := range network.list {
 			m.NotifyJoin(&memberlist.Node{Name: o.ownNode, Addr: net.IPv4(127, 0, 0, 1), Port: uint16(i + 1)})
 		}
 		m.turn(true)
 	}
-	return a
+	return network
 }
 
 // carry brings packets to a peer, and what it answers back.
@@ -62,12 +62,12 @@
 
 // step has all ask whose time it is, and gossip every gossipInterval.
 func (a *simulatedNetwork) step(now time.Duration) {
-	for i, m := range a.list {
-		for _, f := range m.releaseDelayed() {
-			m.queueFrame(f)
+	for i, member := range a.list {
+		for _, f := range member.releaseDelayed() {
+			member.queueFrame(f)
 		}
 		if now >= a.asks[i] {
-			to, asks, _ := m.nextQuestion()
+			to, asks, _ := member.nextQuestion()
 			a.carry(to, asks)
 			a.asks[i] = now + busyExchangeInterval*3/4 + rand.N(busyExchangeInterval/2)
 		}
@@ -76,8 +76,8 @@
 				continue
 			}
 			to, whole := rand.IntN(len(a.list)), rand.Float64() >= a.loss
-			for _, b := range m.GetBroadcasts(3, 1380) {
-				if a.bytes += len(b); whole && a.list[to] != m {
+			for _, b := range member.GetBroadcasts(3, 1380) {
+				if a.bytes += len(b); whole && a.list[to] != member {
 					a.list[to].NotifyMsg(b)
 				}
 			}
@@ -88,23 +88,23 @@
 // News of all reaches all in time, with 13% of packets lost, also while one tells a hundred times its share: one that holds back
 // itself, and one that does not, which the others cut.
 func TestUpdatesReachAllMembers(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		n             int
 		floods, rogue bool
 	}{{20, false, false}, {100, false, false}, {100, true, false}, {100, true, true}, {300, false, false}} {
-		t.Run(fmt.Sprintf("%d,floods=%v,rogue=%v", tt.n, tt.floods, tt.rogue), func(t *testing.T) {
-			if tt.n > 100 && testing.Short() {
+		t.Run(fmt.Sprintf("%d,floods=%v,rogue=%v", test.n, test.floods, test.rogue), func(t *testing.T) {
+			if test.n > 100 && testing.Short() {
 				t.Skip("long")
 			}
 			synctest.Test(t, func(t *testing.T) {
 				const lasts = 5 * time.Second
-				a := newSimulatedNetwork(t, tt.n, 0.13)
+				network := newSimulatedNetwork(t, test.n, 0.13)
 				ages := hdrhistogram.New(1, 10_000, 3)
-				latest := make([]map[string]time.Time, tt.n)
+				latest := make([]map[string]time.Time, test.n)
 				began, flooded := time.Now(), 0
 				for now := time.Duration(0); now < lasts; now += networkStep {
 					time.Sleep(networkStep)
-					for i, m := range a.list {
+					for i, m := range network.list {
 						if every := time.Second / networkStep; (int(now/networkStep)+i*37)%int(every) < 2 {
 							kind := uint8((int(now/networkStep) + i*37) % int(every))
 							if err := m.Publish(kind, append(binary.BigEndian.AppendUint64(nil, uint64(time.Since(began))), make([]byte, 92+100*int(kind))...)); err != nil {
@@ -113,8 +113,8 @@
 						}
 					}
 					for range 10 {
-						if m := a.list[0]; tt.floods {
-							if tt.rogue {
+						if m := network.list[0]; test.floods {
+							if test.rogue {
 								delete(m.budgets, m.options.Name)
 							}
 							if err := m.Publish(7, append(binary.BigEndian.AppendUint64(nil, uint64(time.Since(began))), make([]byte, MaxPayloadBytes-8)...)); err != nil {
@@ -122,12 +122,12 @@
 							}
 						}
 					}
-					a.step(now)
-					for i, m := range a.list {
+					network.step(now)
+					for i, m := range network.list {
 						if latest[i] == nil {
 							latest[i] = map[string]time.Time{}
 						}
-						for _, w := range m.turn(false).news {
+						for _, w := range m.turn(false).updates {
 							told := began.Add(time.Duration(binary.BigEndian.Uint64(w.Payload)))
 							if w.Kind < 7 {
 								_ = ages.RecordValue(time.Since(told).Milliseconds())
@@ -143,7 +143,7 @@
 				}
 				var sum Counts
 				missing := 0
-				for i, m := range a.list {
+				for i, m := range network.list {
 					c := m.counts
 					sum.Updates, sum.Duplicates, sum.RateLimited, sum.Delayed = sum.Updates+c.Updates, sum.Duplicates+c.Duplicates, sum.RateLimited+c.RateLimited, sum.Delayed+c.Delayed
 					fresh := 0
@@ -152,18 +152,18 @@
 							fresh++
 						}
 					}
-					missing += 2*(tt.n-1) - fresh
+					missing += 2*(test.n-1) - fresh
 				}
 				t.Logf("p50 %d ms, p99 %d ms, most %d ms; told %d, repeats %d, cut %d, held %d; %d of %d hold nothing; %.1f kB/s each",
 					ages.ValueAtQuantile(50), ages.ValueAtQuantile(99), ages.Max(), sum.Updates, sum.Duplicates, sum.RateLimited, sum.Delayed,
-					missing, 2*tt.n*(tt.n-1), float64(a.bytes)/float64(tt.n)/lasts.Seconds()/1000)
-				if p99 := ages.ValueAtQuantile(99); p99 > 1500 || p99 == 0 || missing*1000 > 2*tt.n*tt.n {
+					missing, 2*test.n*(test.n-1), float64(network.bytes)/float64(test.n)/lasts.Seconds()/1000)
+				if p99 := ages.ValueAtQuantile(99); p99 > 1500 || p99 == 0 || missing*1000 > 2*test.n*test.n {
 					t.Errorf("p99 %d ms, %d hold nothing", p99, missing)
 				}
-				if tt.floods && tt.rogue != (sum.RateLimited > 0) || tt.floods && !tt.rogue && sum.Delayed == 0 || !tt.floods && sum.RateLimited+sum.Delayed > 0 {
+				if test.floods && test.rogue != (sum.RateLimited > 0) || test.floods && !test.rogue && sum.Delayed == 0 || !test.floods && sum.RateLimited+sum.Delayed > 0 {
 					t.Errorf("cut %d, held %d", sum.RateLimited, sum.Delayed)
 				}
-				if most := (lasts.Seconds() + burstSeconds) * receiveLenience * originShare(tt.n) / MaxPayloadBytes * float64(tt.n-1); float64(flooded) > most {
+				if most := (lasts.Seconds() + burstSeconds) * receiveLenience * originShare(test.n) / MaxPayloadBytes * float64(test.n-1); float64(flooded) > most {
 					t.Errorf("%d of the flood taken in, over %.0f", flooded, most)
 				}
 			})
@@ -184,15 +184,15 @@
 		f.Add(s.deltas([]frame{held}, time.Second)[0])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := New(Options{Name: "a", Listen: "127.0.0.1:0"})
+		member, err := New(Options{Name: "a", Listen: "127.0.0.1:0"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.NotifyJoin(&memberlist.Node{Name: process{"b", 5}.node(), Addr: net.IPv4(127, 0, 0, 1), Port: 1})
-		m.NotifyMsg(b)
-		m.MergeRemoteState(b, false)
-		for len(m.questions) > 0 {
-			if to, packets := m.answerQuestion(<-m.questions); len(packets) > maxDeltas+1 || to == "" && packets != nil {
+		member.NotifyJoin(&memberlist.Node{Name: process{"b", 5}.node(), Addr: net.IPv4(127, 0, 0, 1), Port: 1})
+		member.NotifyMsg(b)
+		member.MergeRemoteState(b, false)
+		for len(member.questions) > 0 {
+			if to, packets := member.answerQuestion(<-member.questions); len(packets) > maxDeltas+1 || to == "" && packets != nil {
 				t.Fatalf("%d packets to %q", len(packets), to)
 			}
 		}
@@ -208,7 +208,7 @@
 		if q, err := decodeAsk(b); err == nil && (len(q.held) > maxFrameBytes/entrySize || q.part >= q.parts) {
 			t.Fatalf("%+v", q)
 		}
-		for _, held := range m.states.latest {
+		for _, held := range member.states.latest {
 			if held.name != "b" || held.start != 5 {
 				t.Fatalf("%+v of no member is held", held)
 			}
--- a/internal/sidecar/members/updates_benchmark_test.go
+++ b/internal/sidecar/members/updates_benchmark_test.go
@@ -39,43 +39,43 @@
 }
 
 // startFleet starts members in waves, each of which is a quarter of those that are there, and waits until all know all.
-func startFleet(b testing.TB, n int, loss float64) *updateFleet {
-	f := &updateFleet{all: make([]*Members, n), latest: make([][][2]atomic.Int64, n), ages: make([]*hdrhistogram.Histogram, n), under: make([]time.Duration, n)}
+func startFleet(b testing.TB, count int, loss float64) *updateFleet {
+	fleet := &updateFleet{all: make([]*Members, count), latest: make([][][2]atomic.Int64, count), ages: make([]*hdrhistogram.Histogram, count), under: make([]time.Duration, count)}
 	late := time.Now().Add(time.Minute)
-	for i, wave := 0, 0; i < n; i++ {
-		f.latest[i], f.ages[i] = make([][2]atomic.Int64, n), hdrhistogram.New(1, 60_000, 3)
-		o := Options{Name: fmt.Sprintf("sidecar-%d", i), Listen: "127.0.0.1:0"}
-		o.dropPacket = func() bool { return rand.Uint64N(1000) < f.loss.Load() }
-		o.OnUpdate = func(w Update) {
+	for index, wave := 0, 0; index < count; index++ {
+		fleet.latest[index], fleet.ages[index] = make([][2]atomic.Int64, count), hdrhistogram.New(1, 60_000, 3)
+		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0"}
+		options.dropPacket = func() bool { return rand.Uint64N(1000) < fleet.loss.Load() }
+		options.OnUpdate = func(w Update) {
 			told := int64(binary.BigEndian.Uint64(w.Payload))
 			origin, _ := strconv.Atoi(w.Origin[len("sidecar-"):])
-			f.latest[i][origin][w.Kind].Store(told)
+			fleet.latest[index][origin][w.Kind].Store(told)
 			truly := time.Duration(time.Now().UnixNano() - told)
-			f.under[i] = max(f.under[i], truly-w.Age)
-			_ = f.ages[i].RecordValue(truly.Milliseconds())
+			fleet.under[index] = max(fleet.under[index], truly-w.Age)
+			_ = fleet.ages[index].RecordValue(truly.Milliseconds())
 		}
 		for k := range min(3, wave) {
-			o.Join = append(o.Join, f.all[(i+k*wave/3)%wave].Address())
+			options.Join = append(options.Join, fleet.all[(index+k*wave/3)%wave].Address())
 		}
 		var err error
-		if f.all[i], err = New(o); err == nil {
-			err = f.all[i].Start(b.Context())
+		if fleet.all[index], err = New(options); err == nil {
+			err = fleet.all[index].Start(b.Context())
 		}
 		if err != nil {
 			b.Fatal(err)
 		}
-		if wave > 0 && i+1 < n && i < wave+wave/4+4 {
+		if wave > 0 && index+1 < count && index < wave+wave/4+4 {
 			continue
 		}
-		b.Logf("%d members after %v", i+1, time.Since(late.Add(-time.Minute)).Round(time.Millisecond))
-		for wave = i + 1; !f.settled(wave); time.Sleep(10 * time.Millisecond) {
+		b.Logf("%d members after %v", index+1, time.Since(late.Add(-time.Minute)).Round(time.Millisecond))
+		for wave = index + 1; !fleet.settled(wave); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(late) {
 				b.Fatalf("%d members do not know each other", wave)
 			}
 		}
 	}
-	f.loss.Store(uint64(1000 * loss))
-	return f
+	fleet.loss.Store(uint64(1000 * loss))
+	return fleet
 }
 
 func (f *updateFleet) settled(n int) bool {
@@ -109,9 +109,9 @@
 
 // measureUpdates has each member measureUpdates states of two sizes a second for a time, in the middle of which the last one is killed, and reports.
 func (f *updateFleet) measureUpdates(b *testing.B, d time.Duration, sizes ...int) {
-	n := len(f.all)
-	turns := rand.Perm(n)
-	before := make([]Counts, n)
+	count := len(f.all)
+	turns := rand.Perm(count)
+	before := make([]Counts, count)
 	for i, m := range f.all {
 		before[i] = m.Counts()
 	}
@@ -119,14 +119,14 @@
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &from)
 	began, dead := time.Now(), false
 	pairs, stale, views := 0, 0, 0
-	tick := time.NewTicker(time.Second / time.Duration(len(sizes)*n))
+	tick := time.NewTicker(time.Second / time.Duration(len(sizes)*count))
 	look := time.NewTicker(250 * time.Millisecond)
 	for i := 0; time.Since(began) < d; {
 		select {
 		case <-tick.C:
-			for ; i < int(time.Since(began).Seconds()*float64(len(sizes)*n)); i++ { // ticks get lost
-				who, kind := turns[i/len(sizes)%n], i%len(sizes)
-				if who == n-1 && dead {
+			for ; i < int(time.Since(began).Seconds()*float64(len(sizes)*count)); i++ { // ticks get lost
+				who, kind := turns[i/len(sizes)%count], i%len(sizes)
+				if who == count-1 && dead {
 					continue
 				}
 				text := binary.BigEndian.AppendUint64(nil, uint64(time.Now().UnixNano()))
@@ -137,17 +137,17 @@
 		case <-look.C:
 			if !dead && time.Since(began) > d/2 {
 				dead = true
-				f.all[n-1].kill()
+				f.all[count-1].kill()
 			}
 			if time.Since(began) < 3*time.Second {
 				continue
 			}
 			least := time.Now().Add(-DefaultTTL).UnixNano()
-			for i := range n - 1 {
-				if f.all[i].View().Count < n-1 {
+			for i := range count - 1 {
+				if f.all[i].View().Count < count-1 {
 					views++
 				}
-				for o := range n - 1 {
+				for o := range count - 1 {
 					for kind := range sizes {
 						if pairs++; o != i && f.latest[i][o][kind].Load() < least {
 							stale++
@@ -160,10 +160,10 @@
 	tick.Stop()
 	look.Stop()
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &to)
-	h := hdrhistogram.New(1, 60_000, 3)
+	merged := hdrhistogram.New(1, 60_000, 3)
 	var sum, most Counts
 	var under time.Duration
-	for i, m := range f.all[:n-1] {
+	for i, m := range f.all[:count-1] {
 		c := m.Counts()
 		sum.PacketsSent += c.PacketsSent - before[i].PacketsSent
 		sum.BytesSent += c.BytesSent - before[i].BytesSent
@@ -175,14 +175,14 @@
 		sum.Delayed += c.Delayed
 		sum.SendLimited += c.SendLimited
 		under = max(under, f.under[i])
-		h.Merge(f.ages[i]) // the last news may come beside it: of no account
+		merged.Merge(f.ages[i]) // the last news may come beside it: of no account
 	}
 	seconds := d.Seconds()
-	each := float64(n-1) * seconds
+	each := float64(count-1) * seconds
 	cpu := time.Duration(to.Utime.Nano() + to.Stime.Nano() - from.Utime.Nano() - from.Stime.Nano()).Seconds()
-	b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50_ms")
-	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99_ms")
-	b.ReportMetric(float64(h.Max()), "max_ms")
+	b.ReportMetric(float64(merged.ValueAtQuantile(50)), "p50_ms")
+	b.ReportMetric(float64(merged.ValueAtQuantile(99)), "p99_ms")
+	b.ReportMetric(float64(merged.Max()), "max_ms")
 	b.ReportMetric(float64(under.Milliseconds()), "under_ms")
 	b.ReportMetric(1e6*float64(stale)/float64(pairs), "stale_ppm")
 	b.ReportMetric(float64(sum.Updates)/each, "told/s")
@@ -192,5 +192,5 @@
 	b.ReportMetric(float64(most.BytesSent)/seconds/1000, "most_kB/s")
 	b.ReportMetric(100*cpu/each, "cpu%")
 	b.ReportMetric(0, "ns/op")
-	b.Logf("%d members: old %d, cut %d, held %d, short %d, incomplete views %d", n, sum.Expired, sum.RateLimited, sum.Delayed, sum.SendLimited, views)
+	b.Logf("%d members: old %d, cut %d, held %d, short %d, incomplete views %d", count, sum.Expired, sum.RateLimited, sum.Delayed, sum.SendLimited, views)
 }
