--- a/internal/sidecar/members/members_test.go
+++ b/internal/sidecar/members/members_test.go
@@ -98,7 +98,7 @@
 		for _, p := range peers {
 			v := p.View()
 			for v.Count != count || v.Epoch < epoch {
-				v = await(t, p.views, fmt.Sprintf("%d members at %s", count, p.options.Name), func(v View) bool { return v.Count == count && v.Epoch >= epoch })
+				await(t, p.views, fmt.Sprintf("%d members at %s", count, p.options.Name), func(v View) bool { return v.Count == count && v.Epoch >= epoch })
 				v = p.View()
 			}
 			if v.Epoch > epoch {
@@ -111,6 +111,27 @@
 	}
 }
 
+// publishUntilReceived publishes a payload again and again, since it is dropped after its TTL, until a peer has received it.
+func publishUntilReceived(t *testing.T, origin, receiver *peer, payload string) {
+	t.Helper()
+	again := time.NewTicker(origin.options.TTL / 2)
+	defer again.Stop()
+	for {
+		select {
+		case update := <-receiver.updates:
+			if update.Origin == origin.options.Name && string(update.Payload) == payload {
+				return
+			}
+		case <-again.C:
+			if err := origin.Publish(2, []byte(payload)); err != nil {
+				t.Fatal(err)
+			}
+		case <-t.Context().Done():
+			t.Fatal("not received")
+		}
+	}
+}
+
 func TestMembersLearnOfEachOther(t *testing.T) {
 	first := start(t, Options{Name: "a"})
 	second := start(t, Options{Name: "b", Join: []string{first.Address()}})
@@ -138,20 +159,7 @@
 	}
 	// One that comes later is told too.
 	later := start(t, Options{Name: "d", Join: []string{third.Address()}})
-	again := time.NewTicker(first.options.TTL / 2) // a word ends with its age
-	defer again.Stop()
-	for received := false; !received; {
-		select {
-		case n := <-later.updates:
-			received = n.Origin == "a" && string(n.Payload) == "word"
-		case <-again.C:
-			if err := first.Publish(2, []byte("word")); err != nil {
-				t.Fatal(err)
-			}
-		case <-t.Context().Done():
-			t.Fatal("not told")
-		}
-	}
+	publishUntilReceived(t, first, later, "word")
 
 	before := first.View()
 	second.Close()
@@ -227,10 +235,11 @@
 	}
 }
 
-// process starts a member as a process and returns where it listens.
-func startProcess(t *testing.T, name, join string) (*exec.Cmd, string) {
+// startProcess starts a member as a process and waits until it listens.
+func startProcess(t *testing.T, name, join string) *exec.Cmd {
 	t.Helper()
-	c := exec.Command(os.Args[0], "-test.run=^$")
+	// The test's own context ends before the cleanup, which lets the process leave by itself.
+	c := exec.CommandContext(context.Background(), os.Args[0], "-test.run=^$")
 	c.Env = append(os.Environ(), "MEMBER_NAME="+name, "MEMBER_JOIN="+join)
 	c.Stderr = os.Stderr
 	in, err := c.StdinPipe()
@@ -253,13 +262,13 @@
 	if _, err := fmt.Fscanln(out, &address); err != nil {
 		t.Fatal(err)
 	}
-	return c, address
+	return c
 }
 
 // One that is stopped is out in time; when it wakes it comes back, and nothing that it said before is believed.
 func TestStoppedProcessWakes(t *testing.T) {
 	watcher := start(t, Options{Name: "a"})
-	stoppable, _ := startProcess(t, "b", watcher.Address())
+	stoppable := startProcess(t, "b", watcher.Address())
 	startProcess(t, "c", watcher.Address())
 	var last uint64
 	await(t, watcher.updates, "news of c", func(n Update) bool { return n.Origin == "c" })
--- a/internal/sidecar/members/model_test.go
+++ b/internal/sidecar/members/model_test.go
@@ -145,6 +145,22 @@
 	})
 }
 
+// checkDecodedUpdate checks that an update that was decoded from b is within the bounds, decodes again to the same, and does not
+// decode from a truncated frame.
+func checkDecodedUpdate(t *testing.T, b []byte, update frame) {
+	t.Helper()
+	if len(update.payload) > MaxPayloadBytes || len(update.name) > MaxNameBytes || update.kind >= MaxKinds || update.madeAt < 0 {
+		t.Fatalf("%+v", update)
+	}
+	again, err := decodeUpdate(update.encode())
+	if err != nil || !reflect.DeepEqual(update, again) {
+		t.Fatalf("%+v then %+v, %v", update, again, err)
+	}
+	if _, err := decodeUpdate(b[:len(b)-1]); err == nil {
+		t.Fatal("a truncated frame is decoded")
+	}
+}
+
 // What is read is what was written, and nothing else is read.
 func FuzzFrames(f *testing.F) {
 	seed := frame{name: "a", kind: 1, start: 5, seq: 300, madeAt: time.Second, forwardedAge: 1500 * time.Microsecond, payload: []byte("xyz")}
@@ -156,17 +172,8 @@
 		f.Fatal("an age changes the length")
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if n, err := decodeUpdate(b); err == nil {
-			if len(n.payload) > MaxPayloadBytes || len(n.name) > MaxNameBytes || n.kind >= MaxKinds || n.madeAt < 0 {
-				t.Fatalf("%+v", n)
-			}
-			again, err := decodeUpdate(n.encode())
-			if err != nil || !reflect.DeepEqual(n, again) {
-				t.Fatalf("%+v then %+v, %v", n, again, err)
-			}
-			if _, err := decodeUpdate(b[:len(b)-1]); err == nil {
-				t.Fatal("a torn one is read")
-			}
+		if update, err := decodeUpdate(b); err == nil {
+			checkDecodedUpdate(t, b, update)
 		}
 		if c, err := decodeClaim(b); err == nil && !bytes.Equal(c.encode(), b) {
 			t.Fatal(c)
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -171,6 +171,28 @@
 	}
 }
 
+// checkAnswers checks that a member answers its queued questions with a bounded number of packets, and to members only.
+func checkAnswers(t *testing.T, member *Members) {
+	t.Helper()
+	for len(member.questions) > 0 {
+		if to, packets := member.answerQuestion(<-member.questions); len(packets) > maxDeltas+1 || to == "" && packets != nil {
+			t.Fatalf("%d packets to %q", len(packets), to)
+		}
+	}
+}
+
+// checkDecodedWants checks that decoded wants decode to the same when they are encoded again.
+func checkDecodedWants(t *testing.T, w *wants) {
+	t.Helper()
+	var names []uint32
+	for name := range w.names {
+		names = append(names, name)
+	}
+	if again, err := decodeWants(encodeWants(w.wanter, w.salt, names)); err != nil || again.wanter != w.wanter || len(again.names) != len(names) {
+		t.Fatalf("%+v, then %+v, %v", w, again, err)
+	}
+}
+
 // Whatever a stranger sends is read or refused, and what is read is what was written.
 func FuzzExchange(f *testing.F) {
 	s := newStates()
@@ -191,19 +213,9 @@
 		member.NotifyJoin(&memberlist.Node{Name: process{"b", 5}.node(), Addr: net.IPv4(127, 0, 0, 1), Port: 1})
 		member.NotifyMsg(b)
 		member.MergeRemoteState(b, false)
-		for len(member.questions) > 0 {
-			if to, packets := member.answerQuestion(<-member.questions); len(packets) > maxDeltas+1 || to == "" && packets != nil {
-				t.Fatalf("%d packets to %q", len(packets), to)
-			}
-		}
+		checkAnswers(t, member)
 		if w, err := decodeWants(b); err == nil {
-			var names []uint32
-			for name := range w.names {
-				names = append(names, name)
-			}
-			if again, err := decodeWants(encodeWants(w.wanter, w.salt, names)); err != nil || again.wanter != w.wanter || len(again.names) != len(names) {
-				t.Fatalf("%+v, then %+v, %v", w, again, err)
-			}
+			checkDecodedWants(t, w)
 		}
 		if q, err := decodeAsk(b); err == nil && (len(q.held) > maxFrameBytes/entrySize || q.part >= q.parts) {
 			t.Fatalf("%+v", q)
