--- a/internal/sidecar/members/model_test.go
+++ b/internal/sidecar/members/model_test.go
@@ -59,89 +59,120 @@
 	})
 }
 
-// The invariants of epochs, over drawn changes of sets, losses, repeats and orders.
-func TestEpochsAgree(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		const members = 5
-		all := make([]epochs, members)
-		sets := make([]uint32, members)
-		calls := map[uint64]uint32{} // what an epoch stands for
-		last := make([]uint64, members)
-		var air []claim
-		look := func(i int, changed bool) {
-			e := all[i].own.epoch()
-			if e < last[i] || changed && e == last[i] {
-				t.Fatalf("member %d: epoch %x after %x", i, e, last[i])
-			}
-			if set, known := calls[e]; known && set != sets[i] {
-				t.Fatalf("epoch %x stands for %d and %d", e, set, sets[i])
-			}
-			calls[e], last[i] = sets[i], e
-			if len(all[i].claims) > maxClaims {
-				t.Fatal("unbounded")
-			}
-		}
-		become := func(i int, set uint32) {
-			changed := set != sets[i]
-			sets[i] = set
-			if all[i].adoptSet(set) {
-				air = append(air, all[i].own)
-			}
-			look(i, changed)
-		}
-		for i := range all {
-			sets[i] = 999
-			become(i, uint32(1000+i)) // each alone
-		}
-		for range rapid.IntRange(0, 80).Draw(t, "steps") {
-			i := rapid.IntRange(0, members-1).Draw(t, "member")
-			if rapid.Bool().Draw(t, "change") {
-				become(i, rapid.Uint32Range(1, 64).Draw(t, "set"))
-			} else { // from the air, where it stays: repeats and any order
-				if all[i].receiveClaim(air[rapid.IntRange(0, len(air)-1).Draw(t, "claim")]) && rapid.Bool().Draw(t, "kept") {
-					air = append(air, all[i].own)
-				}
-				look(i, false)
-			}
-		}
-		for i := range all {
-			become(i, 7) // sets rest
-		}
-		// What was said goes round, and comes to rest.
-		passed := 0
-		for moving := true; moving; {
-			moving = false
-			for i := range all {
-				for _, c := range air {
-					if all[i].receiveClaim(c) {
-						moving = true
-						if passed++; passed > members*(len(air)+1) {
-							t.Fatal("claims go round for ever")
-						}
-					}
+// epochModel is some members' epochs, and the claims that travel between them.
+type epochModel struct {
+	t          *rapid.T
+	members    []epochs
+	sets       []uint32          // the set that each member sees
+	setByEpoch map[uint64]uint32 // what an epoch stands for
+	lastEpochs []uint64
+	claims     []claim // all that were sent: each may arrive again, in any order
+}
+
+// checkMember checks that a member's epoch did not go down, rose if its set changed, and stands for one set.
+func (m *epochModel) checkMember(i int, changed bool) {
+	epoch := m.members[i].own.epoch()
+	if epoch < m.lastEpochs[i] || changed && epoch == m.lastEpochs[i] {
+		m.t.Fatalf("member %d: epoch %x after %x", i, epoch, m.lastEpochs[i])
+	}
+	if set, known := m.setByEpoch[epoch]; known && set != m.sets[i] {
+		m.t.Fatalf("epoch %x stands for %d and %d", epoch, set, m.sets[i])
+	}
+	m.setByEpoch[epoch], m.lastEpochs[i] = m.sets[i], epoch
+	if len(m.members[i].claims) > maxClaims {
+		m.t.Fatal("unbounded")
+	}
+}
+
+// changeSet has a member see a set.
+func (m *epochModel) changeSet(i int, set uint32) {
+	changed := set != m.sets[i]
+	m.sets[i] = set
+	if m.members[i].adoptSet(set) {
+		m.claims = append(m.claims, m.members[i].own)
+	}
+	m.checkMember(i, changed)
+}
+
+// step has a drawn member see a drawn set, or receive a drawn claim.
+func (m *epochModel) step() {
+	i := rapid.IntRange(0, len(m.members)-1).Draw(m.t, "member")
+	if rapid.Bool().Draw(m.t, "change") {
+		m.changeSet(i, rapid.Uint32Range(1, 64).Draw(m.t, "set"))
+		return
+	}
+	received := m.claims[rapid.IntRange(0, len(m.claims)-1).Draw(m.t, "claim")]
+	if m.members[i].receiveClaim(received) && rapid.Bool().Draw(m.t, "kept") {
+		m.claims = append(m.claims, m.members[i].own)
+	}
+	m.checkMember(i, false)
+}
+
+// deliverAll delivers all claims to all members until none is new, which has to come to an end.
+func (m *epochModel) deliverAll() {
+	forwarded := 0
+	for moving := true; moving; {
+		moving = false
+		for i := range m.members {
+			for _, c := range m.claims {
+				if !m.members[i].receiveClaim(c) {
+					continue
 				}
-			}
-		}
-		var most uint32
-		for range 2 { // each hears what all hold: the exchange
-			for i := range all {
-				for j := range all {
-					for _, c := range all[j].storedClaims() {
-						all[i].receiveClaim(c)
-					}
+				moving = true
+				if forwarded++; forwarded > len(m.members)*(len(m.claims)+1) {
+					m.t.Fatal("claims go round for ever")
 				}
-				look(i, false)
 			}
 		}
-		for i := range all {
-			most = max(most, all[i].own.count)
-			if all[i].own != all[0].own {
-				t.Fatalf("%v and %v after all were heard", all[i].own, all[0].own)
+	}
+}
+
+// exchangeAll has each member receive what all have stored.
+func (m *epochModel) exchangeAll() {
+	for i := range m.members {
+		for j := range m.members {
+			for _, c := range m.members[j].storedClaims() {
+				m.members[i].receiveClaim(c)
 			}
 		}
-		if most > uint32(members+80+members) {
-			t.Fatalf("count %d for %d changes at most", most, members+80+members)
+		m.checkMember(i, false)
+	}
+}
+
+// checkAgreement checks that all have the same claim, with a count that so many changes can have caused.
+func (m *epochModel) checkAgreement(maxChanges int) {
+	var highest uint32
+	for i := range m.members {
+		highest = max(highest, m.members[i].own.count)
+		if m.members[i].own != m.members[0].own {
+			m.t.Fatalf("%v and %v after all were heard", m.members[i].own, m.members[0].own)
 		}
+	}
+	if highest > uint32(maxChanges) {
+		m.t.Fatalf("count %d for %d changes at most", highest, maxChanges)
+	}
+}
+
+// The invariants of epochs, over drawn changes of sets, losses, repeats and orders.
+func TestEpochsAgree(t *testing.T) {
+	const members, maxSteps = 5, 80
+	rapid.Check(t, func(t *rapid.T) {
+		model := &epochModel{t: t, members: make([]epochs, members), sets: make([]uint32, members), setByEpoch: map[uint64]uint32{},
+			lastEpochs: make([]uint64, members)}
+		for i := range members {
+			model.sets[i] = 999
+			model.changeSet(i, uint32(1000+i)) // each alone
+		}
+		for range rapid.IntRange(0, maxSteps).Draw(t, "steps") {
+			model.step()
+		}
+		for i := range members {
+			model.changeSet(i, 7) // the sets change no more
+		}
+		model.deliverAll()
+		model.exchangeAll()
+		model.exchangeAll()
+		model.checkAgreement(members + maxSteps + members)
 	})
 }
 
