--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -85,87 +85,165 @@
 	}
 }
 
-// News of all reaches all in time, with 13% of packets lost, also while one tells a hundred times its share: one that holds back
-// itself, and one that does not, which the others cut.
+const (
+	spreadDuration = 5 * time.Second
+	floodKind      = 7 // the kind of the states that one member floods the others with
+)
+
+// spreadRun is a run of TestUpdatesReachAllMembers: all members publish, and what each receives is counted.
+type spreadRun struct {
+	count         int  // of members
+	floods, rogue bool // the first member publishes a hundred times its share; and does not limit itself
+
+	network *simulatedNetwork
+	ages    *hdrhistogram.Histogram // milliseconds from publish to notification
+	latest  []map[string]time.Time  // by receiver, and by origin and kind: when the newest received state was published
+	began   time.Time
+	flooded int // states of the flood that were accepted
+}
+
+// publish publishes a state of a size, which says when it was published.
+func (run *spreadRun) publish(t *testing.T, m *Members, kind uint8, size int) {
+	t.Helper()
+	payload := append(binary.BigEndian.AppendUint64(nil, uint64(time.Since(run.began))), make([]byte, size-8)...)
+	if err := m.Publish(kind, payload); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// publishAll has each member publish two states a second, of 100 and 200 bytes, at steps of its own.
+func (run *spreadRun) publishAll(t *testing.T, now time.Duration) {
+	t.Helper()
+	const stepsPerSecond = int(time.Second / networkStep)
+	for i, m := range run.network.list {
+		if kind := (int(now/networkStep) + i*37) % stepsPerSecond; kind < 2 {
+			run.publish(t, m, uint8(kind), 100+100*kind)
+		}
+	}
+}
+
+// flood has the first member publish states of the largest size.
+func (run *spreadRun) flood(t *testing.T) {
+	t.Helper()
+	m := run.network.list[0]
+	for range 10 {
+		if run.rogue {
+			delete(m.budgets, m.options.Name)
+		}
+		run.publish(t, m, floodKind, MaxPayloadBytes)
+	}
+}
+
+// receiveAll takes what each member would be notified of, and checks its age.
+func (run *spreadRun) receiveAll(t *testing.T) {
+	t.Helper()
+	for i, m := range run.network.list {
+		for _, update := range m.turn(false).updates {
+			published := run.began.Add(time.Duration(binary.BigEndian.Uint64(update.Payload)))
+			if update.Kind < floodKind {
+				_ = run.ages.RecordValue(time.Since(published).Milliseconds())
+				run.latest[i][fmt.Sprint(update.Origin, update.Kind)] = published
+			} else {
+				run.flooded++
+			}
+			if age := time.Since(published); update.Age > age+time.Millisecond*20 || update.Age > DefaultTTL {
+				t.Fatalf("%v old, said to be %v", age, update.Age)
+			}
+		}
+	}
+}
+
+// missing counts the states of all members that a receiver has not received within the TTL.
+func (run *spreadRun) missing() int {
+	missing := 0
+	for _, latest := range run.latest {
+		missing += 2 * (run.count - 1)
+		for _, published := range latest {
+			if time.Since(published) <= DefaultTTL {
+				missing--
+			}
+		}
+	}
+	return missing
+}
+
+// sumCounts adds up the members' counts.
+func (run *spreadRun) sumCounts() (sum Counts) {
+	for _, m := range run.network.list {
+		sum.Updates += m.counts.Updates
+		sum.Duplicates += m.counts.Duplicates
+		sum.RateLimited += m.counts.RateLimited
+		sum.Delayed += m.counts.Delayed
+	}
+	return sum
+}
+
+// check checks what was received in the whole run.
+func (run *spreadRun) check(t *testing.T) {
+	t.Helper()
+	sum, missing, n := run.sumCounts(), run.missing(), run.count
+	t.Logf("p50 %d ms, p99 %d ms, max %d ms; updates %d, duplicates %d, rate limited %d, delayed %d; %d of %d missing; %.1f kB/s each",
+		run.ages.ValueAtQuantile(50), run.ages.ValueAtQuantile(99), run.ages.Max(), sum.Updates, sum.Duplicates, sum.RateLimited, sum.Delayed,
+		missing, 2*n*(n-1), float64(run.network.bytes)/float64(n)/spreadDuration.Seconds()/1000)
+	if p99 := run.ages.ValueAtQuantile(99); p99 > 1500 || p99 == 0 || missing*1000 > 2*n*n {
+		t.Errorf("p99 %d ms, %d missing", p99, missing)
+	}
+	run.checkLimits(t, sum)
+}
+
+// checkLimits checks who limited the flood: its origin, or the others where it is a rogue; and that nothing else was limited.
+func (run *spreadRun) checkLimits(t *testing.T, sum Counts) {
+	t.Helper()
+	switch {
+	case !run.floods && sum.RateLimited+sum.Delayed > 0,
+		run.floods && run.rogue != (sum.RateLimited > 0),
+		run.floods && !run.rogue && sum.Delayed == 0:
+		t.Errorf("rate limited %d, delayed %d", sum.RateLimited, sum.Delayed)
+	}
+	maxFlooded := (spreadDuration.Seconds() + burstSeconds) * receiveLenience * originShare(run.count) / MaxPayloadBytes * float64(run.count-1)
+	if float64(run.flooded) > maxFlooded {
+		t.Errorf("%d of the flood accepted, over %.0f", run.flooded, maxFlooded)
+	}
+}
+
+// play runs the members for spreadDuration.
+func (run *spreadRun) play(t *testing.T) {
+	t.Helper()
+	run.network = newSimulatedNetwork(t, run.count, 0.13)
+	run.ages = hdrhistogram.New(1, 10_000, 3)
+	run.latest = make([]map[string]time.Time, run.count)
+	for i := range run.latest {
+		run.latest[i] = map[string]time.Time{}
+	}
+	run.began = time.Now()
+	for now := time.Duration(0); now < spreadDuration; now += networkStep {
+		time.Sleep(networkStep)
+		run.publishAll(t, now)
+		if run.floods {
+			run.flood(t)
+		}
+		run.network.step(now)
+		run.receiveAll(t)
+	}
+}
+
+// Updates of all members reach all in time, with 13% of packets lost, also while one publishes a hundred times its share: one that
+// limits itself, and one that does not, which the others limit.
 func TestUpdatesReachAllMembers(t *testing.T) {
-	for _, test := range []struct {
-		n             int
-		floods, rogue bool
-	}{{20, false, false}, {100, false, false}, {100, true, false}, {100, true, true}, {300, false, false}} {
-		t.Run(fmt.Sprintf("%d,floods=%v,rogue=%v", test.n, test.floods, test.rogue), func(t *testing.T) {
-			if test.n > 100 && testing.Short() {
+	for _, run := range []spreadRun{
+		{count: 20},
+		{count: 100},
+		{count: 100, floods: true},
+		{count: 100, floods: true, rogue: true},
+		{count: 300},
+	} {
+		t.Run(fmt.Sprintf("%d,floods=%v,rogue=%v", run.count, run.floods, run.rogue), func(t *testing.T) {
+			if run.count > 100 && testing.Short() {
 				t.Skip("long")
 			}
 			synctest.Test(t, func(t *testing.T) {
-				const lasts = 5 * time.Second
-				network := newSimulatedNetwork(t, test.n, 0.13)
-				ages := hdrhistogram.New(1, 10_000, 3)
-				latest := make([]map[string]time.Time, test.n)
-				began, flooded := time.Now(), 0
-				for now := time.Duration(0); now < lasts; now += networkStep {
-					time.Sleep(networkStep)
-					for i, m := range network.list {
-						if every := time.Second / networkStep; (int(now/networkStep)+i*37)%int(every) < 2 {
-							kind := uint8((int(now/networkStep) + i*37) % int(every))
-							if err := m.Publish(kind, append(binary.BigEndian.AppendUint64(nil, uint64(time.Since(began))), make([]byte, 92+100*int(kind))...)); err != nil {
-								t.Fatal(err)
-							}
-						}
-					}
-					for range 10 {
-						if m := network.list[0]; test.floods {
-							if test.rogue {
-								delete(m.budgets, m.options.Name)
-							}
-							if err := m.Publish(7, append(binary.BigEndian.AppendUint64(nil, uint64(time.Since(began))), make([]byte, MaxPayloadBytes-8)...)); err != nil {
-								t.Fatal(err)
-							}
-						}
-					}
-					network.step(now)
-					for i, m := range network.list {
-						if latest[i] == nil {
-							latest[i] = map[string]time.Time{}
-						}
-						for _, w := range m.turn(false).updates {
-							told := began.Add(time.Duration(binary.BigEndian.Uint64(w.Payload)))
-							if w.Kind < 7 {
-								_ = ages.RecordValue(time.Since(told).Milliseconds())
-								latest[i][fmt.Sprint(w.Origin, w.Kind)] = told
-							} else {
-								flooded++
-							}
-							if age := time.Since(told); w.Age > age+time.Millisecond*20 || w.Age > DefaultTTL {
-								t.Fatalf("%v old, said to be %v", age, w.Age)
-							}
-						}
-					}
-				}
-				var sum Counts
-				missing := 0
-				for i, m := range network.list {
-					c := m.counts
-					sum.Updates, sum.Duplicates, sum.RateLimited, sum.Delayed = sum.Updates+c.Updates, sum.Duplicates+c.Duplicates, sum.RateLimited+c.RateLimited, sum.Delayed+c.Delayed
-					fresh := 0
-					for _, told := range latest[i] {
-						if time.Since(told) <= DefaultTTL {
-							fresh++
-						}
-					}
-					missing += 2*(test.n-1) - fresh
-				}
-				t.Logf("p50 %d ms, p99 %d ms, most %d ms; told %d, repeats %d, cut %d, held %d; %d of %d hold nothing; %.1f kB/s each",
-					ages.ValueAtQuantile(50), ages.ValueAtQuantile(99), ages.Max(), sum.Updates, sum.Duplicates, sum.RateLimited, sum.Delayed,
-					missing, 2*test.n*(test.n-1), float64(network.bytes)/float64(test.n)/lasts.Seconds()/1000)
-				if p99 := ages.ValueAtQuantile(99); p99 > 1500 || p99 == 0 || missing*1000 > 2*test.n*test.n {
-					t.Errorf("p99 %d ms, %d hold nothing", p99, missing)
-				}
-				if test.floods && test.rogue != (sum.RateLimited > 0) || test.floods && !test.rogue && sum.Delayed == 0 || !test.floods && sum.RateLimited+sum.Delayed > 0 {
-					t.Errorf("cut %d, held %d", sum.RateLimited, sum.Delayed)
-				}
-				if most := (lasts.Seconds() + burstSeconds) * receiveLenience * originShare(test.n) / MaxPayloadBytes * float64(test.n-1); float64(flooded) > most {
-					t.Errorf("%d of the flood taken in, over %.0f", flooded, most)
-				}
+				run.play(t)
+				run.check(t)
 			})
 		})
 	}
