--- a/internal/sidecar/members/members_test.go
+++ b/internal/sidecar/members/members_test.go
@@ -22,7 +22,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// child is a member as a process of its own: it says again and again what it is told in the environment, until its input ends.
+// child is a member as a process of its own: it publishes again and again under the name in the environment, until its input ends.
 func child(name string) {
 	member, err := New(Options{Name: name, Listen: "127.0.0.1:0", Join: strings.Fields(os.Getenv("MEMBER_JOIN"))})
 	if err == nil {
@@ -43,7 +43,7 @@
 	member.Close()
 }
 
-// peer is a member in this process and what it was told.
+// peer is a member in this process and what it was notified of.
 type peer struct {
 	*Members
 	views   chan View
@@ -239,30 +239,30 @@
 func startProcess(t *testing.T, name, join string) *exec.Cmd {
 	t.Helper()
 	// The test's own context ends before the cleanup, which lets the process leave by itself.
-	c := exec.CommandContext(context.Background(), os.Args[0], "-test.run=^$")
-	c.Env = append(os.Environ(), "MEMBER_NAME="+name, "MEMBER_JOIN="+join)
-	c.Stderr = os.Stderr
-	in, err := c.StdinPipe()
+	command := exec.CommandContext(context.Background(), os.Args[0], "-test.run=^$")
+	command.Env = append(os.Environ(), "MEMBER_NAME="+name, "MEMBER_JOIN="+join)
+	command.Stderr = os.Stderr
+	in, err := command.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := c.StdoutPipe()
+	out, err := command.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		_ = in.Close()
-		_ = c.Process.Signal(syscall.SIGCONT)
-		_ = c.Wait()
+		_ = command.Process.Signal(syscall.SIGCONT)
+		_ = command.Wait()
 	})
 	var address string
 	if _, err := fmt.Fscanln(out, &address); err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return command
 }
 
 // One that is stopped is out in time; when it wakes it comes back, and nothing that it said before is believed.
