--- a/internal/compat/datagram_test.go
+++ b/internal/compat/datagram_test.go
@@ -34,22 +34,22 @@
 // TestLogBytes writes a log and compares its files by bytes, so that an earlier version can read them, too.
 func TestLogBytes(t *testing.T) {
 	dir := t.TempDir()
-	l, err := wal.Open(dir, wal.Options{ReserveBytes: -1, Nonce: func() uint64 { return 0x0102030405060708 }})
+	log, err := wal.Open(dir, wal.Options{ReserveBytes: -1, Nonce: func() uint64 { return 0x0102030405060708 }})
 	if err == nil {
-		_, _, _, err = l.Load()
+		_, _, _, err = log.Load()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, err := range []error{
-		l.SaveMeta("register", []byte("a promise")),
-		l.Append([]wal.Entry{{Seq: 1, Data: []byte("one")}, {Seq: 2, Data: []byte("two")}}),
-		l.Append([]wal.Entry{{Seq: 3, Data: []byte("three")}}),
-		l.Truncate(2),
-		l.Append([]wal.Entry{{Seq: 3, Data: []byte("another three")}}),
-		l.Compact(wal.Snapshot{Seq: 1, Data: []byte("a state")}),
-		l.SaveMeta("register", []byte("another promise")),
-		l.Close(),
+		log.SaveMeta("register", []byte("a promise")),
+		log.Append([]wal.Entry{{Seq: 1, Data: []byte("one")}, {Seq: 2, Data: []byte("two")}}),
+		log.Append([]wal.Entry{{Seq: 3, Data: []byte("three")}}),
+		log.Truncate(2),
+		log.Append([]wal.Entry{{Seq: 3, Data: []byte("another three")}}),
+		log.Compact(wal.Snapshot{Seq: 1, Data: []byte("a state")}),
+		log.SaveMeta("register", []byte("another promise")),
+		log.Close(),
 	} {
 		if err != nil {
 			t.Fatal(err)
--- a/internal/compat/filled_test.go
+++ b/internal/compat/filled_test.go
@@ -17,41 +17,41 @@
 )
 
 // fillValue gives all fields of a value, at any depth, values that are not zero and do not depend on names in the code.
-func fillValue(v reflect.Value, depth int) {
+func fillValue(value reflect.Value, depth int) {
 	if depth == 0 {
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fillValue(v.Elem(), depth)
+		value.Set(reflect.New(value.Type().Elem()))
+		fillValue(value.Elem(), depth)
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Field(i).CanSet() {
-				fillValue(v.Field(i), depth-1)
+		for i := range value.NumField() {
+			if value.Field(i).CanSet() {
+				fillValue(value.Field(i), depth-1)
 			}
 		}
 	case reflect.Slice:
-		if v.Type().Elem().Kind() != reflect.Uint8 {
-			v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-			fillValue(v.Index(0), depth-1)
+		if value.Type().Elem().Kind() != reflect.Uint8 {
+			value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+			fillValue(value.Index(0), depth-1)
 		}
 	case reflect.Map:
-		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
 		fillValue(key, depth-1)
-		fillValue(value, depth-1)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, value)
+		fillValue(element, depth-1)
+		value.Set(reflect.MakeMap(value.Type()))
+		value.SetMapIndex(key, element)
 	case reflect.String:
-		v.SetString("text")
+		value.SetString("text")
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(-7)
+		value.SetInt(-7)
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(7)
+		value.SetUint(7)
 	case reflect.Float64:
-		v.SetFloat(0.5)
+		value.SetFloat(0.5)
 	}
 }
 
--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -123,13 +123,13 @@
 		}
 	}
 	first := t.TempDir()
-	n := startNode(t, first)
-	n.expect(http.MethodPost, "/Config.Replace", "0", firstConfig, 200, "")
-	n.expect(http.MethodPost, "/Evacuation.Start/za", "", "", 200, "")
-	n.expect(http.MethodPost, "/Evacuation.Start/zb", "", "", 200, "")
-	n.expect(http.MethodPost, "/Evacuation.Finish/za", "", "", 200, "")
-	backup := n.ask(http.MethodGet, "/backup", "", "").Body.Bytes()
-	n.stop()
+	keeper := startNode(t, first)
+	keeper.expect(http.MethodPost, "/Config.Replace", "0", firstConfig, 200, "")
+	keeper.expect(http.MethodPost, "/Evacuation.Start/za", "", "", 200, "")
+	keeper.expect(http.MethodPost, "/Evacuation.Start/zb", "", "", 200, "")
+	keeper.expect(http.MethodPost, "/Evacuation.Finish/za", "", "", 200, "")
+	backup := keeper.ask(http.MethodGet, "/backup", "", "").Body.Bytes()
+	keeper.stop()
 	if err := admin.WriteBackup(keeperBackup, backup); err != nil {
 		t.Fatal(err)
 	}
@@ -140,11 +140,11 @@
 	if err := restore.Into(keeperData, state); err != nil {
 		t.Fatal(err)
 	}
-	n = startNode(t, keeperData)
-	n.expect(http.MethodPost, "/Config.Amend", "7", amendment, 200, "")
-	n.expect(http.MethodPost, "/Evacuation.Start/zc", "", "", 200, "")
-	identity := string(n.k.Self().ID)
-	n.stop()
+	keeper = startNode(t, keeperData)
+	keeper.expect(http.MethodPost, "/Config.Amend", "7", amendment, 200, "")
+	keeper.expect(http.MethodPost, "/Evacuation.Start/zc", "", "", 200, "")
+	identity := string(keeper.k.Self().ID)
+	keeper.stop()
 	if err := os.WriteFile(keeperID, []byte(identity), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -264,8 +264,8 @@
 func (n *node) answers(t *testing.T) {
 	read := n.ask(http.MethodGet, "/Config.Read", "", "")
 	golden(t, "config_read.json", read.Body.Bytes())
-	s, _ := n.k.Committed()
-	holds(t, s, 6, 9, 2, "zb", "zc")
+	state, _ := n.k.Committed()
+	holds(t, state, 6, 9, 2, "zb", "zc")
 	n.expect(http.MethodPost, "/Config.Amend", "7", amendment, 200, `{"revision":9}`) // sent again
 	n.expect(http.MethodPost, "/Evacuation.Start/zc", "", "", 200, `{}`)
 	w := n.ask(http.MethodPost, "/Config.Amend", "8", amendment)
@@ -278,6 +278,6 @@
 		t.Errorf("a broken change: %d %s", w.Code, w.Body)
 	}
 	n.expect(http.MethodPost, "/Evacuation.Finish/zb", "", "", 200, `{}`)
-	s, _ = n.k.Committed()
-	holds(t, s, 8, 9, 2, "zc") // each order for a zone is a record
+	state, _ = n.k.Committed()
+	holds(t, state, 8, 9, 2, "zc") // each order for a zone is a record
 }
--- a/internal/compat/proto_test.go
+++ b/internal/compat/proto_test.go
@@ -48,21 +48,21 @@
 }
 
 // form is all that decides how a field is encoded.
-func form(f protoreflect.FieldDescriptor) string {
-	s := fmt.Sprintf("%d %s %s", f.Number(), f.Cardinality(), f.Kind())
-	if f.Message() != nil {
-		s += fmt.Sprintf(" %s/%d", f.Message().ParentFile().Package(), f.Message().Index())
+func form(field protoreflect.FieldDescriptor) string {
+	text := fmt.Sprintf("%d %s %s", field.Number(), field.Cardinality(), field.Kind())
+	if field.Message() != nil {
+		text += fmt.Sprintf(" %s/%d", field.Message().ParentFile().Package(), field.Message().Index())
 	}
-	if o := f.ContainingOneof(); o != nil && !o.IsSynthetic() {
-		s += fmt.Sprintf(" oneof %d", o.Index())
+	if o := field.ContainingOneof(); o != nil && !o.IsSynthetic() {
+		text += fmt.Sprintf(" oneof %d", o.Index())
 	}
-	if f.HasOptionalKeyword() {
-		s += " optional"
+	if field.HasOptionalKeyword() {
+		text += " optional"
 	}
-	if f.IsPacked() {
-		s += " packed"
+	if field.IsPacked() {
+		text += " packed"
 	}
-	return s
+	return text
 }
 
 func TestProtoFields(t *testing.T) {
@@ -80,23 +80,23 @@
 }
 
 // scalar is a value made of a field's number, and of a second number that tells elements of a list apart.
-func scalar(f protoreflect.FieldDescriptor, k int) protoreflect.Value {
-	n := int64(f.Number())*1000 + int64(k)
-	switch f.Kind() {
+func scalar(field protoreflect.FieldDescriptor, k int) protoreflect.Value {
+	number := int64(field.Number())*1000 + int64(k)
+	switch field.Kind() {
 	case protoreflect.BoolKind:
 		return protoreflect.ValueOfBool(true)
 	case protoreflect.StringKind:
-		return protoreflect.ValueOfString(fmt.Sprintf("s%d", n))
+		return protoreflect.ValueOfString(fmt.Sprintf("s%d", number))
 	case protoreflect.BytesKind:
-		return protoreflect.ValueOfBytes(fmt.Appendf(nil, "\x00b%d\xff", n))
+		return protoreflect.ValueOfBytes(fmt.Appendf(nil, "\x00b%d\xff", number))
 	case protoreflect.Int64Kind:
-		return protoreflect.ValueOfInt64(-n)
+		return protoreflect.ValueOfInt64(-number)
 	case protoreflect.Uint64Kind, protoreflect.Fixed64Kind:
-		return protoreflect.ValueOfUint64(uint64(n) << 33)
+		return protoreflect.ValueOfUint64(uint64(number) << 33)
 	case protoreflect.Uint32Kind:
-		return protoreflect.ValueOfUint32(uint32(n))
+		return protoreflect.ValueOfUint32(uint32(number))
 	}
-	panic("no example for " + f.Kind().String())
+	panic("no example for " + field.Kind().String())
 }
 
 // fill sets all fields down to a depth; of a oneof only the one whose number is chosen.
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -82,27 +82,27 @@
 
 // leaves are the values in v that are not zero, in the order of their text, whatever the names and places of the fields are. Words
 // of the file that become numbers in the code are compared as numbers.
-func leaves(v reflect.Value, out []string) []string {
-	switch v.Kind() {
+func leaves(value reflect.Value, out []string) []string {
+	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		if !v.IsNil() {
-			out = leaves(v.Elem(), out)
+		if !value.IsNil() {
+			out = leaves(value.Elem(), out)
 		}
 	case reflect.Struct:
-		for i := range v.NumField() {
-			out = leaves(v.Field(i), out)
+		for i := range value.NumField() {
+			out = leaves(value.Field(i), out)
 		}
 	case reflect.Slice, reflect.Array:
-		for i := range v.Len() {
-			out = leaves(v.Index(i), out)
+		for i := range value.Len() {
+			out = leaves(value.Index(i), out)
 		}
 	case reflect.Map:
-		for _, key := range v.MapKeys() {
-			out = append(out, fmt.Sprintf("%v: %v", key, v.MapIndex(key)))
+		for _, key := range value.MapKeys() {
+			out = append(out, fmt.Sprintf("%v: %v", key, value.MapIndex(key)))
 		}
 	default:
-		if !v.IsZero() {
-			out = append(out, fmt.Sprint(v))
+		if !value.IsZero() {
+			out = append(out, fmt.Sprint(value))
 		}
 	}
 	slices.Sort(out)
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -204,23 +204,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := state.ReadSnapshot(bytes.NewReader(text))
+	restored, err := state.ReadSnapshot(bytes.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	draining := 0
-	for _, target := range m.Targets() {
+	for _, target := range restored.Targets() {
 		if target.State == list.Draining {
 			draining++
 		}
 	}
-	leased := m.LeasedEntries()
-	wrong := m.Revision() != 9 || m.Len() != 6 || draining != 1 || len(leased) != 1 || leased[0].UID != "leased" || m.Generation() != 1 || m.Cluster() == ""
+	leased := restored.LeasedEntries()
+	wrong := restored.Revision() != 9 || restored.Len() != 6 || draining != 1 || len(leased) != 1 || leased[0].UID != "leased" || restored.Generation() != 1 || restored.Cluster() == ""
 	if wrong {
-		t.Errorf("revision %d, %d servers, %d draining, leased %v, generation %d, cluster %q", m.Revision(), m.Len(), draining, leased, m.Generation(), m.Cluster())
+		t.Errorf("revision %d, %d servers, %d draining, leased %v, generation %d, cluster %q", restored.Revision(), restored.Len(), draining, leased, restored.Generation(), restored.Cluster())
 	}
 	duties := 0
-	m.EachRole(func(d *state.Role) {
+	restored.EachRole(func(d *state.Role) {
 		duties++
 		if d.Name != "d1" || d.Epoch != 1 || d.Owner == nil || d.Owner.Process != "a#1" || d.Location != "za" {
 			t.Errorf("duty %+v", d)
@@ -229,7 +229,7 @@
 	if duties != 1 {
 		t.Errorf("%d duties", duties)
 	}
-	again, err := m.Snapshot()
+	again, err := restored.Snapshot()
 	if err != nil || !bytes.Equal(again, text) {
 		t.Errorf("written again it differs:\n%s\n%s\n%v", again, text, err)
 	}
