--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -91,7 +91,7 @@
 func (n *node) ask(method, path, base, body string) *httptest.ResponseRecorder {
 	n.t.Helper()
 	for range 50 {
-		r := httptest.NewRequest(method, "http://"+machine+path, bytes.NewReader([]byte(body)))
+		r := httptest.NewRequestWithContext(n.t.Context(), method, "http://"+machine+path, bytes.NewReader([]byte(body)))
 		if base != "" {
 			r.Header.Set("X-Base-Version", base)
 		}
@@ -106,11 +106,11 @@
 	return nil
 }
 
-// expect sends a call and compares status and answer.
-func (n *node) expect(method, path, base, body string, code int, answer string) {
+// expectOK posts a call, which has to be answered with status 200 and, unless it is empty, with the answer.
+func (n *node) expectOK(path, base, body, answer string) {
 	n.t.Helper()
-	if w := n.ask(method, path, base, body); w.Code != code || answer != "" && w.Body.String() != answer {
-		n.t.Errorf("%s %s: %d %s, want %d %s", method, path, w.Code, w.Body, code, answer)
+	if w := n.ask(http.MethodPost, path, base, body); w.Code != http.StatusOK || answer != "" && w.Body.String() != answer {
+		n.t.Errorf("POST %s: %d %s, want 200 %s", path, w.Code, w.Body, answer)
 	}
 }
 
@@ -124,10 +124,10 @@
 	}
 	first := t.TempDir()
 	keeper := startNode(t, first)
-	keeper.expect(http.MethodPost, "/Config.Replace", "0", firstConfig, 200, "")
-	keeper.expect(http.MethodPost, "/Evacuation.Start/za", "", "", 200, "")
-	keeper.expect(http.MethodPost, "/Evacuation.Start/zb", "", "", 200, "")
-	keeper.expect(http.MethodPost, "/Evacuation.Finish/za", "", "", 200, "")
+	keeper.expectOK("/Config.Replace", "0", firstConfig, "")
+	keeper.expectOK("/Evacuation.Start/za", "", "", "")
+	keeper.expectOK("/Evacuation.Start/zb", "", "", "")
+	keeper.expectOK("/Evacuation.Finish/za", "", "", "")
 	backup := keeper.ask(http.MethodGet, "/backup", "", "").Body.Bytes()
 	keeper.stop()
 	if err := admin.WriteBackup(keeperBackup, backup); err != nil {
@@ -141,8 +141,8 @@
 		t.Fatal(err)
 	}
 	keeper = startNode(t, keeperData)
-	keeper.expect(http.MethodPost, "/Config.Amend", "7", amendment, 200, "")
-	keeper.expect(http.MethodPost, "/Evacuation.Start/zc", "", "", 200, "")
+	keeper.expectOK("/Config.Amend", "7", amendment, "")
+	keeper.expectOK("/Evacuation.Start/zc", "", "", "")
 	identity := string(keeper.k.Self().ID)
 	keeper.stop()
 	if err := os.WriteFile(keeperID, []byte(identity), 0o600); err != nil {
@@ -266,8 +266,8 @@
 	golden(t, "config_read.json", read.Body.Bytes())
 	state, _ := n.k.Committed()
 	holds(t, state, 6, 9, 2, "zb", "zc")
-	n.expect(http.MethodPost, "/Config.Amend", "7", amendment, 200, `{"revision":9}`) // sent again
-	n.expect(http.MethodPost, "/Evacuation.Start/zc", "", "", 200, `{}`)
+	n.expectOK("/Config.Amend", "7", amendment, `{"revision":9}`) // sent again
+	n.expectOK("/Evacuation.Start/zc", "", "", `{}`)
 	w := n.ask(http.MethodPost, "/Config.Amend", "8", amendment)
 	goldenJSON(t, "config_stale.json", w.Body.Bytes())
 	if w.Code != http.StatusPreconditionFailed {
@@ -277,7 +277,7 @@
 	if w.Code != http.StatusBadRequest || !bytes.HasPrefix(w.Body.Bytes(), []byte(`{"error":"`)) {
 		t.Errorf("a broken change: %d %s", w.Code, w.Body)
 	}
-	n.expect(http.MethodPost, "/Evacuation.Finish/zb", "", "", 200, `{}`)
+	n.expectOK("/Evacuation.Finish/zb", "", "", `{}`)
 	state, _ = n.k.Committed()
 	holds(t, state, 8, 9, 2, "zc") // each order for a zone is a record
 }
--- a/internal/compat/sidecardata_test.go
+++ b/internal/compat/sidecardata_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -65,7 +66,7 @@
 
 func (r *registryFixture) try(method, path, body string) (int, []byte) {
 	r.t.Helper()
-	req, err := http.NewRequest(method, "http://"+r.at+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(r.t.Context(), method, "http://"+r.at+path, strings.NewReader(body))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -73,9 +74,8 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	if err != nil {
+	if err = errors.Join(err, resp.Body.Close()); err != nil {
 		r.t.Fatal(err)
 	}
 	return resp.StatusCode, text
