--- a/internal/system/operatorapi/stall_detector.go
+++ b/internal/system/operatorapi/stall_detector.go
@@ -16,6 +16,9 @@
 // StallDetector reports whether the process was paused a moment ago (it was frozen or stopped, or got no processor), so that
 // what it reads now may have waited in its sockets for long. It measures with the monotonic clock: steps of the wall clock
 // have no effect. Its methods may be called by several goroutines at once.
+//
+// The data plane has a detector of its own (stallDetector in internal/system/proxy): that one is asked under the picker's lock, has a
+// threshold of its own, and ends a stall when the control plane has answered and not after a time.
 type StallDetector struct {
 	mu           sync.Mutex
 	lastObserved time.Time // when the process was last seen running
