--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -155,7 +155,7 @@
 	at    time.Time
 }
 
-// New checks the options. The member knows nobody until Start.
+// New checks the options; its errors are OptionErrors. The member knows nobody until Start.
 func New(options Options) (*Members, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -177,29 +177,29 @@
 	return m, nil
 }
 
-// check returns what is wrong with the options, naming the setting.
+// check returns an OptionError for the first option that is not valid.
 func (o Options) check() error {
 	if len(o.Name) < 1 || len(o.Name) > MaxNameBytes {
-		return fmt.Errorf("name: %q has not 1 to %d bytes", o.Name, MaxNameBytes)
+		return &OptionError{"name", fmt.Errorf("%q has not 1 to %d bytes", o.Name, MaxNameBytes)}
 	}
 	if _, _, err := splitAddress(o.Listen); err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return &OptionError{"listen", err}
 	}
 	if o.Advertise != "" {
 		if _, _, err := splitAddress(o.Advertise); err != nil {
-			return fmt.Errorf("advertise: %w", err)
+			return &OptionError{"advertise", err}
 		}
 	}
 	for _, address := range o.Join {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return fmt.Errorf("join: %w", err)
+			return &OptionError{"join", err}
 		}
 	}
 	if o.Reach != "" && net.ParseIP(o.Reach) == nil {
-		return fmt.Errorf("reach: %q is no IP address", o.Reach)
+		return &OptionError{"reach", fmt.Errorf("%q is no IP address", o.Reach)}
 	}
 	if o.TTL < 0 {
-		return fmt.Errorf("bound: %v is negative", o.TTL)
+		return &OptionError{"bound", fmt.Errorf("%v is negative", o.TTL)}
 	}
 	return nil
 }
@@ -259,10 +259,10 @@
 
 // Publish has the payload be this member's state of a kind, in place of the last one. The payload is not to be changed after.
 // A member that publishes more than its share (see originShare: 640 bytes a second at 300 members, headers included) sends its
-// newest state later, and a state that is replaced before its turn not at all.
+// newest state later, and a state that is replaced before its turn not at all. A kind or payload over its bound is a BoundsError.
 func (m *Members) Publish(kind uint8, payload []byte) error {
 	if kind >= MaxKinds || len(payload) > MaxPayloadBytes {
-		return fmt.Errorf("members: kind %d with %d bytes is over the bounds of %d and %d", kind, len(payload), MaxKinds-1, MaxPayloadBytes)
+		return &BoundsError{Kind: kind, Bytes: len(payload)}
 	}
 	m.mu.Lock()
 	f := frame{name: m.options.Name, kind: kind, start: m.start, madeAt: m.clock(), payload: payload}
--- a/internal/sidecar/members/members_test.go
+++ b/internal/sidecar/members/members_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -168,7 +169,8 @@
 		t.Fatal("the epoch did not rise")
 	}
 	awaitSameView(t, 3, first, third, later)
-	if first.Publish(MaxKinds, nil) == nil || first.Publish(0, make([]byte, MaxPayloadBytes+1)) == nil {
+	var overKinds, overBytes *BoundsError
+	if !errors.As(first.Publish(MaxKinds, nil), &overKinds) || !errors.As(first.Publish(0, make([]byte, MaxPayloadBytes+1)), &overBytes) {
 		t.Fatal("over the bounds")
 	}
 }
@@ -309,7 +311,8 @@
 	} {
 		o := good
 		change(&o)
-		if _, err := New(o); err == nil || !strings.HasPrefix(err.Error(), want) {
+		var invalid *OptionError
+		if _, err := New(o); !errors.As(err, &invalid) || invalid.Setting != want || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
