--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -46,79 +46,107 @@
 	}
 }
 
-func benchFleet(b *testing.B, n int) {
-	arrived := &arrivals{seen: map[uint64]int{}, want: (n - 1) * 95 / 100, done: make(chan uint64, 1000)}
-	var mu sync.Mutex
-	counts := make([]int, n)
-	short := make(chan int, 1)
-	var target int
-	all := make([]*Members, n)
-	began := time.Now()
-	for index := range all {
-		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0", OnUpdate: arrived.countUpdate}
-		if index > 0 {
-			options.Join = []string{all[0].Address()}
+// benchmarkFleet is the members of a benchmark in this process.
+type benchmarkFleet struct {
+	all     []*Members
+	arrived *arrivals
+	began   time.Time
+
+	mu      sync.Mutex
+	counts  []int    // of the members that each sees
+	target  int      // the count that is waited for
+	reached chan int // how many members see it, once these are 95%, or all of a complete fleet
+}
+
+// observeView records how many members one of them sees.
+func (f *benchmarkFleet) observeView(index int, v View) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.counts[index] = v.Count
+	there := 0
+	for _, c := range f.counts {
+		if c == f.target {
+			there++
 		}
-		options.OnView = func(v View) {
-			mu.Lock()
-			defer mu.Unlock()
-			counts[index] = v.Count
-			there := 0
-			for _, c := range counts {
-				if c == target {
-					there++
-				}
-			}
-			if there >= (n-1)*95/100 || target == n && there == n {
-				select {
-				case short <- there:
-				default:
-				}
-			}
+	}
+	n := len(f.all)
+	if there < (n-1)*95/100 && (f.target != n || there != n) {
+		return
+	}
+	select {
+	case f.reached <- there:
+	default:
+	}
+}
+
+// setTarget sets the count that is waited for.
+func (f *benchmarkFleet) setTarget(count int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.target = count
+}
+
+func startBenchmarkFleet(b *testing.B, n int) *benchmarkFleet {
+	b.Helper()
+	fleet := &benchmarkFleet{all: make([]*Members, n), counts: make([]int, n), reached: make(chan int, 1), began: time.Now(),
+		arrived: &arrivals{seen: map[uint64]int{}, want: (n - 1) * 95 / 100, done: make(chan uint64, 1000)}}
+	for index := range fleet.all {
+		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0", OnUpdate: fleet.arrived.countUpdate}
+		if index > 0 {
+			options.Join = []string{fleet.all[0].Address()}
 		}
+		options.OnView = func(v View) { fleet.observeView(index, v) }
 		var err error
-		if all[index], err = New(options); err != nil {
+		if fleet.all[index], err = New(options); err != nil {
 			b.Fatal(err)
 		}
-		if err := all[index].Start(b.Context()); err != nil {
+		if err := fleet.all[index].Start(b.Context()); err != nil {
 			b.Fatal(err)
 		}
 	}
-	defer func() {
-		var g sync.WaitGroup
-		for _, m := range all {
-			g.Go(m.Close)
+	return fleet
+}
+
+func (f *benchmarkFleet) close() {
+	var g sync.WaitGroup
+	for _, m := range f.all {
+		g.Go(m.Close)
+	}
+	g.Wait()
+}
+
+// agrees reports whether all members see all, under one epoch.
+func (f *benchmarkFleet) agrees() bool {
+	for _, m := range f.all {
+		if v := m.View(); v.Count != len(f.all) || v.Epoch != f.all[0].View().Epoch {
+			return false
 		}
-		g.Wait()
-	}()
-	mu.Lock()
-	target = n
-	mu.Unlock()
-	for settled := false; !settled; time.Sleep(10 * time.Millisecond) {
-		settled = true
-		for _, m := range all {
-			v := m.View()
-			settled = settled && v.Count == n && v.Epoch == all[0].View().Epoch
+	}
+	return true
+}
+
+// awaitAgreement waits until all members see all, a minute from the start at most.
+func (f *benchmarkFleet) awaitAgreement(b *testing.B) {
+	b.Helper()
+	for ; !f.agrees(); time.Sleep(10 * time.Millisecond) {
+		if time.Since(f.began) <= time.Minute {
+			continue
 		}
-		if time.Since(began) > time.Minute {
-			views := map[string]int{}
-			for _, m := range all {
-				v := m.View()
-				views[fmt.Sprintf("%d members, epoch %x", v.Count, v.Epoch)]++
-			}
-			b.Fatalf("not settled: %v, %+v", views, all[0].Counts())
+		views := map[string]int{}
+		for _, m := range f.all {
+			v := m.View()
+			views[fmt.Sprintf("%d members, epoch %x", v.Count, v.Epoch)]++
 		}
+		b.Fatalf("no agreement: %v, %+v", views, f.all[0].Counts())
 	}
-	b.ReportMetric(time.Since(began).Seconds(), "settle_s")
-	epoch := all[0].View().Epoch >> 32
-
-	// Nothing to say.
-	measureRate(b, all, "idle", 5*time.Second, func(time.Duration) {})
+}
 
-	// One that speaks.
+// measureLatency has one member at a time publish, and reports the time until 95% of the members have received it.
+func (f *benchmarkFleet) measureLatency(b *testing.B) {
+	b.Helper()
 	latencies := hdrhistogram.New(1, 60_000, 3)
 	sent := map[uint64]time.Time{}
-	measureRate(b, all, "one", 20*time.Second, func(left time.Duration) {
+	measureRate(b, f.all, "one", 20*time.Second, func(left time.Duration) {
 		end := time.After(left)
 		tick := time.NewTicker(200 * time.Millisecond)
 		defer tick.Stop()
@@ -126,9 +154,9 @@
 			select {
 			case <-tick.C:
 				sent[id] = time.Now()
-				_ = all[int(id)%n].Publish(1, binary.BigEndian.AppendUint64(nil, id))
+				_ = f.all[int(id)%len(f.all)].Publish(1, binary.BigEndian.AppendUint64(nil, id))
 				id++
-			case id := <-arrived.done:
+			case id := <-f.arrived.done:
 				_ = latencies.RecordValue(time.Since(sent[id]).Milliseconds())
 			case <-end:
 				return
@@ -138,42 +166,58 @@
 	b.ReportMetric(float64(len(sent)-int(latencies.TotalCount())), "never95")
 	b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "p50_ms")
 	b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "p99_ms")
+}
 
-	// All speak, 300 bytes a second each.
-	measureRate(b, all, "all300", 10*time.Second, func(left time.Duration) {
-		end := time.After(left)
-		tick := time.NewTicker(time.Second / time.Duration(n))
-		defer tick.Stop()
-		for index := 0; ; index++ {
-			select {
-			case <-tick.C:
-				_ = all[index%n].Publish(2, make([]byte, 300))
-			case <-end:
-				return
-			}
+// publishAll has all members publish 300 bytes a second each.
+func (f *benchmarkFleet) publishAll(left time.Duration) {
+	end := time.After(left)
+	tick := time.NewTicker(time.Second / time.Duration(len(f.all)))
+	defer tick.Stop()
+	for index := 0; ; index++ {
+		select {
+		case <-tick.C:
+			_ = f.all[index%len(f.all)].Publish(2, make([]byte, 300))
+		case <-end:
+			return
 		}
-	})
-
-	// One dies: its sockets close without a word.
-	mu.Lock()
-	target = n - 1
-	for len(short) > 0 {
-		<-short
 	}
-	mu.Unlock()
-	if after := all[0].View().Epoch >> 32; after != epoch {
-		b.Logf("%d members: epoch %d became %d in quiet", n, epoch, after)
+}
+
+// measureDeath kills the last member and reports the time until 95% of the others do not see it any more.
+func (f *benchmarkFleet) measureDeath(b *testing.B) {
+	b.Helper()
+	f.mu.Lock()
+	f.target = len(f.all) - 1
+	for len(f.reached) > 0 {
+		<-f.reached
 	}
-	dead := all[n-1]
+	f.mu.Unlock()
+	dead := f.all[len(f.all)-1]
 	dead.cancel()
 	dead.goroutines.Wait()
 	killed := time.Now()
 	_ = dead.list.Shutdown()
 	dead.mu.Lock()
-	dead.list = nil // it says no farewell
+	dead.list = nil // it sends no farewell
 	dead.mu.Unlock()
-	<-short
+	<-f.reached
 	b.ReportMetric(float64(time.Since(killed).Milliseconds()), "death95_ms")
+}
+
+func benchFleet(b *testing.B, n int) {
+	fleet := startBenchmarkFleet(b, n)
+	defer fleet.close()
+	fleet.setTarget(n)
+	fleet.awaitAgreement(b)
+	b.ReportMetric(time.Since(fleet.began).Seconds(), "settle_s")
+	epoch := fleet.all[0].View().Epoch >> 32
+	measureRate(b, fleet.all, "idle", 5*time.Second, func(time.Duration) {})
+	fleet.measureLatency(b)
+	measureRate(b, fleet.all, "all300", 10*time.Second, fleet.publishAll)
+	if after := fleet.all[0].View().Epoch >> 32; after != epoch {
+		b.Logf("%d members: epoch %d became %d in quiet", n, epoch, after)
+	}
+	fleet.measureDeath(b)
 	b.ReportMetric(0, "ns/op")
 }
 
--- a/internal/sidecar/members/updates_benchmark_test.go
+++ b/internal/sidecar/members/updates_benchmark_test.go
@@ -14,8 +14,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkUpdates has all of a fleet tell two states a second, of 300 bytes together, while 13 in 100 packets are lost and one
-// member is killed: go test -run '^$' -bench Updates -benchtime 1x ./internal/sidecar/members. It says how old news is when it comes,
+// BenchmarkUpdates has all of a fleet publish two states a second, of 300 bytes together, while 13 in 100 packets are lost and one
+// member is killed: go test -run '^$' -bench Updates -benchtime 1x ./internal/sidecar/members. It says how old updates are when they arrive,
 // how many of all (reader, origin, kind) hold nothing within the bound, and what a member sends and takes a second.
 func BenchmarkUpdates(b *testing.B) {
 	for _, n := range []int{20, 100, 200, 300} {
@@ -29,12 +29,12 @@
 	}
 }
 
-// updateFleet is many members in this process, and what they heard.
+// updateFleet is many members in this process, and what they received.
 type updateFleet struct {
 	all    []*Members
-	latest [][][2]atomic.Int64 // Unix nanoseconds when what a reader heard last was told, by origin and kind
+	latest [][][2]atomic.Int64 // Unix nanoseconds when the update that a reader received last was published, by origin and kind
 	ages   []*hdrhistogram.Histogram
-	under  []time.Duration // the most by which a reader took news for younger than it was
+	under  []time.Duration // the most by which a reader took an update for younger than it was
 	loss   atomic.Uint64   // of packets, in thousandths
 }
 
@@ -107,90 +107,137 @@
 	m.mu.Unlock()
 }
 
-// measureUpdates has each member measureUpdates states of two sizes a second for a time, in the middle of which the last one is killed, and reports.
-func (f *updateFleet) measureUpdates(b *testing.B, d time.Duration, sizes ...int) {
-	count := len(f.all)
-	turns := rand.Perm(count)
-	before := make([]Counts, count)
-	for i, m := range f.all {
-		before[i] = m.Counts()
+// updateMeasurement is what measureUpdates counts while the members publish.
+type updateMeasurement struct {
+	fleet    *updateFleet
+	sizes    []int // bytes of the states that each member publishes each second
+	duration time.Duration
+	began    time.Time
+	killed   bool // the last member was
+
+	turns           []int // the order in which the members publish
+	published       int
+	pairs, stale    int // (reader, origin, kind) that were looked at; those without a state within the TTL
+	incompleteViews int
+}
+
+// publishDue publishes what is due by now: ticks get lost.
+func (m *updateMeasurement) publishDue(b *testing.B) {
+	b.Helper()
+	kinds, count := len(m.sizes), len(m.turns)
+	for ; m.published < int(time.Since(m.began).Seconds()*float64(kinds*count)); m.published++ {
+		who, kind := m.turns[m.published/kinds%count], m.published%kinds
+		if who == count-1 && m.killed {
+			continue
+		}
+		payload := binary.BigEndian.AppendUint64(nil, uint64(time.Now().UnixNano()))
+		if err := m.fleet.all[who].Publish(uint8(kind), append(payload, make([]byte, m.sizes[kind]-len(payload))...)); err != nil {
+			b.Fatal(err)
+		}
 	}
-	var from, to syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &from)
-	began, dead := time.Now(), false
-	pairs, stale, views := 0, 0, 0
-	tick := time.NewTicker(time.Second / time.Duration(len(sizes)*count))
-	look := time.NewTicker(250 * time.Millisecond)
-	for i := 0; time.Since(began) < d; {
-		select {
-		case <-tick.C:
-			for ; i < int(time.Since(began).Seconds()*float64(len(sizes)*count)); i++ { // ticks get lost
-				who, kind := turns[i/len(sizes)%count], i%len(sizes)
-				if who == count-1 && dead {
-					continue
-				}
-				text := binary.BigEndian.AppendUint64(nil, uint64(time.Now().UnixNano()))
-				if err := f.all[who].Publish(uint8(kind), append(text, make([]byte, sizes[kind]-len(text))...)); err != nil {
-					b.Fatal(err)
+}
+
+// countStale counts the stale states and incomplete views of all members but the last.
+func (m *updateMeasurement) countStale() {
+	others := len(m.turns) - 1
+	oldest := time.Now().Add(-DefaultTTL).UnixNano()
+	for reader := range others {
+		if m.fleet.all[reader].View().Count < others {
+			m.incompleteViews++
+		}
+		for origin := range others {
+			for kind := range m.sizes {
+				if m.pairs++; origin != reader && m.fleet.latest[reader][origin][kind].Load() < oldest {
+					m.stale++
 				}
 			}
+		}
+	}
+}
+
+// run publishes for the duration, in the middle of which it kills the last member.
+func (m *updateMeasurement) run(b *testing.B) {
+	b.Helper()
+	publish := time.NewTicker(time.Second / time.Duration(len(m.sizes)*len(m.turns)))
+	defer publish.Stop()
+	look := time.NewTicker(250 * time.Millisecond)
+	defer look.Stop()
+	for time.Since(m.began) < m.duration {
+		select {
+		case <-publish.C:
+			m.publishDue(b)
 		case <-look.C:
-			if !dead && time.Since(began) > d/2 {
-				dead = true
-				f.all[count-1].kill()
+			if !m.killed && time.Since(m.began) > m.duration/2 {
+				m.killed = true
+				m.fleet.all[len(m.turns)-1].kill()
 			}
-			if time.Since(began) < 3*time.Second {
-				continue
-			}
-			least := time.Now().Add(-DefaultTTL).UnixNano()
-			for i := range count - 1 {
-				if f.all[i].View().Count < count-1 {
-					views++
-				}
-				for o := range count - 1 {
-					for kind := range sizes {
-						if pairs++; o != i && f.latest[i][o][kind].Load() < least {
-							stale++
-						}
-					}
-				}
+			if time.Since(m.began) >= 3*time.Second {
+				m.countStale()
 			}
 		}
 	}
-	tick.Stop()
-	look.Stop()
+}
+
+// measureUpdates has each member publish states of some sizes each second for a time, in the middle of which the last one is killed,
+// and reports.
+func (f *updateFleet) measureUpdates(b *testing.B, duration time.Duration, sizes ...int) {
+	count := len(f.all)
+	measured := &updateMeasurement{fleet: f, sizes: sizes, duration: duration, turns: rand.Perm(count)}
+	before := make([]Counts, count)
+	for i, m := range f.all {
+		before[i] = m.Counts()
+	}
+	var from, to syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &from)
+	measured.began = time.Now()
+	measured.run(b)
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &to)
+	f.reportAges(b)
+	f.reportCounts(b, before, duration)
+	cpu := time.Duration(to.Utime.Nano() + to.Stime.Nano() - from.Utime.Nano() - from.Stime.Nano()).Seconds()
+	b.ReportMetric(1e6*float64(measured.stale)/float64(measured.pairs), "stale_ppm")
+	b.ReportMetric(100*cpu/(float64(count-1)*duration.Seconds()), "cpu%")
+	b.ReportMetric(0, "ns/op")
+	b.Logf("%d members: incomplete views %d", count, measured.incompleteViews)
+}
+
+// reportAges reports how old updates were when they arrived, at all members but the last.
+func (f *updateFleet) reportAges(b *testing.B) {
+	b.Helper()
 	merged := hdrhistogram.New(1, 60_000, 3)
-	var sum, most Counts
 	var under time.Duration
-	for i, m := range f.all[:count-1] {
+	for i := range len(f.all) - 1 {
+		under = max(under, f.under[i])
+		merged.Merge(f.ages[i]) // an update may arrive meanwhile: the last ones do not matter
+	}
+	b.ReportMetric(float64(merged.ValueAtQuantile(50)), "p50_ms")
+	b.ReportMetric(float64(merged.ValueAtQuantile(99)), "p99_ms")
+	b.ReportMetric(float64(merged.Max()), "max_ms")
+	b.ReportMetric(float64(under.Milliseconds()), "under_ms")
+}
+
+// reportCounts reports what all members but the last sent and received since before.
+func (f *updateFleet) reportCounts(b *testing.B, before []Counts, duration time.Duration) {
+	b.Helper()
+	var sum Counts
+	var maxBytesSent int64
+	for i, m := range f.all[:len(f.all)-1] {
 		c := m.Counts()
 		sum.PacketsSent += c.PacketsSent - before[i].PacketsSent
 		sum.BytesSent += c.BytesSent - before[i].BytesSent
-		most.BytesSent = max(most.BytesSent, c.BytesSent-before[i].BytesSent)
+		maxBytesSent = max(maxBytesSent, c.BytesSent-before[i].BytesSent)
 		sum.Updates += c.Updates - before[i].Updates
 		sum.Duplicates += c.Duplicates - before[i].Duplicates
 		sum.Expired += c.Expired - before[i].Expired
 		sum.RateLimited += c.RateLimited
 		sum.Delayed += c.Delayed
 		sum.SendLimited += c.SendLimited
-		under = max(under, f.under[i])
-		merged.Merge(f.ages[i]) // the last news may come beside it: of no account
 	}
-	seconds := d.Seconds()
-	each := float64(count-1) * seconds
-	cpu := time.Duration(to.Utime.Nano() + to.Stime.Nano() - from.Utime.Nano() - from.Stime.Nano()).Seconds()
-	b.ReportMetric(float64(merged.ValueAtQuantile(50)), "p50_ms")
-	b.ReportMetric(float64(merged.ValueAtQuantile(99)), "p99_ms")
-	b.ReportMetric(float64(merged.Max()), "max_ms")
-	b.ReportMetric(float64(under.Milliseconds()), "under_ms")
-	b.ReportMetric(1e6*float64(stale)/float64(pairs), "stale_ppm")
-	b.ReportMetric(float64(sum.Updates)/each, "told/s")
-	b.ReportMetric(float64(sum.Duplicates)/each, "repeats/s")
-	b.ReportMetric(float64(sum.PacketsSent)/each, "packets/s")
-	b.ReportMetric(float64(sum.BytesSent)/each/1000, "kB/s")
-	b.ReportMetric(float64(most.BytesSent)/seconds/1000, "most_kB/s")
-	b.ReportMetric(100*cpu/each, "cpu%")
-	b.ReportMetric(0, "ns/op")
-	b.Logf("%d members: old %d, cut %d, held %d, short %d, incomplete views %d", count, sum.Expired, sum.RateLimited, sum.Delayed, sum.SendLimited, views)
+	memberSeconds := float64(len(f.all)-1) * duration.Seconds()
+	b.ReportMetric(float64(sum.Updates)/memberSeconds, "told/s")
+	b.ReportMetric(float64(sum.Duplicates)/memberSeconds, "repeats/s")
+	b.ReportMetric(float64(sum.PacketsSent)/memberSeconds, "packets/s")
+	b.ReportMetric(float64(sum.BytesSent)/memberSeconds/1000, "kB/s")
+	b.ReportMetric(float64(maxBytesSent)/duration.Seconds()/1000, "most_kB/s")
+	b.Logf("%d members: expired %d, rate limited %d, delayed %d, send limited %d", len(f.all), sum.Expired, sum.RateLimited, sum.Delayed, sum.SendLimited)
 }
