--- a/internal/sidecar/members/budget.go
+++ b/internal/sidecar/members/budget.go
@@ -9,18 +9,18 @@
 }
 
 // hasBytes reports whether something may be sent at a time of the process's own clock. rate is in bytes a second; most is the burst in bytes.
-func (b *byteBudget) hasBytes(now time.Duration, rate, most float64) bool {
+func (b *byteBudget) hasBytes(now time.Duration, rate, burstBytes float64) bool {
 	if b.at == 0 {
-		b.left = most
+		b.left = burstBytes
 	}
-	b.left = min(b.left+rate*max(0, now-b.at).Seconds(), most)
+	b.left = min(b.left+rate*max(0, now-b.at).Seconds(), burstBytes)
 	b.at = max(b.at, now, 1)
 	return b.left > 0
 }
 
 // spend takes bytes if any are left, and reports whether it did. It may overdraw the budget, since a frame is sent complete.
-func (b *byteBudget) spend(bytes int, now time.Duration, rate, most float64) bool {
-	if !b.hasBytes(now, rate, most) {
+func (b *byteBudget) spend(bytes int, now time.Duration, rate, burstBytes float64) bool {
+	if !b.hasBytes(now, rate, burstBytes) {
 		return false
 	}
 	b.left -= float64(bytes)
--- a/internal/sidecar/members/delegate.go
+++ b/internal/sidecar/members/delegate.go
@@ -301,8 +301,8 @@
 	t.owed, m.unsent = m.unsent, nil
 	now := m.clock()
 	for key := range m.pending {
-		f, held := m.states.latest[key]
-		if age := m.states.age(f, now); held && age <= m.options.TTL {
+		f, stored := m.states.latest[key]
+		if age := m.states.age(f, now); stored && age <= m.options.TTL {
 			t.updates = append(t.updates, Update{f.name, f.start, f.seq, f.kind, age, f.payload})
 		}
 	}
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -32,7 +32,7 @@
 	asker       process
 	salt        uint32
 	part, parts uint8
-	held        map[uint32]uint16
+	seqs        map[uint32]uint16
 }
 
 // wants are states that one wants of another, by the salt of that one's question.
@@ -50,13 +50,13 @@
 	return d.Sum64()
 }
 
-// short is the name of a state under a salt, 24 bits long.
-func short(id uint64, salt uint32) uint32 {
+// shortName is the name of a state under a salt, 24 bits long.
+func shortName(id uint64, salt uint32) uint32 {
 	return uint32((id ^ uint64(salt)*0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 >> 40)
 }
 
-// low returns the bits of a number that an ask carries; the last bit says that nothing newer is wanted now.
-func low(seq uint64, enough bool) uint16 {
+// seqBits returns the bits of a number that an ask carries; the last bit says that nothing newer is wanted now.
+func seqBits(seq uint64, enough bool) uint16 {
 	if enough {
 		return uint16(seq)<<1 | 1
 	}
@@ -68,7 +68,7 @@
 
 // ask is a question to any peer, in parts that each fit into a packet: what of the held states is within the bound. enough reports of which
 // origins nothing more is wanted for now.
-func (s *states) ask(who process, salt uint32, now, bound time.Duration, enough func(name string) bool) [][]byte {
+func (s *states) ask(who process, salt uint32, now, ttl time.Duration, enough func(name string) bool) [][]byte {
 	n := parts(len(s.latest))
 	asks := make([][]byte, n)
 	for i := range asks {
@@ -77,29 +77,29 @@
 	}
 	for _, f := range s.latest {
 		b := &asks[f.key%uint64(n)]
-		if len(*b)+entrySize > maxFrameBytes || s.age(f, now) > bound {
+		if len(*b)+entrySize > maxFrameBytes || s.age(f, now) > ttl {
 			continue
 		}
-		name := short(f.key, salt)
+		name := shortName(f.key, salt)
 		*b = append(*b, byte(name>>16), byte(name>>8), byte(name))
-		*b = binary.BigEndian.AppendUint16(*b, low(f.seq, enough(f.name)))
+		*b = binary.BigEndian.AppendUint16(*b, seqBits(f.seq, enough(f.name)))
 	}
 	return asks
 }
 
 // answer compares a part of a question with what is held here: give is what the asker lacks, want is what it has newer.
-func (s *states) answer(question *versions, now, bound time.Duration) (give []frame, want []uint32) {
+func (s *states) answer(question *versions, now, ttl time.Duration) (give []frame, want []uint32) {
 	for _, stored := range s.latest {
 		if stored.key%uint64(question.parts) != uint64(question.part) {
 			continue
 		}
-		name := short(stored.key, question.salt)
-		theirs, known := question.held[name]
-		delete(question.held, name)
-		ahead := int16(low(stored.seq, false) - theirs&^1)
+		name := shortName(stored.key, question.salt)
+		theirs, known := question.seqs[name]
+		delete(question.seqs, name)
+		ahead := int16(seqBits(stored.seq, false) - theirs&^1)
 		switch {
 		case known && theirs&1 == 1:
-		case s.age(stored, now) > bound:
+		case s.age(stored, now) > ttl:
 			if known && ahead < 0 {
 				want = append(want, name)
 			}
@@ -109,7 +109,7 @@
 			want = append(want, name)
 		}
 	}
-	for name, theirs := range question.held {
+	for name, theirs := range question.seqs {
 		if theirs&1 == 0 {
 			want = append(want, name)
 		}
@@ -118,9 +118,9 @@
 }
 
 // wanted is what is held here of what another wants.
-func (s *states) wanted(w *wants, now, bound time.Duration) (give []frame) {
+func (s *states) wanted(w *wants, now, ttl time.Duration) (give []frame) {
 	for _, f := range s.latest {
-		if w.names[short(f.key, w.salt)] && s.age(f, now) <= bound {
+		if w.names[shortName(f.key, w.salt)] && s.age(f, now) <= ttl {
 			give = append(give, f)
 		}
 	}
@@ -173,9 +173,9 @@
 	if q.asker, b, err = decodeProcess(b[7:]); err != nil || len(b)%entrySize != 0 {
 		return nil, errMalformed
 	}
-	q.held = make(map[uint32]uint16, len(b)/entrySize)
+	q.seqs = make(map[uint32]uint16, len(b)/entrySize)
 	for ; len(b) > 0; b = b[entrySize:] {
-		q.held[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])] = binary.BigEndian.Uint16(b[3:])
+		q.seqs[uint32(b[0])<<16|uint32(b[1])<<8|uint32(b[2])] = binary.BigEndian.Uint16(b[3:])
 	}
 	return q, nil
 }
--- a/internal/sidecar/members/epoch.go
+++ b/internal/sidecar/members/epoch.go
@@ -31,7 +31,7 @@
 }
 
 // adoptSet sets the hash of the member's own set, and reports whether its claim is to be sent to the others.
-func (e *epochs) adoptSet(hash uint32) (say bool) {
+func (e *epochs) adoptSet(hash uint32) (announce bool) {
 	if e.own.count > 0 && hash == e.own.hash {
 		return false
 	}
--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -52,10 +52,10 @@
 	for {
 		select {
 		case <-next.C:
-			to, asks, lively := m.nextQuestion()
+			to, asks, busy := m.nextQuestion()
 			send(to, asks)
 			every := quietExchangeInterval
-			if lively {
+			if busy {
 				every = busyExchangeInterval
 			}
 			next.Reset(every*3/4 + rand.N(every/2))
@@ -75,7 +75,7 @@
 }
 
 // nextQuestion returns what to ask whom now, and whether there was an update within busyTime.
-func (m *Members) nextQuestion() (to string, asks [][]byte, lively bool) {
+func (m *Members) nextQuestion() (to string, asks [][]byte, busy bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.peers == nil {
--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -34,7 +34,7 @@
 	sweepEvery          = 250 * time.Millisecond
 	claimInterval       = 2 * time.Second  // about
 	lostTTL             = 10 * time.Minute // a lost process is looked for
-	mostLost            = 1024
+	maxLost             = 1024
 	label               = "gradeusher/1" // on each packet and stream: others are passed over
 )
 
@@ -84,7 +84,7 @@
 
 // markLost has a process be looked for. The lock is held.
 func (m *Members) markLost(name string, n *node) {
-	if len(m.lost) < mostLost {
+	if len(m.lost) < maxLost {
 		m.lost[name] = lostProcess{n.address, time.Now()}
 	}
 }
@@ -147,7 +147,7 @@
 
 // missing are addresses of members that may be there but are not seen: of processes that are lost, and those to join at
 // which nobody is known. later reports that some were lost less than rejoinDelay ago. The host of the latter counts only where no host is reached in place of it.
-func (m *Members) missing() (at []string, later bool) {
+func (m *Members) missing() (at []string, recentlyLost bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	there := map[string]bool{m.Address(): true, m.options.Advertise: true}
@@ -162,7 +162,7 @@
 		case time.Since(l.at) >= rejoinDelay:
 			at = append(at, l.address)
 		default:
-			later = true
+			recentlyLost = true
 		}
 	}
 	for _, a := range m.options.Join {
@@ -170,7 +170,7 @@
 			at = append(at, a)
 		}
 	}
-	return at, later
+	return at, recentlyLost
 }
 
 // tryJoin joins through one that is missing, or two, and reports whether that found any member.
--- a/internal/sidecar/members/model_test.go
+++ b/internal/sidecar/members/model_test.go
@@ -29,12 +29,12 @@
 				quickest[p] = math.MaxInt64
 			}
 			seq := rapid.Uint64Range(1, 6).Draw(t, "seq")
-			told := time.Duration(seq) * time.Second // by the own clock
+			published := time.Duration(seq) * time.Second // by the own clock
 			way := time.Duration(rapid.IntRange(0, 5000).Draw(t, "way")) * time.Millisecond
-			held := time.Duration(rapid.IntRange(0, 3000).Draw(t, "held")) * time.Millisecond
+			forwarded := time.Duration(rapid.IntRange(0, 3000).Draw(t, "held")) * time.Millisecond
 			quickest[p] = min(quickest[p], way)
-			f := frame{name: p.name, start: p.start, kind: uint8(seq % 2), seq: seq, madeAt: told + clocks[p], forwardedAge: held, payload: []byte{byte(seq)}}
-			all = append(all, arrival{f, told + way + held})
+			f := frame{name: p.name, start: p.start, kind: uint8(seq % 2), seq: seq, madeAt: published + clocks[p], forwardedAge: forwarded, payload: []byte{byte(seq)}}
+			all = append(all, arrival{f, published + way + forwarded})
 		}
 		merge := func(order []arrival) *states {
 			s := newStates()
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -75,9 +75,9 @@
 			if (now+time.Duration(i%10)*networkStep)%gossipInterval != 0 {
 				continue
 			}
-			to, whole := rand.IntN(len(a.list)), rand.Float64() >= a.loss
+			to, delivered := rand.IntN(len(a.list)), rand.Float64() >= a.loss
 			for _, b := range member.GetBroadcasts(3, 1380) {
-				if a.bytes += len(b); whole && a.list[to] != member {
+				if a.bytes += len(b); delivered && a.list[to] != member {
 					a.list[to].NotifyMsg(b)
 				}
 			}
@@ -280,8 +280,8 @@
 	never := func(string) bool { return false }
 	f.Add(s.ask(process{"a", 5}, 77, time.Second, time.Hour, never)[0])
 	f.Add(encodeWants(process{"a", 5}, 77, []uint32{1, 1 << 23}))
-	for _, held := range s.latest {
-		f.Add(s.deltas([]frame{held}, time.Second)[0])
+	for _, stored := range s.latest {
+		f.Add(s.deltas([]frame{stored}, time.Second)[0])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		member, err := New(Options{Name: "a", Listen: "127.0.0.1:0"})
@@ -295,12 +295,12 @@
 		if w, err := decodeWants(b); err == nil {
 			checkDecodedWants(t, w)
 		}
-		if q, err := decodeAsk(b); err == nil && (len(q.held) > maxFrameBytes/entrySize || q.part >= q.parts) {
+		if q, err := decodeAsk(b); err == nil && (len(q.seqs) > maxFrameBytes/entrySize || q.part >= q.parts) {
 			t.Fatalf("%+v", q)
 		}
-		for _, held := range member.states.latest {
-			if held.name != "b" || held.start != 5 {
-				t.Fatalf("%+v of no member is held", held)
+		for _, stored := range member.states.latest {
+			if stored.name != "b" || stored.start != 5 {
+				t.Fatalf("%+v of no member is held", stored)
 			}
 		}
 	})
--- a/internal/sidecar/members/transport.go
+++ b/internal/sidecar/members/transport.go
@@ -46,9 +46,9 @@
 )
 
 // newTransport listens at a host and port. Its readers end with Shutdown.
-func newTransport(host string, port int, reach string, lose func() bool) (*transport, error) {
+func newTransport(host string, port int, reach string, dropPacket func() bool) (*transport, error) {
 	const tries = 16 // at port 0: the number that is free for TCP may be taken for UDP
-	t := &transport{reach: reach, dropPacket: lose, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
+	t := &transport{reach: reach, dropPacket: dropPacket, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
 	var err error
 	for range tries {
 		if err = t.listen(net.ParseIP(host), port); err == nil || port != 0 {
