--- a/internal/sidecar/members/budget.go
+++ b/internal/sidecar/members/budget.go
@@ -8,7 +8,7 @@
 	at   time.Duration // when left was computed, by the process's own clock; 0: never
 }
 
-// hasBytes reports whether something may be sent at a time of the process's own clock. rate is in bytes a second; most is the burst in bytes.
+// hasBytes reports whether something may be sent at a time of the process's own clock. rate is in bytes a second.
 func (b *byteBudget) hasBytes(now time.Duration, rate, burstBytes float64) bool {
 	if b.at == 0 {
 		b.left = burstBytes
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Here is how two members find out what each lacks of the other's states, and how that is written. Nothing here sends.
+// This file compares two members' states and encodes the comparison. Nothing here sends.
 //
-// One asks with what it holds: a short name and the low bits of the number of each state. The other sends what it has
+// One asks with what it has: a short name and the low bits of the number of each state. The other sends what it has
 // newer, and wants by short name what is newer there, which the first then sends. So a state goes to a member about once, while gossip, which
 // does not know what is known, sends it as often as it takes until the last member has drawn it: six times at 300 members.
 //
@@ -27,7 +27,7 @@
 	maxParts      = 32                                                         // of a question: room for 8,000 states
 )
 
-// versions is one of the parts of a question: what the asker holds there, by short name.
+// versions is one of the parts of a question: the low bits of the numbers that the asker has there, by short name.
 type versions struct {
 	asker       process
 	salt        uint32
@@ -42,7 +42,7 @@
 	names  map[uint32]bool
 }
 
-// hash is what short names are made of.
+// hash identifies the state's origin, process and kind; short names are derived from it.
 func (f *frame) hash() uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(f.start) + uint64(f.kind)<<56)
@@ -50,7 +50,7 @@
 	return d.Sum64()
 }
 
-// shortName is the name of a state under a salt, 24 bits long.
+// shortName returns the name of a state under a salt, 24 bits long.
 func shortName(id uint64, salt uint32) uint32 {
 	return uint32((id ^ uint64(salt)*0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 >> 40)
 }
@@ -63,10 +63,10 @@
 	return uint16(seq) << 1
 }
 
-// parts is in how many parts a question about so many states goes.
+// parts returns in how many parts a question about so many states is sent.
 func parts(states int) uint8 { return uint8(min(1+states/(maxAskEntries*3/4), maxParts)) }
 
-// ask is a question to any peer, in parts that each fit into a packet: what of the held states is within the bound. enough reports of which
+// ask is a question to any peer, in parts that each fit into a packet: those of the states that are within the TTL. enough reports of which
 // origins nothing more is wanted for now.
 func (s *states) ask(who process, salt uint32, now, ttl time.Duration, enough func(name string) bool) [][]byte {
 	n := parts(len(s.latest))
@@ -87,7 +87,7 @@
 	return asks
 }
 
-// answer compares a part of a question with what is held here: give is what the asker lacks, want is what it has newer.
+// answer compares a part of a question with the stored states: give is what the asker lacks, want is what it has newer.
 func (s *states) answer(question *versions, now, ttl time.Duration) (give []frame, want []uint32) {
 	for _, stored := range s.latest {
 		if stored.key%uint64(question.parts) != uint64(question.part) {
@@ -117,7 +117,7 @@
 	return give, want
 }
 
-// wanted is what is held here of what another wants.
+// wanted returns the stored states, within the TTL, that another wants.
 func (s *states) wanted(w *wants, now, ttl time.Duration) (give []frame) {
 	for _, f := range s.latest {
 		if w.names[shortName(f.key, w.salt)] && s.age(f, now) <= ttl {
@@ -127,7 +127,7 @@
 	return give
 }
 
-// deltas puts frames into packets, each with its age.
+// deltas encodes frames into packets, each with its age.
 func (s *states) deltas(give []frame, now time.Duration) (packets [][]byte) {
 	var b []byte
 	for _, f := range give {
--- a/internal/sidecar/members/epoch.go
+++ b/internal/sidecar/members/epoch.go
@@ -4,7 +4,7 @@
 
 // This file has members agree on a number for the set that they form, without any of them deciding it.
 
-// claim says that somebody calls the set with this hash by this count.
+// claim states that a member has given the set with this hash this count.
 type claim struct{ count, hash uint32 }
 
 // epoch is the count over the hash: equal epochs mean equal sets, but for a collision of 32 bits.
@@ -14,20 +14,20 @@
 
 // epochs is one member's view of the count, in the manner of Lamport's clocks (Time, clocks, and the ordering of events,
 // CACM 1978). A member whose set changes takes the count under which others already know the new set, if that is above its
-// own, else one above all that it has heard of, and says so. A member that hears its own set called by a higher count takes
+// own, else one above all that it has received, and announces it. A member that receives its own set under a higher count takes
 // that. Invariants:
 //
 //  1. A member's own epoch never goes down, and rises with each change of its set.
 //  2. Two members with the same epoch have the same set.
-//  3. Once sets rest and each has heard what all say, equal sets have equal epochs: the highest count that any of them holds.
+//  3. Once sets rest and each has received all claims, equal sets have equal epochs: the highest count that any of them holds.
 //
 // A member that lies about counts costs calls to others, not agreement: 2 holds by the hash. At the highest count they cease
 // to rise. The zero value is that of a member which knows no set.
 type epochs struct {
 	own          claim
-	highestCount uint32            // count heard of
-	claims       map[uint32]uint32 // the highest count heard of by hash; bounded
-	droppedCount uint32            // the highest count that gave way
+	highestCount uint32            // of all received claims
+	claims       map[uint32]uint32 // the highest count received, by hash; at most maxClaims
+	droppedCount uint32            // the highest count that was evicted
 }
 
 // adoptSet sets the hash of the member's own set, and reports whether its claim is to be sent to the others.
--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// arrivals counts who has heard of what one origin published.
+// arrivals counts the members that have received what one origin published.
 type arrivals struct {
 	mu   sync.Mutex
 	seen map[uint64]int
--- a/internal/sidecar/members/frame.go
+++ b/internal/sidecar/members/frame.go
@@ -31,9 +31,9 @@
 	start        int64         // of the origin's process
 	seq          uint64        // rises with each state that the process publishes, of whatever kind
 	madeAt       time.Duration // when it was published, by the clock of the origin's process, from 0 at its start
-	forwardedAge time.Duration // its age when this copy was sent, as far as those who passed it on held it
+	forwardedAge time.Duration // its age when this copy was sent, as far as it passed at those who forwarded it
 	payload      []byte
-	key          uint64   // see hash; of a state that is held, as is
+	key          uint64   // see hash; set in stored states, as is offset
 	offset       *float64 // that of its process, see states
 }
 
--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// markLost has a process be looked for. The lock is held.
+// markLost records a process that is to be joined again. m.mu is held.
 func (m *Members) markLost(name string, n *node) {
 	if len(m.lost) < maxLost {
 		m.lost[name] = lostProcess{n.address, time.Now()}
 	}
 }
 
-// runJoin listens, where that is not done, and joins others, until the member ends. Once nobody is missing it waits until
+// runJoin listens, unless the member does already, and joins others, until the member ends. Once nobody is missing it waits until
 // somebody is. The pauses are random: members that lost each other at the same time would otherwise try again at the same time.
 func (m *Members) runJoin(isListening bool) {
 	defer m.goroutines.Done()
@@ -145,8 +145,8 @@
 	}
 }
 
-// missing are addresses of members that may be there but are not seen: of processes that are lost, and those to join at
-// which nobody is known. later reports that some were lost less than rejoinDelay ago. The host of the latter counts only where no host is reached in place of it.
+// missing returns addresses of members that may be there but are not seen: of processes that are lost, and those to join at
+// which nobody is known. recentlyLost reports that some were lost less than rejoinDelay ago. The host of the latter counts only where no host is reached in place of it.
 func (m *Members) missing() (at []string, recentlyLost bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -149,7 +149,7 @@
 	at      time.Time
 }
 
-// leavingProcess is the process that leaves, and when that was heard.
+// leavingProcess is a process that leaves, and when its farewell arrived.
 type leavingProcess struct {
 	start int64
 	at    time.Time
@@ -322,7 +322,7 @@
 	return len(m.members)
 }
 
-// updateView takes the members and the view from the processes that are there. The lock is held.
+// updateView computes the members and the view from the processes that are there. m.mu is held.
 func (m *Members) updateView() {
 	now := time.Now()
 	clear(m.members)
--- a/internal/sidecar/members/members_test.go
+++ b/internal/sidecar/members/members_test.go
@@ -153,12 +153,12 @@
 		t.Fatal(err)
 	}
 	for _, p := range []*peer{second, third} {
-		n := await(t, p.updates, "the word", func(n Update) bool { return n.Origin == "a" && string(n.Payload) == "word" })
+		n := await(t, p.updates, "the update", func(n Update) bool { return n.Origin == "a" && string(n.Payload) == "word" })
 		if n.Kind != 2 || n.Start != first.start || n.Seq != 1 || n.Age > 2*time.Second {
 			t.Fatalf("%+v", n)
 		}
 	}
-	// One that comes later is told too.
+	// One that joins later receives it too.
 	later := start(t, Options{Name: "d", Join: []string{third.Address()}})
 	publishUntilReceived(t, first, later, "word")
 
@@ -190,12 +190,12 @@
 	if err := next.Publish(0, []byte("new")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, other.updates, "the new one's word", func(n Update) bool { return n.Start == next.start })
+	await(t, other.updates, "the new one's update", func(n Update) bool { return n.Start == next.start })
 	side := start(t, Options{Name: "b", Join: []string{other.Address()}}) // side by side
 	if err := side.Publish(0, []byte("newer")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, other.updates, "the newer one's word", func(n Update) bool { return n.Start == side.start })
+	await(t, other.updates, "the newer one's update", func(n Update) bool { return n.Start == side.start })
 	next.Close()
 	if v := other.View(); v.Count != 2 || v.Names[v.Index] != "a" {
 		t.Fatalf("%+v then %+v", before, v)
@@ -273,8 +273,8 @@
 	stoppable := startProcess(t, "b", watcher.Address())
 	startProcess(t, "c", watcher.Address())
 	var last uint64
-	await(t, watcher.updates, "news of c", func(n Update) bool { return n.Origin == "c" })
-	await(t, watcher.updates, "news of b", func(n Update) bool { last = n.Seq; return n.Origin == "b" && n.Seq > 5 })
+	await(t, watcher.updates, "an update of c", func(n Update) bool { return n.Origin == "c" })
+	await(t, watcher.updates, "an update of b", func(n Update) bool { last = n.Seq; return n.Origin == "b" && n.Seq > 5 })
 	stopped := time.Now()
 	if err := stoppable.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -292,7 +292,7 @@
 	if err := stoppable.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	n := await(t, watcher.updates, "news of b again", func(n Update) bool { return n.Origin == "b" })
+	n := await(t, watcher.updates, "an update of b again", func(n Update) bool { return n.Origin == "b" })
 	if n.Seq <= last || n.Age > watcher.options.TTL {
 		t.Fatalf("%+v after %d", n, last)
 	}
--- a/internal/sidecar/members/model_test.go
+++ b/internal/sidecar/members/model_test.go
@@ -145,7 +145,7 @@
 	for i := range m.members {
 		highest = max(highest, m.members[i].own.count)
 		if m.members[i].own != m.members[0].own {
-			m.t.Fatalf("%v and %v after all were heard", m.members[i].own, m.members[0].own)
+			m.t.Fatalf("%v and %v after all were received", m.members[i].own, m.members[0].own)
 		}
 	}
 	if highest > uint32(maxChanges) {
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -300,7 +300,7 @@
 		}
 		for _, stored := range member.states.latest {
 			if stored.name != "b" || stored.start != 5 {
-				t.Fatalf("%+v of no member is held", stored)
+				t.Fatalf("%+v of no member is stored", stored)
 			}
 		}
 	})
--- a/internal/sidecar/members/states.go
+++ b/internal/sidecar/members/states.go
@@ -26,11 +26,11 @@
 // clock of each process is from the own. merge is commutative, associative and idempotent over copies, each with the time at
 // which it came.
 //
-// An age is never computed by comparing wall clocks. A copy says the age that those who held it saw go by, which misses the time
+// An age is never computed by comparing wall clocks. A copy carries the time that it spent at those who forwarded it, which misses the time
 // that it was on its way. So for each process the least of (own time at arrival - stamp - said age) is kept: it is the
 // distance of the clocks plus the quickest way ever seen, and what a later copy needed beyond that is its age, also when a
-// network, a stopped peer or a full buffer held it back. Promise: an age is too low by the quickest way that any copy from
-// that process took, and by drift, 0.5 ms a second, at most. Where every copy from the start on was held back alike, that
+// network, a stopped peer or a full buffer delayed it. Bound: an age is too low by the quickest way that any copy from
+// that process took, and by drift, 0.5 ms a second, at most. Where every copy from the start on was delayed alike, that
 // cannot be seen here; memberlist's probes take such a peer for dead.
 type states struct {
 	latest  map[stateKey]frame
