--- a/internal/compat/keeperdata_test.go
+++ b/internal/compat/keeperdata_test.go
@@ -23,13 +23,13 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// The fixtures: keeperData is the data directory (data_dir) of a keeper that was restored from keeperBackup and has taken two
+// The fixtures: controlPlaneData is the data directory (data_dir) of a keeper that was restored from controlPlaneBackup and has taken two
 // changes since, so it holds a snapshot, the register and log segments.
 const (
-	keeperData   = "testdata/keeper_data"
-	keeperBackup = "testdata/keeper.backup"
-	keeperID     = "testdata/keeper_identity.txt"
-	machine      = "10.0.0.1"
+	controlPlaneData   = "testdata/keeper_data"
+	controlPlaneBackup = "testdata/keeper.backup"
+	controlPlaneIDFile = "testdata/keeper_identity.txt"
+	machine            = "10.0.0.1"
 )
 
 const firstConfig = `{"revision":7,"routes":[{"name":"r1","hostname":"h.example","path_prefix":"/","category":"streaming","timeout_ms":8000,` +
@@ -57,10 +57,10 @@
 
 // node is a keeper by itself with the operator's API.
 type node struct {
-	t    *testing.T
-	k    *replication.Node
-	log  *wal.Log
-	call http.Handler
+	t       *testing.T
+	replica *replication.Node
+	log     *wal.Log
+	call    http.Handler
 }
 
 func startNode(t *testing.T, dataDir string) *node {
@@ -77,11 +77,11 @@
 	}
 	current := func() *controlstate.State { s, _ := k.Committed(); return s }
 	h := operatorapi.Handler(operatorapi.Options{Chain: submitter{k}, Log: quiet, CommittedState: current, Backup: admin.BackupHandler(k.Read)})
-	return &node{t: t, k: k, log: disk, call: h}
+	return &node{t: t, replica: k, log: disk, call: h}
 }
 
 func (n *node) stop() {
-	n.k.Stop()
+	n.replica.Stop()
 	if err := n.log.Close(); err != nil {
 		n.t.Error(err)
 	}
@@ -114,10 +114,10 @@
 	}
 }
 
-// writeKeeperFixtures makes the backup and the data directory anew.
-func writeKeeperFixtures(t *testing.T) {
+// writeControlPlaneFixtures makes the backup and the data directory anew.
+func writeControlPlaneFixtures(t *testing.T) {
 	t.Helper()
-	for _, path := range []string{keeperData, keeperBackup} {
+	for _, path := range []string{controlPlaneData, controlPlaneBackup} {
 		if err := os.RemoveAll(path); err != nil {
 			t.Fatal(err)
 		}
@@ -130,31 +130,31 @@
 	keeper.expectOK("/Evacuation.Finish/za", "", "", "")
 	backup := keeper.ask(http.MethodGet, "/backup", "", "").Body.Bytes()
 	keeper.stop()
-	if err := admin.WriteBackup(keeperBackup, backup); err != nil {
+	if err := admin.WriteBackup(controlPlaneBackup, backup); err != nil {
 		t.Fatal(err)
 	}
-	state, err := admin.ReadBackup(keeperBackup)
+	state, err := admin.ReadBackup(controlPlaneBackup)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := restore.Into(keeperData, state); err != nil {
+	if err := restore.Into(controlPlaneData, state); err != nil {
 		t.Fatal(err)
 	}
-	keeper = startNode(t, keeperData)
+	keeper = startNode(t, controlPlaneData)
 	keeper.expectOK("/Config.Amend", "7", amendment, "")
 	keeper.expectOK("/Evacuation.Start/zc", "", "", "")
-	identity := string(keeper.k.Self().ID)
+	identity := string(keeper.replica.Self().ID)
 	keeper.stop()
-	if err := os.WriteFile(keeperID, []byte(identity), 0o600); err != nil {
+	if err := os.WriteFile(controlPlaneIDFile, []byte(identity), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestWriteKeeperFixtures(t *testing.T) {
+func TestWriteControlPlaneFixtures(t *testing.T) {
 	if !writing() {
 		t.Skip("the fixtures are written with GRADEUSHER_WRITE_GOLDEN=1 alone")
 	}
-	synctest.Test(t, writeKeeperFixtures)
+	synctest.Test(t, writeControlPlaneFixtures)
 }
 
 // copied is a copy of a fixture, which may be changed.
@@ -180,7 +180,7 @@
 
 // TestBackupFile reads a backup and gets the same bytes when it is encoded again.
 func TestBackupFile(t *testing.T) {
-	s, err := admin.ReadBackup(keeperBackup)
+	s, err := admin.ReadBackup(controlPlaneBackup)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 			t.Errorf("zone %s was changed by record %d, want %d", zone, got, changed)
 		}
 	}
-	text, err := os.ReadFile(keeperBackup)
+	text, err := os.ReadFile(controlPlaneBackup)
 	if err != nil || !bytes.Equal(s.Encode(), text) {
 		t.Errorf("encoded again it differs: %x, %v", s.Encode(), err)
 	}
@@ -199,7 +199,7 @@
 // TestRestoreBackup lays a backup into an empty directory and starts a keeper there.
 func TestRestoreBackup(t *testing.T) {
 	dir := t.TempDir()
-	s, err := admin.ReadBackup(keeperBackup)
+	s, err := admin.ReadBackup(controlPlaneBackup)
 	if err == nil {
 		err = restore.Into(dir, s)
 	}
@@ -212,9 +212,9 @@
 	holds(t, s, 4, 7, 1, "zb")
 }
 
-// TestKeeperLog reads the files of the data directory: numbers of records, snapshot and metadata.
-func TestKeeperLog(t *testing.T) {
-	disk, err := wal.Open(filepath.Join(copied(t, keeperData), "control"), wal.Options{ReadOnly: true})
+// TestControlPlaneLog reads the files of the data directory: numbers of records, snapshot and metadata.
+func TestControlPlaneLog(t *testing.T) {
+	disk, err := wal.Open(filepath.Join(copied(t, controlPlaneData), "control"), wal.Options{ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -234,26 +234,26 @@
 	}
 }
 
-// TestKeeperDirectory starts a keeper in the data directory: it is the same keeper, in a view of its own, with the same state,
+// TestControlPlaneDirectory starts a keeper in the data directory: it is the same keeper, in a view of its own, with the same state,
 // and takes changes.
-func TestKeeperDirectory(t *testing.T) {
-	dir := copied(t, keeperData)
+func TestControlPlaneDirectory(t *testing.T) {
+	dir := copied(t, controlPlaneData)
 	s, err := restore.From(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	holds(t, s, 6, 9, 2, "zb", "zc")
-	identity, err := os.ReadFile(keeperID)
+	identity, err := os.ReadFile(controlPlaneIDFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		n := startNode(t, dir)
 		defer n.stop()
-		if got := string(n.k.Self().ID); got != string(identity) {
+		if got := string(n.replica.Self().ID); got != string(identity) {
 			t.Errorf("identity %q, want %q", got, identity)
 		}
-		if v := n.k.View(); v.Epoch != 1 || len(v.Chain) != 1 || string(v.Head()) != string(identity) || len(v.Voters) != 1 || v.Voters[0].Addr != machine {
+		if v := n.replica.View(); v.Epoch != 1 || len(v.Chain) != 1 || string(v.Head()) != string(identity) || len(v.Voters) != 1 || v.Voters[0].Addr != machine {
 			t.Errorf("view %+v", v)
 		}
 		n.answers(t)
@@ -264,7 +264,7 @@
 func (n *node) answers(t *testing.T) {
 	read := n.ask(http.MethodGet, "/Config.Read", "", "")
 	golden(t, "config_read.json", read.Body.Bytes())
-	state, _ := n.k.Committed()
+	state, _ := n.replica.Committed()
 	holds(t, state, 6, 9, 2, "zb", "zc")
 	n.expectOK("/Config.Amend", "7", amendment, `{"revision":9}`) // sent again
 	n.expectOK("/Evacuation.Start/zc", "", "", `{}`)
@@ -278,6 +278,6 @@
 		t.Errorf("a broken change: %d %s", w.Code, w.Body)
 	}
 	n.expectOK("/Evacuation.Finish/zb", "", "", `{}`)
-	state, _ = n.k.Committed()
+	state, _ = n.replica.Committed()
 	holds(t, state, 8, 9, 2, "zc") // each order for a zone is a record
 }
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestSidecarKeeperSettings(t *testing.T) {
+func TestRegistrySettings(t *testing.T) {
 	for _, name := range []string{"k1", "k1_least"} {
 		c, err := registry.LoadConfig("testdata/" + name + ".toml")
 		if err != nil {
