--- a/internal/compat/controlplanedata_test.go
+++ b/internal/compat/controlplanedata_test.go
@@ -23,7 +23,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// The fixtures: controlPlaneData is the data directory (data_dir) of a keeper that was restored from controlPlaneBackup and has taken two
+// The fixtures: controlPlaneData is the data directory (data_dir) of a control-plane node that was restored from controlPlaneBackup and has taken two
 // changes since, so it holds a snapshot, the register and log segments.
 const (
 	controlPlaneData   = "testdata/keeper_data"
@@ -55,7 +55,7 @@
 	return a.Verdict, err
 }
 
-// node is a keeper by itself with the operator's API.
+// node is a control-plane node by itself with the operator's API.
 type node struct {
 	t       *testing.T
 	replica *replication.Node
@@ -87,7 +87,7 @@
 	}
 }
 
-// ask sends a call until the keeper can take it. Time is that of a bubble.
+// ask sends a call until the node can take it. Time is that of a bubble.
 func (n *node) ask(method, path, base, body string) *httptest.ResponseRecorder {
 	n.t.Helper()
 	for range 50 {
@@ -196,7 +196,7 @@
 	}
 }
 
-// TestRestoreBackup lays a backup into an empty directory and starts a keeper there.
+// TestRestoreBackup lays a backup into an empty directory and starts a control-plane node there.
 func TestRestoreBackup(t *testing.T) {
 	dir := t.TempDir()
 	s, err := admin.ReadBackup(controlPlaneBackup)
@@ -234,7 +234,7 @@
 	}
 }
 
-// TestControlPlaneDirectory starts a keeper in the data directory: it is the same keeper, in a view of its own, with the same state,
+// TestControlPlaneDirectory starts a control-plane node in the data directory: it is the same node, in a view of its own, with the same state,
 // and takes changes.
 func TestControlPlaneDirectory(t *testing.T) {
 	dir := copied(t, controlPlaneData)
--- a/internal/compat/oncall_test.go
+++ b/internal/compat/oncall_test.go
@@ -50,8 +50,8 @@
 	return prefix != "" && strings.Contains(sources, `program.Name + ": `+strings.TrimPrefix(fragment, prefix))
 }
 
-// TestQuotedLogLinesExist reads the page for on-call staff: each log line that it quotes is written by the system's code. Danger:
-// staff search a log for words that no version writes any more.
+// TestQuotedLogLinesExist reads the page for on-call staff: each log line that it quotes is written by the system's code. Otherwise
+// staff would search a log for text that no version writes any more.
 func TestQuotedLogLinesExist(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall-system.md")
 	if err != nil {
--- a/internal/compat/registrydata_test.go
+++ b/internal/compat/registrydata_test.go
@@ -22,7 +22,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/state"
 )
 
-// The fixtures: registryData is the folder of a keeper of the sidecars' list, with a snapshot and commands after it;
+// The fixtures: registryData is the folder of a registry node, with a snapshot and commands after it;
 // registryBackup is what GET /v1/backup answered.
 const (
 	registryData   = "testdata/registry_data"
@@ -30,13 +30,13 @@
 	registryWait   = 20 * time.Second // bounds what a test waits for; it is no measure
 )
 
-// registryFixture is a running keeper of the list.
+// registryFixture is a running registry node.
 type registryFixture struct {
 	t  *testing.T
 	at string
 }
 
-// startRegistry runs a keeper by itself in a folder until the test ends, or until the function that it returns is called.
+// startRegistry runs a registry node by itself in a folder until the test ends, or until the function that it returns is called.
 func startRegistry(t *testing.T, folder string) (*registryFixture, func()) {
 	t.Helper()
 	c := registry.Defaults()
@@ -81,7 +81,7 @@
 	return resp.StatusCode, text
 }
 
-// call sends a call until the keeper leads, and returns its answer.
+// call sends a call until the node leads, and returns its answer.
 func (r *registryFixture) call(method, path, body string) []byte {
 	r.t.Helper()
 	for end := time.Now().Add(registryWait); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -168,7 +168,7 @@
 	return out
 }
 
-// TestRegistryFolder starts a keeper in the folder: servers, routes and status are those that were left.
+// TestRegistryFolder starts a registry node in the folder: servers, routes and status are those that were left.
 func TestRegistryFolder(t *testing.T) {
 	r, stop := startRegistry(t, copied(t, registryData))
 	defer stop()
@@ -187,7 +187,7 @@
 	golden(t, "registry_metrics.txt", metricNames(r.call("GET", "/metrics", "")))
 }
 
-// metricNames are the names and types of a keeper's own metrics. Those of the Go runtime and the process are its library's.
+// metricNames are the names and types of a registry node's own metrics. Those of the Go runtime and the process are its library's.
 func metricNames(text []byte) []byte {
 	var out bytes.Buffer
 	for line := range strings.Lines(string(text)) {
