--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -128,7 +128,8 @@
 // awaitAgreement waits until all members see all, a minute from the start at most.
 func (f *benchmarkFleet) awaitAgreement(b *testing.B) {
 	b.Helper()
-	for ; !f.agrees(); time.Sleep(10 * time.Millisecond) {
+	for agreed := false; !agreed; time.Sleep(10 * time.Millisecond) {
+		agreed = f.agrees()
 		if time.Since(f.began) <= time.Minute {
 			continue
 		}
