--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -9,16 +9,14 @@
 	"hash"
 	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
 	"gradeusher.example/gradeusher/balance/hitters"
 	"gradeusher.example/gradeusher/balance/routes"
 	"gradeusher.example/gradeusher/balance/signals"
+	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
 // goldenFile holds a line for each scenario: its name, seed, number of steps and digest.
@@ -551,7 +549,7 @@
 // TestGoldenTrace holds every action, and all that is learned and said, to what they were, step by step. A change that is meant to
 // change what is decided writes the file anew with GRADEUSHER_WRITE_GOLDEN=1 and says so.
 func TestGoldenTrace(t *testing.T) {
-	golden := readGolden(t)
+	recorded := golden.ReadLines(t, goldenFile)
 	var lines []string
 	for _, g := range goldenScenarios() {
 		t.Run(fmt.Sprintf("%s-%d", g.name, g.seed), func(t *testing.T) {
@@ -559,33 +557,12 @@
 			g.run(t, tr, g.seed)
 			line := tr.line(g.name, g.seed)
 			lines = append(lines, line)
-			if !writesGolden() && !slices.Contains(golden, line) {
+			if !golden.Writing() && !slices.Contains(recorded, line) {
 				t.Errorf("not in %s: %s", goldenFile, line)
 			}
 		})
 	}
-	if writesGolden() {
-		writeGolden(t, lines)
-	}
-}
-
-func writesGolden() bool { return os.Getenv("GRADEUSHER_WRITE_GOLDEN") == "1" }
-
-func readGolden(t *testing.T) []string {
-	t.Helper()
-	b, err := os.ReadFile(goldenFile)
-	if err != nil && !writesGolden() {
-		t.Fatal(err)
-	}
-	return strings.Split(string(b), "\n")
-}
-
-func writeGolden(t *testing.T, lines []string) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-		t.Fatal(err)
+	if golden.Writing() {
+		golden.WriteLines(t, goldenFile, lines)
 	}
 }
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -9,8 +9,6 @@
 	"hash"
 	"maps"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -25,6 +23,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
 // goldenFile has a line for each scenario: its name, seed, number of steps and digest.
@@ -378,7 +377,7 @@
 // TestGoldenTrace compares every message, and what subscribers have after each, with what they were, step by step. A change that is meant
 // to change them writes the file again with GRADEUSHER_WRITE_GOLDEN=1 and says so.
 func TestGoldenTrace(t *testing.T) {
-	golden := readGolden(t)
+	recorded := golden.ReadLines(t, goldenFile)
 	var lines []string
 	for _, g := range []struct {
 		name string
@@ -393,33 +392,12 @@
 			synctest.Test(t, func(*testing.T) { g.run(tr, g.seed) })
 			line := tr.line(g.name, g.seed)
 			lines = append(lines, line)
-			if !writesGolden() && !slices.Contains(golden, line) {
+			if !golden.Writing() && !slices.Contains(recorded, line) {
 				t.Errorf("not in %s: %s", goldenFile, line)
 			}
 		})
 	}
-	if writesGolden() {
-		writeGolden(t, lines)
-	}
-}
-
-func writesGolden() bool { return os.Getenv("GRADEUSHER_WRITE_GOLDEN") == "1" }
-
-func readGolden(t *testing.T) []string {
-	t.Helper()
-	b, err := os.ReadFile(goldenFile)
-	if err != nil && !writesGolden() {
-		t.Fatal(err)
-	}
-	return strings.Split(string(b), "\n")
-}
-
-func writeGolden(t *testing.T, lines []string) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-		t.Fatal(err)
+	if golden.Writing() {
+		golden.WriteLines(t, goldenFile, lines)
 	}
 }
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -9,14 +9,12 @@
 	"maps"
 	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
 // goldenFile holds a line for each scenario: its name, seed, number of steps and digest. It lies beside testdata, all of whose files
@@ -382,7 +380,7 @@
 // TestGoldenTrace holds every choice and every load told to what they were, step by step. A change that is meant to change what
 // is chosen writes the file anew with GRADEUSHER_WRITE_GOLDEN=1 and says so.
 func TestGoldenTrace(t *testing.T) {
-	golden := readGolden(t)
+	recorded := golden.ReadLines(t, goldenFile)
 	var lines []string
 	for _, g := range goldenScenarios() {
 		t.Run(fmt.Sprintf("%s-%d", g.name, g.seed), func(t *testing.T) {
@@ -390,33 +388,12 @@
 			g.run(traced, g.seed)
 			line := traced.line(g.name, g.seed)
 			lines = append(lines, line)
-			if !writesGolden() && !slices.Contains(golden, line) {
+			if !golden.Writing() && !slices.Contains(recorded, line) {
 				t.Errorf("not in %s: %s", goldenFile, line)
 			}
 		})
 	}
-	if writesGolden() {
-		writeGolden(t, lines)
-	}
-}
-
-func writesGolden() bool { return os.Getenv("GRADEUSHER_WRITE_GOLDEN") == "1" }
-
-func readGolden(t *testing.T) []string {
-	t.Helper()
-	b, err := os.ReadFile(goldenFile)
-	if err != nil && !writesGolden() {
-		t.Fatal(err)
-	}
-	return strings.Split(string(b), "\n")
-}
-
-func writeGolden(t *testing.T, lines []string) {
-	t.Helper()
-	if err := os.MkdirAll(filepath.Dir(goldenFile), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(goldenFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-		t.Fatal(err)
+	if golden.Writing() {
+		golden.WriteLines(t, goldenFile, lines)
 	}
 }
