--- /dev/null
+++ b/internal/testsupport/bubble/race.go
@@ -0,0 +1,6 @@
+//go:build race
+
+package bubble
+
+// raceDetector says whether the race detector is built in.
+const raceDetector = true
