--- a/cmd/controlplane/chain_test.go
+++ b/cmd/controlplane/chain_test.go
@@ -9,7 +9,6 @@
 	"reflect"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
@@ -20,6 +19,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/settings"
 	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
@@ -119,7 +119,7 @@
 // TestPartitionedNodeAnswersAtOnce: danger: a node that has reached no other for seconds holds each change until its deadline,
 // and the caller, who hears nothing, sends it to no other node.
 func TestPartitionedNodeAnswersAtOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		partitioned := newTestNode("")
 		partitioned.stalls = operatorapi.NewStallDetector()
 		if err := partitioned.openChain(t.Context()); err != nil {
--- a/cmd/controlplane/damaged_test.go
+++ b/cmd/controlplane/damaged_test.go
@@ -5,18 +5,18 @@
 	"os"
 	"path/filepath"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/settings"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestDamagedLogOfABootstrapNode damages the log of a node that is still told to form the first view. Danger: under its
 // new identity it helps to form another first view, beside the one that it has voted for.
 func TestDamagedLogOfABootstrapNode(t *testing.T) {
 	folder := t.TempDir()
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		config := &settings.Settings{IP: "127.0.0.1", Zone: "z", Region: "r", Ports: []int{1, 9}, Seeds: []string{"127.0.0.1:9"},
 			Bootstrap: true, DataDir: folder}
 		start := func() *node {
--- a/internal/compat/controlplanedata_test.go
+++ b/internal/compat/controlplanedata_test.go
@@ -9,7 +9,6 @@
 	"path/filepath"
 	"slices"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
@@ -21,6 +20,7 @@
 	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // The fixtures: controlPlaneData is the data directory (data_dir) of a control-plane node that was restored from controlPlaneBackup and has taken two
@@ -154,7 +154,7 @@
 	if !writing() {
 		t.Skip("the fixtures are written with GRADEUSHER_WRITE_GOLDEN=1 alone")
 	}
-	synctest.Test(t, writeControlPlaneFixtures)
+	bubble.Test(t, writeControlPlaneFixtures)
 }
 
 // copied is a copy of a fixture, which may be changed.
@@ -247,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		n := startNode(t, dir)
 		defer n.stop()
 		if got := string(n.replica.Self().ID); got != string(identity) {
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -3,17 +3,17 @@
 import (
 	"context"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/plan"
 	"gradeusher.example/gradeusher/internal/sidecar/client"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestLastReadsEndTogether: however many entries there are, a run whose registry nodes are gone waits for its last reads once.
 func TestLastReadsEndTogether(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		c, err := client.New([]string{"127.0.0.1:1"}) // where nobody ever answers
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/testcluster/client_pool_test.go
+++ b/internal/lab/testcluster/client_pool_test.go
@@ -9,10 +9,10 @@
 	"slices"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 func TestSortByDistance(t *testing.T) {
@@ -61,7 +61,7 @@
 		{"no JSON", map[string]string{"d1": `oops`, "d2": good}, 2 * time.Second, 2, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				d := &directories{bodies: test.bodies}
 				pool := &clientPool{resolver: resolver{"h", "n-a", "n", &http.Client{Transport: d}}, resolvedOnce: make(chan struct{}),
 					directories: []Directory{{Address: "d1"}, {Address: "d2"}, {Address: "d3"}, {Address: "d4"}}}
--- a/internal/lab/testcluster/operator_test.go
+++ b/internal/lab/testcluster/operator_test.go
@@ -8,12 +8,12 @@
 	"slices"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // script answers calls in turn; the last answer stays. "-": silence.
@@ -64,7 +64,7 @@
 		{name: "no clear answer", answers: []string{"503"}, calls: 14, gaveUp: true, least: 10 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				start := time.Now()
 				state := &script{answers: test.answers}
 				o := &Operator{ControlAddresses: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return time.Since(start) },
@@ -89,7 +89,7 @@
 
 // TestOperatorLosesAnswers: an answer that is lost on its way is none, and the order is sent again as it was.
 func TestOperatorLosesAnswers(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		s, lost := &script{answers: []string{"200"}}, 0
 		o := &Operator{ControlAddresses: []string{"k1", "k2"}, evidence: &rules.Evidence{}, now: func() time.Duration { return 0 }, http: &http.Client{Transport: s},
 			LoseAnswer: func() bool { lost++; return lost < 3 }}
@@ -104,7 +104,7 @@
 
 // TestOperatorReads: what is read is evidence, as of when the read was sent.
 func TestOperatorReads(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		start := time.Now()
 		o := &Operator{ControlAddresses: []string{"k1"}, evidence: &rules.Evidence{}, now: func() time.Duration { return time.Since(start) },
 			http: &http.Client{Transport: &script{answers: []string{"503", "200"}}}}
@@ -119,7 +119,7 @@
 
 // TestOperatorTriesNextNode: after a failure it asks another control-plane node.
 func TestOperatorTriesNextNode(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		s := &script{answers: []string{"503", "503", "503", "200"}}
 		o := &Operator{ControlAddresses: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return 0 }, http: &http.Client{Transport: s}}
 		if err := o.Evacuate(t.Context(), "north-a", true); err != nil {
--- a/internal/sidecar/client/watch_test.go
+++ b/internal/sidecar/client/watch_test.go
@@ -9,10 +9,10 @@
 	"net"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/sidecar/list"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // When a node goes silent.
@@ -139,7 +139,7 @@
 	} {
 		for _, silent := range []silence{beforeAnswer, afterHeader, afterLine} {
 			t.Run(path+" "+string(silent), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { checkWatchTimeout(t, watch, silent) })
+				bubble.Test(t, func(t *testing.T) { checkWatchTimeout(t, watch, silent) })
 			})
 		}
 	}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -13,8 +13,9 @@
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // agent stands in for discovery's agent on pipes, so that time can be the test's own. Each watch is answered as the next of its
@@ -129,7 +130,7 @@
 		"a list that is wrong": saying("[]\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				a := &agent{answers: []func(io.Writer){saying(list, "\n"), second, saying(news)}}
 				h := following(t, a, "pushed")
 				if took := h.knows("s-0"); took > 100*time.Millisecond {
@@ -163,7 +164,7 @@
 // TestHeartbeats has a watch say nothing but empty lines for long: it is not silent. It ends soon after the last.
 func TestHeartbeats(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
-		synctest.Test(t, func(t *testing.T) {
+		bubble.Test(t, func(t *testing.T) {
 			a := &agent{answers: []func(io.Writer){func(out io.Writer) {
 				_, _ = io.WriteString(out, watchHead)
 				chunks := httputil.NewChunkedWriter(out)
@@ -188,7 +189,7 @@
 
 // TestUnresponsiveCall has a call for the list wait for good: it is left in time for another, which counts once it was waited for.
 func TestUnresponsiveCall(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		d := newDiscovery("127.0.0.1:9", time.Second, false)
 		d.client.DialContext = (&agent{answers: []func(io.Writer){unresponsive}}).dial
 		begun := time.Now()
@@ -206,7 +207,7 @@
 	two := strings.NewReplacer(": 7", ": 8", "s-0", "s-1").Replace(one)
 	three := strings.NewReplacer(": 7", ": 9", "s-0", "s-2").Replace(strings.TrimSpace(one))
 	for cut := 1; cut < len(one); cut += 7 {
-		synctest.Test(t, func(t *testing.T) {
+		bubble.Test(t, func(t *testing.T) {
 			d := newDiscovery("127.0.0.1:9", time.Second, true)
 			d.client.DialContext = (&agent{answers: []func(io.Writer){saying(one[:cut], one[cut:]+two[:cut], two[cut:], "\n", three)}}).dial
 			var got []string
@@ -221,7 +222,7 @@
 
 // TestEndlessList has a list never end, however quickly it comes.
 func TestEndlessList(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		d := newDiscovery("127.0.0.1:9", time.Second, true)
 		d.client.DialContext = (&agent{answers: []func(io.Writer){func(out io.Writer) {
 			_, _ = io.WriteString(out, watchHead)
@@ -244,7 +245,7 @@
 	news := listText(3, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
 	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": saying(news)} {
 		t.Run(mode, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				driver := following(t, &agent{answers: []func(io.Writer){saying(listText(9, true, entry("s-0", "127.0.0.1:1", "SERVING", 0)))}}, mode)
 				dial := driver.discovery.client.DialContext
 				next := &agent{answers: []func(io.Writer){first, saying(news)}}
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -6,11 +6,12 @@
 	"math/rand/v2"
 	"net"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/hashicorp/memberlist"
+
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // simulatedNetwork carries what members without sockets send, and loses some of it. Time goes by in steps.
@@ -241,7 +242,7 @@
 			if run.count > 100 && testing.Short() {
 				t.Skip("long")
 			}
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				run.play(t)
 				run.check(t)
 			})
--- a/internal/system/admin/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -9,7 +9,6 @@
 	"path/filepath"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
@@ -21,6 +20,7 @@
 	"gradeusher.example/gradeusher/internal/system/operatorapi"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // memoryNetwork takes requests straight to the handlers of the machine that they are for.
@@ -163,7 +163,7 @@
 // brought back.
 func TestRestoreIntoAnEmptySystem(t *testing.T) {
 	first, second := t.TempDir(), t.TempDir()
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		backup, config := fillSystem(t, first)
 		state, err := controlstate.Decode(backup)
 		if err != nil {
--- a/internal/system/admin/status_test.go
+++ b/internal/system/admin/status_test.go
@@ -9,12 +9,12 @@
 	"strings"
 	"sync/atomic"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // network takes requests straight to the handlers of the machine that they are for.
@@ -199,7 +199,7 @@
 // TestWaitForARevision has a later change come about while some proxies lack both. Danger: the wait runs after every new
 // change and does not end.
 func TestWaitForARevision(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		var acknowledged, number atomic.Uint64
 		number.Store(5)
 		n := &network{hosts: map[string]http.Handler{"10.0.0.1": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // zoneChangeRecord is the n-th of small changes that each fit the state before.
@@ -74,7 +74,7 @@
 	for _, n := range []int{400, 2000} {
 		for _, size := range []int{1 << 10, 600 << 10} {
 			for _, lose := range []bool{false, true} {
-				synctest.Test(t, func(t *testing.T) {
+				bubble.Test(t, func(t *testing.T) {
 					took, bytes := runAbsence(t, n, size, lose)
 					t.Logf("%d changes, %d bytes, node lost: %v: up to date after %v, %d bytes", n, size, lose, took, bytes)
 					most := int64(size) + 256<<10
@@ -93,7 +93,7 @@
 // TestWholeFleetStartsAtOnce: 410 proxies that start at one node are all served within 5 s, and its state is encoded and
 // compressed once for all of them.
 func TestWholeFleetStartsAtOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		const proxies = 410
 		fleet := newFleet("k1:1")
 		defer fleet.stop()
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -4,12 +4,12 @@
 	"context"
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // eventually fails the test unless ok comes true before d is over.
@@ -41,7 +41,7 @@
 }
 
 func TestProxiesStayMembersWhileTheirNodeIsKilled(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		for i := range 9 {
@@ -61,7 +61,7 @@
 }
 
 func TestTimedOutProxyIsDownUntilItCallsAgain(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		proxyA, proxyB := fleet.startProxy("a", nil), fleet.startProxy("b", nil)
@@ -86,7 +86,7 @@
 }
 
 func TestDrainingIsPublishedAtOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		proxyA, proxyB := fleet.startProxy("a", nil), fleet.startProxy("b", nil)
@@ -105,7 +105,7 @@
 }
 
 func TestAcknowledgementWaitsForConnectedProxiesOnly(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		for i := range 6 {
@@ -130,7 +130,7 @@
 }
 
 func TestLoadsOfOthersArePublishedAndExpire(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		type told struct {
@@ -178,7 +178,7 @@
 }
 
 func TestSubscriberLeavesNodeThatIsNotCurrent(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		for i := range 6 {
@@ -213,7 +213,7 @@
 }
 
 func TestServersOutliveRestartOfAllNodes(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		proxy := fleet.startProxy("p", nil)
@@ -241,7 +241,7 @@
 }
 
 func TestNeighboursServeWhereNoNodeIsReached(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		fleet.startProxy("a", nil)
@@ -263,7 +263,7 @@
 }
 
 func TestNearestNodeIsChosenAndChosenAgain(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		proxy := fleet.startProxy("p", func(options *SubscriberOptions) { options.Self.Zone = "zone-k2:1" })
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -5,12 +5,12 @@
 	"context"
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 func newReader(b []byte) *bytes.Reader { return bytes.NewReader(b) }
@@ -18,7 +18,7 @@
 func noOpRecord() controlstate.Record { return controlstate.Record{Op: controlstate.OpNone} }
 
 func TestProxyIsCaughtUpWithinHalfASecondOfItsStart(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		time.Sleep(time.Second)
@@ -39,7 +39,7 @@
 }
 
 func TestChangeReachesEveryProxyAndIsAcknowledged(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		for i := range 12 {
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -12,7 +12,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -23,6 +22,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/loadreport"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
@@ -389,7 +389,7 @@
 	} {
 		t.Run(fmt.Sprintf("%s-%d", g.name, g.seed), func(t *testing.T) {
 			tr := &trace{sum: sha256.New()}
-			synctest.Test(t, func(*testing.T) { g.run(tr, g.seed) })
+			bubble.Test(t, func(*testing.T) { g.run(tr, g.seed) })
 			line := tr.line(g.name, g.seed)
 			lines = append(lines, line)
 			if !golden.Writing() && !slices.Contains(recorded, line) {
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 	"slices"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 )
 
@@ -82,12 +82,12 @@
 // TestNodeBackFromPartitionMarksNobodyDown: a node that was isolated from the others for 20 s has marked down what it no longer
 // had contact to. Danger: back again, it spreads that, and for a moment every proxy counts itself the only one.
 func TestNodeBackFromPartitionMarksNobodyDown(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		if n := fewestAfterPartition(t, TestingKnobs{}); n != censusMembers {
 			t.Errorf("a proxy was notified of %d members", n)
 		}
 	})
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		if fewestAfterPartition(t, TestingKnobs{AcceptDownEntries: true}) == censusMembers {
 			t.Error("control: nothing was lost where every mark is believed")
 		}
@@ -108,12 +108,12 @@
 		time.Sleep(20 * time.Second)
 		return memberCensus.fewest()
 	}
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		if n := run(t, TestingKnobs{}); n != censusMembers {
 			t.Errorf("a proxy was notified of %d members", n)
 		}
 	})
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		if run(t, TestingKnobs{OwnContactsOnly: true}) == censusMembers {
 			t.Error("control: nothing was lost where a node goes by its own contacts")
 		}
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // pollManually has a subscriber take in what a server would send it now.
@@ -29,7 +29,7 @@
 // is newer than the one that is stored, but looks older by more than the tolerance, and is not taken. The node's next readings change
 // nothing there. Danger: what the first one said (a server drains, or is cold) is never stated.
 func TestSkippedListIsSentAgain(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		serverA, serverB := newIdleServer(), newIdleServer()
 		serverA.markComplete()
 		serverB.markComplete()
@@ -60,7 +60,7 @@
 // version 97; then the chain is repaired, and it reads under the next fence. Danger: what the first reading said is of a lower version than
 // what the proxy has, and is not written again, as the node has it.
 func TestNewerReadingOfLowerVersionIsApplied(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		serverA, serverB := newIdleServer(), newIdleServer()
 		serverA.markComplete()
 		serverB.markComplete()
@@ -94,7 +94,7 @@
 // one steps in under the same fence, and reads that a server has turned cold. Which of the two was made later can't be told by their
 // ages. Danger: the server is called warm, and what has been listed since vanishes.
 func TestDelayedReadingEndsNoWarmUp(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		server := newIdleServer()
 		asked := time.Now()
 		time.Sleep(2200 * time.Millisecond)
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -8,11 +8,11 @@
 	"os"
 	"strconv"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // DISTRIBUTION_SEEDS sets how many seeds run.
@@ -23,7 +23,7 @@
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { randomFaults(t, rand.New(rand.NewPCG(seed, 7))) })
+			bubble.Test(t, func(t *testing.T) { randomFaults(t, rand.New(rand.NewPCG(seed, 7))) })
 		})
 	}
 }
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -7,12 +7,12 @@
 	"net/http"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestPendingRepliesAreBounded: callers that take nothing of a large reply have so many of them in a node's memory as its
@@ -56,7 +56,7 @@
 // TestCallerThatDoesNotReadBlocksNobody: a proxy that takes no byte of a large reply is given up after a bound, and what
 // it took of the node's memory is free again; other proxies are served meanwhile.
 func TestCallerThatDoesNotReadBlocksNobody(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		chain := newChain()
 		server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: discardLogger()})
 		chain.add(largeConfigRecord(t, 4<<20, rand.NewChaCha8([32]byte{6})))
--- a/internal/system/distribution/server_rejoin_test.go
+++ b/internal/system/distribution/server_rejoin_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"testing"
-	"testing/synctest"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestNodeBackFromPartitionSynchronisesFirst: for 2 s after it is current again, a node that was isolated or was paused leaves
@@ -13,7 +14,7 @@
 		name            string
 		cut, hook, want bool
 	}{{"cut off", true, false, false}, {"a repair of the chain", false, false, true}, {"control", true, true, true}} {
-		synctest.Test(t, func(t *testing.T) {
+		bubble.Test(t, func(t *testing.T) {
 			fleet := newFleetWithKnobs(TestingKnobs{SkipRejoinDelay: test.hook}, "k1:1", "k2:1", "k3:1")
 			defer fleet.stop()
 			time.Sleep(4 * time.Second)
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // newNamedServer is a server that synchronises with nobody by itself.
@@ -49,7 +49,7 @@
 // TestTimeInBuffersCountsAsAge: what a message states is as old as it was when it was sent, and the time in transit. A message that
 // was delayed for long, or whose sending cannot be dated, is sent again.
 func TestTimeInBuffersCountsAsAge(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		manual.putList(t, 1, exactAge(time.Second), pick.Server{ID: "s"})
 		time.Sleep(time.Second) // the list is 2 s old
@@ -84,7 +84,7 @@
 
 // TestTimeInBuffersControl: judged by its arrival, a share that lay in a buffer for 20 s makes an old list a new one.
 func TestTimeInBuffersControl(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		manual.to.options.knobs.DateByArrival = true
 		putList(t, manual.from, 1, 1, []pick.Server{{ID: "s"}}, softstate.Age{})
@@ -96,7 +96,7 @@
 
 // TestShareToAnotherIncarnation: a node that was started again does not take what was dated by its former incarnation's clock.
 func TestShareToAnotherIncarnation(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
 		time.Sleep(time.Minute)
 		manual.send(t, 0)
@@ -114,7 +114,7 @@
 // TestListOfOldFenceIsSuperseded: a node that was isolated for 20 s and went on to read the list under the fence of its view
 // does not bring that back over the list of the view that followed, however high its versions are.
 func TestListOfOldFenceIsSuperseded(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		cutOff, next := newNamedServer("a"), newNamedServer("b")
 		for version := uint64(1); version <= 40; version++ {
 			time.Sleep(500 * time.Millisecond)
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -9,10 +9,10 @@
 	"math/rand/v2"
 	"net/http"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // largeConfigRecord is a change to a whole configuration with a service's worth of routes, of about the given number of bytes.
@@ -66,7 +66,7 @@
 // two takes as long the next time, and the proxy never starts.
 func TestLargeStateOverANarrowLink(t *testing.T) {
 	for _, c := range []struct{ size, rate int }{{2 << 20, 64 << 10}, {15 << 20, 400 << 10}} {
-		synctest.Test(t, func(t *testing.T) {
+		bubble.Test(t, func(t *testing.T) {
 			fleet := newFleet("k1:1")
 			defer fleet.stop()
 			fleet.chain.add(largeConfigRecord(t, c.size, rand.NewChaCha8([32]byte{1})))
@@ -80,7 +80,7 @@
 
 // TestNodeThatStallsMidReplyIsLeft: a reply whose bytes stop is given up as soon as one that does not begin.
 func TestNodeThatStallsMidReplyIsLeft(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1")
 		defer fleet.stop()
 		proxy := fleet.startProxy("p", func(options *SubscriberOptions) {
@@ -124,7 +124,7 @@
 
 // TestOneNodeAloneSendsItsState: a proxy that starts looks at several nodes, and takes the state from one.
 func TestOneNodeAloneSendsItsState(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
 		defer fleet.stop()
 		fleet.chain.add(largeConfigRecord(t, 600<<10, rand.NewChaCha8([32]byte{3})))
@@ -146,7 +146,7 @@
 // TestNodeThatFailsPollsIsRetriedWithBackoff: one that says that it is current, but whose replies cannot be had, is left
 // in peace between the tries.
 func TestNodeThatFailsPollsIsRetriedWithBackoff(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1")
 		defer fleet.stop()
 		fleet.chain.add(largeConfigRecord(t, 600<<10, rand.NewChaCha8([32]byte{4})))
--- a/internal/system/distribution/subscriber_neighbours_test.go
+++ b/internal/system/distribution/subscriber_neighbours_test.go
@@ -2,17 +2,17 @@
 
 import (
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestStaleProxyLearnsOfEvacuationsFromNeighbours: a proxy loses all nodes, though not the other proxies. A zone is evacuated, and one of its
 // servers turns cold. Danger: it goes on to send there.
 func TestStaleProxyLearnsOfEvacuationsFromNeighbours(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1")
 		defer fleet.stop()
 		cut, other := fleet.startProxy("cut", nil), fleet.startProxy("other", nil)
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // firstState records the first state with a record that a subscriber's owner is given.
@@ -70,7 +70,7 @@
 		seeds = append(seeds, fmt.Sprintf("dead%d:1", i))
 	}
 	for i := range 30 {
-		synctest.Test(t, func(t *testing.T) {
+		bubble.Test(t, func(t *testing.T) {
 			if seq, took := startBesideNeighbour(t, fmt.Sprint("p", i), TestingKnobs{}, seeds...); seq != 2 || took > 1500*time.Millisecond {
 				t.Errorf("p%d: serves change %d after %v", i, seq, took)
 			}
@@ -81,12 +81,12 @@
 // TestStartProbesNodesThatNeighbourNames: a proxy whose seeds name no node learns of one from an old neighbour, and asks it
 // before it serves what that neighbour has.
 func TestStartProbesNodesThatNeighbourNames(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		if seq, took := startBesideNeighbour(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
 			t.Errorf("serves change %d after %v", seq, took)
 		}
 	})
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		if seq, _ := startBesideNeighbour(t, "p", TestingKnobs{NeighbourAtOnce: true}, "old:2", "dead:1"); seq == 2 {
 			t.Error("control: the node's state came first though the neighbour was trusted at once")
 		}
@@ -95,7 +95,7 @@
 
 // TestStartWithoutNodeServesNeighboursState: where no node can be reached at all, an old state is better than none.
 func TestStartWithoutNodeServesNeighboursState(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := newOldNeighbour()
 		defer fleet.stop()
 		fleet.mesh.setPartitioned("p", "k1:1", true)
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestExtendedWarmUpEndsLate: a server that is cold becomes cold again ("at any moment"), so that its warm-up ends a
@@ -26,7 +26,7 @@
 		"same ways, exact, 1.4 ms more": {1400 * time.Microsecond, transit{1 * ms, 0}, transit{1 * ms, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				p := newWarmUpPath(t, transit{})
 				start := time.Now()
 				p.server.warmUpEnd = start.Add(3 * time.Second)
@@ -49,7 +49,7 @@
 // TestCarriedEntriesKeepTheirTimes: a reply is taken in with a clock that was read before the process froze, or waited for the
 // lock, while another reply came. Danger: what is kept of the newer table is dated back to the older clock.
 func TestCarriedEntriesKeepTheirTimes(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 		empty := newIdleServer() // a node that has started again, warm, with no list yet
 		empty.markComplete()
@@ -76,7 +76,7 @@
 // cold for 3 s more. Danger: whoever merges it takes a server for cold that has been warm for 17 s: after each change of
 // nodes, all servers that have ever been cold.
 func TestOldWarmUpIsOver(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		server := newIdleServer()
 		server.markComplete()
 		putList(t, server, 1, 1, []pick.Server{{ID: "s", WarmUpMax: 3 * time.Second}}, softstate.Age{})
@@ -100,7 +100,7 @@
 // TestSecondReplicaNarrowsTheAge: the first replica of an entry came by a slow way, the second by a fast one. Both bounds of both hold,
 // so the warm-up need not end later than by the better of the two.
 func TestSecondReplicaNarrowsTheAge(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		p := newWarmUpPath(t, transit{})
 		p.server.warmUpEnd = time.Now().Add(4 * time.Second)
 		p.read(transit{})
@@ -120,7 +120,7 @@
 // TestListAgeHoldsOverAPause: the process stops between the platform's reply and taking it in. Danger: the list and a notice of
 // withdrawal count as younger than they are by the time of the stop.
 func TestListAgeHoldsOverAPause(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		const stop = 300 * time.Millisecond
 		server := newIdleServer()
 		read := boundsOf(softstate.Age{Max: 50 * time.Millisecond})
@@ -138,7 +138,7 @@
 
 // TestWarmUpEndDoesNotFlap: readings of one warm-up, near its end, over a slow way.
 func TestWarmUpEndDoesNotFlap(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		var worst time.Duration
 		flaps := 0
 		for phase := range 50 {
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -11,12 +11,12 @@
 	"strconv"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 const (
@@ -322,7 +322,7 @@
 // runWarmUpFleet plays 60 s of a seed, and names proxies that have other servers than their node some seconds after the last fault.
 func runWarmUpFleet(t *testing.T, seed uint64, proxies int, change func(*warmUpFleet)) (w *warmUpFleet, differ []string) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		w = newWarmUpFleet(t, rand.New(rand.NewPCG(seed, uint64(proxies))), proxies, change)
 		defer w.stopAll()
 		w.run(60)
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"pgregory.net/rapid"
+
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // maxListLag is how long after the true end proxies may take a server for cold here: more than all legs of a case together.
@@ -35,7 +36,7 @@
 		"all far, the reading answered": {transit{0, 200 * ms}, far, far, far},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				path := newWarmUpPath(t, test.share)
 				path.server.warmUpEnd = time.Now().Add(3 * time.Second)
 				for time.Until(path.server.warmUpEnd) > -maxListLag {
@@ -64,7 +65,7 @@
 func TestLaterReadingCorrectsWarmUpEnd(t *testing.T) {
 	for _, more := range []time.Duration{time.Millisecond, 35 * time.Millisecond, 80 * time.Millisecond, 399 * time.Millisecond, 401 * time.Millisecond} {
 		t.Run(fmt.Sprint(more), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				p := newWarmUpPath(t, transit{})
 				p.server.warmUpEnd = time.Now().Add(3 * time.Second)
 				for range 2 {
@@ -108,7 +109,7 @@
 		notice := time.Duration(rapid.IntRange(0, 4000).Draw(rt, "notice")) * time.Millisecond
 		steps := rapid.SliceOfN(rapid.Custom(drawPathStep), 1, 30).Draw(rt, "steps")
 		wrong := ""
-		synctest.Test(t, func(t *testing.T) { wrong = playSteps(t, cold, notice, steps) })
+		bubble.Test(t, func(t *testing.T) { wrong = playSteps(t, cold, notice, steps) })
 		if wrong != "" {
 			rt.Fatal(wrong)
 		}
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"net/http/httptest"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestDelayedRequestWaits: a change that comes on a connection that was quiet for long may have been delayed by a partition. It
@@ -31,7 +31,7 @@
 		"20 s on the way on an old one": {20 * time.Second, true, time.Millisecond, 503, time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				chain := &scriptedChain{submit: accepted, read: func(ctx context.Context) (*controlstate.State, error) {
 					return stateAt(4), ctx.Err()
 				}}
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -11,10 +11,10 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // scriptedChain answers as its functions say, and records what it was asked.
@@ -82,7 +82,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, unprotected := range []bool{false, true} {
-				synctest.Test(t, func(t *testing.T) {
+				bubble.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
 					chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) {
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -11,7 +11,6 @@
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
@@ -20,6 +19,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 type fakeChain struct {
@@ -232,7 +232,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				handler := Handler(Options{Chain: &fakeChain{unresponsive: true}, Log: discardLog()})
 				start := time.Now()
 				w := serve(t, handler, "POST", "/Config.Replace", test.body, "X-Base-Version", "0")
@@ -266,7 +266,7 @@
 		"read": {"GET", "/Config.Read", nil, 503, waits},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				chain, cut := &fakeChain{unresponsive: true}, true
 				handler := Handler(Options{Chain: chain, Log: discardLog(), Partitioned: func() bool { return cut }})
 				start := time.Now()
@@ -289,7 +289,7 @@
 func TestDeliveryIsBounded(t *testing.T) {
 	for ack, want := range map[time.Duration]time.Duration{0: 300 * time.Millisecond, time.Second: 125 * time.Millisecond} {
 		t.Run(ack.String(), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				handler := Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted, Seq: 9}}, AckTimeout: ack, Log: discardLog(),
 					WaitDelivered: func(ctx context.Context, _ uint64) { <-ctx.Done() }})
 				start := time.Now()
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -13,12 +13,12 @@
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/anishathalye/porcupine"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // history is what operators and readers saw.
@@ -97,7 +97,7 @@
 		start, old = longHistory()
 	}
 	out := &modelHistory{}
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		w := newModelCluster(seed, start, knobs, chain)
 		for _, o := range old {
 			w.applied[changeKey(o.change)] = 0
--- a/internal/system/operatorapi/over_chain_test.go
+++ b/internal/system/operatorapi/over_chain_test.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"net/http"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestSameOrderOverTheChain: over the chain itself: hundreds of changes, each sent to all nodes at once, are each applied once
 // and confirmed to all; sent again later they are confirmed again, also after a restart of all nodes.
 func TestSameOrderOverTheChain(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
 		cluster.start()
 		defer cluster.stop()
@@ -48,7 +48,7 @@
 
 // TestRaceOverTheChain: over the chain itself: of three changes on one version one is confirmed, the others are refused.
 func TestRaceOverTheChain(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
 		cluster.start()
 		defer cluster.stop()
@@ -72,7 +72,7 @@
 
 func testPartitionedNode(t *testing.T, waitWhenPartitioned bool) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
 		cluster.waitWhenPartitioned = waitWhenPartitioned
 		cluster.start()
@@ -99,7 +99,7 @@
 // place, answers changes at once, so that callers move on to another node. Through the others the change comes into force
 // meanwhile, and soon after the partition through this one again.
 func TestChangesAtAPartitionedNodeAreAnsweredAtOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
 		cluster.start()
 		cluster.startNode(observer)
--- a/internal/system/operatorapi/stall_detector_test.go
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 func TestStallDetector(t *testing.T) {
@@ -47,7 +49,7 @@
 	if !NewStallDetector().Stalled() {
 		t.Error("a detector that does not run counts as no stall")
 	}
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		detector := NewStallDetector()
 		if !detector.Stalled() {
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -11,11 +11,11 @@
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // wireClient is one connection to the API over a chain that accepts everything.
@@ -212,7 +212,7 @@
 func TestAnswerWithinASecond(t *testing.T) {
 	for _, target := range []string{"/Config.Replace", "/Evacuation.Start/z"} {
 		t.Run(target, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				chain := &scriptedChain{read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil },
 					submit: func(c controlstate.Change) controlstate.Verdict {
 						time.Sleep(chainTimeout - time.Millisecond) // of the bubble's clock
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -5,12 +5,13 @@
 	"fmt"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 type fakeList struct {
@@ -82,7 +83,7 @@
 func TestPollerKeepsItsRateLimit(t *testing.T) {
 	for pages, want := range map[uint64]uint64{1: 21, 4: 4 * 11, 20: 20 * 3} {
 		t.Run(fmt.Sprint(pages, " pages"), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				list, table := &fakeList{pages: pages}, &listTable{}
 				runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest,
 					OnResult: table.put, MaxCallsPerSecond: 4}, 10*time.Second+time.Millisecond)
@@ -98,7 +99,7 @@
 }
 
 func TestPollerContinuesFromTheNewestVersion(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		list, table := &fakeList{pages: 1}, &listTable{fence: 3, version: 40}
 		o := PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest, OnResult: table.put}
 		runPoller(o, time.Millisecond)
@@ -109,7 +110,7 @@
 }
 
 func TestPollerUnderAnOldFence(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		list, table := &fakeList{pages: 1}, &listTable{fence: 4, version: 1}
 		runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest, OnResult: table.put},
 			10*time.Second)
@@ -120,7 +121,7 @@
 }
 
 func TestStandbyPollsWhenTheListIsStale(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		table := &listTable{fence: 3, at: time.Now()}
 		lists := []*fakeList{{pages: 1}, {pages: 1}}
 		start := time.Now()
@@ -146,7 +147,7 @@
 }
 
 func TestPollerKeepsTheListThroughErrors(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		list, table := &fakeList{pages: 1}, &listTable{}
 		list.fail(&RateError{After: 3 * time.Second})
 		go func() {
--- a/internal/system/proxy/idletimeout_test.go
+++ b/internal/system/proxy/idletimeout_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestIdleTimeouts has connections idle for long: which are used again depends on the time that servers announce.
@@ -25,7 +27,7 @@
 		{"announced, too long", respondWith(200, "x", "Keep-Alive: max=3, timeout=5"), []time.Duration{2600 * time.Millisecond}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				piped := newPipedProxy(nil, test.do)
 				sends := 0
 				send := func() {
@@ -52,7 +54,7 @@
 
 // TestIdleConnsAreSwept has connections idle that nobody uses any more: they are closed in time.
 func TestIdleConnsAreSwept(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		ended := make(chan time.Duration, 1)
 		began := time.Now()
 		piped := newPipedProxy(nil, func(c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/system/proxy/senddeadline_test.go
+++ b/internal/system/proxy/senddeadline_test.go
@@ -6,11 +6,11 @@
 	"net/http"
 	"slices"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestSendDeadline: a request that is to go out within 200 ms, as its server is warming up, goes out to another
@@ -22,7 +22,7 @@
 		"late, at no one's cost": {0, 240 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				ran := make(chan int, 4)
 				serve := func(n int) serverBehavior {
 					return func(c net.Conn, r *http.Request, body []byte) bool {
--- a/internal/system/proxy/servertimeout_test.go
+++ b/internal/system/proxy/servertimeout_test.go
@@ -14,6 +14,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestServerTimeouts has a first server send nothing, or nothing more, on a clock that the test drives.
@@ -47,7 +48,7 @@
 			[]pick.AttemptOutcome{pick.TimedOut, pick.TimedOut, pick.TimedOut}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				piped := newPipedProxy([]configure{test.how}, test.servers...)
 				w, took := piped.roundTrip(t.Context())
 				if w.Code != test.status || w.Body.String() != test.body || took != test.took || !slices.Equal(piped.fake.outcomes, test.outcomes) {
@@ -60,7 +61,7 @@
 
 // TestBusyServerDoesNotTimeOut has a server be slow with one request while it answers others: it is not abandoned.
 func TestBusyServerDoesNotTimeOut(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		slow := func(c net.Conn, r *http.Request, body []byte) bool {
 			if r.Header.Get("X-Slow") != "" {
 				time.Sleep(5 * time.Second)
@@ -102,7 +103,7 @@
 		{"-5", 7980 * time.Millisecond, 7980 * time.Millisecond},
 	} {
 		t.Run("X-Time-Left-Ms "+test.clientTimeLeft, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				piped := newPipedProxy(nil, neverRespond)
 				w, took := piped.roundTrip(t.Context(), headerTimeLeft, test.clientTimeLeft)
 				r := <-piped.requests
@@ -113,7 +114,7 @@
 			})
 		})
 	}
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		piped := newPipedProxy(nil, neverRespond)
 		if w, took := piped.roundTrip(t.Context(), headerTimeLeft, "0"); w.Code != http.StatusServiceUnavailable || took != 0 || len(piped.requests) > 0 {
 			t.Errorf("status %d after %v, %d attempts", w.Code, took, len(piped.requests))
@@ -126,7 +127,7 @@
 	for name, behavior := range map[string]serverBehavior{"before the response": neverRespond,
 		"within a stream": respondEventsThen(2, neverRespond)} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				piped := newPipedProxy([]configure{withCategory(config.Streaming)}, behavior, respondWith(200, "x"))
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
@@ -142,7 +143,7 @@
 // TestLateResponse has a server respond after the deadline: its connection is closed by then, and the next request goes out on
 // another and gets its own response.
 func TestLateResponse(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		late := make(chan error, 1)
 		piped := newPipedProxy([]configure{withCategory(config.NonIdempotent)}, func(c net.Conn, r *http.Request, body []byte) bool {
 			if r.Header.Get(headerAttemptID) == "id-1" {
--- a/internal/system/proxy/stall_test.go
+++ b/internal/system/proxy/stall_test.go
@@ -9,6 +9,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // stalledPicker is the picker of one of twelve proxies that knows two servers, which take 31 requests a second while they are
@@ -65,7 +66,7 @@
 // TestRequestsAwaitContactAfterStall: after a stall requests wait for an update that the control plane sent after it; one from
 // before does not count.
 func TestRequestsAwaitContactAfterStall(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		locked, r, w := stalledPicker()
 		asked := 0
 		locked.onStall = func() { asked++ }
@@ -104,7 +105,7 @@
 // TestContactWaitIsBounded: without an update they go on after a while, at the rate of servers that are warming up; so do those
 // whose client goes away.
 func TestContactWaitIsBounded(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		locked, _, w := stalledPicker()
 		locked.UpdateClusterState(time.Now(), w)
 		stall(locked)
@@ -128,7 +129,7 @@
 
 // TestIdleProcessIsNotStalled: calls that come rarely are no stall while the process runs.
 func TestIdleProcessIsNotStalled(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		locked, r, w := stalledPicker()
 		ctx, cancel := context.WithCancel(t.Context())
 		var watch sync.WaitGroup
--- a/internal/system/proxy/testing_knobs_test.go
+++ b/internal/system/proxy/testing_knobs_test.go
@@ -7,13 +7,13 @@
 	"net/http"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"golang.org/x/sys/unix"
 
 	"gradeusher.example/gradeusher/internal/system/config"
 	"gradeusher.example/gradeusher/internal/system/invariant/invarianttest"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestExactlyOnceControls takes out one protection at a time: a scenario then violates what TestExactlyOnce checks, and does not
@@ -150,7 +150,7 @@
 		{1, TestingKnobs{RetryPartlyWritten: true}, 200, 1},
 	} {
 		t.Run(fmt.Sprintf("%d bytes, retry %v", test.capacity, test.without.RetryPartlyWritten), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				piped := newPipedProxy([]configure{withCategory(config.NonIdempotent), func(o *Options, _ *config.Config) { o.knobs = test.without }},
 					respondWith(200, "first"), respondWith(200, "second"))
 				open := piped.pools.connect
--- a/internal/system/replication/client_calls_abandon_test.go
+++ b/internal/system/replication/client_calls_abandon_test.go
@@ -3,16 +3,17 @@
 import (
 	"context"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestAbandonedCallIsNotResent ends the caller's context while the head is not heard. Danger: the node goes on
 // sending the change to whoever leads, until a deadline that its caller does not wait for.
 func TestAbandonedCallIsNotResent(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		group := newFleet(t)
 		nodes := map[string]*Node{}
 		for _, a := range group.seeds {
--- a/internal/system/replication/node_observer_test.go
+++ b/internal/system/replication/node_observer_test.go
@@ -4,18 +4,18 @@
 	"context"
 	"errors"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestNodeWithoutDisk starts an observer beside three nodes: it needs no disk, and passes calls on.
 func TestNodeWithoutDisk(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		group := newFleet(t)
 		var all []*Node
 		for _, a := range group.seeds {
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -8,7 +8,6 @@
 	"net/http/httptest"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
@@ -17,6 +16,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // memDisk is a wal.Disk in memory.
@@ -126,7 +126,7 @@
 }
 
 func TestNodesSubmitReadAndReplaceLostDisk(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		group := newFleet(t)
 		nodes := map[string]*Node{}
 		for _, a := range group.seeds {
@@ -196,7 +196,7 @@
 }
 
 func TestLoneNodeReportsNotApplied(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		f := newFleet(t)
 		k := f.start(f.seeds[0], true)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -3,20 +3,20 @@
 import (
 	"context"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
 	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // TestAllNodesRestartFromTheirLogs ends all nodes at the same moment and starts them again on their own files. Danger:
 // what was acknowledged is on disk, and nobody answers for it.
 func TestAllNodesRestartFromTheirLogs(t *testing.T) {
 	folders := map[string]string{}
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		fleet := &restartedFleet{fleet: newFleet(t), folders: folders, nodes: map[string]*Node{}}
 		for _, a := range fleet.seeds {
 			folders[a] = t.TempDir()
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"slices"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/apex/log"
@@ -12,6 +11,7 @@
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/wal"
+	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
 // restored is a state of n records, of which the first evacuates the zone mark.
@@ -150,7 +150,7 @@
 			for _, a := range newFleet(t).seeds {
 				folders[a] = t.TempDir()
 			}
-			synctest.Test(t, func(t *testing.T) {
+			bubble.Test(t, func(t *testing.T) {
 				group := &restoredFleet{fleet: newFleet(t), folders: folders, nodes: map[string]*Node{}}
 				for i, s := range test.on {
 					if s != nil {
@@ -178,7 +178,7 @@
 	for _, a := range newFleet(t).seeds {
 		folders[a] = t.TempDir()
 	}
-	synctest.Test(t, func(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
 		group := &restoredFleet{fleet: newFleet(t), folders: folders, nodes: map[string]*Node{}}
 		group.restore(group.seeds[0], restored(t, "old", 700))
 		group.run(group.seeds[1])
