--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"os"
-	"strings"
 	"sync"
 	"time"
 
@@ -205,17 +203,3 @@
 	r.Close()
 	return killed
 }
-
-// Log gives the last lines of a process's log, for reports of failures.
-func (f *Fleet) Log(m Machine, controlPlane bool, maxLines int) string {
-	name := ProxyName(m)
-	if controlPlane {
-		name = ControlPlaneName(m)
-	}
-	text, err := os.ReadFile(f.Folder + "/" + name + ".log")
-	if err != nil {
-		return err.Error()
-	}
-	lines := strings.Split(strings.TrimRight(string(text), "\n"), "\n")
-	return strings.Join(lines[max(0, len(lines)-maxLines):], "\n")
-}
