--- a/internal/lab/testcluster/environment.go
+++ b/internal/lab/testcluster/environment.go
@@ -77,7 +77,7 @@
 	env.Platform = &Platform{Lag: options.ListLag, Rate: options.ListRate, Page: pageSize, CrashedListedFor: crashedListedFor, now: env.Now, evidence: env.Evidence,
 		servers: env.instances}
 	for _, spec := range options.Servers {
-		server := &Server{ServerSpec: spec, env: env, stoppedAt: rules.Never, crashedAt: rules.Never, withdrawAt: rules.Never}
+		server := newServer(spec, env)
 		env.Servers = append(env.Servers, server)
 		if err := server.Start(false); err != nil {
 			env.Close()
@@ -90,7 +90,7 @@
 		return nil, errors.Wrap(err, "the stand-in list cannot listen")
 	}
 	env.listAddress = listener.Addr().String()
-	env.listServer = &http.Server{Handler: env.Platform, ReadHeaderTimeout: 10 * time.Second, ErrorLog: env.discardLog}
+	env.listServer = &http.Server{Handler: env.Platform, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: env.discardLog}
 	env.background.Go(func() { _ = env.listServer.Serve(listener) }) // ends with Close
 	env.background.Go(func() { env.observe(ctx) })
 	env.traffic = &Traffic{Kinds: options.Kinds, env: env, seed: options.Seed, stats: env.stats}
--- a/internal/lab/testcluster/exchange.go
+++ b/internal/lab/testcluster/exchange.go
@@ -10,7 +10,6 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"gradeusher.example/gradeusher/internal/lab/model"
 	"gradeusher.example/gradeusher/internal/lab/testcluster/engine"
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
@@ -50,20 +49,16 @@
 		e.recordEnd(http.StatusGatewayTimeout, "", false)
 	default:
 		e.incarnation.server.env.Evidence.Update(func() { e.arrival.Rejected = http.StatusServiceUnavailable })
-		notExecuted(e.writer, http.StatusServiceUnavailable)
+		rejectNotExecuted(e.writer, http.StatusServiceUnavailable)
 	}
 	return engine.Output{}, false
 }
 
 // cancel takes the request from the workload, and reports whether it has run.
 func (e *serverExchange) cancel() bool {
-	s := e.incarnation.server
-	s.mu.Lock()
-	started := s.workload.Cancel(s.env.Now(), e.key)
-	s.mu.Unlock()
-	s.wakeRun()
+	started := e.incarnation.server.cancelRequest(e.key)
 	if started {
-		e.recordStart(s.env.Now())
+		e.recordStart(e.incarnation.server.env.Now())
 	}
 	return started
 }
@@ -155,8 +150,3 @@
 		}
 	}
 }
-
-// submit hands a request to a server without a model.
-func (p *plainServer) submit(now time.Duration, key uint64) bool {
-	return p.Arrive(int64(now), model.Job{Key: key, Work: p.spec.Work.Seconds()})
-}
--- a/internal/lab/testcluster/incarnation.go
+++ b/internal/lab/testcluster/incarnation.go
@@ -2,13 +2,11 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -18,60 +16,63 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-const maxBodyBytes = 16 << 20
+const maxBodyBytes = 16 << 20 // of a request; what is beyond is not read
 
-// incarnation is one life of a server, as its callers see it.
+// incarnation serves the HTTP requests that come to a server between one start and its end.
 type incarnation struct {
 	ServerSpec
 	server *Server
 	id     string
-	ctx    context.Context
-	relay  *relay // nil: callers reach it straight
+	ctx    context.Context // ends with the incarnation
+	relay  *relay          // in front of the listener; nil: callers reach it directly
 }
 
 // ServeHTTP implements http.Handler.
 func (i *incarnation) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	server := i.server
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		panic(http.ErrAbortHandler) // the caller went away amid its request
+		panic(http.ErrAbortHandler) // the caller has gone before its request was complete
 	}
-	header := w.Header()
-	id := r.Header.Get("X-Attempt-Id")
-	if id != "" {
-		header.Set("X-Attempt-Id", id)
+	attemptID := r.Header.Get("X-Attempt-Id")
+	if attemptID != "" {
+		w.Header().Set("X-Attempt-Id", attemptID)
 	}
 	switch {
 	case r.URL.Path == "/report":
-		server.serveReport(w)
+		i.server.serveReport(w)
 		return
-	case r.Method == http.MethodGet && r.URL.Path == i.HealthPath && id == "":
-		server.serveHealth(w, i.id)
+	case r.Method == http.MethodGet && r.URL.Path == i.HealthPath && attemptID == "":
+		i.server.serveHealth(w, i.id)
 		return
 	}
-	arrival := &rules.Arrival{At: server.env.Now(), ID: id, Server: i.id, Service: i.Service, Zone: i.Zone, Region: i.Region, Method: r.Method,
-		Path: r.URL.RequestURI(), Host: r.Host, Body: xxhash.Sum64(body), ExecutedAt: rules.Never, Ended: rules.Never}
-	arrival.From, _ = strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	if i.relay != nil {
-		arrival.Sent = max(1, arrival.At-i.relay.sentAgo(r.RemoteAddr, clock.Now()))
-	}
+	arrival := i.newArrival(r, body)
 	if target := r.Header.Get("X-Target-Instance"); target != "" && target != i.id {
 		arrival.Rejected = http.StatusMisdirectedRequest
-		server.env.Evidence.RecordArrival(arrival)
-		header.Set("X-Instance-Id", i.id)
-		header.Set("X-Not-Executed", "1")
-		w.WriteHeader(http.StatusMisdirectedRequest)
+		i.server.env.Evidence.RecordArrival(arrival)
+		w.Header().Set("X-Instance-Id", i.id)
+		rejectNotExecuted(w, http.StatusMisdirectedRequest)
 		return
 	}
 	i.handle(w, r, arrival) //nolint:contextcheck // the server starts again whether or not the request goes on
 }
 
+// newArrival returns the evidence of a request that has come.
+func (i *incarnation) newArrival(r *http.Request, body []byte) *rules.Arrival {
+	arrival := &rules.Arrival{At: i.server.env.Now(), ID: r.Header.Get("X-Attempt-Id"), Server: i.id, Service: i.Service, Zone: i.Zone, Region: i.Region,
+		Method: r.Method, Path: r.URL.RequestURI(), Host: r.Host, Body: xxhash.Sum64(body), ExecutedAt: rules.Never, Ended: rules.Never}
+	arrival.From, _ = strconv.Atoi(r.Header.Get("Last-Event-Id"))
+	if i.relay != nil {
+		arrival.Sent = max(1, arrival.At-i.relay.sentAgo(r.RemoteAddr, clock.Now()))
+	}
+	return arrival
+}
+
 // admission is what became of a request at its arrival.
 type admission struct {
 	overloaded bool // the server warms up, and crashes of this request
 	loseAnswer bool // the request runs, and its connection is reset in place of an answer
 	key        uint64
-	outputs    chan engine.Output // nil: it was rejected
+	outputs    chan engine.Output // nil: the request was rejected
 }
 
 // handle runs a request, or rejects it.
@@ -87,14 +88,10 @@
 		<-i.ctx.Done()
 		panic(http.ErrAbortHandler)
 	case arrival.Rejected != 0:
-		notExecuted(w, arrival.Rejected)
+		rejectNotExecuted(w, arrival.Rejected)
 		return
 	}
-	defer func() {
-		server.mu.Lock()
-		delete(server.waiters, admitted.key)
-		server.mu.Unlock()
-	}()
+	defer server.forgetRequest(admitted.key)
 	arrival.LastEvent = 1
 	if i.Engine != nil {
 		arrival.LastEvent = engine.EventsOf(job.AnswerTokens, i.Engine.Stride)
@@ -112,7 +109,8 @@
 	}
 }
 
-// admit submits a request to the server's workload, unless that cannot take it, and sets what every answer says of the server.
+// admit submits a request to the server's workload, unless the server rejects it or crashes of it. It sets the headers by which every answer
+// reports the server's state.
 func (i *incarnation) admit(header http.Header, job engine.Request, arrival *rules.Arrival) (admitted admission) {
 	server := i.server
 	server.mu.Lock()
@@ -135,149 +133,12 @@
 	return admitted
 }
 
-// deadlineOf returns a channel that a value comes on once the caller's deadline is over; without a deadline none comes.
+// deadlineOf returns a channel that receives a value when the caller's time is over. Without X-Time-Left-Ms it never does.
 func deadlineOf(header http.Header) (deadline <-chan time.Time, stop func()) {
-	ms, err := strconv.Atoi(header.Get("X-Time-Left-Ms"))
+	milliseconds, err := strconv.Atoi(header.Get("X-Time-Left-Ms"))
 	if err != nil {
 		return make(chan time.Time), func() {}
 	}
-	timer := time.NewTimer(time.Duration(ms) * time.Millisecond)
+	timer := time.NewTimer(ms(milliseconds))
 	return timer.C, func() { timer.Stop() }
 }
-
-// overloadsWarmUp counts a request that came to a server that warms up, and reports whether the server crashes.
-func (s *Server) overloadsWarmUp(now time.Duration) bool {
-	s.recentArrivals = append(s.recentArrivals, now)
-	for s.recentArrivals[0] <= now-time.Second {
-		s.recentArrivals = s.recentArrivals[1:]
-	}
-	return s.WarmUpCrashFactor > 0 && float64(len(s.recentArrivals)) > s.WarmUpCrashFactor*s.WarmUpPerSecond
-}
-
-// submit hands a request to the machine; nil: the server is full.
-func (s *Server) submit(now time.Duration, r engine.Request) (uint64, chan engine.Output) {
-	s.lastKey++
-	r.Key = s.lastKey
-	outputs := make(chan engine.Output, r.AnswerTokens+3)
-	s.deliver()
-	s.waiters[s.lastKey] = outputs
-	ok := false
-	switch m := s.workload.(type) {
-	case *engine.Engine:
-		ok = m.Submit(now, r)
-	case *plainServer:
-		ok = m.submit(now, r.Key)
-	}
-	if !ok {
-		delete(s.waiters, s.lastKey)
-		return 0, nil
-	}
-	s.wakeRun()
-	return s.lastKey, outputs
-}
-
-// parseJob reads what a request asks of a model server.
-func (i *incarnation) parseJob(r *http.Request) engine.Request {
-	if i.Engine == nil {
-		return engine.Request{AnswerTokens: 1}
-	}
-	prompt := r.Header.Get("X-Prompt-Prefix")
-	job := engine.Request{Parts: parsePromptParts(prompt), Priority: 5}
-	in, maxTokens, _ := strings.Cut(r.Header.Get("X-Token-Count"), ",")
-	if n, err := strconv.Atoi(in); err == nil && len(job.Parts) == 0 {
-		job.Parts = []engine.PromptPart{{ID: xxhash.Sum64String(r.Header.Get("X-Attempt-Id")), Tokens: n}}
-	}
-	n, err := strconv.Atoi(maxTokens)
-	if err != nil || n < 1 {
-		n = 1
-	}
-	job.AnswerTokens = AnswerTokens(prompt, n)
-	job.ReceivedEvents, _ = strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	job.ReceivedEvents = max(0, min(job.ReceivedEvents, engine.EventsOf(job.AnswerTokens, i.Engine.Stride)-1))
-	if p, err := strconv.Atoi(r.Header.Get("Priority")); err == nil {
-		job.Priority = p
-	}
-	return job
-}
-
-// AnswerTokens is how many tokens an answer to a prompt has, of the most that the request allows: the same at every server.
-func AnswerTokens(prompt string, maxTokens int) int {
-	return maxTokens/2 + 1 + int(xxhash.Sum64String(prompt)%uint64(maxTokens-maxTokens/2))
-}
-
-// parsePromptParts reads X-Prompt-Prefix.
-func parsePromptParts(text string) []engine.PromptPart {
-	var out []engine.PromptPart
-	for one := range strings.SplitSeq(text, ",") {
-		id, tokens, ok := strings.Cut(one, ":")
-		n, err := strconv.ParseUint(id, 16, 64)
-		size, err2 := strconv.Atoi(tokens)
-		if !ok || err != nil || err2 != nil || size < 0 {
-			break
-		}
-		out = append(out, engine.PromptPart{ID: n, Tokens: size})
-	}
-	return out
-}
-
-// setStateHeaders adds what every answer tells of the server.
-func (s *Server) setStateHeaders(h http.Header) {
-	if s.ReportsLoad {
-		run, wait := s.workload.Load()
-		h.Set("X-Server-Load", fmt.Sprintf("%d,%d,%d", run, wait, s.slots()))
-	}
-	if s.IdleTimeout > 0 {
-		h.Set("Keep-Alive", fmt.Sprintf("timeout=%d", int(s.IdleTimeout.Seconds())))
-	}
-	if s.draining {
-		h.Set("Connection", "close")
-	}
-}
-
-func notExecuted(w http.ResponseWriter, status int) {
-	w.Header().Set("X-Not-Executed", "1")
-	if status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", "0.2")
-	}
-	w.WriteHeader(status)
-}
-
-func (s *Server) serveHealth(w http.ResponseWriter, id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	run, wait := s.workload.Load()
-	s.setStateHeaders(w.Header())
-	w.Header().Set("X-Instance-Id", id)
-	if left := s.warmUntil - s.env.Now(); left > 0 {
-		w.Header().Set("X-Cold-Ms", strconv.FormatInt(left.Milliseconds(), 10))
-	}
-	switch {
-	case run >= s.slots() && wait > 0:
-		notExecuted(w, http.StatusServiceUnavailable)
-	case s.draining:
-		w.WriteHeader(http.StatusServiceUnavailable)
-	}
-}
-
-// serveReport answers /report, as things stood a while ago.
-func (s *Server) serveReport(w http.ResponseWriter) {
-	s.mu.Lock()
-	if s.engine == nil {
-		s.mu.Unlock()
-		w.WriteHeader(http.StatusNotFound)
-		return
-	}
-	s.deliver()
-	now := s.env.Now()
-	f := s.engine.Figures()
-	r := report{at: now, Stage: "both", Models: models(), Used: f.Used, Capacity: s.Engine.MemoryTokens, Handled: f.Handled}
-	r.Active, r.Queued = s.engine.Load()
-	s.reports = append(s.reports, r)
-	for len(s.reports) > 1 && s.reports[1].at <= now-reportLag {
-		s.reports = s.reports[1:]
-	}
-	r = s.reports[0]
-	s.mu.Unlock()
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(r) // to a caller that has gone
-}
--- a/internal/lab/testcluster/list.go
+++ b/internal/lab/testcluster/list.go
@@ -12,32 +12,6 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// listedModel is a model that a server has loaded.
-type listedModel struct {
-	Name     string   `json:"name"`
-	Revision int      `json:"revision"`
-	Adapters []string `json:"adapters"`
-}
-
-func models() []listedModel { return []listedModel{{"m", 1, []string{}}} }
-
-// Instance is an entry of the platform's list.
-type Instance struct {
-	Target       string        `json:"target"`
-	Address      string        `json:"address"`
-	Zone         string        `json:"zone"`
-	Revision     string        `json:"revision"`
-	Slots        int           `json:"slots"`
-	Phase        string        `json:"phase"`
-	WarmUpLeftMS int64         `json:"cold_left_ms"`
-	RemainingMS  *int64        `json:"remaining_ms,omitempty"`
-	Stage        string        `json:"stage,omitempty"`
-	Models       []listedModel `json:"models,omitempty"`
-	ID           string        `json:"id"`
-
-	warmUntil time.Duration // from which ColdLeft is told when an answer is made
-}
-
 // Platform is the stand-in of the platform's list: PROTOCOL.md "Service discovery".
 type Platform struct {
 	Lag              time.Duration // by which what it shows is old
@@ -76,14 +50,12 @@
 		p.snapshots = p.snapshots[1:]
 	}
 	for _, i := range p.snapshots[0].instances {
-		if i.Phase == draining && p.snapshots[0].at <= now-p.Lag {
+		if i.Phase == phaseDraining && p.snapshots[0].at <= now-p.Lag {
 			p.evidence.RecordDraining(i.ID, now)
 		}
 	}
 }
 
-const draining = "draining"
-
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || r.URL.Path != "/instances" {
@@ -148,29 +120,3 @@
 	defer p.mu.Unlock()
 	return p.totalCalls, p.rejectedCalls
 }
-
-// instance is how a server stands; false: it is not listed.
-func (s *Server) instance(crashedIs time.Duration) (Instance, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.env.Now()
-	switch {
-	case s.id == "" || s.stoppedAt != rules.Never:
-		return Instance{}, false
-	case s.crashedAt != rules.Never && now-s.crashedAt > crashedIs:
-		return Instance{}, false
-	}
-	i := Instance{Target: s.Service, Address: s.address, Zone: s.Zone, Revision: "v1", Slots: s.slots(), Phase: "serving",
-		ID: s.id, warmUntil: s.warmUntil}
-	if s.draining {
-		i.Phase = draining
-	}
-	if s.withdrawAt != rules.Never {
-		left := max(0, s.withdrawAt-now).Milliseconds()
-		i.RemainingMS = &left
-	}
-	if s.Engine != nil {
-		i.Stage, i.Models = "both", models()
-	}
-	return i, true
-}
--- a/internal/lab/testcluster/list_test.go
+++ b/internal/lab/testcluster/list_test.go
@@ -103,7 +103,7 @@
 	platform.stand = []Instance{{ID: "old"}}
 	platform.Observe()
 	platform.at = time.Second
-	platform.stand = []Instance{{ID: "old", Phase: draining}}
+	platform.stand = []Instance{{ID: "old", Phase: phaseDraining}}
 	platform.Observe()
 	platform.at += platform.Lag - 1
 	platform.Observe()
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -250,7 +250,7 @@
 		t.Errorf("at first: %+v", i)
 	}
 	server.Withdraw(time.Hour)
-	if i := w.instances(); i[0].Phase != draining || i[0].RemainingMS == nil || *i[0].RemainingMS < 3_000_000 {
+	if i := w.instances(); i[0].Phase != phaseDraining || i[0].RemainingMS == nil || *i[0].RemainingMS < 3_000_000 {
 		t.Errorf("withdrawn: %+v", i)
 	}
 	server.Stop()
