--- a/internal/lab/testcluster/relay.go
+++ b/internal/lab/testcluster/relay.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	relayDialTimeout  = time.Second
-	relayBufferBytes  = 16 << 10
-	maxRelayedConns   = 2048 // connections of one relay at a time; more are reset
-	maxPendingPackets = 1024 // on their way over one relay at a time; more are lost
+	relayDialTimeout = time.Second
+	relayBufferBytes = 16 << 10
+	maxRelayedConns  = 2048 // of one relay at a time; more are closed
 )
 
-// relay leads connections to an address over a link with faults. A call to one that nobody answers comes up and is reset.
+// relay forwards connections to an address over a link with faults. The near end is the one that connects, the far end the one that it
+// reaches. If nobody listens at the far end, the near end's connection comes up and is reset.
 type relay struct {
 	listener net.Listener
-	to       string
+	to       string // address of the far end
 	link     *link.Link
-	// pick gives the link of a connection by its first bytes; nil: they all have the same.
+	// pick returns the link of a connection by its first bytes; nil: all connections go over link.
 	pick      func(first []byte) *link.Link
-	open      atomic.Int32
-	nearConns sync.Map // link.Conn by the address from which the far end is called
+	open      atomic.Int32 // connections
+	nearConns sync.Map     // *link.Conn by the local address of the connection to the far end
 	wait      sync.WaitGroup
 
 	mu                 sync.Mutex
 	closed             bool
-	awaitingFirstBytes map[*net.TCPConn]bool // connections on which nothing has come yet, where there is pick
+	awaitingFirstBytes map[*net.TCPConn]bool // connections whose link is not picked yet
 	picked             map[*link.Link]bool
 }
 
@@ -42,7 +42,7 @@
 	return newPickingRelay(at, to, over, nil)
 }
 
-// newPickingRelay gives one that leads connections over links that their first bytes tell.
+// newPickingRelay returns a relay that forwards each connection over the link that pick returns for its first bytes.
 func newPickingRelay(at, to string, over *link.Link, pick func([]byte) *link.Link) (*relay, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", at)
 	if err != nil {
@@ -74,7 +74,8 @@
 	}
 }
 
-// linkOf gives the link of a connection, once its first bytes are there where they tell which; nil: it was closed before.
+// linkOf returns the link of a connection. Where the link depends on the first bytes, it waits for them, and returns nil if the connection
+// ends before.
 func (r *relay) linkOf(conn *net.TCPConn) *link.Link {
 	if r.pick == nil {
 		return r.link
@@ -101,7 +102,7 @@
 	return over
 }
 
-// peek waits until bytes have come, and gives them without taking them; 0: the connection has ended.
+// peek waits until bytes have come, and copies them into p without consuming them. It returns 0 if the connection has ended.
 func peek(c *net.TCPConn, p []byte) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -118,10 +119,10 @@
 	return n
 }
 
-// forward passes bytes both ways until either end is through. Danger: a call that the link holds back must not come up at the
-// far end before its first bytes have crossed.
+// forward passes bytes both ways until either end closes. It connects to the far end only when the first bytes have crossed the link: where
+// the link holds them back, the far end must not see a connection either.
 func (r *relay) forward(near *link.Conn) {
-	defer func() { _ = near.Close() }() // it may be closed already
+	defer func() { _ = near.Close() }() // It may be closed already.
 	first := make([]byte, relayBufferBytes)
 	count, err := near.Read(first)
 	if err != nil {
@@ -132,26 +133,28 @@
 		near.Reset()
 		return
 	}
-	defer func() { _ = far.Close() }() // it may be closed already
+	defer func() { _ = far.Close() }() // It may be closed already.
 	r.nearConns.Store(far.LocalAddr().String(), near)
 	defer r.nearConns.Delete(far.LocalAddr().String())
 	var back sync.WaitGroup
 	back.Go(func() {
-		_, err := io.Copy(struct{ io.Writer }{near}, struct{ io.Reader }{far}) // not by ways that lead past the link
+		// The structs hide ReadFrom and WriteTo, by which io.Copy would bypass the link.
+		_, err := io.Copy(struct{ io.Writer }{near}, struct{ io.Reader }{far})
 		if err != nil && !errors.Is(err, net.ErrClosed) {
 			near.Reset() // as the far end did
 			return
 		}
-		_ = near.Close() // which ends the other way
+		_ = near.Close() // This ends the other direction.
 	})
 	if _, err := far.Write(first[:count]); err == nil {
-		_, _ = io.Copy(struct{ io.Writer }{far}, struct{ io.Reader }{near}) // the way back tells how it ended
+		_, _ = io.Copy(struct{ io.Writer }{far}, struct{ io.Reader }{near}) // The other direction reports how it ended.
 	}
-	_ = far.Close() // which ends the way back
+	_ = far.Close() // This ends the other direction.
 	back.Wait()
 }
 
-// sentAgo is how long ago the last bytes that came from an address were sent by the near end; 0: it is not known.
+// sentAgo returns how long before now the near end sent the last bytes of the connection that reaches the far end from an address; 0 if that
+// is not known. now is a reading of clock.Now.
 func (r *relay) sentAgo(far string, now int64) time.Duration {
 	if near, ok := r.nearConns.Load(far); ok {
 		if conn, ok := near.(*link.Conn); ok {
@@ -161,7 +164,7 @@
 	return 0
 }
 
-// close ends the relay and its connections. Those of others over the same link end too.
+// close ends the relay and its connections. Connections of other relays over the same links are reset too.
 func (r *relay) close() {
 	_ = r.listener.Close()
 	r.link.Reset()
@@ -176,59 +179,3 @@
 	r.mu.Unlock()
 	r.wait.Wait()
 }
-
-// packetRelay leads packetRelay to an address over a link with faults, one way.
-type packetRelay struct {
-	in      net.PacketConn
-	out     net.Conn
-	link    *link.Link
-	pending atomic.Int32
-	wait    sync.WaitGroup
-}
-
-func newPacketRelay(at, to string, over *link.Link) (*packetRelay, error) {
-	in, err := new(net.ListenConfig).ListenPacket(context.Background(), "udp4", at)
-	if err != nil {
-		return nil, err
-	}
-	out, err := new(net.Dialer).DialContext(context.Background(), "udp4", to)
-	if err != nil {
-		_ = in.Close()
-		return nil, err
-	}
-	p := &packetRelay{in: in, out: out, link: over}
-	p.wait.Go(p.run)
-	return p, nil
-}
-
-func (p *packetRelay) run() {
-	buf := make([]byte, relayBufferBytes)
-	for {
-		n, _, err := p.in.ReadFrom(buf)
-		if err != nil {
-			return // closed
-		}
-		wait, passes := p.link.DrawPacket()
-		if !passes || p.pending.Load() >= maxPendingPackets {
-			continue
-		}
-		if wait <= 0 {
-			_, _ = p.out.Write(buf[:n]) // as packets are: nobody learns that one is lost
-			continue
-		}
-		packet := append([]byte(nil), buf[:n]...)
-		p.pending.Add(1)
-		p.wait.Add(1)
-		time.AfterFunc(wait, func() {
-			defer p.wait.Done()
-			defer p.pending.Add(-1)
-			_, _ = p.out.Write(packet)
-		})
-	}
-}
-
-func (p *packetRelay) close() {
-	_ = p.in.Close()
-	p.wait.Wait()
-	_ = p.out.Close()
-}
--- a/internal/lab/testcluster/server_links.go
+++ b/internal/lab/testcluster/server_links.go
@@ -9,17 +9,17 @@
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-// Proxies reach a server at one address, as it is that of the platform's list, and all from 127.0.0.1. Which of them a connection is
-// of is told by its first request: by its id, which a client has sent to one proxy.
+// All proxies reach a server at the one address that the platform lists, and all connect from 127.0.0.1. The relay in front of the server
+// recognises the proxy of a connection by the first request on it: its attempt id is one that a client has sent to that proxy.
 
-// recordSender records that a client sends a request to a proxy.
+// recordSender records that a client sends the attempt id to the proxy at an address. It does nothing where there are no links.
 func (n *Links) recordSender(id, proxy string) {
 	if n != nil {
 		n.senders.Store(id, proxy)
 	}
 }
 
-// createServerLinks gives every proxy links of its own to all servers, so that faults can be injected into them from the start.
+// createServerLinks creates a link from each proxy to each server, so that faults can be injected into them from the start.
 func (n *Links) createServerLinks(machines []Machine, servers []ServerSpec) {
 	for _, s := range servers {
 		for _, m := range machines {
@@ -28,12 +28,13 @@
 	}
 }
 
-// serverLink gives the link of a connection to a server by its first bytes. One that is of no proxy's goes over that of the server.
+// serverLink returns the link of a connection to a server by the connection's first bytes. Connections that are not known to be of a proxy
+// share one link.
 func (n *Links) serverLink(server string, first []byte) *link.Link {
 	return n.linkFor(Path{From: n.sender(first), To: server}, false)
 }
 
-// sender names the proxy that sends a request; empty: it is not known.
+// sender returns the name of the proxy that sends the request which begins with first, or "" if that is not known.
 func (n *Links) sender(first []byte) string {
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(first)))
 	if err != nil {
