--- a/internal/lab/testcluster/environment.go
+++ b/internal/lab/testcluster/environment.go
@@ -1,8 +1,16 @@
-// Package testcluster runs the system's real processes among test doubles of everything around them: model servers and others, the
-// platform's list, the operator and clients (PROTOCOL.md, DEPLOY.md), in this process and on loopback addresses.
+// Package testcluster runs the system's real processes among test doubles of everything around them: model servers and servers without a
+// model, the platform's list, the operator and clients (PROTOCOL.md, DEPLOY.md). The doubles run in this process, on loopback addresses.
 //
-// Clients, servers, operator and list record what they saw on their sockets as rules.Evidence; package rules checks it afterwards against
-// the operators' rules. Links puts relays between the processes, on which faults can be injected.
+// The problem: the operators' rules bind the system as it is seen from outside, under faults, with several processes that each know only a
+// part. So nothing here looks into the system. Clients, servers, the operator and the list record what they saw on their sockets as
+// rules.Evidence, together with the faults that were injected; package rules checks it afterwards.
+//
+// Terms:
+//   - Environment: the test doubles of one run; Fleet: the system's processes; Run: both, started by Up and ended by Run.Finish.
+//   - Scenario: a deployment and its traffic.
+//   - Links: relays between the processes, into which slow and partitioned networks are injected.
+//   - Incarnation: a server between one start and its end, with an id of its own.
+//   - Attempt: one sending of a client's request; arrival: what reached a server.
 package testcluster
 
 import (
@@ -22,22 +30,22 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Options are those of a World.
+// Options are those of an Environment.
 type Options struct {
 	Servers          []ServerSpec
 	Kinds            []RequestKind
-	Zones            map[string]string // zone to region; clients are in all of them
+	Zones            map[string]string // regions by zone; clients are in all of them
 	Directories      []Directory
-	ControlAddresses []string // control addresses
+	ControlAddresses []string // of the control-plane nodes, at which the operator calls them
 	Bounds           rules.Bounds
-	MaxTTL           time.Duration // for which clients hold a directory's answer, at most
-	ListLag          time.Duration
-	ListRate         float64 // calls a second
-	Seed             uint64
-	Links            *Links // in front of servers; nil: callers reach them straight
+	MaxTTL           time.Duration // for which clients use a directory's answer, at most
+	ListLag          time.Duration // by which the platform's list is out of date
+	ListRate         float64       // calls a second that the list answers
+	Seed             uint64        // of the clients' random numbers
+	Links            *Links        // in front of servers; nil: callers reach them directly
 }
 
-// Environment is all that runs around the system in one run.
+// Environment is the test doubles that stand around the system in one run.
 type Environment struct {
 	Evidence *rules.Evidence
 	Operator *Operator
@@ -58,22 +66,18 @@
 }
 
 const (
-	observeInterval  = 50 * time.Millisecond
-	pageSize         = 50
+	observeInterval  = 50 * time.Millisecond // at which the list takes snapshots of the servers
+	pageSize         = 50                    // entries of a page of the list
 	crashedListedFor = 4 * time.Second
-	overloadDowntime = 3 * time.Second
+	overloadDowntime = 3 * time.Second // of a server that crashed of overload
 )
 
-// New starts servers and the list; clients start with Traffic.
+// New starts the servers and the list. Clients start with Traffic.
 func New(options Options) (*Environment, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	env := &Environment{Evidence: &rules.Evidence{Bounds: options.Bounds}, startedAt: time.Now(), discardLog: log.New(io.Discard, "", 0), stats: &statsCounter{},
 		ctx: ctx, cancel: cancel, links: options.Links}
-	client := func() *http.Client {
-		return &http.Client{Transport: &http.Transport{DisableCompression: true},
-			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	}
-	env.Operator = &Operator{ControlAddresses: options.ControlAddresses, evidence: env.Evidence, now: env.Now, http: client()}
+	env.Operator = &Operator{ControlAddresses: options.ControlAddresses, evidence: env.Evidence, now: env.Now, http: newHTTPClient()}
 	env.Platform = &Platform{Lag: options.ListLag, Rate: options.ListRate, Page: pageSize, CrashedListedFor: crashedListedFor, now: env.Now, evidence: env.Evidence,
 		servers: env.instances}
 	for _, spec := range options.Servers {
@@ -84,50 +88,77 @@
 			return nil, err
 		}
 	}
-	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
-	if err != nil {
+	if err := env.startList(ctx); err != nil {
 		env.Close()
-		return nil, errors.Wrap(err, "the stand-in list cannot listen")
+		return nil, err
 	}
-	env.listAddress = listener.Addr().String()
-	env.listServer = &http.Server{Handler: env.Platform, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: env.discardLog}
-	env.background.Go(func() { _ = env.listServer.Serve(listener) }) // ends with Close
-	env.background.Go(func() { env.observe(ctx) })
 	env.traffic = &Traffic{Kinds: options.Kinds, env: env, seed: options.Seed, stats: env.stats}
-	for _, zone := range slices.Sorted(maps.Keys(options.Zones)) {
-		region := options.Zones[zone]
-		pool := &clientPool{resolver: resolver{options.Kinds[0].Route.Host, zone, region, client()}, maxTTL: options.MaxTTL,
-			directories: sortByDistance(options.Directories, zone, region), now: env.Now, rng: rand.New(rand.NewPCG(options.Seed, uint64(len(env.traffic.pools)))), failed: map[string]bool{},
-			resolvedOnce: make(chan struct{}), onSurplus: func(address string, bytes int) {
-				env.Evidence.RecordStray(rules.Stray{Proxy: address, Bytes: bytes, At: env.Now()})
-			}}
-		env.traffic.pools = append(env.traffic.pools, pool)
+	for i, zone := range slices.Sorted(maps.Keys(options.Zones)) {
+		env.traffic.pools = append(env.traffic.pools, env.newClientPool(options, zone, uint64(i)))
 	}
 	return env, nil
 }
 
-// Now is the time since the start.
+// newHTTPClient returns a client with connections of its own, which leaves redirects to its caller.
+func newHTTPClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{DisableCompression: true},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+}
+
+// startList serves the platform's list, and has it observe the servers, until Close.
+func (w *Environment) startList(ctx context.Context) error {
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
+	if err != nil {
+		return errors.Wrap(err, "the stand-in list cannot listen")
+	}
+	w.listAddress = listener.Addr().String()
+	w.listServer = &http.Server{Handler: w.Platform, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: w.discardLog}
+	w.background.Go(func() { _ = w.listServer.Serve(listener) }) // ends with Close
+	w.background.Go(func() { w.observe(ctx) })
+	return nil
+}
+
+// newClientPool returns the clients of a zone. stream is the sequence of random numbers that they draw from the seed.
+func (w *Environment) newClientPool(options Options, zone string, stream uint64) *clientPool {
+	region := options.Zones[zone]
+	return &clientPool{
+		resolver:     resolver{options.Kinds[0].Route.Host, zone, region, newHTTPClient()},
+		maxTTL:       options.MaxTTL,
+		directories:  sortByDistance(options.Directories, zone, region),
+		now:          w.Now,
+		rng:          rand.New(rand.NewPCG(options.Seed, stream)),
+		failed:       map[string]bool{},
+		resolvedOnce: make(chan struct{}),
+		onSurplus: func(address string, bytes int) {
+			w.Evidence.RecordStray(rules.Stray{Proxy: address, Bytes: bytes, At: w.Now()})
+		},
+	}
+}
+
+// Now returns the time since the start. All times of the evidence are of this clock.
 func (w *Environment) Now() time.Duration { return time.Since(w.startedAt) }
 
-// ListAddress is where the platform's list is.
+// ListAddress returns the address of the platform's list.
 func (w *Environment) ListAddress() string { return w.listAddress }
 
-// Traffic has clients send until ctx ends, and returns when every request has ended.
+// Traffic has clients send requests until ctx ends, and returns when every request has ended.
 func (w *Environment) Traffic(ctx context.Context) { w.traffic.run(ctx) }
 
-// Stats gives what clients have seen so far.
+// Stats returns the totals of the requests that clients have sent so far.
 func (w *Environment) Stats() Stats { return w.stats.snapshot() }
 
+// instances returns the entries of the platform's list as of now.
 func (w *Environment) instances() []Instance {
-	var all []Instance
+	var entries []Instance
 	for _, s := range w.Servers {
-		if i, ok := s.instance(w.Platform.CrashedListedFor); ok {
-			all = append(all, i)
+		if entry, listed := s.instance(w.Platform.CrashedListedFor); listed {
+			entries = append(entries, entry)
 		}
 	}
-	return all
+	return entries
 }
 
+// observe has the list take snapshots of the servers until ctx ends.
 func (w *Environment) observe(ctx context.Context) {
 	tick := time.NewTicker(observeInterval)
 	defer tick.Stop()
@@ -141,7 +172,7 @@
 	}
 }
 
-// crashOverloaded has a server that was sent too much during its warm-up crash, and start again after a while.
+// crashOverloaded crashes a server that was sent too many requests while it warmed up, and starts it again after overloadDowntime.
 func (w *Environment) crashOverloaded(s *Server) {
 	w.overloadCrashes.Go(func() {
 		s.Crash()
@@ -150,12 +181,12 @@
 		select {
 		case <-w.ctx.Done():
 		case <-timer.C:
-			_ = s.Start(true) // it stays down where its address was taken
+			_ = s.Start(true) // If its address is in use, the server stays down.
 		}
 	})
 }
 
-// Close ends the servers and the list. Traffic must have ended.
+// Close ends the servers, the list and the links. Traffic must have ended.
 func (w *Environment) Close() {
 	w.cancel()
 	w.overloadCrashes.Wait()
