--- a/internal/lab/testcluster/client_conn.go
+++ b/internal/lab/testcluster/client_conn.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -21,21 +20,22 @@
 )
 
 const (
-	connectTimeout = time.Second // PROTOCOL.md: a new connection has a second to come up
-	maxAnswerBytes = 64 << 20
+	connectTimeout  = time.Second // PROTOCOL.md: a new connection has a second to come up
+	maxAnswerBytes  = 64 << 20    // of an answer's body; what is beyond is not read
+	headBufferBytes = 512
+	peekBufferBytes = 512
 )
 
-// clientConn is a client's connection to a proxy.
+// clientConn is a client's connection to a proxy. One goroutine uses it at a time.
 type clientConn struct {
 	tcp         *net.TCPConn
 	in          *bufio.Reader
-	bytesRead   int64  // bytes that came
-	head        []byte // of the answer that comes; nil once it is whole
+	bytesRead   int64  // from the socket, since the connection was made
+	head        []byte // bytes of an answer whose head is not complete yet; nil: none is awaited
 	peerClosed  bool   // the peer sends no more
 	address     string
-	used        bool
 	idleSince   time.Duration
-	idleTimeout time.Duration // as the proxy said; 0: it did not
+	idleTimeout time.Duration // as the proxy announced it; 0: it did not
 }
 
 // Read implements io.Reader for in.
@@ -65,168 +65,116 @@
 	return c, nil
 }
 
-// pendingBytes reports how many bytes wait on an idle connection, and whether it was closed.
-func (c *clientConn) pendingBytes() (bytes int, closed bool) {
+// pendingBytes reports how many bytes have come that nobody has read, of an idle connection, and whether the connection was closed.
+func (c *clientConn) pendingBytes() (count int, closed bool) {
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return 0, true
 	}
-	bytes = c.in.Buffered()
+	count = c.in.Buffered()
 	var peeked int
-	var inner error
+	var peekErr error
 	err = raw.Control(func(fd uintptr) {
-		peeked, _, inner = unix.Recvfrom(int(fd), make([]byte, 512), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		peeked, _, peekErr = unix.Recvfrom(int(fd), make([]byte, peekBufferBytes), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
-		return bytes, true
-	case errors.Is(inner, unix.EAGAIN):
-		return bytes, false
-	case inner != nil || peeked <= 0:
-		return bytes, true
+		return count, true
+	case errors.Is(peekErr, unix.EAGAIN):
+		return count, false
+	case peekErr != nil || peeked <= 0:
+		return count, true
 	}
-	return bytes + peeked, false
+	return count + peeked, false
 }
 
-// attemptSpec is one attempt as it is written.
-type attemptSpec struct {
-	attempt        *rules.Attempt
-	headers        [][2]string
-	body           string
-	chunked        bool
-	deadline       time.Time
-	silenceTimeout time.Duration // of silence, where a stream is expected; 0: until the deadline
-	onFirst        func()        // is called at the first event, or the answer's head
-}
-
-// encode is the request's bytes.
-func (s *attemptSpec) encode() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\n", s.attempt.Method, s.attempt.Path, s.attempt.Host, s.attempt.ID)
-	for _, h := range s.headers {
-		fmt.Fprintf(&b, "%s: %s\r\n", h[0], h[1])
-	}
-	if s.chunked && s.body != "" {
-		half := len(s.body)/2 + 1
-		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-		for _, piece := range []string{s.body[:half], s.body[half:]} {
-			if piece != "" {
-				fmt.Fprintf(&b, "%x\r\n%s\r\n", len(piece), piece)
-			}
-		}
-		b.WriteString("0\r\n\r\n")
-	} else {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(s.body), s.body)
-	}
-	return b.String()
-}
-
-// exchange sends an attempt on the connection and reads its answer. It reports whether the connection may be used again.
+// exchange sends an attempt on the connection, reads its answer and records both in the attempt. It returns the answer's header, nil if none
+// came, and whether the connection can be used again.
 func (c *clientConn) exchange(spec *attemptSpec, now func() time.Duration) (header http.Header, reusable bool) {
 	attempt := spec.attempt
 	before := c.bytesRead
-	c.head = make([]byte, 0, 512)
-	attempt.Sent = now()
-	_ = c.tcp.SetDeadline(spec.deadline)
-	_, err := io.WriteString(c.tcp, spec.encode())
-	attempt.SentComplete = now()
-	if err != nil {
+	c.head = make([]byte, 0, headBufferBytes)
+	if err := c.send(spec, now); err != nil {
 		attempt.Outcome = c.classifyEnd(err, 0)
 		return nil, false
 	}
-	if spec.silenceTimeout > 0 {
-		_ = c.tcp.SetReadDeadline(earlier(spec.deadline, time.Now().Add(spec.silenceTimeout)))
-	}
-	resp, err := http.ReadResponse(c.in, &http.Request{Method: attempt.Method}) //nolint:bodyclose // the connection ends with its owner
+	resp, err := c.readHead(spec) //nolint:bodyclose // the connection ends with its owner
 	if err != nil {
-		if c.peerClosed && c.isHeadPrefix() {
-			err = io.ErrUnexpectedEOF
-		}
 		attempt.Outcome = c.classifyEnd(err, c.bytesRead-before)
 		return nil, false
 	}
-	c.head = nil
-	_ = c.tcp.SetReadDeadline(spec.deadline)
-	attempt.Status, attempt.AnswerID, attempt.Seal = resp.StatusCode, resp.Header.Get("X-Attempt-Id"), resp.Header.Get("X-Server-Seal")
-	if spec.onFirst != nil && resp.StatusCode < 300 {
-		spec.onFirst()
-	}
-	if attempt.Stream = strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"); attempt.Stream {
-		err = c.readEvents(resp.Body, spec)
-	} else {
-		digest := xxhash.New()
-		_, err = io.Copy(digest, io.LimitReader(resp.Body, maxAnswerBytes))
-		attempt.Answer = digest.Sum64()
-	}
-	if err != nil {
+	if err := c.readBody(resp, spec); err != nil {
 		attempt.Outcome = c.classifyEnd(err, c.bytesRead-before)
 		return resp.Header, false
 	}
 	attempt.Outcome = rules.Answered
 	attempt.Surplus = c.in.Buffered()
-	c.used = true
 	c.idleTimeout = keepAliveTimeout(resp.Header)
 	return resp.Header, !resp.Close && attempt.Surplus == 0
 }
 
-// isHeadPrefix reports whether what came is the beginning of an answer's head. The reader calls that malformed.
-func (c *clientConn) isHeadPrefix() bool {
-	const start = "HTTP/1."
-	n := min(len(start), len(c.head))
-	return string(c.head[:n]) == start[:n] && !bytes.Contains(c.head, []byte("\r\n\r\n"))
+func (c *clientConn) send(spec *attemptSpec, now func() time.Duration) error {
+	spec.attempt.Sent = now()
+	_ = c.tcp.SetDeadline(spec.deadline)
+	_, err := io.WriteString(c.tcp, spec.encode())
+	spec.attempt.SentComplete = now()
+	return err
 }
 
-// readEvents reads a stream to its end.
-func (c *clientConn) readEvents(body io.Reader, spec *attemptSpec) error {
-	lines := bufio.NewReader(body)
-	id, run := 0, ""
-	for {
-		if spec.silenceTimeout > 0 {
-			_ = c.tcp.SetReadDeadline(earlier(spec.deadline, time.Now().Add(spec.silenceTimeout)))
-		}
-		line, err := lines.ReadString('\n')
-		if err == io.EOF && line == "" && id == 0 {
-			return nil
-		}
-		if err != nil {
-			if err == io.EOF { // the body ended amid an event, as if it were whole
-				spec.attempt.Events = append(spec.attempt.Events, rules.Segment{})
-				return nil
-			}
-			return err
-		}
-		line = strings.TrimRight(line, "\r\n")
-		if text, ok := strings.CutPrefix(line, "id: "); ok {
-			id, _ = strconv.Atoi(text)
-		}
-		if text, ok := strings.CutPrefix(line, "data: "); ok {
-			run, _, _ = strings.Cut(text, " ")
-		}
-		if line == "" && id != 0 {
-			spec.attempt.Events = appendEvent(spec.attempt.Events, run, id)
-			id, run = 0, ""
+func (c *clientConn) readHead(spec *attemptSpec) (*http.Response, error) {
+	attempt := spec.attempt
+	c.extendReadDeadline(spec)
+	resp, err := http.ReadResponse(c.in, &http.Request{Method: attempt.Method})
+	if err != nil {
+		if c.peerClosed && c.isHeadPrefix() {
+			err = io.ErrUnexpectedEOF
 		}
+		return nil, err
 	}
+	c.head = nil
+	attempt.Status, attempt.AnswerID, attempt.Seal = resp.StatusCode, resp.Header.Get("X-Attempt-Id"), resp.Header.Get("X-Server-Seal")
+	if spec.onFirst != nil && resp.StatusCode < 300 {
+		spec.onFirst()
+	}
+	return resp, nil
+}
+
+func (c *clientConn) readBody(resp *http.Response, spec *attemptSpec) error {
+	_ = c.tcp.SetReadDeadline(spec.deadline)
+	spec.attempt.Stream = strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
+	if spec.attempt.Stream {
+		return c.readEvents(resp.Body, spec)
+	}
+	digest := xxhash.New()
+	_, err := io.Copy(digest, io.LimitReader(resp.Body, maxAnswerBytes))
+	spec.attempt.Answer = digest.Sum64()
+	return err
 }
 
-// appendEvent records one event; events of one run that follow each other are one segment.
-func appendEvent(all []rules.Segment, run string, id int) []rules.Segment {
-	if n := len(all); n > 0 && all[n-1].Run == run && all[n-1].Last == id-1 {
-		all[n-1].Last = id
-		return all
+// extendReadDeadline gives the next read the attempt's readTimeout, if it has one.
+func (c *clientConn) extendReadDeadline(spec *attemptSpec) {
+	if spec.readTimeout > 0 {
+		_ = c.tcp.SetReadDeadline(earlier(spec.deadline, time.Now().Add(spec.readTimeout)))
 	}
-	return append(all, rules.Segment{Run: run, First: id, Last: id})
 }
 
-// classifyEnd tells what the end of a connection means. A socket that its owner closes with bytes unread, and one that was closed
-// when bytes came, resets; one whose bytes were all read ends in order. Danger: after an orderly end a reset shows in the
-// socket's error only, and reading gives the end.
-func (c *clientConn) classifyEnd(err error, came int64) rules.Outcome {
+// isHeadPrefix reports whether what came is the beginning of an answer's head, so that the answer is truncated. http.ReadResponse has no
+// error of its own for that.
+func (c *clientConn) isHeadPrefix() bool {
+	const start = "HTTP/1."
+	n := min(len(start), len(c.head))
+	return string(c.head[:n]) == start[:n] && !bytes.Contains(c.head, []byte("\r\n\r\n"))
+}
+
+// classifyEnd returns what an error of the connection means for the attempt of whose answer so many bytes had come. A socket that its owner
+// closes with bytes unread, or that is closed already when bytes come, sends a reset; a socket whose bytes were all read closes in order.
+// After an orderly close, a reset shows only as the socket's pending error, while reading returns io.EOF.
+func (c *clientConn) classifyEnd(err error, answerBytes int64) rules.Outcome {
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return rules.TimedOut
-	case came == 0 && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || c.wasReset()):
+	case answerBytes == 0 && (errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || c.wasReset()):
 		return rules.ClosedUnread
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, syscall.ECONNRESET), errors.Is(err, net.ErrClosed):
 		return rules.Truncated
@@ -234,7 +182,7 @@
 	return rules.Malformed
 }
 
-// wasReset reports whether the peer's machine has reset the connection.
+// wasReset reports whether the peer has reset the connection, by the socket's pending error.
 func (c *clientConn) wasReset() bool {
 	raw, err := c.tcp.SyscallConn()
 	if err != nil {
@@ -252,6 +200,7 @@
 	return a
 }
 
+// keepAliveTimeout returns the idle time-out that the header Keep-Alive announces, or 0.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		if text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
--- a/internal/lab/testcluster/probe.go
+++ b/internal/lab/testcluster/probe.go
@@ -14,7 +14,8 @@
 
 const probeTimeout = 2 * time.Second
 
-// Probe sends one request straight to a proxy, on a connection of its own, to see which configuration is in force there.
+// Probe sends one request to a proxy, on a connection of its own and without retries, to see which configuration is in force there. The
+// attempt is evidence; it ends after probeTimeout at the latest.
 func (w *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Attempt {
 	attempt := &rules.Attempt{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
 		Proxy: proxy, Probe: true, Sent: w.Now()}
@@ -29,16 +30,16 @@
 		attempt.Outcome = rules.Unreached
 		return attempt
 	}
-	defer func() { _ = conn.tcp.Close() }() // the answer has come, or none does
+	defer func() { _ = conn.tcp.Close() }()
 	w.links.recordSender(attempt.ID, proxy)
 	until, _ := ctx.Deadline()
-	conn.exchange(&attemptSpec{attempt: attempt, deadline: until, headers: [][2]string{
+	conn.exchange(&attemptSpec{attempt: attempt, deadline: until, headers: []headerField{
 		{"X-Time-Left-Ms", fmt.Sprint(probeTimeout.Milliseconds())}, {"X-Model", "m"}, {"X-Token-Count", "10,5"},
 		{"X-Prompt-Prefix", attempt.ID + ":10"}}}, w.Now)
 	return attempt
 }
 
-// CountReady is how many processes answer GET /readiness with 200.
+// CountReady returns how many of the addresses answer GET /readiness with 200 before ctx ends.
 func (w *Environment) CountReady(ctx context.Context, addresses []string) int {
 	answers := make(chan bool, len(addresses))
 	for _, at := range addresses {
