--- a/internal/lab/testcluster/client_pool.go
+++ b/internal/lab/testcluster/client_pool.go
@@ -19,36 +19,37 @@
 }
 
 const (
-	resolveTimeout    = time.Second // for each of at most three
-	maxResolves       = 3
-	clientIdleTimeout = 4 * time.Second // clients close connections that idled so long
+	resolveTimeout       = time.Second // for one directory's answer
+	maxResolves          = 3           // directories that one resolve asks
+	failedResolveBackoff = 200 * time.Millisecond
+	clientIdleTimeout    = 4 * time.Second // after which clients do not use a connection again
+	maxIdleMargin        = 500 * time.Millisecond
 )
 
-// resolver asks directories.
+// resolver asks directories for the proxies that clients of a zone are to use.
 type resolver struct {
 	host, zone, region string
 	http               *http.Client
 }
 
-// clientPool is how the clients of one zone come into the system: the directory's answer, and their open connections.
+// clientPool is the clients of one zone: the proxies' addresses that a directory gave them, and their idle connections.
 type clientPool struct {
 	resolver
-	maxTTL      time.Duration
-	directories []Directory // nearer ones first
+	maxTTL      time.Duration // for which an answer is used, at most
+	directories []Directory   // in the order in which they are asked
 	now         func() time.Duration
-	onSurplus   func(address string, bytes int) // bytes came while no request waited
-
-	mu             sync.Mutex
-	rng            *rand.Rand
-	addresses      []string
-	failed         map[string]bool // since the last answer
-	idle           []*clientConn
-	resolvedOnce   chan struct{} // closed with the first answer
-	resolves       int
-	failedResolves int // resolves that no directory answered
+	onSurplus   func(address string, bytes int) // is called when bytes have come on an idle connection
+
+	mu           sync.Mutex
+	rng          *rand.Rand
+	addresses    []string        // of the newest answer
+	failed       map[string]bool // addresses that failed since the newest answer
+	idle         []*clientConn
+	resolvedOnce chan struct{} // closed with the first answer
+	resolved     bool          // resolvedOnce is closed
 }
 
-// sortByDistance orders directories for a zone.
+// sortByDistance returns directories with those of the zone first, and then those of the region.
 func sortByDistance(all []Directory, zone, region string) []Directory {
 	rank := func(d Directory) int {
 		switch {
@@ -59,13 +60,13 @@
 		}
 		return 2
 	}
-	out := slices.Clone(all)
-	slices.SortStableFunc(out, func(a, b Directory) int { return rank(a) - rank(b) })
-	return out
+	sorted := slices.Clone(all)
+	slices.SortStableFunc(sorted, func(a, b Directory) int { return rank(a) - rank(b) })
+	return sorted
 }
 
-// run resolves again and again until ctx ends.
-func (e *clientPool) run(ctx context.Context) {
+// run resolves whenever the answer's TTL is over, until ctx ends.
+func (p *clientPool) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -74,48 +75,49 @@
 			return
 		case <-timer.C:
 		}
-		ttl := e.resolve(ctx)
+		ttl := p.resolve(ctx)
 		if ttl <= 0 {
-			ttl = 200 * time.Millisecond
+			ttl = failedResolveBackoff
 		}
-		timer.Reset(min(ttl, e.maxTTL))
+		timer.Reset(min(ttl, p.maxTTL))
 	}
 }
 
-// resolve asks at most three directories; 0: none answered.
-func (e *clientPool) resolve(ctx context.Context) time.Duration {
-	for _, d := range e.directories[:min(maxResolves, len(e.directories))] {
-		addresses, ttl, err := e.query(ctx, d.Address)
+// resolve asks directories until one answers, and returns the TTL of its answer. If none of maxResolves answers, it returns 0, and the next
+// resolve asks the directories after them.
+func (p *clientPool) resolve(ctx context.Context) time.Duration {
+	for _, d := range p.directories[:min(maxResolves, len(p.directories))] {
+		addresses, ttl, err := p.query(ctx, d.Address)
 		if err != nil {
 			continue
 		}
-		e.applyAddresses(addresses)
+		p.applyAddresses(addresses)
 		return ttl
 	}
-	e.mu.Lock()
-	e.failedResolves++
-	if len(e.directories) > maxResolves { // later ones get their turn
-		e.directories = append(e.directories[maxResolves:], e.directories[:maxResolves]...)
+	p.mu.Lock()
+	if len(p.directories) > maxResolves {
+		p.directories = append(p.directories[maxResolves:], p.directories[:maxResolves]...)
 	}
-	e.mu.Unlock()
+	p.mu.Unlock()
 	return 0
 }
 
 var errResolve = errors.New("the directory's answer names no addresses: ask another")
 
-func (e *resolver) query(ctx context.Context, address string) ([]string, time.Duration, error) {
+// query asks the directory at an address. It fails with errResolve if the answer has no addresses or no TTL.
+func (r *resolver) query(ctx context.Context, address string) ([]string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
-	query := url.Values{"name": {e.host}, "region": {e.region}, "zone": {e.zone}}
+	query := url.Values{"name": {r.host}, "region": {r.region}, "zone": {r.zone}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/resolve?"+query.Encode(), nil)
 	if err != nil {
 		return nil, 0, err
 	}
-	resp, err := e.http.Do(req)
+	resp, err := r.http.Do(req)
 	if err != nil {
 		return nil, 0, err
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read
+	defer func() { _ = resp.Body.Close() }()
 	var answer struct {
 		Addresses []string `json:"addresses"`
 		TTL       float64  `json:"ttl_s"`
@@ -132,96 +134,103 @@
 	return answer.Addresses, time.Duration(answer.TTL * float64(time.Second)), nil
 }
 
-// applyAddresses goes by a new answer: connections to addresses that it lacks are used no more.
-func (e *clientPool) applyAddresses(addresses []string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.resolves == 0 {
-		close(e.resolvedOnce)
+// applyAddresses takes over a directory's answer, and closes idle connections to addresses that it lacks.
+func (p *clientPool) applyAddresses(addresses []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.resolved {
+		close(p.resolvedOnce)
+		p.resolved = true
 	}
-	e.resolves++
-	e.addresses, e.failed = addresses, map[string]bool{}
-	e.idle = slices.DeleteFunc(e.idle, func(c *clientConn) bool {
+	p.addresses, p.failed = addresses, map[string]bool{}
+	p.idle = slices.DeleteFunc(p.idle, func(c *clientConn) bool {
 		gone := !slices.Contains(addresses, c.address)
 		if gone {
-			e.closeConn(c)
+			p.closeConn(c)
 		}
 		return gone
 	})
 }
 
-// closeConn ends an idle connection, and tells of bytes that nobody asked for.
-func (e *clientPool) closeConn(c *clientConn) {
-	if bytes, _ := c.pendingBytes(); bytes > 0 {
-		e.onSurplus(c.address, bytes)
+// closeConn closes an idle connection, and reports surplus bytes on it.
+func (p *clientPool) closeConn(c *clientConn) {
+	if surplus, _ := c.pendingBytes(); surplus > 0 {
+		p.onSurplus(c.address, surplus)
 	}
 	_ = c.tcp.Close()
 }
 
-// takeIdle takes an open connection; nil: there is none.
-func (e *clientPool) takeIdle() *clientConn {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for len(e.idle) > 0 {
-		c := e.idle[len(e.idle)-1]
-		e.idle = e.idle[:len(e.idle)-1]
-		maxIdle := clientIdleTimeout
-		if c.idleTimeout > 0 {
-			maxIdle = min(maxIdle, c.idleTimeout-min(c.idleTimeout/4, 500*time.Millisecond))
-		}
-		bytes, closed := c.pendingBytes()
-		if !closed && bytes == 0 && e.now()-c.idleSince < maxIdle {
+// takeIdle takes the connection that was used last, if it can still be used, and closes those that cannot. It returns nil if there is none.
+func (p *clientPool) takeIdle() *clientConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for len(p.idle) > 0 {
+		c := p.idle[len(p.idle)-1]
+		p.idle = p.idle[:len(p.idle)-1]
+		surplus, closed := c.pendingBytes()
+		if !closed && surplus == 0 && p.now()-c.idleSince < c.maxIdle() {
 			return c
 		}
-		e.closeConn(c)
+		p.closeConn(c)
 	}
 	return nil
 }
 
-// putIdle keeps a connection for later.
-func (e *clientPool) putIdle(c *clientConn) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if !slices.Contains(e.addresses, c.address) {
-		e.closeConn(c)
+// maxIdle returns how long the connection may be idle before the next request: less than the proxy's own time-out by a margin, so that the
+// proxy does not close it under a request.
+func (c *clientConn) maxIdle() time.Duration {
+	if c.idleTimeout <= 0 {
+		return clientIdleTimeout
+	}
+	return min(clientIdleTimeout, c.idleTimeout-min(c.idleTimeout/4, maxIdleMargin))
+}
+
+// putIdle keeps a connection for a later request, unless its address is no longer one of the newest answer.
+func (p *clientPool) putIdle(c *clientConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !slices.Contains(p.addresses, c.address) {
+		p.closeConn(c)
 		return
 	}
-	c.idleSince = e.now()
-	e.idle = append(e.idle, c)
+	c.idleSince = p.now()
+	p.idle = append(p.idle, c)
 }
 
-// pickAddress draws an address for a new connection from those that have not failed.
-func (e *clientPool) pickAddress() (string, bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	var good []string
-	for _, a := range e.addresses {
-		if !e.failed[a] {
-			good = append(good, a)
+// pickAddress draws an address for a new connection from those that have not failed, or from all if all have. ok is false before the first
+// answer.
+func (p *clientPool) pickAddress() (address string, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var candidates []string
+	for _, a := range p.addresses {
+		if !p.failed[a] {
+			candidates = append(candidates, a)
 		}
 	}
-	if len(good) == 0 {
-		good = e.addresses
+	if len(candidates) == 0 {
+		candidates = p.addresses
 	}
-	if len(good) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	return good[e.rng.IntN(len(good))], true
+	return candidates[p.rng.IntN(len(candidates))], true
 }
 
-func (e *clientPool) markFailed(address string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.failed[address] = true
+// markFailed has pickAddress avoid an address until the next answer.
+func (p *clientPool) markFailed(address string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failed[address] = true
 }
 
-// closeAll closes what is open.
-func (e *clientPool) closeAll() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, c := range e.idle {
-		e.closeConn(c)
+// closeAll closes all connections.
+func (p *clientPool) closeAll() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.idle {
+		p.closeConn(c)
 	}
-	e.idle = nil
-	e.http.CloseIdleConnections()
+	p.idle = nil
+	p.http.CloseIdleConnections()
 }
--- a/internal/lab/testcluster/list.go
+++ b/internal/lab/testcluster/list.go
@@ -14,28 +14,29 @@
 
 // Platform is the stand-in of the platform's list: PROTOCOL.md "Service discovery".
 type Platform struct {
-	Lag              time.Duration // by which what it shows is old
-	Rate             float64       // calls a second that it answers
+	Lag              time.Duration // by which the list is out of date
+	Rate             float64       // calls a second that it answers; more are rejected
 	Page             int           // entries of a page
-	CrashedListedFor time.Duration // how long a crashed server is still shown
+	CrashedListedFor time.Duration // for which a crashed server is still listed
 
 	now      func() time.Duration
-	servers  func() []Instance // as things stand
+	servers  func() []Instance // the entries as of now
 	evidence *rules.Evidence
 
 	mu            sync.Mutex
-	snapshots     []snapshot // the first is what is shown
-	calls         []time.Duration
+	snapshots     []snapshot      // in order of time; the first is served
+	calls         []time.Duration // times of the calls within the last second
 	totalCalls    int
 	rejectedCalls int
 }
 
+// snapshot is the entries as of one moment.
 type snapshot struct {
 	at        time.Duration
 	instances []Instance
 }
 
-// Observe records how things stand. It is to be called more often than Lag.
+// Observe takes a snapshot of the servers. It has to be called several times within Lag.
 func (p *Platform) Observe() {
 	now, instances := p.now(), p.servers()
 	p.mu.Lock()
@@ -44,7 +45,8 @@
 	p.dropStale(now)
 }
 
-// dropStale drops what is older than what is shown.
+// dropStale drops the snapshots before the one that is to be served, and records the servers that this one shows as draining. It is called
+// with p.mu held.
 func (p *Platform) dropStale(now time.Duration) {
 	for len(p.snapshots) > 1 && p.snapshots[1].at <= now-p.Lag {
 		p.snapshots = p.snapshots[1:]
@@ -64,13 +66,7 @@
 	}
 	p.mu.Lock()
 	now := p.now()
-	p.calls = append(p.calls, now)
-	for p.calls[0] <= now-time.Second {
-		p.calls = p.calls[1:]
-	}
-	p.totalCalls++
-	if float64(len(p.calls)) > p.Rate {
-		p.rejectedCalls++
+	if !p.admit(now) {
 		p.mu.Unlock()
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusTooManyRequests)
@@ -85,36 +81,55 @@
 	shown := p.snapshots[0].instances
 	p.mu.Unlock()
 	page, next := p.page(shown, r.URL.Query().Get("zone"), r.URL.Query().Get("page_token"))
-	page = slices.Clone(page) // what is shown stays
+	page = slices.Clone(page) // Snapshots are not changed.
 	for i := range page {
 		page[i].WarmUpLeftMS = max(0, page[i].warmUntil-now).Milliseconds()
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(struct { // to a caller that has gone
-		Instances []Instance `json:"instances"`
-		Next      *string    `json:"next_token"`
-	}{page, next})
+	_ = json.NewEncoder(w).Encode(listPage{page, next}) // It fails only if the caller has gone.
+}
+
+// admit counts a call, and reports whether it is within the rate. It is called with p.mu held.
+func (p *Platform) admit(now time.Duration) bool {
+	p.calls = append(p.calls, now)
+	for p.calls[0] <= now-time.Second {
+		p.calls = p.calls[1:]
+	}
+	p.totalCalls++
+	if float64(len(p.calls)) > p.Rate {
+		p.rejectedCalls++
+		return false
+	}
+	return true
 }
 
-// page cuts out what a call asks for.
-func (p *Platform) page(all []Instance, zone, token string) ([]Instance, *string) {
-	some := []Instance{}
-	for _, i := range all {
-		if zone == "" || i.Zone == zone {
-			some = append(some, i)
+// listPage is an answer of the list.
+type listPage struct {
+	Instances []Instance `json:"instances"`
+	Next      *string    `json:"next_token"` // nil: this is the last page
+}
+
+const pageTokenPrefix = "p-" // before the index of a page's first entry
+
+// page returns the entries of a zone (empty: of all zones) from a page token on, and the token of the next page, nil if there is none.
+func (p *Platform) page(all []Instance, zone, token string) (entries []Instance, next *string) {
+	entries = []Instance{}
+	for _, entry := range all {
+		if zone == "" || entry.Zone == zone {
+			entries = append(entries, entry)
 		}
 	}
-	from, _ := strconv.Atoi(strings.TrimPrefix(token, "p-"))
-	from = max(0, min(from, len(some)))
-	to := min(from+p.Page, len(some))
-	if to == len(some) {
-		return some[from:], nil
+	from, _ := strconv.Atoi(strings.TrimPrefix(token, pageTokenPrefix))
+	from = max(0, min(from, len(entries)))
+	to := min(from+p.Page, len(entries))
+	if to == len(entries) {
+		return entries[from:], nil
 	}
-	next := "p-" + strconv.Itoa(to)
-	return some[from:to], &next
+	nextToken := pageTokenPrefix + strconv.Itoa(to)
+	return entries[from:to], &nextToken
 }
 
-// Calls is how many calls came, and how many of them were over the rate.
+// Calls returns how many calls came, and how many of them were above the rate.
 func (p *Platform) Calls() (total, over int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/testcluster/operator.go
+++ b/internal/lab/testcluster/operator.go
@@ -15,59 +15,76 @@
 )
 
 const (
-	callTimeout     = time.Second // of silence, after which the operator moves on
+	callTimeout     = time.Second // for one call, after which the operator calls another node
 	initialBackoff  = 50 * time.Millisecond
 	maxBackoff      = time.Second
-	maxRedirects    = 2 // that a call follows 307
-	maxClientErrors = 3 // other 4xx
+	maxRedirects    = 2 // redirects (307) that a call follows
+	maxClientErrors = 3 // other 4xx answers, after which the operator gives up
+	noBase          = -1
 )
 
 var errAnswerLost = errors.New("the answer was lost on its way")
 
-// ErrRefused marks an order that was refused.
+// ErrRefused marks a change that the control plane has refused.
 var ErrRefused = errors.New("order refused")
 
-// Operator is the stand-in operator: PROTOCOL.md "The operator's API". It makes one call at a time, Status apart.
+// Operator is the stand-in operator: PROTOCOL.md "The operator's API". It makes one call at a time, apart from Status.
 type Operator struct {
-	ControlAddresses []string // control addresses, in the order in which they are tried
-	// LoseAnswer reports whether an answer that has come counts as lost on its way; nil: none does.
+	ControlAddresses []string // of the control-plane nodes, in the order in which they are called
+	// LoseAnswer reports whether an answer that has come is to be treated as lost; nil: none is.
 	LoseAnswer func() bool
 
 	evidence *rules.Evidence
 	now      func() time.Duration
 	http     *http.Client
-	next     int
+	next     int // index into ControlAddresses of the node to call, modulo their number
 }
 
-// Replace sends a whole configuration on top of version base until there is a clear answer or ctx ends.
+// Replace sends a complete configuration that builds on version base until there is a clear answer or ctx ends. The error is marked with
+// ErrRefused if the answer is a refusal.
 func (o *Operator) Replace(ctx context.Context, c *rules.Config, base int64) error {
-	body, err := json.Marshal(c)
-	if err != nil {
-		return err
-	}
-	return o.submit(ctx, "/Config.Replace", body, &rules.Change{Config: c, Base: base})
+	return o.replace(ctx, &rules.Change{Config: c, Base: base})
 }
 
-// ReplaceInvalid sends a configuration that must be refused.
+// ReplaceInvalid is Replace with a configuration that must be refused, and is recorded as such.
 func (o *Operator) ReplaceInvalid(ctx context.Context, c *rules.Config, base int64) error {
-	body, err := json.Marshal(c)
+	return o.replace(ctx, &rules.Change{Config: c, Base: base, Invalid: true})
+}
+
+func (o *Operator) replace(ctx context.Context, change *rules.Change) error {
+	body, err := json.Marshal(change.Config)
 	if err != nil {
 		return err
 	}
-	return o.submit(ctx, "/Config.Replace", body, &rules.Change{Config: c, Base: base, Invalid: true})
+	return o.submit(ctx, "/Config.Replace", body, change)
 }
 
-// Amend adds, replaces and removes routes. after is the whole configuration that comes of it.
+// Amend adds, replaces and removes routes on top of version base, as Replace does. after is the complete configuration that results.
 func (o *Operator) Amend(ctx context.Context, after *rules.Config, base int64, upsert []rules.Route, remove []string) error {
-	body, err := json.Marshal(map[string]any{"revision": after.Revision, "upsert": map[string]any{"routes": upsert},
-		"remove": map[string]any{"routes": remove}})
+	message := amendment{Remove: removedRoutes{remove}, Revision: after.Revision, Upsert: upsertedRoutes{upsert}}
+	body, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
 	return o.submit(ctx, "/Config.Amend", body, &rules.Change{Config: after, Base: base})
 }
 
-// Evacuate asks that a zone's servers get nothing more; start false: it takes that back.
+// amendment is the body of Config.Amend.
+type amendment struct {
+	Remove   removedRoutes  `json:"remove"`
+	Revision int64          `json:"revision"`
+	Upsert   upsertedRoutes `json:"upsert"`
+}
+
+type removedRoutes struct {
+	Names []string `json:"routes"`
+}
+
+type upsertedRoutes struct {
+	Routes []rules.Route `json:"routes"`
+}
+
+// Evacuate starts the evacuation of a zone, or finishes it, as Replace does.
 func (o *Operator) Evacuate(ctx context.Context, zone string, start bool) error {
 	path := "/Evacuation.Finish/" + zone
 	if start {
@@ -76,10 +93,10 @@
 	return o.submit(ctx, path, nil, &rules.Change{Zone: zone, Start: start})
 }
 
-// Read gives the newest configuration.
+// Read returns the newest configuration, and records the reading. It calls until there is a clear answer or ctx ends.
 func (o *Operator) Read(ctx context.Context) (*rules.Config, error) {
 	sent := o.now()
-	status, body, err := o.call(ctx, http.MethodGet, "/Config.Read", nil, -1)
+	status, body, err := o.call(ctx, http.MethodGet, "/Config.Read", nil, noBase)
 	switch {
 	case err != nil:
 		return nil, err
@@ -94,13 +111,13 @@
 	return c, nil
 }
 
-// submit sends a change and records what came of it.
+// submit sends a change and records its outcome.
 func (o *Operator) submit(ctx context.Context, path string, body []byte, change *rules.Change) error {
 	change.Sent, change.AcknowledgedAt, change.Ended = o.now(), rules.Never, rules.Never
 	o.evidence.RecordChange(change)
 	base := change.Base
 	if change.Config == nil {
-		base = -1
+		base = noBase
 	}
 	status, answer, err := o.call(ctx, http.MethodPost, path, body, base)
 	o.evidence.Update(func() {
@@ -118,7 +135,8 @@
 	return nil
 }
 
-// call asks one control-plane node after the other, with growing backoff, until there is a clear answer or ctx ends.
+// call calls one control-plane node after the other, with exponential backoff, until there is a clear answer or ctx ends. base is the version
+// on which the change builds, or noBase.
 func (o *Operator) call(ctx context.Context, method, path string, body []byte, base int64) (int, []byte, error) {
 	backoff, clientErrors := initialBackoff, 0
 	for {
@@ -129,7 +147,7 @@
 			o.next++
 		case status >= 200 && status < 300:
 			return status, answer, nil
-		case status == 400, status == 409, status == 412, status == 413, status == 422:
+		case refusal(status):
 			return status, answer, nil
 		default:
 			if clientErrors++; clientErrors >= maxClientErrors {
@@ -147,16 +165,25 @@
 	}
 }
 
-// callOnce makes one call and follows 307 twice.
+// refusal reports whether a status is a clear refusal of a change.
+func refusal(status int) bool {
+	switch status {
+	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
+		return true
+	}
+	return false
+}
+
+// callOnce makes one call, and follows up to maxRedirects redirects.
 func (o *Operator) callOnce(ctx context.Context, method, url string, body []byte, base int64) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	for hop := 0; ; hop++ {
+	for redirects := 0; ; redirects++ {
 		req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 		if err != nil {
 			return 0, nil, err
 		}
-		if base >= 0 {
+		if base != noBase {
 			req.Header.Set("X-Base-Version", strconv.FormatInt(base, 10))
 			req.Header.Set("Content-Type", "application/json")
 		}
@@ -172,31 +199,31 @@
 		if o.LoseAnswer != nil && o.LoseAnswer() {
 			return 0, nil, errAnswerLost
 		}
-		if resp.StatusCode != http.StatusTemporaryRedirect || hop >= maxRedirects {
+		if resp.StatusCode != http.StatusTemporaryRedirect || redirects >= maxRedirects {
 			return resp.StatusCode, answer, nil
 		}
 		url = resp.Header.Get("Location")
 	}
 }
 
-// NodeStatus is what GET /status of a control-plane node answers operators.
+// NodeStatus is the part of a control-plane node's status (GET /status) that the test cluster reads.
 type NodeStatus struct {
 	Node     string   `json:"node"`
-	Current  bool     `json:"current"`
-	Epoch    uint64   `json:"epoch"`
+	Current  bool     `json:"current"` // the system takes changes there
+	Epoch    uint64   `json:"epoch"`   // of its view
 	Chain    []string `json:"chain"`
-	Revision int64    `json:"revision"`
+	Revision int64    `json:"revision"` // of the configuration
 	Proxies  []struct {
 		Node   string `json:"node"`
 		Silent int64  `json:"silent_ms"`
 	} `json:"proxies"`
 }
 
-// Status is that of the most recent view among the control-plane nodes; nil: none answers.
+// Status returns the status of the control-plane node with the most recent view, and nil if none answers. Current nodes come first.
 func (o *Operator) Status(ctx context.Context) *NodeStatus {
 	var best *NodeStatus
 	for _, at := range o.ControlAddresses {
-		status, body, err := o.callOnce(ctx, http.MethodGet, "http://"+at+"/status", nil, -1)
+		status, body, err := o.callOnce(ctx, http.MethodGet, "http://"+at+"/status", nil, noBase)
 		s := &NodeStatus{}
 		if err != nil || status != http.StatusOK || json.Unmarshal(body, s) != nil {
 			continue
--- a/internal/lab/testcluster/stats.go
+++ b/internal/lab/testcluster/stats.go
@@ -12,12 +12,17 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Stats are totals of requests since the start, and the first tokens (or answers) since the last look.
+// Stats are the totals of requests since the start, and the latencies since the last snapshot.
 type Stats struct {
-	Requests, Served, Refused, Failed, Unanswered, Open int
+	Requests   int // that clients have begun
+	Served     int // answered with success
+	Refused    int // answered with a not-executed status
+	Failed     int // answered with another status
+	Unanswered int // ended without a final answer
+	Open       int // not ended yet
 
-	FirstTokens int           // answers that began since the last look
-	P50, P99    time.Duration // from a client's first attempt to its first token
+	FirstTokens int           // answers that began since the last snapshot
+	P50, P99    time.Duration // of those, from the start of the request to the first token, or the answer's head
 }
 
 // statsCounter counts the clients' requests.
@@ -28,18 +33,18 @@
 	waiters     []servedWaiter
 }
 
-// servedWaiter is closed once so many requests were served.
+// servedWaiter waits until a number of requests were served.
 type servedWaiter struct {
-	served  int
-	reached chan struct{}
+	served  int           // total that is waited for
+	reached chan struct{} // closed when it is reached
 }
 
-// await returns when n more requests were served.
-func (f *statsCounter) await(ctx context.Context, n int) error {
-	f.mu.Lock()
-	w := servedWaiter{f.totals.Served + n, make(chan struct{})}
-	f.waiters = append(f.waiters, w)
-	f.mu.Unlock()
+// await returns when n more requests were served, and fails if ctx ends before.
+func (c *statsCounter) await(ctx context.Context, n int) error {
+	c.mu.Lock()
+	w := servedWaiter{c.totals.Served + n, make(chan struct{})}
+	c.waiters = append(c.waiters, w)
+	c.mu.Unlock()
 	select {
 	case <-w.reached:
 		return nil
@@ -49,51 +54,56 @@
 }
 
 // begin counts a request and gives its number.
-func (f *statsCounter) begin() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.totals.Requests++
-	f.totals.Open++
-	return f.totals.Requests
+func (c *statsCounter) begin() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.totals.Requests++
+	c.totals.Open++
+	return c.totals.Requests
 }
 
-// end counts how a request ended: by its last attempt.
-func (f *statsCounter) end(t *rules.Attempt, first time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.totals.Open--
+// end counts a request that has ended with an attempt. first is when its first token came, negative if none did.
+func (c *statsCounter) end(last *rules.Attempt, first time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.totals.Open--
 	switch {
-	case t.Outcome != rules.Answered:
-		f.totals.Unanswered++
-	case t.Status < 300:
-		f.totals.Served++
-		f.waiters = slices.DeleteFunc(f.waiters, func(w servedWaiter) bool {
-			over := f.totals.Served >= w.served
-			if over {
-				close(w.reached)
-			}
-			return over
-		})
-	case t.Status == http.StatusTooManyRequests, t.Status == http.StatusServiceUnavailable, t.Status == http.StatusRequestTimeout,
-		t.Status == http.StatusMisdirectedRequest:
-		f.totals.Refused++
+	case last.Outcome != rules.Answered:
+		c.totals.Unanswered++
+	case last.Status < 300:
+		c.countServed()
+	case last.Status == http.StatusTooManyRequests, last.Status == http.StatusServiceUnavailable, last.Status == http.StatusRequestTimeout,
+		last.Status == http.StatusMisdirectedRequest:
+		c.totals.Refused++
 	default:
-		f.totals.Failed++
+		c.totals.Failed++
 	}
 	if first >= 0 {
-		f.firstTokens = append(f.firstTokens, first)
+		c.firstTokens = append(c.firstTokens, first)
 	}
 }
 
-// snapshot gives the totals, and the quantiles since the last snapshot.
-func (f *statsCounter) snapshot() Stats {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := f.totals
-	if out.FirstTokens = len(f.firstTokens); out.FirstTokens > 0 {
-		slices.Sort(f.firstTokens)
-		out.P50, out.P99 = f.firstTokens[out.FirstTokens/2], f.firstTokens[min(out.FirstTokens-1, out.FirstTokens*99/100)]
-		f.firstTokens = f.firstTokens[:0]
+// countServed counts a request that was served, and releases those who waited for it.
+func (c *statsCounter) countServed() {
+	c.totals.Served++
+	c.waiters = slices.DeleteFunc(c.waiters, func(w servedWaiter) bool {
+		reached := c.totals.Served >= w.served
+		if reached {
+			close(w.reached)
+		}
+		return reached
+	})
+}
+
+// snapshot returns the totals, and the latencies since the last snapshot.
+func (c *statsCounter) snapshot() Stats {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	snapshot := c.totals
+	if snapshot.FirstTokens = len(c.firstTokens); snapshot.FirstTokens > 0 {
+		slices.Sort(c.firstTokens)
+		snapshot.P50, snapshot.P99 = c.firstTokens[snapshot.FirstTokens/2], c.firstTokens[min(snapshot.FirstTokens-1, snapshot.FirstTokens*99/100)]
+		c.firstTokens = c.firstTokens[:0]
 	}
-	return out
+	return snapshot
 }
