--- a/internal/lab/testcluster/report.go
+++ b/internal/lab/testcluster/report.go
@@ -6,17 +6,21 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Report is what a run came to.
+const maxListedUnanswered = 5 // requests that Report.Lines lists
+
+// Report is the outcome of a run.
 type Report struct {
-	Stats            Stats
-	Unanswered       []string // requests without a final answer, as lines
-	Verdicts         []rules.Verdict
-	Died, Killed     []string // processes that ended by themselves, and that SIGTERM did not end in time
-	ReadError        error
-	Calls, CallsOver int // of the platform's list
+	Stats      Stats
+	Unanswered []string // requests without a final answer, as lines
+	Verdicts   []rules.Verdict
+	Died       []string // processes that ended by themselves
+	Killed     []string // processes that SIGTERM did not end in time
+	ReadError  error    // of the last reading of the configuration
+	Calls      int      // of the platform's list
+	CallsOver  int      // of those, the ones above its rate
 }
 
-// Good reports whether every request got one final answer and no rule was seen broken.
+// Good reports whether every request got one final answer, no process died, and no violation of a rule was seen.
 func (r *Report) Good() bool {
 	for _, v := range r.Verdicts {
 		if v.Violations > 0 {
@@ -28,14 +32,14 @@
 
 // Lines returns the report as lines.
 func (r *Report) Lines() []string {
-	f := r.Stats
+	stats := r.Stats
 	lines := []string{fmt.Sprintf("requests %d: served %d, refused %d, failed %d, without a final answer %d; calls to the list %d, over its rate %d",
-		f.Requests, f.Served, f.Refused, f.Failed, f.Unanswered, r.Calls, r.CallsOver)}
+		stats.Requests, stats.Served, stats.Refused, stats.Failed, stats.Unanswered, r.Calls, r.CallsOver)}
 	for _, v := range r.Verdicts {
 		lines = append(lines, v.String())
 	}
-	for _, t := range r.Unanswered[:min(maxListedUnanswered, len(r.Unanswered))] {
-		lines = append(lines, "without a final answer: "+t)
+	for _, request := range r.Unanswered[:min(maxListedUnanswered, len(r.Unanswered))] {
+		lines = append(lines, "without a final answer: "+request)
 	}
 	if r.ReadError != nil {
 		lines = append(lines, "the configuration was not read back: "+r.ReadError.Error())
--- a/internal/lab/testcluster/second.go
+++ b/internal/lab/testcluster/second.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Second is what stands after a second.
+// Second is the state of a run as Run.Play announces it every second.
 type Second struct {
-	At           time.Duration
+	At           time.Duration // since Play began
 	Stats        Stats
-	Rate         int // requests that began since the last
-	Revision     int64
-	Epoch        uint64
-	Chain        []string
-	LiveProxies  int // proxies that clients know of
-	ReadyProxies int // proxies that say so to the platform
+	Rate         int      // requests that began since the last announcement
+	Revision     int64    // of the configuration; 0: no control-plane node answers
+	Epoch        uint64   // of the newest view
+	Chain        []string // its chain replicas; empty: not known
+	LiveProxies  int      // that a directory lists
+	ReadyProxies int      // that answer the platform's readiness check
 }
 
-// String is the second as one line.
+// String returns the state as one line.
 func (s Second) String() string {
 	chain := "unknown"
 	if len(s.Chain) > 0 {
