--- a/internal/lab/testcluster/process_faults.go
+++ b/internal/lab/testcluster/process_faults.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"slices"
 	"syscall"
 	"time"
 
@@ -12,13 +11,16 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
+// faultKill is the kind of rules.Fault of a process that was killed.
+const faultKill = "kill"
+
 // KillControlPlane kills a machine's control-plane node and waits for its end.
 func (r *Run) KillControlPlane(m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{ControlPlane: true, Kind: "kill", At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{ControlPlane: true, Kind: faultKill, At: r.Now()})
 	return signalAndWait(r.Fleet.ControlPlaneProcess(m), syscall.SIGKILL, nil)
 }
 
-// StartControlPlane starts it again, with its disk.
+// StartControlPlane starts a machine's control-plane node again, with its disk.
 func (r *Run) StartControlPlane(m Machine) error {
 	r.Evidence.RecordFault(rules.Fault{ControlPlane: true, Kind: rules.Start, At: r.Now()})
 	return r.Fleet.StartControlPlane(m, false)
@@ -26,70 +28,45 @@
 
 // KillProxy kills a machine's proxy and waits for its end.
 func (r *Run) KillProxy(m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: "kill", At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: faultKill, At: r.Now()})
 	return signalAndWait(r.Fleet.ProxyProcess(m), syscall.SIGKILL, nil)
 }
 
-// Pause stops a process and lets it go on after a while, or when ctx ends.
-func (r *Run) Pause(ctx context.Context, p *proc.Process, d time.Duration) error {
-	if err := p.Signal(syscall.SIGSTOP, false); err != nil {
-		return err
-	}
-	_ = sleep(ctx, d) // it goes on whichever ends first
-	return p.Signal(syscall.SIGCONT, false)
-}
-
-// TerminateProxy has a machine's proxy end as planned, and waits for that or the end of ctx.
+// TerminateProxy has a machine's proxy shut down gracefully, and waits for its end. It fails if ctx ends before.
 func (r *Run) TerminateProxy(ctx context.Context, m Machine) error {
 	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: rules.Terminate, At: r.Now()})
 	return signalAndWait(r.Fleet.ProxyProcess(m), syscall.SIGTERM, ctx.Done())
 }
 
-// StartProxy starts it again.
+// StartProxy starts a machine's proxy again.
 func (r *Run) StartProxy(m Machine) error {
 	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: rules.Start, At: r.Now()})
 	return r.Fleet.StartProxy(m, false)
 }
 
-func signalAndWait(p *proc.Process, by syscall.Signal, until <-chan struct{}) error {
+// Pause stops a process and continues it after d, or when ctx ends. The caller records the fault.
+func (r *Run) Pause(ctx context.Context, p *proc.Process, d time.Duration) error {
+	if err := p.Signal(syscall.SIGSTOP, false); err != nil {
+		return err
+	}
+	_ = sleep(ctx, d) // The process is continued also when ctx ends.
+	return p.Signal(syscall.SIGCONT, false)
+}
+
+// signalAndWait sends a process a signal that ends it, and waits for its end. It fails if giveUp is closed before; nil waits for ever.
+func signalAndWait(p *proc.Process, by syscall.Signal, giveUp <-chan struct{}) error {
 	if err := p.Signal(by, true); err != nil {
 		return err
 	}
 	select {
 	case <-p.Ended():
 		return nil
-	case <-until:
+	case <-giveUp:
 		return errors.Newf("%s has not ended in time after %v: look at %s", p.Name, by, p.Log)
 	}
 }
 
-// AddRoute amends the configuration by a route, under a number.
-func (r *Run) AddRoute(ctx context.Context, revision int64, route rules.Route) error {
-	now := r.Scenario.Config
-	after := *now
-	after.Revision = revision
-	after.Routes = append(slices.Clone(now.Routes), route)
-	if err := r.Operator.Amend(ctx, &after, now.Revision, []rules.Route{route}, nil); err != nil {
-		return err
-	}
-	r.Scenario.Config = &after
-	return nil
-}
-
-// RemoveRoute amends the configuration by taking out a route.
-func (r *Run) RemoveRoute(ctx context.Context, revision int64, name string) error {
-	now := r.Scenario.Config
-	after := *now
-	after.Revision = revision
-	after.Routes = slices.DeleteFunc(slices.Clone(now.Routes), func(r rules.Route) bool { return r.Name == name })
-	if err := r.Operator.Amend(ctx, &after, now.Revision, nil, []string{name}); err != nil {
-		return err
-	}
-	r.Scenario.Config = &after
-	return nil
-}
-
-// AwaitServed waits until clients were served n more requests.
+// AwaitServed waits until n more requests of clients were served, and fails if ctx ends before.
 func (r *Run) AwaitServed(ctx context.Context, n int) error {
 	return r.stats.await(ctx, n)
 }
