--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -1,136 +1,123 @@
 package soak
 
 import (
+	"math/rand/v2"
+	"slices"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
-// kindWeights is how often each kind is drawn.
-var kindWeights = []struct {
-	kind   Kind
-	weight int
-}{
-	{KillProxy, 8}, {KillControlPlane, 8}, {KillZone, 3}, {KillAllControlPlanes, 3}, {PauseProxy, 10}, {PauseControlPlane, 10},
-	{PartitionProxy, 6}, {PartitionControlPlane, 6}, {PartitionFromList, 4}, {PartitionAllFromList, 3}, {PartitionServer, 4}, {PartitionFromServers, 8}, {TerminateProxy, 8},
-	{SlowProxy, 4}, {SlowControlPlane, 4}, {SlowLists, 6}, {SlowServer, 3},
-	{LoseAnswers, 4}, {LoseAcknowledgements, 4}, {RestartZone, 14}, {EvacuateZone, 6}, {RestartZoneDuringEvacuation, 8}, {EndEvacuationAlone, 8}, {DrainServer, 3},
+// drawer draws the faults of a plan. The order and the number of its random draws decide what a seed means.
+type drawer struct {
+	rng      *rand.Rand
+	scenario *testcluster.Scenario
+	until    time.Duration // end of the last fault
 }
 
-// draw gives a fault that starts at 0.
-func (d *drawer) draw() Fault {
-	all := 0
-	for _, o := range kindWeights {
-		all += o.weight
-	}
-	n := d.rng.IntN(all)
-	for _, o := range kindWeights {
-		if n -= o.weight; n < 0 {
-			return d.drawKind(o.kind)
+// drawDuration draws from low to high, both included.
+func (d *drawer) drawDuration(low, high time.Duration) time.Duration {
+	return low + time.Duration(d.rng.Int64N(int64(high-low)+1))
+}
+
+// drawFitting draws faults that start at a time until one fits; ok is false if none of maxDraws does.
+func (d *drawer) drawFitting(faults []Fault, at time.Duration) (fault Fault, ok bool) {
+	for range maxDraws {
+		fault := d.draw()
+		fault.Start = at
+		if d.fits(faults, fault) {
+			return fault, true
 		}
 	}
-	return d.drawZoneRestart()
+	return Fault{}, false
 }
 
-func (d *drawer) drawKind(kind Kind) Fault {
-	t := Fault{Kind: kind}
-	switch kind {
-	case KillProxy, KillControlPlane, KillZone, KillAllControlPlanes:
-		t.Length = d.drawDuration(500*time.Millisecond, 4*time.Second)
-	case PauseProxy, PauseControlPlane:
-		t.Length = d.drawDuration(300*time.Millisecond, 6*time.Second)
-	case PartitionFromServers:
-		t.Length = d.drawDuration(500*time.Millisecond, 4*time.Second)
-		t.Direction = Direction(d.rng.IntN(3))
-		t.Servers = d.drawServers()
-	case TerminateProxy:
-		t.Down = d.drawDuration(0, 2*time.Second)
-		t.Length = d.scene.Bounds.Grace + endSlack + t.Down
-	case PartitionProxy, PartitionControlPlane, PartitionFromList, PartitionAllFromList, PartitionServer:
-		t.Length = d.drawDuration(500*time.Millisecond, 4*time.Second)
-		t.Direction = Direction(d.rng.IntN(3))
-	case SlowProxy, SlowControlPlane, SlowLists, SlowServer:
-		t.Length = d.drawDuration(time.Second, 6*time.Second)
-		t.Delay = d.drawDuration(20*time.Millisecond, 300*time.Millisecond)
-		t.Jitter = d.drawDuration(0, t.Delay/2)
-	case LoseAnswers, LoseAcknowledgements:
-		t.Length = d.drawDuration(time.Second, 4*time.Second)
-		t.LossRate = 0.1 + 0.5*d.rng.Float64()
-	case RestartZone:
-		t.Down = d.drawDuration(time.Second, 4*time.Second)
-		t.Length = t.Down + coldFor(d.scene) + coldMargin
-	case EvacuateZone:
-		t.WarmUpLead = d.drawDuration(minWarmUpLead, maxWarmUpLead)
-		t.Length = d.scene.Bounds.Evacuate + d.drawDuration(time.Second, 3*time.Second) + maxWarmUpLead
-	case RestartZoneDuringEvacuation:
-		return d.drawZoneRestart()
-	case EndEvacuationAlone:
-		t = d.drawZonePair(kind)
-		t.Down = t.WarmUpLead + d.drawDuration(0, time.Second) + aloneFor
-		t.Length = d.scene.Bounds.Evacuate + t.Down + coldFor(d.scene) + coldMargin
-		return t
-	case DrainServer:
-		t.Length = d.scene.Bounds.Drain + time.Second + d.drawDuration(500*time.Millisecond, time.Second) + coldFor(d.scene) + coldMargin
+// draw draws a fault of any kind that starts at 0.
+func (d *drawer) draw() Fault {
+	spec := d.drawKind()
+	fault := Fault{Kind: spec.kind}
+	spec.draw(d, &fault)
+	if spec.target != nil {
+		fault.Target = spec.target(d)
 	}
-	t.Target = d.drawTarget(kind)
-	return t
+	return fault
 }
 
-// drawZoneRestart is the incident: one zone of a region is evacuated, and the servers of the other come back and warm up.
-func (d *drawer) drawZoneRestart() Fault {
-	t := d.drawZonePair(RestartZoneDuringEvacuation)
-	t.Down = d.drawDuration(time.Second, 4*time.Second)
-	t.Length = evacuateFor + t.Down + coldFor(d.scene) + coldMargin + maxWarmUpLead
-	return t
+// drawKind draws a kind by the weights.
+func (d *drawer) drawKind() kindSpec {
+	sum := 0
+	for _, spec := range kindSpecs {
+		sum += spec.weight
+	}
+	i := 0
+	for n := d.rng.IntN(sum); n >= kindSpecs[i].weight; i++ {
+		n -= kindSpecs[i].weight
+	}
+	return kindSpecs[i]
 }
 
-// drawZonePair gives a fault of one zone while the other one of the region is evacuated.
-func (d *drawer) drawZonePair(kind Kind) Fault {
-	t := Fault{Kind: kind, Target: homeZones[0], Other: homeZones[1], WarmUpLead: d.drawDuration(minWarmUpLead, maxWarmUpLead)}
-	if d.rng.IntN(2) == 0 {
-		t.Target, t.Other = t.Other, t.Target
+// fits reports whether a fault ends in time, is never one of more than MaxConcurrentFaults, and has no claim in common with a fault that it
+// overlaps.
+func (d *drawer) fits(faults []Fault, fault Fault) bool {
+	if fault.end() > d.until || overlapping(faults, fault.Start) >= MaxConcurrentFaults {
+		return false
+	}
+	for _, other := range faults {
+		if other.end()+minSeparation <= fault.Start || fault.end()+minSeparation <= other.Start {
+			continue
+		}
+		if fault.Start <= other.Start && other.Start < fault.end() && overlapping(faults, other.Start) >= MaxConcurrentFaults {
+			return false
+		}
+		claims := d.claims(fault)
+		if slices.ContainsFunc(d.claims(other), func(claim string) bool { return slices.Contains(claims, claim) }) {
+			return false
+		}
 	}
-	return t
+	return true
 }
 
-// drawTarget draws what a fault of a kind is done to.
-func (d *drawer) drawTarget(kind Kind) string {
-	machines := d.scene.Machines
-	switch kind {
-	case KillProxy, PauseProxy, TerminateProxy, PartitionProxy, SlowProxy, PartitionFromServers:
-		return machines[d.rng.IntN(len(machines))].IP
-	case KillControlPlane, PauseControlPlane, PartitionControlPlane, SlowControlPlane, PartitionFromList:
-		disks := withDisk(machines)
-		return disks[d.rng.IntN(len(disks))].IP
-	case KillZone:
-		return machines[d.rng.IntN(len(machines))].Zone
-	case PartitionServer, SlowServer, DrainServer:
-		return d.scene.Servers[d.rng.IntN(len(d.scene.Servers))].Address
-	case LoseAnswers:
-		return d.scene.Servers[d.rng.IntN(len(d.scene.Servers))].Zone
-	case RestartZone, EvacuateZone:
-		return homeZones[d.rng.IntN(len(homeZones))]
+// claims returns what a fault needs for itself.
+func (d *drawer) claims(fault Fault) []string {
+	spec, ok := specOf(fault.Kind)
+	if !ok {
+		return nil
 	}
-	return ""
+	return spec.claims(d, fault)
 }
 
-// drawServers draws one server, or some.
-func (d *drawer) drawServers() (addresses []string) {
-	n := 1
-	if d.rng.IntN(2) == 0 {
-		n = 2 + d.rng.IntN(maxPartitionedServers-1)
-	}
-	for _, i := range d.rng.Perm(len(d.scene.Servers))[:n] {
-		addresses = append(addresses, d.scene.Servers[i].Address)
-	}
-	return addresses
+// drawMachine draws the IP of a machine.
+func (d *drawer) drawMachine() string { return d.anyMachine().IP }
+
+// drawMachineZone draws the zone of a machine.
+func (d *drawer) drawMachineZone() string { return d.anyMachine().Zone }
+
+func (d *drawer) anyMachine() testcluster.Machine {
+	machines := d.scenario.Machines
+	return machines[d.rng.IntN(len(machines))]
 }
 
-func withDisk(machines []testcluster.Machine) (some []testcluster.Machine) {
-	for _, m := range machines {
+// drawVoter draws the IP of a machine whose control-plane node is a voter.
+func (d *drawer) drawVoter() string {
+	var voters []testcluster.Machine
+	for _, m := range d.scenario.Machines {
 		if m.Disk {
-			some = append(some, m)
+			voters = append(voters, m)
 		}
 	}
-	return some
+	return voters[d.rng.IntN(len(voters))].IP
 }
+
+// drawServer draws the address of a server.
+func (d *drawer) drawServer() string { return d.anyServer().Address }
+
+// drawServerZone draws the zone of a server.
+func (d *drawer) drawServerZone() string { return d.anyServer().Zone }
+
+func (d *drawer) anyServer() testcluster.ServerSpec {
+	servers := d.scenario.Servers
+	return servers[d.rng.IntN(len(servers))]
+}
+
+// drawHomeZone draws a zone of the home region.
+func (d *drawer) drawHomeZone() string { return homeZones[d.rng.IntN(len(homeZones))] }
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -15,53 +15,54 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// probability is a part of 1 that may change at any time.
+// probability is a number from 0 to 1. It is safe for concurrent use.
 type probability struct{ bits atomic.Uint64 }
 
-func (s *probability) set(v float64) { s.bits.Store(math.Float64bits(v)) }
+func (p *probability) set(v float64) { p.bits.Store(math.Float64bits(v)) }
 
-// drawn reports whether a draw falls into the share.
-func (s *probability) drawn() bool { return rand.Float64() < math.Float64frombits(s.bits.Load()) }
+// drawn draws, and reports true with that probability.
+func (p *probability) drawn() bool { return rand.Float64() < math.Float64frombits(p.bits.Load()) }
 
 const (
-	addedName   = "added"
-	addedPrefix = "/added/"
-	thumbRoute  = 2 // of the scenario's routes
+	addedName       = "added"
+	addedPrefix     = "/added/"
+	maxRevisionStep = 5  // between the revisions of consecutive configurations
+	changeStream    = 37 // the sequence of random numbers of a seed from which changes are drawn
 )
 
-// sendChanges sends sendChanges of the configuration, one a second, and looks at a proxy after each.
+// sendChanges changes the configuration at an interval until ctx ends. After each change it sends a probe to a proxy.
 func (p *player) sendChanges(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(p.plan.Seed, 37))
+	rng := rand.New(rand.NewPCG(p.plan.Seed, changeStream))
 	for n := 0; clock.Sleep(ctx, configInterval); n++ {
 		if err := p.sendChange(ctx, n, rng); err != nil && ctx.Err() == nil {
 			p.refreshConfig(ctx)
 		}
 		m := p.Fleet.Machines[rng.IntN(len(p.Fleet.Machines))]
-		p.Probe(ctx, p.Fleet.Front(m), p.Scenario.Config.Routes[0].Host, fmt.Sprintf("%s%d", addedPrefix, n))
+		p.Probe(ctx, p.Fleet.Front(m), p.Scenario.Config.Routes[summaryRoute].Host, fmt.Sprintf("%s%d", addedPrefix, n))
 	}
 }
 
-// sendChange makes the n-th sendChange.
+// sendChange sends a change by its number: one in three adds a route or removes it, and the others change the time-out of a route.
 func (p *player) sendChange(ctx context.Context, number int, rng *rand.Rand) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	now := p.Scenario.Config
-	revision := now.Revision + 1 + rng.Int64N(5)
-	has := slices.ContainsFunc(now.Routes, func(r rules.Route) bool { return r.Name == addedName })
+	current := p.Scenario.Config
+	revision := current.Revision + 1 + rng.Int64N(maxRevisionStep)
+	added := slices.ContainsFunc(current.Routes, func(r rules.Route) bool { return r.Name == addedName })
 	var err error
 	switch {
-	case number%3 == 0 && !has:
-		route := now.Routes[thumbRoute]
+	case number%3 == 0 && !added:
+		route := current.Routes[thumbRoute]
 		route.Name, route.Prefix = addedName, addedPrefix
 		err = p.AddRoute(ctx, revision, route)
 	case number%3 == 0:
 		err = p.RemoveRoute(ctx, revision, addedName)
 	default:
-		after := *now
+		after := *current
 		after.Revision = revision
-		after.Routes = slices.Clone(now.Routes)
+		after.Routes = slices.Clone(current.Routes)
 		after.Routes[number%2].Timeout += rng.IntN(3) - 1
-		if err = p.Operator.Replace(ctx, &after, now.Revision); err == nil {
+		if err = p.Operator.Replace(ctx, &after, current.Revision); err == nil {
 			p.Scenario.Config = &after
 		}
 	}
@@ -73,27 +74,27 @@
 	return err
 }
 
-// refreshConfig goes on from what is in force, after an order without a clear answer.
+// refreshConfig reads the configuration, on which the next change is to build after one without a clear answer.
 func (p *player) refreshConfig(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	if c, err := p.Operator.Read(ctx); err == nil {
 		p.Scenario.Config = c
 	}
 }
 
-// separateOperator gives an operator that makes calls beside the others.
+// separateOperator returns an operator that can make calls while the others do.
 func (p *player) separateOperator() *testcluster.Operator {
 	o := *p.Operator
 	return &o
 }
 
-// readConfig asks for the configuration again and again; the answers are evidence.
+// readConfig reads the configuration at an interval until ctx ends. The readings are evidence.
 func (p *player) readConfig(ctx context.Context) {
 	reader := p.separateOperator()
 	for clock.Sleep(ctx, readInterval) {
-		asked, cancel := context.WithTimeout(ctx, orderTimeout)
-		_, err := reader.Read(asked) // none comes while the control plane is down
+		readCtx, cancel := context.WithTimeout(ctx, changeTimeout)
+		_, err := reader.Read(readCtx) // It fails while the control plane is down.
 		cancel()
 		if err != nil && ctx.Err() != nil {
 			return
@@ -101,12 +102,12 @@
 	}
 }
 
-// setEvacuated sends an evacuation or takes it back, again and again until there is a clear answer or ctx ends.
+// setEvacuated starts or ends the evacuation of a zone. It retries until there is a clear answer or ctx ends.
 func (p *player) setEvacuated(ctx context.Context, zone string, start bool) error {
 	operator := p.separateOperator()
 	for {
-		asked, cancel := context.WithTimeout(ctx, orderTimeout)
-		err := operator.Evacuate(asked, zone, start)
+		evacuateCtx, cancel := context.WithTimeout(ctx, changeTimeout)
+		err := operator.Evacuate(evacuateCtx, zone, start)
 		cancel()
 		switch {
 		case err == nil:
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -59,7 +59,7 @@
 			t.Errorf("no proxy is ever cut from %d servers", n)
 		}
 	}
-	for _, o := range kindWeights {
+	for _, o := range kindSpecs {
 		if c.kinds[o.kind] == 0 {
 			t.Errorf("%q never happens", o.kind)
 		}
@@ -98,7 +98,7 @@
 	if pause.Start >= evacuation.Start || pause.end() < warmUpStart+ackedWithin || pause.end() > warmUpStart+evacuation.WarmUpLead {
 		t.Errorf("%v, with %v", pause, evacuation)
 	}
-	if wait := scenario.Kinds[question].Deadline; wait <= pause.Length {
+	if wait := scenario.Kinds[questionRoute].Deadline; wait <= pause.Length {
 		t.Errorf("clients wait %v: %v", wait, pause)
 	}
 }
@@ -110,7 +110,7 @@
 	if ok != want {
 		t.Errorf("partition: %v, want %v", ok, want)
 	}
-	if ok && (partition.Target != pause.Target || partition.Start > pause.end() || partition.end() != pause.end()+cutAfter) {
+	if ok && (partition.Target != pause.Target || partition.Start > pause.end() || partition.end() != pause.end()+partitionAfter) {
 		t.Errorf("partition: %v", partition)
 	}
 }
@@ -119,7 +119,7 @@
 
 func checkPlan(t *testing.T, plan *Plan, scene *testcluster.Scenario) {
 	t.Helper()
-	drawing := &drawer{scene: scene}
+	drawing := &drawer{scenario: scene}
 	if plan.Delay < 20*time.Millisecond || plan.Delay > 55*time.Millisecond {
 		t.Errorf("seed %d: %v between regions", plan.Seed, plan.Delay)
 	}
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -89,12 +89,12 @@
 		{admin.NodeStatus{Current: true}, true},
 	} {
 		status = c.status
-		if err := w.checkSettled(t.Context(), keepers); (err == nil) != c.good {
+		if err := w.checkControlPlane(t.Context(), keepers); (err == nil) != c.good {
 			t.Errorf("%+v: %v", c.status, err)
 		}
 	}
 	server.Close()
-	if err := w.checkSettled(t.Context(), keepers); err == nil {
+	if err := w.checkControlPlane(t.Context(), keepers); err == nil {
 		t.Error("no keeper answers, and that is taken for settled")
 	}
 }
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -23,18 +23,15 @@
 	Folder              string // for settings, disks and logs
 	Plan                *Plan
 	Scenario            *testcluster.Scenario // nil: that of the plan's seed
-	Announce            func(string)          // is called for each fault as it begins; nil: nothing is
+	Announce            func(string)          // is called for each fault as it begins; may be nil
 }
 
 const (
-	orderTimeout     = 5 * time.Second // for one order of the operator
-	configInterval   = time.Second
+	changeTimeout    = 5 * time.Second // for one change or reading of the operator
+	configInterval   = time.Second     // between changes of the configuration
 	readInterval     = 700 * time.Millisecond
-	statusInterval   = time.Second
-	statusTimeout    = 400 * time.Millisecond
 	recoveryTimeout  = 12 * time.Second
 	recoveryRequests = 40 // requests that must be served after the last fault
-	restartSpread    = 250 * time.Millisecond
 )
 
 // player is one seed under way.
@@ -46,31 +43,27 @@
 	monitor    invariantMonitor
 	lateness   lateness
 
-	mu     sync.Mutex
-	broken []string // never nil
-	// evacuating is held by the one fault that may evacuate: an answer that comes late has one last longer than it was drawn.
-	evacuating         chan struct{}
-	pendingEvacuations map[string]bool // zones whose evacuation was not clearly taken back
-	orders             int             // acknowledged
+	// evacuating holds a value while a fault evacuates a zone: an answer that comes late may have a fault last longer than it was drawn.
+	evacuating chan struct{}
+
+	mu                 sync.Mutex
+	broken             []string        // as in Result; never nil
+	pendingEvacuations map[string]bool // zones whose evacuation was started, and not clearly ended
+	orders             int             // changes of the configuration that were acknowledged
 }
 
-// Play runs a plan against real processes and judges it. The error is that of a run that could not be begun.
+// Play plays a plan against real processes and judges it. It fails if the run cannot be started, or if ctx ends before the run is over.
 func Play(ctx context.Context, options Options) (*Result, error) {
-	scene := options.Scenario
-	if scene == nil {
-		scene = NewScenario(options.Plan.Seed)
+	scenario := options.Scenario
+	if scenario == nil {
+		scenario = NewScenario(options.Plan.Seed)
 	}
-	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: options.Proxy, ControlPlane: options.ControlPlane, Folder: options.Folder, Seed: options.Plan.Seed, Scenario: scene,
-		Links: testcluster.NewLinks(options.Plan.Delay, options.Plan.Jitter)})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: options.Proxy, ControlPlane: options.ControlPlane, Folder: options.Folder, Seed: options.Plan.Seed,
+		Scenario: scenario, Links: testcluster.NewLinks(options.Plan.Delay, options.Plan.Jitter)})
 	if err != nil {
 		return nil, err
 	}
-	play := &player{Run: run, plan: options.Plan, announce: options.Announce, pendingEvacuations: map[string]bool{}, broken: []string{}, evacuating: make(chan struct{}, 1),
-		monitor: invariantMonitor{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}}
-	if play.announce == nil {
-		play.announce = func(string) {}
-	}
-	run.Operator.LoseAnswer = play.answerLoss.drawn
+	play := newPlayer(run, options)
 	play.run(ctx)
 	if ctx.Err() == nil {
 		play.checkRecovery(ctx)
@@ -83,7 +76,17 @@
 	return result, result.saveFailure(options.Folder, options.Plan, floodReport{run.Evidence})
 }
 
-// run injects all faults, and changes of the configuration and reads beside them.
+func newPlayer(run *testcluster.Run, options Options) *player {
+	p := &player{Run: run, plan: options.Plan, announce: options.Announce, pendingEvacuations: map[string]bool{}, broken: []string{}, evacuating: make(chan struct{}, 1),
+		monitor: invariantMonitor{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}}
+	if p.announce == nil {
+		p.announce = func(string) {}
+	}
+	run.Operator.LoseAnswer = p.answerLoss.drawn
+	return p
+}
+
+// run injects all faults, while the operator changes and reads the configuration. It returns when the plan's time is over.
 func (p *player) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.plan.For)
 	defer cancel()
@@ -93,28 +96,28 @@
 	all.Go(func() { p.readConfig(ctx) })
 	all.Go(func() { p.monitor.run(ctx, p.addresses()) })
 	all.Go(func() { p.lateness.run(ctx) })
-	for _, t := range p.plan.Faults {
+	for _, fault := range p.plan.Faults {
 		all.Go(func() {
-			if !clock.Sleep(ctx, time.Until(begin.Add(t.Start))) {
+			if !clock.Sleep(ctx, time.Until(begin.Add(fault.Start))) {
 				return
 			}
-			p.announce(fmt.Sprintf("%v: %v", p.Now().Round(time.Millisecond), t))
-			if err := p.inject(ctx, t); err != nil && ctx.Err() == nil {
-				p.recordFailure("TROUBLE", fmt.Sprintf("%v: %v", t, err))
+			p.announce(fmt.Sprintf("%v: %v", p.Now().Round(time.Millisecond), fault))
+			if err := p.inject(ctx, fault); err != nil && ctx.Err() == nil {
+				p.recordFailure("TROUBLE", fmt.Sprintf("%v: %v", fault, err))
 			}
 		})
 	}
 	all.Wait()
 }
 
-// recordFailure records what broke, by name.
+// recordFailure lists a failure as broken under a name, in one line.
 func (p *player) recordFailure(name, text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.broken = append(p.broken, name+": "+strings.ReplaceAll(text, "\n", "; "))
 }
 
-// checkRecovery checks that requests are served again, and that what was acknowledged of evacuations is what the control plane has.
+// checkRecovery ends the evacuations that are pending, and checks that requests are served and that the control plane recovers.
 func (p *player) checkRecovery(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -126,12 +129,15 @@
 			p.recordFailure("RECOVER", err.Error())
 		}
 	}
-	if err := testcluster.Await(ctx, func(ctx context.Context) error { return p.monitor.checkSettled(ctx, p.Fleet.ControlPlaneAddresses()) }); err != nil {
+	recovered := func(ctx context.Context) error {
+		return p.monitor.checkControlPlane(ctx, p.Fleet.ControlPlaneAddresses())
+	}
+	if err := testcluster.Await(ctx, recovered); err != nil {
 		p.recordFailure("RECOVER", err.Error())
 	}
 }
 
-// addresses are those at which processes serve their status.
+// addresses returns the addresses at which processes serve their status, by the names of the processes.
 func (p *player) addresses() map[string]string {
 	all := map[string]string{}
 	for _, m := range p.Fleet.Machines {
@@ -141,15 +147,15 @@
 	return all
 }
 
-// saveFailure writes what explains a result into the folder of a run that broke something.
-func (r *Result) saveFailure(folder string, plan *Plan, e fmt.Stringer) error {
+// saveFailure writes the plan, what is broken and further details into the folder of a run that has not passed.
+func (r *Result) saveFailure(folder string, plan *Plan, details fmt.Stringer) error {
 	if r.Passed() {
 		return nil
 	}
 	var text strings.Builder
-	for _, t := range plan.Faults {
-		fmt.Fprintln(&text, t)
+	for _, fault := range plan.Faults {
+		fmt.Fprintln(&text, fault)
 	}
-	text.WriteString(strings.Join(r.Broken, "\n") + "\n" + e.String())
+	text.WriteString(strings.Join(r.Broken, "\n") + "\n" + details.String())
 	return os.WriteFile(filepath.Join(folder, "story.txt"), []byte(text.String()), 0o600)
 }
--- a/internal/lab/soak/scenario.go
+++ b/internal/lab/soak/scenario.go
@@ -11,19 +11,26 @@
 var homeZones = [...]string{"north-a", "north-b"}
 
 const (
-	home         = "north"
-	perZone      = 3   // model servers of each home zone
-	subnets      = 100 // so that runs side by side rarely share addresses
-	firstSubnet  = 100
-	summaryRate  = 5.0 // requests a second
-	questionRate = 240.0
-	thumbRate    = 60.0
-	slots        = 32
-	step         = 3 * time.Millisecond
+	homeRegion         = "north"
+	homeServersPerZone = 4   // in each home zone; one of them has no model
+	subnets            = 100 // second bytes of loopback addresses, so that runs side by side rarely share addresses
+	firstSubnet        = 100
+	summaryRate        = 5.0 // requests a second
+	questionRate       = 240.0
+	thumbRate          = 60.0
+	slots              = 32
+	step               = 3 * time.Millisecond
 )
 
-// NewScenario gives the deployment in which a seed is played: the small one, with more servers, more traffic, and a home for the
-// most frequent kind of request.
+// Indexes into the routes and request kinds of the scenario.
+const (
+	summaryRoute = iota
+	questionRoute
+	thumbRoute
+)
+
+// NewScenario returns the deployment in which a seed is played: the small one, with more servers, more traffic, and a home region for the most
+// frequent kind of request.
 func NewScenario(seed uint64) *testcluster.Scenario {
 	scenario := testcluster.SmallScenario(1)
 	subnet := firstSubnet + int(seed%subnets)
@@ -33,13 +40,13 @@
 	engine := *scenario.Servers[0].Engine
 	engine.Step = step
 	var servers []testcluster.ServerSpec
-	held := map[string]int{}
+	serversOf := map[string]int{} // by zone
 	add := func(spec testcluster.ServerSpec) {
 		spec.Address = fmt.Sprintf("127.%d.2.%d:0", subnet, len(servers)+1)
 		if spec.Engine != nil {
 			spec.Engine = &engine
 		}
-		held[spec.Zone]++
+		serversOf[spec.Zone]++
 		servers = append(servers, spec)
 	}
 	for _, spec := range scenario.Servers {
@@ -47,20 +54,21 @@
 	}
 	for _, zone := range homeZones {
 		spec := scenario.Servers[0]
-		for spec.Zone, spec.Region = zone, home; held[zone] < perZone+1; { // one of them has no model
+		spec.Zone, spec.Region = zone, homeRegion
+		for serversOf[zone] < homeServersPerZone {
 			add(spec)
 		}
 	}
 	scenario.Servers = servers
-	scenario.Config.Routes[1].Homes = []string{home}
-	for i, rate := range []float64{summaryRate, questionRate, thumbRate} {
-		scenario.Kinds[i].Rate = rate
-	}
+	scenario.Config.Routes[questionRoute].Homes = []string{homeRegion}
+	scenario.Kinds[summaryRoute].Rate = summaryRate
+	scenario.Kinds[questionRoute].Rate = questionRate
+	scenario.Kinds[thumbRoute].Rate = thumbRate
 	setSlots(scenario, slots)
 	return scenario
 }
 
-// setSlots gives every model server so many slots, and as many places to wait.
+// setSlots gives every model server n slots, and a queue of n requests.
 func setSlots(s *testcluster.Scenario, n int) {
 	for _, spec := range s.Servers {
 		if spec.Engine != nil {
@@ -70,5 +78,5 @@
 	s.Config.Services[0].Engine.Slots = n
 }
 
-// coldFor is how long a model server warms up after its start.
-func coldFor(s *testcluster.Scenario) time.Duration { return s.Servers[0].WarmUp }
+// warmUpOf returns how long a model server warms up after its start.
+func warmUpOf(s *testcluster.Scenario) time.Duration { return s.Servers[0].WarmUp }
