--- a/cmd/gradeusher/system_soak_wake_norace_test.go
+++ b/cmd/gradeusher/system_soak_wake_norace_test.go
@@ -14,7 +14,7 @@
 // TestSoakWake: a proxy that was paused for some seconds does not flood servers that turned cold meanwhile with all that waited, at
 // the usual traffic and at the double, with the control plane in reach and cut off, and with another one beside it.
 func TestSoakWake(t *testing.T) {
-	for _, plan := range []soak.Waking{soak.WakeOne, soak.WakeCut, soak.WakeTwo} {
+	for _, plan := range []soak.Waking{soak.WakeOne, soak.WakePartitioned, soak.WakeTwo} {
 		t.Run(string(plan), func(t *testing.T) {
 			for _, load := range []float64{1, 2} {
 				t.Run(fmt.Sprint("load ", load), func(t *testing.T) {
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -68,7 +68,7 @@
 
 // TestWakePlans: the proxy is paused before the evacuation begins, and goes on while the zone's servers warm up.
 func TestWakePlans(t *testing.T) {
-	for form, faults := range map[Waking]int{WakeOne: 3, WakeCut: 4, WakeTwo: 3} {
+	for form, faults := range map[Waking]int{WakeOne: 3, WakePartitioned: 4, WakeTwo: 3} {
 		t.Run(string(form), func(t *testing.T) {
 			scenario := NewWakeScenario(1)
 			plan := Wake(1, form, scenario)
@@ -83,7 +83,7 @@
 				t.Errorf("%v", plan.Faults)
 			}
 			checkWakeTimes(t, byKind, scenario)
-			checkWakePartition(t, byKind, form == WakeCut)
+			checkWakePartition(t, byKind, form == WakePartitioned)
 			if n := scenario.Servers[0].Engine.Slots; n != wakeSlots || NewScenario(1).Servers[0].Engine.Slots != slots {
 				t.Errorf("%d slots", n)
 			}
--- a/internal/lab/soak/wake.go
+++ b/internal/lab/soak/wake.go
@@ -45,9 +45,9 @@
 
 // The plans of Wake.
 const (
-	WakeOne Waking = "wake"
-	WakeCut Waking = "wake-cut" // the proxy is partitioned from the control plane when it continues, and for some time after
-	WakeTwo Waking = "wake-two" // the other proxy of its region is paused with it
+	WakeOne         Waking = "wake"
+	WakePartitioned Waking = "wake-cut" // the proxy is partitioned from the control plane when it continues, and for some time after
+	WakeTwo         Waking = "wake-two" // the other proxy of its region is paused with it
 )
 
 // Wake returns a fixed plan: a proxy is paused for some seconds, and continues with the servers that it knew before, while all requests that
@@ -64,7 +64,7 @@
 		{Kind: EndEvacuationAlone, Target: homeZones[0], Other: homeZones[1], Start: evacuatedAt, WarmUpLead: wakeWarmUpLead, Down: wakeWarmUpLead + aloneFor,
 			Length: scenario.Bounds.Evacuate + wakeWarmUpLead + aloneFor + warmUpOf(scenario) + warmUpMargin},
 	}}
-	if form == WakeCut {
+	if form == WakePartitioned {
 		p.Faults = append(p.Faults, Fault{Kind: PartitionProxy, Target: paused, Start: pausedAt + pausedFor - partitionBefore, Length: partitionBefore + partitionAfter})
 	}
 	return p
