--- a/internal/lab/soak/lateness.go
+++ b/internal/lab/soak/lateness.go
@@ -8,13 +8,13 @@
 	"gradeusher.example/gradeusher/internal/lab/clock"
 )
 
-const latenessInterval = 10 * time.Millisecond
+const latenessInterval = 10 * time.Millisecond // between measurements
 
-// lateness is the maximum by which the lab itself was late to go on after a wait. It carries all traffic, and the links between the
-// system's processes: where it is late by much, so is all that they hear.
+// lateness is the most by which this process continued late after a wait. The process carries all traffic, and the links between the system's
+// processes: when it is late, all that they receive is late.
 type lateness struct{ maxNS atomic.Int64 }
 
-// run measures until ctx ends.
+// run measures at an interval until ctx ends.
 func (l *lateness) run(ctx context.Context) {
 	for began := time.Now(); clock.Sleep(ctx, latenessInterval); began = time.Now() {
 		l.observe(time.Since(began) - latenessInterval)
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -9,36 +9,36 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Result is what a seed came to.
+// Result is the outcome of a seed.
 type Result struct {
 	Seed          uint64   `json:"seed"`
 	Seconds       float64  `json:"seconds"`
-	DelayMS       float64  `json:"delay_ms"` // between regions, one way
+	DelayMS       float64  `json:"delay_ms"` // between regions, in each direction
 	Faults        int      `json:"troubles"`
-	MaxConcurrent int      `json:"at_once"` // most faults under way at one time
+	MaxConcurrent int      `json:"at_once"` // most faults that were under way at one time
 	Requests      int      `json:"requests"`
 	Served        int      `json:"served"`
 	Refused       int      `json:"refused"`
-	Failed        int      `json:"failed"` // and those without a final answer
-	Orders        int      `json:"orders"` // changes of the configuration that were acknowledged
-	Reads         int      `json:"reads"`  // of the configuration
-	Cold          int      `json:"cold"`   // servers that were sent requests while they warmed up
-	Peak          int      `json:"peak"`   // most requests that one of them got within a second
-	Bound         float64  `json:"bound"`  // that it may get
-	Flooded       int      `json:"flooded"`
-	Waited        int      `json:"waited"`   // attempts of clients that began while their proxy was paused, and were answered once it went on
-	InTouch       int      `json:"in_touch"` // attempts of clients by which rules that are bounded in time are judged
-	Statuses      int      `json:"statuses"` // read from processes
-	LateMS        int64    `json:"late_ms"`  // by which the lab itself was late at most
-	Broken        []string `json:"broken"`
-	// Looked is at how many requests, streams, windows or orders each rule was checked.
+	Failed        int      `json:"failed"`   // including those without a final answer
+	Orders        int      `json:"orders"`   // changes of the configuration that were acknowledged
+	Reads         int      `json:"reads"`    // of the configuration, that were answered
+	Cold          int      `json:"cold"`     // servers that were sent requests while they warmed up
+	Peak          int      `json:"peak"`     // most requests that one of those got within a second
+	Bound         float64  `json:"bound"`    // of that peak
+	Flooded       int      `json:"flooded"`  // servers whose peak was above its bound
+	Waited        int      `json:"waited"`   // attempts of clients that began while their proxy was paused, and were answered after it continued
+	InTouch       int      `json:"in_touch"` // attempts of clients by which rules with a bound in time are judged
+	Statuses      int      `json:"statuses"` // that were read from processes
+	LateMS        int64    `json:"late_ms"`  // by which the lab itself was late, at most
+	Broken        []string `json:"broken"`   // violations and failures, each with its rule or name first
+	// Checked is by rule at how many requests, streams, windows or changes it was checked.
 	Checked map[string]int `json:"looked"`
 }
 
-// Passed reports whether nothing was broken.
+// Passed reports whether nothing is broken.
 func (r *Result) Passed() bool { return len(r.Broken) == 0 }
 
-// String is the result as one line.
+// String returns the result as one line.
 func (r *Result) String() string {
 	word := "held"
 	if !r.Passed() {
@@ -49,13 +49,37 @@
 		r.Bound, r.Statuses, r.LateMS)
 }
 
-// evaluate puts together what was seen from outside and what processes counted.
+// evaluate returns the result: what was seen from outside, and what processes counted.
 func (p *player) evaluate(report *testcluster.Report) *Result {
-	f := report.Stats
-	r := &Result{Seed: p.plan.Seed, Seconds: p.plan.For.Seconds(), DelayMS: float64(p.plan.Delay) / float64(time.Millisecond),
-		Faults: len(p.plan.Faults), MaxConcurrent: p.plan.MaxConcurrent(), Requests: f.Requests, Served: f.Served, Refused: f.Refused,
-		Failed: f.Failed + f.Unanswered, Orders: p.orders, Reads: len(p.Evidence.Reads), Waited: p.Evidence.CountWaiting(), InTouch: p.Evidence.CountInContact(), Statuses: p.monitor.polls, LateMS: p.lateness.milliseconds(), Broken: p.broken}
-	for _, peak := range p.Evidence.WarmUpPeaks() {
+	stats := report.Stats
+	r := &Result{
+		Seed:          p.plan.Seed,
+		Seconds:       p.plan.For.Seconds(),
+		DelayMS:       float64(p.plan.Delay) / float64(time.Millisecond),
+		Faults:        len(p.plan.Faults),
+		MaxConcurrent: p.plan.MaxConcurrent(),
+		Requests:      stats.Requests,
+		Served:        stats.Served,
+		Refused:       stats.Refused,
+		Failed:        stats.Failed + stats.Unanswered,
+		Orders:        p.orders,
+		Reads:         len(p.Evidence.Reads),
+		Waited:        p.Evidence.CountWaiting(),
+		InTouch:       p.Evidence.CountInContact(),
+		Statuses:      p.monitor.polls,
+		LateMS:        p.lateness.milliseconds(),
+		Broken:        p.broken,
+		Checked:       map[string]int{},
+	}
+	r.addWarmUpPeaks(p.Evidence.WarmUpPeaks())
+	r.addVerdicts(report.Verdicts)
+	r.Broken = append(r.Broken, p.monitor.lines()...)
+	r.addFailures(report)
+	return r
+}
+
+func (r *Result) addWarmUpPeaks(peaks []rules.WarmUpPeak) {
+	for _, peak := range peaks {
 		r.Cold++
 		if peak.Requests > r.Peak {
 			r.Peak, r.Bound = peak.Requests, peak.Limit
@@ -64,53 +88,64 @@
 			r.Flooded++
 		}
 	}
-	r.Checked = map[string]int{}
-	for _, v := range report.Verdicts {
+}
+
+func (r *Result) addVerdicts(verdicts []rules.Verdict) {
+	for _, v := range verdicts {
 		r.Checked[v.Rule] = v.Checked
 		if v.Violations > 0 {
 			r.Broken = append(r.Broken, fmt.Sprintf("%s: %d times: %s", v.Rule, v.Violations, strings.Join(v.Examples, "; ")))
 		}
 	}
-	r.Broken = append(r.Broken, p.monitor.lines()...)
-	for _, d := range report.Died {
-		r.Broken = append(r.Broken, "DIED: "+d)
+}
+
+// addFailures lists what went wrong at the end of a run.
+func (r *Result) addFailures(report *testcluster.Report) {
+	for _, process := range report.Died {
+		r.Broken = append(r.Broken, "DIED: "+process)
 	}
-	for _, k := range report.Killed {
-		r.Broken = append(r.Broken, "STOP: SIGTERM did not end "+k+" in time")
+	for _, process := range report.Killed {
+		r.Broken = append(r.Broken, "STOP: SIGTERM did not end "+process+" in time")
 	}
 	if report.ReadError != nil {
 		r.Broken = append(r.Broken, "READ: "+report.ReadError.Error())
 	}
-	return r
 }
 
-// floodReport is what flooded servers that warm up got in the second of their peak, and what the operator ordered.
-type floodReport struct{ e *rules.Evidence }
+// floodReport explains warm-up peaks above their bounds: by the operator's changes, and the requests of each peak.
+type floodReport struct{ evidence *rules.Evidence }
 
-// String tells it line by line.
-func (s floodReport) String() string {
+// String returns the changes and the requests as lines.
+func (f floodReport) String() string {
 	var text strings.Builder
-	for _, c := range s.e.Changes {
+	for _, c := range f.evidence.Changes {
 		fmt.Fprintf(&text, "order %+v %s %v sent %v acked %v status %d\n", c.Config != nil, c.Zone, c.Start, c.Sent, c.AcknowledgedAt, c.Status)
 	}
-	tries := map[string]*rules.Attempt{}
-	for _, t := range s.e.Attempts {
-		tries[t.ID] = t
+	attempts := map[string]*rules.Attempt{}
+	for _, attempt := range f.evidence.Attempts {
+		attempts[attempt.ID] = attempt
 	}
-	for _, p := range s.e.WarmUpPeaks() {
-		if float64(p.Requests) <= p.Limit {
+	for _, peak := range f.evidence.WarmUpPeaks() {
+		if float64(peak.Requests) <= peak.Limit {
 			continue
 		}
-		for _, a := range s.e.Arrivals {
-			if a.Server != p.Server || !a.WarmingUp || a.At > p.At || a.At < p.At-2*time.Second {
-				continue
-			}
-			by := "unknown"
-			if t := tries[a.ID]; t != nil {
-				by = fmt.Sprintf("%s, sent by its client %v before", t.Proxy, (a.At - t.Sent).Round(time.Millisecond))
+		for _, arrival := range f.evidence.Arrivals {
+			if arrival.Server == peak.Server && arrival.WarmingUp && arrival.At <= peak.At && arrival.At >= peak.At-floodWindow {
+				writeArrival(&text, arrival, attempts[arrival.ID])
 			}
-			fmt.Fprintf(&text, "%s got %s at %v by way of %s, status %d\n", a.Server, a.ID, a.At.Round(time.Millisecond), by, a.Rejected)
 		}
 	}
 	return text.String()
 }
+
+// floodWindow is the time before the end of a peak of which requests are listed: the second of the peak, and the one before.
+const floodWindow = 2 * time.Second
+
+// writeArrival writes a line on a request that reached a server. attempt is nil if no client is known to have sent it.
+func writeArrival(text *strings.Builder, arrival *rules.Arrival, attempt *rules.Attempt) {
+	by := "unknown"
+	if attempt != nil {
+		by = fmt.Sprintf("%s, sent by its client %v before", attempt.Proxy, (arrival.At - attempt.Sent).Round(time.Millisecond))
+	}
+	fmt.Fprintf(text, "%s got %s at %v by way of %s, status %d\n", arrival.Server, arrival.ID, arrival.At.Round(time.Millisecond), by, arrival.Rejected)
+}
