--- a/internal/lab/testcluster/scenario.go
+++ b/internal/lab/testcluster/scenario.go
@@ -8,11 +8,11 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// Scenario is the small stand-in deployment: two regions, three zones, four machines of which three have a disk.
+// Scenario is a deployment, and the traffic that clients send to it.
 type Scenario struct {
 	Machines []Machine
 	Bounds   rules.Bounds
-	Config   *rules.Config
+	Config   *rules.Config // in force; changes of the configuration replace it
 	Servers  []ServerSpec
 	Kinds    []RequestKind
 }
@@ -21,31 +21,31 @@
 	scenarioHost = "assistant.example"
 	modelService = "usher-lm"
 	thumbService = "thumbs"
+	healthPath   = "/health"
+
+	modelMaxConns   = 200
+	thumbMaxConns   = 130
+	idleTimeout     = 15 * time.Second
+	warmUpSeconds   = 3
+	warmUpPerSecond = 20 // requests a second that a model server bears while it warms up
 )
 
-// SmallScenario gives it, with rate requests a second in all.
+// scenarioZones are the zones of the small scenario, with their regions.
+var scenarioZones = [...]struct{ zone, region string }{{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}}
+
+// SmallScenario returns a deployment of two regions, three zones, four machines of which three have a disk, six model servers and three servers
+// without a model. Clients send rate requests a second in all.
 func SmallScenario(rate float64) *Scenario {
 	scenario := &Scenario{Bounds: rules.Bounds{Contact: 4 * time.Second, Drain: 4 * time.Second, ConfigApply: 3 * time.Second,
 		RevertSlack: 250 * time.Millisecond, Evacuate: 5 * time.Second, Grace: 8 * time.Second, LossSlack: 200 * time.Millisecond,
 		Stretch: 6 * time.Second, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 64, ColdExcess: 1.5, ColdSlack: 5}}
-	zones := []struct{ zone, region string }{{"north-a", "north"}, {"north-b", "north"}, {"south-a", "south"}}
 	for i := range 4 {
-		place := zones[min(i, 2)]
-		scenario.Machines = append(scenario.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: place.zone, Region: place.region, Disk: i < 3})
+		location := scenarioZones[min(i, len(scenarioZones)-1)]
+		scenario.Machines = append(scenario.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: location.zone, Region: location.region, Disk: i < len(scenarioZones)})
 	}
 	spec := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 5 * time.Millisecond, PerRunning: 50 * time.Microsecond,
 		PrefillRate: 50, Chunk: 512}
-	for i := range 6 {
-		place := zones[i%3]
-		scenario.Servers = append(scenario.Servers, ServerSpec{Service: modelService, Zone: place.zone, Region: place.region, Address: fmt.Sprintf("127.0.2.%d:0", i+1),
-			HealthPath: "/health", MaxConns: 200, IdleTimeout: 15 * time.Second, ReportsLoad: true, WarmUp: 3 * time.Second, WarmUpPerSecond: 20,
-			WarmUpCrashFactor: 4, Engine: spec})
-	}
-	for i, place := range zones {
-		scenario.Servers = append(scenario.Servers, ServerSpec{Service: thumbService, Zone: place.zone, Region: place.region, Address: fmt.Sprintf("127.0.3.%d:0", i+1),
-			HealthPath: "/health", MaxConns: 130, IdleTimeout: 15 * time.Second, ReportsLoad: true,
-			Plain: &PlainSpec{Slots: 6, Queue: 12, Work: 20 * time.Millisecond, Bytes: 800}})
-	}
+	scenario.Servers = scenarioServers(spec)
 	scenario.Config = scenarioConfig(spec)
 	routes := scenario.Config.Routes
 	scenario.Kinds = []RequestKind{
@@ -56,6 +56,24 @@
 	return scenario
 }
 
+// scenarioServers returns two model servers of the spec, and a server without a model, in each zone.
+func scenarioServers(spec *engine.Spec) []ServerSpec {
+	var servers []ServerSpec
+	for i := range 2 * len(scenarioZones) {
+		location := scenarioZones[i%len(scenarioZones)]
+		servers = append(servers, ServerSpec{Service: modelService, Zone: location.zone, Region: location.region, Address: fmt.Sprintf("127.0.2.%d:0", i+1),
+			HealthPath: healthPath, MaxConns: modelMaxConns, IdleTimeout: idleTimeout, ReportsLoad: true,
+			WarmUp: warmUpSeconds * time.Second, WarmUpPerSecond: warmUpPerSecond, WarmUpCrashFactor: 4, Engine: spec})
+	}
+	for i, location := range scenarioZones {
+		servers = append(servers, ServerSpec{Service: thumbService, Zone: location.zone, Region: location.region, Address: fmt.Sprintf("127.0.3.%d:0", i+1),
+			HealthPath: healthPath, MaxConns: thumbMaxConns, IdleTimeout: idleTimeout, ReportsLoad: true,
+			Plain: &PlainSpec{Slots: 6, Queue: 12, Work: 20 * time.Millisecond, Bytes: 800}})
+	}
+	return servers
+}
+
+// scenarioConfig returns the operator's configuration of the scenario.
 func scenarioConfig(spec *engine.Spec) *rules.Config {
 	stream := func(name, prefix string, priority, latencyTarget, timeout int, resumable bool) rules.Route {
 		return rules.Route{Name: name, Host: scenarioHost, Prefix: prefix, Category: "streaming", Timeout: timeout, Aim: latencyTarget, Priority: priority,
@@ -69,10 +87,10 @@
 				Target: thumbService, MaxTries: 2, Homes: []string{}},
 		},
 		Services: []rules.Service{
-			{Name: modelService, HealthPath: "/health", MaxConns: 200, Protocol: "h1", ColdFor: 3, ColdPerSecond: 20, Engine: &rules.Engine{
+			{Name: modelService, HealthPath: healthPath, MaxConns: modelMaxConns, Protocol: "h1", ColdFor: warmUpSeconds, ColdPerSecond: warmUpPerSecond, Engine: &rules.Engine{
 				Slots: spec.Slots, CacheTokens: spec.MemoryTokens, TokenBytes: 163840, LinkMbps: 1e6, Stride: spec.Stride, Models: []rules.Model{{Name: "m"}}}},
-			{Name: thumbService, HealthPath: "/health", MaxConns: 130, Protocol: "h1"},
+			{Name: thumbService, HealthPath: healthPath, MaxConns: thumbMaxConns, Protocol: "h1"},
 		},
-		Limits: rules.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderTimeout: 3000, Idle: 15000},
+		Limits: rules.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderTimeout: 3000, Idle: int(idleTimeout.Milliseconds())},
 	}
 }
