--- a/internal/lab/testcluster/engine/cache.go
+++ b/internal/lab/testcluster/engine/cache.go
@@ -2,23 +2,23 @@
 
 import "container/list"
 
-// cachedPart is a kept cachedPart of prompts.
+// cachedPart is a prompt part in the cache.
 type cachedPart struct {
 	id     uint64
 	tokens int
 	users  int           // running jobs that use it
-	idle   *list.Element // its place among those without users
+	idle   *list.Element // its element of prefixCache.order; nil: it has users
 }
 
-// prefixCache keeps parts; those without users give way, the longest unused first.
+// prefixCache caches prompt parts. Parts without users can be evicted, the least recently used first.
 type prefixCache struct {
 	parts        map[uint64]*cachedPart
-	order        list.List // of *part without users, the longest unused first
-	cachedTokens int64     // tokens of all
-	idleTokens   int64     // tokens of those without users
+	order        list.List // of *cachedPart without users, the least recently used first
+	cachedTokens int64     // of all parts
+	idleTokens   int64     // of parts without users
 }
 
-// pin takes the kept parts at the start of a prompt into use: a part counts only if all before it are kept.
+// pin adds a user to the cached parts at the start of a prompt, up to the first one that is not cached, and returns them.
 func (c *prefixCache) pin(parts []PromptPart) []*cachedPart {
 	var pinned []*cachedPart
 	for _, want := range parts {
@@ -32,6 +32,7 @@
 	return pinned
 }
 
+// use adds a user to a part.
 func (c *prefixCache) use(p *cachedPart) {
 	if p.users == 0 && p.idle != nil {
 		c.order.Remove(p.idle)
@@ -41,7 +42,7 @@
 	p.users++
 }
 
-// add keeps a part for one user. Where it is kept already, the user shares it.
+// add caches a part for a user. If the part is cached already, the user shares it.
 func (c *prefixCache) add(want PromptPart) *cachedPart {
 	p := c.parts[want.ID]
 	if p == nil || p.tokens != want.Tokens {
@@ -56,13 +57,14 @@
 	return p
 }
 
+// unpin removes a user from parts.
 func (c *prefixCache) unpin(pinned []*cachedPart) {
-	for i := len(pinned) - 1; i >= 0; i-- { // the end of a prompt is the first to give way
+	for i := len(pinned) - 1; i >= 0; i-- { // Later parts of a prompt are evicted first.
 		p := pinned[i]
 		if p.users--; p.users > 0 {
 			continue
 		}
-		if c.parts[p.id] != p { // another took its name
+		if c.parts[p.id] != p { // Another part of the same id has replaced it.
 			c.cachedTokens -= int64(p.tokens)
 			continue
 		}
@@ -71,13 +73,14 @@
 	}
 }
 
-// evictTo drops unused parts until at most maxTokens tokens are kept, as far as it can.
+// evictTo evicts parts without users until at most maxTokens tokens are cached, or none is left.
 func (c *prefixCache) evictTo(maxTokens int64) {
 	for c.cachedTokens > maxTokens && c.order.Len() > 0 {
 		c.evict(c.order.Front().Value.(*cachedPart))
 	}
 }
 
+// evict drops a part without users.
 func (c *prefixCache) evict(p *cachedPart) {
 	c.order.Remove(p.idle)
 	p.idle = nil
--- a/internal/lab/testcluster/engine/engine.go
+++ b/internal/lab/testcluster/engine/engine.go
@@ -1,8 +1,12 @@
-// Package engine is a model server (continuous batching, chunked prefill, prefix cache, preemption) as a state machine
-// over virtual time, without I/O: PROTOCOL.md "Requests".
+// Package engine simulates a model server with continuous batching, chunked prefill, prefix cache and preemption (PROTOCOL.md "Requests"), as a
+// state machine over virtual time, without I/O.
 //
-// Invariants: at most Slots requests run; at most Queue wait, those that were preempted apart; what running requests
-// hold and what is cached never exceed Memory; the events of a request rise by one.
+// A step prefills up to Chunk prompt tokens, and makes a token for each running request whose prompt is prefilled. A request runs once there is
+// memory for its prompt. When there is no memory for a further token, the newest of the least urgent requests is preempted, and prefilled again
+// later.
+//
+// Invariants: at most Slots requests run; at most Queue requests wait, not counting those that were preempted; running requests and cached
+// parts together never have more than MemoryTokens; the numbers of a request's events are consecutive.
 package engine
 
 import (
@@ -11,35 +15,36 @@
 	"time"
 )
 
-// Time is counted from any moment.
+// Time is virtual time, since a moment that the caller chooses.
 type Time = time.Duration
 
-// PromptPart is one part of a prompt. Requests with the same parts at their start share what was read of them.
+// PromptPart is one part of a prompt. Prompts with the same parts at their start share them in the prefix cache.
 type PromptPart struct {
-	ID     uint64
+	ID     uint64 // of its content
 	Tokens int
 }
 
-// Spec is what a server is.
+// Spec says what a server is.
 type Spec struct {
-	Slots, Queue int
-	MemoryTokens int64         // tokens, of running requests and cached parts together
+	Slots, Queue int           // requests that run, and that wait, at a time
+	MemoryTokens int64         // of running requests and cached parts together
 	Stride       int           // tokens of an event
-	Step         time.Duration // that a step takes at least
-	PerRunning   time.Duration // added for each request that gets a token in it
-	PrefillRate  float64       // prompt tokens that are read in a millisecond
-	Chunk        int           // prompt tokens that are read in one step, at most
+	Step         time.Duration // length of a step, at least
+	PerRunning   time.Duration // added to a step for each request that gets a token
+	PrefillRate  float64       // prompt tokens that are prefilled in a millisecond
+	Chunk        int           // prompt tokens that are prefilled in one step, at most
 }
 
-// Request is one that came whole.
+// Request is a request for an answer to a prompt.
 type Request struct {
-	Key            uint64 // the caller's, one of its own for each request
+	Key            uint64 // chosen by the caller, different for each request
 	Parts          []PromptPart
-	AnswerTokens   int // tokens that its whole answer has
-	ReceivedEvents int // events of the answer that are there already
+	AnswerTokens   int // tokens of the complete answer
+	ReceivedEvents int // events of the answer that the client has already
 	Priority       int // 0 is the most urgent
 }
 
+// prompt returns the tokens of the prompt.
 func (r *Request) prompt() int {
 	sum := 0
 	for _, p := range r.Parts {
@@ -48,32 +53,32 @@
 	return sum
 }
 
-// Kind is what became of a request.
+// Kind is a kind of output.
 type Kind int
 
 // The kinds of output, in the order in which a request has them.
 const (
-	Started Kind = iota // its first token was made; from here on it has run
-	Event               // an event came
-	Done                // its last event has come
+	Started Kind = iota // the first token was made; from here on the request counts as executed
+	Event               // an event is complete
+	Done                // the last event is complete
 )
 
-// Output tells of one request.
+// Output is something that happened to a request.
 type Output struct {
 	Key   uint64
 	Kind  Kind
-	Event int // its number, from 1
+	Event int // number of the event, from 1
 	At    Time
 }
 
-// job is a request and what has been done for it.
+// job is a request and its state.
 type job struct {
 	Request
 	seq          int           // order of arrival
-	pinned       []*cachedPart // kept parts that it uses
-	ownTokens    int64         // tokens in memory for it alone
-	unreadTokens int           // tokens still to be read
-	answerTokens int           // tokens of its answer, those it had included
+	pinned       []*cachedPart // cached parts that it uses
+	ownTokens    int64         // in memory, besides those of pinned
+	unreadTokens int           // to be prefilled still
+	answerTokens int           // of the answer so far, including those of ReceivedEvents
 	started      bool
 	running      bool
 }
@@ -84,26 +89,26 @@
 	now       Time
 	seq       int
 	running   []*job
-	waiting   []*job // by urgency, then arrival
+	waiting   []*job // in order of priority, then of arrival
 	cache     prefixCache
-	ownTokens int64 // of all running jobs
-	stepping  bool
-	stepEnds  Time // of the step
-	decoding  []*job
-	reading   map[*job]int
-	out       []Output
+	ownTokens int64        // of all running jobs
+	stepping  bool         // a step is under way
+	stepEnds  Time         // end of that step
+	decoding  []*job       // that get a token by that step
+	reading   map[*job]int // tokens that are prefilled by that step
+	out       []Output     // since the last Advance
 
 	prefilled int64
 	preempted int
 	handled   int
 }
 
-// New is a server that has read nothing yet.
+// New returns a server without requests and with an empty cache.
 func New(spec Spec, now Time) *Engine {
 	return &Engine{Spec: spec, now: now, cache: prefixCache{parts: map[uint64]*cachedPart{}}}
 }
 
-// Submit takes a request at now, or tells false: the server is full, or the request larger than its memory.
+// Submit hands in a request. It reports false if the server is full, or if the request is larger than its memory.
 func (e *Engine) Submit(now Time, r Request) bool {
 	e.advance(now)
 	if len(e.waiting) >= e.Queue && len(e.running) >= e.Slots || int64(r.prompt()+r.AnswerTokens) > e.MemoryTokens {
@@ -116,7 +121,7 @@
 	return true
 }
 
-// Cancel drops a request, and reports whether it had started.
+// Cancel drops a request, and reports whether it has started.
 func (e *Engine) Cancel(now Time, key uint64) (started bool) {
 	e.advance(now)
 	for _, list := range []*[]*job{&e.running, &e.waiting} {
@@ -132,7 +137,7 @@
 	return false
 }
 
-// Advance moves to now and gives what came of the requests since the last call.
+// Advance advances to now, and returns the outputs since the last call, in order.
 func (e *Engine) Advance(now Time) []Output {
 	e.advance(now)
 	out := e.out
@@ -140,7 +145,7 @@
 	return out
 }
 
-// Next is when something happens next if nothing else comes; ok is false where nothing will.
+// Next returns when the next output may be due; ok is false if there is nothing to do.
 func (e *Engine) Next() (at Time, ok bool) {
 	if len(e.out) > 0 {
 		return e.now, true
@@ -148,28 +153,29 @@
 	return e.stepEnds, e.stepping
 }
 
-// Load is the requests that run and wait.
+// Load returns how many requests run, and how many wait.
 func (e *Engine) Load() (running, waiting int) { return len(e.running), len(e.waiting) }
 
-// Memory use in tokens: what cannot give way, and what is kept besides.
+// memory returns the tokens that are in use, and those that are cached without being used.
 func (e *Engine) memory() (used, idle int64) {
 	return e.ownTokens + e.cache.cachedTokens - e.cache.idleTokens, e.cache.idleTokens
 }
 
-// Figures are totals since the start.
+// Figures are the memory in use, and totals since the start.
 type Figures struct {
-	Used      int64 // tokens that cannot give way, now
-	Prefilled int64 // prompt tokens that were read
-	Preempted int
-	Handled   int // requests that ended with their last event
+	Used      int64 // tokens in use now
+	Prefilled int64 // tokens
+	Preempted int   // requests, each as often as it was preempted
+	Handled   int   // requests that ended with their last event
 }
 
-// Figures gives the totals.
+// Figures returns the figures as of the last call of Submit, Cancel or Advance.
 func (e *Engine) Figures() Figures {
 	used, _ := e.memory()
 	return Figures{used, e.prefilled, e.preempted, e.handled}
 }
 
+// advance finishes the steps that end by now.
 func (e *Engine) advance(now Time) {
 	for e.stepping && e.stepEnds <= now {
 		e.now = e.stepEnds
@@ -180,7 +186,7 @@
 	e.now = max(e.now, now)
 }
 
-// enqueue puts a job among those that enqueue.
+// enqueue inserts a job into the queue by priority and arrival.
 func (e *Engine) enqueue(j *job) {
 	at, _ := slices.BinarySearchFunc(e.waiting, j, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.seq, b.seq))
@@ -188,7 +194,7 @@
 	e.waiting = slices.Insert(e.waiting, at, j)
 }
 
-// admit lets waiting jobs in, the most urgent first. One that finds no room takes that of a less urgent one.
+// admit has waiting jobs run, the most urgent first. Where slots or memory are lacking, less urgent jobs are preempted.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 {
 		j := e.waiting[0]
@@ -206,7 +212,7 @@
 	}
 }
 
-// reserve takes memory for what a job must read.
+// reserve reserves memory for what has to be prefilled of a job, and reports false if there is not enough.
 func (e *Engine) reserve(waiting *job) bool {
 	waiting.pinned = e.cache.pin(waiting.Parts)
 	kept := 0
@@ -227,14 +233,14 @@
 	return true
 }
 
-// release gives back what a job holds.
+// release frees the memory of a job.
 func (e *Engine) release(j *job) {
 	e.cache.unpin(j.pinned)
 	e.ownTokens -= j.ownTokens
 	j.pinned, j.ownTokens, j.running = nil, 0, false
 }
 
-// victim is the newest of the least urgent.
+// victim returns the running job to be preempted first, the newest of the least urgent ones, and nil if none runs.
 func (e *Engine) victim() *job {
 	if len(e.running) == 0 {
 		return nil
@@ -244,7 +250,7 @@
 	})
 }
 
-// preempt has a job wait again; it is read anew later.
+// preempt returns a running job to the queue. It is prefilled again later.
 func (e *Engine) preempt(j *job) {
 	e.release(j)
 	e.running = slices.DeleteFunc(e.running, func(r *job) bool { return r == j })
--- a/internal/lab/testcluster/engine/step.go
+++ b/internal/lab/testcluster/engine/step.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// step begins the next step if there is work.
+// step begins a step if none is under way and jobs run.
 func (e *Engine) step() {
 	if e.stepping || len(e.running) == 0 {
 		return
@@ -28,10 +28,10 @@
 	e.stepEnds = e.now + max(took, time.Microsecond)
 }
 
-// finishStep gives out what the step made. Jobs that left meanwhile are passed over.
+// finishStep applies the results of the step to the jobs that still run.
 func (e *Engine) finishStep() {
 	e.stepping = false
-	var gain []*job // jobs that get a token
+	var gain []*job // that get a token
 	for _, j := range slices.Clone(e.running) {
 		n, reads := e.reading[j]
 		switch {
@@ -52,7 +52,7 @@
 	}
 }
 
-// cacheParts has the parts that a job has read be found by others.
+// cacheParts puts the parts of a prompt into the cache once the prompt is prefilled.
 func (e *Engine) cacheParts(j *job) {
 	for i := len(j.pinned); i < len(j.Parts); i++ {
 		p := e.cache.add(j.Parts[i])
@@ -62,7 +62,7 @@
 	}
 }
 
-// makeRoom finds memory for one more token of a job; false: the job itself had to give way.
+// makeRoom frees memory for one more token of a job, and reports false if the job itself was preempted for that.
 func (e *Engine) makeRoom(j *job) bool {
 	for {
 		used, _ := e.memory()
@@ -78,6 +78,7 @@
 	}
 }
 
+// addToken adds a token to the answer of a job, with the outputs that come of it.
 func (e *Engine) addToken(running *job) {
 	running.answerTokens++
 	running.ownTokens++
@@ -97,5 +98,5 @@
 	}
 }
 
-// EventsOf is how many events tokens make.
+// EventsOf returns how many events an answer of so many tokens has.
 func EventsOf(tokens, stride int) int { return (tokens + stride - 1) / stride }
--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -14,7 +14,7 @@
 	return false
 }
 
-// mixed: a success is one server's whole answer to this very request, and nothing comes that was not asked for.
+// mixed checks MIXED: a successful answer is the complete answer of one server to this very request, and no other bytes come.
 func mixed(idx *index, verdict *Verdict) {
 	for _, s := range idx.Strays {
 		verdict.violation("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
@@ -50,7 +50,7 @@
 	}
 }
 
-// unasked: what reaches a server is what a client sent.
+// unasked checks UNASKED: servers execute only what a client sent.
 func unasked(x *index, v *Verdict) {
 	for _, a := range x.Arrivals {
 		v.Checked++
@@ -67,7 +67,7 @@
 	}
 }
 
-// idempotent reports whether the request of an attempt may run more than once, by any configuration that may be in force.
+// idempotent reports whether the request of an attempt may be executed more than once, by any configuration that was sent before its end.
 func (x *index) idempotent(t *Attempt) bool {
 	for _, c := range x.Changes {
 		if c.Config != nil && c.Sent <= t.Ended {
@@ -79,6 +79,7 @@
 	return false
 }
 
+// countExecuted returns how many of the arrivals were executed.
 func countExecuted(all []*Arrival) (n int) {
 	for _, a := range all {
 		if a.ExecutedAt != Never {
@@ -88,7 +89,7 @@
 	return n
 }
 
-// twice: what cannot be repeated runs once.
+// twice checks TWICE: an attempt of a request that is not idempotent is executed at most once.
 func twice(x *index, v *Verdict) {
 	for _, t := range x.Attempts {
 		if x.idempotent(t) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// refused: a promise that a request has not run holds.
+// refused checks REFUSED: an attempt that is answered with a not-executed status is not executed, unless it is idempotent.
 func refused(x *index, v *Verdict) {
 	for _, t := range x.Attempts {
 		if t.Outcome != Answered || !promisesNotExecuted(t.Status) || x.idempotent(t) {
@@ -114,12 +115,13 @@
 	}
 }
 
+// Rejections that DENIED allows, as single ones may have causes that are not recorded.
 const (
-	minDenied         = 5
-	attemptsPerDenied = 500
+	minDenied         = 5   // in any run
+	attemptsPerDenied = 500 // attempts for each one besides
 )
 
-// denied: proper requests are not rejected with a 3xx or 4xx of the system's own.
+// denied checks DENIED: proxies in contact do not answer proper requests with 3xx or 4xx of their own, apart from not-executed statuses.
 func denied(x *index, verdict *Verdict) {
 	var found []*Attempt
 	for _, t := range x.Attempts {
@@ -150,7 +152,8 @@
 	return len(some) > 0
 }
 
-// order: a stream's pieces are those of one run, or of runs that each go on where the last one ended, and none is missing.
+// order checks ORDER: the events of a stream are those of one run, or for idempotent requests of several runs each of which continues where
+// the one before ended; none is missing or comes twice.
 func order(idx *index, verdict *Verdict) {
 	for _, t := range idx.Attempts {
 		if !t.Stream {
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// services are those to which a route sends requests.
+// services returns the services to which a route sends requests.
 func (r *Route) services() []string {
 	if r.Target != "" {
 		return []string{r.Target}
@@ -20,8 +20,8 @@
 	return all
 }
 
-// inForce gives the configurations that may be in force somewhere at some moment from from to to: the newest that had
-// been acknowledged ConfigApply before, and all that were sent since and not refused.
+// inForce returns the configurations that may be in force somewhere in a period: the newest one that was acknowledged at least
+// Bounds.ConfigApply before from, and all newer ones that were sent until to and not refused.
 func (x *index) inForce(from, to Time) []*Config {
 	var settled *Change
 	for _, c := range x.Changes {
@@ -42,12 +42,12 @@
 	return some
 }
 
-// wasRefused reports whether a change got a clear no.
+// wasRefused reports whether a change was clearly refused.
 func (c *Change) wasRefused() bool {
 	return c.AcknowledgedAt == Never && c.Status >= 400 && c.Status < 500
 }
 
-// config: what was acknowledged comes into force and stays; what was refused or is invalid does not.
+// config checks CONFIG: a configuration that was acknowledged comes into force and stays, and one that is invalid is never acknowledged.
 func config(idx *index, verdict *Verdict) {
 	bases := map[int64]*Change{}
 	var newest *Change
@@ -80,7 +80,7 @@
 	idx.checkRegression(verdict)
 }
 
-// checkReadBack: what is read at the end is the newest that was acknowledged, or a later one without a clear answer.
+// checkReadBack checks that the configuration read at the end is the newest one that was acknowledged, or a newer one without a clear answer.
 func (x *index) checkReadBack(newest *Change, verdict *Verdict) {
 	switch {
 	case newest == nil:
@@ -100,7 +100,7 @@
 	verdict.violation("version %d was read back with what nobody sent under that number", x.Read.Revision)
 }
 
-// checkReadings: a read shows all that was acknowledged before it was sent.
+// checkReadings checks that a reading returns no configuration older than one that was acknowledged before the reading was sent.
 func (x *index) checkReadings(v *Verdict) {
 	for _, r := range x.Reads {
 		v.Checked++
@@ -114,6 +114,7 @@
 	}
 }
 
+// sameConfig reports whether two configurations have the same JSON.
 func sameConfig(a, b *Config) bool {
 	one, err := json.Marshal(a)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return err == nil && string(one) == string(other)
 }
 
-// checkHandling: a request is treated as some configuration allows that may be in force when it is sent or later.
+// checkHandling checks that an attempt is handled as a configuration says that may be in force between its start and its end.
 func (x *index) checkHandling(attempt *Attempt, verdict *Verdict) {
 	configs := x.inForce(attempt.Sent, attempt.Ended)
 	if len(configs) == 0 {
@@ -154,7 +155,7 @@
 	}
 }
 
-// lost: around a planned end, what a process has read gets a whole answer.
+// lost checks LOST: around a graceful shutdown of a proxy, requests that the proxy has read are answered completely.
 func lost(idx *index, verdict *Verdict) {
 	for _, trouble := range idx.Faults {
 		if trouble.Kind != Terminate || trouble.Proxy == "" {
@@ -176,7 +177,7 @@
 	}
 }
 
-// plannedOnly reports whether nothing unplanned was done to the proxy from some time before a request until its end.
+// plannedOnly reports whether the proxy of an attempt had no unplanned fault from Bounds.Contact before the attempt until its end.
 func (x *index) plannedOnly(t *Attempt) bool {
 	for _, other := range x.Faults {
 		if other.Proxy == t.Proxy && other.isUnplanned() && other.At <= t.Ended && other.endedAt() > t.Sent-x.Bounds.Contact {
@@ -186,7 +187,7 @@
 	return true
 }
 
-// abortedByServer reports whether a server ended a request itself.
+// abortedByServer reports whether a server aborted an attempt.
 func (x *index) abortedByServer(t *Attempt) bool {
 	for _, a := range x.runs[t.ID] {
 		if a.Aborted {
--- a/internal/lab/testcluster/rules/check.go
+++ b/internal/lab/testcluster/rules/check.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// Verdict is what the evidence says of one rule.
+// Verdict is the result of the check of one rule.
 type Verdict struct {
-	Rule       string
-	Checked    int // at so many requests, streams, windows or orders
+	Rule       string // name in RULES.md
+	Checked    int    // requests, streams, windows or changes at which the rule was checked
 	Violations int
-	Examples   []string // of what broke it, a few
+	Examples   []string // of violations, maxExamples at most
 }
 
 const maxExamples = 3
 
+// violation counts a violation, and describes the first ones.
 func (v *Verdict) violation(format string, args ...any) {
 	v.Violations++
 	if len(v.Examples) < maxExamples {
@@ -22,7 +23,7 @@
 	}
 }
 
-// String is the verdict as a line.
+// String returns the verdict as a line.
 func (v Verdict) String() string {
 	if v.Violations == 0 {
 		return fmt.Sprintf("%-9s kept, looked at %d", v.Rule, v.Checked)
@@ -30,7 +31,7 @@
 	return fmt.Sprintf("%-9s BROKEN %d times, looked at %d: %s", v.Rule, v.Violations, v.Checked, strings.Join(v.Examples, "; "))
 }
 
-// checks are the rules that can be seen from outside, in the order of RULES.md.
+// checks are the checks of the rules that can be judged from outside, in the order of RULES.md.
 var checks = []struct {
 	rule  string
 	check func(*index, *Verdict)
@@ -51,7 +52,7 @@
 	{"EVAC", evacuation},
 }
 
-// Check judges evidence that is whole: nothing may be added meanwhile.
+// Check checks all rules. The run must be over: nothing may be recorded meanwhile.
 func Check(e *Evidence) []Verdict {
 	x := e.index()
 	all := make([]Verdict, len(checks))
--- a/internal/lab/testcluster/rules/config.go
+++ b/internal/lab/testcluster/rules/config.go
@@ -10,7 +10,7 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// Route is one rule of a configuration.
+// Route says where requests with a host and a path prefix go, and within which limits.
 type Route struct {
 	Name      string   `json:"name"`
 	Host      string   `json:"hostname"`
@@ -34,7 +34,7 @@
 	Weight float64 `json:"share"`
 }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name          string  `json:"name"`
 	HealthPath    string  `json:"health_path"`
@@ -46,7 +46,7 @@
 	Engine        *Engine `json:"engine,omitempty"`
 }
 
-// Engine is what the configuration says of a service's model servers.
+// Engine is the configuration of a service's model servers.
 type Engine struct {
 	Slots       int     `json:"slots"`
 	CacheTokens int64   `json:"cache_tokens"`
@@ -61,7 +61,7 @@
 	Name string `json:"name"`
 }
 
-// Limits bound what a client may send.
+// Limits bound what clients may send, and how long their connections may be idle.
 type Limits struct {
 	HeaderBytes   int `json:"max_header_bytes"`
 	BodyBytes     int `json:"max_body_bytes"`
@@ -69,7 +69,7 @@
 	Idle          int `json:"idle_timeout_ms"`
 }
 
-// Idempotent reports whether a request of the route may run more than once.
+// Idempotent reports whether a request of the route may be executed more than once.
 func (r *Route) Idempotent() bool {
 	return r.Category == "idempotent" || r.Category == "streaming" && r.Resumable
 }
@@ -84,7 +84,7 @@
 	return r.Target == service
 }
 
-// Match gives the route of a request: of those of its host, the one with the longest prefix that begins the path.
+// Match returns the route of a request, nil if there is none: the one with the longest prefix of the path among those of the host.
 func (c *Config) Match(host, path string) *Route {
 	var best *Route
 	for i := range c.Routes {
--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -1,5 +1,15 @@
-// Package rules is a checker of safety properties: it reads what clients, servers, operator and platform saw on their
-// sockets, and reports which rule of RULES.md was broken. It shares no code with the system that it judges.
+// Package rules checks safety properties: from what clients, servers, operator and platform saw on their sockets, it finds violations of
+// the rules of RULES.md. It shares no code with the system that it judges.
+//
+// The problem: no observer sees everything, and most rules hold only within bounds. When a request was sent under a change of the
+// configuration, several configurations may be in force; after a fault, a process may be out of contact. The checks are sound rather than
+// complete: they report a violation only where no configuration that may be in force, and no recorded fault, explains what was seen.
+//
+// Terms:
+//   - Attempt: one sending of a client's request; arrival: what reached a server; run: an arrival that the server executed.
+//   - Seal: what a server puts on its answer, by which the answer is recognised as its own.
+//   - In contact: a proxy without a fault within Bounds.Contact, while no core loss was within that time.
+//   - Core loss: a time in which half of the voters or more had a fault.
 package rules
 
 import (
@@ -10,13 +20,13 @@
 	"time"
 )
 
-// Time is counted from the start of the run, on the monotonic clock.
+// Time is the time since the start of the run, on the monotonic clock.
 type Time = time.Duration
 
-// Never is the time of what has not happened.
+// Never is the time of an event that has not happened.
 const Never Time = -1
 
-// String names an outcome.
+// String returns the outcome in words.
 func (o Outcome) String() string {
 	return [...]string{"open", "answered", "cut", "closed unread", "unreached", "given up", "garbage"}[o]
 }
@@ -27,115 +37,124 @@
 // The ends of an attempt.
 const (
 	Pending      Outcome = iota
-	Answered             // with a whole answer
-	Truncated            // the connection ended without a whole answer
-	ClosedUnread         // the connection ended and the request had not been read
-	Unreached            // no connection came up
-	TimedOut             // the client waited no longer
-	Malformed            // bytes came that are no answer
+	Answered             // by a complete answer
+	Truncated            // the connection ended without a complete answer
+	ClosedUnread         // the connection ended before the request was read
+	Unreached            // no connection could be made
+	TimedOut             // the client gave up
+	Malformed            // bytes came that are not an HTTP answer
 )
 
-// Segment is a piece of a stream that came without a gap: events First to Last of one run.
+// Segment is consecutive events of a stream that one server sent.
 type Segment struct {
-	Run         string
-	First, Last int
+	Run         string // seal of the run
+	First, Last int    // numbers of the first and the last event
 }
 
-// Attempt is one request of a client as the client saw it.
+// Attempt is one sending of a client's request, as the client saw it.
 type Attempt struct {
-	ID           string
-	Request      int // attempts of one request share it
+	ID           string // X-Attempt-Id
+	Request      int    // number of the request, the same for its attempts
 	Host         string
 	Method, Path string
-	Body         uint64 // digest
+	Body         uint64 // digest of the request's body
 	Zone, Region string // of the client
-	Proxy        string // its address
-	From         int    // events that a stream is to go on after
-	Probe        bool   // sent to see which configuration is in force there
+	Proxy        string // front address
+	From         int    // number of the last event that the client has, after which a stream is to continue
+	Probe        bool   // sent to see which configuration is in force at the proxy
 
-	Sent         Time // the first byte
-	SentComplete Time // the last byte
+	Sent         Time // when the first byte was sent
+	SentComplete Time // when the last byte was sent
 	Ended        Time
 	Outcome      Outcome
-	Status       int
-	AnswerID     string
-	Seal         string
-	Answer       uint64 // digest of the body, streams apart
+	Status       int    // of the answer; 0: no head of an answer came
+	AnswerID     string // X-Attempt-Id of the answer
+	Seal         string // X-Server-Seal of the answer
+	Answer       uint64 // digest of the answer's body, if it is not a stream
 	Stream       bool
-	Events       []Segment
-	Surplus      int // bytes that followed the answer while no request waited
+	Events       []Segment // of a stream
+	Surplus      int       // bytes that followed the answer while no request waited
 }
 
 // Arrival is a request that reached a server, as the server saw it.
 type Arrival struct {
 	At           Time
-	Sent         Time // when its last byte was sent, where a link with faults lies between; 0: at At
-	ID           string
-	Server       string // incarnation
+	Sent         Time   // when its last byte was sent, where a link with faults is between; 0: at At
+	ID           string // X-Attempt-Id
+	Server       string // id of the incarnation
 	Service      string
 	Zone, Region string
 	Method, Path string
 	Host         string
-	Body         uint64
-	From         int
+	Body         uint64 // digest
+	From         int    // number of the event after which a stream is to continue
 	WarmingUp    bool
 	WarmUpLimit  float64 // requests a second that the server bears while it warms up
 
-	ExecutedAt Time // Never: it has not run
+	ExecutedAt Time // Never: it was not executed
 	Ended      Time
-	Rejected   int // status with which it was rejected; 0: it was taken
+	Rejected   int // status with which it was rejected; 0: it was accepted
 	Status     int // of its answer; 0: none
 	Seal       string
-	Answer     uint64
-	LastEvent  int  // number of its last event
-	SentEvents int  // events that were sent
-	Complete   bool // the answer was sent whole
-	Aborted    bool // the server broke off
+	Answer     uint64 // digest of the answer's body
+	LastEvent  int    // number of the last event of its complete stream
+	SentEvents int    // number of the last event that was sent
+	Complete   bool   // the complete answer was sent
+	Aborted    bool   // the server ended the connection without a complete answer
 }
 
-// Change is an order of the operator.
+// Change is a change that the operator sent.
 type Change struct {
-	Config         *Config // what is in force after it; nil: an evacuation
-	Base           int64
-	Zone           string
-	Start          bool // of an evacuation; else its end
+	Config         *Config // the complete configuration after it; nil: it is of an evacuation
+	Base           int64   // version on which Config builds
+	Zone           string  // of an evacuation
+	Start          bool    // of the evacuation; false: its end
 	Sent           Time
 	Ended          Time
 	AcknowledgedAt Time // Never: it was not acknowledged
 	Status         int  // of the last answer; 0: none
-	Invalid        bool // the checker knows that it must be refused
+	Invalid        bool // it must be refused
 }
 
 // Listing is a server that the platform's list showed as draining.
 type Listing struct {
-	Server string
-	Shown  Time
+	Server string // id of the incarnation
+	Shown  Time   // first
 }
 
-// Reading is an answer to a read of the configuration.
+// Reading is an answer to a reading of the configuration.
 type Reading struct {
 	Sent     Time
 	Revision int64
 }
 
-// Stray is bytes that came to a client while no request waited.
+// Stray is bytes that came on an idle connection of a client.
 type Stray struct {
 	Proxy string
 	Bytes int
 	At    Time
 }
 
-// Bounds are the figures of the rules.
+// Bounds are the figures of the rules (RULES.md), which are also settings of the processes.
 type Bounds struct {
-	Contact, Drain, ConfigApply, RevertSlack, Evacuate, Grace, LossSlack, Stretch Time
+	Contact     Time // without faults, after which a proxy is in contact
+	Drain       Time // from a server's being listed as draining to the last request that is sent there
+	ConfigApply Time // from the acknowledgement of a configuration until it is in force everywhere
+	RevertSlack Time // between two requests from which the order of their configurations is told
+	Evacuate    Time // from the acknowledgement of an evacuation to the last request that is sent to the zone
+	Grace       Time // for the graceful shutdown of a process
+	LossSlack   Time // from a client's last byte, within which a proxy that shuts down may not have read it
+	Stretch     Time // by which ConfigApply and Evacuate grow if a control-plane node has a fault
+
+	RetryWindow Time
+	RetryRatio  float64 // retries for each request within RetryWindow
+	RetrySlack  float64 // retries besides
 
-	RetryWindow           Time
-	RetryRatio            float64
-	RetrySlack            float64
-	ColdExcess, ColdSlack float64
+	ColdExcess float64 // factor of a server's limit while it warms up
+	ColdSlack  float64 // requests a second besides
 }
 
-// Evidence is all that was seen. Its methods may be called by several goroutines; the checks read it when all is over.
+// Evidence is all that was seen. Its methods may be called by several goroutines. Checks read it when the run is over.
 type Evidence struct {
 	Bounds   Bounds
 	Attempts []*Attempt
@@ -145,12 +164,12 @@
 	Listings []Listing
 	Strays   []Stray
 	Reads    []Reading
-	Read     *Config // what was read back at the end
+	Read     *Config // that was read at the end of the run
 	ReadAt   Time
-	Core     int // control-plane nodes that vote; 0: it is not known
+	Core     int // number of voters; 0: it is not known
 
 	mu    sync.Mutex
-	shown map[string]bool
+	shown map[string]bool // servers of Listings
 }
 
 // RecordAttempt records an attempt that has ended.
@@ -160,35 +179,35 @@
 	e.Attempts = append(e.Attempts, t)
 }
 
-// RecordArrival records a request that reached a server. Change it with Update only.
+// RecordArrival records a request that reached a server. From then on it is changed within Update only.
 func (e *Evidence) RecordArrival(a *Arrival) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Arrivals = append(e.Arrivals, a)
 }
 
-// Update changes what was taken in.
+// Update calls change, which changes what was recorded.
 func (e *Evidence) Update(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-// RecordChange records an order.
+// RecordChange records a change that is being sent. From then on it is changed within Update only.
 func (e *Evidence) RecordChange(c *Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Changes = append(e.Changes, c)
 }
 
-// RecordReading records what a read of the configuration gave.
+// RecordReading records an answer to a reading of the configuration.
 func (e *Evidence) RecordReading(r Reading) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Reads = append(e.Reads, r)
 }
 
-// RecordStray records bytes that came while no request waited.
+// RecordStray records bytes that came on an idle connection.
 func (e *Evidence) RecordStray(s Stray) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -208,13 +227,13 @@
 	}
 }
 
-// index is evidence in the order in which checks look for it.
+// index is evidence with the maps by which checks look it up.
 type index struct {
 	*Evidence
-	tries      map[string]*Attempt
-	runs       map[string][]*Arrival // by id, in order of arrival
-	seals      map[string]*Arrival
-	coreLosses []span // in which most of the core had a fault
+	tries      map[string]*Attempt   // by id
+	runs       map[string][]*Arrival // by id of the attempt, in order of arrival
+	seals      map[string]*Arrival   // by seal
+	coreLosses []span
 }
 
 func (e *Evidence) index() *index {
@@ -233,7 +252,7 @@
 	return x
 }
 
-// Unanswered are the last attempts of requests that got no final answer.
+// Unanswered returns the last attempts of the requests that got no final answer, in the order in which they were sent.
 func (e *Evidence) Unanswered() []*Attempt {
 	last := map[int]*Attempt{}
 	for _, t := range e.Attempts {
@@ -251,13 +270,13 @@
 	return all
 }
 
-// String is the attempt as a line.
+// String returns the attempt as a line.
 func (t *Attempt) String() string {
 	return fmt.Sprintf("%s %s at %s, sent %v: %s after %v (status %d, %d segments)", t.ID, t.Path, t.Proxy, t.Sent.Round(time.Millisecond),
 		t.Outcome, (t.Ended - t.Sent).Round(time.Millisecond), t.Status, len(t.Events))
 }
 
-// Describe is an attempt as a line, with what servers saw of it.
+// Describe returns an attempt as a line, with what servers saw of it.
 func (e *Evidence) Describe(t *Attempt) string {
 	text := t.String()
 	for _, a := range e.Arrivals {
--- a/internal/lab/testcluster/rules/faults.go
+++ b/internal/lab/testcluster/rules/faults.go
@@ -7,31 +7,31 @@
 	"slices"
 )
 
-// Fault is what was done to a machine of the system.
+// Fault is a fault that was injected into a process of the system.
 type Fault struct {
-	Proxy        string // front address; empty: a control-plane node
-	Kind         string // "kill", "term", "start", or what lasts
+	Proxy        string // front address of a proxy; empty: the fault is of a control-plane node
+	Kind         string // Terminate, Start, Pause, or another word for reports
 	At           Time
-	Until        Time // of what lasts; else below At
-	ControlPlane bool // the control-plane node votes
-	Machine      string
+	Until        Time   // end of a fault that lasts; 0 for others
+	ControlPlane bool   // the fault counts as one of a voter
+	Machine      string // IP, where the fault counts for core losses
 }
 
-// Kinds of faults.
+// Kinds of faults that checks distinguish.
 const (
-	Terminate = "term"  // a planned end begins
+	Terminate = "term"  // a process is asked to shut down gracefully
 	Start     = "start" // a process is started
-	Pause     = "pause" // a process is stopped and goes on
+	Pause     = "pause" // a process is stopped, and continued at Until
 )
 
-// RecordFault records what was done to a machine.
+// RecordFault records a fault that does not last.
 func (e *Evidence) RecordFault(t Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Faults = append(e.Faults, t)
 }
 
-// BeginFault records a fault that lasts until end is called.
+// BeginFault records a fault that lasts until end is called with the time of its end.
 func (e *Evidence) BeginFault(t Fault) (end func(at Time)) {
 	t.Until = math.MaxInt64
 	e.mu.Lock()
@@ -41,16 +41,16 @@
 	return func(at Time) { e.Update(func() { e.Faults[i].Until = at }) }
 }
 
-// endedAt is when a fault has ended.
+// endedAt returns when a fault ended.
 func (t *Fault) endedAt() Time { return max(t.At, t.Until) }
 
-// isUnplanned reports whether a fault is neither a planned end nor a start.
+// isUnplanned reports whether a fault is neither a graceful shutdown nor a start.
 func (t *Fault) isUnplanned() bool { return t.Kind != Terminate && t.Kind != Start }
 
-// span is a stretch of time.
+// span is a period of time.
 type span struct{ from, to Time }
 
-// coreLosses gives the times in which half of the core or more had a fault.
+// coreLosses returns the periods in which half of the voters or more had a fault.
 func (e *Evidence) coreLosses() []span {
 	if e.Core == 0 {
 		return nil
@@ -59,7 +59,7 @@
 	var all []span
 	for i := range e.Faults {
 		if first := &e.Faults[i]; first.isOfCore() {
-			// The ends of the faults that machines are in when this one begins, the last one first.
+			// The ends of the faults that voters have when this one begins, the latest first.
 			ends := slices.SortedFunc(maps.Values(e.faultyMachines(first.At)), func(a, b Time) int { return cmp.Compare(b, a) })
 			if len(ends) >= need {
 				all = append(all, span{first.At, ends[need-1]})
@@ -69,10 +69,10 @@
 	return all
 }
 
-// isOfCore reports whether a fault is one of a control-plane node that is known by its machine.
+// isOfCore reports whether a fault is one of a voter, and counts for core losses.
 func (t *Fault) isOfCore() bool { return t.ControlPlane && t.Machine != "" }
 
-// faultyMachines gives the machines of the core that have a fault at a time, and until when.
+// faultyMachines returns the machines whose voters have a fault at a time, and until when.
 func (e *Evidence) faultyMachines(at Time) map[string]Time {
 	until := map[string]Time{}
 	for i := range e.Faults {
@@ -83,7 +83,7 @@
 	return until
 }
 
-// inContact reports whether nothing was done to a proxy, nor to most of the core, from at-Contact to at.
+// inContact reports whether a proxy is in contact at a time: it had no fault, and there was no core loss, since Bounds.Contact before.
 func (x *index) inContact(proxy string, at Time) bool {
 	for i := range x.Faults {
 		if t := &x.Faults[i]; t.Proxy == proxy && t.At <= at && at-min(t.endedAt(), at) < x.Bounds.Contact {
@@ -98,7 +98,7 @@
 	return true
 }
 
-// CountInContact is how many of the clients' attempts ended at a proxy in contact: those by which rules that are bounded in time are judged.
+// CountInContact returns how many attempts ended at a proxy in contact. By these the rules with a bound in time are judged.
 func (e *Evidence) CountInContact() (n int) {
 	x := &index{Evidence: e, coreLosses: e.coreLosses()}
 	for _, t := range e.Attempts {
@@ -109,7 +109,7 @@
 	return n
 }
 
-// CountWaiting is how many of the clients' attempts began while their proxy was paused, and had not been given up when it went on.
+// CountWaiting returns how many attempts began while their proxy was paused, and ended after it continued.
 func (e *Evidence) CountWaiting() (n int) {
 	for i := range e.Faults {
 		pause := &e.Faults[i]
@@ -125,7 +125,8 @@
 	return n
 }
 
-// stretch is by how much bounds on configurations and evacuations grow at a time, as a control-plane node had a fault.
+// stretch returns by how much the bounds ConfigApply and Evacuate grow for a period: by Bounds.Stretch if a voter had a fault in it or within
+// Bounds.Contact before, else by 0.
 func (e *Evidence) stretch(from, to Time) Time {
 	for i := range e.Faults {
 		if t := &e.Faults[i]; t.ControlPlane && t.At <= to && t.endedAt() > from-e.Bounds.Contact {
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// route: a service runs only what some configuration sends there.
+// route checks ROUTE: a service executes only requests that a configuration routes to it which was sent before.
 func route(x *index, verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
 		if arrival.ExecutedAt == Never {
@@ -17,7 +17,7 @@
 		verdict.Checked++
 		t, sends := x.tries[arrival.ID], false
 		if t == nil {
-			continue // UNASKED
+			continue // UNASKED reports it.
 		}
 		for _, c := range x.Changes {
 			if c.Config == nil || c.Sent > arrival.ExecutedAt {
@@ -34,10 +34,10 @@
 	}
 }
 
-// reached reports whether an arrival counts as one: a 421 does not.
+// reached reports whether an arrival counts as sent to the server: one that was rejected with 421 was meant for another incarnation.
 func (a *Arrival) reached() bool { return a.Rejected != http.StatusMisdirectedRequest }
 
-// sender is the proxy through which an arrival came; empty: unknown.
+// sender returns the address of the proxy through which an arrival came, empty if it is not known.
 func (x *index) sender(a *Arrival) string {
 	if t := x.tries[a.ID]; t != nil {
 		return t.Proxy
@@ -45,7 +45,7 @@
 	return ""
 }
 
-// drain: some time after the list showed a server as draining, nothing more is sent there.
+// drain checks DRAIN: proxies in contact send nothing to a server later than Bounds.Drain after the list showed it as draining.
 func drain(x *index, v *Verdict) {
 	shown := map[string]Time{}
 	for _, l := range x.Listings {
@@ -63,7 +63,7 @@
 	}
 }
 
-// sentAt is when an arrival was sent.
+// sentAt returns when an arrival was sent.
 func (a *Arrival) sentAt() Time {
 	if a.Sent > 0 {
 		return a.Sent
@@ -71,15 +71,15 @@
 	return a.At
 }
 
-// WarmUpPeak is the most requests that a server that warms up got within one second.
+// WarmUpPeak is the most requests that a server got within one second while it warmed up.
 type WarmUpPeak struct {
-	Server   string
+	Server   string // id of the incarnation
 	Requests int
-	Limit    float64 // that it may get
+	Limit    float64 // of Requests, by FAILBACK
 	At       Time    // end of that second
 }
 
-// WarmUpPeaks gives those of all servers that were sent requests while they warmed up. Requests that were rejected with 421 do not count.
+// WarmUpPeaks returns the peaks of all servers that were sent requests while they warmed up. Requests that were rejected with 421 do not count.
 func (e *Evidence) WarmUpPeaks() []WarmUpPeak {
 	by := map[string][]*Arrival{}
 	for _, a := range e.Arrivals {
@@ -102,7 +102,7 @@
 	return peaks
 }
 
-// countSentWithin counts the arrivals, the last of which is the latest, that were sent after a time.
+// countSentWithin returns how many arrivals both came and were sent after a time. They are in order of arrival.
 func countSentWithin(sorted []*Arrival, after Time) (n int) {
 	for i := len(sorted) - 1; i >= 0 && sorted[i].At > after; i-- {
 		if sorted[i].sentAt() > after {
@@ -112,7 +112,8 @@
 	return n
 }
 
-// failback: a server that warms up gets no more in any second than it bears. Requests count that were sent and arrived within it.
+// failback checks FAILBACK: in no second does a server that warms up get more requests than its limit. Requests count that were sent and came
+// within that second.
 func failback(x *index, v *Verdict) {
 	for _, p := range x.WarmUpPeaks() {
 		v.Checked += p.Requests
@@ -123,7 +124,8 @@
 	}
 }
 
-// home: a request whose route has homes reaches servers there only. All configurations that may be in force must agree.
+// home checks HOME: a request whose route has home regions reaches servers there only. It is a violation only if all configurations that may
+// be in force say so.
 func home(idx *index, verdict *Verdict) {
 	for _, arrival := range idx.Arrivals {
 		t := idx.tries[arrival.ID]
@@ -143,7 +145,8 @@
 	}
 }
 
-// evacuation: some time after a zone's evacuation was acknowledged, and until it is taken back, nothing is sent there.
+// evacuation checks EVAC: proxies in contact send nothing to a zone later than Bounds.Evacuate after its evacuation was acknowledged, until the
+// end of the evacuation is sent.
 func evacuation(idx *index, verdict *Verdict) {
 	for i, change := range idx.Changes {
 		if change.Config != nil || !change.Start || change.AcknowledgedAt == Never {
@@ -170,7 +173,7 @@
 	}
 }
 
-// budget: in every window, arrivals past the first of each request stay within a part of the requests.
+// budget checks BUDGET: within each window, the retries that reach a service stay within a ratio of the requests for it.
 func budget(idx *index, verdict *Verdict) {
 	requests := idx.requestsByService()
 	for service, retries := range idx.retriesByService() {
@@ -180,7 +183,7 @@
 	}
 }
 
-// requestsByService gives when the requests were sent that may have gone to each service.
+// requestsByService returns by service when the attempts were sent that may have been for it.
 func (x *index) requestsByService() map[string][]Time {
 	requests := map[string][]Time{}
 	for _, attempt := range x.Attempts {
@@ -191,7 +194,7 @@
 	return requests
 }
 
-// servicesOf gives the services to which a configuration that may be in force sends an attempt.
+// servicesOf returns the services to which a configuration that may be in force routes an attempt.
 func (x *index) servicesOf(attempt *Attempt) map[string]bool {
 	services := map[string]bool{}
 	for _, c := range x.inForce(attempt.Sent, attempt.Ended) {
@@ -206,7 +209,7 @@
 	return services
 }
 
-// retriesByService gives when each service was reached by requests that had reached it before.
+// retriesByService returns by service when attempts reached it that had reached it before.
 func (x *index) retriesByService() map[string][]Time {
 	retries := map[string][]Time{}
 	seen := map[string]bool{}
@@ -220,11 +223,11 @@
 	return retries
 }
 
-// checkBudget checks all windows of one service; both lists are sorted.
+// checkBudget checks all windows of one service. Both lists are in order of time.
 func (x *index) checkBudget(service string, sent, retries []Time, verdict *Verdict) {
 	window := x.Bounds.RetryWindow
 	from := 0
-	for i, at := range retries { // the fullest windows end with a retry
+	for i, at := range retries { // A window with the most retries ends with a retry.
 		for at-retries[from] >= window {
 			from++
 		}
@@ -239,7 +242,7 @@
 	}
 }
 
-// countBetween counts the times after from and up to to.
+// countBetween returns how many times are after from and not after to.
 func countBetween(sorted []Time, from, to Time) int {
 	low, _ := slices.BinarySearchFunc(sorted, from, func(t, x Time) int { return cmp.Compare(t, x+1) })
 	high, _ := slices.BinarySearchFunc(sorted, to, func(t, x Time) int { return cmp.Compare(t, x+1) })
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// effect is a request as evidence of the configuration that a proxy went by: one from minRevision to maxRevision.
+// effect is what an attempt shows of the configuration that its proxy used: a revision from minRevision to maxRevision.
 type effect struct {
 	attempt                  *Attempt
-	at                       Time // when it was seen; of a 404: never early enough to bind later ones
+	at                       Time // of the execution; of a 404 the end of time, as it does not show that the proxy had used the revision before
 	minRevision, maxRevision int64
 }
 
-// versionRange gives the lowest and the highest version ever sent under which allowed holds; false: there is none.
+// versionRange returns the lowest and the highest revision that was sent among the configurations that are allowed; ok is false if there is none.
 func (x *index) versionRange(allowed func(*Config) bool) (least, most int64, ok bool) {
 	least, most = math.MaxInt64, math.MinInt64
 	for _, c := range x.Changes {
@@ -25,6 +25,7 @@
 	return least, most, ok
 }
 
+// effects returns what the executions of an attempt, or its 404, show of the configuration.
 func (x *index) effects(t *Attempt) []effect {
 	var all []effect
 	if t.Outcome == Answered && t.Status == http.StatusNotFound && t.Seal == "" {
@@ -47,7 +48,7 @@
 	return all
 }
 
-// checkRegression: within one life of its processes a machine does not go back to an older version.
+// checkRegression checks that a proxy does not go back to an older configuration within one incarnation.
 func (x *index) checkRegression(verdict *Verdict) {
 	by := map[string][]effect{}
 	for _, t := range x.Attempts {
@@ -75,7 +76,7 @@
 	}
 }
 
-// incarnationStart is when the incarnationStart of a proxy began that lasts at a time; 0: it was not started during the run.
+// incarnationStart returns when the incarnation of a proxy started that is up at a time, or 0 if it started before the run.
 func (x *index) incarnationStart(proxy string, at Time) Time {
 	var began Time
 	for _, t := range x.Faults {
