--- a/internal/lab/soak/lateness_test.go
+++ b/internal/lab/soak/lateness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestLateness: the most counts, and measuring ends with its context.
+// TestLateness checks that the maximum is kept, and that measuring ends with its context.
 func TestLateness(t *testing.T) {
 	var l lateness
 	ctx, cancel := context.WithTimeout(t.Context(), 3*latenessInterval)
--- a/internal/lab/soak/watch_test.go
+++ b/internal/lab/soak/monitor_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestWatchCountsViolations: whatever a process has counted is told, with the process; what it does not tell is none.
+// TestWatchCountsViolations checks that all violations that a process has counted are listed with its name, and that a status without counts has
+// none.
 func TestWatchCountsViolations(t *testing.T) {
 	answer := `{"version":1}`
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
-// TestPlans: a seed gives one plan; every plan holds the incident, and faults end by themselves, overlap, and do not
-// touch what another one touches.
+// TestPlans checks that a seed always gives the same plan, that each plan has the restart of a zone during an evacuation, and that faults overlap
+// within their bounds and without a claim in common.
 func TestPlans(t *testing.T) {
 	counts := planCounts{kinds: map[Kind]int{}, partitioned: map[int]int{}}
 	for _, last := range []time.Duration{MinDuration, 30 * time.Second, MaxDuration} {
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestWakePlans: the proxy is paused before the evacuation begins, and goes on while the zone's servers warm up.
+// TestWakePlans checks that the proxy is paused before the evacuation begins, and continues while the zone's servers warm up.
 func TestWakePlans(t *testing.T) {
 	for form, faults := range map[Waking]int{WakeOne: 3, WakePartitioned: 4, WakeTwo: 3} {
 		t.Run(string(form), func(t *testing.T) {
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestPathsAndStates: what a cut or slow link is laid on, and which way.
+// TestPathsAndStates checks into which links partitions and delays are injected, and in which direction.
 func TestPathsAndStates(t *testing.T) {
 	const ip, server = "127.0.1.1", "127.0.2.1:0"
 	m, other := testcluster.Machine{IP: ip}, testcluster.Machine{IP: "127.0.1.2"}
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -15,13 +15,13 @@
 	"gradeusher.example/gradeusher/internal/system/admin"
 )
 
-// judged is a player whose run is over, with nothing broken yet.
+// judged returns a player whose run is over, with nothing broken yet.
 func judged() *player {
 	evidence := &rules.Evidence{Bounds: NewScenario(1).Bounds}
 	return &player{Run: &testcluster.Run{Environment: &testcluster.Environment{Evidence: evidence}}, plan: &Plan{Seed: 7, For: MinDuration}, broken: []string{}}
 }
 
-// TestEvaluateNamesFailures: each kind of fault ends a seed as broken, under its name. Danger: one that is seen and not told.
+// TestEvaluateNamesFailures checks that each kind of failure makes a result broken, under its name, so that none is seen without being reported.
 func TestEvaluateNamesFailures(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestEvaluateReportsFloods: the figures of servers that warm up are those that FAILBACK goes by.
+// TestEvaluateReportsFloods checks that the figures of servers that warm up are those of the check of FAILBACK.
 func TestEvaluateReportsFloods(t *testing.T) {
 	p := judged()
 	flood := int(20*p.Evidence.Bounds.ColdExcess+p.Evidence.Bounds.ColdSlack) + 1
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestCheckSettled: a seed is not over while no control-plane node is current, or while an evacuation is held that was taken back.
+// TestCheckSettled checks that the control plane has not recovered while no node is current, or while a zone is evacuated.
 func TestCheckSettled(t *testing.T) {
 	var status admin.NodeStatus
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestDrawn: a share of none is never drawn, and one of all always is.
+// TestDrawn checks that probability 0 is never drawn, and probability 1 always is.
 func TestDrawn(t *testing.T) {
 	var s probability
 	for _, v := range []float64{0, 1, 0} {
--- a/internal/lab/testcluster/client_pool_test.go
+++ b/internal/lab/testcluster/client_pool_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// directories answers GET /resolve by address: a body, or silence where there is none.
+// directories answers GET /resolve by address: with a body, or not at all where there is none.
 type directories struct {
 	bodies map[string]string
 	asked  []string
@@ -43,7 +43,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body)), Header: http.Header{}, Request: r}, nil
 }
 
-// TestResolve: PROTOCOL.md "Ingress": three directories at most, a second for each; an answer without addresses or time fails.
+// TestResolve checks PROTOCOL.md "Ingress": three directories at most are asked, a second for each; an answer without addresses or TTL fails.
 func TestResolve(t *testing.T) {
 	const good = `{"addresses":["10.1.0.13:8161"],"ttl_s":2}`
 	for _, test := range []struct {
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestPickAddress: addresses that failed are not drawn again before the next answer, unless all have.
+// TestPickAddress checks that addresses that failed are not drawn before the next answer, unless all have failed.
 func TestPickAddress(t *testing.T) {
 	pool := &clientPool{rng: rand.New(rand.NewPCG(1, 1)), resolvedOnce: make(chan struct{})}
 	if _, ok := pool.pickAddress(); ok {
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestClassifyEnd: what the end of a connection tells of the request. Danger: one that was read is taken for one that was not.
+// TestClassifyEnd checks what the end of a connection means for the request. A request that was read must never count as unread.
 func TestClassifyEnd(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/lab/testcluster/engine/engine_test.go
+++ b/internal/lab/testcluster/engine/engine_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// TestInvariants draws histories. Danger: memory that is counted twice or never given back.
+// TestInvariants draws histories, and checks the invariants after each step, above all that memory is neither counted twice nor lost.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := Spec{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Queue: rapid.IntRange(0, 3).Draw(t, "queue"),
@@ -165,7 +165,7 @@
 	})
 }
 
-// history is what was asked of an engine, and what it gave.
+// history is the requests to an engine, and its outputs.
 type history struct {
 	*rapid.T
 	e      *Engine
--- a/internal/lab/testcluster/faulty_proxy_test.go
+++ b/internal/lab/testcluster/faulty_proxy_test.go
@@ -19,7 +19,7 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// faultyProxy is a proxy, directory and control-plane node in one that breaks a rule on purpose.
+// faultyProxy is proxy, directory and control-plane node in one, and breaks a rule on purpose.
 type faultyProxy struct {
 	w       *Environment
 	front   *httptest.Server
@@ -87,12 +87,12 @@
 	}
 }
 
-// server finds one of a service in a region.
+// server returns the first server of a service in a region.
 func (c *faultyProxy) server(service, region string) *Server {
 	return c.w.Servers[slices.IndexFunc(c.w.Servers, func(s *Server) bool { return s.Service == service && s.Region == region })]
 }
 
-// startFaultyProxy gives a proxy that breaks nothing yet, and bounds that allow no time for anything.
+// startFaultyProxy returns a proxy that breaks no rule yet, in an environment whose bounds allow no time.
 func startFaultyProxy(t *testing.T) *faultyProxy {
 	t.Helper()
 	scene := SmallScenario(1)
@@ -137,7 +137,7 @@
 	return proxy
 }
 
-// play has clients send n requests of every kind, and gives the rules that were broken.
+// play has clients send n requests of each kind, and returns the rules with violations.
 func (c *faultyProxy) play(t *testing.T, n int) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -173,7 +173,7 @@
 	return names
 }
 
-// without gives a stream without one of its events.
+// without returns a change of answers that drops events of streams.
 func without(drop func(i, n int) bool) func(w http.ResponseWriter, resp *http.Response) bool {
 	return func(w http.ResponseWriter, resp *http.Response) bool {
 		if resp.Header.Get("Content-Type") != "text/event-stream" {
@@ -195,7 +195,7 @@
 	}
 }
 
-// defect is a rule that a proxy breaks on purpose.
+// defect is a way in which a proxy breaks a rule on purpose.
 type defect struct {
 	name   string
 	broken string // the rules that the checks have to report
@@ -285,7 +285,7 @@
 	}
 }
 
-// stateDefects neglect what the list, the operator or a planned end asks.
+// stateDefects neglect the list, changes of the operator, or a graceful shutdown.
 func stateDefects() []defect {
 	return []defect{
 		{"sends to a draining server", "DRAIN", func(_ *testing.T, c *faultyProxy) {
@@ -321,8 +321,8 @@
 	}
 }
 
-// TestFaultyProxiesAreDetected: what clients and servers record on their sockets is enough to detect each defect. It would not be where
-// evidence is never gathered.
+// TestFaultyProxiesAreDetected checks that the evidence which clients and servers record is enough to detect each defect. The checks would
+// pass any run of which nothing is recorded.
 func TestFaultyProxiesAreDetected(t *testing.T) {
 	for _, defect := range slices.Concat(answerDefects(), requestDefects(), routingDefects(), stateDefects()) {
 		t.Run(defect.name, func(t *testing.T) {
--- a/internal/lab/testcluster/links_test.go
+++ b/internal/lab/testcluster/links_test.go
@@ -1,189 +1,13 @@
 package testcluster
 
 import (
-	"bufio"
-	"errors"
-	"io"
-	"net"
-	"sync"
-	"syscall"
 	"testing"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-const testWithin = 10 * time.Second
-
-// echo answers each line by itself, and gives its address. "reset" it answers by a reset.
-func echo(t *testing.T) string {
-	t.Helper()
-	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ended := make(chan struct{})
-	var served sync.WaitGroup
-	go func() {
-		defer close(ended)
-		for {
-			c, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			served.Go(func() { echoLines(t, c) })
-		}
-	}()
-	t.Cleanup(func() {
-		_ = listener.Close()
-		<-ended
-		served.Wait()
-	})
-	return listener.Addr().String()
-}
-
-// echoLines gives lines back until one asks for a reset.
-func echoLines(t *testing.T, conn net.Conn) {
-	t.Helper()
-	defer func() { _ = conn.Close() }()
-	in := bufio.NewReader(conn)
-	for {
-		line, err := in.ReadString('\n')
-		if err != nil {
-			return
-		}
-		if line == "reset\n" {
-			if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
-				t.Error(err)
-			}
-			return
-		}
-		if _, err := io.WriteString(conn, line); err != nil {
-			return
-		}
-	}
-}
-
-// relayTo gives a relay and a connection over it.
-func relayTo(t *testing.T, to string, over *link.Link) net.Conn {
-	t.Helper()
-	r, err := newRelay("127.0.0.1:0", to, over)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(r.close)
-	c, err := new(net.Dialer).DialContext(t.Context(), "tcp4", r.listener.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = c.Close() })
-	if err := c.SetDeadline(time.Now().Add(testWithin)); err != nil {
-		t.Fatal(err)
-	}
-	return c
-}
-
-func say(t *testing.T, c net.Conn, line string) {
-	t.Helper()
-	if _, err := io.WriteString(c, line); err != nil {
-		t.Fatal(err)
-	}
-}
-
-func hear(t *testing.T, c net.Conn, line string) {
-	t.Helper()
-	buf := make([]byte, len(line))
-	if _, err := io.ReadFull(c, buf); err != nil || string(buf) != line {
-		t.Errorf("heard %q, %v", buf, err)
-	}
-}
-
-func TestRelayForwardsBothWays(t *testing.T) {
-	over := link.New()
-	client := relayTo(t, echo(t), over)
-	say(t, client, "one\n")
-	hear(t, client, "one\n")
-	const delay = 20 * time.Millisecond
-	over.Set(link.State{Delay: delay})
-	start := time.Now()
-	say(t, client, "two\n")
-	hear(t, client, "two\n")
-	if took := time.Since(start); took < 2*delay {
-		t.Errorf("there and back took %v", took)
-	}
-	over.Set(link.State{Hold: [2]bool{link.ToNear: true}})
-	say(t, client, "three\n")
-	if err := client.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
-		t.Fatal(err)
-	}
-	if n, err := client.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes came over a link that holds them back", n)
-	}
-	if err := client.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
-		t.Fatal(err)
-	}
-	over.Set(link.State{})
-	hear(t, client, "three\n")
-}
-
-func TestRelayForwardsResets(t *testing.T) {
-	client := relayTo(t, echo(t), link.New())
-	say(t, client, "one\n")
-	hear(t, client, "one\n")
-	say(t, client, "reset\n")
-	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the far end's reset shows as %v", err)
-	}
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := l.Close(); err != nil {
-		t.Fatal(err)
-	}
-	client = relayTo(t, l.Addr().String(), link.New())
-	say(t, client, "one\n")
-	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a far end where nobody listens shows as %v", err)
-	}
-}
-
-func TestPacketsAreForwarded(t *testing.T) {
-	to, err := new(net.ListenConfig).ListenPacket(t.Context(), "udp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = to.Close() }()
-	over := link.New()
-	p, err := newPacketRelay("127.0.0.1:0", to.LocalAddr().String(), over)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer p.close()
-	if err := to.SetReadDeadline(time.Now().Add(testWithin)); err != nil {
-		t.Fatal(err)
-	}
-	from, err := new(net.Dialer).DialContext(t.Context(), "udp4", p.in.LocalAddr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = from.Close() }()
-	buf := make([]byte, 16)
-	for _, c := range []struct {
-		text  string
-		state link.State
-	}{{"one", link.State{}}, {"two", link.State{Delay: 5 * time.Millisecond}}} {
-		over.Set(c.state)
-		start := time.Now()
-		say(t, from, c.text)
-		n, _, err := to.ReadFrom(buf)
-		if err != nil || string(buf[:n]) != c.text || time.Since(start) < c.state.Delay {
-			t.Errorf("%q after %v, %v", buf[:n], time.Since(start), err)
-		}
-	}
-}
-
-// TestLinksAddFaults: what lies on a link is the sum of its length and of all faults, and goes with each.
+// TestLinksAddFaults checks that a link has the sum of its base and all faults, and loses each fault when that is healed.
 func TestLinksAddFaults(t *testing.T) {
 	links := NewLinks(30*time.Millisecond, time.Millisecond)
 	near, far := links.linkFor(Path{"a", "b"}, false), links.linkFor(Path{"a", "c"}, true)
@@ -208,7 +32,7 @@
 	expect("near, healed", near, link.State{})
 }
 
-// TestLinksHaveSeparatePaths: everybody calls control-plane nodes and proxies call each other, each over a link of its own.
+// TestLinksHaveSeparatePaths checks that all processes call control-plane nodes, and proxies call each other, each over a link of its own.
 func TestLinksHaveSeparatePaths(t *testing.T) {
 	scene := SmallScenario(1)
 	ports, err := FreePorts(scene.Machines)
--- a/internal/lab/testcluster/list_test.go
+++ b/internal/lab/testcluster/list_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// testPlatform is a list over a clock that the test moves.
+// testPlatform is a list with a clock that the test sets.
 type testPlatform struct {
 	*Platform
 	at    time.Duration
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestListReportsCurrentWarmUp: that a server is cold shows as late as all else; how long it is so is told as of the answer.
+// TestListReportsCurrentWarmUp checks that the list shows a warm-up with its lag, but computes the time that is left as of the answer.
 func TestListReportsCurrentWarmUp(t *testing.T) {
 	platform := newTestPlatform()
 	platform.Rate = 100
--- a/internal/lab/testcluster/operator_test.go
+++ b/internal/lab/testcluster/operator_test.go
@@ -16,7 +16,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// script answers calls in turn; the last answer stays. "-": silence.
+// script answers calls in turn, and repeats the last answer. "-" is no answer.
 type script struct {
 	answers []string // a status, or 307 and an address
 	calls   []string
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestOperatorLosesAnswers: an answer that is lost on its way is none, and the order is sent again as it was.
+// TestOperatorLosesAnswers checks that a lost answer counts as none, and that the change is sent again unchanged.
 func TestOperatorLosesAnswers(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s, lost := &script{answers: []string{"200"}}, 0
@@ -102,7 +102,7 @@
 	})
 }
 
-// TestOperatorReads: what is read is evidence, as of when the read was sent.
+// TestOperatorReads checks that a reading is recorded, with the time when it was sent.
 func TestOperatorReads(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -117,7 +117,7 @@
 	})
 }
 
-// TestOperatorTriesNextNode: after a failure it asks another control-plane node.
+// TestOperatorTriesNextNode checks that the operator calls another control-plane node after a failure.
 func TestOperatorTriesNextNode(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		s := &script{answers: []string{"503", "503", "503", "200"}}
--- a/internal/lab/testcluster/rules/changes_test.go
+++ b/internal/lab/testcluster/rules/changes_test.go
@@ -129,7 +129,7 @@
 	return c
 }
 
-// miss adds a request that a proxy knew no route for.
+// miss adds a request for which a proxy had no route.
 func (s *scenario) miss(path string, at Time) {
 	t, a := s.serve(path, "thumbs", at)
 	t.Status, t.Seal, t.AnswerID, t.Probe = 404, "", "", true
@@ -185,7 +185,7 @@
 	}, ""},
 }
 
-// repeat adds one request that arrives n+1 times, apart by gap.
+// repeat adds a request that arrives n+1 times, at intervals of gap.
 func (s *scenario) repeat(n int, at, gap Time) {
 	_, a := s.serve("/thumb/9", "thumbs", at)
 	for i := range n {
@@ -193,7 +193,7 @@
 	}
 }
 
-// cold adds requests to a server that warms up that bears 10 a second: 20 in any second at most.
+// cold adds requests to a server that warms up and bears 10 a second, so that at most 20 are allowed in any second.
 func (s *scenario) cold(n int, gap Time) []*Arrival {
 	var all []*Arrival
 	for i := range n {
@@ -204,7 +204,7 @@
 	return all
 }
 
-// cutAtEnd adds a request that was cut during a planned end, and a fault of the proxy.
+// cutAtEnd adds a request whose answer was truncated during a graceful shutdown, and a fault of the proxy.
 func (s *scenario) cutAtEnd(from, to Time) {
 	s.RecordFault(Fault{Proxy: oneProxy, Kind: Terminate, At: 20 * second})
 	s.BeginFault(Fault{Proxy: oneProxy, Kind: Pause, At: from})(to)
--- a/internal/lab/testcluster/rules/check_test.go
+++ b/internal/lab/testcluster/rules/check_test.go
@@ -28,7 +28,7 @@
 	}}
 }
 
-// newScenario has the first version acknowledged at 0 and one request of each kind served, a second apart from 10 s on.
+// newScenario returns evidence in which the first version is acknowledged at 0 and a request of each kind is served, a second apart from 10 s on.
 func newScenario() *scenario {
 	s := &scenario{Evidence: &Evidence{Bounds: Bounds{Contact: 4 * second, Drain: 4 * second, ConfigApply: 3 * second, RevertSlack: second / 4,
 		Evacuate: 5 * second, Grace: 8 * second, LossSlack: second / 5, Stretch: 6 * second, RetryWindow: 10 * second, RetryRatio: 0.2,
@@ -43,7 +43,7 @@
 	return s
 }
 
-// serve adds a request that was answered whole at once.
+// serve adds a request that was answered completely at once.
 func (s *scenario) serve(path, service string, at Time) (*Attempt, *Arrival) {
 	s.n++
 	id := fmt.Sprint("id", s.n)
@@ -92,14 +92,14 @@
 	return names
 }
 
-// control is evidence, and the rules that it shows broken.
+// control is evidence, and the rules of which it has violations.
 type control struct {
 	name   string
 	edit   func(*scenario)
 	broken string // names, a space between; empty: none
 }
 
-// TestControls doctors good evidence. Danger: a checker that sees nothing passes every run.
+// TestControls checks that violations which are put into good evidence are found, as a check that finds nothing would pass any run.
 func TestControls(t *testing.T) {
 	if names := brokenRules(newScenario().Evidence); names != nil {
 		t.Fatalf("good evidence breaks %v", names)
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestEveryRuleHasAControl: each rule is shown broken by some evidence.
+// TestEveryRuleHasAControl checks that some evidence has a violation of each rule.
 func TestEveryRuleHasAControl(t *testing.T) {
 	shown := map[string]bool{}
 	for _, group := range [][]control{answerControls, streamControls, placeControls, changeControls, rateControls} {
--- a/internal/lab/testcluster/rules/controls_test.go
+++ b/internal/lab/testcluster/rules/controls_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-// evacuate adds an evacuation of the zone of all servers; finish Never: it lasts.
+// evacuate adds an evacuation of the zone of all servers, which lasts to the end if finish is Never.
 func (s *scenario) evacuate(acked, finish Time) {
 	s.RecordChange(&Change{Zone: "north-a", Start: true, Sent: acked, AcknowledgedAt: acked, Status: 200})
 	if finish != Never {
--- a/internal/lab/testcluster/server_links_test.go
+++ b/internal/lab/testcluster/server_links_test.go
@@ -15,7 +15,7 @@
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nContent-Length: 5\r\n\r\n", id)
 }
 
-// TestSender: whose connection to a server it is shows in its first request.
+// TestSender checks that the first request of a connection to a server shows which proxy it is of.
 func TestSender(t *testing.T) {
 	n := NewLinks(0, 0)
 	n.recordSender("one", "127.0.1.1:80")
@@ -32,7 +32,7 @@
 	(*Links)(nil).recordSender("one", "127.0.1.1:80") // where there are no links
 }
 
-// TestProxyIsPartitionedFromServer: one proxy's bytes are held back, also on connections that come later, and those of the other go on.
+// TestProxyIsPartitionedFromServer checks that the bytes of one proxy are held back, also on later connections, and those of another pass.
 func TestProxyIsPartitionedFromServer(t *testing.T) {
 	links := NewLinks(0, 0)
 	machines := []Machine{{IP: "127.0.1.1"}, {IP: "127.0.1.2"}}
@@ -80,7 +80,8 @@
 	hear(t, later, headOf(machines[0].IP))
 }
 
-// TestConnectionsWithoutBytesEnd: a relay that waits for first bytes ends with those connections, and passes over one that says nothing.
+// TestConnectionsWithoutBytesEnd checks that a relay that waits for first bytes closes those connections when it ends, and ignores connections
+// that end without a byte.
 func TestConnectionsWithoutBytesEnd(t *testing.T) {
 	links := NewLinks(0, 0)
 	r, err := newPickingRelay("127.0.0.1:0", echo(t), links.linkFor(Path{To: testServer}, false), func(first []byte) *link.Link { return links.serverLink(testServer, first) })
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -20,10 +20,10 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-// lone is a world with one server and no clients.
+// lone returns an environment with one server and no clients.
 func lone(t *testing.T, spec ServerSpec) (*Environment, *Server) {
 	t.Helper()
-	// The kernel gives ports of 127.0.0.1 to other connections; those of its neighbours stay free for the next start.
+	// The kernel uses ports of 127.0.0.1 for other connections; those of other loopback addresses stay free for the next start.
 	spec.Address, spec.HealthPath, spec.Zone, spec.Region = "127.0.4.1:0", "/health", "north-a", "north"
 	if spec.MaxConns == 0 {
 		spec.MaxConns = 100
@@ -40,14 +40,14 @@
 	return &engine.Spec{Slots: 1, Queue: 1, MemoryTokens: 1000, Stride: 2, Step: 200 * time.Microsecond, PrefillRate: 5000, Chunk: 5000}
 }
 
-// answerHead is an answer without its body.
+// answerHead is the head of an answer.
 type answerHead struct {
 	StatusCode int
 	Header     http.Header
 	Close      bool // the connection ends with it
 }
 
-// call sends a request and returns the answer's head, and its complete body.
+// call sends a request, and returns the head and the complete body of the answer.
 func call(t *testing.T, s *Server, path string, headers ...string) (*answerHead, string, error) {
 	t.Helper()
 	method := http.MethodPost
@@ -72,7 +72,7 @@
 	return &answerHead{resp.StatusCode, resp.Header, resp.Close}, string(body), err
 }
 
-// TestServerConformance: PROTOCOL.md "Servers".
+// TestServerConformance checks PROTOCOL.md "Servers".
 func TestServerConformance(t *testing.T) {
 	_, server := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), ReportsLoad: true, IdleTimeout: 5 * time.Second})
 	prompt := []string{"X-Token-Count: 100,20", "X-Prompt-Prefix: a:60,b:40", "X-Time-Left-Ms: 5000"}
@@ -145,7 +145,7 @@
 	}
 }
 
-// TestServerFull: one that has no place says so, and has not run the request.
+// TestServerFull checks that a server without capacity rejects a request as not executed, and does not execute it.
 func TestServerFull(t *testing.T) {
 	spec := quickEngine()
 	spec.Step, spec.Queue = time.Hour, 0
@@ -177,7 +177,7 @@
 	})
 }
 
-// TestServerLosesAnswers: it runs the request and resets the connection; and again it answers.
+// TestServerLosesAnswers checks that a server that loses answers executes a request and resets the connection, and answers again afterwards.
 func TestServerLosesAnswers(t *testing.T) {
 	for name, spec := range map[string]ServerSpec{"a model": {Service: "llm", Engine: quickEngine()},
 		"none": {Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, Bytes: 100}}} {
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestServerStartsOnce: one that is up is not started.
+// TestServerStartsOnce checks that a server that is up is not started.
 func TestServerStartsOnce(t *testing.T) {
 	_, s := lone(t, ServerSpec{Service: "llm", Engine: quickEngine()})
 	id := s.ID()
@@ -211,7 +211,8 @@
 	}
 }
 
-// TestServerBehindLink: a request that the link has held back counts as sent when it was, and none comes while the server is down.
+// TestServerBehindLink checks that a request that the link delays is recorded with the time when it was sent, and that none comes while the
+// server is down.
 func TestServerBehindLink(t *testing.T) {
 	links := NewLinks(0, 0)
 	spec := ServerSpec{Service: "llm", Engine: quickEngine(), Address: "127.0.4.3:0", HealthPath: "/health", MaxConns: 10}
@@ -242,7 +243,7 @@
 	})
 }
 
-// TestServerIncarnations: a new start is a new incarnation at the old address, and the list shows each as it is.
+// TestServerIncarnations checks that a start is a new incarnation at the old address, and that the list shows each incarnation as it is.
 func TestServerIncarnations(t *testing.T) {
 	w, server := lone(t, ServerSpec{Service: "llm", Engine: quickEngine(), WarmUp: time.Hour, WarmUpPerSecond: 2, WarmUpCrashFactor: 3})
 	first, address := server.ID(), server.address
@@ -289,7 +290,7 @@
 	})
 }
 
-// TestServerConnections: more than max_conns are reset.
+// TestServerConnections checks that connections above max_conns are reset.
 func TestServerConnections(t *testing.T) {
 	_, s := lone(t, ServerSpec{Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, Bytes: 100}, MaxConns: 2})
 	for index := range 3 {
--- a/internal/lab/testcluster/workload.go
+++ b/internal/lab/testcluster/workload.go
@@ -52,7 +52,7 @@
 	return engine.Time(next), ok
 }
 
-// Cancel implements workload. Work that was begun goes on, and a request that waits is not told apart: every one counts as started.
+// Cancel implements workload. It does not stop the work, and does not distinguish requests that wait: every request counts as started.
 func (p *plainWorkload) Cancel(engine.Time, uint64) bool { return true }
 
 // Load implements workload.
