--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -101,7 +101,7 @@
 func (d *drawer) drawVoter() string {
 	var voters []testcluster.Machine
 	for _, m := range d.scenario.Machines {
-		if m.Disk {
+		if m.HasDisk {
 			voters = append(voters, m)
 		}
 	}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -36,7 +36,7 @@
 
 // beginControlPlaneFault records a fault of a machine's control-plane node that lasts until end is called.
 func (p *player) beginControlPlaneFault(m testcluster.Machine, kind string) (end func()) {
-	return p.beginFault(rules.Fault{Kind: kind, ControlPlane: m.Disk, Machine: m.IP})
+	return p.beginFault(rules.Fault{Kind: kind, ControlPlane: m.HasDisk, Machine: m.IP})
 }
 
 func (p *player) beginFault(fault rules.Fault) (end func()) {
--- a/internal/lab/testcluster/client_request.go
+++ b/internal/lab/testcluster/client_request.go
@@ -43,13 +43,13 @@
 func (t *Traffic) newRequest(kind RequestKind, pool *clientPool, rng *rand.Rand) *request {
 	r := &request{traffic: t, kind: kind, pool: pool, number: t.stats.begin(), rng: rand.New(rand.NewPCG(rng.Uint64(), 1)), firstAt: -1}
 	r.path = kind.Route.Prefix + strconv.FormatUint(rng.Uint64()%pathsPerRoute, 16)
-	r.body = strings.Repeat(fmt.Sprintf("request %d ", r.number), 1+kind.Bytes/16)
-	if kind.Out > 0 {
-		subject := 1 + rng.IntN(kind.Subjects)
-		own := max(1, int(float64(kind.Own)*(0.5+rng.Float64())))
-		r.prompt = fmt.Sprintf("%x:%d,%x:%d", xxhash.Sum64String(kind.Route.Name+strconv.Itoa(subject))>>16, kind.Shared,
+	r.body = strings.Repeat(fmt.Sprintf("request %d ", r.number), 1+kind.BodyBytes/16)
+	if kind.AnswerTokens > 0 {
+		prefix := 1 + rng.IntN(kind.Prefixes)
+		own := max(1, int(float64(kind.OwnTokens)*(0.5+rng.Float64())))
+		r.prompt = fmt.Sprintf("%x:%d,%x:%d", xxhash.Sum64String(kind.Route.Name+strconv.Itoa(prefix))>>16, kind.PrefixTokens,
 			rng.Uint64()>>16, own)
-		r.tokens = fmt.Sprintf("%d,%d", kind.Shared+own, kind.Out)
+		r.tokens = fmt.Sprintf("%d,%d", kind.PrefixTokens+own, kind.AnswerTokens)
 	}
 	return r
 }
--- a/internal/lab/testcluster/fault_tour.go
+++ b/internal/lab/testcluster/fault_tour.go
@@ -57,7 +57,7 @@
 }
 
 func (r *Run) killAndRestartControlPlane(ctx context.Context, rng *rand.Rand) error {
-	m := r.Fleet.Disks()[rng.IntN(len(r.Fleet.Disks()))]
+	m := r.Fleet.Voters()[rng.IntN(len(r.Fleet.Voters()))]
 	if err := r.KillControlPlane(m); err != nil {
 		return err
 	}
--- a/internal/lab/testcluster/faulty_proxy_test.go
+++ b/internal/lab/testcluster/faulty_proxy_test.go
@@ -109,7 +109,7 @@
 		}
 	}
 	for i := range scene.Kinds {
-		scene.Kinds[i].Out = min(scene.Kinds[i].Out, 30)
+		scene.Kinds[i].AnswerTokens = min(scene.Kinds[i].AnswerTokens, 30)
 	}
 	w, err := New(Options{Servers: scene.Servers, Kinds: scene.Kinds, Zones: map[string]string{"north-a": "north"}, Bounds: scene.Bounds,
 		Directories: []Directory{{Address: proxy.front.Listener.Addr().String(), Zone: "north-a", Region: "north"}}, MaxTTL: time.Second,
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -19,8 +19,8 @@
 // Machine is one edge machine of the test cluster: a loopback address.
 type Machine struct {
 	IP, Zone, Region string
-	// Disk reports whether the machine has a disk. Its control-plane node is a voter then, and an observer otherwise.
-	Disk bool
+	// HasDisk reports whether the machine has a disk. Its control-plane node is a voter then, and an observer otherwise.
+	HasDisk bool
 }
 
 // Fleet is the system's processes: a proxy and a control-plane node on every machine. The exported fields are set before Start.
@@ -32,7 +32,7 @@
 	Folder       string // for settings, disks and logs of the processes
 	ListAddress  string // address of the platform's list
 	Bounds       rules.Bounds
-	Rate         float64 // calls a second that the list answers
+	ListRate     float64 // calls a second that the list answers
 	Links        *Links  // between the processes; nil: they call each other directly
 
 	// listAddresses are addresses of the list by the name of the process that calls it there. A process that it lacks calls ListAddress.
--- a/internal/lab/testcluster/fleet_addresses.go
+++ b/internal/lab/testcluster/fleet_addresses.go
@@ -48,11 +48,11 @@
 	return directories
 }
 
-// Disks returns the machines with a disk, whose control-plane nodes are voters.
-func (f *Fleet) Disks() []Machine {
+// Voters returns the machines with a disk, whose control-plane nodes are voters.
+func (f *Fleet) Voters() []Machine {
 	var voters []Machine
 	for _, m := range f.Machines {
-		if m.Disk {
+		if m.HasDisk {
 			voters = append(voters, m)
 		}
 	}
--- a/internal/lab/testcluster/fleet_settings.go
+++ b/internal/lab/testcluster/fleet_settings.go
@@ -19,7 +19,7 @@
 port_range = [{{.FirstPort}},{{.LastPort}}]
 seed_nodes = [{{range $i, $address := .Seeds}}{{if $i}},{{end}}{{printf "%q" $address}}{{end}}]
 bootstrap = {{.Bootstrap}}
-loss_counted = {{.Machine.Disk}}
+loss_counted = {{.Machine.HasDisk}}
 data_dir = {{printf "%q" .DataDir}}
 discovery = "provider_api"
 entry_mode = "directory"
@@ -92,12 +92,12 @@
 	role, _, _ := strings.Cut(spec.name, "-")
 	settings := processSettings{Name: spec.name, Role: role, Serves: spec.serves, Machine: machine, Bootstrap: spec.first, Zones: f.Zones(),
 		Front: f.Front(machine), Readiness: f.address(machine, f.Ports.Readiness), Control: f.Control(machine), Directory: f.address(machine, f.Ports.Directory),
-		Bounds: f.Bounds, ListAddress: f.ListAddress, ListRate: f.Rate}
+		Bounds: f.Bounds, ListAddress: f.ListAddress, ListRate: f.ListRate}
 	settings.FirstPort, settings.LastPort = f.portsOf(spec.name)
-	for _, voter := range f.Disks() {
+	for _, voter := range f.Voters() {
 		settings.Seeds = append(settings.Seeds, f.Control(voter))
 	}
-	if machine.Disk {
+	if machine.HasDisk {
 		settings.DataDir = f.diskPath(spec.name)
 	}
 	if address, ok := f.listAddresses[spec.name]; ok {
--- a/internal/lab/testcluster/run.go
+++ b/internal/lab/testcluster/run.go
@@ -32,7 +32,7 @@
 	lines := []string{"list     http://" + r.ListAddress() + "/instances"}
 	for _, m := range r.Fleet.Machines {
 		what := "keeper  "
-		if !m.Disk {
+		if !m.HasDisk {
 			what = "observer"
 		}
 		lines = append(lines, fmt.Sprintf("%s http://%s/status  zone %s  pid %d", what, r.Fleet.Control(m), m.Zone, r.Fleet.ControlPlaneProcess(m).Pid()))
--- a/internal/lab/testcluster/scenario.go
+++ b/internal/lab/testcluster/scenario.go
@@ -41,7 +41,7 @@
 		Stretch: 6 * time.Second, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 64, ColdExcess: 1.5, ColdSlack: 5}}
 	for i := range 4 {
 		location := scenarioZones[min(i, len(scenarioZones)-1)]
-		scenario.Machines = append(scenario.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: location.zone, Region: location.region, Disk: i < len(scenarioZones)})
+		scenario.Machines = append(scenario.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: location.zone, Region: location.region, HasDisk: i < len(scenarioZones)})
 	}
 	spec := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 5 * time.Millisecond, PerRunning: 50 * time.Microsecond,
 		PrefillRate: 50, Chunk: 512}
@@ -49,9 +49,9 @@
 	scenario.Config = scenarioConfig(spec)
 	routes := scenario.Config.Routes
 	scenario.Kinds = []RequestKind{
-		{Route: &routes[0], Rate: 0.1 * rate, Deadline: 8 * time.Second, Retries: 1, Subjects: 8, Shared: 4000, Own: 1000, Out: 120, Bytes: 4000},
-		{Route: &routes[1], Rate: 0.6 * rate, Deadline: 5 * time.Second, Retries: 1, Subjects: 30, Shared: 90, Own: 290, Out: 45, Bytes: 1000},
-		{Route: &routes[2], Rate: 0.3 * rate, Deadline: 2500 * time.Millisecond, Retries: 1, Bytes: 100},
+		{Route: &routes[0], Rate: 0.1 * rate, Deadline: 8 * time.Second, Retries: 1, Prefixes: 8, PrefixTokens: 4000, OwnTokens: 1000, AnswerTokens: 120, BodyBytes: 4000},
+		{Route: &routes[1], Rate: 0.6 * rate, Deadline: 5 * time.Second, Retries: 1, Prefixes: 30, PrefixTokens: 90, OwnTokens: 290, AnswerTokens: 45, BodyBytes: 1000},
+		{Route: &routes[2], Rate: 0.3 * rate, Deadline: 2500 * time.Millisecond, Retries: 1, BodyBytes: 100},
 	}
 	return scenario
 }
@@ -68,7 +68,7 @@
 	for i, location := range scenarioZones {
 		servers = append(servers, ServerSpec{Service: thumbService, Zone: location.zone, Region: location.region, Address: fmt.Sprintf("127.0.3.%d:0", i+1),
 			HealthPath: healthPath, MaxConns: thumbMaxConns, IdleTimeout: idleTimeout, ReportsLoad: true,
-			Plain: &PlainSpec{Slots: 6, Queue: 12, Work: 20 * time.Millisecond, Bytes: 800}})
+			Plain: &PlainSpec{Slots: 6, Queue: 12, Work: 20 * time.Millisecond, AnswerBytes: 800}})
 	}
 	return servers
 }
--- a/internal/lab/testcluster/server_exchange.go
+++ b/internal/lab/testcluster/server_exchange.go
@@ -111,7 +111,7 @@
 	if e.loseAnswer {
 		e.resetConn()
 	}
-	body := strings.Repeat(e.seal+"\n", 1+e.incarnation.Plain.Bytes/(len(e.seal)+1))
+	body := strings.Repeat(e.seal+"\n", 1+e.incarnation.Plain.AnswerBytes/(len(e.seal)+1))
 	e.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	e.writer.Header().Set("Content-Type", "text/plain")
 	e.recordEnd(http.StatusOK, body, true)
--- a/internal/lab/testcluster/server_spec.go
+++ b/internal/lab/testcluster/server_spec.go
@@ -25,7 +25,7 @@
 type PlainSpec struct {
 	Slots, Queue int           // requests that run, and that wait, at a time
 	Work         time.Duration // of one request in its slot
-	Bytes        int           // of an answer, at least
+	AnswerBytes  int           // at least
 }
 
 // Slots returns how many requests the server works on at a time.
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -180,7 +180,7 @@
 // TestServerLosesAnswers checks that a server that loses answers executes a request and resets the connection, and answers again afterwards.
 func TestServerLosesAnswers(t *testing.T) {
 	for name, spec := range map[string]ServerSpec{"a model": {Service: "llm", Engine: quickEngine()},
-		"none": {Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, Bytes: 100}}} {
+		"none": {Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, AnswerBytes: 100}}} {
 		t.Run(name, func(t *testing.T) {
 			w, s := lone(t, spec)
 			s.LoseAnswers(1)
@@ -292,7 +292,7 @@
 
 // TestServerConnections checks that connections above max_conns are reset.
 func TestServerConnections(t *testing.T) {
-	_, s := lone(t, ServerSpec{Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, Bytes: 100}, MaxConns: 2})
+	_, s := lone(t, ServerSpec{Service: "thumbs", Plain: &PlainSpec{Slots: 2, Work: time.Microsecond, AnswerBytes: 100}, MaxConns: 2})
 	for index := range 3 {
 		conn, err := new(net.Dialer).DialContext(t.Context(), "tcp4", s.address)
 		if err != nil {
--- a/internal/lab/testcluster/traffic.go
+++ b/internal/lab/testcluster/traffic.go
@@ -16,12 +16,12 @@
 	Deadline time.Duration // from the start of a request to its final answer
 	Retries  int           // of a request, at most
 
-	Subjects int // prefix parts from which a prompt draws one
-	Shared   int // tokens of that prefix part
-	Own      int // tokens that a prompt has besides, on average
-	Out      int // tokens of an answer, at most; 0: the request has no prompt
+	Prefixes     int // prefix parts from which a prompt draws one
+	PrefixTokens int // tokens of that prefix part
+	OwnTokens    int // tokens that a prompt has besides, on average
+	AnswerTokens int // tokens of an answer, at most; 0: the request has no prompt
 
-	Bytes int // of the body, about
+	BodyBytes int // about
 }
 
 // Traffic is the stand-in clients: PROTOCOL.md "Ingress" and "Answers".
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -37,13 +37,13 @@
 		return nil, err
 	}
 	fleet := &Fleet{Machines: scenario.Machines, Ports: ports, Proxy: options.Proxy, ControlPlane: options.ControlPlane, Folder: options.Folder,
-		Bounds: scenario.Bounds, Rate: listCallsPerSecond, Links: options.Links}
+		Bounds: scenario.Bounds, ListRate: listCallsPerSecond, Links: options.Links}
 	env, err := New(environmentOptions(options, scenario, fleet)) //nolint:contextcheck // servers outlive the call
 	if err != nil {
 		return nil, err
 	}
 	fleet.ListAddress = env.ListAddress()
-	env.Evidence.Core = len(fleet.Disks())
+	env.Evidence.Core = len(fleet.Voters())
 	if options.Links != nil {
 		options.Links.createServerLinks(scenario.Machines, scenario.Servers)
 		if fleet.listAddresses, err = options.Links.connect(fleet, fleet.ListAddress); err != nil { //nolint:contextcheck // relays outlive the call
