--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -70,7 +70,7 @@
 			return false
 		}
 		claims := d.claims(fault)
-		if slices.ContainsFunc(d.claims(other), func(claim string) bool { return slices.Contains(claims, claim) }) {
+		if slices.ContainsFunc(d.claims(other), func(c claim) bool { return slices.Contains(claims, c) }) {
 			return false
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // claims returns what a fault needs for itself.
-func (d *drawer) claims(fault Fault) []string {
+func (d *drawer) claims(fault Fault) []claim {
 	spec, ok := specOf(fault.Kind)
 	if !ok {
 		return nil
--- a/internal/lab/soak/fault_answers.go
+++ b/internal/lab/soak/fault_answers.go
@@ -13,9 +13,11 @@
 	fault.LossRate = 0.1 + 0.5*d.rng.Float64()
 }
 
-func claimAnswers(_ *drawer, fault Fault) []string { return []string{"answers of " + fault.Target} }
+func claimAnswers(_ *drawer, fault Fault) []claim {
+	return []claim{claim("answers of " + fault.Target)}
+}
 
-func claimAcknowledgements(*drawer, Fault) []string { return []string{"answers to the operator"} }
+func claimAcknowledgements(*drawer, Fault) []claim { return []claim{"answers to the operator"} }
 
 // loseAnswers has the servers of a zone run requests without answering them.
 func (p *player) loseAnswers(ctx context.Context, fault Fault) error {
--- a/internal/lab/soak/fault_evacuation.go
+++ b/internal/lab/soak/fault_evacuation.go
@@ -46,8 +46,8 @@
 	}
 }
 
-func claimEvacuation(_ *drawer, fault Fault) []string {
-	claims := []string{zoneServersClaim(fault.Target), "evacuation"}
+func claimEvacuation(_ *drawer, fault Fault) []claim {
+	claims := []claim{zoneServersClaim(fault.Target), "evacuation"}
 	if fault.Other != "" {
 		claims = append(claims, zoneServersClaim(fault.Other))
 	}
--- a/internal/lab/soak/fault_links.go
+++ b/internal/lab/soak/fault_links.go
@@ -37,15 +37,15 @@
 	fault.Jitter = d.drawDuration(0, fault.Delay/2)
 }
 
-func serverClaim(address string) string { return "server " + address }
+func serverClaim(address string) claim { return claim("server " + address) }
 
-func claimLinks(_ *drawer, fault Fault) []string { return []string{"links of " + fault.Target} }
+func claimLinks(_ *drawer, fault Fault) []claim { return []claim{claim("links of " + fault.Target)} }
 
-func claimList(*drawer, Fault) []string { return []string{"list"} }
+func claimList(*drawer, Fault) []claim { return []claim{"list"} }
 
-func claimServer(_ *drawer, fault Fault) []string { return []string{serverClaim(fault.Target)} }
+func claimServer(_ *drawer, fault Fault) []claim { return []claim{serverClaim(fault.Target)} }
 
-func claimServers(_ *drawer, fault Fault) (claims []string) {
+func claimServers(_ *drawer, fault Fault) (claims []claim) {
 	for _, address := range fault.Servers {
 		claims = append(claims, serverClaim(address))
 	}
--- a/internal/lab/soak/fault_processes.go
+++ b/internal/lab/soak/fault_processes.go
@@ -30,17 +30,17 @@
 	fault.Length = d.scenario.Bounds.Grace + endSlack + fault.Down
 }
 
-func proxyClaim(ip string) string { return "proxy " + ip }
+func proxyClaim(ip string) claim { return claim("proxy " + ip) }
 
-func controlPlaneClaim(ip string) string { return "control-plane node " + ip }
+func controlPlaneClaim(ip string) claim { return claim("control-plane node " + ip) }
 
-func claimProxy(_ *drawer, fault Fault) []string { return []string{proxyClaim(fault.Target)} }
+func claimProxy(_ *drawer, fault Fault) []claim { return []claim{proxyClaim(fault.Target)} }
 
-func claimControlPlane(_ *drawer, fault Fault) []string {
-	return []string{controlPlaneClaim(fault.Target)}
+func claimControlPlane(_ *drawer, fault Fault) []claim {
+	return []claim{controlPlaneClaim(fault.Target)}
 }
 
-func claimProxiesOfZone(d *drawer, fault Fault) (claims []string) {
+func claimProxiesOfZone(d *drawer, fault Fault) (claims []claim) {
 	for _, m := range d.scenario.Machines {
 		if m.Zone == fault.Target {
 			claims = append(claims, proxyClaim(m.IP))
@@ -49,7 +49,7 @@
 	return claims
 }
 
-func claimAllControlPlanes(d *drawer, _ Fault) (claims []string) {
+func claimAllControlPlanes(d *drawer, _ Fault) (claims []claim) {
 	for _, m := range d.scenario.Machines {
 		claims = append(claims, controlPlaneClaim(m.IP))
 	}
--- a/internal/lab/soak/fault_servers.go
+++ b/internal/lab/soak/fault_servers.go
@@ -28,10 +28,10 @@
 	fault.Length = d.scenario.Bounds.Drain + drainMargin + down + warmUpOf(d.scenario) + warmUpMargin
 }
 
-func zoneServersClaim(zone string) string { return "servers of " + zone }
+func zoneServersClaim(zone string) claim { return claim("servers of " + zone) }
 
-func claimZoneServers(_ *drawer, fault Fault) []string {
-	return []string{zoneServersClaim(fault.Target)}
+func claimZoneServers(_ *drawer, fault Fault) []claim {
+	return []claim{zoneServersClaim(fault.Target)}
 }
 
 // restartZoneServers restarts the servers of the target zone.
--- a/internal/lab/soak/kind.go
+++ b/internal/lab/soak/kind.go
@@ -33,6 +33,9 @@
 	DrainServer                 Kind = "drain server"
 )
 
+// claim names something that a fault needs for itself. Faults with a claim in common must not overlap.
+type claim string
+
 // kindSpec says how faults of a kind are drawn and injected.
 type kindSpec struct {
 	kind   Kind
@@ -41,8 +44,8 @@
 	draw func(*drawer, *Fault)
 	// target draws what a fault is done to; nil: draw has drawn it, or the kind has none.
 	target func(*drawer) string
-	// claims names what a fault needs for itself: faults with a claim in common must not overlap.
-	claims func(*drawer, Fault) []string
+	// claims returns what a fault needs for itself.
+	claims func(*drawer, Fault) []claim
 	// inject injects a fault, and returns when it is over.
 	inject func(*player, context.Context, Fault) error
 }
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -44,9 +44,11 @@
 	if !r.Passed() {
 		word = fmt.Sprintf("BROKEN %d", len(r.Broken))
 	}
-	return fmt.Sprintf("seed %-4d %-8s %3.0f s  %2d troubles, %d at once  delay %2.0f ms  requests %5d served %5d refused %4d failed %3d  orders %2d reads %2d  cold servers %2d, peak %2d of %.0f  statuses %d  lab late by %d ms",
-		r.Seed, word, r.Seconds, r.Faults, r.MaxConcurrent, r.DelayMS, r.Requests, r.Served, r.Refused, r.Failed, r.Orders, r.Reads, r.Cold, r.Peak,
-		r.Bound, r.Statuses, r.LateMS)
+	plan := fmt.Sprintf("%3.0f s  %2d troubles, %d at once  delay %2.0f ms", r.Seconds, r.Faults, r.MaxConcurrent, r.DelayMS)
+	requests := fmt.Sprintf("requests %5d served %5d refused %4d failed %3d", r.Requests, r.Served, r.Refused, r.Failed)
+	changes := fmt.Sprintf("orders %2d reads %2d", r.Orders, r.Reads)
+	warmUps := fmt.Sprintf("cold servers %2d, peak %2d of %.0f", r.Cold, r.Peak, r.Bound)
+	return fmt.Sprintf("seed %-4d %-8s %s  %s  %s  %s  statuses %d  lab late by %d ms", r.Seed, word, plan, requests, changes, warmUps, r.Statuses, r.LateMS)
 }
 
 // evaluate returns the result: what was seen from outside, and what processes counted.
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -58,8 +58,8 @@
 	if scenario == nil {
 		scenario = NewScenario(options.Plan.Seed)
 	}
-	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: options.Proxy, ControlPlane: options.ControlPlane, Folder: options.Folder, Seed: options.Plan.Seed,
-		Scenario: scenario, Links: testcluster.NewLinks(options.Plan.Delay, options.Plan.Jitter)})
+	run, err := testcluster.Up(ctx, testcluster.UpOptions{Proxy: options.Proxy, ControlPlane: options.ControlPlane, Folder: options.Folder,
+		Seed: options.Plan.Seed, Scenario: scenario, Links: testcluster.NewLinks(options.Plan.Delay, options.Plan.Jitter)})
 	if err != nil {
 		return nil, err
 	}
@@ -77,13 +77,21 @@
 }
 
 func newPlayer(run *testcluster.Run, options Options) *player {
-	p := &player{Run: run, plan: options.Plan, announce: options.Announce, pendingEvacuations: map[string]bool{}, broken: []string{}, evacuating: make(chan struct{}, 1),
-		monitor: invariantMonitor{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}}}
-	if p.announce == nil {
-		p.announce = func(string) {}
+	announce := options.Announce
+	if announce == nil {
+		announce = func(string) {}
 	}
-	run.Operator.LoseAnswer = p.answerLoss.drawn
-	return p
+	play := &player{
+		Run:                run,
+		plan:               options.Plan,
+		announce:           announce,
+		monitor:            invariantMonitor{client: admin.Client{Transport: &http.Transport{DisableKeepAlives: true}}},
+		evacuating:         make(chan struct{}, 1),
+		broken:             []string{},
+		pendingEvacuations: map[string]bool{},
+	}
+	run.Operator.LoseAnswer = play.answerLoss.drawn
+	return play
 }
 
 // run injects all faults, while the operator changes and reads the configuration. It returns when the plan's time is over.
--- a/internal/lab/soak/wake.go
+++ b/internal/lab/soak/wake.go
@@ -58,14 +58,16 @@
 	if form == WakeTwo {
 		first = Fault{Kind: PauseProxy, Target: peer, Start: pausedAt, Length: pausedFor}
 	}
+	down := wakeWarmUpLead + aloneFor
 	p := &Plan{Seed: seed, For: wakeFor, Delay: 20 * time.Millisecond, Faults: []Fault{
 		first,
 		{Kind: PauseProxy, Target: paused, Start: pausedAt, Length: pausedFor},
-		{Kind: EndEvacuationAlone, Target: homeZones[0], Other: homeZones[1], Start: evacuatedAt, WarmUpLead: wakeWarmUpLead, Down: wakeWarmUpLead + aloneFor,
-			Length: scenario.Bounds.Evacuate + wakeWarmUpLead + aloneFor + warmUpOf(scenario) + warmUpMargin},
+		{Kind: EndEvacuationAlone, Target: homeZones[0], Other: homeZones[1], Start: evacuatedAt, WarmUpLead: wakeWarmUpLead, Down: down,
+			Length: scenario.Bounds.Evacuate + down + warmUpOf(scenario) + warmUpMargin},
 	}}
 	if form == WakePartitioned {
-		p.Faults = append(p.Faults, Fault{Kind: PartitionProxy, Target: paused, Start: pausedAt + pausedFor - partitionBefore, Length: partitionBefore + partitionAfter})
+		p.Faults = append(p.Faults, Fault{Kind: PartitionProxy, Target: paused, Start: pausedAt + pausedFor - partitionBefore,
+			Length: partitionBefore + partitionAfter})
 	}
 	return p
 }
--- a/internal/lab/testcluster/environment.go
+++ b/internal/lab/testcluster/environment.go
@@ -75,11 +75,11 @@
 // New starts the servers and the list. Clients start with Traffic.
 func New(options Options) (*Environment, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	env := &Environment{Evidence: &rules.Evidence{Bounds: options.Bounds}, startedAt: time.Now(), discardLog: log.New(io.Discard, "", 0), stats: &statsCounter{},
-		ctx: ctx, cancel: cancel, links: options.Links}
+	env := &Environment{Evidence: &rules.Evidence{Bounds: options.Bounds}, startedAt: time.Now(), discardLog: log.New(io.Discard, "", 0),
+		stats: &statsCounter{}, ctx: ctx, cancel: cancel, links: options.Links}
 	env.Operator = &Operator{ControlAddresses: options.ControlAddresses, evidence: env.Evidence, now: env.Now, http: newHTTPClient()}
-	env.Platform = &Platform{Lag: options.ListLag, Rate: options.ListRate, Page: pageSize, CrashedListedFor: crashedListedFor, now: env.Now, evidence: env.Evidence,
-		servers: env.instances}
+	env.Platform = &Platform{Lag: options.ListLag, Rate: options.ListRate, Page: pageSize, CrashedListedFor: crashedListedFor,
+		now: env.Now, evidence: env.Evidence, servers: env.instances}
 	for _, spec := range options.Servers {
 		server := newServer(spec, env)
 		env.Servers = append(env.Servers, server)
@@ -106,52 +106,52 @@
 }
 
 // startList serves the platform's list, and has it observe the servers, until Close.
-func (w *Environment) startList(ctx context.Context) error {
+func (e *Environment) startList(ctx context.Context) error {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp4", "127.0.0.1:0")
 	if err != nil {
 		return errors.Wrap(err, "the stand-in list cannot listen")
 	}
-	w.listAddress = listener.Addr().String()
-	w.listServer = &http.Server{Handler: w.Platform, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: w.discardLog}
-	w.background.Go(func() { _ = w.listServer.Serve(listener) }) // ends with Close
-	w.background.Go(func() { w.observe(ctx) })
+	e.listAddress = listener.Addr().String()
+	e.listServer = &http.Server{Handler: e.Platform, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: e.discardLog}
+	e.background.Go(func() { _ = e.listServer.Serve(listener) }) // ends with Close
+	e.background.Go(func() { e.observe(ctx) })
 	return nil
 }
 
 // newClientPool returns the clients of a zone. stream is the sequence of random numbers that they draw from the seed.
-func (w *Environment) newClientPool(options Options, zone string, stream uint64) *clientPool {
+func (e *Environment) newClientPool(options Options, zone string, stream uint64) *clientPool {
 	region := options.Zones[zone]
 	return &clientPool{
 		resolver:     resolver{options.Kinds[0].Route.Host, zone, region, newHTTPClient()},
 		maxTTL:       options.MaxTTL,
 		directories:  sortByDistance(options.Directories, zone, region),
-		now:          w.Now,
+		now:          e.Now,
 		rng:          rand.New(rand.NewPCG(options.Seed, stream)),
 		failed:       map[string]bool{},
 		resolvedOnce: make(chan struct{}),
 		onSurplus: func(address string, bytes int) {
-			w.Evidence.RecordStray(rules.Stray{Proxy: address, Bytes: bytes, At: w.Now()})
+			e.Evidence.RecordStray(rules.Stray{Proxy: address, Bytes: bytes, At: e.Now()})
 		},
 	}
 }
 
 // Now returns the time since the start. All times of the evidence are of this clock.
-func (w *Environment) Now() time.Duration { return time.Since(w.startedAt) }
+func (e *Environment) Now() time.Duration { return time.Since(e.startedAt) }
 
 // ListAddress returns the address of the platform's list.
-func (w *Environment) ListAddress() string { return w.listAddress }
+func (e *Environment) ListAddress() string { return e.listAddress }
 
 // Traffic has clients send requests until ctx ends, and returns when every request has ended.
-func (w *Environment) Traffic(ctx context.Context) { w.traffic.run(ctx) }
+func (e *Environment) Traffic(ctx context.Context) { e.traffic.run(ctx) }
 
 // Stats returns the totals of the requests that clients have sent so far.
-func (w *Environment) Stats() Stats { return w.stats.snapshot() }
+func (e *Environment) Stats() Stats { return e.stats.snapshot() }
 
 // instances returns the entries of the platform's list as of now.
-func (w *Environment) instances() []Instance {
+func (e *Environment) instances() []Instance {
 	var entries []Instance
-	for _, s := range w.Servers {
-		if entry, listed := s.instance(w.Platform.CrashedListedFor); listed {
+	for _, s := range e.Servers {
+		if entry, listed := s.instance(e.Platform.CrashedListedFor); listed {
 			entries = append(entries, entry)
 		}
 	}
@@ -159,11 +159,11 @@
 }
 
 // observe has the list take snapshots of the servers until ctx ends.
-func (w *Environment) observe(ctx context.Context) {
+func (e *Environment) observe(ctx context.Context) {
 	tick := time.NewTicker(observeInterval)
 	defer tick.Stop()
 	for {
-		w.Platform.Observe()
+		e.Platform.Observe()
 		select {
 		case <-ctx.Done():
 			return
@@ -173,13 +173,13 @@
 }
 
 // crashOverloaded crashes a server that was sent too many requests while it warmed up, and starts it again after overloadDowntime.
-func (w *Environment) crashOverloaded(s *Server) {
-	w.overloadCrashes.Go(func() {
+func (e *Environment) crashOverloaded(s *Server) {
+	e.overloadCrashes.Go(func() {
 		s.Crash()
 		timer := time.NewTimer(overloadDowntime)
 		defer timer.Stop()
 		select {
-		case <-w.ctx.Done():
+		case <-e.ctx.Done():
 		case <-timer.C:
 			_ = s.Start(true) // If its address is in use, the server stays down.
 		}
@@ -187,18 +187,18 @@
 }
 
 // Close ends the servers, the list and the links. Traffic must have ended.
-func (w *Environment) Close() {
-	w.cancel()
-	w.overloadCrashes.Wait()
-	for _, s := range w.Servers {
+func (e *Environment) Close() {
+	e.cancel()
+	e.overloadCrashes.Wait()
+	for _, s := range e.Servers {
 		s.Crash()
 	}
-	if w.listServer != nil {
-		_ = w.listServer.Close()
+	if e.listServer != nil {
+		_ = e.listServer.Close()
 	}
-	w.background.Wait()
-	if w.links != nil {
-		w.links.close()
+	e.background.Wait()
+	if e.links != nil {
+		e.links.close()
 	}
-	w.Operator.http.CloseIdleConnections()
+	e.Operator.http.CloseIdleConnections()
 }
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -90,7 +90,8 @@
 		return errors.Wrapf(err, "no settings for %s", spec.name)
 	}
 	environment := []string{"GRADEUSHER_BOOT=" + settingsPath, "PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "TMPDIR=" + disk}
-	process, err := f.starter.Start(proc.Spec{Name: spec.name, Path: spec.program, Args: []string{"run"}, Log: f.logPath(spec.name), Folder: disk, Env: environment})
+	process, err := f.starter.Start(proc.Spec{Name: spec.name, Path: spec.program, Args: []string{"run"}, Log: f.logPath(spec.name),
+		Folder: disk, Env: environment})
 	if err != nil {
 		return errors.Wrapf(err, "%s does not start: check that %s is there", spec.name, spec.program)
 	}
--- a/internal/lab/testcluster/links.go
+++ b/internal/lab/testcluster/links.go
@@ -54,30 +54,30 @@
 }
 
 // linkFor returns the link of a path. It creates the link where there is none, with the delay between regions if far.
-func (n *Links) linkFor(p Path, far bool) *link.Link {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	active := n.active[p]
+func (l *Links) linkFor(p Path, far bool) *link.Link {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	active := l.active[p]
 	if active == nil {
 		active = &activeLink{link: link.New(), faults: map[int]link.State{}}
 		if far {
-			active.base = link.State{Delay: n.Delay, Jitter: n.Jitter}
+			active.base = link.State{Delay: l.Delay, Jitter: l.Jitter}
 		}
 		active.link.Set(active.base)
-		n.active[p] = active
+		l.active[p] = active
 	}
 	return active.link
 }
 
 // Inject injects a fault into the links whose paths are picked, in addition to other faults there, until heal is called. Links that are
 // created later are not affected.
-func (n *Links) Inject(pick func(Path) bool, fault link.State) (heal func()) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.lastFault++
-	id := n.lastFault
+func (l *Links) Inject(pick func(Path) bool, fault link.State) (heal func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastFault++
+	id := l.lastFault
 	var affected []*activeLink
-	for p, active := range n.active {
+	for p, active := range l.active {
 		if pick(p) {
 			active.faults[id] = fault
 			active.apply()
@@ -85,8 +85,8 @@
 		}
 	}
 	return func() {
-		n.mu.Lock()
-		defer n.mu.Unlock()
+		l.mu.Lock()
+		defer l.mu.Unlock()
 		for _, active := range affected {
 			delete(active.faults, id)
 			active.apply()
@@ -107,18 +107,18 @@
 }
 
 // addCloser has close call closer.
-func (n *Links) addCloser(closer func()) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.closers = append(n.closers, closer)
+func (l *Links) addCloser(closer func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closers = append(l.closers, closer)
 }
 
 // close ends all relays.
-func (n *Links) close() {
-	n.mu.Lock()
-	closers := n.closers
-	n.closers = nil
-	n.mu.Unlock()
+func (l *Links) close() {
+	l.mu.Lock()
+	closers := l.closers
+	l.closers = nil
+	l.mu.Unlock()
 	for _, closer := range closers {
 		closer()
 	}
--- a/internal/lab/testcluster/probe.go
+++ b/internal/lab/testcluster/probe.go
@@ -16,12 +16,12 @@
 
 // Probe sends one request to a proxy, on a connection of its own and without retries, to see which configuration is in force there. The
 // attempt is evidence; it ends after probeTimeout at the latest.
-func (w *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Attempt {
+func (e *Environment) Probe(ctx context.Context, proxy, host, path string) *rules.Attempt {
 	attempt := &rules.Attempt{ID: fmt.Sprintf("%016x", rand.Uint64()), Host: host, Method: http.MethodPost, Path: path, Body: xxhash.Sum64String(""),
-		Proxy: proxy, Probe: true, Sent: w.Now()}
+		Proxy: proxy, Probe: true, Sent: e.Now()}
 	defer func() {
-		attempt.Ended = w.Now()
-		w.Evidence.RecordAttempt(attempt)
+		attempt.Ended = e.Now()
+		e.Evidence.RecordAttempt(attempt)
 	}()
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -31,16 +31,16 @@
 		return attempt
 	}
 	defer func() { _ = conn.tcp.Close() }()
-	w.links.recordSender(attempt.ID, proxy)
+	e.links.recordSender(attempt.ID, proxy)
 	until, _ := ctx.Deadline()
 	conn.exchange(&attemptSpec{attempt: attempt, deadline: until, headers: []headerField{
 		{"X-Time-Left-Ms", fmt.Sprint(probeTimeout.Milliseconds())}, {"X-Model", "m"}, {"X-Token-Count", "10,5"},
-		{"X-Prompt-Prefix", attempt.ID + ":10"}}}, w.Now)
+		{"X-Prompt-Prefix", attempt.ID + ":10"}}}, e.Now)
 	return attempt
 }
 
 // CountReady returns how many of the addresses answer GET /readiness with 200 before ctx ends.
-func (w *Environment) CountReady(ctx context.Context, addresses []string) int {
+func (e *Environment) CountReady(ctx context.Context, addresses []string) int {
 	answers := make(chan bool, len(addresses))
 	for _, at := range addresses {
 		go func() {
@@ -49,7 +49,7 @@
 				answers <- false
 				return
 			}
-			resp, err := w.Operator.http.Do(req)
+			resp, err := e.Operator.http.Do(req)
 			if err == nil {
 				_ = resp.Body.Close()
 			}
--- a/internal/lab/testcluster/process_links.go
+++ b/internal/lab/testcluster/process_links.go
@@ -41,21 +41,21 @@
 
 // connect starts relays between all processes of a fleet, and between control-plane nodes and the list. It returns the addresses at which
 // the list answers, by the names of the processes that call it there.
-func (n *Links) connect(fleet *Fleet, list string) (lists map[string]string, err error) {
+func (l *Links) connect(fleet *Fleet, list string) (lists map[string]string, err error) {
 	lists = map[string]string{}
 	for _, from := range fleet.endpoints() {
 		if from.firstPort+portsPerProcess-1 > fleet.Ports.Last {
 			return nil, errors.Newf("the ports up to %d are too few for links between %d machines", fleet.Ports.Last, len(fleet.Machines))
 		}
 		if from.controlPlane {
-			r, err := n.relay(Path{from.name, ListEnd}, net.JoinHostPort(from.IP, "0"), list, true)
+			r, err := l.relay(Path{from.name, ListEnd}, net.JoinHostPort(from.IP, "0"), list, true)
 			if err != nil {
 				return nil, err
 			}
 			lists[from.name] = r.listener.Addr().String()
 		}
 		for _, to := range fleet.endpoints() {
-			if err := n.connectPair(from, to); err != nil {
+			if err := l.connectPair(from, to); err != nil {
 				return nil, err
 			}
 		}
@@ -65,7 +65,7 @@
 
 // connectPair starts relays from one process to another, where it calls that: all call control-plane nodes, and proxies call each other, by
 // connections and by packets.
-func (n *Links) connectPair(from, to endpoint) error {
+func (l *Links) connectPair(from, to endpoint) error {
 	if from.name == to.name || from.controlPlane && !to.controlPlane {
 		return nil
 	}
@@ -76,26 +76,26 @@
 	path, far := Path{from.name, to.name}, from.Region != to.Region
 	at := net.JoinHostPort(to.IP, strconv.Itoa(from.firstPort+offset))
 	forwardTo := net.JoinHostPort(to.IP, strconv.Itoa(to.firstPort+offset))
-	if _, err := n.relay(path, at, forwardTo, far); err != nil {
+	if _, err := l.relay(path, at, forwardTo, far); err != nil {
 		return err
 	}
 	if to.controlPlane {
 		return nil
 	}
-	packets, err := newPacketRelay(at, forwardTo, n.linkFor(path, far))
+	packets, err := newPacketRelay(at, forwardTo, l.linkFor(path, far))
 	if err != nil {
 		return errors.Wrapf(err, "no packets can be forwarded at %s", at)
 	}
-	n.addCloser(packets.close)
+	l.addCloser(packets.close)
 	return nil
 }
 
-// relay starts a relay of connections over the link of a path. It ends with n.
-func (n *Links) relay(path Path, at, to string, far bool) (*relay, error) {
-	r, err := newRelay(at, to, n.linkFor(path, far))
+// relay starts a relay of connections over the link of a path. It ends with l.
+func (l *Links) relay(path Path, at, to string, far bool) (*relay, error) {
+	r, err := newRelay(at, to, l.linkFor(path, far))
 	if err != nil {
 		return nil, errors.Wrapf(err, "no connections can be forwarded at %s", at)
 	}
-	n.addCloser(r.close)
+	l.addCloser(r.close)
 	return r, nil
 }
--- a/internal/lab/testcluster/scenario.go
+++ b/internal/lab/testcluster/scenario.go
@@ -41,7 +41,8 @@
 		Stretch: 6 * time.Second, RetryWindow: 10 * time.Second, RetryRatio: 0.2, RetrySlack: 64, ColdExcess: 1.5, ColdSlack: 5}}
 	for i := range 4 {
 		location := scenarioZones[min(i, len(scenarioZones)-1)]
-		scenario.Machines = append(scenario.Machines, Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: location.zone, Region: location.region, HasDisk: i < len(scenarioZones)})
+		machine := Machine{IP: fmt.Sprintf("127.0.1.%d", i+1), Zone: location.zone, Region: location.region, HasDisk: i < len(scenarioZones)}
+		scenario.Machines = append(scenario.Machines, machine)
 	}
 	spec := &engine.Spec{Slots: 16, Queue: 16, MemoryTokens: 100_000, Stride: 5, Step: 5 * time.Millisecond, PerRunning: 50 * time.Microsecond,
 		PrefillRate: 50, Chunk: 512}
@@ -87,8 +88,9 @@
 				Target: thumbService, MaxTries: 2, Homes: []string{}},
 		},
 		Services: []rules.Service{
-			{Name: modelService, HealthPath: healthPath, MaxConns: modelMaxConns, Protocol: "h1", ColdFor: warmUpSeconds, ColdPerSecond: warmUpPerSecond, Engine: &rules.Engine{
-				Slots: spec.Slots, CacheTokens: spec.MemoryTokens, TokenBytes: 163840, LinkMbps: 1e6, Stride: spec.Stride, Models: []rules.Model{{Name: "m"}}}},
+			{Name: modelService, HealthPath: healthPath, MaxConns: modelMaxConns, Protocol: "h1", ColdFor: warmUpSeconds, ColdPerSecond: warmUpPerSecond,
+				Engine: &rules.Engine{Slots: spec.Slots, CacheTokens: spec.MemoryTokens, TokenBytes: 163840, LinkMbps: 1e6, Stride: spec.Stride,
+					Models: []rules.Model{{Name: "m"}}}},
 			{Name: thumbService, HealthPath: healthPath, MaxConns: thumbMaxConns, Protocol: "h1"},
 		},
 		Limits: rules.Limits{HeaderBytes: 16384, BodyBytes: 4 << 20, HeaderTimeout: 3000, Idle: int(idleTimeout.Milliseconds())},
--- a/internal/lab/testcluster/second.go
+++ b/internal/lab/testcluster/second.go
@@ -28,6 +28,8 @@
 	if s.Stats.FirstTokens > 0 {
 		first = fmt.Sprintf("first p50 %4d ms p99 %4d ms", s.Stats.P50.Milliseconds(), s.Stats.P99.Milliseconds())
 	}
-	return fmt.Sprintf("%4.0fs  %3d requests/s  served %d  refused %d  failed %d  open %d  %s  revision %d  chain %s (epoch %d)  proxies %d (ready %d)",
-		s.At.Seconds(), s.Rate, s.Stats.Served, s.Stats.Refused, s.Stats.Failed+s.Stats.Unanswered, s.Stats.Open, first, s.Revision, chain, s.Epoch, s.LiveProxies, s.ReadyProxies)
+	requests := fmt.Sprintf("%3d requests/s  served %d  refused %d  failed %d  open %d", s.Rate, s.Stats.Served, s.Stats.Refused,
+		s.Stats.Failed+s.Stats.Unanswered, s.Stats.Open)
+	controlPlane := fmt.Sprintf("revision %d  chain %s (epoch %d)", s.Revision, chain, s.Epoch)
+	return fmt.Sprintf("%4.0fs  %s  %s  %s  proxies %d (ready %d)", s.At.Seconds(), requests, first, controlPlane, s.LiveProxies, s.ReadyProxies)
 }
--- a/internal/lab/testcluster/server.go
+++ b/internal/lab/testcluster/server.go
@@ -44,7 +44,7 @@
 	engine     *engine.Engine                // the workload of a server with a model; nil: it has none
 	waiters    map[uint64]chan engine.Output // by the keys of requests
 	openConns  int
-	reports    []report // the first is the one that is served; see reportLag
+	reports    []serverReport // the first is the one that is served; see reportLag
 	draining   bool
 	withdrawAt time.Duration // end of a server that is withdrawn; rules.Never: it is not withdrawn
 	stoppedAt  time.Duration // of a server that has ended as planned; rules.Never: it has not
--- a/internal/lab/testcluster/server_links.go
+++ b/internal/lab/testcluster/server_links.go
@@ -13,34 +13,34 @@
 // recognises the proxy of a connection by the first request on it: its attempt id is one that a client has sent to that proxy.
 
 // recordSender records that a client sends the attempt id to the proxy at an address. It does nothing where there are no links.
-func (n *Links) recordSender(id, proxy string) {
-	if n != nil {
-		n.senders.Store(id, proxy)
+func (l *Links) recordSender(id, proxy string) {
+	if l != nil {
+		l.senders.Store(id, proxy)
 	}
 }
 
 // createServerLinks creates a link from each proxy to each server, so that faults can be injected into them from the start.
-func (n *Links) createServerLinks(machines []Machine, servers []ServerSpec) {
+func (l *Links) createServerLinks(machines []Machine, servers []ServerSpec) {
 	for _, s := range servers {
 		for _, m := range machines {
-			n.linkFor(Path{From: ProxyName(m), To: s.Address}, false)
+			l.linkFor(Path{From: ProxyName(m), To: s.Address}, false)
 		}
 	}
 }
 
 // serverLink returns the link of a connection to a server by the connection's first bytes. Connections that are not known to be of a proxy
 // share one link.
-func (n *Links) serverLink(server string, first []byte) *link.Link {
-	return n.linkFor(Path{From: n.sender(first), To: server}, false)
+func (l *Links) serverLink(server string, first []byte) *link.Link {
+	return l.linkFor(Path{From: l.sender(first), To: server}, false)
 }
 
 // sender returns the name of the proxy that sends the request which begins with first, or "" if that is not known.
-func (n *Links) sender(first []byte) string {
+func (l *Links) sender(first []byte) string {
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(first)))
 	if err != nil {
 		return ""
 	}
-	at, ok := n.senders.Load(r.Header.Get("X-Attempt-Id"))
+	at, ok := l.senders.Load(r.Header.Get("X-Attempt-Id"))
 	if !ok {
 		return ""
 	}
--- a/internal/lab/testcluster/server_state.go
+++ b/internal/lab/testcluster/server_state.go
@@ -52,8 +52,8 @@
 // reportLag is by how much GET /report is out of date.
 const reportLag = 200 * time.Millisecond
 
-// report is the answer of GET /report as of one moment.
-type report struct {
+// serverReport is the answer of GET /report as of one moment.
+type serverReport struct {
 	at time.Duration
 
 	Stage    string        `json:"stage"`
@@ -80,16 +80,16 @@
 }
 
 // updateReports records a report of the present, and returns the one to serve; ok is false for a server without a model.
-func (s *Server) updateReports() (shown report, ok bool) {
+func (s *Server) updateReports() (shown serverReport, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.engine == nil {
-		return report{}, false
+		return serverReport{}, false
 	}
 	s.deliver()
 	now := s.env.Now()
 	figures := s.engine.Figures()
-	current := report{at: now, Stage: modelStage, Models: listedModels(), Used: figures.Used, Capacity: s.Engine.MemoryTokens, Handled: figures.Handled}
+	current := serverReport{at: now, Stage: modelStage, Models: listedModels(), Used: figures.Used, Capacity: s.Engine.MemoryTokens, Handled: figures.Handled}
 	current.Active, current.Queued = s.engine.Load()
 	s.reports = append(s.reports, current)
 	for len(s.reports) > 1 && s.reports[1].at <= now-reportLag {
