--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster"
 )
 
-// TestPlans: a seed gives one plan; every plan holds the incident, and faults end by themselves, overlap, and do not
-// touch what another one touches.
+// TestPlans checks that a seed always gives the same plan, that each plan has the restart of a zone during an evacuation, and that faults overlap
+// within their bounds and without a claim in common.
 func TestPlans(t *testing.T) {
 	counts := planCounts{kinds: map[Kind]int{}, partitioned: map[int]int{}}
 	for _, last := range []time.Duration{MinDuration, 30 * time.Second, MaxDuration} {
@@ -59,16 +59,16 @@
 			t.Errorf("no proxy is ever cut from %d servers", n)
 		}
 	}
-	for _, o := range kindWeights {
+	for _, o := range kindSpecs {
 		if c.kinds[o.kind] == 0 {
 			t.Errorf("%q never happens", o.kind)
 		}
 	}
 }
 
-// TestWakePlans: the proxy is paused before the evacuation begins, and goes on while the zone's servers warm up.
+// TestWakePlans checks that the proxy is paused before the evacuation begins, and continues while the zone's servers warm up.
 func TestWakePlans(t *testing.T) {
-	for form, faults := range map[Waking]int{WakeOne: 3, WakeCut: 4, WakeTwo: 3} {
+	for form, faults := range map[Waking]int{WakeOne: 3, WakePartitioned: 4, WakeTwo: 3} {
 		t.Run(string(form), func(t *testing.T) {
 			scenario := NewWakeScenario(1)
 			plan := Wake(1, form, scenario)
@@ -83,7 +83,7 @@
 				t.Errorf("%v", plan.Faults)
 			}
 			checkWakeTimes(t, byKind, scenario)
-			checkWakePartition(t, byKind, form == WakeCut)
+			checkWakePartition(t, byKind, form == WakePartitioned)
 			if n := scenario.Servers[0].Engine.Slots; n != wakeSlots || NewScenario(1).Servers[0].Engine.Slots != slots {
 				t.Errorf("%d slots", n)
 			}
@@ -98,7 +98,7 @@
 	if pause.Start >= evacuation.Start || pause.end() < warmUpStart+ackedWithin || pause.end() > warmUpStart+evacuation.WarmUpLead {
 		t.Errorf("%v, with %v", pause, evacuation)
 	}
-	if wait := scenario.Kinds[question].Deadline; wait <= pause.Length {
+	if wait := scenario.Kinds[questionRoute].Deadline; wait <= pause.Length {
 		t.Errorf("clients wait %v: %v", wait, pause)
 	}
 }
@@ -110,7 +110,7 @@
 	if ok != want {
 		t.Errorf("partition: %v, want %v", ok, want)
 	}
-	if ok && (partition.Target != pause.Target || partition.Start > pause.end() || partition.end() != pause.end()+cutAfter) {
+	if ok && (partition.Target != pause.Target || partition.Start > pause.end() || partition.end() != pause.end()+partitionAfter) {
 		t.Errorf("partition: %v", partition)
 	}
 }
@@ -119,7 +119,7 @@
 
 func checkPlan(t *testing.T, plan *Plan, scene *testcluster.Scenario) {
 	t.Helper()
-	drawing := &drawer{scene: scene}
+	drawing := &drawer{scenario: scene}
 	if plan.Delay < 20*time.Millisecond || plan.Delay > 55*time.Millisecond {
 		t.Errorf("seed %d: %v between regions", plan.Seed, plan.Delay)
 	}
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestPathsAndStates: what a cut or slow link is laid on, and which way.
+// TestPathsAndStates checks into which links partitions and delays are injected, and in which direction.
 func TestPathsAndStates(t *testing.T) {
 	const ip, server = "127.0.1.1", "127.0.2.1:0"
 	m, other := testcluster.Machine{IP: ip}, testcluster.Machine{IP: "127.0.1.2"}
