--- a/cmd/controlplane/chain.go
+++ b/cmd/controlplane/chain.go
@@ -7,15 +7,14 @@
 
 	"github.com/cockroachdb/errors"
 
+	"gradeusher.example/gradeusher/internal/system/process"
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/settings"
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-const (
-	killMargin      = 700 * time.Millisecond // kept free before the platform kills the process
-	minLeaveTimeout = time.Second            // for the others to remove this node from the chain, however short the grace period
-)
+// minLeaveTimeout is for the others to remove this node from the chain, however short the grace period.
+const minLeaveTimeout = time.Second
 
 // openChain joins the chain: as a replica where there is a disk, as an observer otherwise. A damaged log is quarantined.
 func (n *node) openChain(ctx context.Context) error {
@@ -108,5 +107,5 @@
 
 // leaveTimeout is how long leaveChain may take within a grace period.
 func leaveTimeout(graceSeconds float64) time.Duration {
-	return max(minLeaveTimeout, settings.Seconds(graceSeconds)-killMargin)
+	return max(minLeaveTimeout, process.GracePeriod(graceSeconds))
 }
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -22,10 +22,8 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-const (
-	maxDirectoryTTL = time.Second            // of the directory's answers, so that a proxy that ended is named no longer
-	killMargin      = 700 * time.Millisecond // kept free before the platform kills the process
-)
+// maxDirectoryTTL bounds how long clients may keep the directory's answers, so that a proxy that ended is named no longer.
+const maxDirectoryTTL = time.Second
 
 // proxyProcess is the process: its parts, and the links between them.
 type proxyProcess struct {
@@ -171,7 +169,7 @@
 
 // gracePeriod is how long requests in flight may take after the process was told to end.
 func (p *proxyProcess) gracePeriod() time.Duration {
-	return settings.Seconds(p.settings.Bounds.GraceSeconds) - killMargin
+	return process.GracePeriod(p.settings.Bounds.GraceSeconds)
 }
 
 // pickSettings derives the picker's settings from those of the deployment.
--- a/internal/system/process/process.go
+++ b/internal/system/process/process.go
@@ -5,6 +5,7 @@
 	"os"
 	"os/signal"
 	"syscall"
+	"time"
 
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/logfmt"
@@ -13,6 +14,15 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
+// killMargin is kept free between a process's own end and the moment at which the platform kills it.
+const killMargin = 700 * time.Millisecond
+
+// GracePeriod returns how long a process may take to end after SIGTERM, where the platform kills it graceSeconds after that. It is negative
+// where graceSeconds is shorter than the margin that is kept free.
+func GracePeriod(graceSeconds float64) time.Duration {
+	return settings.Seconds(graceSeconds) - killMargin
+}
+
 // Process is a running program: from one start to its end.
 type Process struct {
 	Settings *settings.Settings
