--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -34,7 +34,7 @@
 func (t *fakePicker) UpdatePeerLoads(pick.Time, map[string]pick.Load)     {}
 func (t *fakePicker) Loads() map[string]pick.Load                         { return nil }
 func (t *fakePicker) SetIdleTimeout(string, time.Duration)                {}
-func (t *fakePicker) PromptDemands() map[string]pick.Load                 { return nil }
+func (t *fakePicker) PromptDemands() pick.SharedDemands                   { return nil }
 func (t *fakePicker) RecordRequest(pick.Time, *pick.Request)              {}
 func (t *fakePicker) FirstEvent(pick.Time, uint64)                        { t.firstEvents++ }
 func (t *fakePicker) ResponseStarted(pick.Time, uint64)                   {}
--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"maps"
 	"sync"
 	"time"
 
@@ -18,7 +17,7 @@
 	UpdateClusterState(now pick.Time, state pick.ClusterState)
 	UpdatePeerLoads(now pick.Time, loads map[string]pick.Load)
 	Loads() map[string]pick.Load
-	PromptDemands() map[string]pick.Load
+	PromptDemands() pick.SharedDemands
 	Route(host, path string) *config.Route
 	RecordRequest(now pick.Time, r *pick.Request)
 	Pick(now pick.Time, r *pick.Request, tried []string, mayHaveRun bool) pick.Result
@@ -91,7 +90,7 @@
 func (p *lockedPicker) Loads() (loads map[string]pick.Load) {
 	p.withLock(func(inner picker, _ pick.Time) {
 		loads = inner.Loads()
-		maps.Copy(loads, inner.PromptDemands())
+		inner.PromptDemands().AddTo(loads)
 	})
 	return loads
 }
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -258,7 +258,7 @@
 	}
 	d.p.UpdatePeerLoads(d.now, others)
 	told := d.p.Loads()
-	maps.Copy(told, d.p.PromptDemands())
+	d.p.PromptDemands().AddTo(told)
 	d.tr.loads(d.now, told)
 }
 
--- a/internal/system/proxy/pick/group.go
+++ b/internal/system/proxy/pick/group.go
@@ -32,7 +32,7 @@
 	mix        promptpool.Mix                         // which kinds of prompts come
 	pools      [promptpool.MaxRegions]promptpool.Pool // by region
 	demand     promptpool.Demand                      // of this proxy
-	peerDemand sharedDemand                           // of all others
+	peerDemand SharedDemand                           // of all others
 }
 
 // group is the group of a service, a new one if need be.
--- a/internal/system/proxy/pick/prompt_pools_test.go
+++ b/internal/system/proxy/pick/prompt_pools_test.go
@@ -91,7 +91,12 @@
 		now += time.Second
 		first.groups["lm"].demand.Add(now, true, 70_000)
 		second.groups["lm"].demand.Add(now, false, 30_000)
-		of := func(x *Picker) map[string]Load { x.groups["lm"].demand.Decay(now); return x.PromptDemands() }
+		of := func(x *Picker) map[string]Load {
+			x.groups["lm"].demand.Decay(now)
+			loads := map[string]Load{}
+			x.PromptDemands().AddTo(loads)
+			return loads
+		}
 		ofP, ofQ := of(first), of(second)
 		first.UpdatePeerLoads(now, ofQ)
 		second.UpdatePeerLoads(now, ofP)
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -3,7 +3,6 @@
 import (
 	"container/list"
 	"fmt"
-	"maps"
 	"math"
 	"math/rand/v2"
 	"time"
@@ -118,7 +117,7 @@
 	}
 	for i, p := range f.pickers {
 		each[i] = p.Loads()
-		maps.Copy(each[i], p.PromptDemands())
+		p.PromptDemands().AddTo(each[i])
 		if f.onShare != nil {
 			f.onShare(i, each[i])
 		}
