--- a/internal/system/proxy/headervalues.go
+++ b/internal/system/proxy/headervalues.go
@@ -98,6 +98,20 @@
 	return hints
 }
 
+// recordIn records the hints, which came from the server with this id at now.
+func (h serverHints) recordIn(recorder hintRecorder, now pick.Time, serverID string) {
+	if h.hasLoad {
+		recorder.ServerLoad(now, serverID, h.running, h.waiting, h.slots)
+	}
+	if h.warmingUp {
+		recorder.WarmingUp(now, serverID, h.warmUpLeft)
+	}
+	recorder.SetIdleTimeout(serverID, h.idleTimeout)
+	if h.draining {
+		recorder.ServerDraining(now, serverID)
+	}
+}
+
 // parseKeepAlive reads from Keep-Alive for how long a server keeps idle connections, in whole seconds; 0: not announced.
 func parseKeepAlive(header http.Header) time.Duration {
 	for _, value := range header["Keep-Alive"] {
--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -8,33 +8,6 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// picker chooses servers; it is implemented by pick.Picker. It is not safe for concurrent use.
-//
-// It is an interface so that the proxy's tests can say which server comes next and see how each attempt was reported (fakePicker):
-// what pick.Picker chooses depends on estimates, and its own tests cover that. It is as wide as the part of pick.Picker that the proxy
-// calls, and only lockedPicker calls it.
-type picker interface {
-	UpdateClusterState(now pick.Time, state pick.ClusterState)
-	UpdatePeerLoads(now pick.Time, loads map[string]pick.Load)
-	Loads() map[string]pick.Load
-	PromptDemands() pick.SharedDemands
-	Route(host, path string) *config.Route
-	RecordRequest(now pick.Time, r *pick.Request)
-	Pick(now pick.Time, r *pick.Request, tried []string, mayHaveRun bool) pick.Result
-	ServerLoad(now pick.Time, id string, running, waiting, slots int)
-	ResponseStarted(now pick.Time, ticket uint64)
-	FirstEvent(now pick.Time, ticket uint64)
-	Done(now pick.Time, ticket uint64, outcome pick.AttemptOutcome, retryAfter time.Duration)
-	WarmingUp(now pick.Time, id string, timeLeft time.Duration)
-	ServerDraining(now pick.Time, id string)
-	SetIdleTimeout(id string, timeout time.Duration)
-	Describe(now pick.Time) string
-	Stats() pick.Stats
-	AwaitsServerList() bool
-	RecordStall(now pick.Time)
-	AwaitsControlPlane() bool
-}
-
 // lockedPicker is a picker with a lock and a monotonic clock. It tells the picker when the process has stalled. It is safe for
 // concurrent use.
 type lockedPicker struct {
@@ -62,14 +35,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Since(p.start)
-	stalled = p.stalls.observeRun(now)
-	if stalled {
-		p.inner.RecordStall(now)
-	}
+	stalled = p.stalls.observeRun(now, p.inner)
 	call(p.inner, now)
-	if !p.inner.AwaitsControlPlane() {
-		p.stalls.releaseWaiters()
-	}
+	p.stalls.releaseWaiters(p.inner)
 	return stalled
 }
 
@@ -88,10 +56,14 @@
 
 // Loads returns this proxy's requests in flight, by server, and its prompt demands.
 func (p *lockedPicker) Loads() (loads map[string]pick.Load) {
-	p.withLock(func(inner picker, _ pick.Time) {
-		loads = inner.Loads()
-		inner.PromptDemands().AddTo(loads)
-	})
+	p.withLock(func(inner picker, _ pick.Time) { loads = sharedLoads(inner) })
+	return loads
+}
+
+// sharedLoads returns the requests in flight of a proxy, by server, and its prompt demands, as proxies share them.
+func sharedLoads(source loadSource) map[string]pick.Load {
+	loads := source.Loads()
+	source.PromptDemands().AddTo(loads)
 	return loads
 }
 
@@ -144,15 +116,6 @@
 func (p *lockedPicker) ResponseStarted(ticket uint64, serverID string, hints serverHints) {
 	p.withLock(func(inner picker, now pick.Time) {
 		inner.ResponseStarted(now, ticket)
-		if hints.hasLoad {
-			inner.ServerLoad(now, serverID, hints.running, hints.waiting, hints.slots)
-		}
-		if hints.warmingUp {
-			inner.WarmingUp(now, serverID, hints.warmUpLeft)
-		}
-		inner.SetIdleTimeout(serverID, hints.idleTimeout)
-		if hints.draining {
-			inner.ServerDraining(now, serverID)
-		}
+		hints.recordIn(inner, now, serverID)
 	})
 }
--- a/internal/system/proxy/stall.go
+++ b/internal/system/proxy/stall.go
@@ -33,11 +33,12 @@
 	waitUntil pick.Time     // requests wait for it no longer than until then
 }
 
-// observeRun records that the process runs at now, and reports whether it had stalled until just before.
-func (s *stallDetector) observeRun(now pick.Time) (stalled bool) {
+// observeRun records that the process runs at now, and reports whether it had stalled until just before. The recorder learns of a stall.
+func (s *stallDetector) observeRun(now pick.Time, recorder stallRecorder) (stalled bool) {
 	stalled = s.enabled && now-s.lastRan > stallThreshold
 	s.lastRan = now
 	if stalled {
+		recorder.RecordStall(now)
 		s.waitUntil = now + stallContactTimeout
 		if s.contact == nil {
 			s.contact = make(chan struct{})
@@ -46,9 +47,9 @@
 	return stalled
 }
 
-// releaseWaiters lets the requests go on that wait for an update.
-func (s *stallDetector) releaseWaiters() {
-	if s.contact != nil {
+// releaseWaiters lets the requests go on that wait for an update, once the recorder awaits none any more.
+func (s *stallDetector) releaseWaiters(recorder stallRecorder) {
+	if s.contact != nil && !recorder.AwaitsControlPlane() {
 		close(s.contact)
 		s.contact = nil
 	}
