--- a/cmd/controlplane/distributor.go
+++ b/cmd/controlplane/distributor.go
@@ -99,9 +99,9 @@
 	return d.assignment.Owns(listRole)
 }
 
-// listVersion returns the token, the version and the age of the list in use.
-func (d *distributor) listVersion() (fence, version uint64, age time.Duration) {
-	return d.server.ListVersion()
+// listVersion returns the version and age of the list in use, for the poller.
+func (d *distributor) listVersion() platform.ListVersion {
+	return platform.ListVersion(d.server.ListVersion())
 }
 
 // publishList publishes a result of the poller to the proxies.
--- a/internal/system/distribution/server_list.go
+++ b/internal/system/distribution/server_list.go
@@ -111,14 +111,20 @@
 	return s.table.Servers(time.Now())
 }
 
-// ListVersion returns the fence and version of the newest complete reading of the platform's list that has come here, and its
-// greatest possible age; zeros and the longest duration before any has.
-func (s *Server) ListVersion() (fence, version uint64, age time.Duration) {
+// ListVersion is how new a complete reading of the platform's list is. One with a higher (Fence, Version) replaces one with a lower.
+type ListVersion struct {
+	Fence   uint64 // the fencing token under which it was read
+	Version uint64
+	Age     time.Duration // at most
+}
+
+// ListVersion returns the version of the newest complete reading that has come here; before any has, zeros and the longest duration.
+func (s *Server) ListVersion() ListVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stored := s.table.Get(softstate.ListKey)
 	if stored == nil {
-		return 0, 0, math.MaxInt64
+		return ListVersion{Age: math.MaxInt64}
 	}
-	return stored.Fence, stored.Version, stored.AgeAt(time.Now()).Max
+	return ListVersion{Fence: stored.Fence, Version: stored.Version, Age: stored.AgeAt(time.Now()).Max}
 }
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -42,7 +42,7 @@
 }
 
 func listAge(server *Server) time.Duration {
-	_, _, age := server.ListVersion()
+	age := server.ListVersion().Age
 	return age.Round(100 * time.Millisecond)
 }
 
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -64,7 +64,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w.polls[node] = cancel
 	server := w.servers[node]
-	poller := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{fleet: w}, Newest: server.ListVersion, Log: discardLogger(),
+	poller := platform.NewPoller(platform.PollerOptions{Lister: &fleetLister{fleet: w}, Log: discardLogger(),
+		Newest: func() platform.ListVersion { return platform.ListVersion(server.ListVersion()) },
 		Ownership: func() (uint64, bool) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
--- a/internal/system/platform/poller.go
+++ b/internal/system/platform/poller.go
@@ -27,14 +27,29 @@
 	RequestedAt, ReceivedAt time.Time
 }
 
+// ListVersion is how new a list is. One with a higher (Fence, Version) replaces one with a lower.
+type ListVersion struct {
+	Fence   uint64 // the fencing token under which it was read
+	Version uint64
+	Age     time.Duration // since it was read from the platform, at most
+}
+
+// next returns the version of a result that is read under fence, which is no lower than v's.
+func (v ListVersion) next(fence uint64) uint64 {
+	if fence == v.Fence {
+		return v.Version + 1
+	}
+	return 1
+}
+
 // PollerOptions configure a Poller. Lister, Ownership, Newest and OnResult are required.
 type PollerOptions struct {
 	Lister Lister
 	// Ownership reports whether this process is to poll now, and its fencing token.
 	Ownership func() (fence uint64, holds bool)
-	// Newest returns the fencing token and version of the list in use, whoever read it, and how long ago it was read from the
-	// platform. Versions continue from there, so that the results of a restarted poller are newer than those before.
-	Newest   func() (fence, version uint64, age time.Duration)
+	// Newest returns the version and age of the list in use, whoever read it. Versions continue from there, so that the results of a
+	// restarted poller are newer than those before.
+	Newest   func() ListVersion
 	OnResult func(Result) // called by Run, one at a time
 
 	Interval          time.Duration // from the start of one poll to that of the next; 0: 500 ms
@@ -89,12 +104,12 @@
 // poll reads the list once if it is this process's turn, and returns how long to wait until the next call of poll.
 func (p *Poller) poll(ctx context.Context) time.Duration {
 	fence, owns := p.options.Ownership()
-	newestFence, version, age := p.options.Newest()
-	if fence < newestFence {
+	newest := p.options.Newest()
+	if fence < newest.Fence {
 		// Another node acts under a newer token: a result under this one would be rejected.
 		return p.options.Interval
 	}
-	act, next := p.standby.Next(owns, age, rand.Float64())
+	act, next := p.standby.Next(owns, newest.Age, rand.Float64())
 	if !act {
 		p.backoff.failures = 0
 		return next
@@ -104,10 +119,7 @@
 	wait := max(next, p.backoff.next(calls, err))
 	switch {
 	case err == nil:
-		result.Fence, result.Version = fence, 1
-		if fence == newestFence {
-			result.Version = version + 1
-		}
+		result.Fence, result.Version = fence, newest.next(fence)
 		p.options.OnResult(result)
 	case ctx.Err() == nil:
 		p.options.Log.WithError(err).Warn("platform: list not read, the old one stays in use")
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -61,13 +61,13 @@
 	b.taken++
 }
 
-func (b *listTable) newest() (uint64, uint64, time.Duration) {
+func (b *listTable) newest() ListVersion {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.at.IsZero() {
-		return b.fence, b.version, time.Hour
+		return ListVersion{b.fence, b.version, time.Hour}
 	}
-	return b.fence, b.version, time.Since(b.at)
+	return ListVersion{b.fence, b.version, time.Since(b.at)}
 }
 
 func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
