--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -12,29 +12,29 @@
 
 // census records the fewest members that any of some subscribers was notified of.
 type census struct {
-	mu    sync.Mutex
-	least int
-	on    bool
+	mu         sync.Mutex
+	minMembers int
+	on         bool
 }
 
 func (c *census) observe(update Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.on {
-		c.least = min(c.least, len(update.Members))
+		c.minMembers = min(c.minMembers, len(update.Members))
 	}
 }
 
 func (c *census) begin(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.on, c.least = true, n
+	c.on, c.minMembers = true, n
 }
 
 func (c *census) fewest() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.least
+	return c.minMembers
 }
 
 const censusMembers = 9
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -76,10 +76,10 @@
 func TestMoveToNodeWithOlderList(t *testing.T) {
 	now := time.Now()
 	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
-	reply := func(cold time.Duration, version, least, most uint64) *distributionpb.FollowReply {
+	reply := func(cold time.Duration, version, minAge, maxAge uint64) *distributionpb.FollowReply {
 		return &distributionpb.FollowReply{Full: true, Complete: true, Entries: []*distributionpb.Entry{
-			{Key: softstate.ListKey, Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least},
-			{Key: softstate.ServerPrefix + "a", Fence: 1, Version: version, AgeMs: most, LeastAgeMs: &least,
+			{Key: softstate.ListKey, Fence: 1, Version: version, AgeMs: maxAge, LeastAgeMs: &minAge},
+			{Key: softstate.ServerPrefix + "a", Fence: 1, Version: version, AgeMs: maxAge, LeastAgeMs: &minAge,
 				Value: softstate.EncodeServer(pick.Server{ID: "a", Service: "x", WarmUpMax: cold})}}}
 	}
 	subscriber.soft.applyEntries(now, softstate.Age{}, reply(3*time.Second, 9, 0, 100))
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -118,14 +118,14 @@
 		return
 	}
 	for name, proxy := range f.proxies {
-		f.noteRegress(proxy)
+		f.recordRegress(proxy)
 		f.killProxy(name)
 		return
 	}
 }
 
-// noteRegress remembers whether a proxy has gone back.
-func (f *faultRun) noteRegress(proxy *testProxy) {
+// recordRegress records whether a proxy has gone back.
+func (f *faultRun) recordRegress(proxy *testProxy) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	f.wentBack = f.wentBack || proxy.wentBack
@@ -175,7 +175,7 @@
 		return followed == len(f.proxies)
 	})
 	for name, proxy := range f.proxies {
-		f.noteRegress(proxy)
+		f.recordRegress(proxy)
 		f.checkProxy(name, proxy, seq)
 	}
 	if f.wentBack {
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -230,15 +230,15 @@
 }
 
 // maxInASecond is how many of the moments, which are in order, lie in one second at the most.
-func maxInASecond(sent []Time) (most int) {
+func maxInASecond(sent []Time) (peak int) {
 	for i, at := range sent {
 		j := i
 		for j < len(sent) && sent[j] < at+time.Second {
 			j++
 		}
-		most = max(most, j-i)
+		peak = max(peak, j-i)
 	}
-	return most
+	return peak
 }
 
 // TestWarmUpBound lets many proxies press upon a warming server with all they may, while each learns at its own time of proxies that come and
@@ -259,9 +259,9 @@
 				}
 			}
 		}
-		most := maxInASecond(sent)
-		if float64(most) > run.rate*1.5+5 {
-			t.Fatalf("%d requests in a second, of %v", most, run.rate*1.5+5)
+		peak := maxInASecond(sent)
+		if float64(peak) > run.rate*1.5+5 {
+			t.Fatalf("%d requests in a second, of %v", peak, run.rate*1.5+5)
 		}
 		if len(sent) == 0 {
 			t.Fatal("the warming server got nothing")
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -301,7 +301,7 @@
 	return true
 }
 
-// drawn is a lognormal value of a mean and a spread, at most most.
-func drawn(rng *rand.Rand, mean, spread, most float64) float64 {
-	return min(mean*math.Exp(spread*rng.NormFloat64()-spread*spread/2), most)
+// drawn is a lognormal value of a mean and a spread, at most limit.
+func drawn(rng *rand.Rand, mean, spread, limit float64) float64 {
+	return min(mean*math.Exp(spread*rng.NormFloat64()-spread*spread/2), limit)
 }
--- a/internal/system/proxy/pick/sim_parts_test.go
+++ b/internal/system/proxy/pick/sim_parts_test.go
@@ -45,7 +45,7 @@
 	priority                      int
 	homeRegions                   []string
 	chain                         []shareSpec
-	own                           [3]float64 // mean, spread, most
+	own                           [3]float64 // mean, spread, limit
 	out                           [3]float64 // events
 	bytesEach, bytes              float64    // for a token in, for an event out
 	resumable                     bool
@@ -55,9 +55,9 @@
 }
 
 type shareSpec struct {
-	mean, spread, most float64
-	things             int
-	skew               float64
+	mean, spread, limit float64
+	things              int
+	skew                float64
 }
 
 // tally is what a kind came to.
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -60,7 +60,7 @@
 			var things []PrefixPart
 			for range sh.things {
 				built.ownID++
-				things = append(things, PrefixPart{ID: built.ownID, Tokens: max(int(drawn(built.rng, sh.mean, sh.spread, sh.most)), 1)})
+				things = append(things, PrefixPart{ID: built.ownID, Tokens: max(int(drawn(built.rng, sh.mean, sh.spread, sh.limit)), 1)})
 			}
 			built.weights[sh] = zipf(sh.things, sh.skew)
 			built.sharedParts[requests.name] = append(built.sharedParts[requests.name], things)
--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -79,7 +79,7 @@
 }
 
 // play lets 260 requests a second come until the servers are warm, and gives the most that a cold one got within a second.
-func (g *waitingFleet) play() (most int) {
+func (g *waitingFleet) play() (peak int) {
 	const step = 5 * time.Millisecond
 	came := 0
 	for now := Time(0); now < warmUpDuration; now += step {
@@ -93,9 +93,9 @@
 		}
 	}
 	for _, sent := range g.sent {
-		most = max(most, maxInASecond(sent))
+		peak = max(peak, maxInASecond(sent))
 	}
-	return most
+	return peak
 }
 
 // maxWarmUpRequests is what a server of the group may get within a second while it is cold.
@@ -105,10 +105,10 @@
 // moment in which it is warm, where the proxies know that moment.
 func TestNoFloodAtTheEndOfWarmUp(t *testing.T) {
 	g := newWaitingFleet(0)
-	most := g.play()
-	t.Logf("at most %d requests in a second", most)
-	if float64(most) > maxWarmUpRequests {
-		t.Errorf("%d requests in a second, of %v", most, maxWarmUpRequests)
+	peak := g.play()
+	t.Logf("at most %d requests in a second", peak)
+	if float64(peak) > maxWarmUpRequests {
+		t.Errorf("%d requests in a second, of %v", peak, maxWarmUpRequests)
 	}
 	if len(g.sent) != 5 {
 		t.Errorf("only %d of 5 cold servers got any", len(g.sent))
@@ -119,9 +119,9 @@
 // state, all that waits goes out at once. This package can't know better, so it is not to be mended here: those who pass
 // the word on must let it err late (distribution's TestColdNeverEndsEarly).
 func TestEarlyEndFloodsTheWarmingServer(t *testing.T) {
-	most := newWaitingFleet(80 * time.Millisecond).play()
-	t.Logf("at most %d requests in a second", most)
-	if float64(most) <= maxWarmUpRequests {
-		t.Errorf("%d requests in a second: the end of the cold state as told no longer matters, so TestNoFloodAtTheEndOfWarmUp shows nothing", most)
+	peak := newWaitingFleet(80 * time.Millisecond).play()
+	t.Logf("at most %d requests in a second", peak)
+	if float64(peak) <= maxWarmUpRequests {
+		t.Errorf("%d requests in a second: the end of the cold state as told no longer matters, so TestNoFloodAtTheEndOfWarmUp shows nothing", peak)
 	}
 }
--- a/internal/system/proxy/pick/warmup_listing_test.go
+++ b/internal/system/proxy/pick/warmup_listing_test.go
@@ -11,29 +11,29 @@
 // TestWarmUpBoundAroundListing: members come and go, and each proxy hears of it, and of servers that start or turn cold again, up to 1.6 s
 // later, in order; a proxy that has gone for the others hears of that likewise. Within any second no server gets more than its bound.
 func TestWarmUpBoundAroundListing(t *testing.T) {
-	most := 0
-	rapid.Check(t, func(t *rapid.T) { most = max(most, aroundListing(t, 3, 1)) })
-	t.Logf("at most %d", most)
+	peak := 0
+	rapid.Check(t, func(t *rapid.T) { peak = max(peak, aroundListing(t, 3, 1)) })
+	t.Logf("at most %d", peak)
 }
 
 // TestWarmUpBoundWhileAFleetGrows: as before, with as many that join as there are, or more.
 func TestWarmUpBoundWhileAFleetGrows(t *testing.T) {
-	most := 0
-	rapid.Check(t, func(t *rapid.T) { most = max(most, aroundListing(t, 1, 2)) })
-	t.Logf("at most %d", most)
+	peak := 0
+	rapid.Check(t, func(t *rapid.T) { peak = max(peak, aroundListing(t, 1, 2)) })
+	t.Logf("at most %d", peak)
 }
 
 // aroundListing plays one such run, in which up to growth times a part of the proxies join, and gives the most.
-func aroundListing(t *rapid.T, part, growth int) (most int) {
+func aroundListing(t *rapid.T, part, growth int) (peak int) {
 	run := newListingRun(t, part, growth)
 	run.drawHistory(t, part)
 	run.drawLearning(t)
 	sent := run.play()
-	most = maxInASecond(sent)
-	if float64(most) > maxWarmUpRequests {
-		t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, of %v", run.first, len(run.fleet.pickers), run.loadFrom, most, maxWarmUpRequests)
+	peak = maxInASecond(sent)
+	if float64(peak) > maxWarmUpRequests {
+		t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, of %v", run.first, len(run.fleet.pickers), run.loadFrom, peak, maxWarmUpRequests)
 	}
-	return most
+	return peak
 }
 
 // listingRun is a fleet whose members come and go, and a server that starts and warms up again.
--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -71,8 +71,8 @@
 
 func (f *warmUpFleet) checkBound(t *testing.T) {
 	t.Helper()
-	if most := maxInASecond(f.sent); float64(most) > maxWarmUpRequests {
-		t.Errorf("%d requests in a second, of %v", most, maxWarmUpRequests)
+	if peak := maxInASecond(f.sent); float64(peak) > maxWarmUpRequests {
+		t.Errorf("%d requests in a second, of %v", peak, maxWarmUpRequests)
 	}
 }
 
--- a/internal/system/proxy/pick/warmup_senders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -29,8 +29,8 @@
 					}
 					arrived = append(arrived, at)
 				}
-				if most, bound := maxInASecond(arrived), rate*1.5+5; float64(most) > bound {
-					t.Errorf("%d requests in a second, of %v", most, bound)
+				if peak, bound := maxInASecond(arrived), rate*1.5+5; float64(peak) > bound {
+					t.Errorf("%d requests in a second, of %v", peak, bound)
 				}
 			})
 		}
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -202,14 +202,14 @@
 			cluster.start(observed(a, seeds, seeds))
 		}
 		off := seeds[round%3]
-		cut := time.Duration(round) * 50 * time.Millisecond
+		partitionStart := time.Duration(round) * 50 * time.Millisecond
 		cluster.filter = func(from, to string, _ *replicationpb.Message) bool {
-			if cluster.now < cut {
+			if cluster.now < partitionStart {
 				return true
 			}
 			return from != off && to != off || from == "k1" || to == "k1"
 		}
-		cluster.run(cut)
+		cluster.run(partitionStart)
 		again := observed(seeds[(round+1)%3], seeds, seeds)
 		again.Bootstrap = false // a start that is not the first of all
 		again.Self.ID = "again"
--- a/internal/system/replication/partition_test.go
+++ b/internal/system/replication/partition_test.go
@@ -9,10 +9,10 @@
 )
 
 // partitionDirections tell which messages are lost while a node is partitioned.
-var partitionDirections = map[string]func(from, to, cut string) bool{
-	"both ways": func(from, to, cut string) bool { return from == cut || to == cut },
-	"from it":   func(from, _, cut string) bool { return from == cut },
-	"to it":     func(_, to, cut string) bool { return to == cut },
+var partitionDirections = map[string]func(from, to, partitioned string) bool{
+	"both ways": func(from, to, partitioned string) bool { return from == partitioned || to == partitioned },
+	"from it":   func(from, _, partitioned string) bool { return from == partitioned },
+	"to it":     func(_, to, partitioned string) bool { return to == partitioned },
 }
 
 // TestPartitionOf20Seconds partitions one replica of three for 20 s, both ways or one, with all that was in flight delivered late, at
@@ -32,25 +32,25 @@
 
 // replicaPartition is a run in which one of three replicas is partitioned.
 type replicaPartition struct {
-	t         *testing.T
-	cluster   *scriptedCluster
-	direction string
-	cut       string // address of the replica
-	other     string // where changes go on
-	began     time.Duration
-	acked     uint64 // newest record acknowledged at the others
+	t           *testing.T
+	cluster     *scriptedCluster
+	direction   string
+	partitioned string // address of the replica
+	other       string // where changes go on
+	began       time.Duration
+	acked       uint64 // newest record acknowledged at the others
 
 	change, read, here uint64 // calls in progress: at the other, and a read and a change at the partitioned replica
 	rev                int64
 }
 
 // play returns how long after the partition there are three replicas again, and how long until the one is current.
-func (p *replicaPartition) play(index int, stops func(from, to, cut string) bool) (rejoined, current time.Duration) {
+func (p *replicaPartition) play(index int, stops func(from, to, partitioned string) bool) (rejoined, current time.Duration) {
 	p.t.Helper()
-	p.cut, p.other = p.cluster.replica(index), p.cluster.replica((index+1)%3)
+	p.partitioned, p.other = p.cluster.replica(index), p.cluster.replica((index+1)%3)
 	var late []Envelope
 	p.cluster.filter = func(from, to string, m *replicationpb.Message) bool {
-		if stops(from, to, p.cut) {
+		if stops(from, to, p.partitioned) {
 			late = append(late, Envelope{Addr: to, Msg: m})
 			return false
 		}
@@ -62,15 +62,15 @@
 		p.check()
 	}
 	if p.acked < 20 {
-		p.t.Fatalf("%s of %s: %d changes were acknowledged at the others", p.direction, p.cut, p.acked)
+		p.t.Fatalf("%s of %s: %d changes were acknowledged at the others", p.direction, p.partitioned, p.acked)
 	}
 	p.cluster.filter = nil
 	for _, e := range late {
 		p.cluster.deliver(e)
 	}
-	rejoined = p.cluster.until(5*time.Second, p.direction+" of "+p.cut+": three replicas", func() bool { return p.cluster.complete(3, 3) })
+	rejoined = p.cluster.until(5*time.Second, p.direction+" of "+p.partitioned+": three replicas", func() bool { return p.cluster.complete(3, 3) })
 	current = rejoined + p.cluster.until(5*time.Second, "it is current", func() bool {
-		node := p.cluster.nodes[p.cut]
+		node := p.cluster.nodes[p.partitioned]
 		return node.core.Current(p.cluster.clock(node)) && node.core.chain.commitIndex >= p.acked
 	})
 	return rejoined, current
@@ -92,16 +92,16 @@
 
 func (p *replicaPartition) callPartitioned() {
 	if p.ended(p.read) {
-		p.read = p.cluster.read(p.cut, time.Second)
+		p.read = p.cluster.read(p.partitioned, time.Second)
 	}
 	if !p.ended(p.here) {
 		return
 	}
 	d := p.cluster.done[p.here]
 	if d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
-		p.t.Fatalf("%s of %s: a change at it ended with %v", p.direction, p.cut, d.Verdict)
+		p.t.Fatalf("%s of %s: a change at it ended with %v", p.direction, p.partitioned, d.Verdict)
 	}
-	p.here = p.cluster.submit(p.cut, replacing(p.cluster.nodes[p.cut].core.chain.state.(*toy).rev, "at the cut one"), time.Second)
+	p.here = p.cluster.submit(p.partitioned, replacing(p.cluster.nodes[p.partitioned].core.chain.state.(*toy).rev, "at the cut one"), time.Second)
 }
 
 // check holds what the partitioned replica gives against what was acknowledged, from 2 s after the beginning.
@@ -110,10 +110,10 @@
 		return
 	}
 	if d := p.cluster.done[p.read]; d.Outcome == Answered && d.Seq+1 < p.acked {
-		p.t.Fatalf("%s of %s: a read gave record %d, %d was acknowledged", p.direction, p.cut, d.Seq, p.acked)
+		p.t.Fatalf("%s of %s: a read gave record %d, %d was acknowledged", p.direction, p.partitioned, d.Seq, p.acked)
 	}
-	node := p.cluster.nodes[p.cut]
+	node := p.cluster.nodes[p.partitioned]
 	if node.core.Current(p.cluster.clock(node)) && node.core.chain.commitIndex+1 < p.acked {
-		p.t.Fatalf("%s of %s: it counts as current with record %d of %d", p.direction, p.cut, node.core.chain.commitIndex, p.acked)
+		p.t.Fatalf("%s of %s: it counts as current with record %d of %d", p.direction, p.partitioned, node.core.chain.commitIndex, p.acked)
 	}
 }
--- a/internal/system/replication/partitioned_node_test.go
+++ b/internal/system/replication/partitioned_node_test.go
@@ -32,17 +32,17 @@
 		for place := range 5 {
 			cluster := reachCluster(t)
 			nodes := []string{cluster.replica(0), cluster.replica(1), cluster.replica(2), "s", "o"}
-			cut := nodes[place]
-			cluster.filter = func(from, to string, _ *replicationpb.Message) bool { return !stops(from, to, cut) }
-			noticed := cluster.until(2500*time.Millisecond, "it is noticed", func() bool { return cluster.partition(cut) })
+			partitioned := nodes[place]
+			cluster.filter = func(from, to string, _ *replicationpb.Message) bool { return !stops(from, to, partitioned) }
+			noticed := cluster.until(2500*time.Millisecond, "it is noticed", func() bool { return cluster.partition(partitioned) })
 			if noticed < time.Second {
 				t.Errorf("%s, place %d: partitioned after %v, within which a node may be silent", name, place, noticed)
 			}
 			for range 100 {
-				cluster.checkPartitioned(fmt.Sprintf("%s, place %d", name, place), nodes, cut)
+				cluster.checkPartitioned(fmt.Sprintf("%s, place %d", name, place), nodes, partitioned)
 			}
 			cluster.filter = nil
-			ended := cluster.until(1500*time.Millisecond, "its end is noticed", func() bool { return !cluster.partition(cut) })
+			ended := cluster.until(1500*time.Millisecond, "its end is noticed", func() bool { return !cluster.partition(partitioned) })
 			t.Logf("%s, place %d: noticed after %v, its end after %v", name, place, noticed, ended)
 		}
 	}
@@ -50,14 +50,14 @@
 
 // checkPartitioned asks the partitioned node for a change, which must not be answered within 20 steps, and checks at each that it alone of
 // the nodes counts as partitioned.
-func (cluster *scriptedCluster) checkPartitioned(name string, nodes []string, cut string) {
+func (cluster *scriptedCluster) checkPartitioned(name string, nodes []string, partitioned string) {
 	cluster.t.Helper()
-	id := cluster.submit(cut, evacuating("z"), 700*time.Millisecond)
+	id := cluster.submit(partitioned, evacuating("z"), 700*time.Millisecond)
 	for range 20 {
 		cluster.step()
 		for _, other := range nodes {
-			if got := cluster.partition(other); got != (other == cut) {
-				cluster.t.Fatalf("%s: partitioned %v at %s while %s is cut", name, got, other, cut)
+			if got := cluster.partition(other); got != (other == partitioned) {
+				cluster.t.Fatalf("%s: partitioned %v at %s while %s is cut", name, got, other, partitioned)
 			}
 		}
 	}
