--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -11,6 +11,7 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/defaults"
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
@@ -46,24 +47,15 @@
 }
 
 func (l ServerLimits) withDefaults() ServerLimits {
-	setDefault := func(d *time.Duration, value time.Duration) {
-		if *d <= 0 {
-			*d = value
-		}
-	}
-	setDefault(&l.LongPollTimeout, time.Second)
-	setDefault(&l.LoadReportInterval, 100*time.Millisecond)
-	setDefault(&l.SubscriberTimeout, 1300*time.Millisecond)
-	setDefault(&l.MinSyncInterval, 50*time.Millisecond)
-	setDefault(&l.MaxSyncInterval, 300*time.Millisecond)
-	setDefault(&l.TombstoneTTL, 60*time.Second)
-	setDefault(&l.TableCompleteAfter, 3*time.Second)
-	if l.MaxRecordsPerReply <= 0 {
-		l.MaxRecordsPerReply = 256
-	}
-	if l.MaxPendingReplyBytes <= 0 {
-		l.MaxPendingReplyBytes = 32 << 20
-	}
+	l.LongPollTimeout = defaults.IfNotPositive(l.LongPollTimeout, time.Second)
+	l.LoadReportInterval = defaults.IfNotPositive(l.LoadReportInterval, 100*time.Millisecond)
+	l.SubscriberTimeout = defaults.IfNotPositive(l.SubscriberTimeout, 1300*time.Millisecond)
+	l.MinSyncInterval = defaults.IfNotPositive(l.MinSyncInterval, 50*time.Millisecond)
+	l.MaxSyncInterval = defaults.IfNotPositive(l.MaxSyncInterval, 300*time.Millisecond)
+	l.TombstoneTTL = defaults.IfNotPositive(l.TombstoneTTL, 60*time.Second)
+	l.TableCompleteAfter = defaults.IfNotPositive(l.TableCompleteAfter, 3*time.Second)
+	l.MaxRecordsPerReply = defaults.IfNotPositive(l.MaxRecordsPerReply, 256)
+	l.MaxPendingReplyBytes = defaults.IfNotPositive(l.MaxPendingReplyBytes, 32<<20)
 	return l
 }
 
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -11,6 +11,7 @@
 	"github.com/cockroachdb/errors"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/defaults"
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
@@ -37,9 +38,7 @@
 	if o.Transport == nil {
 		o.Transport = rpc.NewTransport()
 	}
-	if o.LongPollTimeout <= 0 {
-		o.LongPollTimeout = time.Second
-	}
+	o.LongPollTimeout = defaults.IfNotPositive(o.LongPollTimeout, time.Second)
 	if o.Self.Incarnation == 0 {
 		o.Self.Incarnation = rand.Uint64() | 1
 	}
--- a/internal/system/failuredetector/options.go
+++ b/internal/system/failuredetector/options.go
@@ -1,6 +1,10 @@
 package failuredetector
 
-import "time"
+import (
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/defaults"
+)
 
 // Options configure a Detector. Zero values take the defaults, which are given here.
 type Options struct {
@@ -16,20 +20,10 @@
 }
 
 func (o Options) withDefaults() Options {
-	if o.Watchers <= 0 {
-		o.Watchers = 3
-	}
-	if o.HeartbeatInterval <= 0 {
-		o.HeartbeatInterval = 400 * time.Millisecond
-	}
-	if o.SuspectTimeout <= 0 {
-		o.SuspectTimeout = o.HeartbeatInterval * 7 / 2
-	}
-	if o.ProbeTimeout <= 0 {
-		o.ProbeTimeout = 2 * o.HeartbeatInterval
-	}
-	if o.PauseThreshold <= 0 {
-		o.PauseThreshold = time.Second
-	}
+	o.Watchers = defaults.IfNotPositive(o.Watchers, 3)
+	o.HeartbeatInterval = defaults.IfNotPositive(o.HeartbeatInterval, 400*time.Millisecond)
+	o.SuspectTimeout = defaults.IfNotPositive(o.SuspectTimeout, o.HeartbeatInterval*7/2)
+	o.ProbeTimeout = defaults.IfNotPositive(o.ProbeTimeout, 2*o.HeartbeatInterval)
+	o.PauseThreshold = defaults.IfNotPositive(o.PauseThreshold, time.Second)
 	return o
 }
--- a/internal/system/operatorapi/handler.go
+++ b/internal/system/operatorapi/handler.go
@@ -30,6 +30,7 @@
 	"github.com/gorilla/mux"
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
+	"gradeusher.example/gradeusher/internal/system/defaults"
 )
 
 // api is the state that all requests share.
@@ -42,9 +43,7 @@
 // Every response but the 200 of Config.Read is a JSON object; an error response carries the reason, which names the remedy,
 // under "error".
 func Handler(options Options) http.Handler {
-	if options.AckTimeout <= 0 {
-		options.AckTimeout = 5 * time.Second
-	}
+	options.AckTimeout = defaults.IfNotPositive(options.AckTimeout, 5*time.Second)
 	if options.Log == nil {
 		options.Log = log.Log
 	}
--- a/internal/system/platform/client.go
+++ b/internal/system/platform/client.go
@@ -19,6 +19,7 @@
 	"golang.org/x/sys/unix"
 
 	"gradeusher.example/gradeusher/internal/framing"
+	"gradeusher.example/gradeusher/internal/system/defaults"
 )
 
 // The kinds of errors of List, for errors.Is.
@@ -74,9 +75,7 @@
 
 // NewClient returns a client, which connects with its first request.
 func NewClient(options Options) *Client {
-	if options.Timeout <= 0 {
-		options.Timeout = time.Second
-	}
+	options.Timeout = defaults.IfNotPositive(options.Timeout, time.Second)
 	dialer := net.Dialer{Timeout: 500 * time.Millisecond, Control: setUserTimeout}
 	return &Client{
 		listURL: "http://" + strings.TrimSuffix(strings.TrimPrefix(options.Address, "http://"), "/") + "/instances",
--- a/internal/system/platform/poller.go
+++ b/internal/system/platform/poller.go
@@ -8,6 +8,7 @@
 	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
 
+	"gradeusher.example/gradeusher/internal/system/defaults"
 	"gradeusher.example/gradeusher/internal/system/ownership"
 )
 
@@ -68,15 +69,11 @@
 
 // NewPoller returns a poller; Run starts it.
 func NewPoller(options PollerOptions) *Poller {
-	if options.Interval <= 0 {
-		options.Interval = 500 * time.Millisecond
-	}
+	options.Interval = defaults.IfNotPositive(options.Interval, 500*time.Millisecond)
 	if !(options.MaxCallsPerSecond > 0) {
 		options.MaxCallsPerSecond = 4
 	}
-	if options.StaleAfter <= 0 {
-		options.StaleAfter = 2 * time.Second
-	}
+	options.StaleAfter = defaults.IfNotPositive(options.StaleAfter, 2*time.Second)
 	if options.Log == nil {
 		options.Log = log.Log
 	}
--- a/internal/system/proxy/listener.go
+++ b/internal/system/proxy/listener.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/defaults"
 )
 
 const (
@@ -63,12 +64,8 @@
 
 // setLimits has new connections keep to other limits.
 func (l *clientListener) setLimits(limits config.Limits) {
-	if limits.HeaderTimeout <= 0 {
-		limits.HeaderTimeout = defaultHeaderTimeout
-	}
-	if limits.IdleTimeout <= 0 {
-		limits.IdleTimeout = defaultIdleTimeout
-	}
+	limits.HeaderTimeout = defaults.IfNotPositive(limits.HeaderTimeout, defaultHeaderTimeout)
+	limits.IdleTimeout = defaults.IfNotPositive(limits.IdleTimeout, defaultIdleTimeout)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	timeoutsChanged := limits.HeaderTimeout != l.limits.HeaderTimeout || limits.IdleTimeout != l.limits.IdleTimeout
--- a/internal/system/proxy/pick/settings.go
+++ b/internal/system/proxy/pick/settings.go
@@ -1,6 +1,10 @@
 package pick
 
-import "time"
+import (
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/defaults"
+)
 
 // Settings are what a Picker is made with. They never change in its life.
 type Settings struct {
@@ -32,19 +36,11 @@
 
 // setDefaults fills in what is not set.
 func (s *Settings) setDefaults() {
-	if s.RetryWindow <= 0 {
-		s.RetryWindow = 10 * time.Second
-	}
-	if s.CrossRegionLatency <= 0 {
-		s.CrossRegionLatency = 40 * time.Millisecond
-	}
-	if s.CrossZoneLatency <= 0 {
-		s.CrossZoneLatency = time.Millisecond
-	}
+	s.RetryWindow = defaults.IfNotPositive(s.RetryWindow, 10*time.Second)
+	s.CrossRegionLatency = defaults.IfNotPositive(s.CrossRegionLatency, 40*time.Millisecond)
+	s.CrossZoneLatency = defaults.IfNotPositive(s.CrossZoneLatency, time.Millisecond)
 	if s.PrefillRate <= 0 {
 		s.PrefillRate = 50
 	}
-	if s.StepTime <= 0 {
-		s.StepTime = 6 * time.Millisecond
-	}
+	s.StepTime = defaults.IfNotPositive(s.StepTime, 6*time.Millisecond)
 }
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -7,6 +7,7 @@
 	"github.com/apex/log"
 
 	"gradeusher.example/gradeusher/internal/system/config"
+	"gradeusher.example/gradeusher/internal/system/defaults"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -42,18 +43,10 @@
 
 // withDefaults fills in what is not set.
 func (o Options) withDefaults() Options {
-	if o.GracePeriod <= 0 {
-		o.GracePeriod = defaultGracePeriod
-	}
-	if o.LossSlack <= 0 {
-		o.LossSlack = defaultLossSlack
-	}
-	if o.FDLimit <= 0 {
-		o.FDLimit = defaultFDLimit
-	}
-	if o.MemoryMB <= 0 {
-		o.MemoryMB = defaultMemoryMB
-	}
+	o.GracePeriod = defaults.IfNotPositive(o.GracePeriod, defaultGracePeriod)
+	o.LossSlack = defaults.IfNotPositive(o.LossSlack, defaultLossSlack)
+	o.FDLimit = defaults.IfNotPositive(o.FDLimit, defaultFDLimit)
+	o.MemoryMB = defaults.IfNotPositive(o.MemoryMB, defaultMemoryMB)
 	if o.Log == nil {
 		o.Log = log.Log
 	}
--- a/internal/system/proxy/timeouts.go
+++ b/internal/system/proxy/timeouts.go
@@ -1,6 +1,10 @@
 package proxy
 
-import "time"
+import (
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/defaults"
+)
 
 // Defaults of Timeouts.
 const (
@@ -25,15 +29,9 @@
 
 // withDefaults fills in what is not set.
 func (t Timeouts) withDefaults() Timeouts {
-	if t.ClientWrite <= 0 {
-		t.ClientWrite = defaultClientWriteTimeout
-	}
-	if t.MinResponse <= 0 {
-		t.MinResponse = defaultMinResponseTimeout
-	}
-	if t.MinEventGap <= 0 {
-		t.MinEventGap = defaultMinEventGapTimeout
-	}
+	t.ClientWrite = defaults.IfNotPositive(t.ClientWrite, defaultClientWriteTimeout)
+	t.MinResponse = defaults.IfNotPositive(t.MinResponse, defaultMinResponseTimeout)
+	t.MinEventGap = defaults.IfNotPositive(t.MinEventGap, defaultMinEventGapTimeout)
 	return t
 }
 
--- a/internal/system/replication/config.go
+++ b/internal/system/replication/config.go
@@ -1,6 +1,10 @@
 package replication
 
-import "time"
+import (
+	"time"
+
+	"gradeusher.example/gradeusher/internal/system/defaults"
+)
 
 const (
 	defaultHeartbeatInterval = 100 * time.Millisecond
@@ -28,18 +32,12 @@
 }
 
 func (c *Config) applyDefaults() {
-	if c.HeartbeatInterval <= 0 {
-		c.HeartbeatInterval = defaultHeartbeatInterval
-	}
-	if c.SuspectTimeout <= 0 {
-		c.SuspectTimeout = defaultSuspectTimeout
-	}
+	c.HeartbeatInterval = defaults.IfNotPositive(c.HeartbeatInterval, defaultHeartbeatInterval)
+	c.SuspectTimeout = defaults.IfNotPositive(c.SuspectTimeout, defaultSuspectTimeout)
 	if c.compactRecords == 0 {
 		c.compactRecords, c.retainedRecords = defaultCompactRecords, defaultRetainedRecords
 	}
-	if c.SlowDiskTimeout <= 0 {
-		c.SlowDiskTimeout = defaultSlowDiskTimeout
-	}
+	c.SlowDiskTimeout = defaults.IfNotPositive(c.SlowDiskTimeout, defaultSlowDiskTimeout)
 }
 
 // The times below are fractions of SuspectTimeout, which is seven heartbeat intervals (Options.coreConfig): a seventh is one heartbeat.
--- a/internal/system/replication/options.go
+++ b/internal/system/replication/options.go
@@ -10,6 +10,7 @@
 	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
 
+	"gradeusher.example/gradeusher/internal/system/defaults"
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
@@ -39,9 +40,7 @@
 	if o.Disk == nil {
 		return ErrNoDisk
 	}
-	if o.AckTimeout <= 0 {
-		o.AckTimeout = defaultAckTimeout
-	}
+	o.AckTimeout = defaults.IfNotPositive(o.AckTimeout, defaultAckTimeout)
 	if o.Log == nil {
 		o.Log = log.Log
 	}
