--- a/internal/system/distribution/loadreport/received.go
+++ b/internal/system/distribution/loadreport/received.go
@@ -1,11 +1,11 @@
 package loadreport
 
 import (
-	"encoding/binary"
 	"time"
 
 	"gradeusher.example/gradeusher/internal/system/distribution/distributionpb"
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
+	"gradeusher.example/gradeusher/internal/system/fields"
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
@@ -63,11 +63,11 @@
 
 // decode applies coded changes. Where it returns false, some of them may have been applied.
 func (r *Received) decode(body []byte) bool {
-	rest := decoder{body: body, ok: true}
+	reader := fields.NewReader(body)
 	index := -1
-	for len(rest.body) > 0 {
-		head := rest.uvarint()
-		if !rest.ok || head>>1 > softstate.MaxServers {
+	for !reader.Complete() {
+		head := reader.Uvarint()
+		if reader.Failed() || head>>1 > softstate.MaxServers {
 			return false
 		}
 		index += int(head>>1) + 1
@@ -76,8 +76,8 @@
 		}
 		switch isNew := head&1 == 1; {
 		case isNew:
-			id := rest.id()
-			if !rest.ok {
+			id := readID(&reader)
+			if reader.Failed() {
 				return false
 			}
 			if index == len(r.ids) {
@@ -87,8 +87,8 @@
 		case index == len(r.ids):
 			return false
 		}
-		requests, prefill, tokens := rest.uvarint(), rest.uvarint(), rest.uvarint()
-		if !rest.ok {
+		requests, prefill, tokens := reader.Uvarint(), reader.Uvarint(), reader.Uvarint()
+		if reader.Failed() {
 			return false
 		}
 		r.loads[index] = pick.Load{Requests: int(min(requests, maxUnits)), Prefill: int64(min(prefill, maxUnits)) * prefillUnit,
@@ -97,31 +97,14 @@
 	return true
 }
 
-// decoder reads the coding of a vector's changes. Once ok is false, whatever its methods return means nothing.
-type decoder struct {
-	body []byte
-	ok   bool
-}
-
-func (d *decoder) uvarint() uint64 {
-	value, size := binary.Uvarint(d.body)
-	if !d.ok || size <= 0 {
-		d.ok = false
-		return 0
-	}
-	d.body = d.body[size:]
-	return value
-}
-
-func (d *decoder) id() string {
-	size := d.uvarint()
-	if !d.ok || size > softstate.MaxIDBytes || size > uint64(len(d.body)) {
-		d.ok = false
+// readID reads the id of a server.
+func readID(in *fields.Reader) string {
+	id := in.Bytes()
+	if len(id) > softstate.MaxIDBytes {
+		in.Fail()
 		return ""
 	}
-	id := string(d.body[:size])
-	d.body = d.body[size:]
-	return id
+	return string(id)
 }
 
 // AddTo adds the loads to sums, by server id, unless they are older than TTL.
--- a/internal/system/failuredetector/message.go
+++ b/internal/system/failuredetector/message.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
+
+	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
 // Kind is the kind of a message. The numbers are on the wire: never reuse one.
@@ -70,18 +72,17 @@
 
 // Decode decodes a datagram. Its error is ErrMalformedMessage.
 func Decode(data []byte) (Message, error) {
-	in := decoder{rest: data}
-	var message Message
 	if !hasHeader(data) {
-		return message, ErrMalformedMessage
+		return Message{}, ErrMalformedMessage
 	}
-	message.Kind, in.rest = Kind(data[len(magic)]), data[headerBytes:]
-	message.From, message.Incarnation, message.Nonce = in.readName(), in.readUint64(), in.readUvarint()
+	message := Message{Kind: Kind(data[len(magic)])}
+	in := fields.NewReader(data[headerBytes:])
+	message.From, message.Incarnation, message.Nonce = readName(&in), in.Uint64(), in.Uvarint()
 	if message.Kind.isIndirect() {
-		message.Node, message.NodeIncarnation = in.readName(), in.readUint64()
-		message.Age = time.Duration(min(in.readUvarint(), uint64(time.Hour/time.Millisecond))) * time.Millisecond
+		message.Node, message.NodeIncarnation = readName(&in), in.Uint64()
+		message.Age = time.Duration(min(in.Uvarint(), uint64(time.Hour/time.Millisecond))) * time.Millisecond
 	}
-	if in.failed || len(in.rest) > 0 || message.From == "" {
+	if !in.Complete() || message.From == "" {
 		return Message{}, ErrMalformedMessage
 	}
 	return message, nil
@@ -96,45 +97,11 @@
 	return [len(magic)]byte(data) == magic && kind >= Heartbeat && kind <= Leave
 }
 
-// decoder reads the fields of a datagram. Once a field is missing, failed is set and all reads return zero values.
-type decoder struct {
-	rest   []byte
-	failed bool
-}
-
-func (d *decoder) next(n int) []byte {
-	if d.failed || n > len(d.rest) {
-		d.failed = true
-		return nil
-	}
-	b := d.rest[:n]
-	d.rest = d.rest[n:]
-	return b
-}
-
-func (d *decoder) readName() string {
-	n := d.next(1)
-	if d.failed || n[0] > maxNameBytes {
-		d.failed = true
-		return ""
-	}
-	return string(d.next(int(n[0])))
-}
-
-func (d *decoder) readUint64() uint64 {
-	b := d.next(8)
-	if d.failed {
-		return 0
-	}
-	return binary.BigEndian.Uint64(b)
-}
-
-func (d *decoder) readUvarint() uint64 {
-	v, n := binary.Uvarint(d.rest)
-	if d.failed || n <= 0 {
-		d.failed = true
-		return 0
+// readName reads a name as appendName writes it.
+func readName(in *fields.Reader) string {
+	length := in.Byte()
+	if length > maxNameBytes {
+		in.Fail()
 	}
-	d.rest = d.rest[n:]
-	return v
+	return string(in.Next(int(length)))
 }
--- a/internal/system/fields/fields.go
+++ b/internal/system/fields/fields.go
@@ -1,8 +1,8 @@
-// Package fields encodes and decodes the fields of records and snapshots on disk.
+// Package fields encodes and decodes the fields of records and snapshots on disk, and of messages that are not Protocol Buffers.
 //
 // An encoding is a sequence of single bytes, integers of variable length as of encoding/binary (the base-128 varints of Protocol
-// Buffers), and byte strings behind their length. It has neither tags nor a checksum: the reader must know the order of fields, and
-// the layers above check integrity. Decoding never panics, wraps around or allocates by a length that it has read: a Reader returns
+// Buffers) or of eight bytes, and byte strings behind their length. It has neither tags nor a checksum: the reader must know the order of
+// fields, and the layers above check integrity. Decoding never panics, wraps around or allocates by a length that it has read: a Reader returns
 // parts of its input.
 package fields
 
@@ -51,6 +51,14 @@
 	return 0
 }
 
+// Uint64 reads an unsigned integer of eight bytes, the most significant first.
+func (r *Reader) Uint64() uint64 {
+	if b := r.Next(8); b != nil {
+		return binary.BigEndian.Uint64(b)
+	}
+	return 0
+}
+
 // Uvarint reads an unsigned varint.
 func (r *Reader) Uvarint() uint64 {
 	value, size := binary.Uvarint(r.rest)
--- a/internal/system/fields/fields_test.go
+++ b/internal/system/fields/fields_test.go
@@ -30,6 +30,22 @@
 	})
 }
 
+// TestUint64: eight bytes are read as they were written, fewer fail.
+func TestUint64(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		value := rapid.Uint64().Draw(t, "value")
+		encoding := binary.BigEndian.AppendUint64(nil, value)
+		r := fields.NewReader(encoding)
+		if got := r.Uint64(); got != value || !r.Complete() {
+			t.Fatalf("%d is read as %d", value, got)
+		}
+		truncated := fields.NewReader(encoding[:rapid.IntRange(0, 7).Draw(t, "length")])
+		if truncated.Uint64() != 0 || !truncated.Failed() {
+			t.Fatal("a truncation is read as complete")
+		}
+	})
+}
+
 // TestLengthBeyondTheEnd: a length that is larger than what is left neither allocates nor wraps around.
 func TestLengthBeyondTheEnd(t *testing.T) {
 	for _, length := range []uint64{2, 1 << 31, 1 << 63, 1<<64 - 1} {
