--- a/internal/system/config/limits.go
+++ b/internal/system/config/limits.go
@@ -1,6 +1,9 @@
 package config
 
-import "time"
+import (
+	"cmp"
+	"time"
+)
 
 func (d *itemDecoder) limits(raw []byte) (Limits, error) {
 	object, err := d.object(raw, "limits")
@@ -8,21 +11,10 @@
 		return Limits{}, err
 	}
 	limits := Limits{
-		MaxHeaderBytes: object.integerField("max_header_bytes", 1<<40), MaxBodyBytes: object.integerField("max_body_bytes", 1<<40),
-		HeaderTimeout: object.durationField("header_timeout_ms", time.Millisecond, 0),
-		IdleTimeout:   object.durationField("idle_timeout_ms", time.Millisecond, 0),
-	}
-	if limits.MaxHeaderBytes == 0 {
-		limits.MaxHeaderBytes = defaultLimits.MaxHeaderBytes
-	}
-	if limits.MaxBodyBytes == 0 {
-		limits.MaxBodyBytes = defaultLimits.MaxBodyBytes
-	}
-	if limits.HeaderTimeout == 0 {
-		limits.HeaderTimeout = defaultLimits.HeaderTimeout
-	}
-	if limits.IdleTimeout == 0 {
-		limits.IdleTimeout = defaultLimits.IdleTimeout
+		MaxHeaderBytes: cmp.Or(object.integerField("max_header_bytes", 1<<40), defaultLimits.MaxHeaderBytes),
+		MaxBodyBytes:   cmp.Or(object.integerField("max_body_bytes", 1<<40), defaultLimits.MaxBodyBytes),
+		HeaderTimeout:  cmp.Or(object.durationField("header_timeout_ms", time.Millisecond, 0), defaultLimits.HeaderTimeout),
+		IdleTimeout:    cmp.Or(object.durationField("idle_timeout_ms", time.Millisecond, 0), defaultLimits.IdleTimeout),
 	}
 	return limits, object.err
 }
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -1,6 +1,7 @@
 package wal
 
 import (
+	"cmp"
 	"crypto/rand"
 	"encoding/binary"
 	"os"
@@ -122,18 +123,10 @@
 	if o.FS == nil {
 		o.FS = osFS{}
 	}
-	if o.MaxBytes == 0 {
-		o.MaxBytes = defaultMaxBytes
-	}
-	if o.DiskBytes == 0 {
-		o.DiskBytes = defaultDiskBytes
-	}
-	if o.SegmentBytes == 0 {
-		o.SegmentBytes = defaultSegmentBytes
-	}
-	if o.ReserveBytes == 0 {
-		o.ReserveBytes = defaultReserveBytes
-	}
+	o.MaxBytes = cmp.Or(o.MaxBytes, defaultMaxBytes)
+	o.DiskBytes = cmp.Or(o.DiskBytes, defaultDiskBytes)
+	o.SegmentBytes = cmp.Or(o.SegmentBytes, defaultSegmentBytes)
+	o.ReserveBytes = cmp.Or(o.ReserveBytes, defaultReserveBytes)
 	if o.Nonce == nil {
 		o.Nonce = randomNonce
 	}
