--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -3,7 +3,6 @@
 import (
 	"container/list"
 	"fmt"
-	"maps"
 	"math"
 	"math/rand/v2"
 	"time"
@@ -61,7 +60,7 @@
 			var things []PrefixPart
 			for range sh.things {
 				built.ownID++
-				things = append(things, PrefixPart{ID: built.ownID, Tokens: max(int(drawn(built.rng, sh.mean, sh.spread, sh.most)), 1)})
+				things = append(things, PrefixPart{ID: built.ownID, Tokens: max(int(drawn(built.rng, sh.mean, sh.spread, sh.limit)), 1)})
 			}
 			built.weights[sh] = zipf(sh.things, sh.skew)
 			built.sharedParts[requests.name] = append(built.sharedParts[requests.name], things)
@@ -118,7 +117,7 @@
 	}
 	for i, p := range f.pickers {
 		each[i] = p.Loads()
-		maps.Copy(each[i], p.PromptDemands())
+		p.PromptDemands().AddTo(each[i])
 		if f.onShare != nil {
 			f.onShare(i, each[i])
 		}
