--- a/cmd/controlplane/chain_test.go
+++ b/cmd/controlplane/chain_test.go
@@ -58,7 +58,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, _, _, err := disk.Load(); err != nil {
+			if _, err := disk.Load(); err != nil {
 				t.Fatal(err)
 			}
 			if err := spoil(disk); err != nil {
--- a/internal/compat/controlplanedata_test.go
+++ b/internal/compat/controlplanedata_test.go
@@ -218,10 +218,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	meta, snapshot, entries, err := disk.Load()
+	stored, err := disk.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
+	meta, snapshot, entries := stored.Meta, stored.Snapshot, stored.Entries
 	if len(meta) != 1 || len(meta["register"]) == 0 || snapshot.Seq != 4 {
 		t.Errorf("metadata %q, snapshot %d", meta, snapshot.Seq)
 	}
--- a/internal/compat/datagram_test.go
+++ b/internal/compat/datagram_test.go
@@ -36,7 +36,7 @@
 	dir := t.TempDir()
 	log, err := wal.Open(dir, wal.Options{ReserveBytes: -1, Nonce: func() uint64 { return 0x0102030405060708 }})
 	if err == nil {
-		_, _, _, err = log.Load()
+		_, err = log.Load()
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/system/admin/restore/restore.go
+++ b/internal/system/admin/restore/restore.go
@@ -38,7 +38,7 @@
 		return errors.Wrapf(err, "the log in %s cannot be opened", dataDir)
 	}
 	defer func() { err = errors.CombineErrors(err, log.Close()) }()
-	if _, _, _, err := log.Load(); err != nil {
+	if _, err := log.Load(); err != nil {
 		return errors.Wrapf(err, "the log in %s cannot be read", dataDir)
 	}
 	return errors.Wrapf(log.Install(image), "the state cannot be laid into %s: empty it before the next try", dataDir)
@@ -73,9 +73,9 @@
 		return nil, errors.Wrapf(err, "the log in %s cannot be opened", dataDir)
 	}
 	defer func() { err = errors.CombineErrors(err, log.Close()) }()
-	_, snapshot, entries, err := log.Load()
+	stored, err := log.Load()
 	if err != nil {
 		return nil, errors.Wrapf(err, "the log in %s cannot be read: try another keeper's", dataDir)
 	}
-	return replication.RecoverState(snapshot, entries)
+	return replication.RecoverState(stored.Snapshot, stored.Entries)
 }
--- a/internal/system/replication/disk_writer_test.go
+++ b/internal/system/replication/disk_writer_test.go
@@ -29,12 +29,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = log.Close() })
-	meta, snapshot, entries, err := log.Load()
+	stored, err := log.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	self := Member{ID: "a", Addr: "10.0.0.1", Zone: "z", Region: "r"}
-	core, err := NewCore(Config{Self: self, Seeds: []string{self.Addr}, Bootstrap: true, Incarnation: 1, Seed: 1}, machine, meta, snapshot, entries)
+	core, err := NewCore(Config{Self: self, Seeds: []string{self.Addr}, Bootstrap: true, Incarnation: 1, Seed: 1}, machine, stored.Meta, stored.Snapshot, stored.Entries)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,8 +140,8 @@
 	c.chain.log.entries = append(c.chain.log.entries, entry{epoch: c.chain.log.entries[0].epoch, rec: record})
 	c.chain.state, c.chain.commitIndex = next, 4
 	a.until(2*time.Second, "a snapshot at 4", func() bool { return c.writer.snapshotSeq == 4 && c.writer.op == nil })
-	if _, snapshot, entries, err := a.log.Load(); err != nil || snapshot.Seq != 4 || len(entries) > 0 {
-		t.Errorf("on disk: a snapshot at %d, %d entries, %v", snapshot.Seq, len(entries), err)
+	if stored, err := a.log.Load(); err != nil || stored.Snapshot.Seq != 4 || len(stored.Entries) > 0 {
+		t.Errorf("on disk: a snapshot at %d, %d entries, %v", stored.Snapshot.Seq, len(stored.Entries), err)
 	}
 }
 
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := other.Load(); err != nil {
+	if _, err := other.Load(); err != nil {
 		t.Fatal(err)
 	}
 	single.core.Submit(single.now, 2, controlstate.Change{Op: controlstate.OpNone, Zone: "late"}, 5*time.Second)
--- a/internal/system/replication/node.go
+++ b/internal/system/replication/node.go
@@ -42,7 +42,7 @@
 	if err := opt.applyDefaults(); err != nil {
 		return nil, err
 	}
-	meta, snap, entries, err := opt.Disk.Load()
+	stored, err := opt.Disk.Load()
 	if err != nil {
 		return nil, errors.Wrap(err, "replication: the disk cannot be read: repair it, or empty the node's data directory")
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	core, err := NewCore(cfg, controlMachine{}, meta, snap, entries)
+	core, err := NewCore(cfg, controlMachine{}, stored.Meta, stored.Snapshot, stored.Entries)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -27,8 +27,8 @@
 
 func newMemDisk() *memDisk { return &memDisk{p: simDisk{meta: map[string][]byte{}}} }
 
-func (d *memDisk) Load() (map[string][]byte, wal.Snapshot, []wal.Entry, error) {
-	return clone(d.p.meta), d.p.snap, append([]wal.Entry(nil), d.p.entries...), nil
+func (d *memDisk) Load() (wal.Contents, error) {
+	return wal.Contents{Meta: clone(d.p.meta), Snapshot: d.p.snap, Entries: append([]wal.Entry(nil), d.p.entries...)}, nil
 }
 
 func (d *memDisk) do(op DiskOp) error {
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -86,10 +86,7 @@
 // nullDisk stands in for the disk of an observer: nothing that it writes is ever read again.
 type nullDisk struct{}
 
-func (nullDisk) Load() (map[string][]byte, wal.Snapshot, []wal.Entry, error) {
-	return nil, wal.Snapshot{}, nil, nil
-}
-
+func (nullDisk) Load() (wal.Contents, error)   { return wal.Contents{}, nil }
 func (nullDisk) Append([]wal.Entry) error      { return nil }
 func (nullDisk) Truncate(uint64) error         { return nil }
 func (nullDisk) Compact(wal.Snapshot) error    { return nil }
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -58,7 +58,7 @@
 		f.t.Fatal(err)
 	}
 	disk := f.disk(addr)
-	if _, _, _, err := disk.Load(); err != nil {
+	if _, err := disk.Load(); err != nil {
 		f.t.Fatal(err)
 	}
 	if err := disk.Install(image); err != nil {
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -71,10 +71,11 @@
 
 // loadView loads a disk and returns its content.
 func loadView(d wal.Disk) (view, error) {
-	meta, snapshot, entries, err := d.Load()
+	stored, err := d.Load()
 	if err != nil {
 		return view{}, err
 	}
+	meta, snapshot, entries := stored.Meta, stored.Snapshot, stored.Entries
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d:%s", snapshot.Seq, snapshot.Data)
 	for _, e := range entries {
@@ -114,7 +115,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = log.Close() })
-	if _, _, _, err := log.Load(); err != nil {
+	if _, err := log.Load(); err != nil {
 		t.Fatal(err)
 	}
 	return log
@@ -128,7 +129,7 @@
 	log, err := openSim(s.fs)
 	if err == nil {
 		s.log = log
-		_, _, _, err = log.Load()
+		_, err = log.Load()
 	}
 	return err
 }
@@ -261,7 +262,7 @@
 func crashInLoading(fs *simFS, call int) (reached bool) {
 	fs.fault = crashAt(call)
 	if log, err := openSim(fs); err == nil {
-		_, _, _, _ = log.Load()
+		_, _ = log.Load()
 	}
 	reached = fs.crashed
 	fs.crashed, fs.fault = false, nil
@@ -324,13 +325,13 @@
 	if err != nil {
 		return errors.Wrap(err, "restart")
 	}
-	meta, snapshot, entries, err := log.Load()
+	stored, err := log.Load()
 	if err != nil {
 		return err
 	}
 	n := newCheckedLog(fs)
 	n.log, n.trace = log, append(slices.Clone(s.trace), "restart")
-	n.model = waltest.NewMemWith(meta, snapshot, entries)
+	n.model = waltest.NewMemWith(stored)
 	*s = *n
 	return nil
 }
--- a/internal/system/wal/disk.go
+++ b/internal/system/wal/disk.go
@@ -12,12 +12,19 @@
 	Data []byte
 }
 
+// Contents is all that a Disk stores. The entries follow the snapshot without a gap.
+type Contents struct {
+	Meta     map[string][]byte // by name
+	Snapshot Snapshot
+	Entries  []Entry
+}
+
 // Disk stores a log, one snapshot below it and a few named pieces of metadata. What a method changed is durable when it returns
 // nil; after an error the change may or may not have come about. Errors are of the kinds ErrFull, ErrDamaged, ErrSuperseded and
 // ErrMisuse, or the file system's. Calls must not overlap.
 type Disk interface {
-	// Load returns everything that is stored. The entries follow the snapshot without a gap. It must come before any other call.
-	Load() (meta map[string][]byte, snapshot Snapshot, entries []Entry, err error)
+	// Load returns everything that is stored. It must come before any other call.
+	Load() (Contents, error)
 	// Append adds entries at the end of the log, all of them or none. Their sequence numbers continue those of the log.
 	Append(entries []Entry) error
 	// Truncate drops the entries above after, which must not be below the snapshot.
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -152,51 +152,52 @@
 
 // Load implements Disk. A torn end is dropped; what it returns is durable. It may be called again, which reads the disk anew.
 // Another process that still has the log open can acknowledge nothing from here on.
-func (l *Log) Load() (map[string][]byte, Snapshot, []Entry, error) {
-	meta, snapshot, entries, err := l.load()
+func (l *Log) Load() (Contents, error) {
+	stored, err := l.load()
 	if err != nil {
 		_ = l.closeSegment()
-		return nil, Snapshot{}, nil, err
+		return Contents{}, err
 	}
 	if l.options.ReadOnly {
-		return meta, snapshot, entries, nil
+		return stored, nil
 	}
 	l.loaded = true
 	l.deleteGarbage()
 	l.createReserve()
-	return meta, snapshot, entries, nil
+	return stored, nil
 }
 
-func (l *Log) load() (map[string][]byte, Snapshot, []Entry, error) {
+func (l *Log) load() (Contents, error) {
 	_ = l.closeSegment()
 	*l = Log{folder: l.folder, options: l.options, meta: map[string]metaGenerations{}}
 	listing, err := l.prepareFolder()
 	if err != nil {
-		return nil, Snapshot{}, nil, err
+		return Contents{}, err
 	}
 	meta, err := l.loadMeta(listing.meta)
 	if err != nil {
-		return nil, Snapshot{}, nil, err
+		return Contents{}, err
 	}
 	snapshot, err := l.loadSnapshot(listing)
 	if err != nil {
-		return nil, Snapshot{}, nil, err
+		return Contents{}, err
 	}
 	entries, newest, err := l.loadSegments(listing.segments)
 	if err != nil {
-		return nil, Snapshot{}, nil, err
+		return Contents{}, err
 	}
 	if listing.hasReserve {
 		size, err := l.fileSize(reserveName)
 		l.hasReserve = err == nil && size >= l.options.ReserveBytes
 	}
+	stored := Contents{Meta: meta, Snapshot: snapshot, Entries: entries}
 	if l.options.ReadOnly {
-		return meta, snapshot, entries, nil
+		return stored, nil
 	}
 	if err := l.takeOwnership(newest); err != nil {
-		return nil, Snapshot{}, nil, err
+		return Contents{}, err
 	}
-	return meta, snapshot, entries, nil
+	return stored, nil
 }
 
 // loadMeta reads the newest generation of each piece of metadata. A file has its name only once it is synced, so the
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("metadata before load: %v", err)
 	}
 	for _, disk := range []wal.Disk{log, waltest.NewMem()} {
-		if _, _, _, err := disk.Load(); err != nil {
+		if _, err := disk.Load(); err != nil {
 			t.Fatal(err)
 		}
 		if err := disk.Append([]wal.Entry{{Seq: 1}, {Seq: 2}}); err != nil {
@@ -330,7 +330,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	if _, _, _, err := log.Load(); err != nil {
+	if _, err := log.Load(); err != nil {
 		b.Fatal(err)
 	}
 	data := make([]byte, 1000)
--- a/internal/system/wal/quarantine_test.go
+++ b/internal/system/wal/quarantine_test.go
@@ -180,7 +180,7 @@
 	if err := os.Truncate(log.Path(name), 60); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := log.Load(); !errors.Is(err, wal.ErrDamaged) {
+	if _, err := log.Load(); !errors.Is(err, wal.ErrDamaged) {
 		t.Fatal(err)
 	}
 	if err := log.Append([]wal.Entry{makeEntry(10, 0)}); !errors.Is(err, wal.ErrMisuse) {
@@ -241,7 +241,7 @@
 	if err := log.Quarantine(); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, _, err := log.Load(); err != nil {
+	if _, err := log.Load(); err != nil {
 		t.Fatal(err)
 	}
 	if err := log.Append([]wal.Entry{{Seq: 1, Data: make([]byte, 3000)}}); err != nil {
--- a/internal/system/wal/space_test.go
+++ b/internal/system/wal/space_test.go
@@ -143,7 +143,7 @@
 	began := time.Now()
 	log, err := wal.Open(n.folder, wal.Options{FS: n.fs})
 	if err == nil {
-		_, _, _, err = log.Load()
+		_, err = log.Load()
 	}
 	if err != nil {
 		n.t.Fatal(err)
--- a/internal/system/wal/waltest/mem.go
+++ b/internal/system/wal/waltest/mem.go
@@ -21,9 +21,9 @@
 // NewMem returns an empty disk.
 func NewMem() *Mem { return &Mem{meta: map[string][]byte{}} }
 
-// NewMemWith returns a disk that holds what wal.Disk.Load returned. It takes over the memory of its arguments.
-func NewMemWith(meta map[string][]byte, snapshot wal.Snapshot, entries []wal.Entry) *Mem {
-	return &Mem{meta: meta, snapshot: snapshot, entries: entries}
+// NewMemWith returns a disk that holds what wal.Disk.Load returned. It takes over the memory of its argument.
+func NewMemWith(stored wal.Contents) *Mem {
+	return &Mem{meta: stored.Meta, snapshot: stored.Snapshot, entries: stored.Entries}
 }
 
 // Clone returns a disk of the same content; changes to one do not show in the other.
@@ -32,7 +32,7 @@
 }
 
 // Load implements wal.Disk.
-func (m *Mem) Load() (map[string][]byte, wal.Snapshot, []wal.Entry, error) {
+func (m *Mem) Load() (wal.Contents, error) {
 	meta := make(map[string][]byte, len(m.meta))
 	for name, data := range m.meta {
 		meta[name] = slices.Clone(data)
@@ -41,7 +41,7 @@
 	for i, e := range m.entries {
 		entries[i] = wal.Entry{Seq: e.Seq, Data: slices.Clone(e.Data)}
 	}
-	return meta, wal.Snapshot{Seq: m.snapshot.Seq, Data: slices.Clone(m.snapshot.Data)}, entries, nil
+	return wal.Contents{Meta: meta, Snapshot: wal.Snapshot{Seq: m.snapshot.Seq, Data: slices.Clone(m.snapshot.Data)}, Entries: entries}, nil
 }
 
 // LastSeq returns the sequence number of the newest entry, that of the snapshot where no entry follows it.
