--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -14,64 +14,64 @@
 	return false
 }
 
-// mixed checks MIXED: a successful answer is the complete answer of one server to this very request, and no other bytes come.
-func mixed(idx *index, verdict *Verdict) {
-	for _, s := range idx.Strays {
-		verdict.violation("%d bytes came from %s while no request waited", s.Bytes, s.Proxy)
+// checkMixed checks MIXED: a successful answer is the complete answer of one server to this very request, and no other bytes come.
+func (x *index) checkMixed(verdict *Verdict) {
+	for _, stray := range x.Strays {
+		verdict.violation("%d bytes came from %s while no request waited", stray.Bytes, stray.Proxy)
 	}
-	for _, t := range idx.Attempts {
+	for _, attempt := range x.Attempts {
 		verdict.Checked++
 		switch {
-		case t.Outcome == Malformed:
-			verdict.violation("%s: bytes came that are no answer", t.ID)
-		case t.Surplus > 0:
-			verdict.violation("%s: %d bytes followed the answer", t.ID, t.Surplus)
-		case t.Status != 0 && t.AnswerID != "" && t.AnswerID != t.ID:
-			verdict.violation("%s: got the answer to %s", t.ID, t.AnswerID)
-		case t.Outcome == Answered && success(t.Status):
-			mixedSuccess(idx, t, verdict)
+		case attempt.Outcome == Malformed:
+			verdict.violation("%s: bytes came that are no answer", attempt.ID)
+		case attempt.Surplus > 0:
+			verdict.violation("%s: %d bytes followed the answer", attempt.ID, attempt.Surplus)
+		case attempt.Status != 0 && attempt.AnswerID != "" && attempt.AnswerID != attempt.ID:
+			verdict.violation("%s: got the answer to %s", attempt.ID, attempt.AnswerID)
+		case attempt.Outcome == Answered && success(attempt.Status):
+			x.checkSuccess(attempt, verdict)
 		}
 	}
 }
 
-func mixedSuccess(x *index, t *Attempt, verdict *Verdict) {
-	a := x.seals[t.Seal]
+func (x *index) checkSuccess(attempt *Attempt, verdict *Verdict) {
+	arrival := x.seals[attempt.Seal]
 	switch {
-	case t.Seal == "":
-		verdict.violation("%s: %d without a server's seal", t.ID, t.Status)
-	case a == nil:
-		verdict.violation("%s: no server gave the seal %s", t.ID, t.Seal)
-	case a.ID != t.ID:
-		verdict.violation("%s: the seal is that of the answer to %s", t.ID, a.ID)
-	case !t.Stream && !success(a.Status):
-		verdict.violation("%s: %d where the server answered %d", t.ID, t.Status, a.Status)
-	case !t.Stream && a.Answer != t.Answer:
-		verdict.violation("%s: the body is not the server's", t.ID)
+	case attempt.Seal == "":
+		verdict.violation("%s: %d without a server's seal", attempt.ID, attempt.Status)
+	case arrival == nil:
+		verdict.violation("%s: no server gave the seal %s", attempt.ID, attempt.Seal)
+	case arrival.ID != attempt.ID:
+		verdict.violation("%s: the seal is that of the answer to %s", attempt.ID, arrival.ID)
+	case !attempt.Stream && !success(arrival.Status):
+		verdict.violation("%s: %d where the server answered %d", attempt.ID, attempt.Status, arrival.Status)
+	case !attempt.Stream && arrival.Answer != attempt.Answer:
+		verdict.violation("%s: the body is not the server's", attempt.ID)
 	}
 }
 
-// unasked checks UNASKED: servers execute only what a client sent.
-func unasked(x *index, v *Verdict) {
-	for _, a := range x.Arrivals {
-		v.Checked++
-		t := x.tries[a.ID]
+// checkUnasked checks UNASKED: servers execute only what a client sent.
+func (x *index) checkUnasked(verdict *Verdict) {
+	for _, arrival := range x.Arrivals {
+		verdict.Checked++
+		attempt := x.attempts[arrival.ID]
 		switch {
-		case a.ExecutedAt == Never:
-		case t == nil:
-			v.violation("%s ran %q, which no client sent", a.Server, a.ID)
-		case a.Method != t.Method || a.Path != t.Path:
-			v.violation("%s: sent as %s %s, came as %s %s", a.ID, t.Method, t.Path, a.Method, a.Path)
-		case a.Body != t.Body:
-			v.violation("%s: came with another body", a.ID)
+		case arrival.ExecutedAt == Never:
+		case attempt == nil:
+			verdict.violation("%s ran %q, which no client sent", arrival.Server, arrival.ID)
+		case arrival.Method != attempt.Method || arrival.Path != attempt.Path:
+			verdict.violation("%s: sent as %s %s, came as %s %s", arrival.ID, attempt.Method, attempt.Path, arrival.Method, arrival.Path)
+		case arrival.Body != attempt.Body:
+			verdict.violation("%s: came with another body", arrival.ID)
 		}
 	}
 }
 
 // idempotent reports whether the request of an attempt may be executed more than once, by any configuration that was sent before its end.
-func (x *index) idempotent(t *Attempt) bool {
+func (x *index) idempotent(attempt *Attempt) bool {
 	for _, c := range x.Changes {
-		if c.Config != nil && c.Sent <= t.Ended {
-			if r := c.Config.Match(t.Host, t.Path); r != nil && r.Idempotent() {
+		if c.Config != nil && c.Sent <= attempt.Ended {
+			if r := c.Config.Match(attempt.Host, attempt.Path); r != nil && r.Idempotent() {
 				return true
 			}
 		}
@@ -81,36 +81,36 @@
 
 // countExecuted returns how many of the arrivals were executed.
 func countExecuted(all []*Arrival) (n int) {
-	for _, a := range all {
-		if a.ExecutedAt != Never {
+	for _, arrival := range all {
+		if arrival.ExecutedAt != Never {
 			n++
 		}
 	}
 	return n
 }
 
-// twice checks TWICE: an attempt of a request that is not idempotent is executed at most once.
-func twice(x *index, v *Verdict) {
-	for _, t := range x.Attempts {
-		if x.idempotent(t) {
+// checkTwice checks TWICE: an attempt of a request that is not idempotent is executed at most once.
+func (x *index) checkTwice(verdict *Verdict) {
+	for _, attempt := range x.Attempts {
+		if x.idempotent(attempt) {
 			continue
 		}
-		v.Checked++
-		if n := countExecuted(x.runs[t.ID]); n > 1 {
-			v.violation("%s ran %d times", t.ID, n)
+		verdict.Checked++
+		if n := countExecuted(x.runs[attempt.ID]); n > 1 {
+			verdict.violation("%s ran %d times", attempt.ID, n)
 		}
 	}
 }
 
-// refused checks REFUSED: an attempt that is answered with a not-executed status is not executed, unless it is idempotent.
-func refused(x *index, v *Verdict) {
-	for _, t := range x.Attempts {
-		if t.Outcome != Answered || !promisesNotExecuted(t.Status) || x.idempotent(t) {
+// checkRefused checks REFUSED: an attempt that is answered with a not-executed status is not executed, unless it is idempotent.
+func (x *index) checkRefused(verdict *Verdict) {
+	for _, attempt := range x.Attempts {
+		if attempt.Outcome != Answered || !promisesNotExecuted(attempt.Status) || x.idempotent(attempt) {
 			continue
 		}
-		v.Checked++
-		if n := countExecuted(x.runs[t.ID]); n > 0 {
-			v.violation("%s was answered %d and ran", t.ID, t.Status)
+		verdict.Checked++
+		if n := countExecuted(x.runs[attempt.ID]); n > 0 {
+			verdict.violation("%s was answered %d and ran", attempt.ID, attempt.Status)
 		}
 	}
 }
@@ -121,65 +121,65 @@
 	attemptsPerDenied = 500 // attempts for each one besides
 )
 
-// denied checks DENIED: proxies in contact do not answer proper requests with 3xx or 4xx of their own, apart from not-executed statuses.
-func denied(x *index, verdict *Verdict) {
+// checkDenied checks DENIED: proxies in contact do not answer proper requests with 3xx or 4xx of their own, apart from not-executed statuses.
+func (x *index) checkDenied(verdict *Verdict) {
 	var found []*Attempt
-	for _, t := range x.Attempts {
-		if t.Probe {
+	for _, attempt := range x.Attempts {
+		if attempt.Probe {
 			continue
 		}
 		verdict.Checked++
-		own := t.Outcome == Answered && t.Seal == "" && t.Status >= 300 && t.Status < 500 && !promisesNotExecuted(t.Status)
-		if own && x.inContact(t.Proxy, t.Ended) && x.alwaysRouted(t) {
-			found = append(found, t)
+		own := attempt.Outcome == Answered && attempt.Seal == "" && attempt.Status >= 300 && attempt.Status < 500 && !promisesNotExecuted(attempt.Status)
+		if own && x.inContact(attempt.Proxy, attempt.Ended) && x.alwaysRouted(attempt) {
+			found = append(found, attempt)
 		}
 	}
 	if len(found) > minDenied+verdict.Checked/attemptsPerDenied {
-		for _, t := range found {
-			verdict.violation("%s got a %d at %s", t.ID, t.Status, t.Proxy)
+		for _, attempt := range found {
+			verdict.violation("%s got a %d at %s", attempt.ID, attempt.Status, attempt.Proxy)
 		}
 	}
 }
 
 // alwaysRouted reports whether every configuration that may be in force has a route for an attempt.
-func (x *index) alwaysRouted(t *Attempt) bool {
-	some := x.inForce(t.Sent, t.Ended)
+func (x *index) alwaysRouted(attempt *Attempt) bool {
+	some := x.inForce(attempt.Sent, attempt.Ended)
 	for _, c := range some {
-		if c.Match(t.Host, t.Path) == nil {
+		if c.Match(attempt.Host, attempt.Path) == nil {
 			return false
 		}
 	}
 	return len(some) > 0
 }
 
-// order checks ORDER: the events of a stream are those of one run, or for idempotent requests of several runs each of which continues where
+// checkOrder checks ORDER: the events of a stream are those of one run, or for idempotent requests of several runs each of which continues where
 // the one before ended; none is missing or comes twice.
-func order(idx *index, verdict *Verdict) {
-	for _, t := range idx.Attempts {
-		if !t.Stream {
+func (x *index) checkOrder(verdict *Verdict) {
+	for _, attempt := range x.Attempts {
+		if !attempt.Stream {
 			continue
 		}
 		verdict.Checked++
-		last := t.From
-		for i, s := range t.Events {
-			a := idx.seals[s.Run]
+		last := attempt.From
+		for i, segment := range attempt.Events {
+			arrival := x.seals[segment.Run]
 			switch {
-			case a == nil || a.ID != t.ID:
-				verdict.violation("%s: piece %d is of no run of this request", t.ID, s.First)
-			case s.First != last+1:
-				verdict.violation("%s: piece %d follows piece %d", t.ID, s.First, last)
-			case i > 0 && s.Run == t.Events[i-1].Run, i > 0 && !idx.idempotent(t):
-				verdict.violation("%s: pieces of two runs", t.ID)
-			case i > 0 && a.From != last:
-				verdict.violation("%s: a run that goes on after %d was joined after %d", t.ID, a.From, last)
+			case arrival == nil || arrival.ID != attempt.ID:
+				verdict.violation("%s: piece %d is of no run of this request", attempt.ID, segment.First)
+			case segment.First != last+1:
+				verdict.violation("%s: piece %d follows piece %d", attempt.ID, segment.First, last)
+			case i > 0 && segment.Run == attempt.Events[i-1].Run, i > 0 && !x.idempotent(attempt):
+				verdict.violation("%s: pieces of two runs", attempt.ID)
+			case i > 0 && arrival.From != last:
+				verdict.violation("%s: a run that goes on after %d was joined after %d", attempt.ID, arrival.From, last)
 			}
-			last = s.Last
+			last = segment.Last
 		}
-		if t.Outcome != Answered || !success(t.Status) {
+		if attempt.Outcome != Answered || !success(attempt.Status) {
 			continue
 		}
-		if a := idx.seals[t.Seal]; a != nil && last != a.LastEvent {
-			verdict.violation("%s: closed as complete after piece %d of %d", t.ID, last, a.LastEvent)
+		if arrival := x.seals[attempt.Seal]; arrival != nil && last != arrival.LastEvent {
+			verdict.violation("%s: closed as complete after piece %d of %d", attempt.ID, last, arrival.LastEvent)
 		}
 	}
 }
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -47,11 +47,11 @@
 	return c.AcknowledgedAt == Never && c.Status >= 400 && c.Status < 500
 }
 
-// config checks CONFIG: a configuration that was acknowledged comes into force and stays, and one that is invalid is never acknowledged.
-func config(idx *index, verdict *Verdict) {
+// checkConfig checks CONFIG: a configuration that was acknowledged comes into force and stays, and one that is invalid is never acknowledged.
+func (x *index) checkConfig(verdict *Verdict) {
 	bases := map[int64]*Change{}
 	var newest *Change
-	for _, change := range idx.Changes {
+	for _, change := range x.Changes {
 		if change.Config == nil {
 			continue
 		}
@@ -70,14 +70,14 @@
 			newest = change
 		}
 	}
-	idx.checkReadBack(newest, verdict)
-	idx.checkReadings(verdict)
-	for _, t := range idx.Attempts {
-		if idx.inContact(t.Proxy, t.Ended) {
-			idx.checkHandling(t, verdict)
+	x.checkReadBack(newest, verdict)
+	x.checkReadings(verdict)
+	for _, attempt := range x.Attempts {
+		if x.inContact(attempt.Proxy, attempt.Ended) {
+			x.checkHandling(attempt, verdict)
 		}
 	}
-	idx.checkRegression(verdict)
+	x.checkRegression(verdict)
 }
 
 // checkReadBack checks that the configuration read at the end is the newest one that was acknowledged, or a newer one without a clear answer.
@@ -101,12 +101,12 @@
 }
 
 // checkReadings checks that a reading returns no configuration older than one that was acknowledged before the reading was sent.
-func (x *index) checkReadings(v *Verdict) {
+func (x *index) checkReadings(verdict *Verdict) {
 	for _, r := range x.Reads {
-		v.Checked++
+		verdict.Checked++
 		for _, c := range x.Changes {
 			if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt <= r.Sent && c.Config.Revision > r.Revision {
-				v.violation("a read sent at %v showed version %d, and %d had been acknowledged at %v", r.Sent.Round(time.Millisecond),
+				verdict.violation("a read sent at %v showed version %d, and %d had been acknowledged at %v", r.Sent.Round(time.Millisecond),
 					r.Revision, c.Config.Revision, c.AcknowledgedAt.Round(time.Millisecond))
 				break
 			}
@@ -139,48 +139,48 @@
 		verdict.violation("%s got a 404 at %s, and the route is there", attempt.ID, attempt.Proxy)
 		return
 	}
-	for _, a := range x.runs[attempt.ID] {
-		if a.ExecutedAt == Never {
+	for _, arrival := range x.runs[attempt.ID] {
+		if arrival.ExecutedAt == Never {
 			continue
 		}
 		allowed := false
 		for _, c := range configs {
-			if r := c.Match(attempt.Host, attempt.Path); r != nil && r.sends(a.Service) {
+			if r := c.Match(attempt.Host, attempt.Path); r != nil && r.sends(arrival.Service) {
 				allowed = true
 			}
 		}
 		if !allowed {
-			verdict.violation("%s ran at %s by way of %s, as only an older version allows", attempt.ID, a.Service, attempt.Proxy)
+			verdict.violation("%s ran at %s by way of %s, as only an older version allows", attempt.ID, arrival.Service, attempt.Proxy)
 		}
 	}
 }
 
-// lost checks LOST: around a graceful shutdown of a proxy, requests that the proxy has read are answered completely.
-func lost(idx *index, verdict *Verdict) {
-	for _, trouble := range idx.Faults {
-		if trouble.Kind != Terminate || trouble.Proxy == "" {
+// checkLost checks LOST: around a graceful shutdown of a proxy, requests that the proxy has read are answered completely.
+func (x *index) checkLost(verdict *Verdict) {
+	for _, fault := range x.Faults {
+		if fault.Kind != Terminate || fault.Proxy == "" {
 			continue
 		}
-		until := trouble.At + idx.Bounds.Grace + 1e9
-		for _, t := range idx.Attempts {
-			if t.Proxy != trouble.Proxy || t.Ended < trouble.At || t.Ended > until || !idx.plannedOnly(t) {
+		until := fault.At + x.Bounds.Grace + 1e9
+		for _, attempt := range x.Attempts {
+			if attempt.Proxy != fault.Proxy || attempt.Ended < fault.At || attempt.Ended > until || !x.plannedOnly(attempt) {
 				continue
 			}
 			verdict.Checked++
-			if t.Outcome != Truncated || idx.abortedByServer(t) {
+			if attempt.Outcome != Truncated || x.abortedByServer(attempt) {
 				continue
 			}
-			if len(idx.runs[t.ID]) > 0 || t.Ended > t.SentComplete+idx.Bounds.LossSlack {
-				verdict.violation("%s was cut at %s, %v after SIGTERM", t.ID, t.Proxy, t.Ended-trouble.At)
+			if len(x.runs[attempt.ID]) > 0 || attempt.Ended > attempt.SentComplete+x.Bounds.LossSlack {
+				verdict.violation("%s was cut at %s, %v after SIGTERM", attempt.ID, attempt.Proxy, attempt.Ended-fault.At)
 			}
 		}
 	}
 }
 
 // plannedOnly reports whether the proxy of an attempt had no unplanned fault from Bounds.Contact before the attempt until its end.
-func (x *index) plannedOnly(t *Attempt) bool {
+func (x *index) plannedOnly(attempt *Attempt) bool {
 	for _, other := range x.Faults {
-		if other.Proxy == t.Proxy && other.isUnplanned() && other.At <= t.Ended && other.endedAt() > t.Sent-x.Bounds.Contact {
+		if other.Proxy == attempt.Proxy && other.isUnplanned() && other.At <= attempt.Ended && other.endedAt() > attempt.Sent-x.Bounds.Contact {
 			return false
 		}
 	}
@@ -188,9 +188,9 @@
 }
 
 // abortedByServer reports whether a server aborted an attempt.
-func (x *index) abortedByServer(t *Attempt) bool {
-	for _, a := range x.runs[t.ID] {
-		if a.Aborted {
+func (x *index) abortedByServer(attempt *Attempt) bool {
+	for _, arrival := range x.runs[attempt.ID] {
+		if arrival.Aborted {
 			return true
 		}
 	}
--- a/internal/lab/testcluster/rules/check.go
+++ b/internal/lab/testcluster/rules/check.go
@@ -36,20 +36,20 @@
 	rule  string
 	check func(*index, *Verdict)
 }{
-	{"MIXED", mixed},
-	{"UNASKED", unasked},
-	{"TWICE", twice},
-	{"REFUSED", refused},
-	{"DENIED", denied},
-	{"ROUTE", route},
-	{"DRAIN", drain},
-	{"LOST", lost},
-	{"CONFIG", config},
-	{"BUDGET", budget},
-	{"ORDER", order},
-	{"FAILBACK", failback},
-	{"HOME", home},
-	{"EVAC", evacuation},
+	{"MIXED", (*index).checkMixed},
+	{"UNASKED", (*index).checkUnasked},
+	{"TWICE", (*index).checkTwice},
+	{"REFUSED", (*index).checkRefused},
+	{"DENIED", (*index).checkDenied},
+	{"ROUTE", (*index).checkRoute},
+	{"DRAIN", (*index).checkDrain},
+	{"LOST", (*index).checkLost},
+	{"CONFIG", (*index).checkConfig},
+	{"BUDGET", (*index).checkBudget},
+	{"ORDER", (*index).checkOrder},
+	{"FAILBACK", (*index).checkFailback},
+	{"HOME", (*index).checkHome},
+	{"EVAC", (*index).checkEvacuation},
 }
 
 // Check checks all rules. The run must be over: nothing may be recorded meanwhile.
--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -173,17 +173,17 @@
 }
 
 // RecordAttempt records an attempt that has ended.
-func (e *Evidence) RecordAttempt(t *Attempt) {
+func (e *Evidence) RecordAttempt(attempt *Attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Attempts = append(e.Attempts, t)
+	e.Attempts = append(e.Attempts, attempt)
 }
 
 // RecordArrival records a request that reached a server. From then on it is changed within Update only.
-func (e *Evidence) RecordArrival(a *Arrival) {
+func (e *Evidence) RecordArrival(arrival *Arrival) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Arrivals = append(e.Arrivals, a)
+	e.Arrivals = append(e.Arrivals, arrival)
 }
 
 // Update calls change, which changes what was recorded.
@@ -194,24 +194,24 @@
 }
 
 // RecordChange records a change that is being sent. From then on it is changed within Update only.
-func (e *Evidence) RecordChange(c *Change) {
+func (e *Evidence) RecordChange(change *Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Changes = append(e.Changes, c)
+	e.Changes = append(e.Changes, change)
 }
 
 // RecordReading records an answer to a reading of the configuration.
-func (e *Evidence) RecordReading(r Reading) {
+func (e *Evidence) RecordReading(reading Reading) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Reads = append(e.Reads, r)
+	e.Reads = append(e.Reads, reading)
 }
 
 // RecordStray records bytes that came on an idle connection.
-func (e *Evidence) RecordStray(s Stray) {
+func (e *Evidence) RecordStray(stray Stray) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Strays = append(e.Strays, s)
+	e.Strays = append(e.Strays, stray)
 }
 
 // RecordDraining records that the list shows a server as draining. Only the first time counts.
@@ -230,23 +230,23 @@
 // index is evidence with the maps by which checks look it up.
 type index struct {
 	*Evidence
-	tries      map[string]*Attempt   // by id
+	attempts   map[string]*Attempt   // by id
 	runs       map[string][]*Arrival // by id of the attempt, in order of arrival
 	seals      map[string]*Arrival   // by seal
 	coreLosses []span
 }
 
 func (e *Evidence) index() *index {
-	x := &index{Evidence: e, tries: map[string]*Attempt{}, runs: map[string][]*Arrival{}, seals: map[string]*Arrival{},
+	x := &index{Evidence: e, attempts: map[string]*Attempt{}, runs: map[string][]*Arrival{}, seals: map[string]*Arrival{},
 		coreLosses: e.coreLosses()}
-	for _, t := range e.Attempts {
-		x.tries[t.ID] = t
+	for _, attempt := range e.Attempts {
+		x.attempts[attempt.ID] = attempt
 	}
 	slices.SortStableFunc(e.Arrivals, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
-	for _, a := range e.Arrivals {
-		x.runs[a.ID] = append(x.runs[a.ID], a)
-		if a.Seal != "" {
-			x.seals[a.Seal] = a
+	for _, arrival := range e.Arrivals {
+		x.runs[arrival.ID] = append(x.runs[arrival.ID], arrival)
+		if arrival.Seal != "" {
+			x.seals[arrival.Seal] = arrival
 		}
 	}
 	return x
@@ -255,15 +255,15 @@
 // Unanswered returns the last attempts of the requests that got no final answer, in the order in which they were sent.
 func (e *Evidence) Unanswered() []*Attempt {
 	last := map[int]*Attempt{}
-	for _, t := range e.Attempts {
-		if l := last[t.Request]; !t.Probe && (l == nil || t.Sent > l.Sent) {
-			last[t.Request] = t
+	for _, attempt := range e.Attempts {
+		if former := last[attempt.Request]; !attempt.Probe && (former == nil || attempt.Sent > former.Sent) {
+			last[attempt.Request] = attempt
 		}
 	}
 	var all []*Attempt
-	for _, t := range last {
-		if t.Outcome != Answered {
-			all = append(all, t)
+	for _, attempt := range last {
+		if attempt.Outcome != Answered {
+			all = append(all, attempt)
 		}
 	}
 	slices.SortFunc(all, func(a, b *Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
@@ -271,26 +271,26 @@
 }
 
 // String returns the attempt as a line.
-func (t *Attempt) String() string {
-	return fmt.Sprintf("%s %s at %s, sent %v: %s after %v (status %d, %d segments)", t.ID, t.Path, t.Proxy, t.Sent.Round(time.Millisecond),
-		t.Outcome, (t.Ended - t.Sent).Round(time.Millisecond), t.Status, len(t.Events))
+func (a *Attempt) String() string {
+	return fmt.Sprintf("%s %s at %s, sent %v: %s after %v (status %d, %d segments)", a.ID, a.Path, a.Proxy, a.Sent.Round(time.Millisecond),
+		a.Outcome, (a.Ended - a.Sent).Round(time.Millisecond), a.Status, len(a.Events))
 }
 
 // Describe returns an attempt as a line, with what servers saw of it.
-func (e *Evidence) Describe(t *Attempt) string {
-	text := t.String()
-	for _, a := range e.Arrivals {
-		if a.ID != t.ID {
+func (e *Evidence) Describe(attempt *Attempt) string {
+	text := attempt.String()
+	for _, arrival := range e.Arrivals {
+		if arrival.ID != attempt.ID {
 			continue
 		}
-		text += fmt.Sprintf("; reached %s after %v", a.Server, (a.At - t.Sent).Round(time.Millisecond))
+		text += fmt.Sprintf("; reached %s after %v", arrival.Server, (arrival.At - attempt.Sent).Round(time.Millisecond))
 		switch {
-		case a.Rejected != 0:
-			text += fmt.Sprintf(", rejected with %d", a.Rejected)
-		case a.ExecutedAt == Never:
+		case arrival.Rejected != 0:
+			text += fmt.Sprintf(", rejected with %d", arrival.Rejected)
+		case arrival.ExecutedAt == Never:
 			text += ", never ran"
 		default:
-			text += fmt.Sprintf(", ran after %v, %d of %d events", (a.ExecutedAt - t.Sent).Round(time.Millisecond), a.SentEvents, a.LastEvent)
+			text += fmt.Sprintf(", ran after %v, %d of %d events", (arrival.ExecutedAt - attempt.Sent).Round(time.Millisecond), arrival.SentEvents, arrival.LastEvent)
 		}
 	}
 	return text
--- a/internal/lab/testcluster/rules/faults.go
+++ b/internal/lab/testcluster/rules/faults.go
@@ -25,27 +25,27 @@
 )
 
 // RecordFault records a fault that does not last.
-func (e *Evidence) RecordFault(t Fault) {
+func (e *Evidence) RecordFault(fault Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Faults = append(e.Faults, t)
+	e.Faults = append(e.Faults, fault)
 }
 
 // BeginFault records a fault that lasts until end is called with the time of its end.
-func (e *Evidence) BeginFault(t Fault) (end func(at Time)) {
-	t.Until = math.MaxInt64
+func (e *Evidence) BeginFault(fault Fault) (end func(at Time)) {
+	fault.Until = math.MaxInt64
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	i := len(e.Faults)
-	e.Faults = append(e.Faults, t)
+	e.Faults = append(e.Faults, fault)
 	return func(at Time) { e.Update(func() { e.Faults[i].Until = at }) }
 }
 
 // endedAt returns when a fault ended.
-func (t *Fault) endedAt() Time { return max(t.At, t.Until) }
+func (f *Fault) endedAt() Time { return max(f.At, f.Until) }
 
 // isUnplanned reports whether a fault is neither a graceful shutdown nor a start.
-func (t *Fault) isUnplanned() bool { return t.Kind != Terminate && t.Kind != Start }
+func (f *Fault) isUnplanned() bool { return f.Kind != Terminate && f.Kind != Start }
 
 // span is a period of time.
 type span struct{ from, to Time }
@@ -70,14 +70,14 @@
 }
 
 // isOfCore reports whether a fault is one of a voter, and counts for core losses.
-func (t *Fault) isOfCore() bool { return t.ControlPlane && t.Machine != "" }
+func (f *Fault) isOfCore() bool { return f.ControlPlane && f.Machine != "" }
 
 // faultyMachines returns the machines whose voters have a fault at a time, and until when.
 func (e *Evidence) faultyMachines(at Time) map[string]Time {
 	until := map[string]Time{}
 	for i := range e.Faults {
-		if t := &e.Faults[i]; t.isOfCore() && t.At <= at && t.endedAt() >= at {
-			until[t.Machine] = max(until[t.Machine], t.endedAt())
+		if fault := &e.Faults[i]; fault.isOfCore() && fault.At <= at && fault.endedAt() >= at {
+			until[fault.Machine] = max(until[fault.Machine], fault.endedAt())
 		}
 	}
 	return until
@@ -86,7 +86,7 @@
 // inContact reports whether a proxy is in contact at a time: it had no fault, and there was no core loss, since Bounds.Contact before.
 func (x *index) inContact(proxy string, at Time) bool {
 	for i := range x.Faults {
-		if t := &x.Faults[i]; t.Proxy == proxy && t.At <= at && at-min(t.endedAt(), at) < x.Bounds.Contact {
+		if fault := &x.Faults[i]; fault.Proxy == proxy && fault.At <= at && at-min(fault.endedAt(), at) < x.Bounds.Contact {
 			return false
 		}
 	}
@@ -101,8 +101,8 @@
 // CountInContact returns how many attempts ended at a proxy in contact. By these the rules with a bound in time are judged.
 func (e *Evidence) CountInContact() (n int) {
 	x := &index{Evidence: e, coreLosses: e.coreLosses()}
-	for _, t := range e.Attempts {
-		if x.inContact(t.Proxy, t.Ended) {
+	for _, attempt := range e.Attempts {
+		if x.inContact(attempt.Proxy, attempt.Ended) {
 			n++
 		}
 	}
@@ -116,8 +116,8 @@
 		if pause.Kind != Pause || pause.Proxy == "" {
 			continue
 		}
-		for _, t := range e.Attempts {
-			if t.Proxy == pause.Proxy && t.Sent >= pause.At && t.Sent < pause.endedAt() && t.Ended > pause.endedAt() {
+		for _, attempt := range e.Attempts {
+			if attempt.Proxy == pause.Proxy && attempt.Sent >= pause.At && attempt.Sent < pause.endedAt() && attempt.Ended > pause.endedAt() {
 				n++
 			}
 		}
@@ -129,7 +129,7 @@
 // Bounds.Contact before, else by 0.
 func (e *Evidence) stretch(from, to Time) Time {
 	for i := range e.Faults {
-		if t := &e.Faults[i]; t.ControlPlane && t.At <= to && t.endedAt() > from-e.Bounds.Contact {
+		if fault := &e.Faults[i]; fault.ControlPlane && fault.At <= to && fault.endedAt() > from-e.Bounds.Contact {
 			return e.Bounds.Stretch
 		}
 	}
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// route checks ROUTE: a service executes only requests that a configuration routes to it which was sent before.
-func route(x *index, verdict *Verdict) {
+// checkRoute checks ROUTE: a service executes only requests that a configuration routes to it which was sent before.
+func (x *index) checkRoute(verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
 		if arrival.ExecutedAt == Never {
 			continue
 		}
 		verdict.Checked++
-		t, sends := x.tries[arrival.ID], false
-		if t == nil {
+		attempt, sends := x.attempts[arrival.ID], false
+		if attempt == nil {
 			continue // UNASKED reports it.
 		}
 		for _, c := range x.Changes {
 			if c.Config == nil || c.Sent > arrival.ExecutedAt {
 				continue
 			}
-			if r := c.Config.Match(t.Host, t.Path); r != nil && r.sends(arrival.Service) {
+			if r := c.Config.Match(attempt.Host, attempt.Path); r != nil && r.sends(arrival.Service) {
 				sends = true
 				break
 			}
 		}
 		if !sends {
-			verdict.violation("%s %s ran at %s", t.Host, t.Path, arrival.Service)
+			verdict.violation("%s %s ran at %s", attempt.Host, attempt.Path, arrival.Service)
 		}
 	}
 }
@@ -38,15 +38,15 @@
 func (a *Arrival) reached() bool { return a.Rejected != http.StatusMisdirectedRequest }
 
 // sender returns the address of the proxy through which an arrival came, empty if it is not known.
-func (x *index) sender(a *Arrival) string {
-	if t := x.tries[a.ID]; t != nil {
-		return t.Proxy
+func (x *index) sender(arrival *Arrival) string {
+	if attempt := x.attempts[arrival.ID]; attempt != nil {
+		return attempt.Proxy
 	}
 	return ""
 }
 
-// drain checks DRAIN: proxies in contact send nothing to a server later than Bounds.Drain after the list showed it as draining.
-func drain(x *index, v *Verdict) {
+// checkDrain checks DRAIN: proxies in contact send nothing to a server later than Bounds.Drain after the list showed it as draining.
+func (x *index) checkDrain(verdict *Verdict) {
 	shown := map[string]Time{}
 	for _, l := range x.Listings {
 		shown[l.Server] = l.Shown
@@ -56,9 +56,9 @@
 		if !drains || !a.reached() || a.At < at {
 			continue
 		}
-		v.Checked++
+		verdict.Checked++
 		if sent := a.sentAt(); sent > at+x.Bounds.Drain && x.inContact(x.sender(a), sent) {
-			v.violation("%s reached %s %v after it was shown as draining", a.ID, a.Server, sent-at)
+			verdict.violation("%s reached %s %v after it was shown as draining", a.ID, a.Server, sent-at)
 		}
 	}
 }
@@ -112,30 +112,30 @@
 	return n
 }
 
-// failback checks FAILBACK: in no second does a server that warms up get more requests than its limit. Requests count that were sent and came
+// checkFailback checks FAILBACK: in no second does a server that warms up get more requests than its limit. Requests count that were sent and came
 // within that second.
-func failback(x *index, v *Verdict) {
+func (x *index) checkFailback(verdict *Verdict) {
 	for _, p := range x.WarmUpPeaks() {
-		v.Checked += p.Requests
+		verdict.Checked += p.Requests
 		if float64(p.Requests) > p.Limit {
-			v.violation("%s got %d requests within a second while cold, up to %v; %.1f at most", p.Server, p.Requests,
+			verdict.violation("%s got %d requests within a second while cold, up to %v; %.1f at most", p.Server, p.Requests,
 				p.At.Round(time.Millisecond), p.Limit)
 		}
 	}
 }
 
-// home checks HOME: a request whose route has home regions reaches servers there only. It is a violation only if all configurations that may
+// checkHome checks HOME: a request whose route has home regions reaches servers there only. It is a violation only if all configurations that may
 // be in force say so.
-func home(idx *index, verdict *Verdict) {
-	for _, arrival := range idx.Arrivals {
-		t := idx.tries[arrival.ID]
-		if t == nil || !arrival.reached() {
+func (x *index) checkHome(verdict *Verdict) {
+	for _, arrival := range x.Arrivals {
+		attempt := x.attempts[arrival.ID]
+		if attempt == nil || !arrival.reached() {
 			continue
 		}
-		some := idx.inForce(t.Sent, arrival.At)
+		some := x.inForce(attempt.Sent, arrival.At)
 		abroad := len(some) > 0
 		for _, c := range some {
-			r := c.Match(t.Host, t.Path)
+			r := c.Match(attempt.Host, attempt.Path)
 			abroad = abroad && r != nil && len(r.Homes) > 0 && !slices.Contains(r.Homes, arrival.Region)
 		}
 		verdict.Checked++
@@ -145,41 +145,41 @@
 	}
 }
 
-// evacuation checks EVAC: proxies in contact send nothing to a zone later than Bounds.Evacuate after its evacuation was acknowledged, until the
+// checkEvacuation checks EVAC: proxies in contact send nothing to a zone later than Bounds.Evacuate after its evacuation was acknowledged, until the
 // end of the evacuation is sent.
-func evacuation(idx *index, verdict *Verdict) {
-	for i, change := range idx.Changes {
+func (x *index) checkEvacuation(verdict *Verdict) {
+	for i, change := range x.Changes {
 		if change.Config != nil || !change.Start || change.AcknowledgedAt == Never {
 			continue
 		}
 		until := Time(1<<63 - 1)
-		for _, later := range idx.Changes[i+1:] {
+		for _, later := range x.Changes[i+1:] {
 			if later.Config == nil && later.Zone == change.Zone && !later.Start {
 				until = later.Sent
 				break
 			}
 		}
-		for _, arrival := range idx.Arrivals {
+		for _, arrival := range x.Arrivals {
 			sent := arrival.sentAt()
-			from := change.AcknowledgedAt + idx.Bounds.Evacuate + idx.stretch(change.AcknowledgedAt, sent)
+			from := change.AcknowledgedAt + x.Bounds.Evacuate + x.stretch(change.AcknowledgedAt, sent)
 			if arrival.Zone != change.Zone || arrival.At <= change.AcknowledgedAt || arrival.At >= until || !arrival.reached() {
 				continue
 			}
 			verdict.Checked++
-			if sent > from && idx.inContact(idx.sender(arrival), sent) {
+			if sent > from && x.inContact(x.sender(arrival), sent) {
 				verdict.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-change.AcknowledgedAt)
 			}
 		}
 	}
 }
 
-// budget checks BUDGET: within each window, the retries that reach a service stay within a ratio of the requests for it.
-func budget(idx *index, verdict *Verdict) {
-	requests := idx.requestsByService()
-	for service, retries := range idx.retriesByService() {
+// checkBudget checks BUDGET: within each window, the retries that reach a service stay within a ratio of the requests for it.
+func (x *index) checkBudget(verdict *Verdict) {
+	requests := x.requestsByService()
+	for service, retries := range x.retriesByService() {
 		sent := requests[service]
 		slices.Sort(sent)
-		idx.checkBudget(service, sent, retries, verdict)
+		x.checkWindows(service, sent, retries, verdict)
 	}
 }
 
@@ -223,8 +223,8 @@
 	return retries
 }
 
-// checkBudget checks all windows of one service. Both lists are in order of time.
-func (x *index) checkBudget(service string, sent, retries []Time, verdict *Verdict) {
+// checkWindows checks the budget in all windows of one service. Both lists are in order of time.
+func (x *index) checkWindows(service string, sent, retries []Time, verdict *Verdict) {
 	window := x.Bounds.RetryWindow
 	from := 0
 	for i, at := range retries { // A window with the most retries ends with a retry.
@@ -244,7 +244,7 @@
 
 // countBetween returns how many times are after from and not after to.
 func countBetween(sorted []Time, from, to Time) int {
-	low, _ := slices.BinarySearchFunc(sorted, from, func(t, x Time) int { return cmp.Compare(t, x+1) })
-	high, _ := slices.BinarySearchFunc(sorted, to, func(t, x Time) int { return cmp.Compare(t, x+1) })
+	low, _ := slices.BinarySearchFunc(sorted, from, func(t, bound Time) int { return cmp.Compare(t, bound+1) })
+	high, _ := slices.BinarySearchFunc(sorted, to, func(t, bound Time) int { return cmp.Compare(t, bound+1) })
 	return max(0, high-low)
 }
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -15,34 +15,34 @@
 }
 
 // versionRange returns the lowest and the highest revision that was sent among the configurations that are allowed; ok is false if there is none.
-func (x *index) versionRange(allowed func(*Config) bool) (least, most int64, ok bool) {
-	least, most = math.MaxInt64, math.MinInt64
+func (x *index) versionRange(allowed func(*Config) bool) (minRevision, maxRevision int64, ok bool) {
+	minRevision, maxRevision = math.MaxInt64, math.MinInt64
 	for _, c := range x.Changes {
 		if c.Config != nil && allowed(c.Config) {
-			least, most, ok = min(least, c.Config.Revision), max(most, c.Config.Revision), true
+			minRevision, maxRevision, ok = min(minRevision, c.Config.Revision), max(maxRevision, c.Config.Revision), true
 		}
 	}
-	return least, most, ok
+	return minRevision, maxRevision, ok
 }
 
 // effects returns what the executions of an attempt, or its 404, show of the configuration.
-func (x *index) effects(t *Attempt) []effect {
+func (x *index) effects(attempt *Attempt) []effect {
 	var all []effect
-	if t.Outcome == Answered && t.Status == http.StatusNotFound && t.Seal == "" {
-		if least, most, ok := x.versionRange(func(c *Config) bool { return c.Match(t.Host, t.Path) == nil }); ok {
-			all = append(all, effect{t, math.MaxInt64, least, most})
+	if attempt.Outcome == Answered && attempt.Status == http.StatusNotFound && attempt.Seal == "" {
+		if minRevision, maxRevision, ok := x.versionRange(func(c *Config) bool { return c.Match(attempt.Host, attempt.Path) == nil }); ok {
+			all = append(all, effect{attempt, math.MaxInt64, minRevision, maxRevision})
 		}
 	}
-	for _, a := range x.runs[t.ID] {
-		if a.ExecutedAt == Never {
+	for _, arrival := range x.runs[attempt.ID] {
+		if arrival.ExecutedAt == Never {
 			continue
 		}
-		least, most, ok := x.versionRange(func(c *Config) bool {
-			r := c.Match(t.Host, t.Path)
-			return r != nil && r.sends(a.Service)
+		minRevision, maxRevision, ok := x.versionRange(func(c *Config) bool {
+			r := c.Match(attempt.Host, attempt.Path)
+			return r != nil && r.sends(arrival.Service)
 		})
 		if ok {
-			all = append(all, effect{t, a.ExecutedAt, least, most})
+			all = append(all, effect{attempt, arrival.ExecutedAt, minRevision, maxRevision})
 		}
 	}
 	return all
@@ -50,21 +50,21 @@
 
 // checkRegression checks that a proxy does not go back to an older configuration within one incarnation.
 func (x *index) checkRegression(verdict *Verdict) {
-	by := map[string][]effect{}
-	for _, t := range x.Attempts {
-		by[t.Proxy] = append(by[t.Proxy], x.effects(t)...)
+	byProxy := map[string][]effect{}
+	for _, attempt := range x.Attempts {
+		byProxy[attempt.Proxy] = append(byProxy[attempt.Proxy], x.effects(attempt)...)
 	}
-	for proxy, all := range by {
+	for proxy, all := range byProxy {
 		slices.SortStableFunc(all, func(a, b effect) int { return cmp.Compare(a.attempt.Sent, b.attempt.Sent) })
 		seen := slices.Clone(all)
 		slices.SortStableFunc(seen, func(a, b effect) int { return cmp.Compare(a.at, b.at) })
-		next, newest, life := 0, int64(math.MinInt64), Time(0)
+		next, newest, started := 0, int64(math.MinInt64), Time(0)
 		for _, e := range all {
-			if began := x.incarnationStart(proxy, e.attempt.Sent); began > life {
-				newest, life = math.MinInt64, began
+			if began := x.incarnationStart(proxy, e.attempt.Sent); began > started {
+				newest, started = math.MinInt64, began
 			}
 			for next < len(seen) && seen[next].at < e.attempt.Sent-x.Bounds.RevertSlack {
-				if seen[next].at >= life {
+				if seen[next].at >= started {
 					newest = max(newest, seen[next].minRevision)
 				}
 				next++
@@ -79,9 +79,9 @@
 // incarnationStart returns when the incarnation of a proxy started that is up at a time, or 0 if it started before the run.
 func (x *index) incarnationStart(proxy string, at Time) Time {
 	var began Time
-	for _, t := range x.Faults {
-		if t.Proxy == proxy && t.Kind == Start && t.At <= at {
-			began = max(began, t.At)
+	for _, fault := range x.Faults {
+		if fault.Proxy == proxy && fault.Kind == Start && fault.At <= at {
+			began = max(began, fault.At)
 		}
 	}
 	return began
