--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -165,11 +165,11 @@
 			arrival := x.seals[segment.Run]
 			switch {
 			case arrival == nil || arrival.ID != attempt.ID:
-				verdict.violation("%s: piece %d is of no run of this request", attempt.ID, segment.First)
+				verdict.violation("%s: event %d is of no run of this request", attempt.ID, segment.First)
 			case segment.First != last+1:
-				verdict.violation("%s: piece %d follows piece %d", attempt.ID, segment.First, last)
+				verdict.violation("%s: event %d follows event %d", attempt.ID, segment.First, last)
 			case i > 0 && segment.Run == attempt.Events[i-1].Run, i > 0 && !x.idempotent(attempt):
-				verdict.violation("%s: pieces of two runs", attempt.ID)
+				verdict.violation("%s: events of two runs", attempt.ID)
 			case i > 0 && arrival.From != last:
 				verdict.violation("%s: a run that goes on after %d was joined after %d", attempt.ID, arrival.From, last)
 			}
@@ -179,7 +179,7 @@
 			continue
 		}
 		if arrival := x.seals[attempt.Seal]; arrival != nil && last != arrival.LastEvent {
-			verdict.violation("%s: closed as complete after piece %d of %d", attempt.ID, last, arrival.LastEvent)
+			verdict.violation("%s: closed as complete after event %d of %d", attempt.ID, last, arrival.LastEvent)
 		}
 	}
 }
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -171,7 +171,7 @@
 				continue
 			}
 			if len(x.runs[attempt.ID]) > 0 || attempt.Ended > attempt.SentComplete+x.Bounds.LossSlack {
-				verdict.violation("%s was cut at %s, %v after SIGTERM", attempt.ID, attempt.Proxy, attempt.Ended-fault.At)
+				verdict.violation("%s was truncated at %s, %v after SIGTERM", attempt.ID, attempt.Proxy, attempt.Ended-fault.At)
 			}
 		}
 	}
