--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -6,47 +6,6 @@
 	"time"
 )
 
-// services returns the services to which a route sends requests.
-func (r *Route) services() []string {
-	if r.Target != "" {
-		return []string{r.Target}
-	}
-	var all []string
-	for _, s := range r.Shares {
-		if s.Weight > 0 {
-			all = append(all, s.Target)
-		}
-	}
-	return all
-}
-
-// inForce returns the configurations that may be in force somewhere in a period: the newest one that was acknowledged at least
-// Bounds.ConfigApply before from, and all newer ones that were sent until to and not refused.
-func (x *index) inForce(from, to Time) []*Config {
-	var settled *Change
-	for _, c := range x.Changes {
-		bound := x.Bounds.ConfigApply + x.stretch(c.AcknowledgedAt, from)
-		if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt+bound <= from && (settled == nil || c.Config.Revision > settled.Config.Revision) {
-			settled = c
-		}
-	}
-	var some []*Config
-	for _, c := range x.Changes {
-		if c.Config == nil || c.Sent > to || c.wasRefused() {
-			continue
-		}
-		if settled == nil || c.Config.Revision >= settled.Config.Revision {
-			some = append(some, c.Config)
-		}
-	}
-	return some
-}
-
-// wasRefused reports whether a change was clearly refused.
-func (c *Change) wasRefused() bool {
-	return c.AcknowledgedAt == Never && c.Status >= 400 && c.Status < 500
-}
-
 // checkConfig checks CONFIG: a configuration that was acknowledged comes into force and stays, and one that is invalid is never acknowledged.
 func (x *index) checkConfig(verdict *Verdict) {
 	bases := map[int64]*Change{}
@@ -154,45 +113,3 @@
 		}
 	}
 }
-
-// checkLost checks LOST: around a graceful shutdown of a proxy, requests that the proxy has read are answered completely.
-func (x *index) checkLost(verdict *Verdict) {
-	for _, fault := range x.Faults {
-		if fault.Kind != Terminate || fault.Proxy == "" {
-			continue
-		}
-		until := fault.At + x.Bounds.Grace + 1e9
-		for _, attempt := range x.Attempts {
-			if attempt.Proxy != fault.Proxy || attempt.Ended < fault.At || attempt.Ended > until || !x.plannedOnly(attempt) {
-				continue
-			}
-			verdict.Checked++
-			if attempt.Outcome != Truncated || x.abortedByServer(attempt) {
-				continue
-			}
-			if len(x.runs[attempt.ID]) > 0 || attempt.Ended > attempt.SentComplete+x.Bounds.LossSlack {
-				verdict.violation("%s was truncated at %s, %v after SIGTERM", attempt.ID, attempt.Proxy, attempt.Ended-fault.At)
-			}
-		}
-	}
-}
-
-// plannedOnly reports whether the proxy of an attempt had no unplanned fault from Bounds.Contact before the attempt until its end.
-func (x *index) plannedOnly(attempt *Attempt) bool {
-	for _, other := range x.Faults {
-		if other.Proxy == attempt.Proxy && other.isUnplanned() && other.At <= attempt.Ended && other.endedAt() > attempt.Sent-x.Bounds.Contact {
-			return false
-		}
-	}
-	return true
-}
-
-// abortedByServer reports whether a server aborted an attempt.
-func (x *index) abortedByServer(attempt *Attempt) bool {
-	for _, arrival := range x.runs[attempt.ID] {
-		if arrival.Aborted {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/lab/testcluster/rules/config.go
+++ b/internal/lab/testcluster/rules/config.go
@@ -74,6 +74,20 @@
 	return r.Category == "idempotent" || r.Category == "streaming" && r.Resumable
 }
 
+// services returns the services to which a route sends requests.
+func (r *Route) services() []string {
+	if r.Target != "" {
+		return []string{r.Target}
+	}
+	var all []string
+	for _, s := range r.Shares {
+		if s.Weight > 0 {
+			all = append(all, s.Target)
+		}
+	}
+	return all
+}
+
 // sends reports whether the route sends requests to a service.
 func (r *Route) sends(service string) bool {
 	for _, s := range r.Shares {
--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -13,9 +13,7 @@
 package rules
 
 import (
-	"cmp"
-	"fmt"
-	"slices"
+	"net/http"
 	"sync"
 	"time"
 )
@@ -26,11 +24,6 @@
 // Never is the time of an event that has not happened.
 const Never Time = -1
 
-// String returns the outcome in words.
-func (o Outcome) String() string {
-	return [...]string{"open", "answered", "cut", "closed unread", "unreached", "given up", "garbage"}[o]
-}
-
 // Outcome is how an attempt of a client ended.
 type Outcome int
 
@@ -45,6 +38,11 @@
 	Malformed            // bytes came that are not an HTTP answer
 )
 
+// String returns the outcome in words.
+func (o Outcome) String() string {
+	return [...]string{"open", "answered", "cut", "closed unread", "unreached", "given up", "garbage"}[o]
+}
+
 // Segment is consecutive events of a stream that one server sent.
 type Segment struct {
 	Run         string // seal of the run
@@ -103,6 +101,17 @@
 	Aborted    bool   // the server ended the connection without a complete answer
 }
 
+// sentAt returns when an arrival was sent.
+func (a *Arrival) sentAt() Time {
+	if a.Sent > 0 {
+		return a.Sent
+	}
+	return a.At
+}
+
+// reached reports whether an arrival counts as sent to the server: one that was rejected with 421 was meant for another incarnation.
+func (a *Arrival) reached() bool { return a.Rejected != http.StatusMisdirectedRequest }
+
 // Change is a change that the operator sent.
 type Change struct {
 	Config         *Config // the complete configuration after it; nil: it is of an evacuation
@@ -116,6 +125,11 @@
 	Invalid        bool // it must be refused
 }
 
+// wasRefused reports whether a change was clearly refused.
+func (c *Change) wasRefused() bool {
+	return c.AcknowledgedAt == Never && c.Status >= 400 && c.Status < 500
+}
+
 // Listing is a server that the platform's list showed as draining.
 type Listing struct {
 	Server string // id of the incarnation
@@ -226,72 +240,3 @@
 		e.Listings = append(e.Listings, Listing{server, at})
 	}
 }
-
-// index is evidence with the maps by which checks look it up.
-type index struct {
-	*Evidence
-	attempts   map[string]*Attempt   // by id
-	runs       map[string][]*Arrival // by id of the attempt, in order of arrival
-	seals      map[string]*Arrival   // by seal
-	coreLosses []span
-}
-
-func (e *Evidence) index() *index {
-	x := &index{Evidence: e, attempts: map[string]*Attempt{}, runs: map[string][]*Arrival{}, seals: map[string]*Arrival{},
-		coreLosses: e.coreLosses()}
-	for _, attempt := range e.Attempts {
-		x.attempts[attempt.ID] = attempt
-	}
-	slices.SortStableFunc(e.Arrivals, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
-	for _, arrival := range e.Arrivals {
-		x.runs[arrival.ID] = append(x.runs[arrival.ID], arrival)
-		if arrival.Seal != "" {
-			x.seals[arrival.Seal] = arrival
-		}
-	}
-	return x
-}
-
-// Unanswered returns the last attempts of the requests that got no final answer, in the order in which they were sent.
-func (e *Evidence) Unanswered() []*Attempt {
-	last := map[int]*Attempt{}
-	for _, attempt := range e.Attempts {
-		if former := last[attempt.Request]; !attempt.Probe && (former == nil || attempt.Sent > former.Sent) {
-			last[attempt.Request] = attempt
-		}
-	}
-	var all []*Attempt
-	for _, attempt := range last {
-		if attempt.Outcome != Answered {
-			all = append(all, attempt)
-		}
-	}
-	slices.SortFunc(all, func(a, b *Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
-	return all
-}
-
-// String returns the attempt as a line.
-func (a *Attempt) String() string {
-	return fmt.Sprintf("%s %s at %s, sent %v: %s after %v (status %d, %d segments)", a.ID, a.Path, a.Proxy, a.Sent.Round(time.Millisecond),
-		a.Outcome, (a.Ended - a.Sent).Round(time.Millisecond), a.Status, len(a.Events))
-}
-
-// Describe returns an attempt as a line, with what servers saw of it.
-func (e *Evidence) Describe(attempt *Attempt) string {
-	text := attempt.String()
-	for _, arrival := range e.Arrivals {
-		if arrival.ID != attempt.ID {
-			continue
-		}
-		text += fmt.Sprintf("; reached %s after %v", arrival.Server, (arrival.At - attempt.Sent).Round(time.Millisecond))
-		switch {
-		case arrival.Rejected != 0:
-			text += fmt.Sprintf(", rejected with %d", arrival.Rejected)
-		case arrival.ExecutedAt == Never:
-			text += ", never ran"
-		default:
-			text += fmt.Sprintf(", ran after %v, %d of %d events", (arrival.ExecutedAt - attempt.Sent).Round(time.Millisecond), arrival.SentEvents, arrival.LastEvent)
-		}
-	}
-	return text
-}
--- /dev/null
+++ b/internal/lab/testcluster/rules/index.go
@@ -0,0 +1,73 @@
+package rules
+
+import (
+	"cmp"
+	"slices"
+)
+
+// index is evidence with the maps by which checks look it up.
+type index struct {
+	*Evidence
+	attempts   map[string]*Attempt   // by id
+	runs       map[string][]*Arrival // by id of the attempt, in order of arrival
+	seals      map[string]*Arrival   // by seal
+	coreLosses []span
+}
+
+func (e *Evidence) index() *index {
+	x := &index{Evidence: e, attempts: map[string]*Attempt{}, runs: map[string][]*Arrival{}, seals: map[string]*Arrival{},
+		coreLosses: e.coreLosses()}
+	for _, attempt := range e.Attempts {
+		x.attempts[attempt.ID] = attempt
+	}
+	slices.SortStableFunc(e.Arrivals, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
+	for _, arrival := range e.Arrivals {
+		x.runs[arrival.ID] = append(x.runs[arrival.ID], arrival)
+		if arrival.Seal != "" {
+			x.seals[arrival.Seal] = arrival
+		}
+	}
+	return x
+}
+
+// inForce returns the configurations that may be in force somewhere in a period: the newest one that was acknowledged at least
+// Bounds.ConfigApply before from, and all newer ones that were sent until to and not refused.
+func (x *index) inForce(from, to Time) []*Config {
+	var settled *Change
+	for _, c := range x.Changes {
+		bound := x.Bounds.ConfigApply + x.stretch(c.AcknowledgedAt, from)
+		if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt+bound <= from && (settled == nil || c.Config.Revision > settled.Config.Revision) {
+			settled = c
+		}
+	}
+	var some []*Config
+	for _, c := range x.Changes {
+		if c.Config == nil || c.Sent > to || c.wasRefused() {
+			continue
+		}
+		if settled == nil || c.Config.Revision >= settled.Config.Revision {
+			some = append(some, c.Config)
+		}
+	}
+	return some
+}
+
+// idempotent reports whether the request of an attempt may be executed more than once, by any configuration that was sent before its end.
+func (x *index) idempotent(attempt *Attempt) bool {
+	for _, c := range x.Changes {
+		if c.Config != nil && c.Sent <= attempt.Ended {
+			if r := c.Config.Match(attempt.Host, attempt.Path); r != nil && r.Idempotent() {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// sender returns the address of the proxy through which an arrival came, empty if it is not known.
+func (x *index) sender(arrival *Arrival) string {
+	if attempt := x.attempts[arrival.ID]; attempt != nil {
+		return attempt.Proxy
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/lab/testcluster/rules/streams.go
@@ -0,0 +1,33 @@
+package rules
+
+// checkOrder checks ORDER: the events of a stream are those of one run, or for idempotent requests of several runs each of which continues where
+// the one before ended; none is missing or comes twice.
+func (x *index) checkOrder(verdict *Verdict) {
+	for _, attempt := range x.Attempts {
+		if !attempt.Stream {
+			continue
+		}
+		verdict.Checked++
+		last := attempt.From
+		for i, segment := range attempt.Events {
+			arrival := x.seals[segment.Run]
+			switch {
+			case arrival == nil || arrival.ID != attempt.ID:
+				verdict.violation("%s: event %d is of no run of this request", attempt.ID, segment.First)
+			case segment.First != last+1:
+				verdict.violation("%s: event %d follows event %d", attempt.ID, segment.First, last)
+			case i > 0 && segment.Run == attempt.Events[i-1].Run, i > 0 && !x.idempotent(attempt):
+				verdict.violation("%s: events of two runs", attempt.ID)
+			case i > 0 && arrival.From != last:
+				verdict.violation("%s: a run that goes on after %d was joined after %d", attempt.ID, arrival.From, last)
+			}
+			last = segment.Last
+		}
+		if attempt.Outcome != Answered || !success(attempt.Status) {
+			continue
+		}
+		if arrival := x.seals[attempt.Seal]; arrival != nil && last != arrival.LastEvent {
+			verdict.violation("%s: closed as complete after event %d of %d", attempt.ID, last, arrival.LastEvent)
+		}
+	}
+}
