--- a/internal/lab/soak/fault_links.go
+++ b/internal/lab/soak/fault_links.go
@@ -8,6 +8,7 @@
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/link"
 	"gradeusher.example/gradeusher/internal/lab/testcluster"
+	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
 const maxPartitionedServers = 4 // from which one proxy is partitioned
@@ -59,7 +60,7 @@
 		begin = p.beginControlPlaneFault
 	}
 	return forEachMachine(p.machines(fault), func(m testcluster.Machine) error {
-		defer begin(m, string(fault.Kind))()
+		defer begin(m, rules.FaultKind(fault.Kind))()
 		p.injectIntoLinks(ctx, fault)
 		return nil
 	})
--- a/internal/lab/soak/fault_processes.go
+++ b/internal/lab/soak/fault_processes.go
@@ -9,10 +9,10 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
-const (
-	endSlack  = 2 * time.Second // beyond the grace, for a process to end
-	faultDown = "down"          // kind of rules.Fault of a process that is not there
-)
+const endSlack = 2 * time.Second // beyond the grace, for a process to end
+
+// faultDown is the kind of rules.Fault of a process that is not running.
+const faultDown rules.FaultKind = "down"
 
 // drawKill draws a fault of processes that are killed and started again.
 func (d *drawer) drawKill(fault *Fault) {
--- a/internal/lab/testcluster/process_faults.go
+++ b/internal/lab/testcluster/process_faults.go
@@ -12,7 +12,7 @@
 )
 
 // faultKill is the kind of rules.Fault of a process that was killed.
-const faultKill = "kill"
+const faultKill rules.FaultKind = "kill"
 
 // KillControlPlane kills a machine's control-plane node and waits for its end.
 func (r *Run) KillControlPlane(m Machine) error {
--- a/internal/lab/testcluster/rules/faults.go
+++ b/internal/lab/testcluster/rules/faults.go
@@ -5,18 +5,21 @@
 // Fault is a fault that was injected into a process of the system.
 type Fault struct {
 	Proxy        string // front address of a proxy; empty: the fault is of a control-plane node
-	Kind         string // Terminate, Start, Pause, or another word for reports
+	Kind         FaultKind
 	At           Time
 	Until        Time   // end of a fault that lasts; 0 for others
 	ControlPlane bool   // the fault counts as one of a voter
 	Machine      string // IP, where the fault counts for core losses
 }
 
+// FaultKind is a kind of fault. Checks distinguish the kinds below; all others are the same to them, and only named in reports.
+type FaultKind string
+
 // Kinds of faults that checks distinguish.
 const (
-	Terminate = "term"  // a process is asked to shut down gracefully
-	Start     = "start" // a process is started
-	Pause     = "pause" // a process is stopped, and continued at Until
+	Terminate FaultKind = "term"  // a process is asked to shut down gracefully
+	Start     FaultKind = "start" // a process is started
+	Pause     FaultKind = "pause" // a process is stopped, and continued at Until
 )
 
 // RecordFault records a fault that does not last.
