--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -28,7 +28,7 @@
 			verdict.violation("%s: %d bytes followed the answer", attempt.ID, attempt.Surplus)
 		case attempt.Status != 0 && attempt.AnswerID != "" && attempt.AnswerID != attempt.ID:
 			verdict.violation("%s: got the answer to %s", attempt.ID, attempt.AnswerID)
-		case attempt.Outcome == Answered && success(attempt.Status):
+		case attempt.succeeded():
 			x.checkSuccess(attempt, verdict)
 		}
 	}
@@ -56,7 +56,7 @@
 		verdict.Checked++
 		attempt := x.attempts[arrival.ID]
 		switch {
-		case arrival.ExecutedAt == Never:
+		case !arrival.executed():
 		case attempt == nil:
 			verdict.violation("%s ran %q, which no client sent", arrival.Server, arrival.ID)
 		case arrival.Method != attempt.Method || arrival.Path != attempt.Path:
@@ -70,7 +70,7 @@
 // countExecuted returns how many of the arrivals were executed.
 func countExecuted(all []*Arrival) (n int) {
 	for _, arrival := range all {
-		if arrival.ExecutedAt != Never {
+		if arrival.executed() {
 			n++
 		}
 	}
@@ -133,7 +133,7 @@
 func (x *index) alwaysRouted(attempt *Attempt) bool {
 	some := x.inForce(attempt.Sent, attempt.Ended)
 	for _, c := range some {
-		if c.Match(attempt.Host, attempt.Path) == nil {
+		if c.routeOf(attempt) == nil {
 			return false
 		}
 	}
--- a/internal/lab/testcluster/rules/budget.go
+++ b/internal/lab/testcluster/rules/budget.go
@@ -30,7 +30,7 @@
 func (x *index) servicesOf(attempt *Attempt) map[string]bool {
 	services := map[string]bool{}
 	for _, c := range x.inForce(attempt.Sent, attempt.Ended) {
-		matched := c.Match(attempt.Host, attempt.Path)
+		matched := c.routeOf(attempt)
 		if matched == nil {
 			continue
 		}
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"net/http"
 	"time"
 )
 
@@ -15,7 +14,7 @@
 			continue
 		}
 		verdict.Checked++
-		if change.AcknowledgedAt == Never {
+		if !change.acknowledged() {
 			continue
 		}
 		if change.Invalid {
@@ -64,7 +63,7 @@
 	for _, r := range x.Reads {
 		verdict.Checked++
 		for _, c := range x.Changes {
-			if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt <= r.Sent && c.Config.Revision > r.Revision {
+			if c.Config != nil && c.acknowledged() && c.AcknowledgedAt <= r.Sent && c.Config.Revision > r.Revision {
 				verdict.violation("a read sent at %v showed version %d, and %d had been acknowledged at %v", r.Sent.Round(time.Millisecond),
 					r.Revision, c.Config.Revision, c.AcknowledgedAt.Round(time.Millisecond))
 				break
@@ -89,9 +88,9 @@
 	if len(configs) == 0 {
 		return
 	}
-	if attempt.Outcome == Answered && attempt.Status == http.StatusNotFound && attempt.Seal == "" {
+	if attempt.foundNoRoute() {
 		for _, c := range configs {
-			if c.Match(attempt.Host, attempt.Path) == nil {
+			if c.routeOf(attempt) == nil {
 				return
 			}
 		}
@@ -99,12 +98,12 @@
 		return
 	}
 	for _, arrival := range x.runs[attempt.ID] {
-		if arrival.ExecutedAt == Never {
+		if !arrival.executed() {
 			continue
 		}
 		allowed := false
 		for _, c := range configs {
-			if r := c.Match(attempt.Host, attempt.Path); r != nil && r.sends(arrival.Service) {
+			if c.sends(attempt, arrival.Service) {
 				allowed = true
 			}
 		}
--- a/internal/lab/testcluster/rules/config.go
+++ b/internal/lab/testcluster/rules/config.go
@@ -98,6 +98,21 @@
 	return r.Target == service
 }
 
+// routeOf returns the route of an attempt, nil if there is none.
+func (c *Config) routeOf(attempt *Attempt) *Route { return c.Match(attempt.Host, attempt.Path) }
+
+// sends reports whether the configuration sends an attempt to a service.
+func (c *Config) sends(attempt *Attempt, service string) bool {
+	r := c.routeOf(attempt)
+	return r != nil && r.sends(service)
+}
+
+// isIdempotent reports whether the request of an attempt may be executed more than once by the configuration.
+func (c *Config) isIdempotent(attempt *Attempt) bool {
+	r := c.routeOf(attempt)
+	return r != nil && r.Idempotent()
+}
+
 // Match returns the route of a request, nil if there is none: the one with the longest prefix of the path among those of the host.
 func (c *Config) Match(host, path string) *Route {
 	var best *Route
--- a/internal/lab/testcluster/rules/describe.go
+++ b/internal/lab/testcluster/rules/describe.go
@@ -42,7 +42,7 @@
 		switch {
 		case arrival.Rejected != 0:
 			text += fmt.Sprintf(", rejected with %d", arrival.Rejected)
-		case arrival.ExecutedAt == Never:
+		case !arrival.executed():
 			text += ", never ran"
 		default:
 			text += fmt.Sprintf(", ran after %v, %d of %d events", (arrival.ExecutedAt - attempt.Sent).Round(time.Millisecond), arrival.SentEvents, arrival.LastEvent)
--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -74,6 +74,14 @@
 	Surplus      int       // bytes that followed the answer while no request waited
 }
 
+// succeeded reports whether the attempt got a complete answer with a status 2xx.
+func (a *Attempt) succeeded() bool { return a.Outcome == Answered && success(a.Status) }
+
+// foundNoRoute reports whether the proxy itself answered 404, as it does if its configuration has no route for the request.
+func (a *Attempt) foundNoRoute() bool {
+	return a.Outcome == Answered && a.Status == http.StatusNotFound && a.Seal == ""
+}
+
 // Arrival is a request that reached a server, as the server saw it.
 type Arrival struct {
 	At           Time
@@ -101,6 +109,9 @@
 	Aborted    bool   // the server ended the connection without a complete answer
 }
 
+// executed reports whether the server executed the request.
+func (a *Arrival) executed() bool { return a.ExecutedAt != Never }
+
 // sentAt returns when an arrival was sent.
 func (a *Arrival) sentAt() Time {
 	if a.Sent > 0 {
@@ -125,9 +136,12 @@
 	Invalid        bool // it must be refused
 }
 
+// acknowledged reports whether the change was acknowledged.
+func (c *Change) acknowledged() bool { return c.AcknowledgedAt != Never }
+
 // wasRefused reports whether a change was clearly refused.
 func (c *Change) wasRefused() bool {
-	return c.AcknowledgedAt == Never && c.Status >= 400 && c.Status < 500
+	return !c.acknowledged() && c.Status >= 400 && c.Status < 500
 }
 
 // Listing is a server that the platform's list showed as draining.
--- a/internal/lab/testcluster/rules/index.go
+++ b/internal/lab/testcluster/rules/index.go
@@ -36,7 +36,7 @@
 	var settled *Change
 	for _, c := range x.Changes {
 		bound := x.Bounds.ConfigApply + x.stretch(c.AcknowledgedAt, from)
-		if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt+bound <= from && (settled == nil || c.Config.Revision > settled.Config.Revision) {
+		if c.Config != nil && c.acknowledged() && c.AcknowledgedAt+bound <= from && (settled == nil || c.Config.Revision > settled.Config.Revision) {
 			settled = c
 		}
 	}
@@ -55,10 +55,8 @@
 // idempotent reports whether the request of an attempt may be executed more than once, by any configuration that was sent before its end.
 func (x *index) idempotent(attempt *Attempt) bool {
 	for _, c := range x.Changes {
-		if c.Config != nil && c.Sent <= attempt.Ended {
-			if r := c.Config.Match(attempt.Host, attempt.Path); r != nil && r.Idempotent() {
-				return true
-			}
+		if c.Config != nil && c.Sent <= attempt.Ended && c.Config.isIdempotent(attempt) {
+			return true
 		}
 	}
 	return false
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -5,7 +5,7 @@
 // checkRoute checks ROUTE: a service executes only requests that a configuration routes to it which was sent before.
 func (x *index) checkRoute(verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
-		if arrival.ExecutedAt == Never {
+		if !arrival.executed() {
 			continue
 		}
 		verdict.Checked++
@@ -17,7 +17,7 @@
 			if c.Config == nil || c.Sent > arrival.ExecutedAt {
 				continue
 			}
-			if r := c.Config.Match(attempt.Host, attempt.Path); r != nil && r.sends(arrival.Service) {
+			if c.Config.sends(attempt, arrival.Service) {
 				sends = true
 				break
 			}
@@ -57,7 +57,7 @@
 		some := x.inForce(attempt.Sent, arrival.At)
 		abroad := len(some) > 0
 		for _, c := range some {
-			r := c.Match(attempt.Host, attempt.Path)
+			r := c.routeOf(attempt)
 			abroad = abroad && r != nil && len(r.Homes) > 0 && !slices.Contains(r.Homes, arrival.Region)
 		}
 		verdict.Checked++
@@ -71,7 +71,7 @@
 // end of the evacuation is sent.
 func (x *index) checkEvacuation(verdict *Verdict) {
 	for i, change := range x.Changes {
-		if change.Config != nil || !change.Start || change.AcknowledgedAt == Never {
+		if change.Config != nil || !change.Start || !change.acknowledged() {
 			continue
 		}
 		until := Time(1<<63 - 1)
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"math"
-	"net/http"
 	"slices"
 )
 
@@ -28,19 +27,16 @@
 // effects returns what the executions of an attempt, or its 404, show of the configuration.
 func (x *index) effects(attempt *Attempt) []effect {
 	var all []effect
-	if attempt.Outcome == Answered && attempt.Status == http.StatusNotFound && attempt.Seal == "" {
-		if minRevision, maxRevision, ok := x.versionRange(func(c *Config) bool { return c.Match(attempt.Host, attempt.Path) == nil }); ok {
+	if attempt.foundNoRoute() {
+		if minRevision, maxRevision, ok := x.versionRange(func(c *Config) bool { return c.routeOf(attempt) == nil }); ok {
 			all = append(all, effect{attempt, math.MaxInt64, minRevision, maxRevision})
 		}
 	}
 	for _, arrival := range x.runs[attempt.ID] {
-		if arrival.ExecutedAt == Never {
+		if !arrival.executed() {
 			continue
 		}
-		minRevision, maxRevision, ok := x.versionRange(func(c *Config) bool {
-			r := c.Match(attempt.Host, attempt.Path)
-			return r != nil && r.sends(arrival.Service)
-		})
+		minRevision, maxRevision, ok := x.versionRange(func(c *Config) bool { return c.sends(attempt, arrival.Service) })
 		if ok {
 			all = append(all, effect{attempt, arrival.ExecutedAt, minRevision, maxRevision})
 		}
--- a/internal/lab/testcluster/rules/streams.go
+++ b/internal/lab/testcluster/rules/streams.go
@@ -23,7 +23,7 @@
 			}
 			last = segment.Last
 		}
-		if attempt.Outcome != Answered || !success(attempt.Status) {
+		if !attempt.succeeded() {
 			continue
 		}
 		if arrival := x.seals[attempt.Seal]; arrival != nil && last != arrival.LastEvent {
