--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -1,6 +1,9 @@
 package rules
 
-import "net/http"
+import (
+	"net/http"
+	"slices"
+)
 
 // success reports whether a status is 2xx.
 func success(status int) bool { return status >= 200 && status < 300 }
@@ -131,11 +134,6 @@
 
 // alwaysRouted reports whether every configuration that may be in force has a route for an attempt.
 func (x *index) alwaysRouted(attempt *Attempt) bool {
-	some := x.inForce(attempt.Sent, attempt.Ended)
-	for _, c := range some {
-		if c.routeOf(attempt) == nil {
-			return false
-		}
-	}
-	return len(some) > 0
+	configs := x.inForce(attempt.Sent, attempt.Ended)
+	return len(configs) > 0 && !slices.ContainsFunc(configs, func(c *Config) bool { return c.routeOf(attempt) == nil })
 }
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -2,13 +2,26 @@
 
 import (
 	"encoding/json"
+	"slices"
 	"time"
 )
 
 // checkConfig checks CONFIG: a configuration that was acknowledged comes into force and stays, and one that is invalid is never acknowledged.
 func (x *index) checkConfig(verdict *Verdict) {
-	bases := map[int64]*Change{}
-	var newest *Change
+	x.checkAcknowledgements(verdict)
+	x.checkReadBack(verdict)
+	x.checkReadings(verdict)
+	for _, attempt := range x.Attempts {
+		if x.inContact(attempt.Proxy, attempt.Ended) {
+			x.checkHandling(attempt, verdict)
+		}
+	}
+	x.checkRegression(verdict)
+}
+
+// checkAcknowledgements checks that no invalid configuration was acknowledged, and of those on top of one version at most one.
+func (x *index) checkAcknowledgements(verdict *Verdict) {
+	acknowledged := map[int64]*Config{} // by the version on which it builds
 	for _, change := range x.Changes {
 		if change.Config == nil {
 			continue
@@ -17,37 +30,28 @@
 		if !change.acknowledged() {
 			continue
 		}
+		revision := change.Config.Revision
 		if change.Invalid {
-			verdict.violation("the invalid version %d was acknowledged", change.Config.Revision)
+			verdict.violation("the invalid version %d was acknowledged", revision)
 		}
-		if other := bases[change.Base]; other != nil && other.Config.Revision != change.Config.Revision {
-			verdict.violation("versions %d and %d on top of version %d were both acknowledged", other.Config.Revision, change.Config.Revision, change.Base)
-		}
-		bases[change.Base] = change
-		if newest == nil || change.Config.Revision > newest.Config.Revision {
-			newest = change
+		if other := acknowledged[change.Base]; other != nil && other.Revision != revision {
+			verdict.violation("versions %d and %d on top of version %d were both acknowledged", other.Revision, revision, change.Base)
 		}
+		acknowledged[change.Base] = change.Config
 	}
-	x.checkReadBack(newest, verdict)
-	x.checkReadings(verdict)
-	for _, attempt := range x.Attempts {
-		if x.inContact(attempt.Proxy, attempt.Ended) {
-			x.checkHandling(attempt, verdict)
-		}
-	}
-	x.checkRegression(verdict)
 }
 
 // checkReadBack checks that the configuration read at the end is the newest one that was acknowledged, or a newer one without a clear answer.
-func (x *index) checkReadBack(newest *Change, verdict *Verdict) {
+func (x *index) checkReadBack(verdict *Verdict) {
+	newest, ok := x.newestAcknowledged()
 	switch {
-	case newest == nil:
+	case !ok:
 		return
 	case x.Read == nil:
 		verdict.violation("the configuration was not read back")
 		return
-	case x.Read.Revision < newest.Config.Revision:
-		verdict.violation("version %d was read back and %d had been acknowledged", x.Read.Revision, newest.Config.Revision)
+	case x.Read.Revision < newest:
+		verdict.violation("version %d was read back and %d had been acknowledged", x.Read.Revision, newest)
 		return
 	}
 	for _, c := range x.Changes {
@@ -58,6 +62,16 @@
 	verdict.violation("version %d was read back with what nobody sent under that number", x.Read.Revision)
 }
 
+// newestAcknowledged returns the highest revision that was acknowledged; ok is false if none was.
+func (x *index) newestAcknowledged() (revision int64, ok bool) {
+	for _, c := range x.Changes {
+		if c.Config != nil && c.acknowledged() && (!ok || c.Config.Revision > revision) {
+			revision, ok = c.Config.Revision, true
+		}
+	}
+	return revision, ok
+}
+
 // checkReadings checks that a reading returns no configuration older than one that was acknowledged before the reading was sent.
 func (x *index) checkReadings(verdict *Verdict) {
 	for _, r := range x.Reads {
@@ -89,25 +103,14 @@
 		return
 	}
 	if attempt.foundNoRoute() {
-		for _, c := range configs {
-			if c.routeOf(attempt) == nil {
-				return
-			}
+		if !slices.ContainsFunc(configs, func(c *Config) bool { return c.routeOf(attempt) == nil }) {
+			verdict.violation("%s got a 404 at %s, and the route is there", attempt.ID, attempt.Proxy)
 		}
-		verdict.violation("%s got a 404 at %s, and the route is there", attempt.ID, attempt.Proxy)
 		return
 	}
 	for _, arrival := range x.runs[attempt.ID] {
-		if !arrival.executed() {
-			continue
-		}
-		allowed := false
-		for _, c := range configs {
-			if c.sends(attempt, arrival.Service) {
-				allowed = true
-			}
-		}
-		if !allowed {
+		allowed := func(c *Config) bool { return c.sends(attempt, arrival.Service) }
+		if arrival.executed() && !slices.ContainsFunc(configs, allowed) {
 			verdict.violation("%s ran at %s by way of %s, as only an older version allows", attempt.ID, arrival.Service, attempt.Proxy)
 		}
 	}
--- a/internal/lab/testcluster/rules/config.go
+++ b/internal/lab/testcluster/rules/config.go
@@ -1,6 +1,9 @@
 package rules
 
-import "strings"
+import (
+	"slices"
+	"strings"
+)
 
 // Config is the operator's configuration as it is sent (PROTOCOL.md "The operator's API").
 type Config struct {
@@ -107,6 +110,12 @@
 	return r != nil && r.sends(service)
 }
 
+// hasHomesElsewhere reports whether the route of an attempt has home regions and a region is none of them.
+func (c *Config) hasHomesElsewhere(attempt *Attempt, region string) bool {
+	r := c.routeOf(attempt)
+	return r != nil && len(r.Homes) > 0 && !slices.Contains(r.Homes, region)
+}
+
 // isIdempotent reports whether the request of an attempt may be executed more than once by the configuration.
 func (c *Config) isIdempotent(attempt *Attempt) bool {
 	r := c.routeOf(attempt)
--- a/internal/lab/testcluster/rules/index.go
+++ b/internal/lab/testcluster/rules/index.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 )
 
@@ -33,33 +34,35 @@
 // inForce returns the configurations that may be in force somewhere in a period: the newest one that was acknowledged at least
 // Bounds.ConfigApply before from, and all newer ones that were sent until to and not refused.
 func (x *index) inForce(from, to Time) []*Config {
-	var settled *Change
+	minRevision := x.settledRevision(from)
+	var configs []*Config
 	for _, c := range x.Changes {
-		bound := x.Bounds.ConfigApply + x.stretch(c.AcknowledgedAt, from)
-		if c.Config != nil && c.acknowledged() && c.AcknowledgedAt+bound <= from && (settled == nil || c.Config.Revision > settled.Config.Revision) {
-			settled = c
+		if c.Config != nil && c.Sent <= to && !c.wasRefused() && c.Config.Revision >= minRevision {
+			configs = append(configs, c.Config)
 		}
 	}
-	var some []*Config
+	return configs
+}
+
+// settledRevision returns the highest revision that must be in force everywhere at a time, and math.MinInt64 if there is none.
+func (x *index) settledRevision(at Time) int64 {
+	settled := int64(math.MinInt64)
 	for _, c := range x.Changes {
-		if c.Config == nil || c.Sent > to || c.wasRefused() {
+		if c.Config == nil || !c.acknowledged() {
 			continue
 		}
-		if settled == nil || c.Config.Revision >= settled.Config.Revision {
-			some = append(some, c.Config)
+		if bound := x.Bounds.ConfigApply + x.stretch(c.AcknowledgedAt, at); c.AcknowledgedAt+bound <= at {
+			settled = max(settled, c.Config.Revision)
 		}
 	}
-	return some
+	return settled
 }
 
 // idempotent reports whether the request of an attempt may be executed more than once, by any configuration that was sent before its end.
 func (x *index) idempotent(attempt *Attempt) bool {
-	for _, c := range x.Changes {
-		if c.Config != nil && c.Sent <= attempt.Ended && c.Config.isIdempotent(attempt) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(x.Changes, func(c *Change) bool {
+		return c.Config != nil && c.Sent <= attempt.Ended && c.Config.isIdempotent(attempt)
+	})
 }
 
 // sender returns the address of the proxy through which an arrival came, empty if it is not known.
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -13,8 +13,8 @@
 	minRevision, maxRevision int64
 }
 
-// versionRange returns the lowest and the highest revision that was sent among the configurations that are allowed; ok is false if there is none.
-func (x *index) versionRange(allowed func(*Config) bool) (minRevision, maxRevision int64, ok bool) {
+// revisionRange returns the lowest and the highest revision that was sent among the configurations that are allowed; ok is false if there is none.
+func (x *index) revisionRange(allowed func(*Config) bool) (minRevision, maxRevision int64, ok bool) {
 	minRevision, maxRevision = math.MaxInt64, math.MinInt64
 	for _, c := range x.Changes {
 		if c.Config != nil && allowed(c.Config) {
@@ -28,7 +28,7 @@
 func (x *index) effects(attempt *Attempt) []effect {
 	var all []effect
 	if attempt.foundNoRoute() {
-		if minRevision, maxRevision, ok := x.versionRange(func(c *Config) bool { return c.routeOf(attempt) == nil }); ok {
+		if minRevision, maxRevision, ok := x.revisionRange(func(c *Config) bool { return c.routeOf(attempt) == nil }); ok {
 			all = append(all, effect{attempt, math.MaxInt64, minRevision, maxRevision})
 		}
 	}
@@ -36,7 +36,7 @@
 		if !arrival.executed() {
 			continue
 		}
-		minRevision, maxRevision, ok := x.versionRange(func(c *Config) bool { return c.sends(attempt, arrival.Service) })
+		minRevision, maxRevision, ok := x.revisionRange(func(c *Config) bool { return c.sends(attempt, arrival.Service) })
 		if ok {
 			all = append(all, effect{attempt, arrival.ExecutedAt, minRevision, maxRevision})
 		}
@@ -50,24 +50,30 @@
 	for _, attempt := range x.Attempts {
 		byProxy[attempt.Proxy] = append(byProxy[attempt.Proxy], x.effects(attempt)...)
 	}
-	for proxy, all := range byProxy {
-		slices.SortStableFunc(all, func(a, b effect) int { return cmp.Compare(a.attempt.Sent, b.attempt.Sent) })
-		seen := slices.Clone(all)
-		slices.SortStableFunc(seen, func(a, b effect) int { return cmp.Compare(a.at, b.at) })
-		next, newest, started := 0, int64(math.MinInt64), Time(0)
-		for _, e := range all {
-			if began := x.incarnationStart(proxy, e.attempt.Sent); began > started {
-				newest, started = math.MinInt64, began
-			}
-			for next < len(seen) && seen[next].at < e.attempt.Sent-x.Bounds.RevertSlack {
-				if seen[next].at >= started {
-					newest = max(newest, seen[next].minRevision)
-				}
-				next++
-			}
-			if e.maxRevision < newest {
-				verdict.violation("%s went by version %d at most at %s, which had gone by version %d", e.attempt.ID, e.maxRevision, proxy, newest)
+	for proxy, effects := range byProxy {
+		x.checkProxyRegression(proxy, effects, verdict)
+	}
+}
+
+// checkProxyRegression checks the effects of one proxy: none is of an older configuration than any effect that was seen more than
+// Bounds.RevertSlack before its attempt was sent.
+func (x *index) checkProxyRegression(proxy string, effects []effect, verdict *Verdict) {
+	slices.SortStableFunc(effects, func(a, b effect) int { return cmp.Compare(a.attempt.Sent, b.attempt.Sent) })
+	seen := slices.Clone(effects)
+	slices.SortStableFunc(seen, func(a, b effect) int { return cmp.Compare(a.at, b.at) })
+	next, newest, started := 0, int64(math.MinInt64), Time(0)
+	for _, e := range effects {
+		if began := x.incarnationStart(proxy, e.attempt.Sent); began > started {
+			newest, started = math.MinInt64, began
+		}
+		for next < len(seen) && seen[next].at < e.attempt.Sent-x.Bounds.RevertSlack {
+			if seen[next].at >= started {
+				newest = max(newest, seen[next].minRevision)
 			}
+			next++
+		}
+		if e.maxRevision < newest {
+			verdict.violation("%s went by version %d at most at %s, which had gone by version %d", e.attempt.ID, e.maxRevision, proxy, newest)
 		}
 	}
 }
--- a/internal/lab/testcluster/rules/shutdown.go
+++ b/internal/lab/testcluster/rules/shutdown.go
@@ -1,27 +1,45 @@
 package rules
 
+import (
+	"slices"
+	"time"
+)
+
+// lostMargin is how long after Bounds.Grace LOST still counts truncated answers.
+const lostMargin = time.Second
+
 // checkLost checks LOST: around a graceful shutdown of a proxy, requests that the proxy has read are answered completely.
 func (x *index) checkLost(verdict *Verdict) {
 	for _, fault := range x.Faults {
-		if fault.Kind != Terminate || fault.Proxy == "" {
+		if fault.Kind == Terminate && fault.Proxy != "" {
+			x.checkShutdown(fault, verdict)
+		}
+	}
+}
+
+// checkShutdown checks the attempts that ended during one graceful shutdown of a proxy.
+func (x *index) checkShutdown(shutdown Fault, verdict *Verdict) {
+	until := shutdown.At + x.Bounds.Grace + lostMargin
+	for _, attempt := range x.Attempts {
+		if attempt.Proxy != shutdown.Proxy || attempt.Ended < shutdown.At || attempt.Ended > until || !x.plannedOnly(attempt) {
 			continue
 		}
-		until := fault.At + x.Bounds.Grace + 1e9
-		for _, attempt := range x.Attempts {
-			if attempt.Proxy != fault.Proxy || attempt.Ended < fault.At || attempt.Ended > until || !x.plannedOnly(attempt) {
-				continue
-			}
-			verdict.Checked++
-			if attempt.Outcome != Truncated || x.abortedByServer(attempt) {
-				continue
-			}
-			if len(x.runs[attempt.ID]) > 0 || attempt.Ended > attempt.SentComplete+x.Bounds.LossSlack {
-				verdict.violation("%s was truncated at %s, %v after SIGTERM", attempt.ID, attempt.Proxy, attempt.Ended-fault.At)
-			}
+		verdict.Checked++
+		if x.isLost(attempt) {
+			verdict.violation("%s was truncated at %s, %v after SIGTERM", attempt.ID, attempt.Proxy, attempt.Ended-shutdown.At)
 		}
 	}
 }
 
+// isLost reports whether an attempt was truncated, though not by a server, after it reached a server, or long enough after its last byte for the
+// proxy to have read it.
+func (x *index) isLost(attempt *Attempt) bool {
+	if attempt.Outcome != Truncated || x.abortedByServer(attempt) {
+		return false
+	}
+	return len(x.runs[attempt.ID]) > 0 || attempt.Ended > attempt.SentComplete+x.Bounds.LossSlack
+}
+
 // plannedOnly reports whether the proxy of an attempt had no unplanned fault from Bounds.Contact before the attempt until its end.
 func (x *index) plannedOnly(attempt *Attempt) bool {
 	for _, other := range x.Faults {
@@ -34,10 +52,5 @@
 
 // abortedByServer reports whether a server aborted an attempt.
 func (x *index) abortedByServer(attempt *Attempt) bool {
-	for _, arrival := range x.runs[attempt.ID] {
-		if arrival.Aborted {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(x.runs[attempt.ID], func(arrival *Arrival) bool { return arrival.Aborted })
 }
--- a/internal/lab/testcluster/rules/streams.go
+++ b/internal/lab/testcluster/rules/streams.go
@@ -8,21 +8,7 @@
 			continue
 		}
 		verdict.Checked++
-		last := attempt.From
-		for i, segment := range attempt.Events {
-			arrival := x.seals[segment.Run]
-			switch {
-			case arrival == nil || arrival.ID != attempt.ID:
-				verdict.violation("%s: event %d is of no run of this request", attempt.ID, segment.First)
-			case segment.First != last+1:
-				verdict.violation("%s: event %d follows event %d", attempt.ID, segment.First, last)
-			case i > 0 && segment.Run == attempt.Events[i-1].Run, i > 0 && !x.idempotent(attempt):
-				verdict.violation("%s: events of two runs", attempt.ID)
-			case i > 0 && arrival.From != last:
-				verdict.violation("%s: a run that goes on after %d was joined after %d", attempt.ID, arrival.From, last)
-			}
-			last = segment.Last
-		}
+		last := x.checkEvents(attempt, verdict)
 		if !attempt.succeeded() {
 			continue
 		}
@@ -31,3 +17,25 @@
 		}
 	}
 }
+
+// checkEvents checks that the events of a stream follow each other, and returns the number of the last one.
+func (x *index) checkEvents(attempt *Attempt, verdict *Verdict) (last int) {
+	last = attempt.From
+	for i, segment := range attempt.Events {
+		run := x.seals[segment.Run]
+		switch {
+		case run == nil || run.ID != attempt.ID:
+			verdict.violation("%s: event %d is of no run of this request", attempt.ID, segment.First)
+		case segment.First != last+1:
+			verdict.violation("%s: event %d follows event %d", attempt.ID, segment.First, last)
+		case i == 0:
+			// The first run follows what the client has, wherever the run itself began.
+		case segment.Run == attempt.Events[i-1].Run || !x.idempotent(attempt):
+			verdict.violation("%s: events of two runs", attempt.ID)
+		case run.From != last:
+			verdict.violation("%s: a run that goes on after %d was joined after %d", attempt.ID, run.From, last)
+		}
+		last = segment.Last
+	}
+	return last
+}
