--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -38,7 +38,7 @@
 }
 
 func (x *index) checkSuccess(attempt *Attempt, verdict *Verdict) {
-	arrival := x.seals[attempt.Seal]
+	arrival := x.arrivalBySeal[attempt.Seal]
 	switch {
 	case attempt.Seal == "":
 		verdict.violation("%s: %d without a server's seal", attempt.ID, attempt.Status)
@@ -57,7 +57,7 @@
 func (x *index) checkUnasked(verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
 		verdict.Checked++
-		attempt := x.attempts[arrival.ID]
+		attempt := x.attemptByID[arrival.ID]
 		switch {
 		case !arrival.executed():
 		case attempt == nil:
@@ -71,8 +71,8 @@
 }
 
 // countExecuted returns how many of the arrivals were executed.
-func countExecuted(all []*Arrival) (n int) {
-	for _, arrival := range all {
+func countExecuted(arrivals []*Arrival) (n int) {
+	for _, arrival := range arrivals {
 		if arrival.executed() {
 			n++
 		}
@@ -87,7 +87,7 @@
 			continue
 		}
 		verdict.Checked++
-		if n := countExecuted(x.runs[attempt.ID]); n > 1 {
+		if n := countExecuted(x.arrivalsByID[attempt.ID]); n > 1 {
 			verdict.violation("%s ran %d times", attempt.ID, n)
 		}
 	}
@@ -100,38 +100,43 @@
 			continue
 		}
 		verdict.Checked++
-		if n := countExecuted(x.runs[attempt.ID]); n > 0 {
+		if n := countExecuted(x.arrivalsByID[attempt.ID]); n > 0 {
 			verdict.violation("%s was answered %d and ran", attempt.ID, attempt.Status)
 		}
 	}
 }
 
-// Rejections that DENIED allows, as single ones may have causes that are not recorded.
+// Rejections that DENIED allows.
 const (
-	minDenied         = 5   // in any run
-	attemptsPerDenied = 500 // attempts for each one besides
+	deniedSlack       = 5   // in any run
+	attemptsPerDenied = 500 // attempts for each further one
 )
 
 // checkDenied checks DENIED: proxies in contact do not answer proper requests with 3xx or 4xx of their own, apart from not-executed statuses.
 func (x *index) checkDenied(verdict *Verdict) {
-	var found []*Attempt
+	var denied []*Attempt
 	for _, attempt := range x.Attempts {
 		if attempt.Probe {
 			continue
 		}
 		verdict.Checked++
-		own := attempt.Outcome == Answered && attempt.Seal == "" && attempt.Status >= 300 && attempt.Status < 500 && !promisesNotExecuted(attempt.Status)
-		if own && x.inContact(attempt.Proxy, attempt.Ended) && x.alwaysRouted(attempt) {
-			found = append(found, attempt)
+		if attempt.isDenied() && x.inContact(attempt.Proxy, attempt.Ended) && x.alwaysRouted(attempt) {
+			denied = append(denied, attempt)
 		}
 	}
-	if len(found) > minDenied+verdict.Checked/attemptsPerDenied {
-		for _, attempt := range found {
+	if len(denied) > deniedSlack+verdict.Checked/attemptsPerDenied {
+		for _, attempt := range denied {
 			verdict.violation("%s got a %d at %s", attempt.ID, attempt.Status, attempt.Proxy)
 		}
 	}
 }
 
+// isDenied reports whether the proxy itself answered 3xx or 4xx, and did not promise that the request was not executed.
+func (a *Attempt) isDenied() bool {
+	ownAnswer := a.Outcome == Answered && a.Seal == ""
+	return ownAnswer && a.Status >= 300 && a.Status < 500 && !promisesNotExecuted(a.Status)
+}
+
 // alwaysRouted reports whether every configuration that may be in force has a route for an attempt.
 func (x *index) alwaysRouted(attempt *Attempt) bool {
 	configs := x.inForce(attempt.Sent, attempt.Ended)
--- a/internal/lab/testcluster/rules/budget.go
+++ b/internal/lab/testcluster/rules/budget.go
@@ -30,12 +30,10 @@
 func (x *index) servicesOf(attempt *Attempt) map[string]bool {
 	services := map[string]bool{}
 	for _, c := range x.inForce(attempt.Sent, attempt.Ended) {
-		matched := c.routeOf(attempt)
-		if matched == nil {
-			continue
-		}
-		for _, service := range matched.services() {
-			services[service] = true
+		if r := c.routeOf(attempt); r != nil {
+			for _, service := range r.services() {
+				services[service] = true
+			}
 		}
 	}
 	return services
@@ -43,37 +41,45 @@
 
 // retriesByService returns by service when attempts reached it that had reached it before.
 func (x *index) retriesByService() map[string][]Time {
+	type reach struct{ service, id string }
 	retries := map[string][]Time{}
-	seen := map[string]bool{}
-	for _, a := range x.Arrivals {
-		if key := a.Service + " " + a.ID; seen[key] {
-			retries[a.Service] = append(retries[a.Service], a.At)
-		} else {
-			seen[key] = true
+	reached := map[reach]bool{}
+	for _, arrival := range x.Arrivals {
+		first := reach{arrival.Service, arrival.ID}
+		if reached[first] {
+			retries[arrival.Service] = append(retries[arrival.Service], arrival.At)
 		}
+		reached[first] = true
 	}
 	return retries
 }
 
 // checkWindows checks the budget in all windows of one service. Both lists are in order of time.
 func (x *index) checkWindows(service string, sent, retries []Time, verdict *Verdict) {
-	window := x.Bounds.RetryWindow
-	from := 0
+	first := 0                   // retry of the window
 	for i, at := range retries { // A window with the most retries ends with a retry.
-		for at-retries[from] >= window {
-			from++
+		for at-retries[first] >= x.Bounds.RetryWindow {
+			first++
 		}
 		verdict.Checked++
-		count := 0
-		for _, back := range []Time{0, window / 2, window} {
-			count = max(count, countBetween(sent, at-back-window, at-back))
-		}
-		if maxRetries := x.Bounds.RetryRatio*float64(count) + x.Bounds.RetrySlack; float64(i-from+1) > maxRetries {
-			verdict.violation("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, maxRetries)
+		count, maxRetries := i-first+1, x.maxRetries(sent, at)
+		if float64(count) > maxRetries {
+			verdict.violation("%s got %d repeats up to %v, %.0f at most", service, count, at, maxRetries)
 		}
 	}
 }
 
+// maxRetries returns how many retries may reach a service in the window that ends at a time. sent is when the requests for the service were
+// sent, in order. They count in that window, the one half a window earlier or the one before, whichever has the most.
+func (x *index) maxRetries(sent []Time, at Time) float64 {
+	window := x.Bounds.RetryWindow
+	count := 0
+	for _, earlier := range []Time{0, window / 2, window} {
+		count = max(count, countBetween(sent, at-earlier-window, at-earlier))
+	}
+	return x.Bounds.RetryRatio*float64(count) + x.Bounds.RetrySlack
+}
+
 // countBetween returns how many times are after from and not after to.
 func countBetween(sorted []Time, from, to Time) int {
 	low, _ := slices.BinarySearchFunc(sorted, from, func(t, bound Time) int { return cmp.Compare(t, bound+1) })
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -108,7 +108,7 @@
 		}
 		return
 	}
-	for _, arrival := range x.runs[attempt.ID] {
+	for _, arrival := range x.arrivalsByID[attempt.ID] {
 		allowed := func(c *Config) bool { return c.sends(attempt, arrival.Service) }
 		if arrival.executed() && !slices.ContainsFunc(configs, allowed) {
 			verdict.violation("%s ran at %s by way of %s, as only an older version allows", attempt.ID, arrival.Service, attempt.Proxy)
--- a/internal/lab/testcluster/rules/index.go
+++ b/internal/lab/testcluster/rules/index.go
@@ -9,26 +9,32 @@
 // index is evidence with the maps by which checks look it up.
 type index struct {
 	*Evidence
-	attempts   map[string]*Attempt   // by id
-	runs       map[string][]*Arrival // by id of the attempt, in order of arrival
-	seals      map[string]*Arrival   // by seal
-	coreLosses []span
+	attemptByID   map[string]*Attempt
+	arrivalsByID  map[string][]*Arrival // by id of the attempt, in order of arrival
+	arrivalBySeal map[string]*Arrival
+	coreLosses    []span
 }
 
+// index returns the index of the evidence, and sorts its arrivals by time.
 func (e *Evidence) index() *index {
-	x := &index{Evidence: e, attempts: map[string]*Attempt{}, runs: map[string][]*Arrival{}, seals: map[string]*Arrival{},
-		coreLosses: e.coreLosses()}
+	built := &index{
+		Evidence:      e,
+		attemptByID:   map[string]*Attempt{},
+		arrivalsByID:  map[string][]*Arrival{},
+		arrivalBySeal: map[string]*Arrival{},
+		coreLosses:    e.coreLosses(),
+	}
 	for _, attempt := range e.Attempts {
-		x.attempts[attempt.ID] = attempt
+		built.attemptByID[attempt.ID] = attempt
 	}
 	slices.SortStableFunc(e.Arrivals, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
 	for _, arrival := range e.Arrivals {
-		x.runs[arrival.ID] = append(x.runs[arrival.ID], arrival)
+		built.arrivalsByID[arrival.ID] = append(built.arrivalsByID[arrival.ID], arrival)
 		if arrival.Seal != "" {
-			x.seals[arrival.Seal] = arrival
+			built.arrivalBySeal[arrival.Seal] = arrival
 		}
 	}
-	return x
+	return built
 }
 
 // inForce returns the configurations that may be in force somewhere in a period: the newest one that was acknowledged at least
@@ -67,7 +73,7 @@
 
 // sender returns the address of the proxy through which an arrival came, empty if it is not known.
 func (x *index) sender(arrival *Arrival) string {
-	if attempt := x.attempts[arrival.ID]; attempt != nil {
+	if attempt := x.attemptByID[arrival.ID]; attempt != nil {
 		return attempt.Proxy
 	}
 	return ""
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -12,7 +12,7 @@
 			continue
 		}
 		verdict.Checked++
-		attempt := x.attempts[arrival.ID]
+		attempt := x.attemptByID[arrival.ID]
 		if attempt == nil {
 			continue // UNASKED reports it.
 		}
@@ -51,7 +51,7 @@
 // be in force say so.
 func (x *index) checkHome(verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
-		attempt := x.attempts[arrival.ID]
+		attempt := x.attemptByID[arrival.ID]
 		if attempt == nil || !arrival.reached() {
 			continue
 		}
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -32,7 +32,7 @@
 			all = append(all, effect{attempt, math.MaxInt64, minRevision, maxRevision})
 		}
 	}
-	for _, arrival := range x.runs[attempt.ID] {
+	for _, arrival := range x.arrivalsByID[attempt.ID] {
 		if !arrival.executed() {
 			continue
 		}
--- a/internal/lab/testcluster/rules/shutdown.go
+++ b/internal/lab/testcluster/rules/shutdown.go
@@ -37,7 +37,7 @@
 	if attempt.Outcome != Truncated || x.abortedByServer(attempt) {
 		return false
 	}
-	return len(x.runs[attempt.ID]) > 0 || attempt.Ended > attempt.SentComplete+x.Bounds.LossSlack
+	return len(x.arrivalsByID[attempt.ID]) > 0 || attempt.Ended > attempt.SentComplete+x.Bounds.LossSlack
 }
 
 // plannedOnly reports whether the proxy of an attempt had no unplanned fault from Bounds.Contact before the attempt until its end.
@@ -52,5 +52,5 @@
 
 // abortedByServer reports whether a server aborted an attempt.
 func (x *index) abortedByServer(attempt *Attempt) bool {
-	return slices.ContainsFunc(x.runs[attempt.ID], func(arrival *Arrival) bool { return arrival.Aborted })
+	return slices.ContainsFunc(x.arrivalsByID[attempt.ID], func(arrival *Arrival) bool { return arrival.Aborted })
 }
--- a/internal/lab/testcluster/rules/streams.go
+++ b/internal/lab/testcluster/rules/streams.go
@@ -12,7 +12,7 @@
 		if !attempt.succeeded() {
 			continue
 		}
-		if arrival := x.seals[attempt.Seal]; arrival != nil && last != arrival.LastEvent {
+		if arrival := x.arrivalBySeal[attempt.Seal]; arrival != nil && last != arrival.LastEvent {
 			verdict.violation("%s: closed as complete after event %d of %d", attempt.ID, last, arrival.LastEvent)
 		}
 	}
@@ -22,7 +22,7 @@
 func (x *index) checkEvents(attempt *Attempt, verdict *Verdict) (last int) {
 	last = attempt.From
 	for i, segment := range attempt.Events {
-		run := x.seals[segment.Run]
+		run := x.arrivalBySeal[segment.Run]
 		switch {
 		case run == nil || run.ID != attempt.ID:
 			verdict.violation("%s: event %d is of no run of this request", attempt.ID, segment.First)
