--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -23,12 +23,7 @@
 // drawn draws, and reports true with that probability.
 func (p *probability) drawn() bool { return rand.Float64() < math.Float64frombits(p.bits.Load()) }
 
-const (
-	addedName       = "added"
-	addedPrefix     = "/added/"
-	maxRevisionStep = 5  // between the revisions of consecutive configurations
-	changeStream    = 37 // the sequence of random numbers of a seed from which changes are drawn
-)
+const changeStream = 37 // the sequence of random numbers of a seed from which changes are drawn
 
 // sendChanges changes the configuration at an interval until ctx ends. After each change it sends a probe to a proxy.
 func (p *player) sendChanges(ctx context.Context) {
@@ -38,7 +33,7 @@
 			p.refreshConfig(ctx)
 		}
 		m := p.Fleet.Machines[rng.IntN(len(p.Fleet.Machines))]
-		p.Probe(ctx, p.Fleet.Front(m), p.Scenario.Config.Routes[summaryRoute].Host, fmt.Sprintf("%s%d", addedPrefix, n))
+		p.Probe(ctx, p.Fleet.Front(m), p.Scenario.Config.Routes[summaryRoute].Host, fmt.Sprintf("%s%d", testcluster.AddedRoutePrefix, n))
 	}
 }
 
@@ -47,16 +42,16 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	current := p.Scenario.Config
-	revision := current.Revision + 1 + rng.Int64N(maxRevisionStep)
-	added := slices.ContainsFunc(current.Routes, func(r rules.Route) bool { return r.Name == addedName })
+	revision := p.NextRevision(rng)
+	added := slices.ContainsFunc(current.Routes, func(r rules.Route) bool { return r.Name == testcluster.AddedRouteName })
 	var err error
 	switch {
 	case number%3 == 0 && !added:
 		route := current.Routes[thumbRoute]
-		route.Name, route.Prefix = addedName, addedPrefix
+		route.Name, route.Prefix = testcluster.AddedRouteName, testcluster.AddedRoutePrefix
 		err = p.AddRoute(ctx, revision, route)
 	case number%3 == 0:
-		err = p.RemoveRoute(ctx, revision, addedName)
+		err = p.RemoveRoute(ctx, revision, testcluster.AddedRouteName)
 	default:
 		after := *current
 		after.Revision = revision
--- a/internal/lab/testcluster/config_changes.go
+++ b/internal/lab/testcluster/config_changes.go
@@ -10,12 +10,14 @@
 	"gradeusher.example/gradeusher/internal/lab/testcluster/rules"
 )
 
+// Name and path prefix of the route that runs add and remove.
 const (
-	addedRouteName   = "added"
-	addedRoutePrefix = "/added/"
-	maxRevisionStep  = 5 // between the revisions of consecutive configurations
+	AddedRouteName   = "added"
+	AddedRoutePrefix = "/added/"
 )
 
+const maxRevisionStep = 5 // between the revisions of consecutive configurations
+
 // AddRoute amends the configuration by a route, as a new revision.
 func (r *Run) AddRoute(ctx context.Context, revision int64, route rules.Route) error {
 	routes := append(slices.Clone(r.Scenario.Config.Routes), route)
@@ -41,14 +43,14 @@
 	return nil
 }
 
-// nextRevision draws the revision of the next configuration.
-func (r *Run) nextRevision(rng *rand.Rand) int64 {
+// NextRevision draws the revision of the configuration that follows the scenario's: 1 to maxRevisionStep higher.
+func (r *Run) NextRevision(rng *rand.Rand) int64 {
 	return r.Scenario.Config.Revision + 1 + rng.Int64N(maxRevisionStep)
 }
 
-// addedRoute returns the route that comes and goes.
+// addedRoute returns the route that the fault tour adds and removes.
 func addedRoute() rules.Route {
-	return rules.Route{Name: addedRouteName, Host: scenarioHost, Prefix: addedRoutePrefix, Category: "idempotent", Timeout: 2000, Aim: 400, Priority: 2,
+	return rules.Route{Name: AddedRouteName, Host: scenarioHost, Prefix: AddedRoutePrefix, Category: "idempotent", Timeout: 2000, Aim: 400, Priority: 2,
 		Target: thumbService, MaxTries: 1, Homes: []string{}}
 }
 
@@ -61,22 +63,22 @@
 
 // addAndRemoveRoute adds and removes a route, and probes it at once after each change and when the change has to be in force.
 func (r *Run) addAndRemoveRoute(ctx context.Context, rng *rand.Rand) error {
-	if err := r.AddRoute(ctx, r.nextRevision(rng), addedRoute()); err != nil {
+	if err := r.AddRoute(ctx, r.NextRevision(rng), addedRoute()); err != nil {
 		return err
 	}
-	r.probeAll(ctx, addedRoutePrefix+"1")
+	r.probeAll(ctx, AddedRoutePrefix+"1")
 	if err := sleep(ctx, r.Scenario.Bounds.ConfigApply); err != nil {
 		return err
 	}
-	r.probeAll(ctx, addedRoutePrefix+"2")
-	if err := r.RemoveRoute(ctx, r.nextRevision(rng), addedRouteName); err != nil {
+	r.probeAll(ctx, AddedRoutePrefix+"2")
+	if err := r.RemoveRoute(ctx, r.NextRevision(rng), AddedRouteName); err != nil {
 		return err
 	}
-	r.probeAll(ctx, addedRoutePrefix+"3")
+	r.probeAll(ctx, AddedRoutePrefix+"3")
 	if err := sleep(ctx, r.Scenario.Bounds.ConfigApply); err != nil {
 		return err
 	}
-	r.probeAll(ctx, addedRoutePrefix+"4")
+	r.probeAll(ctx, AddedRoutePrefix+"4")
 	return nil
 }
 
@@ -84,7 +86,7 @@
 func (r *Run) raceConfigChanges(ctx context.Context, rng *rand.Rand) error {
 	base, other := r.Scenario.Config.Revision, *r.Operator
 	firstConfig, secondConfig := *r.Scenario.Config, *r.Scenario.Config
-	firstConfig.Revision = r.nextRevision(rng)
+	firstConfig.Revision = r.NextRevision(rng)
 	secondConfig.Revision = firstConfig.Revision + 1
 	secondConfig.Limits.Idle += 1000
 	other.next++ // the other operator calls another node
@@ -105,7 +107,7 @@
 // sendInvalidConfig sends a route to a service that does not exist, and fails unless that is refused.
 func (r *Run) sendInvalidConfig(ctx context.Context, rng *rand.Rand) error {
 	bad := *r.Scenario.Config
-	bad.Revision = r.nextRevision(rng)
+	bad.Revision = r.NextRevision(rng)
 	bad.Routes = append(bad.Routes[:len(bad.Routes):len(bad.Routes)], addedRoute())
 	bad.Routes[len(bad.Routes)-1].Target = "nobody"
 	if err := r.Operator.ReplaceInvalid(ctx, &bad, r.Scenario.Config.Revision); !errors.Is(err, ErrRefused) {
