--- a/internal/lab/testcluster/client_request.go
+++ b/internal/lab/testcluster/client_request.go
@@ -92,9 +92,10 @@
 
 // retryStatus reports whether the client sends a request again after an answer with the status.
 func retryStatus(status int, idempotent bool) bool {
+	if rules.IsNotExecutedStatus(status) {
+		return true
+	}
 	switch status {
-	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return true // not executed
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusNotFound, http.StatusRequestEntityTooLarge, http.StatusRequestHeaderFieldsTooLarge:
 		return false
 	}
--- a/internal/lab/testcluster/process_faults.go
+++ b/internal/lab/testcluster/process_faults.go
@@ -65,8 +65,3 @@
 		return errors.Newf("%s has not ended in time after %v: look at %s", p.Name, by, p.Log)
 	}
 }
-
-// AwaitServed waits until n more requests of clients were served, and fails if ctx ends before.
-func (r *Run) AwaitServed(ctx context.Context, n int) error {
-	return r.stats.await(ctx, n)
-}
--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -8,8 +8,8 @@
 // success reports whether a status is 2xx.
 func success(status int) bool { return status >= 200 && status < 300 }
 
-// promisesNotExecuted reports whether a status says that the request has not run and never will.
-func promisesNotExecuted(status int) bool {
+// IsNotExecutedStatus reports whether a status promises that the request was not executed and never will be (RULES.md, REFUSED).
+func IsNotExecutedStatus(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -96,7 +96,7 @@
 // checkRefused checks REFUSED: an attempt that is answered with a not-executed status is not executed, unless it is idempotent.
 func (x *index) checkRefused(verdict *Verdict) {
 	for _, attempt := range x.Attempts {
-		if attempt.Outcome != Answered || !promisesNotExecuted(attempt.Status) || x.idempotent(attempt) {
+		if attempt.Outcome != Answered || !IsNotExecutedStatus(attempt.Status) || x.idempotent(attempt) {
 			continue
 		}
 		verdict.Checked++
@@ -134,7 +134,7 @@
 // isDenied reports whether the proxy itself answered 3xx or 4xx, and did not promise that the request was not executed.
 func (a *Attempt) isDenied() bool {
 	ownAnswer := a.Outcome == Answered && a.Seal == ""
-	return ownAnswer && a.Status >= 300 && a.Status < 500 && !promisesNotExecuted(a.Status)
+	return ownAnswer && a.Status >= 300 && a.Status < 500 && !IsNotExecutedStatus(a.Status)
 }
 
 // alwaysRouted reports whether every configuration that may be in force has a route for an attempt.
--- a/internal/lab/testcluster/stats.go
+++ b/internal/lab/testcluster/stats.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"slices"
 	"sync"
 	"time"
@@ -72,8 +71,7 @@
 		c.totals.Unanswered++
 	case last.Status < 300:
 		c.countServed()
-	case last.Status == http.StatusTooManyRequests, last.Status == http.StatusServiceUnavailable, last.Status == http.StatusRequestTimeout,
-		last.Status == http.StatusMisdirectedRequest:
+	case rules.IsNotExecutedStatus(last.Status):
 		c.totals.Refused++
 	default:
 		c.totals.Failed++
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -100,6 +100,11 @@
 	})
 }
 
+// AwaitServed waits until n more requests of clients were served, and fails if ctx ends before.
+func (r *Run) AwaitServed(ctx context.Context, n int) error {
+	return r.stats.await(ctx, n)
+}
+
 // LiveProxies returns the addresses of the proxies that the first directory that answers gives to clients without zone and region, and nil
 // if none answers.
 func (r *Run) LiveProxies(ctx context.Context) []string {
