--- a/internal/lab/testcluster/rules/answers.go
+++ b/internal/lab/testcluster/rules/answers.go
@@ -17,7 +17,12 @@
 	return false
 }
 
-// checkMixed checks MIXED: a successful answer is the complete answer of one server to this very request, and no other bytes come.
+// checkMixed checks MIXED (RULES.md, "Requests and answers"): an answer belongs to the request that it follows, a successful one bears the
+// seal of a server that answered this request with success and has that server's body, and no bytes come that are no answer, or that no
+// request waits for.
+//
+// Nothing excuses a violation. Of a stream only the seal is compared, as ORDER checks its events. An answer that ends early is no violation
+// unless it looks complete.
 func (x *index) checkMixed(verdict *Verdict) {
 	for _, stray := range x.Strays {
 		verdict.violation("%d bytes came from %s while no request waited", stray.Bytes, stray.Proxy)
@@ -37,6 +42,7 @@
 	}
 }
 
+// checkSuccess checks an answer with success against what the server that sealed it has recorded.
 func (x *index) checkSuccess(attempt *Attempt, verdict *Verdict) {
 	arrival := x.arrivalBySeal[attempt.Seal]
 	switch {
@@ -53,7 +59,9 @@
 	}
 }
 
-// checkUnasked checks UNASKED: servers execute only what a client sent.
+// checkUnasked checks UNASKED (RULES.md, "Requests and answers"): what servers execute, a client sent, with this id, method, path and body.
+//
+// Nothing excuses a violation. Arrivals that no server executed are not compared.
 func (x *index) checkUnasked(verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
 		verdict.Checked++
@@ -80,7 +88,9 @@
 	return n
 }
 
-// checkTwice checks TWICE: an attempt of a request that is not idempotent is executed at most once.
+// checkTwice checks TWICE (RULES.md, "Requests and answers"): an attempt is executed at most once.
+//
+// Excused are attempts whose request is idempotent by any configuration that was sent before their end.
 func (x *index) checkTwice(verdict *Verdict) {
 	for _, attempt := range x.Attempts {
 		if x.idempotent(attempt) {
@@ -93,7 +103,10 @@
 	}
 }
 
-// checkRefused checks REFUSED: an attempt that is answered with a not-executed status is not executed, unless it is idempotent.
+// checkRefused checks REFUSED (RULES.md, "Requests and answers"): an attempt that was answered with a not-executed status was not executed,
+// and is not executed later.
+//
+// Excused are attempts whose request is idempotent by any configuration that was sent before their end.
 func (x *index) checkRefused(verdict *Verdict) {
 	for _, attempt := range x.Attempts {
 		if attempt.Outcome != Answered || !IsNotExecutedStatus(attempt.Status) || x.idempotent(attempt) {
@@ -112,7 +125,10 @@
 	attemptsPerDenied = 500 // attempts for each further one
 )
 
-// checkDenied checks DENIED: proxies in contact do not answer proper requests with 3xx or 4xx of their own, apart from not-executed statuses.
+// checkDenied checks DENIED (RULES.md, "Requests and answers"): proxies in contact do not themselves answer proper requests with 3xx or 4xx.
+//
+// Excused are not-executed statuses, answers at a proxy out of contact, requests for which a configuration that may be in force has no route,
+// and probes, which ask for routes that may be missing. Of the others, deniedSlack and one in attemptsPerDenied are allowed.
 func (x *index) checkDenied(verdict *Verdict) {
 	var denied []*Attempt
 	for _, attempt := range x.Attempts {
--- a/internal/lab/testcluster/rules/budget.go
+++ b/internal/lab/testcluster/rules/budget.go
@@ -5,7 +5,10 @@
 	"slices"
 )
 
-// checkBudget checks BUDGET: within each window, the retries that reach a service stay within a ratio of the requests for it.
+// checkBudget checks BUDGET (RULES.md, "Retries"): within each Bounds.RetryWindow, the arrivals at a service past the first of each attempt
+// are at most Bounds.RetryRatio for each request for the service, and Bounds.RetrySlack besides. Rejected arrivals count as well.
+//
+// Nothing excuses a violation. A request counts for each service to which a configuration that may be in force routes it.
 func (x *index) checkBudget(verdict *Verdict) {
 	requests := x.requestsByService()
 	for service, retries := range x.retriesByService() {
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -6,7 +6,11 @@
 	"time"
 )
 
-// checkConfig checks CONFIG: a configuration that was acknowledged comes into force and stays, and one that is invalid is never acknowledged.
+// checkConfig checks CONFIG (RULES.md, "Configuration"): a configuration that was acknowledged comes into force and stays, and one that is
+// invalid or lost a race is not acknowledged.
+//
+// How a request is handled is excused by any configuration that may be in force (inForce), and at a proxy out of contact. A change without a
+// clear answer may or may not be in force. How often requests on added routes are served is not checked.
 func (x *index) checkConfig(verdict *Verdict) {
 	x.checkAcknowledgements(verdict)
 	x.checkReadBack(verdict)
@@ -41,7 +45,8 @@
 	}
 }
 
-// checkReadBack checks that the configuration read at the end is the newest one that was acknowledged, or a newer one without a clear answer.
+// checkReadBack checks that the configuration read at the end is the newest one that was acknowledged, or a newer one without a clear answer,
+// and has what was sent under its number.
 func (x *index) checkReadBack(verdict *Verdict) {
 	newest, ok := x.newestAcknowledged()
 	switch {
@@ -72,7 +77,8 @@
 	return revision, ok
 }
 
-// checkReadings checks that a reading returns no configuration older than one that was acknowledged before the reading was sent.
+// checkReadings checks that a reading during the run returns no configuration older than one that was acknowledged before the reading was
+// sent. Readings without a clear answer are not in the evidence.
 func (x *index) checkReadings(verdict *Verdict) {
 	for _, r := range x.Reads {
 		verdict.Checked++
--- a/internal/lab/testcluster/rules/check.go
+++ b/internal/lab/testcluster/rules/check.go
@@ -31,7 +31,8 @@
 	return fmt.Sprintf("%-9s BROKEN %d times, looked at %d: %s", v.Rule, v.Violations, v.Checked, strings.Join(v.Examples, "; "))
 }
 
-// checks are the checks of the rules that can be judged from outside, in the order of RULES.md.
+// checks are the checks of the rules that can be judged by the evidence, in the order of RULES.md. RECOVER, the prices and the gate are not among
+// them.
 var checks = []struct {
 	rule  string
 	check func(*index, *Verdict)
@@ -52,7 +53,7 @@
 	{"EVAC", (*index).checkEvacuation},
 }
 
-// Check checks all rules. The run must be over: nothing may be recorded meanwhile.
+// Check checks all rules, and returns a verdict for each, in the order of RULES.md. The run must be over: nothing may be recorded meanwhile.
 func Check(e *Evidence) []Verdict {
 	x := e.index()
 	all := make([]Verdict, len(checks))
--- a/internal/lab/testcluster/rules/config.go
+++ b/internal/lab/testcluster/rules/config.go
@@ -18,44 +18,44 @@
 	Name      string   `json:"name"`
 	Host      string   `json:"hostname"`
 	Prefix    string   `json:"path_prefix"`
-	Category  string   `json:"category"`
-	Timeout   int      `json:"timeout_ms"`
-	Aim       int      `json:"target_latency_ms"`
-	Priority  int      `json:"priority"`
-	Target    string   `json:"target,omitempty"`
-	Shares    []Share  `json:"shares,omitempty"`
-	MaxTries  int      `json:"max_tries"`
-	Sticky    bool     `json:"sticky"`
-	Resumable bool     `json:"resumable"`
-	GapAim    int      `json:"gap_aim_ms,omitempty"`
-	Homes     []string `json:"home_regions"`
+	Category  string   `json:"category"`             // idempotent, non_idempotent or streaming
+	Timeout   int      `json:"timeout_ms"`           // milliseconds, for which a proxy may hold an attempt
+	Aim       int      `json:"target_latency_ms"`    // milliseconds: the latency target
+	Priority  int      `json:"priority"`             // 0 is the most urgent
+	Target    string   `json:"target,omitempty"`     // service; empty: Shares says which
+	Shares    []Share  `json:"shares,omitempty"`     // services among which requests are divided
+	MaxTries  int      `json:"max_tries"`            // servers to which one attempt of a client may be sent
+	Sticky    bool     `json:"sticky"`               // requests name the parts of their prompts, which servers cache
+	Resumable bool     `json:"resumable"`            // of a stream: it may continue with another run
+	GapAim    int      `json:"gap_aim_ms,omitempty"` // milliseconds: the longest pause between events of a stream that is in time
+	Homes     []string `json:"home_regions"`         // where requests may be sent; empty: everywhere
 }
 
 // Share is a service's part of a route's requests.
 type Share struct {
-	Target string  `json:"target"`
-	Weight float64 `json:"share"`
+	Target string  `json:"target"` // service
+	Weight float64 `json:"share"`  // relative to the other shares; 0: no requests
 }
 
 // Service is the configuration of a service.
 type Service struct {
 	Name          string  `json:"name"`
 	HealthPath    string  `json:"health_path"`
-	MaxConns      int     `json:"max_conns"`
+	MaxConns      int     `json:"max_conns"` // that one server accepts, from all callers together
 	Protocol      string  `json:"protocol"`
 	TLS           bool    `json:"tls"`
-	ColdFor       float64 `json:"cold_s"`
-	ColdPerSecond float64 `json:"cold_per_s"`
+	ColdFor       float64 `json:"cold_s"`     // seconds after its start in which a server warms up
+	ColdPerSecond float64 `json:"cold_per_s"` // requests a second that a server bears while it warms up
 	Engine        *Engine `json:"engine,omitempty"`
 }
 
 // Engine is the configuration of a service's model servers.
 type Engine struct {
-	Slots       int     `json:"slots"`
-	CacheTokens int64   `json:"cache_tokens"`
-	TokenBytes  int     `json:"token_bytes"`
+	Slots       int     `json:"slots"`        // requests that run at a time
+	CacheTokens int64   `json:"cache_tokens"` // of running requests and cached parts together
+	TokenBytes  int     `json:"token_bytes"`  // KV cache of one token
 	LinkMbps    float64 `json:"link_mbps"`
-	Stride      int     `json:"stride"`
+	Stride      int     `json:"stride"` // tokens of an event
 	Models      []Model `json:"models"`
 }
 
@@ -68,8 +68,8 @@
 type Limits struct {
 	HeaderBytes   int `json:"max_header_bytes"`
 	BodyBytes     int `json:"max_body_bytes"`
-	HeaderTimeout int `json:"header_timeout_ms"`
-	Idle          int `json:"idle_timeout_ms"`
+	HeaderTimeout int `json:"header_timeout_ms"` // milliseconds
+	Idle          int `json:"idle_timeout_ms"`   // milliseconds
 }
 
 // Idempotent reports whether a request of the route may be executed more than once.
--- a/internal/lab/testcluster/rules/contact.go
+++ b/internal/lab/testcluster/rules/contact.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// inContact reports whether a proxy is in contact at a time: it had no fault, and there was no core loss, since Bounds.Contact before.
+// inContact reports whether a proxy is in contact at a time (RULES.md, "In touch"): it had no fault, and there was no core loss, since
+// Bounds.Contact before.
 func (x *index) inContact(proxy string, at Time) bool {
 	for i := range x.Faults {
 		if fault := &x.Faults[i]; fault.Proxy == proxy && fault.At <= at && at-min(fault.endedAt(), at) < x.Bounds.Contact {
@@ -24,7 +25,8 @@
 // span is a period of time.
 type span struct{ from, to Time }
 
-// coreLosses returns the periods in which half of the voters or more had a fault.
+// coreLosses returns the periods in which half of the voters or more had a fault, none if the number of voters is not known. A loss begins
+// with one of its faults, and ends when fewer than half of the voters still have one of those.
 func (e *Evidence) coreLosses() []span {
 	if e.Core == 0 {
 		return nil
@@ -57,8 +59,8 @@
 	return until
 }
 
-// stretch returns by how much the bounds ConfigApply and Evacuate grow for a period: by Bounds.Stretch if a voter had a fault in it or within
-// Bounds.Contact before, else by 0.
+// stretch returns by how much the bounds ConfigApply and Evacuate grow for a period (RULES.md, "In touch"): by Bounds.Stretch if a fault that
+// counts as one of a voter was in it or within Bounds.Contact before, else by 0.
 func (e *Evidence) stretch(from, to Time) Time {
 	for i := range e.Faults {
 		if fault := &e.Faults[i]; fault.ControlPlane && fault.At <= to && fault.endedAt() > from-e.Bounds.Contact {
--- a/internal/lab/testcluster/rules/describe.go
+++ b/internal/lab/testcluster/rules/describe.go
@@ -45,7 +45,8 @@
 		case !arrival.executed():
 			text += ", never ran"
 		default:
-			text += fmt.Sprintf(", ran after %v, %d of %d events", (arrival.ExecutedAt - attempt.Sent).Round(time.Millisecond), arrival.SentEvents, arrival.LastEvent)
+			ranAfter := (arrival.ExecutedAt - attempt.Sent).Round(time.Millisecond)
+			text += fmt.Sprintf(", ran after %v, %d of %d events", ranAfter, arrival.SentEvents, arrival.LastEvent)
 		}
 	}
 	return text
--- a/internal/lab/testcluster/rules/index.go
+++ b/internal/lab/testcluster/rules/index.go
@@ -38,7 +38,7 @@
 }
 
 // inForce returns the configurations that may be in force somewhere in a period: the newest one that was acknowledged at least
-// Bounds.ConfigApply before from, and all newer ones that were sent until to and not refused.
+// Bounds.ConfigApply, and what faults add to it, before from, and all newer ones that were sent until to and not refused.
 func (x *index) inForce(from, to Time) []*Config {
 	minRevision := x.settledRevision(from)
 	var configs []*Config
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -5,7 +5,11 @@
 	"slices"
 )
 
-// checkRoute checks ROUTE: a service executes only requests that a configuration routes to it which was sent before.
+// checkRoute checks ROUTE (RULES.md, "Requests and answers"): a service executes only requests that are routed to it by a configuration sent
+// before.
+//
+// Any such configuration excuses the execution, be it acknowledged, refused or invalid: CONFIG checks which one is in force. Executions of
+// what no client sent are left to UNASKED.
 func (x *index) checkRoute(verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
 		if !arrival.executed() {
@@ -29,7 +33,11 @@
 	})
 }
 
-// checkDrain checks DRAIN: proxies in contact send nothing to a server later than Bounds.Drain after the list showed it as draining.
+// checkDrain checks DRAIN (RULES.md, "Draining and shutdown"): nothing is sent to a server later than Bounds.Drain after the platform's list
+// showed it as draining.
+//
+// Excused are requests that were sent by a proxy out of contact, and those that got 421, as they were meant for another incarnation. The time
+// of the sending counts, where a link with faults is between.
 func (x *index) checkDrain(verdict *Verdict) {
 	shown := map[string]Time{} // by id of the server's incarnation
 	for _, listing := range x.Listings {
@@ -47,8 +55,10 @@
 	}
 }
 
-// checkHome checks HOME: a request whose route has home regions reaches servers there only. It is a violation only if all configurations that may
-// be in force say so.
+// checkHome checks HOME (RULES.md, "Zones and regions"): a request whose route has home regions reaches servers there only.
+//
+// Excused are requests that got 421, and those that a configuration which may be in force allows. Homes of tenants, and the proxies that
+// bodies pass, are not checked.
 func (x *index) checkHome(verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
 		attempt := x.attemptByID[arrival.ID]
@@ -64,8 +74,11 @@
 	}
 }
 
-// checkEvacuation checks EVAC: proxies in contact send nothing to a zone later than Bounds.Evacuate after its evacuation was acknowledged, until the
-// end of the evacuation is sent.
+// checkEvacuation checks EVAC (RULES.md, "Zones and regions"): nothing is sent to a zone later than Bounds.Evacuate after its evacuation was
+// acknowledged, until the end of the evacuation is sent.
+//
+// Excused are requests that were sent by a proxy out of contact, and those that got 421. The bound grows by Bounds.Stretch around faults of
+// voters (RULES.md, "In touch").
 func (x *index) checkEvacuation(verdict *Verdict) {
 	for i, change := range x.Changes {
 		if change.Config == nil && change.Start && change.acknowledged() {
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -44,7 +44,11 @@
 	return all
 }
 
-// checkRegression checks that a proxy does not go back to an older configuration within one incarnation.
+// checkRegression checks the rule of CONFIG on regression (RULES.md, "Configuration"): a proxy does not go back to an older configuration
+// within one incarnation.
+//
+// Excused are attempts that were sent within Bounds.RevertSlack after the effect of the newer configuration. An attempt that several
+// configurations allow counts as the effect of the oldest one when it is seen first, and of the newest one when it is seen later.
 func (x *index) checkRegression(verdict *Verdict) {
 	byProxy := map[string][]effect{}
 	for _, attempt := range x.Attempts {
--- a/internal/lab/testcluster/rules/shutdown.go
+++ b/internal/lab/testcluster/rules/shutdown.go
@@ -8,7 +8,11 @@
 // lostMargin is how long after Bounds.Grace LOST still counts truncated answers.
 const lostMargin = time.Second
 
-// checkLost checks LOST: around a graceful shutdown of a proxy, requests that the proxy has read are answered completely.
+// checkLost checks LOST (RULES.md, "Draining and shutdown"): around a graceful shutdown of a proxy, requests that the proxy has read are
+// answered completely. A request was read if it reached a server, or if its connection ended later than Bounds.LossSlack after its last byte.
+//
+// Excused are answers that a server broke off, and attempts at a proxy with an unplanned fault since Bounds.Contact before them. Losses
+// around a SIGHUP or a change of the configuration are not checked.
 func (x *index) checkLost(verdict *Verdict) {
 	for _, fault := range x.Faults {
 		if fault.Kind == Terminate && fault.Proxy != "" {
--- a/internal/lab/testcluster/rules/streams.go
+++ b/internal/lab/testcluster/rules/streams.go
@@ -1,7 +1,10 @@
 package rules
 
-// checkOrder checks ORDER: the events of a stream are those of one run, or for idempotent requests of several runs each of which continues where
-// the one before ended; none is missing or comes twice.
+// checkOrder checks ORDER (RULES.md, "Streams"): no event of a stream is missing or comes twice, all are of one run, and a stream that was
+// closed as complete has the last one.
+//
+// Excused are idempotent requests that continue with another run, if that began where the one before ended. A truncated stream need not have
+// the last event.
 func (x *index) checkOrder(verdict *Verdict) {
 	for _, attempt := range x.Attempts {
 		if !attempt.Stream {
--- a/internal/lab/testcluster/rules/warm_up.go
+++ b/internal/lab/testcluster/rules/warm_up.go
@@ -7,8 +7,11 @@
 	"time"
 )
 
-// checkFailback checks FAILBACK: in no second does a server that warms up get more requests than its limit. Requests count that were sent and came
-// within that second.
+// checkFailback checks FAILBACK (RULES.md, "Zones and regions"): in no second does a server that warms up get more requests than its limit
+// times Bounds.ColdExcess, and Bounds.ColdSlack besides. Requests count that were sent and came within that second, from all proxies, in
+// contact or not.
+//
+// Excused are only requests that got 421, as they were meant for another incarnation.
 func (x *index) checkFailback(verdict *Verdict) {
 	for _, peak := range x.WarmUpPeaks() {
 		verdict.Checked += peak.Requests
