--- a/internal/lab/testcluster/engine/engine.go
+++ b/internal/lab/testcluster/engine/engine.go
@@ -74,29 +74,29 @@
 // job is a request and its state.
 type job struct {
 	Request
-	seq          int           // order of arrival
-	pinned       []*cachedPart // cached parts that it uses
-	ownTokens    int64         // in memory, besides those of pinned
-	unreadTokens int           // to be prefilled still
-	answerTokens int           // of the answer so far, including those of ReceivedEvents
-	started      bool
-	running      bool
+	seq           int           // order of arrival
+	pinned        []*cachedPart // cached parts that it uses
+	ownTokens     int64         // in memory, besides those of pinned
+	pendingTokens int           // to be prefilled
+	answerTokens  int           // of the answer so far, including those of ReceivedEvents
+	started       bool
+	running       bool
 }
 
 // Engine is the state of one server. It is not safe for concurrent use.
 type Engine struct {
 	Spec
-	now       Time
-	seq       int
-	running   []*job
-	waiting   []*job // in order of priority, then of arrival
-	cache     prefixCache
-	ownTokens int64        // of all running jobs
-	stepping  bool         // a step is under way
-	stepEnds  Time         // end of that step
-	decoding  []*job       // that get a token by that step
-	reading   map[*job]int // tokens that are prefilled by that step
-	out       []Output     // since the last Advance
+	now        Time
+	seq        int
+	running    []*job
+	waiting    []*job // in order of priority, then of arrival
+	cache      prefixCache
+	ownTokens  int64        // of all running jobs
+	stepping   bool         // a step is under way
+	stepEnds   Time         // end of that step
+	decoding   []*job       // that get a token by that step
+	prefilling map[*job]int // tokens that are prefilled by that step
+	outputs    []Output     // since the last Advance
 
 	prefilled int64
 	preempted int
@@ -108,7 +108,7 @@
 	return &Engine{Spec: spec, now: now, cache: prefixCache{parts: map[uint64]*cachedPart{}}}
 }
 
-// Submit hands in a request. It reports false if the server is full, or if the request is larger than its memory.
+// Submit submits a request. It reports false if the server is full, or if the request is larger than its memory.
 func (e *Engine) Submit(now Time, r Request) bool {
 	e.advance(now)
 	if len(e.waiting) >= e.Queue && len(e.running) >= e.Slots || int64(r.prompt()+r.AnswerTokens) > e.MemoryTokens {
@@ -140,14 +140,14 @@
 // Advance advances to now, and returns the outputs since the last call, in order.
 func (e *Engine) Advance(now Time) []Output {
 	e.advance(now)
-	out := e.out
-	e.out = nil
-	return out
+	outputs := e.outputs
+	e.outputs = nil
+	return outputs
 }
 
 // Next returns when the next output may be due; ok is false if there is nothing to do.
 func (e *Engine) Next() (at Time, ok bool) {
-	if len(e.out) > 0 {
+	if len(e.outputs) > 0 {
 		return e.now, true
 	}
 	return e.stepEnds, e.stepping
@@ -215,12 +215,12 @@
 // reserve reserves memory for what has to be prefilled of a job, and reports false if there is not enough.
 func (e *Engine) reserve(waiting *job) bool {
 	waiting.pinned = e.cache.pin(waiting.Parts)
-	kept := 0
+	cached := 0
 	for _, p := range waiting.pinned {
-		kept += p.tokens
+		cached += p.tokens
 	}
-	waiting.unreadTokens = waiting.prompt() - kept + waiting.answerTokens
-	need := int64(waiting.unreadTokens)
+	waiting.pendingTokens = waiting.prompt() - cached + waiting.answerTokens
+	need := int64(waiting.pendingTokens)
 	used, _ := e.memory()
 	if used+need > e.MemoryTokens {
 		e.cache.unpin(waiting.pinned)
--- a/internal/lab/testcluster/workload.go
+++ b/internal/lab/testcluster/workload.go
@@ -9,13 +9,13 @@
 
 // workload is the work of a server, in virtual time. Calls come with times that never go back. It is engine.Engine or plainWorkload.
 type workload interface {
-	// Submit hands in a request, and reports whether there is capacity for it.
+	// Submit submits a request, and reports whether there is capacity for it.
 	Submit(now engine.Time, request engine.Request) bool
 	// Advance works until now, and returns what came of it, in order.
 	Advance(now engine.Time) []engine.Output
 	// Next returns when the next output is due; ok is false while there is nothing to do.
 	Next() (at engine.Time, ok bool)
-	// Cancel takes out a request, and reports whether work on it has started.
+	// Cancel drops a request, and reports whether work on it has started.
 	Cancel(now engine.Time, key uint64) (started bool)
 	// Load returns how many requests run, and how many wait.
 	Load() (running, waiting int)
