--- a/internal/lab/testcluster/incarnation.go
+++ b/internal/lab/testcluster/incarnation.go
@@ -92,12 +92,8 @@
 		return
 	}
 	defer server.forgetRequest(admitted.key)
-	arrival.LastEvent = 1
-	if i.Engine != nil {
-		arrival.LastEvent = engine.EventsOf(job.AnswerTokens, i.Engine.Stride)
-	}
 	seal := fmt.Sprintf("%s.%x.%016x", i.id, admitted.key, xxhash.Sum64String(arrival.ID+i.id))
-	server.env.Evidence.Update(func() { arrival.Seal = seal })
+	server.env.Evidence.Update(func() { arrival.Seal, arrival.LastEvent = seal, i.lastEventOf(job) })
 	deadline, stop := deadlineOf(r.Header)
 	defer stop()
 	exchange := &serverExchange{incarnation: i, writer: w, request: r, arrival: arrival, seal: seal, key: admitted.key, outputs: admitted.outputs,
@@ -109,6 +105,14 @@
 	}
 }
 
+// lastEventOf returns the number of the last event of the complete answer, 1 for an answer that is not a stream.
+func (i *incarnation) lastEventOf(job engine.Request) int {
+	if i.Engine == nil {
+		return 1
+	}
+	return engine.EventsOf(job.AnswerTokens, i.Engine.Stride)
+}
+
 // admit submits a request to the server's workload, unless the server rejects it or crashes of it. It sets the headers by which every answer
 // reports the server's state.
 func (i *incarnation) admit(header http.Header, job engine.Request, arrival *rules.Arrival) (admitted admission) {
