--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -99,12 +99,7 @@
 
 // drawVoter draws the IP of a machine whose control-plane node is a voter.
 func (d *drawer) drawVoter() string {
-	var voters []testcluster.Machine
-	for _, m := range d.scenario.Machines {
-		if m.HasDisk {
-			voters = append(voters, m)
-		}
-	}
+	voters := testcluster.Voters(d.scenario.Machines)
 	return voters[d.rng.IntN(len(voters))].IP
 }
 
--- a/internal/lab/testcluster/fault_tour.go
+++ b/internal/lab/testcluster/fault_tour.go
@@ -57,7 +57,8 @@
 }
 
 func (r *Run) killAndRestartControlPlane(ctx context.Context, rng *rand.Rand) error {
-	m := r.Fleet.Voters()[rng.IntN(len(r.Fleet.Voters()))]
+	voters := Voters(r.Fleet.Machines)
+	m := voters[rng.IntN(len(voters))]
 	if err := r.KillControlPlane(m); err != nil {
 		return err
 	}
--- a/internal/lab/testcluster/fleet.go
+++ b/internal/lab/testcluster/fleet.go
@@ -23,6 +23,17 @@
 	HasDisk bool
 }
 
+// Voters returns the machines with a disk, whose control-plane nodes are voters.
+func Voters(machines []Machine) []Machine {
+	var voters []Machine
+	for _, m := range machines {
+		if m.HasDisk {
+			voters = append(voters, m)
+		}
+	}
+	return voters
+}
+
 // Fleet is the system's processes: a proxy and a control-plane node on every machine. The exported fields are set before Start.
 type Fleet struct {
 	Machines     []Machine
--- a/internal/lab/testcluster/fleet_addresses.go
+++ b/internal/lab/testcluster/fleet_addresses.go
@@ -48,17 +48,6 @@
 	return directories
 }
 
-// Voters returns the machines with a disk, whose control-plane nodes are voters.
-func (f *Fleet) Voters() []Machine {
-	var voters []Machine
-	for _, m := range f.Machines {
-		if m.HasDisk {
-			voters = append(voters, m)
-		}
-	}
-	return voters
-}
-
 // Zones returns the machines' zones, each with its region.
 func (f *Fleet) Zones() map[string]string {
 	zones := map[string]string{}
--- a/internal/lab/testcluster/fleet_settings.go
+++ b/internal/lab/testcluster/fleet_settings.go
@@ -94,7 +94,7 @@
 		Front: f.Front(machine), Readiness: f.address(machine, f.Ports.Readiness), Control: f.Control(machine), Directory: f.address(machine, f.Ports.Directory),
 		Bounds: f.Bounds, ListAddress: f.ListAddress, ListRate: f.ListRate}
 	settings.FirstPort, settings.LastPort = f.portsOf(spec.name)
-	for _, voter := range f.Voters() {
+	for _, voter := range Voters(f.Machines) {
 		settings.Seeds = append(settings.Seeds, f.Control(voter))
 	}
 	if machine.HasDisk {
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	fleet.ListAddress = env.ListAddress()
-	env.Evidence.Core = len(fleet.Voters())
+	env.Evidence.Core = len(Voters(fleet.Machines))
 	if options.Links != nil {
 		options.Links.createServerLinks(scenario.Machines, scenario.Servers)
 		if fleet.listAddresses, err = options.Links.connect(fleet, fleet.ListAddress); err != nil { //nolint:contextcheck // relays outlive the call
