--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -23,7 +23,10 @@
 // drawn draws, and reports true with that probability.
 func (p *probability) drawn() bool { return rand.Float64() < math.Float64frombits(p.bits.Load()) }
 
-const changeStream = 37 // the sequence of random numbers of a seed from which changes are drawn
+const (
+	changeStream     = 37 // the sequence of random numbers of a seed from which changes are drawn
+	routeChangeEvery = 3  // changes, of which one adds or removes a route
+)
 
 // sendChanges changes the configuration at an interval until ctx ends. After each change it sends a probe to a proxy.
 func (p *player) sendChanges(ctx context.Context) {
@@ -37,38 +40,46 @@
 	}
 }
 
-// sendChange sends a change by its number: one in three adds a route or removes it, and the others change the time-out of a route.
+// sendChange sends a change by its number: one in routeChangeEvery adds a route or removes it, and the others
+// change the time-out of a route.
 func (p *player) sendChange(ctx context.Context, number int, rng *rand.Rand) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	current := p.Scenario.Config
 	revision := p.NextRevision(rng)
-	added := slices.ContainsFunc(current.Routes, func(r rules.Route) bool { return r.Name == testcluster.AddedRouteName })
 	var err error
-	switch {
-	case number%3 == 0 && !added:
-		route := current.Routes[thumbRoute]
-		route.Name, route.Prefix = testcluster.AddedRouteName, testcluster.AddedRoutePrefix
-		err = p.AddRoute(ctx, revision, route)
-	case number%3 == 0:
-		err = p.RemoveRoute(ctx, revision, testcluster.AddedRouteName)
-	default:
-		after := *current
-		after.Revision = revision
-		after.Routes = slices.Clone(current.Routes)
-		after.Routes[number%2].Timeout += rng.IntN(3) - 1
-		if err = p.Operator.Replace(ctx, &after, current.Revision); err == nil {
-			p.Scenario.Config = &after
-		}
+	if number%routeChangeEvery == 0 {
+		err = p.addOrRemoveRoute(ctx, revision)
+	} else {
+		err = p.changeTimeout(ctx, revision, number%2, rng)
 	}
 	if err == nil {
 		p.mu.Lock()
-		p.orders++
+		p.acknowledgedChanges++
 		p.mu.Unlock()
 	}
 	return err
 }
 
+// addOrRemoveRoute removes the added route if the configuration has it, and adds it otherwise.
+func (p *player) addOrRemoveRoute(ctx context.Context, revision int64) error {
+	routes := p.Scenario.Config.Routes
+	if slices.ContainsFunc(routes, func(r rules.Route) bool { return r.Name == testcluster.AddedRouteName }) {
+		return p.RemoveRoute(ctx, revision, testcluster.AddedRouteName)
+	}
+	route := routes[thumbRoute]
+	route.Name, route.Prefix = testcluster.AddedRouteName, testcluster.AddedRoutePrefix
+	return p.AddRoute(ctx, revision, route)
+}
+
+// changeTimeout changes the time-out of a route, by its index, by at most a millisecond.
+func (p *player) changeTimeout(ctx context.Context, revision int64, route int, rng *rand.Rand) error {
+	after := *p.Scenario.Config
+	after.Revision = revision
+	after.Routes = slices.Clone(after.Routes)
+	after.Routes[route].Timeout += rng.IntN(3) - 1
+	return p.ReplaceConfig(ctx, &after)
+}
+
 // refreshConfig reads the configuration, on which the next change is to build after one without a clear answer.
 func (p *player) refreshConfig(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -64,7 +64,7 @@
 		Served:        stats.Served,
 		Refused:       stats.Refused,
 		Failed:        stats.Failed + stats.Unanswered,
-		Orders:        p.orders,
+		Orders:        p.acknowledgedChanges,
 		Reads:         len(p.Evidence.Reads),
 		Waited:        p.Evidence.CountWaiting(),
 		InTouch:       p.Evidence.CountInContact(),
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -46,10 +46,10 @@
 	// evacuating holds a value while a fault evacuates a zone: an answer that comes late may have a fault last longer than it was drawn.
 	evacuating chan struct{}
 
-	mu                 sync.Mutex
-	broken             []string        // as in Result; never nil
-	pendingEvacuations map[string]bool // zones whose evacuation was started, and not clearly ended
-	orders             int             // changes of the configuration that were acknowledged
+	mu                  sync.Mutex
+	broken              []string        // as in Result; never nil
+	pendingEvacuations  map[string]bool // zones whose evacuation was started, and not clearly ended
+	acknowledgedChanges int             // of the configuration
 }
 
 // Play plays a plan against real processes and judges it. It fails if the run cannot be started, or if ctx ends before the run is over.
--- a/internal/lab/testcluster/config_changes.go
+++ b/internal/lab/testcluster/config_changes.go
@@ -30,6 +30,15 @@
 	return r.amend(ctx, revision, routes, nil, []string{name})
 }
 
+// ReplaceConfig replaces the configuration by a complete one, which becomes the scenario's if it is acknowledged.
+func (r *Run) ReplaceConfig(ctx context.Context, after *rules.Config) error {
+	if err := r.Operator.Replace(ctx, after, r.Scenario.Config.Revision); err != nil {
+		return err
+	}
+	r.Scenario.Config = after
+	return nil
+}
+
 // amend adds and removes routes, so that the configuration has routes afterwards. The scenario's configuration changes if that is
 // acknowledged.
 func (r *Run) amend(ctx context.Context, revision int64, routes, upsert []rules.Route, remove []string) error {
