--- a/cmd/gradeusher/system_up_test.go
+++ b/cmd/gradeusher/system_up_test.go
@@ -54,7 +54,7 @@
 		{"traffic", func() error { return run.AwaitServed(ctx, 15) }},
 		{"the machine without a disk has an observer", func() error {
 			// It hears the configuration some heartbeats after those who take clients.
-			return testcluster.Await(ctx, func(ctx context.Context) error { return observes(ctx, run.Fleet.Control(machines[3])) })
+			return testcluster.Await(ctx, func(ctx context.Context) error { return observes(ctx, run.Fleet.ControlAddress(machines[3])) })
 		}},
 		{"a route is added", func() error { return run.AddRoute(ctx, 5, added) }},
 		{"the head of the chain is killed", func() error { return run.KillControlPlane(machines[0]) }},
@@ -73,7 +73,7 @@
 		}
 		t.Logf("%v: %s", run.Now().Round(time.Millisecond), step.name)
 	}
-	if probe := run.Probe(ctx, run.Fleet.Front(machines[1]), added.Host, "/never/was"); probe.Status != http.StatusNotFound {
+	if probe := run.Probe(ctx, run.Fleet.FrontAddress(machines[1]), added.Host, "/never/was"); probe.Status != http.StatusNotFound {
 		t.Errorf("a route that never existed was answered %d", probe.Status)
 	}
 	report := run.Finish()
--- a/internal/lab/soak/fault_processes.go
+++ b/internal/lab/soak/fault_processes.go
@@ -60,7 +60,7 @@
 func (p *player) killProxies(ctx context.Context, fault Fault) error {
 	return forEachMachine(p.machines(fault), func(m testcluster.Machine) error {
 		defer p.beginProxyFault(m, faultDown)()
-		p.monitor.poll(ctx, testcluster.ProxyName(m), p.Fleet.Internal(m)) // The process's counts end with it.
+		p.monitor.poll(ctx, testcluster.ProxyName(m), p.Fleet.InternalAddress(m)) // The process's counts end with it.
 		if err := p.KillProxy(m); err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 // terminateProxy has a proxy shut down gracefully, and starts it again.
 func (p *player) terminateProxy(ctx context.Context, fault Fault) error {
 	return forEachMachine(p.machines(fault), func(m testcluster.Machine) error {
-		p.monitor.poll(ctx, testcluster.ProxyName(m), p.Fleet.Internal(m))
+		p.monitor.poll(ctx, testcluster.ProxyName(m), p.Fleet.InternalAddress(m))
 		terminateCtx, cancel := context.WithTimeout(ctx, p.Scenario.Bounds.Grace+endSlack)
 		defer cancel()
 		if err := p.TerminateProxy(terminateCtx, m); err != nil {
@@ -87,7 +87,7 @@
 func (p *player) killControlPlanes(ctx context.Context, fault Fault) error {
 	return forEachMachine(p.machines(fault), func(m testcluster.Machine) error {
 		defer p.beginControlPlaneFault(m, faultDown)()
-		p.monitor.poll(ctx, testcluster.ControlPlaneName(m), p.Fleet.Control(m))
+		p.monitor.poll(ctx, testcluster.ControlPlaneName(m), p.Fleet.ControlAddress(m))
 		if err := p.KillControlPlane(m); err != nil {
 			return err
 		}
--- a/internal/lab/soak/inject.go
+++ b/internal/lab/soak/inject.go
@@ -31,7 +31,7 @@
 
 // beginProxyFault records a fault of a machine's proxy that lasts until end is called.
 func (p *player) beginProxyFault(m testcluster.Machine, kind rules.FaultKind) (end func()) {
-	return p.beginFault(rules.Fault{Kind: kind, Proxy: p.Fleet.Front(m)})
+	return p.beginFault(rules.Fault{Kind: kind, Proxy: p.Fleet.FrontAddress(m)})
 }
 
 // beginControlPlaneFault records a fault of a machine's control-plane node that lasts until end is called.
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -36,7 +36,7 @@
 			p.refreshConfig(ctx)
 		}
 		m := p.Fleet.Machines[rng.IntN(len(p.Fleet.Machines))]
-		p.Probe(ctx, p.Fleet.Front(m), p.Scenario.Config.Routes[summaryRoute].Host, fmt.Sprintf("%s%d", testcluster.AddedRoutePrefix, n))
+		p.Probe(ctx, p.Fleet.FrontAddress(m), p.Scenario.Config.Routes[summaryRoute].Host, fmt.Sprintf("%s%d", testcluster.AddedRoutePrefix, n))
 	}
 }
 
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -149,8 +149,8 @@
 func (p *player) addresses() map[string]string {
 	all := map[string]string{}
 	for _, m := range p.Fleet.Machines {
-		all[testcluster.ControlPlaneName(m)] = p.Fleet.Control(m)
-		all[testcluster.ProxyName(m)] = p.Fleet.Internal(m)
+		all[testcluster.ControlPlaneName(m)] = p.Fleet.ControlAddress(m)
+		all[testcluster.ProxyName(m)] = p.Fleet.InternalAddress(m)
 	}
 	return all
 }
--- a/internal/lab/testcluster/config_changes.go
+++ b/internal/lab/testcluster/config_changes.go
@@ -66,7 +66,7 @@
 // probeAll sends a probe for a path to every proxy.
 func (r *Run) probeAll(ctx context.Context, path string) {
 	for _, m := range r.Fleet.Machines {
-		r.Probe(ctx, r.Fleet.Front(m), scenarioHost, path)
+		r.Probe(ctx, r.Fleet.FrontAddress(m), scenarioHost, path)
 	}
 }
 
--- a/internal/lab/testcluster/fleet_addresses.go
+++ b/internal/lab/testcluster/fleet_addresses.go
@@ -5,36 +5,37 @@
 	"strconv"
 )
 
-func (f *Fleet) address(m Machine, port int) string {
+// address returns the address of a port of the machine.
+func (m Machine) address(port int) string {
 	return net.JoinHostPort(m.IP, strconv.Itoa(port))
 }
 
-// Front returns the address at which clients reach the proxy of a machine.
-func (f *Fleet) Front(m Machine) string { return f.address(m, f.Ports.Front) }
+// FrontAddress returns the address at which clients reach the proxy of a machine.
+func (f *Fleet) FrontAddress(m Machine) string { return m.address(f.Ports.Front) }
 
-// Control returns the address at which the operator reaches the control-plane node of a machine.
-func (f *Fleet) Control(m Machine) string { return f.address(m, f.Ports.Control) }
+// ControlAddress returns the address at which the operator reaches the control-plane node of a machine.
+func (f *Fleet) ControlAddress(m Machine) string { return m.address(f.Ports.Control) }
 
-// Internal returns the address at which a machine's proxy serves its status and the system's own calls.
-func (f *Fleet) Internal(m Machine) string {
+// InternalAddress returns the address at which a machine's proxy serves its status and the system's own calls.
+func (f *Fleet) InternalAddress(m Machine) string {
 	first, _ := f.portsOf(ProxyName(m))
-	return f.address(m, first+1)
+	return m.address(first + 1)
 }
 
 // ControlPlaneAddresses returns the control addresses of all machines, also of those with an observer.
 func (f *Fleet) ControlPlaneAddresses() []string {
 	var addresses []string
 	for _, m := range f.Machines {
-		addresses = append(addresses, f.Control(m))
+		addresses = append(addresses, f.ControlAddress(m))
 	}
 	return addresses
 }
 
-// Readiness returns the addresses at which the platform asks proxies whether they are ready.
-func (f *Fleet) Readiness() []string {
+// ReadinessAddresses returns the addresses at which the platform asks proxies whether they are ready.
+func (f *Fleet) ReadinessAddresses() []string {
 	var addresses []string
 	for _, m := range f.Machines {
-		addresses = append(addresses, f.address(m, f.Ports.Readiness))
+		addresses = append(addresses, m.address(f.Ports.Readiness))
 	}
 	return addresses
 }
@@ -43,7 +44,7 @@
 func (f *Fleet) Directories() []Directory {
 	var directories []Directory
 	for _, m := range f.Machines {
-		directories = append(directories, Directory{f.address(m, f.Ports.Directory), m.Zone, m.Region})
+		directories = append(directories, Directory{m.address(f.Ports.Directory), m.Zone, m.Region})
 	}
 	return directories
 }
--- a/internal/lab/testcluster/fleet_settings.go
+++ b/internal/lab/testcluster/fleet_settings.go
@@ -90,12 +90,24 @@
 func (f *Fleet) settings(spec processSpec) ([]byte, error) {
 	machine := spec.machine
 	role, _, _ := strings.Cut(spec.name, "-")
-	settings := processSettings{Name: spec.name, Role: role, Serves: spec.serves, Machine: machine, Bootstrap: spec.first, Zones: f.Zones(),
-		Front: f.Front(machine), Readiness: f.address(machine, f.Ports.Readiness), Control: f.Control(machine), Directory: f.address(machine, f.Ports.Directory),
-		Bounds: f.Bounds, ListAddress: f.ListAddress, ListRate: f.ListRate}
+	settings := processSettings{
+		Name:        spec.name,
+		Role:        role,
+		Serves:      spec.serves,
+		Machine:     machine,
+		Bootstrap:   spec.first,
+		Zones:       f.Zones(),
+		Front:       f.FrontAddress(machine),
+		Readiness:   machine.address(f.Ports.Readiness),
+		Control:     f.ControlAddress(machine),
+		Directory:   machine.address(f.Ports.Directory),
+		Bounds:      f.Bounds,
+		ListAddress: f.ListAddress,
+		ListRate:    f.ListRate,
+	}
 	settings.FirstPort, settings.LastPort = f.portsOf(spec.name)
 	for _, voter := range Voters(f.Machines) {
-		settings.Seeds = append(settings.Seeds, f.Control(voter))
+		settings.Seeds = append(settings.Seeds, f.ControlAddress(voter))
 	}
 	if machine.HasDisk {
 		settings.DataDir = f.diskPath(spec.name)
--- a/internal/lab/testcluster/process_faults.go
+++ b/internal/lab/testcluster/process_faults.go
@@ -28,19 +28,19 @@
 
 // KillProxy kills a machine's proxy and waits for its end.
 func (r *Run) KillProxy(m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: faultKill, At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.FrontAddress(m), Kind: faultKill, At: r.Now()})
 	return signalAndWait(r.Fleet.ProxyProcess(m), syscall.SIGKILL, nil)
 }
 
 // TerminateProxy has a machine's proxy shut down gracefully, and waits for its end. It fails if ctx ends before.
 func (r *Run) TerminateProxy(ctx context.Context, m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: rules.Terminate, At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.FrontAddress(m), Kind: rules.Terminate, At: r.Now()})
 	return signalAndWait(r.Fleet.ProxyProcess(m), syscall.SIGTERM, ctx.Done())
 }
 
 // StartProxy starts a machine's proxy again.
 func (r *Run) StartProxy(m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: rules.Start, At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.FrontAddress(m), Kind: rules.Start, At: r.Now()})
 	return r.Fleet.StartProxy(m, false)
 }
 
--- a/internal/lab/testcluster/run.go
+++ b/internal/lab/testcluster/run.go
@@ -35,10 +35,10 @@
 		if !m.HasDisk {
 			what = "observer"
 		}
-		lines = append(lines, fmt.Sprintf("%s http://%s/status  zone %s  pid %d", what, r.Fleet.Control(m), m.Zone, r.Fleet.ControlPlaneProcess(m).Pid()))
+		lines = append(lines, fmt.Sprintf("%s http://%s/status  zone %s  pid %d", what, r.Fleet.ControlAddress(m), m.Zone, r.Fleet.ControlPlaneProcess(m).Pid()))
 	}
 	for _, m := range r.Fleet.Machines {
-		lines = append(lines, fmt.Sprintf("proxy    http://%s  zone %s  pid %d", r.Fleet.Front(m), m.Zone, r.Fleet.ProxyProcess(m).Pid()))
+		lines = append(lines, fmt.Sprintf("proxy    http://%s  zone %s  pid %d", r.Fleet.FrontAddress(m), m.Zone, r.Fleet.ProxyProcess(m).Pid()))
 	}
 	for _, s := range r.Servers {
 		lines = append(lines, fmt.Sprintf("server   http://%s  %s %s  zone %s  %d slots", s.address, s.Service, s.ID(), s.Zone, s.Slots()))
@@ -78,7 +78,7 @@
 		second.Revision, second.Epoch, second.Chain = status.Revision, status.Epoch, status.Chain
 	}
 	second.LiveProxies = len(r.LiveProxies(ctx))
-	second.ReadyProxies = r.CountReady(ctx, r.Fleet.Readiness())
+	second.ReadyProxies = r.CountReady(ctx, r.Fleet.ReadinessAddresses())
 	return second
 }
 
