--- a/internal/lab/soak/monitor.go
+++ b/internal/lab/soak/monitor.go
@@ -51,7 +51,7 @@
 
 // poll reads the status of one process. It does nothing if the process does not answer.
 func (m *invariantMonitor) poll(ctx context.Context, name, address string) {
-	counts, err := violations(ctx, address)
+	counts, err := fetchViolations(ctx, address)
 	if err != nil {
 		return // the process is down, paused or partitioned
 	}
@@ -73,7 +73,7 @@
 	defer m.mu.Unlock()
 	for _, key := range slices.Sorted(maps.Keys(m.highest)) {
 		if m.highest[key] > 0 {
-			all = append(all, fmt.Sprintf("VIOLATION: %s, %d times", key, m.highest[key]))
+			all = append(all, invariantViolated.line(fmt.Sprintf("%s, %d times", key, m.highest[key])))
 		}
 	}
 	return all
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// violations reads the status of a process, and returns what its invariants have counted, by name.
-func violations(ctx context.Context, address string) (map[string]int64, error) {
+// fetchViolations reads the status of a process, and returns what its invariants have counted, by name.
+func fetchViolations(ctx context.Context, address string) (map[string]int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -35,6 +35,23 @@
 	Checked map[string]int `json:"looked"`
 }
 
+// failureKind is a kind of failure that no check of package rules finds. It begins the failure's line in Result.Broken, as the rule's name begins
+// that of a violation.
+type failureKind string
+
+// The kinds of failures.
+const (
+	injectionFailed   failureKind = "TROUBLE"   // a fault could not be injected, or did not end as it must
+	notRecovered      failureKind = "RECOVER"   // after the last fault
+	invariantViolated failureKind = "VIOLATION" // as a process itself counted
+	processDied       failureKind = "DIED"      // by itself
+	processKilled     failureKind = "STOP"      // as SIGTERM did not end it
+	readFailed        failureKind = "READ"      // of the configuration, at the end
+)
+
+// line returns the line of a failure of the kind.
+func (k failureKind) line(text string) string { return string(k) + ": " + text }
+
 // Passed reports whether nothing is broken.
 func (r *Result) Passed() bool { return len(r.Broken) == 0 }
 
@@ -104,13 +121,13 @@
 // addFailures lists what went wrong at the end of a run.
 func (r *Result) addFailures(report *testcluster.Report) {
 	for _, process := range report.Died {
-		r.Broken = append(r.Broken, "DIED: "+process)
+		r.Broken = append(r.Broken, processDied.line(process))
 	}
 	for _, process := range report.Killed {
-		r.Broken = append(r.Broken, "STOP: SIGTERM did not end "+process+" in time")
+		r.Broken = append(r.Broken, processKilled.line("SIGTERM did not end "+process+" in time"))
 	}
 	if report.ReadError != nil {
-		r.Broken = append(r.Broken, "READ: "+report.ReadError.Error())
+		r.Broken = append(r.Broken, readFailed.line(report.ReadError.Error()))
 	}
 }
 
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -111,18 +111,18 @@
 			}
 			p.announce(fmt.Sprintf("%v: %v", p.Now().Round(time.Millisecond), fault))
 			if err := p.inject(ctx, fault); err != nil && ctx.Err() == nil {
-				p.recordFailure("TROUBLE", fmt.Sprintf("%v: %v", fault, err))
+				p.recordFailure(injectionFailed, fmt.Sprintf("%v: %v", fault, err))
 			}
 		})
 	}
 	all.Wait()
 }
 
-// recordFailure lists a failure as broken under a name, in one line.
-func (p *player) recordFailure(name, text string) {
+// recordFailure lists a failure as broken, in one line.
+func (p *player) recordFailure(kind failureKind, text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.broken = append(p.broken, name+": "+strings.ReplaceAll(text, "\n", "; "))
+	p.broken = append(p.broken, kind.line(strings.ReplaceAll(text, "\n", "; ")))
 }
 
 // checkRecovery ends the evacuations that are pending, and checks that requests are served and that the control plane recovers.
@@ -130,18 +130,18 @@
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	if err := p.AwaitServed(ctx, recoveryRequests); err != nil {
-		p.recordFailure("RECOVER", err.Error())
+		p.recordFailure(notRecovered, err.Error())
 	}
 	for zone := range p.pendingEvacuations {
 		if err := p.setEvacuated(ctx, zone, false); err != nil {
-			p.recordFailure("RECOVER", err.Error())
+			p.recordFailure(notRecovered, err.Error())
 		}
 	}
 	recovered := func(ctx context.Context) error {
 		return p.monitor.checkControlPlane(ctx, p.Fleet.ControlPlaneAddresses())
 	}
 	if err := testcluster.Await(ctx, recovered); err != nil {
-		p.recordFailure("RECOVER", err.Error())
+		p.recordFailure(notRecovered, err.Error())
 	}
 }
 
