--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -193,8 +193,7 @@
 	Strays   []Stray
 	Reads    []Reading
 	Read     *Config // that was read at the end of the run
-	ReadAt   Time
-	Core     int // number of voters; 0: it is not known
+	Core     int     // number of voters; 0: it is not known
 
 	mu    sync.Mutex
 	shown map[string]bool // servers of Listings
--- a/internal/lab/testcluster/run.go
+++ b/internal/lab/testcluster/run.go
@@ -90,7 +90,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), r.Scenario.Bounds.Contact)
 	defer cancel()
 	r.Evidence.Read, report.ReadError = r.Operator.Read(ctx)
-	r.Evidence.ReadAt = r.Now()
 	report.Killed = r.stop()
 	for _, attempt := range r.Evidence.Unanswered() {
 		report.Unanswered = append(report.Unanswered, r.Evidence.Describe(attempt))
