--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -38,7 +38,7 @@
 	warmUp        = time.Second            // before the first fault
 	calmPeriod    = 2 * time.Second        // after the last one
 	meanGap       = 900 * time.Millisecond // between the starts of faults, before those that do not fit are left out
-	maxDraws      = 40                     // for one place in the schedule
+	maxDraws      = 40                     // of a fault, for one time at which it is to start
 	minSeparation = 700 * time.Millisecond // between two faults with a claim in common, so that the first one has ended
 )
 
--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -168,7 +168,7 @@
 	Contact     Time // without faults, after which a proxy is in contact
 	Drain       Time // from a server's being listed as draining to the last request that is sent there
 	ConfigApply Time // from the acknowledgement of a configuration until it is in force everywhere
-	RevertSlack Time // between two requests from which the order of their configurations is told
+	RevertSlack Time // from the effect of a configuration to the sending of an attempt that must not show an older one
 	Evacuate    Time // from the acknowledgement of an evacuation to the last request that is sent to the zone
 	Grace       Time // for the graceful shutdown of a process
 	LossSlack   Time // from a client's last byte, within which a proxy that shuts down may not have read it
