--- a/internal/lab/testcluster/process_faults.go
+++ b/internal/lab/testcluster/process_faults.go
@@ -12,7 +12,7 @@
 )
 
 // faultKill is the kind of rules.Fault of a process that was killed.
-const faultKill = "kill"
+const faultKill rules.FaultKind = "kill"
 
 // KillControlPlane kills a machine's control-plane node and waits for its end.
 func (r *Run) KillControlPlane(m Machine) error {
@@ -28,19 +28,19 @@
 
 // KillProxy kills a machine's proxy and waits for its end.
 func (r *Run) KillProxy(m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: faultKill, At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.FrontAddress(m), Kind: faultKill, At: r.Now()})
 	return signalAndWait(r.Fleet.ProxyProcess(m), syscall.SIGKILL, nil)
 }
 
 // TerminateProxy has a machine's proxy shut down gracefully, and waits for its end. It fails if ctx ends before.
 func (r *Run) TerminateProxy(ctx context.Context, m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: rules.Terminate, At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.FrontAddress(m), Kind: rules.Terminate, At: r.Now()})
 	return signalAndWait(r.Fleet.ProxyProcess(m), syscall.SIGTERM, ctx.Done())
 }
 
 // StartProxy starts a machine's proxy again.
 func (r *Run) StartProxy(m Machine) error {
-	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.Front(m), Kind: rules.Start, At: r.Now()})
+	r.Evidence.RecordFault(rules.Fault{Proxy: r.Fleet.FrontAddress(m), Kind: rules.Start, At: r.Now()})
 	return r.Fleet.StartProxy(m, false)
 }
 
@@ -65,8 +65,3 @@
 		return errors.Newf("%s has not ended in time after %v: look at %s", p.Name, by, p.Log)
 	}
 }
-
-// AwaitServed waits until n more requests of clients were served, and fails if ctx ends before.
-func (r *Run) AwaitServed(ctx context.Context, n int) error {
-	return r.stats.await(ctx, n)
-}
--- a/internal/lab/testcluster/rules/changes.go
+++ b/internal/lab/testcluster/rules/changes.go
@@ -2,94 +2,61 @@
 
 import (
 	"encoding/json"
-	"net/http"
+	"slices"
 	"time"
 )
 
-// services returns the services to which a route sends requests.
-func (r *Route) services() []string {
-	if r.Target != "" {
-		return []string{r.Target}
-	}
-	var all []string
-	for _, s := range r.Shares {
-		if s.Weight > 0 {
-			all = append(all, s.Target)
-		}
-	}
-	return all
+// checkConfig checks CONFIG (RULES.md, "Configuration"): a configuration that was acknowledged comes into force and stays, and one that is
+// invalid or lost a race is not acknowledged.
+//
+// How a request is handled is excused by any configuration that may be in force (inForce), and at a proxy out of contact. A change without a
+// clear answer may or may not be in force. How often requests on added routes are served is not checked.
+func (x *index) checkConfig(verdict *Verdict) {
+	x.checkAcknowledgements(verdict)
+	x.checkReadBack(verdict)
+	x.checkReadings(verdict)
+	for _, attempt := range x.Attempts {
+		if x.inContact(attempt.Proxy, attempt.Ended) {
+			x.checkHandling(attempt, verdict)
+		}
+	}
+	x.checkRegression(verdict)
 }
 
-// inForce returns the configurations that may be in force somewhere in a period: the newest one that was acknowledged at least
-// Bounds.ConfigApply before from, and all newer ones that were sent until to and not refused.
-func (x *index) inForce(from, to Time) []*Config {
-	var settled *Change
-	for _, c := range x.Changes {
-		bound := x.Bounds.ConfigApply + x.stretch(c.AcknowledgedAt, from)
-		if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt+bound <= from && (settled == nil || c.Config.Revision > settled.Config.Revision) {
-			settled = c
-		}
-	}
-	var some []*Config
-	for _, c := range x.Changes {
-		if c.Config == nil || c.Sent > to || c.wasRefused() {
-			continue
-		}
-		if settled == nil || c.Config.Revision >= settled.Config.Revision {
-			some = append(some, c.Config)
-		}
-	}
-	return some
-}
-
-// wasRefused reports whether a change was clearly refused.
-func (c *Change) wasRefused() bool {
-	return c.AcknowledgedAt == Never && c.Status >= 400 && c.Status < 500
-}
-
-// config checks CONFIG: a configuration that was acknowledged comes into force and stays, and one that is invalid is never acknowledged.
-func config(idx *index, verdict *Verdict) {
-	bases := map[int64]*Change{}
-	var newest *Change
-	for _, change := range idx.Changes {
+// checkAcknowledgements checks that no invalid configuration was acknowledged, and of those on top of one version at most one.
+func (x *index) checkAcknowledgements(verdict *Verdict) {
+	acknowledged := map[int64]*Config{} // by the version on which it builds
+	for _, change := range x.Changes {
 		if change.Config == nil {
 			continue
 		}
 		verdict.Checked++
-		if change.AcknowledgedAt == Never {
+		if !change.acknowledged() {
 			continue
 		}
+		revision := change.Config.Revision
 		if change.Invalid {
-			verdict.violation("the invalid version %d was acknowledged", change.Config.Revision)
+			verdict.violation("the invalid version %d was acknowledged", revision)
 		}
-		if other := bases[change.Base]; other != nil && other.Config.Revision != change.Config.Revision {
-			verdict.violation("versions %d and %d on top of version %d were both acknowledged", other.Config.Revision, change.Config.Revision, change.Base)
-		}
-		bases[change.Base] = change
-		if newest == nil || change.Config.Revision > newest.Config.Revision {
-			newest = change
-		}
-	}
-	idx.checkReadBack(newest, verdict)
-	idx.checkReadings(verdict)
-	for _, t := range idx.Attempts {
-		if idx.inContact(t.Proxy, t.Ended) {
-			idx.checkHandling(t, verdict)
+		if other := acknowledged[change.Base]; other != nil && other.Revision != revision {
+			verdict.violation("versions %d and %d on top of version %d were both acknowledged", other.Revision, revision, change.Base)
 		}
+		acknowledged[change.Base] = change.Config
 	}
-	idx.checkRegression(verdict)
 }
 
-// checkReadBack checks that the configuration read at the end is the newest one that was acknowledged, or a newer one without a clear answer.
-func (x *index) checkReadBack(newest *Change, verdict *Verdict) {
+// checkReadBack checks that the configuration read at the end is the newest one that was acknowledged, or a newer one without a clear answer,
+// and has what was sent under its number.
+func (x *index) checkReadBack(verdict *Verdict) {
+	newest, ok := x.newestAcknowledged()
 	switch {
-	case newest == nil:
+	case !ok:
 		return
 	case x.Read == nil:
 		verdict.violation("the configuration was not read back")
 		return
-	case x.Read.Revision < newest.Config.Revision:
-		verdict.violation("version %d was read back and %d had been acknowledged", x.Read.Revision, newest.Config.Revision)
+	case x.Read.Revision < newest:
+		verdict.violation("version %d was read back and %d had been acknowledged", x.Read.Revision, newest)
 		return
 	}
 	for _, c := range x.Changes {
@@ -100,13 +67,24 @@
 	verdict.violation("version %d was read back with what nobody sent under that number", x.Read.Revision)
 }
 
-// checkReadings checks that a reading returns no configuration older than one that was acknowledged before the reading was sent.
-func (x *index) checkReadings(v *Verdict) {
+// newestAcknowledged returns the highest revision that was acknowledged; ok is false if none was.
+func (x *index) newestAcknowledged() (revision int64, ok bool) {
+	for _, c := range x.Changes {
+		if c.Config != nil && c.acknowledged() && (!ok || c.Config.Revision > revision) {
+			revision, ok = c.Config.Revision, true
+		}
+	}
+	return revision, ok
+}
+
+// checkReadings checks that a reading during the run returns no configuration older than one that was acknowledged before the reading was
+// sent. Readings without a clear answer are not in the evidence.
+func (x *index) checkReadings(verdict *Verdict) {
 	for _, r := range x.Reads {
-		v.Checked++
+		verdict.Checked++
 		for _, c := range x.Changes {
-			if c.Config != nil && c.AcknowledgedAt != Never && c.AcknowledgedAt <= r.Sent && c.Config.Revision > r.Revision {
-				v.violation("a read sent at %v showed version %d, and %d had been acknowledged at %v", r.Sent.Round(time.Millisecond),
+			if c.Config != nil && c.acknowledged() && c.AcknowledgedAt <= r.Sent && c.Config.Revision > r.Revision {
+				verdict.violation("a read sent at %v showed version %d, and %d had been acknowledged at %v", r.Sent.Round(time.Millisecond),
 					r.Revision, c.Config.Revision, c.AcknowledgedAt.Round(time.Millisecond))
 				break
 			}
@@ -130,69 +108,16 @@
 	if len(configs) == 0 {
 		return
 	}
-	if attempt.Outcome == Answered && attempt.Status == http.StatusNotFound && attempt.Seal == "" {
-		for _, c := range configs {
-			if c.Match(attempt.Host, attempt.Path) == nil {
-				return
-			}
+	if attempt.foundNoRoute() {
+		if !slices.ContainsFunc(configs, func(c *Config) bool { return c.routeOf(attempt) == nil }) {
+			verdict.violation("%s got a 404 at %s, and the route is there", attempt.ID, attempt.Proxy)
 		}
-		verdict.violation("%s got a 404 at %s, and the route is there", attempt.ID, attempt.Proxy)
 		return
 	}
-	for _, a := range x.runs[attempt.ID] {
-		if a.ExecutedAt == Never {
-			continue
-		}
-		allowed := false
-		for _, c := range configs {
-			if r := c.Match(attempt.Host, attempt.Path); r != nil && r.sends(a.Service) {
-				allowed = true
-			}
-		}
-		if !allowed {
-			verdict.violation("%s ran at %s by way of %s, as only an older version allows", attempt.ID, a.Service, attempt.Proxy)
-		}
-	}
-}
-
-// lost checks LOST: around a graceful shutdown of a proxy, requests that the proxy has read are answered completely.
-func lost(idx *index, verdict *Verdict) {
-	for _, trouble := range idx.Faults {
-		if trouble.Kind != Terminate || trouble.Proxy == "" {
-			continue
-		}
-		until := trouble.At + idx.Bounds.Grace + 1e9
-		for _, t := range idx.Attempts {
-			if t.Proxy != trouble.Proxy || t.Ended < trouble.At || t.Ended > until || !idx.plannedOnly(t) {
-				continue
-			}
-			verdict.Checked++
-			if t.Outcome != Truncated || idx.abortedByServer(t) {
-				continue
-			}
-			if len(idx.runs[t.ID]) > 0 || t.Ended > t.SentComplete+idx.Bounds.LossSlack {
-				verdict.violation("%s was cut at %s, %v after SIGTERM", t.ID, t.Proxy, t.Ended-trouble.At)
-			}
-		}
-	}
-}
-
-// plannedOnly reports whether the proxy of an attempt had no unplanned fault from Bounds.Contact before the attempt until its end.
-func (x *index) plannedOnly(t *Attempt) bool {
-	for _, other := range x.Faults {
-		if other.Proxy == t.Proxy && other.isUnplanned() && other.At <= t.Ended && other.endedAt() > t.Sent-x.Bounds.Contact {
-			return false
-		}
-	}
-	return true
-}
-
-// abortedByServer reports whether a server aborted an attempt.
-func (x *index) abortedByServer(t *Attempt) bool {
-	for _, a := range x.runs[t.ID] {
-		if a.Aborted {
-			return true
+	for _, arrival := range x.arrivalsByID[attempt.ID] {
+		allowed := func(c *Config) bool { return c.sends(attempt, arrival.Service) }
+		if arrival.executed() && !slices.ContainsFunc(configs, allowed) {
+			verdict.violation("%s ran at %s by way of %s, as only an older version allows", attempt.ID, arrival.Service, attempt.Proxy)
 		}
 	}
-	return false
 }
--- a/internal/lab/testcluster/rules/check.go
+++ b/internal/lab/testcluster/rules/check.go
@@ -31,28 +31,29 @@
 	return fmt.Sprintf("%-9s BROKEN %d times, looked at %d: %s", v.Rule, v.Violations, v.Checked, strings.Join(v.Examples, "; "))
 }
 
-// checks are the checks of the rules that can be judged from outside, in the order of RULES.md.
+// checks are the checks of the rules that can be judged by the evidence, in the order of RULES.md. RECOVER, the prices and the gate are not among
+// them.
 var checks = []struct {
 	rule  string
 	check func(*index, *Verdict)
 }{
-	{"MIXED", mixed},
-	{"UNASKED", unasked},
-	{"TWICE", twice},
-	{"REFUSED", refused},
-	{"DENIED", denied},
-	{"ROUTE", route},
-	{"DRAIN", drain},
-	{"LOST", lost},
-	{"CONFIG", config},
-	{"BUDGET", budget},
-	{"ORDER", order},
-	{"FAILBACK", failback},
-	{"HOME", home},
-	{"EVAC", evacuation},
+	{"MIXED", (*index).checkMixed},
+	{"UNASKED", (*index).checkUnasked},
+	{"TWICE", (*index).checkTwice},
+	{"REFUSED", (*index).checkRefused},
+	{"DENIED", (*index).checkDenied},
+	{"ROUTE", (*index).checkRoute},
+	{"DRAIN", (*index).checkDrain},
+	{"LOST", (*index).checkLost},
+	{"CONFIG", (*index).checkConfig},
+	{"BUDGET", (*index).checkBudget},
+	{"ORDER", (*index).checkOrder},
+	{"FAILBACK", (*index).checkFailback},
+	{"HOME", (*index).checkHome},
+	{"EVAC", (*index).checkEvacuation},
 }
 
-// Check checks all rules. The run must be over: nothing may be recorded meanwhile.
+// Check checks all rules, and returns a verdict for each, in the order of RULES.md. The run must be over: nothing may be recorded meanwhile.
 func Check(e *Evidence) []Verdict {
 	x := e.index()
 	all := make([]Verdict, len(checks))
--- a/internal/lab/testcluster/rules/evidence.go
+++ b/internal/lab/testcluster/rules/evidence.go
@@ -13,9 +13,7 @@
 package rules
 
 import (
-	"cmp"
-	"fmt"
-	"slices"
+	"net/http"
 	"sync"
 	"time"
 )
@@ -26,11 +24,6 @@
 // Never is the time of an event that has not happened.
 const Never Time = -1
 
-// String returns the outcome in words.
-func (o Outcome) String() string {
-	return [...]string{"open", "answered", "cut", "closed unread", "unreached", "given up", "garbage"}[o]
-}
-
 // Outcome is how an attempt of a client ended.
 type Outcome int
 
@@ -45,6 +38,11 @@
 	Malformed            // bytes came that are not an HTTP answer
 )
 
+// String returns the outcome in words.
+func (o Outcome) String() string {
+	return [...]string{"open", "answered", "cut", "closed unread", "unreached", "given up", "garbage"}[o]
+}
+
 // Segment is consecutive events of a stream that one server sent.
 type Segment struct {
 	Run         string // seal of the run
@@ -76,6 +74,14 @@
 	Surplus      int       // bytes that followed the answer while no request waited
 }
 
+// succeeded reports whether the attempt got a complete answer with a status 2xx.
+func (a *Attempt) succeeded() bool { return a.Outcome == Answered && success(a.Status) }
+
+// foundNoRoute reports whether the proxy itself answered 404, as it does if its configuration has no route for the request.
+func (a *Attempt) foundNoRoute() bool {
+	return a.Outcome == Answered && a.Status == http.StatusNotFound && a.Seal == ""
+}
+
 // Arrival is a request that reached a server, as the server saw it.
 type Arrival struct {
 	At           Time
@@ -103,6 +109,20 @@
 	Aborted    bool   // the server ended the connection without a complete answer
 }
 
+// executed reports whether the server executed the request.
+func (a *Arrival) executed() bool { return a.ExecutedAt != Never }
+
+// sentAt returns when an arrival was sent.
+func (a *Arrival) sentAt() Time {
+	if a.Sent > 0 {
+		return a.Sent
+	}
+	return a.At
+}
+
+// reached reports whether an arrival counts as sent to the server: one that was rejected with 421 was meant for another incarnation.
+func (a *Arrival) reached() bool { return a.Rejected != http.StatusMisdirectedRequest }
+
 // Change is a change that the operator sent.
 type Change struct {
 	Config         *Config // the complete configuration after it; nil: it is of an evacuation
@@ -116,6 +136,14 @@
 	Invalid        bool // it must be refused
 }
 
+// acknowledged reports whether the change was acknowledged.
+func (c *Change) acknowledged() bool { return c.AcknowledgedAt != Never }
+
+// wasRefused reports whether a change was clearly refused.
+func (c *Change) wasRefused() bool {
+	return !c.acknowledged() && c.Status >= 400 && c.Status < 500
+}
+
 // Listing is a server that the platform's list showed as draining.
 type Listing struct {
 	Server string // id of the incarnation
@@ -140,7 +168,7 @@
 	Contact     Time // without faults, after which a proxy is in contact
 	Drain       Time // from a server's being listed as draining to the last request that is sent there
 	ConfigApply Time // from the acknowledgement of a configuration until it is in force everywhere
-	RevertSlack Time // between two requests from which the order of their configurations is told
+	RevertSlack Time // from the effect of a configuration to the sending of an attempt that must not show an older one
 	Evacuate    Time // from the acknowledgement of an evacuation to the last request that is sent to the zone
 	Grace       Time // for the graceful shutdown of a process
 	LossSlack   Time // from a client's last byte, within which a proxy that shuts down may not have read it
@@ -165,25 +193,24 @@
 	Strays   []Stray
 	Reads    []Reading
 	Read     *Config // that was read at the end of the run
-	ReadAt   Time
-	Core     int // number of voters; 0: it is not known
+	Core     int     // number of voters; 0: it is not known
 
 	mu    sync.Mutex
 	shown map[string]bool // servers of Listings
 }
 
 // RecordAttempt records an attempt that has ended.
-func (e *Evidence) RecordAttempt(t *Attempt) {
+func (e *Evidence) RecordAttempt(attempt *Attempt) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Attempts = append(e.Attempts, t)
+	e.Attempts = append(e.Attempts, attempt)
 }
 
 // RecordArrival records a request that reached a server. From then on it is changed within Update only.
-func (e *Evidence) RecordArrival(a *Arrival) {
+func (e *Evidence) RecordArrival(arrival *Arrival) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Arrivals = append(e.Arrivals, a)
+	e.Arrivals = append(e.Arrivals, arrival)
 }
 
 // Update calls change, which changes what was recorded.
@@ -194,24 +221,24 @@
 }
 
 // RecordChange records a change that is being sent. From then on it is changed within Update only.
-func (e *Evidence) RecordChange(c *Change) {
+func (e *Evidence) RecordChange(change *Change) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Changes = append(e.Changes, c)
+	e.Changes = append(e.Changes, change)
 }
 
 // RecordReading records an answer to a reading of the configuration.
-func (e *Evidence) RecordReading(r Reading) {
+func (e *Evidence) RecordReading(reading Reading) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Reads = append(e.Reads, r)
+	e.Reads = append(e.Reads, reading)
 }
 
 // RecordStray records bytes that came on an idle connection.
-func (e *Evidence) RecordStray(s Stray) {
+func (e *Evidence) RecordStray(stray Stray) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Strays = append(e.Strays, s)
+	e.Strays = append(e.Strays, stray)
 }
 
 // RecordDraining records that the list shows a server as draining. Only the first time counts.
@@ -226,72 +253,3 @@
 		e.Listings = append(e.Listings, Listing{server, at})
 	}
 }
-
-// index is evidence with the maps by which checks look it up.
-type index struct {
-	*Evidence
-	tries      map[string]*Attempt   // by id
-	runs       map[string][]*Arrival // by id of the attempt, in order of arrival
-	seals      map[string]*Arrival   // by seal
-	coreLosses []span
-}
-
-func (e *Evidence) index() *index {
-	x := &index{Evidence: e, tries: map[string]*Attempt{}, runs: map[string][]*Arrival{}, seals: map[string]*Arrival{},
-		coreLosses: e.coreLosses()}
-	for _, t := range e.Attempts {
-		x.tries[t.ID] = t
-	}
-	slices.SortStableFunc(e.Arrivals, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
-	for _, a := range e.Arrivals {
-		x.runs[a.ID] = append(x.runs[a.ID], a)
-		if a.Seal != "" {
-			x.seals[a.Seal] = a
-		}
-	}
-	return x
-}
-
-// Unanswered returns the last attempts of the requests that got no final answer, in the order in which they were sent.
-func (e *Evidence) Unanswered() []*Attempt {
-	last := map[int]*Attempt{}
-	for _, t := range e.Attempts {
-		if l := last[t.Request]; !t.Probe && (l == nil || t.Sent > l.Sent) {
-			last[t.Request] = t
-		}
-	}
-	var all []*Attempt
-	for _, t := range last {
-		if t.Outcome != Answered {
-			all = append(all, t)
-		}
-	}
-	slices.SortFunc(all, func(a, b *Attempt) int { return cmp.Compare(a.Sent, b.Sent) })
-	return all
-}
-
-// String returns the attempt as a line.
-func (t *Attempt) String() string {
-	return fmt.Sprintf("%s %s at %s, sent %v: %s after %v (status %d, %d segments)", t.ID, t.Path, t.Proxy, t.Sent.Round(time.Millisecond),
-		t.Outcome, (t.Ended - t.Sent).Round(time.Millisecond), t.Status, len(t.Events))
-}
-
-// Describe returns an attempt as a line, with what servers saw of it.
-func (e *Evidence) Describe(t *Attempt) string {
-	text := t.String()
-	for _, a := range e.Arrivals {
-		if a.ID != t.ID {
-			continue
-		}
-		text += fmt.Sprintf("; reached %s after %v", a.Server, (a.At - t.Sent).Round(time.Millisecond))
-		switch {
-		case a.Rejected != 0:
-			text += fmt.Sprintf(", rejected with %d", a.Rejected)
-		case a.ExecutedAt == Never:
-			text += ", never ran"
-		default:
-			text += fmt.Sprintf(", ran after %v, %d of %d events", (a.ExecutedAt - t.Sent).Round(time.Millisecond), a.SentEvents, a.LastEvent)
-		}
-	}
-	return text
-}
--- a/internal/lab/testcluster/rules/placement.go
+++ b/internal/lab/testcluster/rules/placement.go
@@ -1,250 +1,115 @@
 package rules
 
 import (
-	"cmp"
-	"maps"
-	"net/http"
+	"math"
 	"slices"
-	"time"
 )
 
-// route checks ROUTE: a service executes only requests that a configuration routes to it which was sent before.
-func route(x *index, verdict *Verdict) {
+// checkRoute checks ROUTE (RULES.md, "Requests and answers"): a service executes only requests that are routed to it by a configuration sent
+// before.
+//
+// Any such configuration excuses the execution, be it acknowledged, refused or invalid: CONFIG checks which one is in force. Executions of
+// what no client sent are left to UNASKED.
+func (x *index) checkRoute(verdict *Verdict) {
 	for _, arrival := range x.Arrivals {
-		if arrival.ExecutedAt == Never {
+		if !arrival.executed() {
 			continue
 		}
 		verdict.Checked++
-		t, sends := x.tries[arrival.ID], false
-		if t == nil {
+		attempt := x.attemptByID[arrival.ID]
+		if attempt == nil {
 			continue // UNASKED reports it.
 		}
-		for _, c := range x.Changes {
-			if c.Config == nil || c.Sent > arrival.ExecutedAt {
-				continue
-			}
-			if r := c.Config.Match(t.Host, t.Path); r != nil && r.sends(arrival.Service) {
-				sends = true
-				break
-			}
-		}
-		if !sends {
-			verdict.violation("%s %s ran at %s", t.Host, t.Path, arrival.Service)
+		if !x.everRouted(attempt, arrival) {
+			verdict.violation("%s %s ran at %s", attempt.Host, attempt.Path, arrival.Service)
 		}
 	}
 }
 
-// reached reports whether an arrival counts as sent to the server: one that was rejected with 421 was meant for another incarnation.
-func (a *Arrival) reached() bool { return a.Rejected != http.StatusMisdirectedRequest }
-
-// sender returns the address of the proxy through which an arrival came, empty if it is not known.
-func (x *index) sender(a *Arrival) string {
-	if t := x.tries[a.ID]; t != nil {
-		return t.Proxy
-	}
-	return ""
+// everRouted reports whether any configuration that was sent before the execution of an arrival sends its attempt to its service.
+func (x *index) everRouted(attempt *Attempt, arrival *Arrival) bool {
+	return slices.ContainsFunc(x.Changes, func(c *Change) bool {
+		return c.Config != nil && c.Sent <= arrival.ExecutedAt && c.Config.sends(attempt, arrival.Service)
+	})
 }
 
-// drain checks DRAIN: proxies in contact send nothing to a server later than Bounds.Drain after the list showed it as draining.
-func drain(x *index, v *Verdict) {
-	shown := map[string]Time{}
-	for _, l := range x.Listings {
-		shown[l.Server] = l.Shown
+// checkDrain checks DRAIN (RULES.md, "Draining and shutdown"): nothing is sent to a server later than Bounds.Drain after the platform's list
+// showed it as draining.
+//
+// Excused are requests that were sent by a proxy out of contact, and those that got 421, as they were meant for another incarnation. The time
+// of the sending counts, where a link with faults is between.
+func (x *index) checkDrain(verdict *Verdict) {
+	shown := map[string]Time{} // by id of the server's incarnation
+	for _, listing := range x.Listings {
+		shown[listing.Server] = listing.Shown
 	}
-	for _, a := range x.Arrivals {
-		at, drains := shown[a.Server]
-		if !drains || !a.reached() || a.At < at {
+	for _, arrival := range x.Arrivals {
+		at, drains := shown[arrival.Server]
+		if !drains || !arrival.reached() || arrival.At < at {
 			continue
 		}
-		v.Checked++
-		if sent := a.sentAt(); sent > at+x.Bounds.Drain && x.inContact(x.sender(a), sent) {
-			v.violation("%s reached %s %v after it was shown as draining", a.ID, a.Server, sent-at)
-		}
-	}
-}
-
-// sentAt returns when an arrival was sent.
-func (a *Arrival) sentAt() Time {
-	if a.Sent > 0 {
-		return a.Sent
-	}
-	return a.At
-}
-
-// WarmUpPeak is the most requests that a server got within one second while it warmed up.
-type WarmUpPeak struct {
-	Server   string // id of the incarnation
-	Requests int
-	Limit    float64 // of Requests, by FAILBACK
-	At       Time    // end of that second
-}
-
-// WarmUpPeaks returns the peaks of all servers that were sent requests while they warmed up. Requests that were rejected with 421 do not count.
-func (e *Evidence) WarmUpPeaks() []WarmUpPeak {
-	by := map[string][]*Arrival{}
-	for _, a := range e.Arrivals {
-		if a.WarmingUp && a.reached() {
-			by[a.Server] = append(by[a.Server], a)
-		}
-	}
-	var peaks []WarmUpPeak
-	for _, server := range slices.Sorted(maps.Keys(by)) {
-		all := by[server]
-		slices.SortStableFunc(all, func(a, b *Arrival) int { return cmp.Compare(a.At, b.At) })
-		peak := WarmUpPeak{Server: server}
-		for i, last := range all {
-			if n := countSentWithin(all[:i+1], last.At-time.Second); n > peak.Requests {
-				peak.Requests, peak.At, peak.Limit = n, last.At, last.WarmUpLimit*e.Bounds.ColdExcess+e.Bounds.ColdSlack
-			}
-		}
-		peaks = append(peaks, peak)
-	}
-	return peaks
-}
-
-// countSentWithin returns how many arrivals both came and were sent after a time. They are in order of arrival.
-func countSentWithin(sorted []*Arrival, after Time) (n int) {
-	for i := len(sorted) - 1; i >= 0 && sorted[i].At > after; i-- {
-		if sorted[i].sentAt() > after {
-			n++
-		}
-	}
-	return n
-}
-
-// failback checks FAILBACK: in no second does a server that warms up get more requests than its limit. Requests count that were sent and came
-// within that second.
-func failback(x *index, v *Verdict) {
-	for _, p := range x.WarmUpPeaks() {
-		v.Checked += p.Requests
-		if float64(p.Requests) > p.Limit {
-			v.violation("%s got %d requests within a second while cold, up to %v; %.1f at most", p.Server, p.Requests,
-				p.At.Round(time.Millisecond), p.Limit)
+		verdict.Checked++
+		if sent := arrival.sentAt(); sent > at+x.Bounds.Drain && x.inContact(x.sender(arrival), sent) {
+			verdict.violation("%s reached %s %v after it was shown as draining", arrival.ID, arrival.Server, sent-at)
 		}
 	}
 }
 
-// home checks HOME: a request whose route has home regions reaches servers there only. It is a violation only if all configurations that may
-// be in force say so.
-func home(idx *index, verdict *Verdict) {
-	for _, arrival := range idx.Arrivals {
-		t := idx.tries[arrival.ID]
-		if t == nil || !arrival.reached() {
+// checkHome checks HOME (RULES.md, "Zones and regions"): a request whose route has home regions reaches servers there only.
+//
+// Excused are requests that got 421, and those that a configuration which may be in force allows. Homes of tenants, and the proxies that
+// bodies pass, are not checked.
+func (x *index) checkHome(verdict *Verdict) {
+	for _, arrival := range x.Arrivals {
+		attempt := x.attemptByID[arrival.ID]
+		if attempt == nil || !arrival.reached() {
 			continue
 		}
-		some := idx.inForce(t.Sent, arrival.At)
-		abroad := len(some) > 0
-		for _, c := range some {
-			r := c.Match(t.Host, t.Path)
-			abroad = abroad && r != nil && len(r.Homes) > 0 && !slices.Contains(r.Homes, arrival.Region)
-		}
 		verdict.Checked++
-		if abroad {
+		configs := x.inForce(attempt.Sent, arrival.At)
+		allowed := func(c *Config) bool { return !c.hasHomesElsewhere(attempt, arrival.Region) }
+		if len(configs) > 0 && !slices.ContainsFunc(configs, allowed) {
 			verdict.violation("%s reached %s in %s", arrival.ID, arrival.Server, arrival.Region)
 		}
 	}
 }
 
-// evacuation checks EVAC: proxies in contact send nothing to a zone later than Bounds.Evacuate after its evacuation was acknowledged, until the
-// end of the evacuation is sent.
-func evacuation(idx *index, verdict *Verdict) {
-	for i, change := range idx.Changes {
-		if change.Config != nil || !change.Start || change.AcknowledgedAt == Never {
-			continue
-		}
-		until := Time(1<<63 - 1)
-		for _, later := range idx.Changes[i+1:] {
-			if later.Config == nil && later.Zone == change.Zone && !later.Start {
-				until = later.Sent
-				break
-			}
-		}
-		for _, arrival := range idx.Arrivals {
-			sent := arrival.sentAt()
-			from := change.AcknowledgedAt + idx.Bounds.Evacuate + idx.stretch(change.AcknowledgedAt, sent)
-			if arrival.Zone != change.Zone || arrival.At <= change.AcknowledgedAt || arrival.At >= until || !arrival.reached() {
-				continue
-			}
-			verdict.Checked++
-			if sent > from && idx.inContact(idx.sender(arrival), sent) {
-				verdict.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-change.AcknowledgedAt)
-			}
+// checkEvacuation checks EVAC (RULES.md, "Zones and regions"): nothing is sent to a zone later than Bounds.Evacuate after its evacuation was
+// acknowledged, until the end of the evacuation is sent.
+//
+// Excused are requests that were sent by a proxy out of contact, and those that got 421. The bound grows by Bounds.Stretch around faults of
+// voters (RULES.md, "In touch").
+func (x *index) checkEvacuation(verdict *Verdict) {
+	for i, change := range x.Changes {
+		if change.Config == nil && change.Start && change.acknowledged() {
+			x.checkEvacuatedZone(change, x.endOfEvacuation(i), verdict)
 		}
 	}
 }
 
-// budget checks BUDGET: within each window, the retries that reach a service stay within a ratio of the requests for it.
-func budget(idx *index, verdict *Verdict) {
-	requests := idx.requestsByService()
-	for service, retries := range idx.retriesByService() {
-		sent := requests[service]
-		slices.Sort(sent)
-		idx.checkBudget(service, sent, retries, verdict)
-	}
-}
-
-// requestsByService returns by service when the attempts were sent that may have been for it.
-func (x *index) requestsByService() map[string][]Time {
-	requests := map[string][]Time{}
-	for _, attempt := range x.Attempts {
-		for service := range x.servicesOf(attempt) {
-			requests[service] = append(requests[service], attempt.Sent)
+// endOfEvacuation returns when the end of an evacuation was sent, and the end of time if it was not. start is the index in Changes of the change
+// that started the evacuation.
+func (x *index) endOfEvacuation(start int) Time {
+	for _, later := range x.Changes[start+1:] {
+		if later.Config == nil && later.Zone == x.Changes[start].Zone && !later.Start {
+			return later.Sent
 		}
 	}
-	return requests
+	return math.MaxInt64
 }
 
-// servicesOf returns the services to which a configuration that may be in force routes an attempt.
-func (x *index) servicesOf(attempt *Attempt) map[string]bool {
-	services := map[string]bool{}
-	for _, c := range x.inForce(attempt.Sent, attempt.Ended) {
-		matched := c.Match(attempt.Host, attempt.Path)
-		if matched == nil {
+// checkEvacuatedZone checks the arrivals in a zone from the acknowledgement of its evacuation until its end.
+func (x *index) checkEvacuatedZone(evacuation *Change, end Time, verdict *Verdict) {
+	acknowledged := evacuation.AcknowledgedAt
+	for _, arrival := range x.Arrivals {
+		if arrival.Zone != evacuation.Zone || arrival.At <= acknowledged || arrival.At >= end || !arrival.reached() {
 			continue
 		}
-		for _, service := range matched.services() {
-			services[service] = true
-		}
-	}
-	return services
-}
-
-// retriesByService returns by service when attempts reached it that had reached it before.
-func (x *index) retriesByService() map[string][]Time {
-	retries := map[string][]Time{}
-	seen := map[string]bool{}
-	for _, a := range x.Arrivals {
-		if key := a.Service + " " + a.ID; seen[key] {
-			retries[a.Service] = append(retries[a.Service], a.At)
-		} else {
-			seen[key] = true
-		}
-	}
-	return retries
-}
-
-// checkBudget checks all windows of one service. Both lists are in order of time.
-func (x *index) checkBudget(service string, sent, retries []Time, verdict *Verdict) {
-	window := x.Bounds.RetryWindow
-	from := 0
-	for i, at := range retries { // A window with the most retries ends with a retry.
-		for at-retries[from] >= window {
-			from++
-		}
 		verdict.Checked++
-		count := 0
-		for _, back := range []Time{0, window / 2, window} {
-			count = max(count, countBetween(sent, at-back-window, at-back))
-		}
-		if maxRetries := x.Bounds.RetryRatio*float64(count) + x.Bounds.RetrySlack; float64(i-from+1) > maxRetries {
-			verdict.violation("%s got %d repeats up to %v, %.0f at most", service, i-from+1, at, maxRetries)
+		sent := arrival.sentAt()
+		from := acknowledged + x.Bounds.Evacuate + x.stretch(acknowledged, sent)
+		if sent > from && x.inContact(x.sender(arrival), sent) {
+			verdict.violation("%s reached %s in %s %v after its evacuation", arrival.ID, arrival.Server, arrival.Zone, sent-acknowledged)
 		}
 	}
 }
-
-// countBetween returns how many times are after from and not after to.
-func countBetween(sorted []Time, from, to Time) int {
-	low, _ := slices.BinarySearchFunc(sorted, from, func(t, x Time) int { return cmp.Compare(t, x+1) })
-	high, _ := slices.BinarySearchFunc(sorted, to, func(t, x Time) int { return cmp.Compare(t, x+1) })
-	return max(0, high-low)
-}
--- a/internal/lab/testcluster/rules/regression.go
+++ b/internal/lab/testcluster/rules/regression.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"math"
-	"net/http"
 	"slices"
 )
 
@@ -14,64 +13,71 @@
 	minRevision, maxRevision int64
 }
 
-// versionRange returns the lowest and the highest revision that was sent among the configurations that are allowed; ok is false if there is none.
-func (x *index) versionRange(allowed func(*Config) bool) (least, most int64, ok bool) {
-	least, most = math.MaxInt64, math.MinInt64
+// revisionRange returns the lowest and the highest revision that was sent among the configurations that are allowed; ok is false if there is none.
+func (x *index) revisionRange(allowed func(*Config) bool) (minRevision, maxRevision int64, ok bool) {
+	minRevision, maxRevision = math.MaxInt64, math.MinInt64
 	for _, c := range x.Changes {
 		if c.Config != nil && allowed(c.Config) {
-			least, most, ok = min(least, c.Config.Revision), max(most, c.Config.Revision), true
+			minRevision, maxRevision, ok = min(minRevision, c.Config.Revision), max(maxRevision, c.Config.Revision), true
 		}
 	}
-	return least, most, ok
+	return minRevision, maxRevision, ok
 }
 
 // effects returns what the executions of an attempt, or its 404, show of the configuration.
-func (x *index) effects(t *Attempt) []effect {
+func (x *index) effects(attempt *Attempt) []effect {
 	var all []effect
-	if t.Outcome == Answered && t.Status == http.StatusNotFound && t.Seal == "" {
-		if least, most, ok := x.versionRange(func(c *Config) bool { return c.Match(t.Host, t.Path) == nil }); ok {
-			all = append(all, effect{t, math.MaxInt64, least, most})
+	if attempt.foundNoRoute() {
+		if minRevision, maxRevision, ok := x.revisionRange(func(c *Config) bool { return c.routeOf(attempt) == nil }); ok {
+			all = append(all, effect{attempt, math.MaxInt64, minRevision, maxRevision})
 		}
 	}
-	for _, a := range x.runs[t.ID] {
-		if a.ExecutedAt == Never {
+	for _, arrival := range x.arrivalsByID[attempt.ID] {
+		if !arrival.executed() {
 			continue
 		}
-		least, most, ok := x.versionRange(func(c *Config) bool {
-			r := c.Match(t.Host, t.Path)
-			return r != nil && r.sends(a.Service)
-		})
+		minRevision, maxRevision, ok := x.revisionRange(func(c *Config) bool { return c.sends(attempt, arrival.Service) })
 		if ok {
-			all = append(all, effect{t, a.ExecutedAt, least, most})
+			all = append(all, effect{attempt, arrival.ExecutedAt, minRevision, maxRevision})
 		}
 	}
 	return all
 }
 
-// checkRegression checks that a proxy does not go back to an older configuration within one incarnation.
+// checkRegression checks the rule of CONFIG on regression (RULES.md, "Configuration"): a proxy does not go back to an older configuration
+// within one incarnation.
+//
+// Excused are attempts that were sent within Bounds.RevertSlack after the effect of the newer configuration. An attempt that several
+// configurations allow counts as the effect of the oldest one when it is seen first, and of the newest one when it is seen later.
 func (x *index) checkRegression(verdict *Verdict) {
-	by := map[string][]effect{}
-	for _, t := range x.Attempts {
-		by[t.Proxy] = append(by[t.Proxy], x.effects(t)...)
+	byProxy := map[string][]effect{}
+	for _, attempt := range x.Attempts {
+		byProxy[attempt.Proxy] = append(byProxy[attempt.Proxy], x.effects(attempt)...)
 	}
-	for proxy, all := range by {
-		slices.SortStableFunc(all, func(a, b effect) int { return cmp.Compare(a.attempt.Sent, b.attempt.Sent) })
-		seen := slices.Clone(all)
-		slices.SortStableFunc(seen, func(a, b effect) int { return cmp.Compare(a.at, b.at) })
-		next, newest, life := 0, int64(math.MinInt64), Time(0)
-		for _, e := range all {
-			if began := x.incarnationStart(proxy, e.attempt.Sent); began > life {
-				newest, life = math.MinInt64, began
-			}
-			for next < len(seen) && seen[next].at < e.attempt.Sent-x.Bounds.RevertSlack {
-				if seen[next].at >= life {
-					newest = max(newest, seen[next].minRevision)
-				}
-				next++
-			}
-			if e.maxRevision < newest {
-				verdict.violation("%s went by version %d at most at %s, which had gone by version %d", e.attempt.ID, e.maxRevision, proxy, newest)
+	for proxy, effects := range byProxy {
+		x.checkProxyRegression(proxy, effects, verdict)
+	}
+}
+
+// checkProxyRegression checks the effects of one proxy: none is of an older configuration than any effect that was seen more than
+// Bounds.RevertSlack before its attempt was sent.
+func (x *index) checkProxyRegression(proxy string, effects []effect, verdict *Verdict) {
+	slices.SortStableFunc(effects, func(a, b effect) int { return cmp.Compare(a.attempt.Sent, b.attempt.Sent) })
+	seen := slices.Clone(effects)
+	slices.SortStableFunc(seen, func(a, b effect) int { return cmp.Compare(a.at, b.at) })
+	next, newest, started := 0, int64(math.MinInt64), Time(0)
+	for _, e := range effects {
+		if began := x.incarnationStart(proxy, e.attempt.Sent); began > started {
+			newest, started = math.MinInt64, began
+		}
+		for next < len(seen) && seen[next].at < e.attempt.Sent-x.Bounds.RevertSlack {
+			if seen[next].at >= started {
+				newest = max(newest, seen[next].minRevision)
 			}
+			next++
+		}
+		if e.maxRevision < newest {
+			verdict.violation("%s went by version %d at most at %s, which had gone by version %d", e.attempt.ID, e.maxRevision, proxy, newest)
 		}
 	}
 }
@@ -79,9 +85,9 @@
 // incarnationStart returns when the incarnation of a proxy started that is up at a time, or 0 if it started before the run.
 func (x *index) incarnationStart(proxy string, at Time) Time {
 	var began Time
-	for _, t := range x.Faults {
-		if t.Proxy == proxy && t.Kind == Start && t.At <= at {
-			began = max(began, t.At)
+	for _, fault := range x.Faults {
+		if fault.Proxy == proxy && fault.Kind == Start && fault.At <= at {
+			began = max(began, fault.At)
 		}
 	}
 	return began
--- a/internal/lab/testcluster/up.go
+++ b/internal/lab/testcluster/up.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	fleet.ListAddress = env.ListAddress()
-	env.Evidence.Core = len(fleet.Voters())
+	env.Evidence.Core = len(Voters(fleet.Machines))
 	if options.Links != nil {
 		options.Links.createServerLinks(scenario.Machines, scenario.Servers)
 		if fleet.listAddresses, err = options.Links.connect(fleet, fleet.ListAddress); err != nil { //nolint:contextcheck // relays outlive the call
@@ -100,6 +100,11 @@
 	})
 }
 
+// AwaitServed waits until n more requests of clients were served, and fails if ctx ends before.
+func (r *Run) AwaitServed(ctx context.Context, n int) error {
+	return r.stats.await(ctx, n)
+}
+
 // LiveProxies returns the addresses of the proxies that the first directory that answers gives to clients without zone and region, and nil
 // if none answers.
 func (r *Run) LiveProxies(ctx context.Context) []string {
