--- a/internal/lab/check/invariants_test.go
+++ b/internal/lab/check/invariants_test.go
@@ -27,7 +27,7 @@
 		return load.Attempt{ID: id, Arrival: arrival, Class: class, Due: at, Began: at, Sent: at, Ended: at + took, Timeout: 2 * time.Second, Status: 200,
 			ServedBy: "s1"}
 	}
-	attempt := func(id, server string, at, took int64, how string) ctl.Attempt {
+	attempt := func(id, server string, at, took int64, how ctl.AttemptOutcome) ctl.Attempt {
 		return ctl.Attempt{Server: server, ID: id, First: at, Received: at, End: at + took, Outcome: how}
 	}
 	return &Evidence{Plan: p, Start: 1000 * milli, Runs: [][]Run{{{From: 1}}, {{From: 1}}}, Peaks: []Peak{{10, 20}, {10, 20}},
--- a/internal/lab/check/registry_test.go
+++ b/internal/lab/check/registry_test.go
@@ -21,7 +21,7 @@
 	read := func(at int64, rev int64, value int) ctl.RegistryCall {
 		return ctl.RegistryCall{Outcome: "ok", Rev: rev, Value: value, Call: at, Return: at + 5}
 	}
-	write := func(at, expect, rev int64, value int, outcome string) ctl.RegistryCall {
+	write := func(at, expect, rev int64, value int, outcome ctl.CallOutcome) ctl.RegistryCall {
 		return ctl.RegistryCall{Write: true, Outcome: outcome, Expect: expect, Rev: rev, Value: value, Call: at, Return: at + 5}
 	}
 	line := func(at, known, rev int64, all bool, n int) ctl.RegistryUpdate {
--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -45,7 +45,7 @@
 				if w != nil {
 					w <- event
 				}
-			case event.Kind == "ready":
+			case event.Kind == ctl.EventReady:
 				ready <- event
 			default:
 				onEvent(event)
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -162,7 +162,7 @@
 func (f *Fleet) handleEvent(n ctl.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n.Kind == "fell" {
+	if n.Kind == ctl.EventFell {
 		f.falls = append(f.falls, n)
 	}
 }
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -90,7 +90,7 @@
 	states, partitioned := l.states(end)
 	far := l.fleet.processOf(uid)
 	for state, nears := range states {
-		n, err := far.order(ctl.Order{Do: "link", UID: uid, Nears: nears, State: &state})
+		n, err := far.order(ctl.Order{Do: ctl.CommandLink, UID: uid, Nears: nears, State: &state})
 		if err != nil {
 			return n.At, err
 		}
@@ -98,12 +98,12 @@
 	}
 	if uid == "" { // the list has one listener for all groups
 		all := !slices.Contains(slices.Collect(maps.Values(partitioned)), false)
-		n, err := far.order(ctl.Order{Do: "link", Partitioned: &all})
+		n, err := far.order(ctl.Order{Do: ctl.CommandLink, Partitioned: &all})
 		return max(at, n.At), err
 	}
 	for _, group := range slices.Sorted(maps.Keys(partitioned)) {
 		isPartitioned := partitioned[group]
-		n, err := far.order(ctl.Order{Do: "link", UID: uid, Group: group, Partitioned: &isPartitioned})
+		n, err := far.order(ctl.Order{Do: ctl.CommandLink, UID: uid, Group: group, Partitioned: &isPartitioned})
 		if err != nil {
 			return n.At, err
 		}
--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -50,7 +50,7 @@
 	told := append([]ctl.Entry(nil), fleet.listed...)
 	fleet.mu.Unlock()
 	for _, e := range told {
-		if _, err := c.order(ctl.Order{Do: "list", Entry: &e}); err != nil {
+		if _, err := c.order(ctl.Order{Do: ctl.CommandUpdateList, Entry: &e}); err != nil {
 			return err
 		}
 	}
@@ -68,7 +68,7 @@
 		return nil
 	default:
 	}
-	_, err := c.order(ctl.Order{Do: "list", Entry: &e})
+	_, err := c.order(ctl.Order{Do: ctl.CommandUpdateList, Entry: &e})
 	if errors.Is(err, errProcessEnded) || errors.Is(err, syscall.EPIPE) {
 		return nil
 	}
--- a/internal/lab/lyingmembers.go
+++ b/internal/lab/lyingmembers.go
@@ -20,7 +20,7 @@
 		}
 		f.peers.reservations = append(f.peers.reservations, p)
 		name := fmt.Sprintf("l%d", i)
-		news, err := f.peers.relay.order(ctl.Order{Do: "front", UID: name, Front: p.Addr.String()})
+		news, err := f.peers.relay.order(ctl.Order{Do: ctl.CommandFront, UID: name, Front: p.Addr.String()})
 		if err != nil {
 			return err
 		}
@@ -44,7 +44,7 @@
 // orderLie has lying members begin or end their lie.
 func (f *Fleet) orderLie(s *plan.Step) (at int64, err error) {
 	for _, i := range s.Nears {
-		n, err := f.lyingMembers[i].order(ctl.Order{Do: "lie", Mode: s.Mode, By: int64(s.By), On: s.On})
+		n, err := f.lyingMembers[i].order(ctl.Order{Do: ctl.CommandFalseReports, Mode: s.Mode, By: int64(s.By), On: s.On})
 		if at = n.At; err != nil {
 			return at, err
 		}
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -44,7 +44,7 @@
 		network.sentStates[i] = make([]link.State, count)
 	}
 	for i := range count {
-		news, err := network.relay.order(ctl.Order{Do: "front", UID: f.plan.Sidecars[i].Name, Front: network.reservations[i].Addr.String()})
+		news, err := network.relay.order(ctl.Order{Do: ctl.CommandFront, UID: f.plan.Sidecars[i].Name, Front: network.reservations[i].Addr.String()})
 		if err != nil {
 			return err
 		}
@@ -90,7 +90,7 @@
 	}
 	for far := range ps.sentStates {
 		for state, nears := range ps.changedStates(far) {
-			took, err := ps.order(far, ctl.Order{Do: "link", Nears: nears, State: &state})
+			took, err := ps.order(far, ctl.Order{Do: ctl.CommandLink, Nears: nears, State: &state})
 			at = max(at, took)
 			if err != nil {
 				return at, err
@@ -119,7 +119,7 @@
 		if len(nears) == 0 {
 			continue
 		}
-		took, err := ps.order(far, ctl.Order{Do: s.Do, Nears: nears})
+		took, err := ps.order(far, ctl.Order{Do: ctl.Command(s.Do), Nears: nears})
 		at = max(at, took)
 		if err != nil {
 			return at, err
--- a/internal/lab/registrylinks.go
+++ b/internal/lab/registrylinks.go
@@ -31,7 +31,7 @@
 			states[state] = append(states[state], near)
 		}
 		for state, nears := range states {
-			n, err := ks.relay.order(ctl.Order{Do: "link", UID: far.name, Nears: nears, State: &state})
+			n, err := ks.relay.order(ctl.Order{Do: ctl.CommandLink, UID: far.name, Nears: nears, State: &state})
 			if err != nil {
 				return n.At, err
 			}
@@ -43,7 +43,7 @@
 
 // orderStreams resets or forgets the streams to a node, and those from it to its peers where the step affects peers.
 func (ks *registryNodes) orderStreams(k *registryNode, s *plan.Step) (at int64, err error) {
-	event, err := ks.relay.order(ctl.Order{Do: s.Do, UID: k.name, Nears: ks.affectedNears(k, s.From)})
+	event, err := ks.relay.order(ctl.Order{Do: ctl.Command(s.Do), UID: k.name, Nears: ks.affectedNears(k, s.From)})
 	affectsPeers := s.From == "" || s.From == "peers"
 	if err != nil || !affectsPeers {
 		return event.At, err
@@ -53,7 +53,7 @@
 		if other == k {
 			continue
 		}
-		if event, err = ks.relay.order(ctl.Order{Do: s.Do, UID: other.name, Nears: own}); err != nil {
+		if event, err = ks.relay.order(ctl.Order{Do: ctl.Command(s.Do), UID: other.name, Nears: own}); err != nil {
 			return event.At, err
 		}
 	}
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -89,7 +89,7 @@
 			return err
 		}
 		for j, front := range []ctl.Order{{Front: node.http.Addr.String()}, {Front: node.raft.Addr.String(), BySource: true}} {
-			front.Do, front.UID = "front", node.name
+			front.Do, front.UID = ctl.CommandFront, node.name
 			news, err := started.relay.order(front)
 			if err != nil {
 				return err
--- a/internal/lab/servers.go
+++ b/internal/lab/servers.go
@@ -44,7 +44,7 @@
 // addServer starts a server and keeps what the list will say of it.
 func (f *Fleet) addServer(uid string, cold bool) (ctl.Entry, ctl.Event, error) {
 	spec := f.specs[uid]
-	n, err := f.host[uid].order(ctl.Order{Do: "add", Spec: spec, Cold: cold})
+	n, err := f.host[uid].order(ctl.Order{Do: ctl.CommandAdd, Spec: spec, Cold: cold})
 	if err != nil {
 		return ctl.Entry{}, n, err
 	}
--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -46,7 +46,7 @@
 		}
 		defer servers.registrar.close()
 	}
-	servers.out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
+	servers.out.Send(ctl.Event{Kind: ctl.EventReady, At: clock.Now()})
 	err = servers.run(orders)
 	servers.close()
 	return errors.Join(err, recorder.Close())
@@ -78,7 +78,7 @@
 	var links sync.WaitGroup
 	defer links.Wait()
 	return ctl.Lines(orders, func(o ctl.Order) error {
-		if o.Do == "link" {
+		if o.Do == ctl.CommandLink {
 			links.Add(1)
 			go func() {
 				defer links.Done()
@@ -105,28 +105,28 @@
 
 func (h *host) handleOrder(order ctl.Order, event *ctl.Event) error {
 	switch order.Do {
-	case "clock":
+	case ctl.CommandClock:
 		h.wallClockSkew += time.Duration(order.By)
 		return nil
-	case "add":
+	case ctl.CommandAdd:
 		return h.add(order, event)
 	}
 	target := h.servers[order.UID]
-	if target == nil && h.removed[order.UID] != nil && order.Do != "revive" {
+	if target == nil && h.removed[order.UID] != nil && order.Do != ctl.CommandRevive {
 		return nil // a fault that lasts longer than the machine
 	}
 	if target == nil {
 		return fmt.Errorf("%s: no server %q", order.Do, order.UID)
 	}
 	switch order.Do {
-	case "drain", "die", "silent", "remove":
+	case ctl.CommandDrain, ctl.CommandDie, ctl.CommandIsolate, ctl.CommandRemove:
 		h.changeState(target, order)
 		return nil
-	case "revive":
+	case ctl.CommandRevive:
 		return h.revive(target, event)
-	case "trouble":
+	case ctl.CommandFault:
 		return target.injectFault(order)
-	case "link", "reset", "forget":
+	case ctl.CommandLink, ctl.CommandReset, ctl.CommandForget:
 		return target.changeLinks(order)
 	}
 	return fmt.Errorf("unknown order %q", order.Do)
@@ -170,15 +170,15 @@
 // have it.
 func (h *host) changeState(target *machine, order ctl.Order) {
 	switch order.Do {
-	case "drain":
+	case ctl.CommandDrain:
 		h.registrar.updateDesired(order.UID, func(e *desiredEntry) { e.state = list.Draining })
 		target.process.updateModel(func(now int64) { target.process.model.Drain(now) })
-	case "die":
+	case ctl.CommandDie:
 		h.registrar.updateDesired(order.UID, func(e *desiredEntry) { e.crashed = true })
 		target.process.crash()
-	case "silent":
+	case ctl.CommandIsolate:
 		h.registrar.updateDesired(order.UID, func(e *desiredEntry) { e.isolated = order.On })
-	case "remove":
+	case ctl.CommandRemove:
 		h.registrar.updateDesired(order.UID, func(e *desiredEntry) { e.state = list.Deleted })
 		target.stop()
 		delete(h.servers, order.UID)
@@ -200,7 +200,7 @@
 	started, err := startServer(spec, cold, ports, m.net, h.records, func(s *server) {
 		s.crash()
 		h.registrar.updateDesired(spec.UID, func(e *desiredEntry) { e.crashed = true })
-		h.out.Send(ctl.Event{Kind: "fell", UID: spec.UID, At: clock.Now()})
+		h.out.Send(ctl.Event{Kind: ctl.EventFell, UID: spec.UID, At: clock.Now()})
 	})
 	if err != nil {
 		return err
@@ -251,7 +251,7 @@
 // changeLinks changes the links to the machine, and partitions a group from it where the order says so.
 func (m *machine) changeLinks(o ctl.Order) error {
 	m.net.apply(o)
-	if o.Do == "link" && o.Partitioned != nil {
+	if o.Do == ctl.CommandLink && o.Partitioned != nil {
 		return m.setPartitioned(o.Group, *o.Partitioned)
 	}
 	return nil
--- a/internal/lab/standin/host_test.go
+++ b/internal/lab/standin/host_test.go
@@ -99,7 +99,7 @@
 	}
 	var outcomes []string
 	for _, attempt := range attempts {
-		outcomes = append(outcomes, attempt.ID+" "+attempt.Outcome)
+		outcomes = append(outcomes, attempt.ID+" "+string(attempt.Outcome))
 		inOrder := attempt.First <= attempt.Received && attempt.Received <= attempt.End
 		if attempt.Near != near || !inOrder || attempt.End == 0 {
 			t.Errorf("the attempt is recorded as %+v", attempt)
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -51,7 +51,7 @@
 	platform.tasks.Add(1)
 	go platform.accept()
 	out := ctl.NewEventWriter(news)
-	out.Send(ctl.Event{Kind: "ready", Ports: []int{listener.Port()}, At: clock.Now()})
+	out.Send(ctl.Event{Kind: ctl.EventReady, Ports: []int{listener.Port()}, At: clock.Now()})
 	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.Event) error { return platform.handleOrder(o) })
 	close(platform.stop)
 	_ = listener.Close() // that it listens no more is all that matters
@@ -93,19 +93,19 @@
 		l.mu.Unlock()
 	}()
 	switch order.Do {
-	case "list":
+	case ctl.CommandUpdateList:
 		if order.Entry == nil {
 			return errors.New("list: the order has no entry")
 		}
 		l.addChange(*order.Entry)
-	case "list-mode":
+	case ctl.CommandListMode:
 		l.mode, l.updateDelay = listMode(order.Mode), time.Duration(order.Late*float64(time.Second))
-	case "link":
+	case ctl.CommandLink:
 		l.net.apply(order)
 		if order.Partitioned != nil {
 			return l.listener.SetPartitioned(*order.Partitioned)
 		}
-	case "reset", "forget":
+	case ctl.CommandReset, ctl.CommandForget:
 		l.net.apply(order)
 	default:
 		return fmt.Errorf("unknown order %q", order.Do)
--- a/internal/lab/standin/lyingmember.go
+++ b/internal/lab/standin/lyingmember.go
@@ -35,7 +35,7 @@
 	liar.tasks.Add(1)
 	go liar.publishReports()
 	out := ctl.NewEventWriter(news)
-	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
+	out.Send(ctl.Event{Kind: ctl.EventReady, At: clock.Now()})
 	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.Event) error { return liar.handleOrder(o) })
 	close(liar.stop)
 	liar.tasks.Wait()
@@ -54,7 +54,7 @@
 }
 
 func (l *lyingMember) handleOrder(o ctl.Order) error {
-	if o.Do != "lie" {
+	if o.Do != ctl.CommandFalseReports {
 		return fmt.Errorf("unknown order %q", o.Do)
 	}
 	var report []byte
--- a/internal/lab/standin/network.go
+++ b/internal/lab/standin/network.go
@@ -57,9 +57,9 @@
 // apply applies the part of an order that concerns links.
 func (n *network) apply(o ctl.Order) {
 	switch {
-	case o.Do == "reset":
+	case o.Do == ctl.CommandReset:
 		n.forEach(o.Nears, (*link.Link).Reset)
-	case o.Do == "forget":
+	case o.Do == ctl.CommandForget:
 		n.forEach(o.Nears, (*link.Link).Forget)
 	case o.State != nil:
 		n.set(o.Nears, *o.State)
--- a/internal/lab/standin/peers.go
+++ b/internal/lab/standin/peers.go
@@ -27,7 +27,7 @@
 	}
 	forwarder := &peers{fronts: map[string]*front{}, stop: make(chan struct{})}
 	out := ctl.NewEventWriter(news)
-	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
+	out.Send(ctl.Event{Kind: ctl.EventReady, At: clock.Now()})
 	forwarder.tasks.Add(1)
 	go func() {
 		defer forwarder.tasks.Done()
@@ -78,11 +78,11 @@
 func (p *peers) handleOrder(order ctl.Order, n *ctl.Event) error {
 	addressed := p.fronts[order.UID]
 	switch {
-	case order.Do == "front" && addressed == nil:
+	case order.Do == ctl.CommandFront && addressed == nil:
 		return p.addFront(order, n)
 	case addressed == nil:
 		return fmt.Errorf("%s: no sidecar %q", order.Do, order.UID)
-	case order.Do == "link" || order.Do == "reset" || order.Do == "forget":
+	case order.Do == ctl.CommandLink || order.Do == ctl.CommandReset || order.Do == ctl.CommandForget:
 		addressed.net.apply(order)
 		return nil
 	}
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -34,7 +34,7 @@
 	forwarder := &relay{sidecars: sidecars, readers: readers, notified: notifiedRecords, listLines: listRecords,
 		routeLines: routeRecords, networks: map[string]*network{}, stop: make(chan struct{})}
 	out := ctl.NewEventWriter(news)
-	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
+	out.Send(ctl.Event{Kind: ctl.EventReady, At: clock.Now()})
 	err = handleOrders(orders, out, forwarder.handleOrder)
 	forwarder.close()
 	return errors.Join(err, notifiedRecords.Close(), listRecords.Close(), routeRecords.Close())
@@ -73,13 +73,13 @@
 		r.networks[order.UID] = nodeNet
 	}
 	switch order.Do {
-	case "front":
+	case ctl.CommandFront:
 		port, err := r.listen(order, nodeNet)
 		if err != nil {
 			return err
 		}
 		n.Ports = []int{port}
-	case "link", "reset", "forget":
+	case ctl.CommandLink, ctl.CommandReset, ctl.CommandForget:
 		nodeNet.apply(order)
 	default:
 		return fmt.Errorf("unknown order %q", order.Do)
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -242,9 +242,9 @@
 	case outcome = <-ended:
 		return outcome, true
 	case <-conn.PeerClosed(): // the work goes on all the same
-		attempt.End, attempt.Outcome = conn.PeerClosedAt(), "left"
+		attempt.End, attempt.Outcome = conn.PeerClosedAt(), ctl.AttemptLeft
 	case <-s.stop:
-		attempt.End, attempt.Outcome = clock.Now(), "died"
+		attempt.End, attempt.Outcome = clock.Now(), ctl.AttemptDied
 	}
 	return outcome, false
 }
@@ -253,13 +253,13 @@
 func (s *server) writeOutcome(conn *link.Conn, outcome model.Outcome, attempt *ctl.Attempt) bool {
 	switch outcome {
 	case model.Served:
-		attempt.Outcome = "served"
+		attempt.Outcome = ctl.AttemptServed
 		return s.writeResponse(conn, http.StatusOK, "", Body(s.spec.UID, attempt.ID))
 	case model.Failed:
-		attempt.Outcome = "failed"
+		attempt.Outcome = ctl.AttemptFailed
 		return s.writeResponse(conn, http.StatusInternalServerError, "", "error\n")
 	default:
-		attempt.Outcome = "turned"
+		attempt.Outcome = ctl.AttemptRejected
 		return s.writeResponse(conn, http.StatusServiceUnavailable, "X-Not-Processed: 1\r\n", "full\n")
 	}
 }
--- a/internal/lab/standin/watchers.go
+++ b/internal/lab/standin/watchers.go
@@ -30,7 +30,7 @@
 			subscriber.Run(ctx)
 		}()
 	}
-	ctl.NewEventWriter(news).Send(ctl.Event{Kind: "ready", At: clock.Now()})
+	ctl.NewEventWriter(news).Send(ctl.Event{Kind: ctl.EventReady, At: clock.Now()})
 	err := ctl.Lines(orders, func(ctl.Order) error { return nil })
 	cancel()
 	running.Wait()
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -175,7 +175,7 @@
 		defer c.mu.Unlock()
 		return clock.Now(), c.process.SetDiskFault(step.Mode)
 	case plan.Isolate:
-		n, err := f.host[step.Server].order(ctl.Order{Do: "silent", UID: step.Server, On: step.On})
+		n, err := f.host[step.Server].order(ctl.Order{Do: ctl.CommandIsolate, UID: step.Server, On: step.On})
 		return n.At, err
 	case plan.FalseReports:
 		return f.orderLie(step)
@@ -188,7 +188,7 @@
 		f.mu.Unlock()
 		return clock.Now(), f.list.addEntry(e)
 	case plan.ListMode:
-		n, err := f.list.current().order(ctl.Order{Do: "list-mode", Mode: step.Mode, Late: step.By.Seconds()})
+		n, err := f.list.current().order(ctl.Order{Do: ctl.CommandListMode, Mode: step.Mode, Late: step.By.Seconds()})
 		return n.At, err
 	case plan.Add:
 		_, n, err := f.addServer(step.Server, true)
@@ -197,7 +197,7 @@
 		}
 		return n.At, err
 	}
-	o := ctl.Order{Do: step.Do, UID: step.Server, Nears: step.Nears, By: int64(step.By)}
+	o := ctl.Order{Do: ctl.Command(step.Do), UID: step.Server, Nears: step.Nears, By: int64(step.By)}
 	if step.Do == plan.ServerFault {
 		o.Fault = &step.Trouble
 	}
--- a/internal/lab/writers.go
+++ b/internal/lab/writers.go
@@ -109,11 +109,11 @@
 func (w *writers) read(ctx context.Context, reader *client.Client, index, key int, within time.Duration, revs []int64) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	record := ctl.RegistryCall{Client: index, Key: key, Outcome: "ok", Call: clock.Now()}
+	record := ctl.RegistryCall{Client: index, Key: key, Outcome: ctl.CallOK, Call: clock.Now()}
 	e, ok, err := reader.Server(ctx, keyName(key))
 	record.Return, record.Rev, record.Value = clock.Now(), e.Revision, e.PodGroup
 	if err != nil {
-		record.Outcome = "none" // a read that was not answered did nothing
+		record.Outcome = ctl.CallNone // a read that was not answered did nothing
 	} else if ok {
 		revs[key] = e.Revision
 	}
@@ -123,7 +123,7 @@
 func (w *writers) write(ctx context.Context, writer *client.Client, index, key int, revs []int64) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	record := ctl.RegistryCall{Client: index, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), Outcome: "ok", Call: clock.Now()}
+	record := ctl.RegistryCall{Client: index, Key: key, Write: true, Expect: revs[key], Value: int(w.values.Add(1)), Outcome: ctl.CallOK, Call: clock.Now()}
 	d, err := writer.Register(ctx, []list.Registration{w.entry(key, record.Value)}, &record.Expect)
 	record.Return, record.Rev = clock.Now(), d.Revision
 	var refused *client.RefusedError
@@ -131,11 +131,11 @@
 	case err == nil:
 		revs[key] = d.Revision
 	case errors.Is(err, client.ErrUncertain):
-		record.Outcome, revs[key] = "uncertain", 0
+		record.Outcome, revs[key] = ctl.CallUncertain, 0
 	case errors.As(err, &refused) && refused.Status == 409:
-		record.Outcome, revs[key] = "conflict", 0
+		record.Outcome, revs[key] = ctl.CallConflict, 0
 	default:
-		record.Outcome = "none" // no node accepted it
+		record.Outcome = ctl.CallNone // no node accepted it
 	}
 	w.record(record)
 }
