--- a/internal/lab/check/spread_test.go
+++ b/internal/lab/check/spread_test.go
@@ -77,7 +77,7 @@
 // TestReadyWarm follows servers through faults, restarts, a drain and a fall.
 func TestReadyWarm(t *testing.T) {
 	evidence := twoServers(t, 60, 3)
-	step := func(at int, do string, more ...func(*plan.Step)) {
+	step := func(at int, do plan.StepKind, more ...func(*plan.Step)) {
 		s := plan.Step{At: time.Duration(at) * time.Second, Do: do, Server: "a"}
 		for _, m := range more {
 			m(&s)
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -52,46 +52,52 @@
 	From, To time.Duration
 }
 
-// The kinds of steps, with the processes that they act on. The values are part of StepsHash and of reports.
+// StepKind says what a step does. The values are part of StepsHash and of reports; those of steps of servers and of links are the commands
+// that stand-ins obey as well (ctl.Command).
+type StepKind string
+
+// The kinds of steps, each with what it acts on. A far end of links is a server, the list, a registry node or, of links between sidecars,
+// a sidecar.
 const (
-	Kill  = "kill"  // sidecar, list or registry node: SIGKILL
-	Term  = "term"  // sidecar, list or registry node: SIGTERM, and SIGKILL after TermGrace
-	Stop  = "stop"  // sidecar, list or registry node: SIGSTOP
-	Cont  = "cont"  // sidecar, list or registry node: SIGCONT
-	Start = "start" // sidecar, list or registry node: a new process
-	Disk  = "disk"  // sidecar or registry node: Mode "full", "readonly" or ""
-	Tear  = "tear"  // registry node that does not run: Mode "torn" (log) or "short" (snapshot)
-
-	Backup  = "backup"  // registry: its state is saved
-	Restore = "restore" // registry: its state is replaced by what was saved last
-
-	Drain       = "drain"   // server: it rejects further requests
-	Die         = "die"     // server: its process ends
-	Remove      = "remove"  // server: its process ends for good
-	Revive      = "revive"  // server: a new process, cold
-	Add         = "add"     // server: a successor starts
-	ServerFault = "trouble" // server: its fault state is Step.Trouble from now on
-	Clock       = "clock"   // server: its wall clock jumps by By
-	Link        = "link"    // server or list: Effect begins or ends on the links from Nears
-	Reset       = "reset"   // server or list: connections are reset
-	Forget      = "forget"  // server or list: the far end loses its connections
-
-	Isolate = "silent" // server: its machine cannot reach the registry while On
-
-	// FalseReports makes the lying members Nears, which are no sidecars, report By of work per second in all by the clients Mode, while On.
-	FalseReports = "lie"
-
-	UpdateList = "tell" // the list learns the State of a server
-	ListMode   = "mode" // the list answers as Mode says
+	Kill  StepKind = "kill"  // sidecar, list or registry node: SIGKILL
+	Term  StepKind = "term"  // sidecar, list or registry node: SIGTERM, and SIGKILL after TermGrace
+	Stop  StepKind = "stop"  // sidecar, list or registry node: SIGSTOP
+	Cont  StepKind = "cont"  // sidecar, list or registry node: SIGCONT
+	Start StepKind = "start" // sidecar, list or registry node: a new process
+	Disk  StepKind = "disk"  // sidecar or registry node: the fault of its disk is Step.Mode from now on
+	Tear  StepKind = "tear"  // registry node that does not run: the file that Step.Mode says loses its end
+
+	Backup  StepKind = "backup"  // registry: its state is saved
+	Restore StepKind = "restore" // registry: its state is replaced by what was saved last
+
+	Drain       StepKind = "drain"   // server: it rejects further requests
+	Die         StepKind = "die"     // server: its process ends
+	Remove      StepKind = "remove"  // server: its process ends for good
+	Revive      StepKind = "revive"  // server: a new process, cold
+	Add         StepKind = "add"     // server: a successor starts
+	ServerFault StepKind = "trouble" // server: its fault state is Step.Trouble from now on
+	Clock       StepKind = "clock"   // server: the wall clocks of its process of stand-ins jump by Step.By
+	Link        StepKind = "link"    // any far end: Step.Effect begins or ends on the links from Step.Nears
+	Reset       StepKind = "reset"   // any far end: connections are reset
+	Forget      StepKind = "forget"  // any far end: it loses its connections without a word to the near ends
+
+	Isolate StepKind = "silent" // server: its machine cannot reach the registry while Step.On
+
+	// FalseReports has the lying members Step.Nears, which are no sidecars, report Step.By of work per second in all by the clients
+	// Step.Mode, with commas between them, while Step.On.
+	FalseReports StepKind = "lie"
+
+	UpdateList StepKind = "tell" // the list learns Step.State of a server
+	ListMode   StepKind = "mode" // the list answers as Step.Mode says
 )
 
 // Step is one action of the lab. The names of its fields are part of StepsHash.
 type Step struct {
 	At      time.Duration
 	Fault   int // index in the file
-	Do      string
+	Do      StepKind
 	Sidecar int         // index of the process: a sidecar, ListIndex, LeaderIndex or NodeIndex
-	Server  string      // UID
+	Server  string      // UID; "": the step acts on no server, or on the list's links
 	Trouble model.Fault // ServerFault: the state from now on
 	State   string      // UpdateList: what the list learns
 	Mode    string
--- a/internal/lab/plan/plan_test.go
+++ b/internal/lab/plan/plan_test.go
@@ -205,13 +205,13 @@
 }
 
 // stepTimes is when each server has its steps, by the step and the state that it publishes.
-func stepTimes(plan *Plan) map[string]map[string]time.Duration {
-	times := map[string]map[string]time.Duration{}
+func stepTimes(plan *Plan) map[string]map[StepKind]time.Duration {
+	times := map[string]map[StepKind]time.Duration{}
 	for _, step := range plan.Steps {
 		if times[step.Server] == nil {
-			times[step.Server] = map[string]time.Duration{}
+			times[step.Server] = map[StepKind]time.Duration{}
 		}
-		times[step.Server][step.Do+step.State] = step.At
+		times[step.Server][step.Do+StepKind(step.State)] = step.At
 	}
 	return times
 }
--- a/internal/lab/plan/processsteps.go
+++ b/internal/lab/plan/processsteps.go
@@ -35,7 +35,7 @@
 		}
 		switch fault.Do {
 		case "kill", "term":
-			d.addStep(Step{At: at, Do: fault.Do, Sidecar: process})
+			d.addStep(Step{At: at, Do: StepKind(fault.Do), Sidecar: process})
 			if fault.Restart != nil {
 				// The lab waits for the end of the process.
 				d.addStep(Step{At: at + Seconds(*fault.Restart), Do: Start, Sidecar: process})
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -169,7 +169,7 @@
 	case "burst", "flood":
 		return nil // arrivals
 	case "backup", "restore":
-		d.addStep(Step{At: at, Do: fault.Do, Sidecar: LeaderIndex})
+		d.addStep(Step{At: at, Do: StepKind(fault.Do), Sidecar: LeaderIndex})
 		return nil
 	case "disk-torn", "disk-short":
 		return d.drawTear(fault, at)
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -20,12 +20,12 @@
 
 // Effect is when a step took effect, from the start of the load.
 type Effect struct {
-	Fault   int     `json:"fault"`
-	Do      string  `json:"do"`
-	On      string  `json:"on"`
-	Planned float64 `json:"planned_s"`
-	Seen    float64 `json:"effect_s"`
-	Error   string  `json:"error,omitempty"`
+	Fault   int           `json:"fault"`
+	Do      plan.StepKind `json:"do"`
+	On      string        `json:"on"`
+	Planned float64       `json:"planned_s"`
+	Seen    float64       `json:"effect_s"`
+	Error   string        `json:"error,omitempty"`
 }
 
 // Steps applies all steps of the plan at their times, and returns when each took effect, in the order of their times. A step that
