--- a/internal/lab/plan/arrivals.go
+++ b/internal/lab/plan/arrivals.go
@@ -51,12 +51,12 @@
 	fault := &p.File.Faults[index]
 	at, end, rate := Seconds(fault.At), Seconds(fault.At+fault.For), fault.Size*p.Rate()
 	switch fault.Do {
-	case "burst":
+	case FaultBurst:
 		if !slices.ContainsFunc(p.Sidecars, func(s Sidecar) bool { return fault.inZone(s.Zone) }) {
 			return nil, p.File.errorAt("fault", index, "zone", "no sidecar is in %s", fault.Zone)
 		}
 		return []arrivalStream{{rate, at, end, p.sidecarSampler(fault.Zone), client}}, nil
-	case "flood":
+	case FaultFlood:
 		if fault.dry {
 			rate = 0
 		}
--- a/internal/lab/plan/hitters.go
+++ b/internal/lab/plan/hitters.go
@@ -21,7 +21,7 @@
 	f := *p.File
 	f.Faults = slices.Clone(f.Faults)
 	for i := range f.Faults {
-		f.Faults[i].dry = f.Faults[i].Do == "flood" // not removed: the draws of other faults depend on their index
+		f.Faults[i].dry = f.Faults[i].Do == FaultFlood // not removed: the draws of other faults depend on their index
 	}
 	f.Hitters.Twin = false
 	f.Bars = nil
@@ -31,7 +31,7 @@
 // Flooded is the period from the detection time after the first flood begins until the last one ends; ok is false where there is none.
 func (f *File) Flooded(detection time.Duration) (from, to time.Duration, ok bool) {
 	for i := range f.Faults {
-		if t := &f.Faults[i]; t.Do == "flood" {
+		if t := &f.Faults[i]; t.Do == FaultFlood {
 			if at := Seconds(t.At) + detection; !ok || at < from {
 				from = at
 			}
--- a/internal/lab/plan/linksteps.go
+++ b/internal/lab/plan/linksteps.go
@@ -7,10 +7,10 @@
 
 // drawLinkFault draws the links that a fault acts on, and adds its steps.
 func (d *stepDrawer) drawLinkFault(fault *Fault, at, end time.Duration) error {
-	if fault.On == "keepers" {
+	if fault.On == TargetRegistry {
 		return d.drawRegistryLinkFault(fault, at, end)
 	}
-	if fault.On == "peers" {
+	if fault.On == TargetPeers {
 		return d.drawPeerLinkFault(fault, at, end)
 	}
 	group := -1
@@ -26,7 +26,7 @@
 		}
 	}
 	uids := []string{""} // "" is the list
-	if fault.On == "servers" {
+	if fault.On == TargetServers {
 		// A link exists whether its sidecar runs or not, so sidecars are chosen by zone or name alone.
 		servers, err := d.chooseServers(fault, at, at)
 		if err != nil {
@@ -47,9 +47,9 @@
 func (d *stepDrawer) addLinkSteps(fault *Fault, at, end time.Duration, step Step) {
 	step.At, step.Do, step.Effect, step.On = at, Link, fault.effect(), true
 	switch fault.Do {
-	case "reset":
+	case FaultReset:
 		step.Do = Reset
-	case "half-open":
+	case FaultHalfOpen:
 		step.Do = Forget
 	}
 	d.addStep(step)
@@ -62,15 +62,15 @@
 // effect is the effect of a fault on a link.
 func (t *Fault) effect() (e LinkEffect) {
 	switch t.Do {
-	case "delay":
+	case FaultDelay:
 		e.Delay, e.Jitter = Seconds(t.Size/1000), Seconds(t.Jitter/1000)
-	case "silence":
-		e.HoldFar, e.HoldNear = t.Way == "to-far", t.Way == "to-near"
-	case "partition":
+	case FaultOneWayPartition:
+		e.HoldFar, e.HoldNear = t.Way == DirectionToFar, t.Way == DirectionToNear
+	case FaultPartition:
 		e.HoldFar, e.HoldNear = true, true
-	case "trickle":
+	case FaultTrickle:
 		e.Rate = int(t.Size)
-	case "loss":
+	case FaultPacketLoss:
 		e.Loss = t.Size
 	}
 	return e
--- a/internal/lab/plan/processes.go
+++ b/internal/lab/plan/processes.go
@@ -42,7 +42,7 @@
 // order.
 func (p *Plan) LyingMembers() (n int) {
 	for i := range p.File.Faults {
-		if t := &p.File.Faults[i]; t.Do == "lie" {
+		if t := &p.File.Faults[i]; t.Do == FaultFalseReports {
 			n += t.Count
 		}
 	}
--- a/internal/lab/plan/processsteps.go
+++ b/internal/lab/plan/processsteps.go
@@ -24,7 +24,7 @@
 			name = "the leader of the keepers"
 		}
 		until := end
-		if fault.Do == "kill" || fault.Do == "term" {
+		if fault.Do == FaultKill || fault.Do == FaultTerminate {
 			until = endOfTime
 			if fault.Restart != nil {
 				until = at + Seconds(*fault.Restart) + TermGrace
@@ -34,17 +34,17 @@
 			return err
 		}
 		switch fault.Do {
-		case "kill", "term":
+		case FaultKill, FaultTerminate:
 			d.addStep(Step{At: at, Do: StepKind(fault.Do), Sidecar: process})
 			if fault.Restart != nil {
 				// The lab waits for the end of the process.
 				d.addStep(Step{At: at + Seconds(*fault.Restart), Do: Start, Sidecar: process})
 			}
-		case "stop":
+		case FaultPause:
 			d.addStep(Step{At: at, Do: Stop, Sidecar: process})
 			d.addStep(Step{At: end, Do: Cont, Sidecar: process})
 		default:
-			d.addStep(Step{At: at, Do: Disk, Sidecar: process, Mode: strings.TrimPrefix(fault.Do, "disk-")})
+			d.addStep(Step{At: at, Do: Disk, Sidecar: process, Mode: strings.TrimPrefix(string(fault.Do), "disk-")})
 			d.addStep(Step{At: end, Do: Disk, Sidecar: process})
 		}
 	}
@@ -55,11 +55,11 @@
 func (d *stepDrawer) drawJoinOrLeave(fault *Fault) error {
 	for i, s := range d.Sidecars {
 		switch {
-		case fault.Do == "join" && s.joined == d.fault+1:
+		case fault.Do == FaultJoin && s.joined == d.fault+1:
 			if s.Started() > 0 { // else it runs before the load starts
 				d.addStep(Step{At: s.Started(), Do: Start, Sidecar: i})
 			}
-		case fault.Do == "leave" && s.left == d.fault+1:
+		case fault.Do == FaultLeave && s.left == d.fault+1:
 			if err := d.claim(s.Name, s.To, endOfTime); err != nil {
 				return err
 			}
--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -32,21 +32,21 @@
 func (d *stepDrawer) drawServerFault(fault *Fault, index int, at, end time.Duration) error {
 	uid := d.Servers[d.lifetimes[index].index].UID
 	switch fault.Do {
-	case "clock":
+	case FaultClockJump:
 		d.addStep(Step{At: at, Do: Clock, Server: uid, By: Seconds(fault.Size)})
 		return nil
-	case "die", "flap", "lose":
+	case FaultCrash, FaultFlap, FaultMachineLoss:
 		return d.drawServerRestart(fault, index, at, end)
 	}
 	if err := d.claim("server "+uid+"'s speed", at, end); err != nil {
 		return err
 	}
 	switch fault.Do {
-	case "slow":
+	case FaultSlow:
 		d.addServerFault(uid, at, end, model.Fault{Slow: fault.Size})
-	case "hang":
+	case FaultHang:
 		d.addServerFault(uid, at, end, model.Fault{Hang: true})
-	case "steal":
+	case FaultSteal:
 		every := cmp.Or(Seconds(fault.Every), end-at)
 		for on := at; on < end; on += 2 * every {
 			d.addServerFault(uid, on, min(on+every, end), model.Fault{Stolen: fault.Size})
@@ -64,11 +64,11 @@
 // drawServerRestart draws the steps of a fault that ends the process of a server, or separates its machine from everybody.
 func (d *stepDrawer) drawServerRestart(fault *Fault, index int, at, end time.Duration) error {
 	uid := d.Servers[d.lifetimes[index].index].UID
-	neverRestarts := fault.Do == "die" && fault.Restart == nil
+	neverRestarts := fault.Do == FaultCrash && fault.Restart == nil
 	switch {
 	case neverRestarts:
 		end = endOfTime
-	case fault.Do == "die":
+	case fault.Do == FaultCrash:
 		end = at + Seconds(*fault.Restart)
 	}
 	if err := d.claim("server "+uid, at, end); err != nil {
@@ -79,14 +79,14 @@
 		d.addStep(Step{At: at, Do: Die, Server: uid})
 		d.lifetimes[index].to = at
 		d.updateList(at+d.drawDelay(d.File.List.NoticeS), uid, "DELETED")
-	case fault.Do == "die":
+	case fault.Do == FaultCrash:
 		d.addRestart(uid, at, end)
-	case fault.Do == "flap":
+	case fault.Do == FaultFlap:
 		every := Seconds(fault.Every)
 		for off := at; off < end; off += 2 * every {
 			d.addRestart(uid, off, min(off+every, end))
 		}
-	case fault.Do == "lose":
+	case fault.Do == FaultMachineLoss:
 		d.addLoss(uid, at, end)
 	}
 	return nil
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -31,9 +31,9 @@
 	for index := range p.File.Faults {
 		var err error
 		switch p.File.Faults[index].Do {
-		case "join":
+		case FaultJoin:
 			err = p.drawJoin(index)
-		case "leave":
+		case FaultLeave:
 			err = p.drawLeave(index)
 		}
 		if err != nil {
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -47,7 +47,7 @@
 		if err := drawer.drawFault(fault); err != nil {
 			return p.File.errorAt("fault", i, "do", "%v", err)
 		}
-		p.Bands = append(p.Bands, Band{i, fault.Do + drawer.describe(fault), Seconds(fault.At), Seconds(fault.At + fault.For)})
+		p.Bands = append(p.Bands, Band{i, string(fault.Do) + drawer.describe(fault), Seconds(fault.At), Seconds(fault.At + fault.For)})
 	}
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return nil
@@ -55,7 +55,7 @@
 
 // describe is the targets of a fault as reports show them.
 func (d *stepDrawer) describe(fault *Fault) string {
-	text := " " + fault.On
+	text := " " + string(fault.On)
 	if len(fault.Names) > 0 {
 		text = " " + strings.Join(fault.Names, ",")
 	}
@@ -120,10 +120,10 @@
 
 // chooseProcesses draws the processes that a fault acts on, by process index.
 func (d *stepDrawer) chooseProcesses(fault *Fault) ([]int, error) {
-	if fault.On == "list" {
+	if fault.On == TargetList {
 		return []int{ListIndex}, nil
 	}
-	if fault.On == "keepers" {
+	if fault.On == TargetRegistry {
 		return d.chooseNodes(fault)
 	}
 	var all []int
@@ -166,27 +166,27 @@
 func (d *stepDrawer) drawFault(fault *Fault) error {
 	at, end := Seconds(fault.At), Seconds(fault.At+fault.For)
 	switch fault.Do {
-	case "burst", "flood":
+	case FaultBurst, FaultFlood:
 		return nil // arrivals
-	case "backup", "restore":
+	case FaultBackup, FaultRestore:
 		d.addStep(Step{At: at, Do: StepKind(fault.Do), Sidecar: LeaderIndex})
 		return nil
-	case "disk-torn", "disk-short":
+	case FaultTornLog, FaultTornSnapshot:
 		return d.drawTear(fault, at)
-	case "kill", "term", "stop", "disk-full", "disk-readonly":
+	case FaultKill, FaultTerminate, FaultPause, FaultDiskFull, FaultDiskReadOnly:
 		return d.drawProcessFault(fault, at, end)
-	case "list-late", "list-old", "list-cut", "list-garbled":
+	case FaultListLate, FaultListStale, FaultListTruncated, FaultListGarbled:
 		return d.drawListFault(fault, at, end)
-	case "lie":
+	case FaultFalseReports:
 		d.drawFalseReports(fault, at, end)
 		return nil
-	case "join", "leave":
+	case FaultJoin, FaultLeave:
 		return d.drawJoinOrLeave(fault)
-	case "roll":
+	case FaultRollingRestart:
 		return d.drawRollingRestart(fault, at)
-	case "delay", "silence", "partition", "trickle", "loss", "reset", "half-open":
+	case FaultDelay, FaultOneWayPartition, FaultPartition, FaultTrickle, FaultPacketLoss, FaultReset, FaultHalfOpen:
 		return d.drawLinkFault(fault, at, end)
-	case "deploy":
+	case FaultDeployment:
 		return d.drawDeployment(fault, at)
 	}
 	servers, err := d.chooseServers(fault, at, max(end, at+1))
@@ -205,7 +205,7 @@
 func (d *stepDrawer) drawTear(fault *Fault, at time.Duration) error {
 	chosen, err := d.chooseNodes(fault)
 	for _, process := range chosen {
-		d.addStep(Step{At: at, Do: Tear, Sidecar: process, Mode: strings.TrimPrefix(fault.Do, "disk-")})
+		d.addStep(Step{At: at, Do: Tear, Sidecar: process, Mode: strings.TrimPrefix(string(fault.Do), "disk-")})
 	}
 	return err
 }
@@ -215,7 +215,7 @@
 	if err := d.claim("the list's answers", at, end); err != nil {
 		return err
 	}
-	d.addStep(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: strings.TrimPrefix(fault.Do, "list-"), By: Seconds(fault.Size)})
+	d.addStep(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: strings.TrimPrefix(string(fault.Do), "list-"), By: Seconds(fault.Size)})
 	d.addStep(Step{At: end, Do: ListMode, Sidecar: ListIndex})
 	return nil
 }
--- a/internal/lab/registrylinks.go
+++ b/internal/lab/registrylinks.go
@@ -44,7 +44,7 @@
 // orderStreams resets or forgets the streams to a node, and those from it to its peers where the step affects peers.
 func (ks *registryNodes) orderStreams(k *registryNode, s *plan.Step) (at int64, err error) {
 	event, err := ks.relay.order(ctl.Order{Do: ctl.Command(s.Do), UID: k.name, Nears: ks.affectedNears(k, s.From)})
-	affectsPeers := s.From == "" || s.From == "peers"
+	affectsPeers := s.From == "" || s.From == plan.FromPeers
 	if err != nil || !affectsPeers {
 		return event.At, err
 	}
@@ -74,13 +74,13 @@
 func (ks *registryNodes) affects(near int, from string) bool {
 	p := ks.fleet.plan
 	switch from {
-	case "peers":
+	case plan.FromPeers:
 		return ks.peerAt(near) != nil
-	case "clients":
+	case plan.FromClients:
 		return ks.peerAt(near) == nil
-	case "sidecars":
+	case plan.FromSidecars:
 		return near < len(p.Sidecars)
-	case "servers":
+	case plan.FromServers:
 		return near >= p.NearHost(0) && near < p.NearHost(p.Hosts())
 	}
 	return true
@@ -101,7 +101,7 @@
 		e := s.Effect
 		switch k, _ := plan.NodeOf(s.Sidecar); {
 		case k == far.index && ks.affects(near, s.From):
-		case peer != nil && k == peer.index && (s.From == "" || s.From == "peers"): // its own calls, where directions are swapped
+		case peer != nil && k == peer.index && (s.From == "" || s.From == plan.FromPeers): // its own calls, where directions are swapped
 			e.HoldFar, e.HoldNear = e.HoldNear, e.HoldFar
 		default:
 			continue
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -222,7 +222,7 @@
 func (f *Fleet) registryKills(effects []Effect, start int64) (kills []int64) {
 	for _, effect := range effects {
 		fault := f.plan.File.Faults[effect.Fault]
-		if fault.Do == "kill" && fault.On == "keepers" && effect.Do == plan.Kill {
+		if fault.Do == plan.FaultKill && fault.On == plan.TargetRegistry && effect.Do == plan.Kill {
 			kills = append(kills, start+int64(effect.Seen*1e9))
 		}
 	}
