--- a/internal/lab/plan/faultkinds.go
+++ b/internal/lab/plan/faultkinds.go
@@ -60,6 +60,18 @@
 	FaultFalseReports FaultKind = "lie"   // Fault.Count lying members report work that nobody did, Fault.Size times the fleet's for each client of Fault.Names
 )
 
+// stepModes are the modes of the steps of faults that have one.
+var stepModes = map[FaultKind]string{
+	FaultDiskFull:      ModeDiskFull,
+	FaultDiskReadOnly:  ModeDiskReadOnly,
+	FaultTornLog:       ModeTornLog,
+	FaultTornSnapshot:  ModeTornSnapshot,
+	FaultListLate:      ModeListLate,
+	FaultListStale:     ModeListStale,
+	FaultListTruncated: ModeListTruncated,
+	FaultListGarbled:   ModeListGarbled,
+}
+
 // Target is what a fault acts on. The values are part of the files' format and of reports.
 type Target string
 
--- a/internal/lab/plan/file.go
+++ b/internal/lab/plan/file.go
@@ -35,20 +35,48 @@
 
 // Fleet is what is started.
 type Fleet struct {
-	Zones     []string `toml:"zones"`
-	Servers   int      `toml:"servers"`
-	Sidecars  int      `toml:"sidecars"`
-	PerHost   int      `toml:"per_host"`  // stand-in servers in one process
-	Program   string   `toml:"program"`   // "sidecar": the program; "plain": the stand-in to compare with
-	Flaw      string   `toml:"flaw"`      // of the stand-in sidecar, one of Flaws
-	MemoryMB  int      `toml:"memory_mb"` // limit in the configuration of a sidecar
-	Sockets   int      `toml:"sockets"`
-	DelayMS   float64  `toml:"delay_ms"` // one way between any sidecar and server
-	Start     string   `toml:"start"`    // "warm" or "cold": servers at the start
-	ErrorRate float64  `toml:"error_rate"`
-	Keep      bool     `toml:"keep"` // a sidecar's process finds what the one before it wrote to $TMPDIR
+	Zones     []string    `toml:"zones"`
+	Servers   int         `toml:"servers"`
+	Sidecars  int         `toml:"sidecars"`
+	PerHost   int         `toml:"per_host"`  // stand-in servers in one process
+	Program   Program     `toml:"program"`   // ProgramSidecar or ProgramPlain
+	Flaw      string      `toml:"flaw"`      // of the stand-in sidecar, one of Flaws
+	MemoryMB  int         `toml:"memory_mb"` // limit in the configuration of a sidecar
+	Sockets   int         `toml:"sockets"`
+	DelayMS   float64     `toml:"delay_ms"` // one way between any sidecar and server
+	Start     ServerStart `toml:"start"`    // how servers start before the load
+	ErrorRate float64     `toml:"error_rate"`
+	Keep      bool        `toml:"keep"` // a sidecar's process finds what the one before it wrote to $TMPDIR
 }
 
+// Program is what runs as a sidecar or as a registry node. The values are part of the files' format.
+type Program string
+
+// The programs of sidecars and of registry nodes.
+const (
+	ProgramSidecar  Program = "sidecar" // the sidecar itself
+	ProgramRegistry Program = "keeper"  // the registry node itself
+	ProgramPlain    Program = "plain"   // a stand-in to compare with; as a registry node it does not replicate and has no disk
+)
+
+// ServerStart is how the servers of the start begin. The values are part of the files' format.
+type ServerStart string
+
+// The starts of servers.
+const (
+	StartWarm ServerStart = "warm"
+	StartCold ServerStart = "cold" // they warm up, as a new process does
+)
+
+// Sizes is what the list publishes as the servers' capacities. The values are part of the files' format.
+type Sizes string
+
+// The published capacities.
+const (
+	SizesAlike Sizes = "alike" // the same of all servers
+	SizesRough Sizes = "rough" // the true ones, up to a fifth wrong
+)
+
 // Load is what clients ask for.
 type Load struct {
 	Share       float64 `toml:"share"`     // of the work that all warm servers can do
@@ -77,13 +105,13 @@
 	NoticeS      [2]float64 `toml:"notice_s"` // until it knows that a process drains or ended
 	AddS         [2]float64 `toml:"add_s"`    // until it knows a new one
 	UnreachableS [2]float64 `toml:"silent_s"` // until it knows that a machine does not respond
-	Sizes        string     `toml:"sizes"`    // published capacities: "alike", or "rough": the true ones, up to a fifth wrong
+	Sizes        Sizes      `toml:"sizes"`
 }
 
 // Registry is the service registry that publishes the servers, in place of the platform's list.
 type Registry struct {
 	Count            int     `toml:"count"`       // of nodes; 0: the platform's list
-	Program          string  `toml:"program"`     // "keeper": the program; "plain": stand-ins that do not replicate and have no disk
+	Program          Program `toml:"program"`     // ProgramRegistry or ProgramPlain
 	Flaw             string  `toml:"flaw"`        // of the stand-in nodes, one of RegistryFlaws
 	LeaseS           float64 `toml:"lease_s"`     // of the servers' registrations
 	GraceS           float64 `toml:"grace_s"`     // from the end of a lease to the server's removal
@@ -135,14 +163,14 @@
 func Defaults() File {
 	return File{
 		Seconds: 20,
-		Fleet: Fleet{Zones: []string{"room-a", "room-b"}, Servers: 10, Sidecars: 4, PerHost: 50, Program: "sidecar", MemoryMB: 192,
-			Sockets: 1024, Start: "warm", Keep: true, ErrorRate: 0.001},
+		Fleet: Fleet{Zones: []string{"room-a", "room-b"}, Servers: 10, Sidecars: 4, PerHost: 50, Program: ProgramSidecar, MemoryMB: 192,
+			Sockets: 1024, Start: StartWarm, Keep: true, ErrorRate: 0.001},
 		Load: Load{Uneven: 1, Retries: true, WorkPart: 1},
 		Limits: Limits{AnswerSlackMS: 500, DrainGraceMS: 300, SlackMS: 50, MemoryMB: 192, Descriptors: 1024,
 			LatenessMS: 5},
-		List:     List{NoticeS: [2]float64{0.66, 3.9}, AddS: [2]float64{0.25, 2.6}, UnreachableS: [2]float64{6.5, 13}, Sizes: "alike"},
+		List:     List{NoticeS: [2]float64{0.66, 3.9}, AddS: [2]float64{0.25, 2.6}, UnreachableS: [2]float64{6.5, 13}, Sizes: SizesAlike},
 		Members:  Members{BoundMS: 2000},
-		Registry: Registry{Program: "keeper", LeaseS: 3, GraceS: 3, MaxExpiringShare: 0.3, Snapshot: 4096, Writers: 4, Keys: 4, MaxRemovalShare: 0.3, MaxStalenessS: 2.5, Cache: true},
+		Registry: Registry{Program: ProgramRegistry, LeaseS: 3, GraceS: 3, MaxExpiringShare: 0.3, Snapshot: 4096, Writers: 4, Keys: 4, MaxRemovalShare: 0.3, MaxStalenessS: 2.5, Cache: true},
 	}
 }
 
--- a/internal/lab/plan/make.go
+++ b/internal/lab/plan/make.go
@@ -72,7 +72,7 @@
 		ConnCap: k.Cores * (600 + rng.IntN(300)), ConnWork: Seconds(uniform(rng, [2]float64{0.00078, 0.0015})),
 		ReportEvery: Seconds(uniform(rng, [2]float64{0.32, 1.2})), ReportDelay: Seconds(uniform(rng, [2]float64{0.23, 0.48})), Seed: rng.Uint64(),
 	}
-	if p.File.List.Sizes == "rough" {
+	if p.File.List.Sizes == SizesRough {
 		rough := stream(p.Seed, fmt.Sprintf("size %d", i))
 		spec.Hint = spec.Capacity() * uniform(rough, [2]float64{0.8, 1.2})
 	}
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -91,16 +91,30 @@
 	ListMode   StepKind = "mode" // the list answers as Step.Mode says
 )
 
+// The values of Step.Mode, which are part of StepsHash.
+const (
+	ModeDiskFull     = "full"     // Disk: nothing can be written to files
+	ModeDiskReadOnly = "readonly" // Disk: the folder can only be read
+
+	ModeTornLog      = "torn"  // Tear: of the newest file of the log
+	ModeTornSnapshot = "short" // Tear: of the newest snapshot
+
+	ModeListLate      = "late"    // ListMode: changes reach sidecars Step.By later
+	ModeListStale     = "old"     // ListMode: watches get an earlier snapshot
+	ModeListTruncated = "cut"     // ListMode: answers end within an object
+	ModeListGarbled   = "garbled" // ListMode: answers cannot be parsed
+)
+
 // Step is one action of the lab. The names of its fields are part of StepsHash.
 type Step struct {
 	At      time.Duration
 	Fault   int // index in the file
 	Do      StepKind
-	Sidecar int         // index of the process: a sidecar, ListIndex, LeaderIndex or NodeIndex
-	Server  string      // UID; "": the step acts on no server, or on the list's links
-	Trouble model.Fault // ServerFault: the state from now on
-	State   string      // UpdateList: what the list learns
-	Mode    string
+	Sidecar int           // index of the process: a sidecar, ListIndex, LeaderIndex or NodeIndex
+	Server  string        // UID; "": the step acts on no server, or on the list's links
+	Trouble model.Fault   // ServerFault: the state from now on
+	State   string        // UpdateList: what the list learns
+	Mode    string        // Disk, ListMode: the fault, "": none; Tear: the file; FalseReports: the clients
 	By      time.Duration // Clock: the jump; ListMode "late": the delay; FalseReports: the work per second
 	Nears   []int         // links: the near ends, none: all; of peers: the sidecars; FalseReports: the lying members, from 0
 	Peers   bool          // links: those between sidecars
--- a/internal/lab/plan/processsteps.go
+++ b/internal/lab/plan/processsteps.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"math"
-	"strings"
 	"time"
 )
 
@@ -44,7 +43,7 @@
 			d.addStep(Step{At: at, Do: Stop, Sidecar: process})
 			d.addStep(Step{At: end, Do: Cont, Sidecar: process})
 		default:
-			d.addStep(Step{At: at, Do: Disk, Sidecar: process, Mode: strings.TrimPrefix(string(fault.Do), "disk-")})
+			d.addStep(Step{At: at, Do: Disk, Sidecar: process, Mode: stepModes[fault.Do]})
 			d.addStep(Step{At: end, Do: Disk, Sidecar: process})
 		}
 	}
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -205,7 +205,7 @@
 func (d *stepDrawer) drawTear(fault *Fault, at time.Duration) error {
 	chosen, err := d.chooseNodes(fault)
 	for _, process := range chosen {
-		d.addStep(Step{At: at, Do: Tear, Sidecar: process, Mode: strings.TrimPrefix(string(fault.Do), "disk-")})
+		d.addStep(Step{At: at, Do: Tear, Sidecar: process, Mode: stepModes[fault.Do]})
 	}
 	return err
 }
@@ -215,7 +215,7 @@
 	if err := d.claim("the list's answers", at, end); err != nil {
 		return err
 	}
-	d.addStep(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: strings.TrimPrefix(string(fault.Do), "list-"), By: Seconds(fault.Size)})
+	d.addStep(Step{At: at, Do: ListMode, Sidecar: ListIndex, Mode: stepModes[fault.Do], By: Seconds(fault.Size)})
 	d.addStep(Step{At: end, Do: ListMode, Sidecar: ListIndex})
 	return nil
 }
--- a/internal/lab/plan/validate.go
+++ b/internal/lab/plan/validate.go
@@ -92,9 +92,9 @@
 		return f.errorAt("fleet", -1, "zones", "zones: 1 to %d are possible", maxZones)
 	case (f.Load.Share == 0) == (f.Load.Rate == 0):
 		return f.errorAt("load", -1, "share", "load needs either share or rate")
-	case f.Fleet.Program != "sidecar" && f.Fleet.Program != "plain":
+	case f.Fleet.Program != ProgramSidecar && f.Fleet.Program != ProgramPlain:
 		return f.errorAt("fleet", -1, "program", "program %q is neither sidecar nor plain", f.Fleet.Program)
-	case f.Fleet.Flaw != "" && f.Fleet.Program != "plain":
+	case f.Fleet.Flaw != "" && f.Fleet.Program != ProgramPlain:
 		return f.errorAt("fleet", -1, "flaw", "only the plain program has flaws")
 	case !slices.Contains(Flaws, f.Fleet.Flaw):
 		return f.errorAt("fleet", -1, "flaw", "unknown flaw %q", f.Fleet.Flaw)
@@ -107,13 +107,13 @@
 	switch {
 	case f.Registry.Count != 0 && f.Registry.Count%2 == 0:
 		return f.errorAt("keepers", -1, "count", "%d keepers: an odd number agrees", f.Registry.Count)
-	case f.Registry.Count > 0 && f.Fleet.Program == "plain":
+	case f.Registry.Count > 0 && f.Fleet.Program == ProgramPlain:
 		return f.errorAt("fleet", -1, "program", "the plain sidecar knows no keepers")
-	case f.Members.On && f.Fleet.Program == "plain":
+	case f.Members.On && f.Fleet.Program == ProgramPlain:
 		return f.errorAt("fleet", -1, "program", "the plain sidecar knows no members")
-	case f.Registry.Program != "keeper" && f.Registry.Program != "plain":
+	case f.Registry.Program != ProgramRegistry && f.Registry.Program != ProgramPlain:
 		return f.errorAt("keepers", -1, "program", "program %q is neither keeper nor plain", f.Registry.Program)
-	case f.Registry.Flaw != "" && f.Registry.Program != "plain":
+	case f.Registry.Flaw != "" && f.Registry.Program != ProgramPlain:
 		return f.errorAt("keepers", -1, "flaw", "only plain keepers have flaws")
 	case !slices.Contains(RegistryFlaws, f.Registry.Flaw):
 		return f.errorAt("keepers", -1, "flaw", "unknown flaw %q", f.Registry.Flaw)
@@ -124,9 +124,9 @@
 // checkStart rejects unknown words of the list and the start, and an unknown name of what a control breaks.
 func (f *File) checkStart() *Error {
 	switch {
-	case f.List.Sizes != "alike" && f.List.Sizes != "rough":
+	case f.List.Sizes != SizesAlike && f.List.Sizes != SizesRough:
 		return f.errorAt("list", -1, "sizes", "sizes %q are neither alike nor rough", f.List.Sizes)
-	case f.Fleet.Start != "warm" && f.Fleet.Start != "cold":
+	case f.Fleet.Start != StartWarm && f.Fleet.Start != StartCold:
 		return f.errorAt("fleet", -1, "start", "start %q is neither warm nor cold", f.Fleet.Start)
 	case f.Breaks != "" && !isInvariant(f.Breaks) && !f.hasBar(f.Breaks):
 		return f.errorAt("", -1, "breaks", "no invariant and no bar of the file is named %q", f.Breaks)
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -110,7 +110,7 @@
 		return err
 	}
 	defer done()
-	if _, err := c.List(ctx, f.plan.File.Registry.Program == "keeper"); err != nil {
+	if _, err := c.List(ctx, f.plan.File.Registry.Program == plan.ProgramRegistry); err != nil {
 		return fmt.Errorf("registry: %w", err)
 	}
 	return nil
@@ -128,7 +128,7 @@
 		if err != nil {
 			return fmt.Errorf("registry: %w", err)
 		}
-		if len(l.Targets) >= f.plan.InitialServers || f.plan.File.Registry.Program == "plain" && f.plan.File.Registry.Count > 1 {
+		if len(l.Targets) >= f.plan.InitialServers || f.plan.File.Registry.Program == plan.ProgramPlain && f.plan.File.Registry.Count > 1 {
 			break // plain ones do not replicate
 		}
 		select {
@@ -164,7 +164,7 @@
 func (ks *registryNodes) start(node *registryNode) error {
 	f := ks.fleet
 	args := []string{"keeper", filepath.Join(node.folder, "keeper.toml")}
-	if o := f.plan.File.Registry; o.Program == "plain" {
+	if o := f.plan.File.Registry; o.Program == plan.ProgramPlain {
 		args = []string{"stand-in", "keeper", "--address", node.http.Addr.String(), "--flaw", o.Flaw}
 	}
 	p, err := f.starter.Start(proc.Spec{Name: node.name, Path: f.self.Path, Args: args, Log: f.log(node.name), Folder: node.folder,
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -247,7 +247,7 @@
 
 // checkPossible refuses a plan that this machine cannot play, before anything starts. The error is a *plan.Error.
 func checkPossible(p *plan.Plan) error {
-	if !slices.ContainsFunc(p.Steps, func(s plan.Step) bool { return s.Do == plan.Disk && s.Mode == "readonly" }) {
+	if !slices.ContainsFunc(p.Steps, func(s plan.Step) bool { return s.Do == plan.Disk && s.Mode == plan.ModeDiskReadOnly }) {
 		return nil
 	}
 	root, err := os.MkdirTemp("", "gradeusher-lab-")
--- a/internal/lab/servers.go
+++ b/internal/lab/servers.go
@@ -32,7 +32,7 @@
 		f.host[experiment.Servers[i].UID] = f.hosts[i%count]
 	}
 	for i := range experiment.InitialServers {
-		e, _, err := f.addServer(experiment.Servers[i].UID, experiment.File.Fleet.Start == "cold")
+		e, _, err := f.addServer(experiment.Servers[i].UID, experiment.File.Fleet.Start == plan.StartCold)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -12,6 +12,7 @@
 	"gradeusher.example/gradeusher/internal/lab/check"
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/link"
+	"gradeusher.example/gradeusher/internal/lab/plan"
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
@@ -54,7 +55,7 @@
 		return err
 	}
 	args := []string{"sidecar"}
-	if f.plan.File.Fleet.Program == "plain" {
+	if f.plan.File.Fleet.Program == plan.ProgramPlain {
 		args = []string{"stand-in", "plain", "--flaw", f.plan.File.Fleet.Flaw}
 	}
 	tmp := started.folder
--- a/internal/lab/truncate.go
+++ b/internal/lab/truncate.go
@@ -10,12 +10,14 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+
+	"gradeusher.example/gradeusher/internal/lab/plan"
 )
 
-// truncateStore truncates a registry node's newest log file (mode "torn") or snapshot ("short") to half of the bytes in use.
+// truncateStore truncates a registry node's newest log file (plan.ModeTornLog) or snapshot (plan.ModeTornSnapshot) to half of the bytes in use.
 func truncateStore(folder, mode string) error {
 	pattern := filepath.Join(folder, "log.bolt")
-	if mode == "short" {
+	if mode == plan.ModeTornSnapshot {
 		pattern = filepath.Join(folder, "snapshots", "*", "state.bin")
 	}
 	paths, err := filepath.Glob(pattern)
