--- a/internal/lab/standin/plainregistry.go
+++ b/internal/lab/standin/plainregistry.go
@@ -132,12 +132,22 @@
 	writeJSON(w, http.StatusOK, client.Result{Revision: revision, Cluster: plainCluster})
 }
 
+// requestedEntry is the entry that a request's path names. It answers the request, and ok is false, where there is none. The caller holds
+// p.mu.
+func (p *plainRegistry) requestedEntry(w http.ResponseWriter, r *http.Request) (entry client.Entry, ok bool) {
+	entry, ok = p.entries[r.PathValue("uid")]
+	if !ok {
+		writeRefusal(w, http.StatusNotFound, "no such server")
+	}
+	return entry, ok
+}
+
+// handleStateChange drains or deregisters a server.
 func (p *plainRegistry) handleStateChange(w http.ResponseWriter, r *http.Request, state list.State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	entry, ok := p.entries[r.PathValue("uid")]
+	entry, ok := p.requestedEntry(w, r)
 	if !ok {
-		writeRefusal(w, http.StatusNotFound, "no such server")
 		return
 	}
 	entry.State = state
@@ -145,12 +155,12 @@
 	writeJSON(w, http.StatusOK, client.Result{Revision: p.revision(), Cluster: plainCluster})
 }
 
+// handleServer answers with one server's entry.
 func (p *plainRegistry) handleServer(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	entry, ok := p.entries[r.PathValue("uid")]
+	entry, ok := p.requestedEntry(w, r)
 	if !ok {
-		writeRefusal(w, http.StatusNotFound, "no such server")
 		return
 	}
 	writeJSON(w, http.StatusOK, client.Result{Revision: entry.Revision, Cluster: plainCluster, Server: &entry})
