--- a/internal/lab/ctl/ctl.go
+++ b/internal/lab/ctl/ctl.go
@@ -77,7 +77,7 @@
 	Ports  []int  `json:"ports"` // by group of sidecars
 	Zone   string `json:"az"`
 	Kind   string `json:"model"`
-	State  string `json:"state"`
+	State  string `json:"state"`   // a list.State
 	BootMS int64  `json:"boot_ms"` // start of its process, Unix time in ms
 
 	Size float64 `json:"capacity_hint"` // relative capacity
--- a/internal/lab/ctl/records.go
+++ b/internal/lab/ctl/records.go
@@ -30,7 +30,7 @@
 type ListUpdate struct {
 	Near  int    `json:"n"`
 	UID   string `json:"u"`
-	State string `json:"s"`
+	State string `json:"s"` // a list.State
 	At    int64  `json:"t"` // when it was written completely
 }
 
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -113,7 +113,7 @@
 	Sidecar int           // index of the process: a sidecar, ListIndex, LeaderIndex or NodeIndex
 	Server  string        // UID; "": the step acts on no server, or on the list's links
 	Trouble model.Fault   // ServerFault: the state from now on
-	State   string        // UpdateList: what the list learns
+	State   string        // UpdateList: what the list learns, a list.State
 	Mode    string        // Disk, ListMode: the fault, "": none; Tear: the file; FalseReports: the clients
 	By      time.Duration // Clock: the jump; ListMode "late": the delay; FalseReports: the work per second
 	Nears   []int         // links: the near ends, none: all; of peers: the sidecars; FalseReports: the lying members, from 0
--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/model"
+	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
 // isolate adds a step that begins or ends the isolation of a server's machine from the registry.
@@ -18,11 +19,11 @@
 }
 
 // updateList adds a step by which the list learns the state of a server.
-func (d *stepDrawer) updateList(at time.Duration, uid, state string) {
+func (d *stepDrawer) updateList(at time.Duration, uid string, state list.State) {
 	if d.File.Registry.Count > 0 {
 		return // servers register by themselves
 	}
-	d.addStep(Step{At: at, Do: UpdateList, Sidecar: ListIndex, Server: uid, State: state})
+	d.addStep(Step{At: at, Do: UpdateList, Sidecar: ListIndex, Server: uid, State: string(state)})
 }
 
 // drawDelay draws a delay of the list, in a range of seconds.
@@ -78,7 +79,7 @@
 	case neverRestarts:
 		d.addStep(Step{At: at, Do: Die, Server: uid})
 		d.lifetimes[index].to = at
-		d.updateList(at+d.drawDelay(d.File.List.NoticeS), uid, "DELETED")
+		d.updateList(at+d.drawDelay(d.File.List.NoticeS), uid, list.Deleted)
 	case fault.Do == FaultCrash:
 		d.addRestart(uid, at, end)
 	case fault.Do == FaultFlap:
@@ -96,7 +97,7 @@
 func (d *stepDrawer) addRestart(uid string, end, start time.Duration) {
 	d.addStep(Step{At: end, Do: Die, Server: uid})
 	d.addStep(Step{At: start, Do: Revive, Server: uid})
-	d.updateList(start+d.drawDelay(d.File.List.AddS), uid, "SERVING")
+	d.updateList(start+d.drawDelay(d.File.List.AddS), uid, list.Serving)
 }
 
 // addLoss adds the loss of a machine and its return with a new process.
@@ -105,12 +106,12 @@
 	d.addStep(Step{At: at, Do: Link, Server: uid, Effect: everything, On: true, Group: -1})
 	d.isolate(at, uid, true)
 	if gone := at + d.drawDelay(d.File.List.UnreachableS); gone < end {
-		d.updateList(gone, uid, "DELETED")
+		d.updateList(gone, uid, list.Deleted)
 	}
 	d.isolate(end, uid, false)
 	d.addStep(Step{At: end, Do: Revive, Server: uid})
 	d.addStep(Step{At: end, Do: Link, Server: uid, Effect: everything, Group: -1})
-	d.updateList(end+d.drawDelay(d.File.List.AddS), uid, "SERVING")
+	d.updateList(end+d.drawDelay(d.File.List.AddS), uid, list.Serving)
 }
 
 // drawDeployment replaces servers batch by batch, evenly over the time of the fault.
@@ -141,15 +142,15 @@
 			d.lifetimes[i].to = begin
 			notified := begin + d.drawDelay(d.File.List.NoticeS)
 			d.addStep(Step{At: begin, Do: Drain, Server: old.UID})
-			d.updateList(notified, old.UID, "DRAINING")
+			d.updateList(notified, old.UID, list.Draining)
 			d.addStep(Step{At: removed, Do: Remove, Server: old.UID})
-			d.updateList(max(notified, removed+d.drawDelay(d.File.List.NoticeS)), old.UID, "DELETED")
+			d.updateList(max(notified, removed+d.drawDelay(d.File.List.NoticeS)), old.UID, list.Deleted)
 			next := len(d.Servers)
 			kind := slices.IndexFunc(d.File.Kinds, func(k Kind) bool { return k.Name == old.Kind })
 			d.Servers = append(d.Servers, d.drawSpec(next, old.Zone, kind))
 			d.lifetimes = append(d.lifetimes, lifetime{next, removed, endOfTime})
 			d.addStep(Step{At: removed, Do: Add, Server: d.Servers[next].UID})
-			d.updateList(removed+d.drawDelay(d.File.List.AddS), d.Servers[next].UID, "SERVING")
+			d.updateList(removed+d.drawDelay(d.File.List.AddS), d.Servers[next].UID, list.Serving)
 		}
 	}
 	return nil
--- a/internal/lab/servers.go
+++ b/internal/lab/servers.go
@@ -9,6 +9,7 @@
 	"gradeusher.example/gradeusher/internal/lab/link"
 	"gradeusher.example/gradeusher/internal/lab/plan"
 	"gradeusher.example/gradeusher/internal/lab/proc"
+	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
 func (f *Fleet) startHosts() error {
@@ -48,7 +49,7 @@
 	if err != nil {
 		return ctl.Entry{}, n, err
 	}
-	e := ctl.Entry{UID: uid, Ports: n.Ports, Zone: spec.Zone, Kind: spec.Kind, State: "SERVING", BootMS: n.BootMS, Size: spec.SizeHint()}
+	e := ctl.Entry{UID: uid, Ports: n.Ports, Zone: spec.Zone, Kind: spec.Kind, State: string(list.Serving), BootMS: n.BootMS, Size: spec.SizeHint()}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries[uid] = e
--- a/internal/lab/standin/listencode.go
+++ b/internal/lab/standin/listencode.go
@@ -6,6 +6,7 @@
 
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 	"gradeusher.example/gradeusher/internal/lab/link"
+	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
 // snapshot is the list as it was at a revision, without servers that came later or that are deleted, and its entries. The caller
@@ -17,7 +18,7 @@
 	}
 	var entries []ctl.Entry
 	for _, uid := range l.order {
-		if entry, ok := at[uid]; ok && entry.State != "DELETED" {
+		if entry, ok := at[uid]; ok && entry.State != string(list.Deleted) {
 			entries = append(entries, entry)
 		}
 	}
--- a/internal/lab/standin/plainsidecar.go
+++ b/internal/lab/standin/plainsidecar.go
@@ -15,6 +15,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
 // sidecarFlaw is what a plain sidecar does wrong, as commands name it. The zero value is nothing.
@@ -113,7 +115,7 @@
 type listedServer struct {
 	UID      string
 	Endpoint string
-	State    string
+	State    list.State
 	BootMS   int64 `json:"boot_ms"`
 }
 
@@ -149,7 +151,7 @@
 		clear(p.servers)
 	}
 	for _, server := range received.Targets {
-		if server.State == "SERVING" {
+		if server.State == list.Serving {
 			p.servers[server.UID] = server
 		} else {
 			delete(p.servers, server.UID)
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -16,6 +16,7 @@
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 	"gradeusher.example/gradeusher/internal/lab/plan"
 	"gradeusher.example/gradeusher/internal/lab/proc"
+	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
 // Effect is when a step took effect, from the start of the load.
@@ -182,7 +183,7 @@
 	case plan.UpdateList:
 		f.mu.Lock()
 		e := f.entries[step.Server]
-		if e.State = step.State; step.State == "DELETED" {
+		if e.State = step.State; step.State == string(list.Deleted) {
 			e.BootMS = 0
 		}
 		f.mu.Unlock()
