--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -1,7 +1,6 @@
 package lab
 
 import (
-	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -60,7 +59,7 @@
 	case <-time.After(standInTimeout):
 	}
 	process.Kill()
-	return nil, fmt.Errorf("%s did not start: see its log", spec.Name)
+	return nil, &StartError{Process: spec.Name, Failure: "did not start"}
 }
 
 // order gives an order and waits until it is done.
@@ -83,14 +82,12 @@
 	select {
 	case n := <-wait:
 		if n.Error != "" {
-			return n, fmt.Errorf("%s: %s", c.Name, n.Error)
+			return n, &OrderError{Process: c.Name, Reason: n.Error}
 		}
 		return n, nil
 	case <-c.outputEnded:
-		return ctl.Event{}, fmt.Errorf("%s: %w", c.Name, errProcessEnded)
+		return ctl.Event{}, fmt.Errorf("%s: %w", c.Name, ErrProcessEnded)
 	case <-timer.C:
-		return ctl.Event{}, fmt.Errorf("%s: no acknowledgement within %v", c.Name, standInTimeout)
+		return ctl.Event{}, fmt.Errorf("%s: %w within %v", c.Name, ErrNoAcknowledgement, standInTimeout)
 	}
 }
-
-var errProcessEnded = errors.New("the process is gone")
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -32,10 +32,11 @@
 	Runs   int     `json:"runs"`
 }
 
-// Compare holds runs of A against runs of B, the i-th against the i-th.
+// Compare holds runs of A against runs of B, the i-th against the i-th, and returns their common figures, sorted by name. It fails with a
+// *RunCountError unless there are as many of B as of A, and at least one.
 func Compare(runsA, runsB []*Result) ([]Compared, error) {
 	if len(runsA) == 0 || len(runsA) != len(runsB) {
-		return nil, fmt.Errorf("%d runs cannot be held against %d", len(runsA), len(runsB))
+		return nil, &RunCountError{A: len(runsA), B: len(runsB)}
 	}
 	var all []Compared
 	for _, name := range slices.Sorted(maps.Keys(runsA[0].Figures)) {
--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -21,7 +21,8 @@
 }
 
 // sidecarConfig encodes the file that PROXY_CONFIG of the sidecar index names (DEPLOY, "What a sidecar is told"), with the settings
-// by their names on the wire (WIRE). It fails where the plan's own settings contain one that the lab sets.
+// by their names on the wire (WIRE). It fails with a *SettingError where the plan's own settings contain one that the
+// lab sets.
 func sidecarConfig(experiment *plan.Plan, index int, environment *sidecarEnvironment) ([]byte, error) {
 	type object = map[string]any
 	file := experiment.File
@@ -72,7 +73,7 @@
 	}
 	for key, v := range file.Config {
 		if _, own := config[key]; own {
-			return nil, fmt.Errorf("configuration of %s: the lab sets %s itself", planned.Name, key)
+			return nil, &SettingError{Sidecar: planned.Name, Setting: key}
 		}
 		config[key] = v
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -188,25 +188,26 @@
 		if s.process == nil {
 			continue // the experiment was broken off before it joined
 		}
-		group.Go(func() error {
-			if !s.process.End(terminationTimeout) {
-				return fmt.Errorf("%s had to be killed at the end", s.process.Name)
-			}
-			return nil
-		})
+		group.Go(func() error { return endProcess(s.process) })
 	}
 	f.addFault(group.Wait())
 	f.stopStandins()
 }
 
+// endProcess ends a process as a platform does. It fails with ErrKilled where it did not shut down in time.
+func endProcess(process *proc.Process) error {
+	if !process.End(terminationTimeout) {
+		return fmt.Errorf("%s %w", process.Name, ErrKilled)
+	}
+	return nil
+}
+
 func (f *Fleet) stopStandins() {
 	end := func(c *child) {
 		if c == nil {
 			return
 		}
-		if !c.End(terminationTimeout) {
-			f.addFault(fmt.Errorf("%s had to be killed at the end", c.Name))
-		}
+		f.addFault(endProcess(c.Process))
 		<-c.outputEnded
 	}
 	for _, c := range f.hosts {
--- a/internal/lab/janitor.go
+++ b/internal/lab/janitor.go
@@ -26,7 +26,7 @@
 		defer func() { _ = p.Out.Close() }() // nothing is read from it
 		p.End(cleanupTimeout + time.Second)
 		if _, err := os.Stat(work); !os.IsNotExist(err) {
-			return fmt.Errorf("%s could not be removed", work)
+			return fmt.Errorf("%s %w", work, ErrNotRemoved)
 		}
 		return nil
 	}, nil
--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -69,7 +69,7 @@
 	default:
 	}
 	_, err := c.order(ctl.Order{Do: ctl.CommandUpdateList, Entry: &e})
-	if errors.Is(err, errProcessEnded) || errors.Is(err, syscall.EPIPE) {
+	if errors.Is(err, ErrProcessEnded) || errors.Is(err, syscall.EPIPE) {
 		return nil
 	}
 	return err
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -134,7 +134,7 @@
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("registry: %d of %d servers registered within %v", len(l.Targets), f.plan.InitialServers, standInTimeout)
+			return fmt.Errorf("registry: %w", &RegistrationError{Registered: len(l.Targets), Expected: f.plan.InitialServers, Within: standInTimeout})
 		}
 	}
 	if f.writers, err = f.startWriters(ctx); err != nil {
@@ -209,8 +209,8 @@
 // stopAll ends all registry nodes as a platform would.
 func (ks *registryNodes) stopAll() {
 	for _, k := range ks.nodes {
-		if k.process != nil && !k.process.End(terminationTimeout) {
-			ks.fleet.addFault(fmt.Errorf("%s had to be killed at the end", k.name))
+		if k.process != nil {
+			ks.fleet.addFault(endProcess(k.process))
 		}
 	}
 }
--- a/internal/lab/registrysteps.go
+++ b/internal/lab/registrysteps.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"path/filepath"
 	"syscall"
 	"time"
@@ -44,7 +43,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, errors.New("no registry node leads")
+			return nil, ErrNoLeader
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// awaitReady waits until a sidecar answers.
+// awaitReady waits until a sidecar answers. It fails with a *StartError where the process ends before, or after standInTimeout.
 func (f *Fleet) awaitReady(ctx context.Context, s *sidecar) error {
 	ctx, cancel := context.WithTimeout(ctx, standInTimeout)
 	defer cancel()
@@ -95,9 +95,9 @@
 		}
 		select {
 		case <-run.Ended():
-			return fmt.Errorf("%s ended as it started: see its log", run.Name)
+			return &StartError{Process: run.Name, Failure: "ended as it started"}
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready after %v: see its log", run.Name, standInTimeout)
+			return &StartError{Process: run.Name, Failure: fmt.Sprintf("is not ready after %v", standInTimeout)}
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -18,8 +18,8 @@
 	Says string  `json:"says"`
 }
 
-// Trace is what clients and servers saw of a request and its retry, from the records in a report's folder. It fails where no
-// client knows the id.
+// Trace is what clients and servers saw of a request and its retry, in order of time, from the records in a report's folder. It fails
+// with an *UnknownRequestError where no client has the id.
 func Trace(folder, id string) ([]Moment, error) {
 	tries, err := ctl.ReadRecords[load.Attempt](filepath.Join(folder, "requests.jsonl"))
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	i := slices.IndexFunc(tries, func(t load.Attempt) bool { return t.ID == id })
 	if i < 0 {
-		return nil, fmt.Errorf("%s: no request %q", folder, id)
+		return nil, &UnknownRequestError{Folder: folder, ID: id}
 	}
 	arrival := tries[i].Arrival
 	tries = slices.DeleteFunc(tries, func(t load.Attempt) bool { return t.Arrival != arrival })
