--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -10,7 +10,6 @@
 
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 	"gradeusher.example/gradeusher/internal/lab/link"
-	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
 // listProcess is the list, whose process faults may end and start.
@@ -38,13 +37,12 @@
 	fleet := l.fleet
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, err := startChild(fleet.starter, proc.Spec{Name: "list", Path: fleet.self.Path, Log: fleet.log("list"), Env: fleet.env("TMPDIR=" + fleet.work),
-		Args: []string{"stand-in", "list", "--groups", l.groups, "--port", strconv.Itoa(int(l.reservation.Addr.Port())), "--records", fleet.records("told", l.started)}}, fleet.handleEvent)
+	c, err := fleet.startStandIn("list", []string{"list", "--groups", l.groups, "--port", strconv.Itoa(int(l.reservation.Addr.Port())),
+		"--records", fleet.records("told", l.started)})
 	if err != nil {
 		return err
 	}
 	l.started++
-	fleet.all.Add(c.Process)
 	l.child = c
 	fleet.mu.Lock()
 	told := append([]ctl.Entry(nil), fleet.listed...)
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -9,7 +9,6 @@
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 	"gradeusher.example/gradeusher/internal/lab/link"
 	"gradeusher.example/gradeusher/internal/lab/plan"
-	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
 // peers is the network between sidecars, behind a relay that gives each link between two of them faults of its own.
@@ -29,12 +28,9 @@
 	count := len(f.plan.Sidecars)
 	network := &peers{fleet: f, sentStates: make([][]link.State, count)}
 	f.peers = network
-	network.relay, err = startChild(f.starter, proc.Spec{Name: "peers", Path: f.self.Path, Log: f.log("peers"), Env: f.env("TMPDIR=" + f.work),
-		Args: []string{"stand-in", "peers", "--gossip", f.records("gossip", 0)}}, f.handleEvent)
-	if err != nil {
+	if network.relay, err = f.startStandIn("peers", []string{"peers", "--gossip", f.records("gossip", 0)}); err != nil {
 		return err
 	}
-	f.all.Add(network.relay.Process)
 	for i := range count { // all before the first port of the relay, which is then none of theirs
 		p, err := link.Reserve(link.Near(i))
 		if err != nil {
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -68,13 +68,11 @@
 	started := &registryNodes{fleet: f, leaderByFault: map[int]*registryNode{}, lastStepDone: map[int]chan struct{}{}}
 	f.registry = started
 	var err error
-	started.relay, err = startChild(f.starter, proc.Spec{Name: "relay", Path: f.self.Path, Log: f.log("relay"), Env: f.env("TMPDIR=" + f.work),
-		Args: []string{"stand-in", "relay", "--sidecars", fmt.Sprint(len(f.plan.Sidecars)), "--readers", fmt.Sprint(f.plan.Nears()), "--told", f.records("told", 0), "--shown", f.records("shown", 0),
-			"--routes", f.records("routes", 0)}}, f.handleEvent)
+	started.relay, err = f.startStandIn("relay", []string{"relay", "--sidecars", fmt.Sprint(len(f.plan.Sidecars)), "--readers", fmt.Sprint(f.plan.Nears()),
+		"--told", f.records("told", 0), "--shown", f.records("shown", 0), "--routes", f.records("routes", 0)})
 	if err != nil {
 		return err
 	}
-	f.all.Add(started.relay.Process)
 	for i := range n {
 		node := &registryNode{index: i, name: plan.NodeName(i), folder: filepath.Join(f.work, plan.NodeName(i))}
 		started.nodes = append(started.nodes, node)
--- a/internal/lab/registrywatchers.go
+++ b/internal/lab/registrywatchers.go
@@ -7,27 +7,21 @@
 
 	"gradeusher.example/gradeusher/internal/lab/check"
 	"gradeusher.example/gradeusher/internal/lab/ctl"
-	"gradeusher.example/gradeusher/internal/lab/proc"
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
 // startWatchers starts the process of subscribers that only watch, if the plan has any.
-func (f *Fleet) startWatchers() error {
+func (f *Fleet) startWatchers() (err error) {
 	n := f.plan.File.Registry.Watchers
 	if n == 0 {
 		return nil
 	}
-	args := []string{"stand-in", "watchers"}
+	args := []string{"watchers"}
 	for i := range n {
 		args = append(args, "--of", strings.Join(f.registryAddresses(f.plan.NearWatcher(i)), "/"))
 	}
-	c, err := startChild(f.starter, proc.Spec{Name: "watchers", Path: f.self.Path, Log: f.log("watchers"), Env: f.env("TMPDIR=" + f.work), Args: args}, f.handleEvent)
-	if err != nil {
-		return err
-	}
-	f.all.Add(c.Process)
-	f.registry.watchers = c
-	return nil
+	f.registry.watchers, err = f.startStandIn("watchers", args)
+	return err
 }
 
 const watcherTimeout = 15 * time.Second // for all watchers to catch up, when the faults are over
--- a/internal/lab/servers.go
+++ b/internal/lab/servers.go
@@ -8,7 +8,6 @@
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 	"gradeusher.example/gradeusher/internal/lab/link"
 	"gradeusher.example/gradeusher/internal/lab/plan"
-	"gradeusher.example/gradeusher/internal/lab/proc"
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
@@ -17,17 +16,15 @@
 	count := experiment.Hosts()
 	for i := range count {
 		name := fmt.Sprintf("servers-%d", i)
-		args := []string{"stand-in", "host", "--groups", strconv.Itoa(experiment.Groups()), "--records", f.records("attempts", i)}
+		args := []string{"host", "--groups", strconv.Itoa(experiment.Groups()), "--records", f.records("attempts", i)}
 		if f.registry != nil {
 			args = append(args, "--keepers", strings.Join(f.registryAddresses(experiment.NearHost(i)), ","), "--lease", plan.Seconds(experiment.File.Registry.LeaseS).String())
 		}
-		c, err := startChild(f.starter, proc.Spec{Name: name, Path: f.self.Path, Log: f.log(name), Env: f.env("TMPDIR=" + f.work),
-			Args: args}, f.handleEvent)
+		started, err := f.startStandIn(name, args)
 		if err != nil {
 			return err
 		}
-		f.hosts = append(f.hosts, c)
-		f.all.Add(c.Process)
+		f.hosts = append(f.hosts, started)
 	}
 	for i := range experiment.Servers {
 		f.host[experiment.Servers[i].UID] = f.hosts[i%count]
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -179,7 +179,7 @@
 		n, err := f.host[step.Server].order(ctl.Order{Do: ctl.CommandIsolate, UID: step.Server, On: step.On})
 		return n.At, err
 	case plan.FalseReports:
-		return f.orderLie(step)
+		return f.orderFalseReports(step)
 	case plan.UpdateList:
 		f.mu.Lock()
 		e := f.entries[step.Server]
