--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -49,7 +49,7 @@
 	peers        *peers         // nil: sidecars do not know each other
 	lyingMembers []*child       // members that are no sidecars
 	writers      *writers
-	routes       *router // nil: there are no routes
+	routes       *routePublisher // nil: there are no routes
 
 	mu          sync.Mutex
 	entries     map[string]ctl.Entry // the truth, which the list learns later
--- a/internal/lab/routes.go
+++ b/internal/lab/routes.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -15,128 +14,162 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// router makes generations of the route table. What it put is the truth that sidecars are held against.
-type router struct {
+// routePublisher publishes generations of the route table: the first one before any sidecar asks, then another one every
+// plan.Routes.EveryS seconds. What it published is the truth that sidecars are held against.
+type routePublisher struct {
 	plan        *plan.Plan
 	client      *client.Client
 	rng         *rand.Rand
-	table       routes.Table
-	generations int
-	published   []check.Table
+	table       routes.Table  // the latest one, without what plan.Routes.Nowhere makes of it
+	generations int           // that were drawn after the first one
+	published   []check.Table // those that a node accepted
 }
 
-const routeTimeout = 10 * time.Second // for one generation to be accepted
+const (
+	publishTimeout = 10 * time.Second // for one generation to be accepted
+	routesStream   = 22               // of the plan's random generator, which only routes draw from
+)
+
+// Weights are near one: the experiment is about how tables arrive, not about how servers bear them.
+const (
+	minWeight   = 0.8
+	weightRange = 0.4
+)
 
-// startRoutes puts the first table, before any sidecar asks for one.
+// Names of labels of routes, and a value that no server has.
+const (
+	serviceLabel   = "service"
+	regionLabel    = "region"
+	versionLabel   = "version"
+	unknownVersion = "nowhere"
+)
+
+// startRoutes publishes the first table, with a rule for each application, if the plan has any.
 func (f *Fleet) startRoutes(ctx context.Context) (err error) {
 	if f.plan.File.Routes.Apps == 0 {
 		return nil
 	}
-	r := &router{plan: f.plan, rng: rand.New(rand.NewPCG(f.plan.Seed, 22))}
-	if r.client, err = client.New(f.registryAddresses(f.plan.NearWriter())); err != nil {
+	publisher := &routePublisher{plan: f.plan, rng: rand.New(rand.NewPCG(f.plan.Seed, routesStream))}
+	if publisher.client, err = client.New(f.registryAddresses(f.plan.NearWriter())); err != nil {
 		return err
 	}
-	for i := range f.plan.File.Routes.Apps {
-		r.table = append(r.table, r.rule(fmt.Sprintf("rule-%d", i), fmt.Sprintf("app-%d", i)))
+	for app := range f.plan.File.Routes.Apps {
+		publisher.table = append(publisher.table, publisher.drawRule(fmt.Sprintf("rule-%d", app), app))
 	}
-	f.routes = r
-	return r.publish(ctx, r.table)
+	f.routes = publisher
+	return publisher.publish(ctx, publisher.table)
 }
 
-// rule has a weight for each kind of server.
-func (r *router) rule(name, app string) routes.Rule {
-	rule := routes.Rule{Name: name, Source: routes.Match{"service": app}, Service: routes.Match{"service": "*"}}
-	kinds := r.plan.File.Kinds
-	if r.plan.File.Routes.Narrow {
+// drawRule returns a rule for the traffic of an application, with a drawn weight for each kind of server, or only for the first one where
+// the plan has narrow routes.
+func (p *routePublisher) drawRule(name string, app int) routes.Rule {
+	rule := routes.Rule{Name: name, Source: routes.Match{serviceLabel: fmt.Sprintf("app-%d", app)}, Service: routes.Match{serviceLabel: "*"}}
+	kinds := p.plan.File.Kinds
+	if p.plan.File.Routes.Narrow {
 		kinds = kinds[:1]
 	}
-	for _, k := range kinds {
-		rule.Destinations = append(rule.Destinations, routes.Destination{Weight: r.weight(), Match: routes.Match{"version": k.Name}, PerSize: true})
+	for _, kind := range kinds {
+		destination := routes.Destination{Weight: p.drawWeight(), Match: routes.Match{versionLabel: kind.Name}, PerSize: true}
+		rule.Destinations = append(rule.Destinations, destination)
 	}
 	return rule
 }
 
-// weight is near one: what is put to the test is how tables come, not how servers bear them.
-func (r *router) weight() float64 { return 0.8 + 0.4*r.rng.Float64() }
+// drawWeight draws the weight of a destination.
+func (p *routePublisher) drawWeight() float64 { return minWeight + weightRange*p.rng.Float64() }
 
-// publish puts a table and records that. Danger: one that was not answered may have been taken, so it is sent until it is: the same
-// table makes no second generation.
-func (r *router) publish(ctx context.Context, table routes.Table) error {
-	ctx, cancel := context.WithTimeout(ctx, routeTimeout)
+// publish sends a table and records it with the times of the call. A call without an answer may have been applied all the same; the
+// client repeats it within publishTimeout, and the same table makes no second generation.
+func (p *routePublisher) publish(ctx context.Context, table routes.Table) error {
+	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	p := check.Table{Call: clock.Now(), Table: table}
-	var err error
-	p.Gen, err = r.client.PutRoutes(ctx, table, nil)
-	if p.Return = clock.Now(); err == nil {
-		r.published = append(r.published, p)
+	record := check.Table{Call: clock.Now(), Table: table}
+	generation, err := p.client.PutRoutes(ctx, table, nil)
+	record.Gen, record.Return = generation, clock.Now()
+	if err != nil {
+		return err
 	}
-	return err
+	p.published = append(p.published, record)
+	return nil
 }
 
-// nextTable is the table with one change, or of all weights.
-func (r *router) nextTable() routes.Table {
-	t := slices.Clone(r.table)
-	r.generations++
-	again := func(i int) {
-		t[i].Destinations = slices.Clone(t[i].Destinations)
-		for j := range t[i].Destinations {
-			t[i].Destinations[j].Weight = r.weight()
-		}
-	}
-	at, apps := r.rng.IntN(len(t)), r.plan.File.Routes.Apps
-	switch draw := r.rng.IntN(10); {
-	case r.plan.File.Routes.Wide:
-		for i := range t {
-			again(i)
+// drawTable draws the next table from the latest one: other weights of all rules where the plan has wide routes, else one change of the
+// rules' order, a further rule, one rule less, or mostly other weights of one rule.
+func (p *routePublisher) drawTable() routes.Table {
+	table := slices.Clone(p.table)
+	p.generations++
+	index, apps := p.rng.IntN(len(table)), p.plan.File.Routes.Apps
+	switch draw := p.rng.IntN(10); {
+	case p.plan.File.Routes.Wide:
+		for i := range table {
+			p.redrawWeights(&table[i])
 		}
 	case draw == 0:
-		t = slices.Insert(slices.Delete(t, at, at+1), r.rng.IntN(len(t)), r.table[at])
-	case draw == 1 && len(t) < 2*apps: // a rule that goes before the application's own, for one room
-		i := r.rng.IntN(apps)
-		extra := r.rule(fmt.Sprintf("extra-%d", r.generations), fmt.Sprintf("app-%d", i))
-		extra.Source["region"] = r.plan.File.Fleet.Zones[r.rng.IntN(len(r.plan.File.Fleet.Zones))]
-		t = slices.Insert(t, at, extra)
-	case draw == 2 && t[at].Source["region"] != "":
-		t = slices.Delete(t, at, at+1)
+		moved := table[index]
+		table = slices.Insert(slices.Delete(table, index, index+1), p.rng.IntN(len(table)), moved)
+	case draw == 1 && len(table) < 2*apps:
+		table = slices.Insert(table, index, p.drawZoneRule())
+	case draw == 2 && table[index].Source[regionLabel] != "":
+		table = slices.Delete(table, index, index+1)
 	default:
-		again(at)
+		p.redrawWeights(&table[index])
+	}
+	return table
+}
+
+// redrawWeights gives a rule other weights. It leaves the destinations alone that the rule shares with earlier tables.
+func (p *routePublisher) redrawWeights(rule *routes.Rule) {
+	rule.Destinations = slices.Clone(rule.Destinations)
+	for i := range rule.Destinations {
+		rule.Destinations[i].Weight = p.drawWeight()
 	}
-	return t
 }
 
-// nowhereTable is a table that leads to no server.
-func (r *router) nowhereTable() routes.Table {
-	t := slices.Clone(r.table)
-	for i := range t {
-		t[i].Destinations = []routes.Destination{{Weight: r.weight(), Match: routes.Match{"version": "nowhere"}}}
+// drawZoneRule draws a rule for the traffic of an application in one zone.
+func (p *routePublisher) drawZoneRule() routes.Rule {
+	app := p.rng.IntN(p.plan.File.Routes.Apps)
+	rule := p.drawRule(fmt.Sprintf("extra-%d", p.generations), app)
+	zones := p.plan.File.Fleet.Zones
+	rule.Source[regionLabel] = zones[p.rng.IntN(len(zones))]
+	return rule
+}
+
+// withoutServers is the latest table with destinations that no server matches.
+func (p *routePublisher) withoutServers() routes.Table {
+	table := slices.Clone(p.table)
+	for i := range table {
+		table[i].Destinations = []routes.Destination{{Weight: p.drawWeight(), Match: routes.Match{versionLabel: unknownVersion}}}
 	}
-	return t
+	return table
 }
 
-// run makes generations until over is done. A table that no node accepts is no error: the nodes may all be gone.
-func (r *router) run(over context.Context, start int64) {
-	defer r.client.Close()
-	f := &r.plan.File.Routes
-	for at := f.EveryS; at < r.plan.RoutesUntil(); at += f.EveryS {
+// run publishes generations until over is done or the plan has no more. start is the start of the load, in ns of the lab's clock. A
+// generation that no node accepts is no error, as the nodes may all be gone. One that falls into the time that an earlier one took is
+// left out.
+func (p *routePublisher) run(over context.Context, start int64) {
+	defer p.client.Close()
+	settings := &p.plan.File.Routes
+	for at := settings.EveryS; at < p.plan.RoutesUntil(); at += settings.EveryS {
 		if !waitUntil(over, start+int64(at*1e9)) {
 			return
 		}
-		r.table = r.nextTable()
-		table := r.table
-		if at >= f.Nowhere[0] && at < f.Nowhere[1] {
-			table = r.nowhereTable()
+		p.table = p.drawTable()
+		table := p.table
+		if at >= settings.Nowhere[0] && at < settings.Nowhere[1] {
+			table = p.withoutServers()
 		}
-		_ = r.publish(over, table)
-		if behind := float64(clock.Now()-start)/1e9 - at; behind > f.EveryS {
-			at += float64(int(behind/f.EveryS)) * f.EveryS // what could not be made in its time is not made up for
+		_ = p.publish(over, table)
+		if behind := float64(clock.Now()-start)/1e9 - at; behind > settings.EveryS {
+			at += float64(int(behind/settings.EveryS)) * settings.EveryS
 		}
 	}
 }
 
-// routesConfig adds what concerns routes to the registry part of a sidecar's configuration.
-func routesConfig(p *plan.Plan, i int, keepers map[string]any) {
-	if p.File.Routes.Apps == 0 {
+// routesConfig adds what concerns routes to the registry part of the configuration of the sidecar index.
+func routesConfig(experiment *plan.Plan, index int, registry map[string]any) {
+	if experiment.File.Routes.Apps == 0 {
 		return
 	}
-	maps.Copy(keepers, map[string]any{"routes": true, "tags": map[string]string{"service": p.AppOf(i)}})
+	registry["routes"] = true
+	registry["tags"] = map[string]string{serviceLabel: experiment.AppOf(index)}
 }
