--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -56,7 +56,7 @@
 	known       []ctl.Entry          // at the start
 	listed      []ctl.Entry          // sent to the list, in order
 	falls       []ctl.Event
-	faults      []error
+	errs        []error
 	sidecars    []*sidecar
 	links       *linkFaults
 	releaseOnce sync.Once
@@ -190,7 +190,7 @@
 		}
 		group.Go(func() error { return endProcess(s.process) })
 	}
-	f.addFault(group.Wait())
+	f.recordError(group.Wait())
 	f.stopStandins()
 }
 
@@ -207,7 +207,7 @@
 		if c == nil {
 			return
 		}
-		f.addFault(endProcess(c.Process))
+		f.recordError(endProcess(c.Process))
 		<-c.outputEnded
 	}
 	for _, c := range f.hosts {
@@ -227,14 +227,14 @@
 	}
 }
 
-// addFault records that the lab itself failed.
-func (f *Fleet) addFault(err error) {
+// recordError records an error of the lab itself, if it is one.
+func (f *Fleet) recordError(err error) {
 	if err == nil {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults = append(f.faults, err)
+	f.errs = append(f.errs, err)
 }
 
 // Close ends every process at once, whatever it does. The janitor undoes what was done to folders.
@@ -278,5 +278,5 @@
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return errors.Join(f.faults...)
+	return errors.Join(f.errs...)
 }
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -208,7 +208,7 @@
 func (ks *registryNodes) stopAll() {
 	for _, k := range ks.nodes {
 		if k.process != nil {
-			ks.fleet.addFault(endProcess(k.process))
+			ks.fleet.recordError(endProcess(k.process))
 		}
 	}
 }
--- a/internal/lab/stepactions.go
+++ b/internal/lab/stepactions.go
@@ -14,71 +14,93 @@
 	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-func (f *Fleet) targetName(s *plan.Step) string {
+// targetName is what a step acts on, as reports show it.
+func (f *Fleet) targetName(step *plan.Step) string {
 	switch {
-	case plan.IsNode(s.Sidecar):
-		return f.registry.targetName(s)
-	case s.Do == plan.FalseReports:
-		return fmt.Sprintf("%d liars", len(s.Nears))
-	case s.Peers:
-		return fmt.Sprintf("%d sidecars", len(s.Nears))
-	case s.Server != "":
-		return s.Server
-	case s.Sidecar >= 0:
-		return f.plan.Sidecars[s.Sidecar].Name
+	case plan.IsNode(step.Sidecar):
+		return f.registry.targetName(step)
+	case step.Do == plan.FalseReports:
+		return fmt.Sprintf("%d liars", len(step.Nears))
+	case step.Peers:
+		return fmt.Sprintf("%d sidecars", len(step.Nears))
+	case step.Server != "":
+		return step.Server
+	case step.Sidecar >= 0:
+		return f.plan.Sidecars[step.Sidecar].Name
 	}
 	return "list"
 }
 
-// applyStep applies a step that does not wait for a process.
-func (f *Fleet) applyStep(step *plan.Step) (int64, error) {
+// applyStep applies a step that waits for no process. It returns when that took effect, in ns of the lab's clock.
+func (f *Fleet) applyStep(step *plan.Step) (at int64, err error) {
 	switch step.Do {
 	case plan.Stop, plan.Cont:
 		return f.pauseOrResume(step)
 	case plan.Disk:
-		c := f.sidecars[step.Sidecar]
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return clock.Now(), c.process.SetDiskFault(step.Mode)
+		return f.setDiskFault(step)
 	case plan.Isolate:
-		n, err := f.host[step.Server].order(ctl.Order{Do: ctl.CommandIsolate, UID: step.Server, On: step.On})
-		return n.At, err
+		event, err := f.host[step.Server].order(ctl.Order{Do: ctl.CommandIsolate, UID: step.Server, On: step.On})
+		return event.At, err
 	case plan.FalseReports:
 		return f.orderFalseReports(step)
 	case plan.UpdateList:
-		f.mu.Lock()
-		e := f.entries[step.Server]
-		if e.State = step.State; step.State == string(list.Deleted) {
-			e.BootMS = 0
-		}
-		f.mu.Unlock()
-		return clock.Now(), f.list.addEntry(e)
+		return f.updateList(step)
 	case plan.ListMode:
-		n, err := f.list.current().order(ctl.Order{Do: ctl.CommandListMode, Mode: step.Mode, Late: step.By.Seconds()})
-		return n.At, err
+		event, err := f.list.current().order(ctl.Order{Do: ctl.CommandListMode, Mode: step.Mode, Late: step.By.Seconds()})
+		return event.At, err
 	case plan.Add:
-		_, n, err := f.addServer(step.Server, true)
-		if err == nil {
-			err = f.links.resend(step.Server)
-		}
-		return n.At, err
+		return f.addSuccessor(step)
 	}
-	o := ctl.Order{Do: ctl.Command(step.Do), UID: step.Server, Nears: step.Nears, By: int64(step.By)}
+	return f.orderServer(step)
+}
+
+// setDiskFault begins or ends a fault of a sidecar's disk.
+func (f *Fleet) setDiskFault(step *plan.Step) (at int64, err error) {
+	target := f.sidecars[step.Sidecar]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	return clock.Now(), target.process.SetDiskFault(step.Mode)
+}
+
+// updateList has the list learn a server's state. A server that is gone has no start.
+func (f *Fleet) updateList(step *plan.Step) (at int64, err error) {
+	f.mu.Lock()
+	entry := f.entries[step.Server]
+	f.mu.Unlock()
+	entry.State = step.State
+	if step.State == string(list.Deleted) {
+		entry.BootMS = 0
+	}
+	return clock.Now(), f.list.addEntry(entry)
+}
+
+// addSuccessor starts a server that takes the place of another one, and tells its process the state of its links.
+func (f *Fleet) addSuccessor(step *plan.Step) (at int64, err error) {
+	_, event, err := f.addServer(step.Server, true)
+	if err == nil {
+		err = f.links.resend(step.Server)
+	}
+	return event.At, err
+}
+
+// orderServer has a server, or the list where the step names none, obey a step whose kind is a command of stand-ins.
+func (f *Fleet) orderServer(step *plan.Step) (at int64, err error) {
+	order := ctl.Order{Do: ctl.Command(step.Do), UID: step.Server, Nears: step.Nears, By: int64(step.By)}
 	if step.Do == plan.ServerFault {
-		o.Fault = &step.Trouble
+		order.Fault = &step.Trouble
 	}
-	n, err := f.processOf(step.Server).order(o)
+	event, err := f.processOf(step.Server).order(order)
 	if err == nil && step.Do == plan.Revive {
 		f.mu.Lock()
-		e := f.entries[step.Server]
-		e.BootMS, e.Ports = n.BootMS, n.Ports
-		f.entries[step.Server] = e
+		entry := f.entries[step.Server]
+		entry.BootMS, entry.Ports = event.BootMS, event.Ports
+		f.entries[step.Server] = entry
 		f.mu.Unlock()
 	}
-	return n.At, err
+	return event.At, err
 }
 
-// processOf is the process where a server or, by "", the list is.
+// processOf is the process of a server or, where uid is "", of the list.
 func (f *Fleet) processOf(uid string) *child {
 	if uid == "" {
 		return f.list.current()
@@ -86,7 +108,11 @@
 	return f.host[uid]
 }
 
-func (f *Fleet) pauseOrResume(step *plan.Step) (int64, error) {
+// endOfTime is later than any time of the lab's clock, in ns.
+const endOfTime = int64(1) << 62
+
+// pauseOrResume stops or continues the process of a sidecar or of the list by a signal. It records when a sidecar's process was stopped.
+func (f *Fleet) pauseOrResume(step *plan.Step) (at int64, err error) {
 	sig := syscall.SIGSTOP
 	if step.Do == plan.Cont {
 		sig = syscall.SIGCONT
@@ -99,56 +125,65 @@
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	run := &target.runs[len(target.runs)-1]
-	now := clock.Now()
-	err := target.process.Signal(sig, false)
-	if sig == syscall.SIGSTOP {
-		run.Stops = append(run.Stops, check.Span{From: now, To: forever})
-	} else {
+	at = clock.Now()
+	err = target.process.Signal(sig, false)
+	if step.Do == plan.Cont {
 		run.Stops[len(run.Stops)-1].To = clock.Now()
+	} else {
+		run.Stops = append(run.Stops, check.Span{From: at, To: endOfTime})
 	}
-	return now, err
+	return at, err
 }
 
-const forever = int64(1) << 62
-
-// startOrEnd starts or ends a sidecar's or the list's process, and waits for that.
-func (f *Fleet) startOrEnd(ctx context.Context, step *plan.Step) (int64, error) {
-	if step.Sidecar == plan.ListIndex {
-		return f.applyListStep(step)
+// startOrEnd starts or ends the process of a sidecar or of the list, and waits for that. It returns when the process was ready, or when it
+// was sent the signal, in ns of the lab's clock.
+func (f *Fleet) startOrEnd(ctx context.Context, step *plan.Step) (at int64, err error) {
+	switch {
+	case step.Sidecar == plan.ListIndex:
+		return f.startOrEndList(step)
+	case step.Do == plan.Start:
+		return f.restartSidecar(ctx, f.sidecars[step.Sidecar])
 	}
-	target := f.sidecars[step.Sidecar]
-	if step.Do == plan.Start {
-		target.tasks.Wait() // for the end of the one before
-		if err := f.startSidecar(target); err != nil {
-			return clock.Now(), err
-		}
-		err := f.awaitReady(ctx, target)
-		if ctx.Err() != nil {
-			err = nil // the experiment was broken off
-		}
+	return endSidecar(f.sidecars[step.Sidecar], step.Do == plan.Kill)
+}
+
+// restartSidecar starts a sidecar's next process once the one before has ended, and waits until it answers.
+func (f *Fleet) restartSidecar(ctx context.Context, target *sidecar) (at int64, err error) {
+	target.tasks.Wait()
+	if err := f.startSidecar(target); err != nil {
 		return clock.Now(), err
 	}
-	at := clock.Now()
+	err = f.awaitReady(ctx, target)
+	if ctx.Err() != nil {
+		err = nil // the experiment was broken off
+	}
+	return clock.Now(), err
+}
+
+// endSidecar ends a sidecar's process by SIGKILL or SIGTERM, and records that it was killed and when it ended.
+func endSidecar(target *sidecar, kill bool) (at int64, err error) {
+	at = clock.Now()
 	sig := syscall.SIGTERM
 	target.mu.Lock()
-	p := target.process
+	process := target.process
 	run := &target.runs[len(target.runs)-1] // nobody adds one before this process has ended
-	if step.Do == plan.Kill {
+	if kill {
 		sig, run.Killed = syscall.SIGKILL, at
 	}
 	target.mu.Unlock()
-	if ended, err := endBy(p, sig); err != nil || !ended {
+	ended, err := endBy(process, sig)
+	if err != nil || !ended {
 		return at, err
 	}
 	target.mu.Lock()
 	defer target.mu.Unlock()
-	run.To = p.Exit().At
+	run.To = process.Exit().At
 	return at, nil
 }
 
-// endBy ends a process by a signal, and by SIGKILL if that is not enough in time. It reports false where the process had ended by
-// itself, which shows in its exit.
-func endBy(process *proc.Process, sig syscall.Signal) (bool, error) {
+// endBy ends a process by a signal, and by SIGKILL where it has not ended plan.TermGrace later. It reports false where the process had
+// ended by itself, which shows in its exit.
+func endBy(process *proc.Process, sig syscall.Signal) (ended bool, err error) {
 	select {
 	case <-process.Ended():
 		return false, nil
@@ -167,20 +202,22 @@
 	return true, nil
 }
 
-func (f *Fleet) applyListStep(s *plan.Step) (int64, error) {
+// startOrEndList starts or ends the list's process, and waits for that.
+func (f *Fleet) startOrEndList(step *plan.Step) (at int64, err error) {
 	process := f.list.current()
-	switch s.Do {
+	switch step.Do {
 	case plan.Start:
 		<-process.Ended()
 		if err := f.list.start(); err != nil {
 			return clock.Now(), err
 		}
-		return clock.Now(), f.links.resend("")
+		at = clock.Now()
+		return at, f.links.resend("")
 	case plan.Kill:
 		err := process.Signal(syscall.SIGKILL, true)
 		<-process.Ended()
 		return clock.Now(), err
 	}
-	process.End(plan.TermGrace) // by the end of its input: a stand-in knows no SIGTERM of its own
+	process.End(plan.TermGrace) // closes its input: a stand-in does not handle SIGTERM
 	return clock.Now(), nil
 }
