--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -29,41 +29,42 @@
 
 // Self is how the program starts itself as another process.
 type Self struct {
-	Path string
+	Path string   // of the program
 	Env  []string // besides what each process gets
 }
 
-// Fleet is the processes of one experiment.
+// Fleet is the processes of one experiment. StartFleet returns it; Finish or Close ends it.
 type Fleet struct {
 	plan         *plan.Plan
 	self         Self
-	work         string // folder for evidence and the processes' own folders
-	logs         string
+	work         string // folder for records and for the processes' own folders
+	logs         string // folder for the processes' logs
 	starter      *proc.Starter
-	all          proc.Group
-	hosts        []*child
-	host         map[string]*child // by server
-	specs        map[string]*model.Spec
-	list         *listProcess   // the platform's; nil: the registry has it
-	registry     *registryNodes // nil: there are none
-	peers        *peers         // nil: sidecars do not know each other
-	lyingMembers []*child       // members that are no sidecars
-	writers      *writers
-	routes       *routePublisher // nil: there are no routes
+	all          proc.Group             // every process that was started
+	hosts        []*child               // processes of stand-in servers
+	host         map[string]*child      // the one of hosts that a server is in, by its UID
+	specs        map[string]*model.Spec // of all servers of the plan, by UID
+	list         *listProcess           // the platform's list; nil: the registry has the servers
+	registry     *registryNodes         // nil: there are none
+	peers        *peers                 // nil: sidecars do not know each other
+	lyingMembers []*child               // members of the sidecars' gossip that are no sidecars
+	writers      *writers               // nil: there is no registry
+	routes       *routePublisher        // nil: there are no routes
+	sidecars     []*sidecar             // by index in the plan, with those that join later
+	links        *linkFaults
+	known        []ctl.Entry // servers that run at the start
+	releaseOnce  sync.Once   // of the reserved ports
+	logged       sync.Map    // names of the processes whose logs are of this experiment
 
-	mu          sync.Mutex
-	entries     map[string]ctl.Entry // the truth, which the list learns later
-	known       []ctl.Entry          // at the start
-	listed      []ctl.Entry          // sent to the list, in order
-	falls       []ctl.Event
-	errs        []error
-	sidecars    []*sidecar
-	links       *linkFaults
-	releaseOnce sync.Once
-	logged      sync.Map // names of processes
+	mu      sync.Mutex
+	entries map[string]ctl.Entry // servers as they are, which the list learns later, by UID
+	listed  []ctl.Entry          // what the list was sent, in order
+	falls   []ctl.Event          // servers that fell over as they warmed up
+	errs    []error              // what the lab itself could not do
 }
 
-// StartFleet starts all processes that a plan needs, and waits until every one is ready. On an error none is left.
+// StartFleet starts all processes that a plan needs, and waits until every one is ready. work is an empty folder, which the caller removes;
+// logs is where the processes' logs go. On an error no process is left; it is a *StartError where one did not get ready.
 func StartFleet(ctx context.Context, experiment *plan.Plan, self Self, work, logs string) (f *Fleet, err error) {
 	f = &Fleet{plan: experiment, self: self, work: work, logs: logs, starter: proc.NewStarter(), host: map[string]*child{},
 		specs: map[string]*model.Spec{}, entries: map[string]ctl.Entry{}}
@@ -88,7 +89,8 @@
 	return f, f.startLyingMembers()
 }
 
-// startStandIns starts what sidecars need: registry nodes if the plan has any, servers, the network between sidecars, and the list.
+// startStandIns starts what sidecars need, in this order: registry nodes if the plan has any, as servers register there; servers; the
+// network between sidecars; and the list where there are no registry nodes.
 func (f *Fleet) startStandIns(ctx context.Context) error {
 	if f.plan.File.Registry.Count > 0 {
 		if err := f.startRegistry(ctx); err != nil {
@@ -109,9 +111,9 @@
 	return f.startList()
 }
 
-const maxConcurrentStarts = 8
+const maxConcurrentStarts = 8 // of sidecars
 
-// startSidecars prepares all sidecars, and starts those that do not join later.
+// startSidecars reserves addresses and folders for all sidecars, starts those that do not join later, and waits until they answer.
 func (f *Fleet) startSidecars(ctx context.Context) error {
 	for i := range f.plan.Sidecars {
 		prepared := &sidecar{index: i, folder: filepath.Join(f.work, f.plan.Sidecars[i].Name)}
@@ -140,7 +142,7 @@
 	return group.Wait()
 }
 
-// log is the file that all processes of a name write to. It removes what an earlier experiment left there.
+// log is the path of the log that all processes of a name append to. The first call removes what an earlier experiment left there.
 func (f *Fleet) log(name string) string {
 	path := filepath.Join(f.logs, name+".log")
 	if _, known := f.logged.LoadOrStore(name, true); !known {
@@ -149,25 +151,27 @@
 	return path
 }
 
+// env is the environment of a process, with some variables of its own.
 func (f *Fleet) env(more ...string) []string {
 	env := append([]string{"PATH=" + os.Getenv("PATH")}, f.self.Env...)
 	return append(env, more...)
 }
 
-func (f *Fleet) records(kind string, i int) string {
-	return filepath.Join(f.work, fmt.Sprintf("%s-%d.jsonl", kind, i))
+// records is the path of the records that the index-th process of a kind writes.
+func (f *Fleet) records(kind string, index int) string {
+	return filepath.Join(f.work, fmt.Sprintf("%s-%d.jsonl", kind, index))
 }
 
-// handleEvent handles events that no order asked for.
-func (f *Fleet) handleEvent(n ctl.Event) {
+// handleEvent handles an event of a stand-in that no order asked for.
+func (f *Fleet) handleEvent(event ctl.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n.Kind == ctl.EventFell {
-		f.falls = append(f.falls, n)
+	if event.Kind == ctl.EventFell {
+		f.falls = append(f.falls, event)
 	}
 }
 
-// Addresses are where clients reach the sidecars.
+// Addresses are where clients reach the sidecars, by index in the plan: IP address and port.
 func (f *Fleet) Addresses() []string {
 	var all []string
 	for _, s := range f.sidecars {
@@ -176,9 +180,10 @@
 	return all
 }
 
-const terminationTimeout = 6 * time.Second // for a sidecar to finish after SIGTERM
+const terminationTimeout = 6 * time.Second // for a process to shut down
 
-// Finish ends all sidecars as a platform does, then the stand-ins. Processes that had to be killed are errors of the lab (Err).
+// Finish shuts down all sidecars as a platform does, and then the stand-ins. Processes that did not shut down in time are killed, which is
+// an error of the lab (Err).
 func (f *Fleet) Finish() {
 	for _, s := range f.sidecars {
 		s.tasks.Wait()
@@ -186,15 +191,15 @@
 	var group errgroup.Group
 	for _, s := range f.sidecars {
 		if s.process == nil {
-			continue // the experiment was broken off before it joined
+			continue // the experiment ended before this one joined
 		}
 		group.Go(func() error { return endProcess(s.process) })
 	}
 	f.recordError(group.Wait())
-	f.stopStandins()
+	f.stopStandIns()
 }
 
-// endProcess ends a process as a platform does. It fails with ErrKilled where it did not shut down in time.
+// endProcess shuts a process down as a platform does. It fails with ErrKilled where that took longer than terminationTimeout.
 func endProcess(process *proc.Process) error {
 	if !process.End(terminationTimeout) {
 		return fmt.Errorf("%s %w", process.Name, ErrKilled)
@@ -202,31 +207,35 @@
 	return nil
 }
 
-func (f *Fleet) stopStandins() {
-	end := func(c *child) {
-		if c == nil {
-			return
-		}
-		f.recordError(endProcess(c.Process))
-		<-c.outputEnded
-	}
-	for _, c := range f.hosts {
-		end(c)
+// stopStandIns shuts down the stand-ins one after the other: servers and the list, the network between sidecars, and the registry from its
+// clients to its network.
+func (f *Fleet) stopStandIns() {
+	for _, host := range f.hosts {
+		f.stopStandIn(host)
 	}
-	end(f.list.current())
-	for _, c := range f.lyingMembers {
-		end(c)
+	f.stopStandIn(f.list.current())
+	for _, member := range f.lyingMembers {
+		f.stopStandIn(member)
 	}
 	if f.peers != nil {
-		end(f.peers.relay)
+		f.stopStandIn(f.peers.relay)
 	}
-	if f.registry != nil { // from the clients to the network
-		end(f.registry.watchers)
+	if f.registry != nil {
+		f.stopStandIn(f.registry.watchers)
 		f.registry.stopAll()
-		end(f.registry.relay)
+		f.stopStandIn(f.registry.relay)
 	}
 }
 
+// stopStandIn shuts down a stand-in, if there is one, and waits until all its events have been handled.
+func (f *Fleet) stopStandIn(standIn *child) {
+	if standIn == nil {
+		return
+	}
+	f.recordError(endProcess(standIn.Process))
+	<-standIn.outputEnded
+}
+
 // recordError records an error of the lab itself, if it is one.
 func (f *Fleet) recordError(err error) {
 	if err == nil {
@@ -237,31 +246,35 @@
 	f.errs = append(f.errs, err)
 }
 
-// Close ends every process at once, whatever it does. The janitor undoes what was done to folders.
+// Close kills every process that still runs and releases all ports. It may be called several times. What faults did to folders is left to
+// the janitor.
 func (f *Fleet) Close() {
 	f.all.Kill()
 	for _, s := range f.sidecars {
 		s.tasks.Wait()
 	}
 	f.all.Kill() // what a task started meanwhile
-	f.releaseOnce.Do(func() {
-		for _, s := range f.sidecars {
-			_ = s.reservation.Close() // a descriptor that the lab's end would close as well
-		}
-		if f.list != nil && f.list.reservation != nil {
-			_ = f.list.reservation.Close() // a descriptor that the lab's end would close as well
-		}
-		if f.registry != nil {
-			f.registry.releasePorts()
-		}
-		if f.peers != nil {
-			f.peers.releasePorts()
-		}
-	})
+	f.releaseOnce.Do(f.releasePorts)
 	f.starter.Close()
 }
 
-// Exits are how all processes ended that did.
+// releasePorts releases the ports that are reserved for processes. Errors are left alone: the lab's end closes the descriptors as well.
+func (f *Fleet) releasePorts() {
+	for _, s := range f.sidecars {
+		_ = s.reservation.Close()
+	}
+	if f.list != nil && f.list.reservation != nil {
+		_ = f.list.reservation.Close()
+	}
+	if f.registry != nil {
+		f.registry.releasePorts()
+	}
+	if f.peers != nil {
+		f.peers.releasePorts()
+	}
+}
+
+// Exits are how the processes ended that have ended.
 func (f *Fleet) Exits() []proc.Exit {
 	var exits []proc.Exit
 	f.all.Each(func(p *proc.Process) {
@@ -274,7 +287,7 @@
 	return exits
 }
 
-// Err is what the lab itself could not do.
+// Err is what the lab itself could not do: all errors joined, which may be of any type of this package, or nil.
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
