--- a/internal/lab/page.go
+++ b/internal/lab/page.go
@@ -6,11 +6,12 @@
 	"io"
 )
 
+// page is the template of report.html. It needs no other file.
 var page = template.Must(template.New("report").Funcs(template.FuncMap{
 	"value": func(v *float64) string { return fmt.Sprintf("%.4g", *v) },
 	"shade": func(i int) template.CSS {
-		c := bandColor(i)
-		return template.CSS(fmt.Sprintf("background:rgba(%d,%d,%d,.35)", c.R, c.G, c.B))
+		shade := bandColor(i)
+		return template.CSS(fmt.Sprintf("background:rgba(%d,%d,%d,.35)", shade.R, shade.G, shade.B))
 	},
 }).Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.R.Name}}, seed {{.R.Seed}}</title>
@@ -32,16 +33,16 @@
 </html>
 `))
 
-// writePage writes report.html: all it shows is inside.
-func writePage(w io.Writer, r *Result) error {
-	drawn, err := picture(r)
+// writePage writes report.html.
+func writePage(w io.Writer, result *Result) error {
+	drawn, err := picture(result)
 	if err != nil {
 		return err
 	}
-	held, of := r.Held()
+	held, of := result.Held()
 	return page.Execute(w, struct {
 		R        *Result
 		Held, Of int
 		Picture  template.HTML
-	}{r, held, of, drawn})
+	}{result, held, of, drawn})
 }
