--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -38,7 +38,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c, err := fleet.startStandIn("list", []string{"list", "--groups", l.groups, "--port", strconv.Itoa(int(l.reservation.Addr.Port())),
-		"--records", fleet.records("told", l.started)})
+		"--records", fleet.records(recordsOfListUpdates, l.started)})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -28,7 +28,7 @@
 	count := len(f.plan.Sidecars)
 	network := &peers{fleet: f, sentStates: make([][]link.State, count)}
 	f.peers = network
-	if network.relay, err = f.startStandIn("peers", []string{"peers", "--gossip", f.records("gossip", 0)}); err != nil {
+	if network.relay, err = f.startStandIn("peers", []string{"peers", "--gossip", f.records(recordsOfGossip, 0)}); err != nil {
 		return err
 	}
 	for i := range count { // all before the first port of the relay, which is then none of theirs
--- a/internal/lab/registrynodes.go
+++ b/internal/lab/registrynodes.go
@@ -69,7 +69,7 @@
 	f.registry = started
 	var err error
 	started.relay, err = f.startStandIn("relay", []string{"relay", "--sidecars", fmt.Sprint(len(f.plan.Sidecars)), "--readers", fmt.Sprint(f.plan.Nears()),
-		"--told", f.records("told", 0), "--shown", f.records("shown", 0), "--routes", f.records("routes", 0)})
+		"--told", f.records(recordsOfListUpdates, 0), "--shown", f.records(recordsOfRegistryUpdates, 0), "--routes", f.records(recordsOfRouteUpdates, 0)})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/registrywatchers.go
+++ b/internal/lab/registrywatchers.go
@@ -31,7 +31,7 @@
 func (ks *registryNodes) awaitWatchers(ctx context.Context) (last check.Last) {
 	ctx, cancel := context.WithTimeout(ctx, watcherTimeout)
 	defer cancel()
-	path := ks.fleet.records("shown", 0)
+	path := ks.fleet.records(recordsOfRegistryUpdates, 0)
 	for {
 		leader, err := ks.leader(ctx)
 		if err != nil {
--- a/internal/lab/servers.go
+++ b/internal/lab/servers.go
@@ -16,7 +16,7 @@
 	count := experiment.Hosts()
 	for i := range count {
 		name := fmt.Sprintf("servers-%d", i)
-		args := []string{"host", "--groups", strconv.Itoa(experiment.Groups()), "--records", f.records("attempts", i)}
+		args := []string{"host", "--groups", strconv.Itoa(experiment.Groups()), "--records", f.records(recordsOfAttempts, i)}
 		if f.registry != nil {
 			args = append(args, "--keepers", strings.Join(f.registryAddresses(experiment.NearHost(i)), ","), "--lease", plan.Seconds(experiment.File.Registry.LeaseS).String())
 		}
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -29,7 +29,7 @@
 	for i := range attempts {
 		trace.addClientAttempt(&attempts[i])
 	}
-	paths, err := filepath.Glob(filepath.Join(folder, "attempts-*.jsonl"))
+	paths, err := filepath.Glob(filepath.Join(folder, recordsPattern(recordsOfAttempts)))
 	if err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 
 // clientAttempts are all attempts of the arrival that the attempt of an id belongs to, in the order in which they were due.
 func clientAttempts(folder, id string) ([]load.Attempt, error) {
-	attempts, err := ctl.ReadRecords[load.Attempt](filepath.Join(folder, "requests.jsonl"))
+	attempts, err := ctl.ReadRecords[load.Attempt](filepath.Join(folder, clientAttemptsFile))
 	if err != nil {
 		return nil, err
 	}
