--- a/internal/lab/peers.go
+++ b/internal/lab/peers.go
@@ -16,14 +16,15 @@
 	fleet        *Fleet
 	relay        *child
 	reservations []*link.PortReservation // where each sidecar listens, then each lying member
-	relayPorts   []int                   // ports of the relay, by sidecar
+	relayPorts   []int                   // ports of the relay, by index of the sidecar behind them
 
 	mu           sync.Mutex
-	activeFaults []*plan.Step // faults of links
-	sentStates   [][]link.State
+	activeFaults []*plan.Step   // faults of links
+	sentStates   [][]link.State // as the relay has them, by the far and then the near sidecar
 }
 
-// startPeers starts the relay, and opens a port before each sidecar.
+// startPeers starts the relay, reserves a port for each sidecar, and opens a port of the relay in front of each. All are reserved before
+// the first port of the relay is opened, which is then none of theirs.
 func (f *Fleet) startPeers() (err error) {
 	count := len(f.plan.Sidecars)
 	network := &peers{fleet: f, sentStates: make([][]link.State, count)}
@@ -31,58 +32,65 @@
 	if network.relay, err = f.startStandIn("peers", []string{"peers", "--gossip", f.records(recordsOfGossip, 0)}); err != nil {
 		return err
 	}
-	for i := range count { // all before the first port of the relay, which is then none of theirs
-		p, err := link.Reserve(link.Near(i))
+	for index := range count {
+		reservation, err := link.Reserve(link.Near(index))
 		if err != nil {
 			return err
 		}
-		network.reservations = append(network.reservations, p)
-		network.sentStates[i] = make([]link.State, count)
+		network.reservations = append(network.reservations, reservation)
+		network.sentStates[index] = make([]link.State, count)
 	}
-	for i := range count {
-		news, err := network.relay.order(ctl.Order{Do: ctl.CommandFront, UID: f.plan.Sidecars[i].Name, Front: network.reservations[i].Addr.String()})
+	for index, planned := range f.plan.Sidecars {
+		order := ctl.Order{Do: ctl.CommandFront, UID: planned.Name, Front: network.reservations[index].Addr.String()}
+		front, err := network.relay.order(order)
 		if err != nil {
 			return err
 		}
-		network.relayPorts = append(network.relayPorts, news.Ports[0])
+		network.relayPorts = append(network.relayPorts, front.Ports[0])
 	}
 	return nil
 }
 
-const maxJoinAddresses = 4 // of peers, in a sidecar's configuration
+const maxJoinAddresses = 4 // of other members, in a sidecar's configuration
 
-// memberConfig is the part of the i-th sidecar's configuration that concerns the other members.
+// memberConfig is the part of a sidecar's configuration that concerns the other members: it joins some, drawn, of those that run from the
+// start.
 func (ps *peers) memberConfig(index int) map[string]any {
 	experiment := ps.fleet.plan
 	own := link.Near(index).String()
-	var standing []int
-	for k, s := range experiment.Sidecars {
-		if k != index && s.Started() == 0 {
-			standing = append(standing, k)
+	var initial []int
+	for other, planned := range experiment.Sidecars {
+		if other != index && planned.Started() == 0 {
+			initial = append(initial, other)
 		}
 	}
-	r := rand.New(rand.NewPCG(experiment.Seed, uint64(index)))
-	r.Shuffle(len(standing), func(a, b int) { standing[a], standing[b] = standing[b], standing[a] })
+	rng := rand.New(rand.NewPCG(experiment.Seed, uint64(index)))
+	rng.Shuffle(len(initial), func(a, b int) { initial[a], initial[b] = initial[b], initial[a] })
 	join := []string{}
-	for _, k := range standing[:min(maxJoinAddresses, len(standing))] {
-		join = append(join, fmt.Sprintf("%s:%d", own, ps.relayPorts[k]))
+	for _, other := range initial[:min(maxJoinAddresses, len(initial))] {
+		join = append(join, fmt.Sprintf("%s:%d", own, ps.relayPorts[other]))
+	}
+	return map[string]any{
+		"listen":    ps.reservations[index].Addr.String(),
+		"advertise": fmt.Sprintf("%s:%d", own, ps.relayPorts[index]),
+		"reach":     own,
+		"join":      join,
+		"bound_s":   experiment.File.Members.BoundMS / 1000,
 	}
-	return map[string]any{"listen": ps.reservations[index].Addr.String(), "advertise": fmt.Sprintf("%s:%d", own, ps.relayPorts[index]), "reach": own, "join": join,
-		"bound_s": experiment.File.Members.BoundMS / 1000}
 }
 
-// applyLinkFault begins or ends a fault of the links between sidecars, and sends the relay the states that all faults make of
-// them.
-func (ps *peers) applyLinkFault(s *plan.Step) (at int64, err error) {
+// applyLinkFault begins or ends a fault of the links between sidecars, and sends the relay the states of links that changed by it. It
+// returns when the last one had.
+func (ps *peers) applyLinkFault(step *plan.Step) (at int64, err error) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	if s.Do != plan.Link {
-		return ps.orderStreams(s)
+	if step.Do != plan.Link {
+		return ps.orderStreams(step)
 	}
-	if s.On {
-		ps.activeFaults = append(ps.activeFaults, s)
+	if step.On {
+		ps.activeFaults = append(ps.activeFaults, step)
 	} else {
-		ps.activeFaults = slices.DeleteFunc(ps.activeFaults, func(a *plan.Step) bool { return a.Fault == s.Fault })
+		ps.activeFaults = slices.DeleteFunc(ps.activeFaults, func(active *plan.Step) bool { return active.Fault == step.Fault })
 	}
 	for far := range ps.sentStates {
 		for state, nears := range ps.changedStates(far) {
@@ -96,26 +104,26 @@
 	return at, nil
 }
 
-// order gives the relay an order for the links to a sidecar.
-func (ps *peers) order(far int, o ctl.Order) (at int64, err error) {
-	o.UID = ps.fleet.plan.Sidecars[far].Name
-	n, err := ps.relay.order(o)
-	return n.At, err
+// order gives the relay an order for the links to a sidecar, and returns when it took effect.
+func (ps *peers) order(far int, order ctl.Order) (at int64, err error) {
+	order.UID = ps.fleet.plan.Sidecars[far].Name
+	event, err := ps.relay.order(order)
+	return event.At, err
 }
 
 // orderStreams resets or forgets all streams between the sidecars that a step affects and the others. The caller holds ps.mu.
-func (ps *peers) orderStreams(s *plan.Step) (at int64, err error) {
+func (ps *peers) orderStreams(step *plan.Step) (at int64, err error) {
 	for far := range ps.sentStates {
 		var nears []int
 		for near := range ps.sentStates {
-			if ps.affects(s, far, near) || ps.affects(s, near, far) {
+			if ps.affects(step, far, near) || ps.affects(step, near, far) {
 				nears = append(nears, near)
 			}
 		}
 		if len(nears) == 0 {
 			continue
 		}
-		took, err := ps.order(far, ctl.Order{Do: ctl.Command(s.Do), Nears: nears})
+		took, err := ps.order(far, ctl.Order{Do: ctl.Command(step.Do), Nears: nears})
 		at = max(at, took)
 		if err != nil {
 			return at, err
@@ -137,27 +145,31 @@
 	return changed
 }
 
-// affects reports whether a fault affects the links of one, as the far end, from another.
-func (ps *peers) affects(s *plan.Step, one, other int) bool {
-	return one != other && slices.Contains(s.Nears, one) && (s.From == "" || ps.fleet.plan.Sidecars[other].Zone == s.From)
+// affects reports whether a fault acts on a sidecar and its links to another one.
+func (ps *peers) affects(step *plan.Step, target, other int) bool {
+	reachesZone := step.From == "" || ps.fleet.plan.Sidecars[other].Zone == step.From
+	return target != other && slices.Contains(step.Nears, target) && reachesZone
 }
 
-// linkState is what all faults make of the link from a near end to a far one. The caller holds ps.mu.
+// linkState is what all faults make of the link from a near end to a far one. A fault that acts on the near end has its directions swapped:
+// what it holds on the way to its target is here on the way to the near end. The caller holds ps.mu.
 func (ps *peers) linkState(far, near int) (state link.State) {
-	for _, s := range ps.activeFaults {
-		far, near := ps.affects(s, far, near), ps.affects(s, near, far) // the second is of the near end's own calls, where directions are swapped
-		if !far && !near {
+	for _, step := range ps.activeFaults {
+		onFar, onNear := ps.affects(step, far, near), ps.affects(step, near, far)
+		if !onFar && !onNear {
 			continue
 		}
-		e := s.Effect
-		e.HoldFar, e.HoldNear = far && e.HoldFar || near && e.HoldNear, far && e.HoldNear || near && e.HoldFar
-		addEffect(&state, e)
+		effect := step.Effect
+		effect.HoldFar = onFar && step.Effect.HoldFar || onNear && step.Effect.HoldNear
+		effect.HoldNear = onFar && step.Effect.HoldNear || onNear && step.Effect.HoldFar
+		addEffect(&state, effect)
 	}
 	return state
 }
 
+// releasePorts releases the ports of all sidecars and lying members. Errors are left alone: the lab's end closes the descriptors as well.
 func (ps *peers) releasePorts() {
-	for _, p := range ps.reservations {
-		_ = p.Close() // a descriptor that the lab's end would close as well
+	for _, reservation := range ps.reservations {
+		_ = reservation.Close()
 	}
 }
