--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/lab/check"
 )
 
-// Print writes a result for a person: figures, what did not hold, and last how much held.
+// Print writes a result as text: figures, what did not hold, and last how much held. An error of the writer is left alone.
 func Print(w io.Writer, r *Result) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s: %s\n", r.Name, r.States)
@@ -47,47 +47,53 @@
 	_, _ = io.WriteString(w, text.String()) // a reader who has gone needs no report
 }
 
-// printMeasured writes a line of those figures that were measured.
-func printMeasured(text *strings.Builder, f check.Figures, what string, names ...string) {
-	var all []string
+// printMeasured writes a line of those figures that were measured, if any was.
+func printMeasured(text *strings.Builder, figures check.Figures, title string, names ...string) {
+	var measured []string
 	for _, name := range names {
-		if v, ok := f[name]; ok {
-			all = append(all, fmt.Sprintf("%s %.4g", name, v))
+		if value, ok := figures[name]; ok {
+			measured = append(measured, fmt.Sprintf("%s %.4g", name, value))
 		}
 	}
-	if len(all) > 0 {
-		fmt.Fprintf(text, "%s: %s\n", what, strings.Join(all, ", "))
+	if len(measured) > 0 {
+		fmt.Fprintf(text, "%s: %s\n", title, strings.Join(measured, ", "))
 	}
 }
 
-// WriteReport writes report.json and report.html into a folder.
+// The files of a report.
+const (
+	reportFile = "report.json" // a Result
+	pageFile   = "report.html"
+)
+
+// WriteReport writes report.json and report.html into a folder, which exists.
 func WriteReport(folder string, r *Result) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, "report.json"), append(text, '\n'), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, reportFile), append(text, '\n'), 0o644); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	var page bytes.Buffer
 	if err := writePage(&page, r); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, "report.html"), page.Bytes(), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, pageFile), page.Bytes(), 0o644); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
 }
 
-// ReadReport reads report.json of a folder.
+// ReadReport reads the result in report.json of a folder.
 func ReadReport(folder string) (*Result, error) {
-	text, err := os.ReadFile(filepath.Join(folder, "report.json"))
+	text, err := os.ReadFile(filepath.Join(folder, reportFile))
 	if err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	var r Result
-	if err := json.Unmarshal(text, &r); err != nil {
+	var result Result
+	if err := json.Unmarshal(text, &result); err != nil {
 		return nil, fmt.Errorf("report: %s: %w", folder, err)
 	}
-	return &r, nil
+	return &result, nil
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -21,41 +21,41 @@
 
 // Result is what an experiment showed. It is the content of report.json.
 type Result struct {
-	Name         string          `json:"name"`
-	States       string          `json:"states"`
-	Seed         uint64          `json:"seed"`
-	Seconds      float64         `json:"seconds"`
-	ArrivalsHash string          `json:"arrivals_hash"`
-	StepsHash    string          `json:"steps_hash"`
-	Servers      int             `json:"servers"`
-	Sidecars     int             `json:"sidecars"`
-	Rate         float64         `json:"requests_per_s"`
-	Void         bool            `json:"void"`
+	Name         string          `json:"name"`           // of the file
+	States       string          `json:"states"`         // the claim that the experiment tests
+	Seed         uint64          `json:"seed"`           // of the plan
+	Seconds      float64         `json:"seconds"`        // duration of the load
+	ArrivalsHash string          `json:"arrivals_hash"`  // plan.Plan.ArrivalsHash
+	StepsHash    string          `json:"steps_hash"`     // plan.Plan.StepsHash
+	Servers      int             `json:"servers"`        // that ran at the start
+	Sidecars     int             `json:"sidecars"`       // with those that joined later
+	Rate         float64         `json:"requests_per_s"` // mean of the load
+	Void         bool            `json:"void"`           // the lab sent too late for the result to count
 	BrokenOff    bool            `json:"broken_off,omitempty"`
-	Verdicts     []check.Verdict `json:"verdicts"`
+	Verdicts     []check.Verdict `json:"verdicts"` // of the invariants, and then of the file's bars
 	Figures      check.Figures   `json:"figures"`
-	Course       []check.Second  `json:"course"`
+	Course       []check.Second  `json:"course"` // by second of the load
 	Bands        []Band          `json:"bands"`
 	Effects      []Effect        `json:"effects"`
-	Peaks        []check.Peak    `json:"peaks"`
+	Peaks        []check.Peak    `json:"peaks"` // by index of the sidecar
 	Exits        []proc.Exit     `json:"exits"`
 	Machine      Machine         `json:"machine"`
 }
 
-// Band is a fault on the time axis, in seconds from the start of the load.
+// Band is the period of a fault, in seconds from the start of the load.
 type Band struct {
-	Says string  `json:"says"`
+	Says string  `json:"says"` // the fault and its targets
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
 }
 
-// Machine is where it ran.
+// Machine is where an experiment ran.
 type Machine struct {
 	Cores int    `json:"cores"`
-	Go    string `json:"go"`
+	Go    string `json:"go"` // version
 }
 
-// Broken are the names of what was broken.
+// Broken are the names of the invariants and bars that were broken.
 func (r *Result) Broken() []string { return check.Names(r.Verdicts, check.Broken) }
 
 // NotSeen are the names of the checks that had nothing to look at.
@@ -67,28 +67,30 @@
 	return held, held + len(r.Broken())
 }
 
-// Options say how an experiment runs.
+// Options say how an experiment runs. The functions are called from goroutines of the experiment, which wait for them.
 type Options struct {
 	Self Self
 	Out  string       // folder for the processes' logs, the clients' and the servers' records; "": none is kept
-	Tick func(Second) // called once a second of the load, if set
-	Up   func(*Fleet) // called when the load starts, if set
+	Tick func(Second) // called once a second of the load; nil: nobody asks
+	Up   func(*Fleet) // called when all processes are ready, before the load starts; nil: nobody asks
 }
 
-// Second are live figures, counted from the start of the load.
+// Second are the numbers of requests from the start of the load until a time of it.
 type Second struct {
-	At       time.Duration `json:"at_ns"`
+	At       time.Duration `json:"at_ns"` // from the start of the load
 	Requests int64         `json:"requests"`
 	Served   int64         `json:"served"`
 	Refused  int64         `json:"refused"`
 	Failed   int64         `json:"failed"`
-	Open     int64         `json:"open"`
+	Open     int64         `json:"open"` // that wait for a response at this time
 }
 
 const startDelay = 300 * time.Millisecond // from all being ready to the start of the load
 
-// Run runs a plan's experiment, and before it the same without floods, if the file wants that; Tick and Up are called for the experiment
-// alone. When ctx is done, it ends early; whatever happens, no process, port or temporary folder is left behind.
+// Run runs a plan's experiment, and before it the same without floods where the file asks for a twin; Tick and Up are called for the
+// experiment alone. When ctx is done, the experiment ends early, and the result says so (BrokenOff). No process, port or temporary folder
+// is left behind, unless the error is ErrNotRemoved. The error is a *plan.Error where this machine cannot play the plan; else it is of
+// the system or of this package.
 func Run(ctx context.Context, experiment *plan.Plan, options Options) (*Result, error) {
 	if err := checkPossible(experiment); err != nil {
 		return nil, err
@@ -110,15 +112,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if evidence.WithoutFloods = twin; twin != nil {
-		evidence.Lateness = max(evidence.Lateness, twin.Lateness) // a late one is nothing to compare with
+	evidence.WithoutFloods = twin
+	if twin != nil {
+		evidence.Lateness = max(evidence.Lateness, twin.Lateness) // nothing can be compared with a twin that was late
 	}
-	r := result(experiment, evidence)
-	r.Effects, r.BrokenOff = effects, ctx.Err() != nil
-	return r, nil
+	result := newResult(experiment, evidence)
+	result.Effects, result.BrokenOff = effects, ctx.Err() != nil
+	return result, nil
 }
 
-// run plays a plan once.
+// run starts the fleet of a plan in a temporary folder, plays the plan once, and removes the folder.
 func run(ctx context.Context, experiment *plan.Plan, options Options) (evidence *check.Evidence, effects []Effect, err error) {
 	work, err := os.MkdirTemp("", "gradeusher-lab-")
 	if err != nil {
@@ -157,7 +160,7 @@
 	return evidence, effects, nil
 }
 
-// play sends the load, applies the plan's steps, ends all processes and reads what they recorded.
+// play sends the load, applies the plan's steps, ends all processes and reads what they recorded. It fails where the lab itself did (Err).
 func (f *Fleet) play(ctx context.Context, options Options) (evidence *check.Evidence, effects []Effect, err error) {
 	clients := &load.Clients{Plan: f.plan, Addresses: f.Addresses(), Slack: plan.Millis(f.plan.File.Limits.AnswerSlackMS),
 		SendDelay: plan.Millis(f.plan.File.Load.SendDelayMS)}
@@ -245,9 +248,10 @@
 	return bounded, func() { stop(); end() }
 }
 
-// checkPossible refuses a plan that this machine cannot play, before anything starts. The error is a *plan.Error.
-func checkPossible(p *plan.Plan) error {
-	if !slices.ContainsFunc(p.Steps, func(s plan.Step) bool { return s.Do == plan.Disk && s.Mode == plan.ModeDiskReadOnly }) {
+// checkPossible refuses a plan that this machine cannot play, before anything starts. The error is a *plan.Error, or one of the system.
+func checkPossible(experiment *plan.Plan) error {
+	makesReadOnly := func(step plan.Step) bool { return step.Do == plan.Disk && step.Mode == plan.ModeDiskReadOnly }
+	if !slices.ContainsFunc(experiment.Steps, makesReadOnly) {
 		return nil
 	}
 	root, err := os.MkdirTemp("", "gradeusher-lab-")
@@ -256,34 +260,41 @@
 	}
 	defer func() { _ = os.RemoveAll(root) }() // an empty folder of the system's temporary files
 	if err := proc.CheckReadOnly(root); err != nil {
-		return &plan.Error{File: p.File.Path, What: "disk-readonly is not possible in " + os.TempDir() + ": " + err.Error()}
+		return &plan.Error{File: experiment.File.Path, What: "disk-readonly is not possible in " + os.TempDir() + ": " + err.Error()}
 	}
 	return nil
 }
 
-// watch samples the processes and hands out live figures once a second.
-func (f *Fleet) watch(ctx context.Context, c *load.Clients, start int64, tell func(Second)) {
-	for n := int64(1); waitUntil(ctx, start+n*int64(time.Second)); n++ {
+// watch samples the processes and hands out live figures once a second of the load, until ctx is done.
+func (f *Fleet) watch(ctx context.Context, clients *load.Clients, start int64, tick func(Second)) {
+	live := &clients.Live
+	for at := time.Second; waitUntil(ctx, start+int64(at)); at += time.Second {
 		f.Sample()
-		if tell != nil {
-			tell(Second{time.Duration(n) * time.Second, c.Live.Requests.Load(), c.Live.Served.Load(), c.Live.Refused.Load(),
-				c.Live.Failed.Load(), c.Live.Open.Load()})
+		if tick == nil {
+			continue
 		}
+		tick(Second{At: at, Requests: live.Requests.Load(), Served: live.Served.Load(), Refused: live.Refused.Load(),
+			Failed: live.Failed.Load(), Open: live.Open.Load()})
 	}
 }
 
-func result(p *plan.Plan, e *check.Evidence) *Result {
-	r := &Result{Name: p.File.Name, States: p.File.States, Seed: p.Seed, Seconds: p.File.Seconds, ArrivalsHash: p.ArrivalsHash,
-		StepsHash: p.StepsHash, Servers: p.InitialServers, Sidecars: len(p.Sidecars), Rate: p.Rate(), Peaks: e.Peaks, Exits: e.Exits,
-		Machine: Machine{runtime.NumCPU(), runtime.Version()}}
-	r.Verdicts = check.Invariants(e)
-	r.Figures, r.Course = check.Measure(e)
-	r.Verdicts = append(r.Verdicts, check.Bars(e, r.Figures)...)
-	for _, v := range r.Verdicts {
-		r.Void = r.Void || v.Name == "lab-on-time" && v.Broken > 0
+const onTimeInvariant = "lab-on-time" // without which a run is void, see plan.Invariants
+
+// newResult checks the evidence of a plan and measures its figures.
+func newResult(experiment *plan.Plan, evidence *check.Evidence) *Result {
+	file := experiment.File
+	result := &Result{Name: file.Name, States: file.States, Seed: experiment.Seed, Seconds: file.Seconds, ArrivalsHash: experiment.ArrivalsHash,
+		StepsHash: experiment.StepsHash, Servers: experiment.InitialServers, Sidecars: len(experiment.Sidecars), Rate: experiment.Rate(),
+		Peaks: evidence.Peaks, Exits: evidence.Exits, Machine: Machine{runtime.NumCPU(), runtime.Version()}}
+	result.Verdicts = check.Invariants(evidence)
+	result.Figures, result.Course = check.Measure(evidence)
+	result.Verdicts = append(result.Verdicts, check.Bars(evidence, result.Figures)...)
+	for _, verdict := range result.Verdicts {
+		late := verdict.Name == onTimeInvariant && verdict.Broken > 0
+		result.Void = result.Void || late
 	}
-	for _, b := range p.Bands {
-		r.Bands = append(r.Bands, Band{b.Says, b.From.Seconds(), b.To.Seconds()})
+	for _, band := range experiment.Bands {
+		result.Bands = append(result.Bands, Band{band.Says, band.From.Seconds(), band.To.Seconds()})
 	}
-	return r
+	return result
 }
