--- a/internal/lab/listprocess.go
+++ b/internal/lab/listprocess.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"net/netip"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -12,17 +13,18 @@
 	"gradeusher.example/gradeusher/internal/lab/link"
 )
 
-// listProcess is the list, whose process faults may end and start.
+// listProcess is where the processes of the platform's list run, one after the other, at one port.
 type listProcess struct {
 	fleet       *Fleet
-	groups      string
+	groups      string // the group of each sidecar, with commas between them
 	reservation *link.PortReservation
 
 	mu      sync.Mutex
-	child   *child
-	started int
+	child   *child // the latest process
+	started int    // number of processes
 }
 
+// current is the latest process; nil where there is no list.
 func (l *listProcess) current() *child {
 	if l == nil {
 		return nil
@@ -32,41 +34,41 @@
 	return l.child
 }
 
-// start starts the list's process, where the one before was.
+// start starts a process of the list, and sends it all that the ones before were sent.
 func (l *listProcess) start() error {
 	fleet := l.fleet
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, err := fleet.startStandIn("list", []string{"list", "--groups", l.groups, "--port", strconv.Itoa(int(l.reservation.Addr.Port())),
+	started, err := fleet.startStandIn("list", []string{"list", "--groups", l.groups, "--port", strconv.Itoa(int(l.reservation.Addr.Port())),
 		"--records", fleet.records(recordsOfListUpdates, l.started)})
 	if err != nil {
 		return err
 	}
 	l.started++
-	l.child = c
+	l.child = started
 	fleet.mu.Lock()
-	told := append([]ctl.Entry(nil), fleet.listed...)
+	entries := slices.Clone(fleet.listed)
 	fleet.mu.Unlock()
-	for _, e := range told {
-		if _, err := c.order(ctl.Order{Do: ctl.CommandUpdateList, Entry: &e}); err != nil {
+	for _, entry := range entries {
+		if _, err := started.order(ctl.Order{Do: ctl.CommandUpdateList, Entry: &entry}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addEntry has the list apply an entry; while its process is down, the next one applies it.
-func (l *listProcess) addEntry(e ctl.Entry) error {
+// addEntry has the list apply an entry. Where its process has ended, the next one applies it.
+func (l *listProcess) addEntry(entry ctl.Entry) error {
 	l.fleet.mu.Lock()
-	l.fleet.listed = append(l.fleet.listed, e)
+	l.fleet.listed = append(l.fleet.listed, entry)
 	l.fleet.mu.Unlock()
-	c := l.current()
+	process := l.current()
 	select {
-	case <-c.Ended():
+	case <-process.Ended():
 		return nil
 	default:
 	}
-	_, err := c.order(ctl.Order{Do: ctl.CommandUpdateList, Entry: &e})
+	_, err := process.order(ctl.Order{Do: ctl.CommandUpdateList, Entry: &entry})
 	if errors.Is(err, ErrProcessEnded) || errors.Is(err, syscall.EPIPE) {
 		return nil
 	}
@@ -86,15 +88,15 @@
 	if err := f.list.start(); err != nil {
 		return err
 	}
-	for _, e := range f.known {
-		if err := f.list.addEntry(e); err != nil {
+	for _, entry := range f.known {
+		if err := f.list.addEntry(entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ListAddress is where the first sidecar reaches the list.
+// ListAddress is where the first sidecar reaches the list, or the first registry node where the registry has it: IP address and port.
 func (f *Fleet) ListAddress() string {
 	if f.registry != nil {
 		return f.registryAddresses(0)[0]
@@ -102,7 +104,7 @@
 	return f.listAddress(0)
 }
 
-// listAddress is where the i-th sidecar reaches the list.
-func (f *Fleet) listAddress(i int) string {
-	return netip.AddrPortFrom(link.Near(i), f.list.reservation.Addr.Port()).String()
+// listAddress is where the sidecar of an index reaches the list: IP address and port.
+func (f *Fleet) listAddress(index int) string {
+	return netip.AddrPortFrom(link.Near(index), f.list.reservation.Addr.Port()).String()
 }
--- a/internal/lab/registrysteps.go
+++ b/internal/lab/registrysteps.go
@@ -14,37 +14,42 @@
 // nodeStatus is what the lab reads of a registry node's status.
 type nodeStatus struct {
 	Role    string `json:"role"`
-	AgeMS   int64  `json:"age_ms"`
-	Rev     int64  `json:"rev"`
-	Cluster string `json:"cluster"`
+	AgeMS   int64  `json:"age_ms"`  // since the node last knew itself up to date; below 0: not since its start
+	Rev     int64  `json:"rev"`     // revision of its list
+	Cluster string `json:"cluster"` // id
 }
 
-const leaderTimeout = 10 * time.Second
+const (
+	leaderTimeout      = 10 * time.Second // for a node to lead
+	leaderPollInterval = 20 * time.Millisecond
+	leaderRole         = "leader" // of a node's status
+)
 
-// leader asks the nodes for the leader, past the relay and its faults, until one leads.
+// leader asks all nodes, past the relay and its faults, until one leads. It fails with ErrNoLeader after leaderTimeout.
 func (ks *registryNodes) leader(ctx context.Context) (*registryNode, error) {
-	var own []string
-	for _, k := range ks.nodes {
-		own = append(own, k.http.Addr.String())
+	var addresses []string
+	for _, node := range ks.nodes {
+		addresses = append(addresses, node.http.Addr.String())
 	}
-	c, err := client.New(own)
+	registry, err := client.New(addresses)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
+	defer registry.Close()
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	for {
-		all, _ := client.Status[nodeStatus](ctx, c)
-		for _, k := range ks.nodes {
-			if s, ok := all[k.http.Addr.String()]; ok && s.Role == "leader" && s.AgeMS == 0 {
-				return k, nil
+		statuses, _ := client.Status[nodeStatus](ctx, registry) // of the nodes that answered
+		for _, node := range ks.nodes {
+			status := statuses[node.http.Addr.String()]
+			if status.Role == leaderRole && status.AgeMS == 0 {
+				return node, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ErrNoLeader
-		case <-time.After(20 * time.Millisecond):
+		case <-time.After(leaderPollInterval):
 		}
 	}
 }
@@ -74,53 +79,44 @@
 	return node, nil
 }
 
-// targetName is the name of what a step acts on, for the report.
-func (ks *registryNodes) targetName(s *plan.Step) string {
-	if k, ok := plan.NodeOf(s.Sidecar); ok {
-		return ks.nodes[k].name
+// targetName is what a step acts on, as reports show it.
+func (ks *registryNodes) targetName(step *plan.Step) string {
+	if index, ok := plan.NodeOf(step.Sidecar); ok {
+		return ks.nodes[index].name
 	}
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
-	if k := ks.leaderByFault[s.Fault]; k != nil {
-		return k.name
+	if node := ks.leaderByFault[step.Fault]; node != nil {
+		return node.name
 	}
 	return "leader"
 }
 
-// runInOrder runs steps that wait: one after the other where they act on one node, concurrently where not. It does not wait.
-func (ks *registryNodes) runInOrder(s *plan.Step, run func()) {
+// runInOrder runs a step in a goroutine, after all earlier steps of the same process index. It does not wait for it.
+func (ks *registryNodes) runInOrder(step *plan.Step, apply func()) {
 	ks.mu.Lock()
-	before := ks.lastStepDone[s.Sidecar]
-	own := make(chan struct{})
-	ks.lastStepDone[s.Sidecar] = own
+	before := ks.lastStepDone[step.Sidecar]
+	done := make(chan struct{})
+	ks.lastStepDone[step.Sidecar] = done
 	ks.mu.Unlock()
 	go func() {
-		defer close(own)
+		defer close(done)
 		if before != nil {
 			<-before
 		}
-		run()
+		apply()
 	}()
 }
 
-// applyStep applies a step to a registry node and returns when it took effect.
-func (ks *registryNodes) applyStep(ctx context.Context, step *plan.Step) (int64, error) {
+// applyStep applies a step to a registry node and returns when that took effect, in ns of the lab's clock.
+func (ks *registryNodes) applyStep(ctx context.Context, step *plan.Step) (at int64, err error) {
 	node, err := ks.nodeOf(ctx, step)
 	if err != nil {
 		return clock.Now(), err
 	}
 	switch step.Do {
 	case plan.Stop, plan.Cont, plan.Disk:
-		node.mu.Lock()
-		defer node.mu.Unlock()
-		now := clock.Now()
-		switch step.Do {
-		case plan.Stop:
-			return now, node.process.Signal(syscall.SIGSTOP, false)
-		case plan.Cont:
-			return now, node.process.Signal(syscall.SIGCONT, false)
-		}
-		return now, node.process.SetDiskFault(step.Mode)
+		return node.applyFault(step)
 	case plan.Tear:
 		return clock.Now(), truncateStore(filepath.Join(node.folder, "data", "raft"), step.Mode)
 	case plan.Link, plan.Reset, plan.Forget:
@@ -130,21 +126,40 @@
 	case plan.Start:
 		return clock.Now(), ks.start(node)
 	}
-	node.mu.Lock()
-	p := node.process
-	node.mu.Unlock()
-	at := clock.Now()
+	return node.end(step.Do == plan.Term)
+}
+
+// applyFault stops or continues the node's process, or begins or ends a fault of its disk.
+func (n *registryNode) applyFault(step *plan.Step) (at int64, err error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	at = clock.Now()
+	switch step.Do {
+	case plan.Stop:
+		return at, n.process.Signal(syscall.SIGSTOP, false)
+	case plan.Cont:
+		return at, n.process.Signal(syscall.SIGCONT, false)
+	}
+	return at, n.process.SetDiskFault(step.Mode)
+}
+
+// end ends the node's process by SIGTERM or SIGKILL, and returns when the signal was sent.
+func (n *registryNode) end(terminate bool) (at int64, err error) {
+	n.mu.Lock()
+	process := n.process
+	n.mu.Unlock()
+	at = clock.Now()
 	sig := syscall.SIGKILL
-	if step.Do == plan.Term {
+	if terminate {
 		sig = syscall.SIGTERM
 	}
-	_, err = endBy(p, sig)
+	_, err = endBy(process, sig)
 	return at, err
 }
 
-// backupOrRestore takes a backup of the registry, or restores the one that was taken.
+// backupOrRestore takes a backup of the registry, or restores the latest one.
 func (ks *registryNodes) backupOrRestore(ctx context.Context, take bool) error {
-	c, ctx, done, err := ks.fleet.dialRegistry(ctx)
+	registry, ctx, done, err := ks.fleet.dialRegistry(ctx)
 	if err != nil {
 		return err
 	}
@@ -152,9 +167,9 @@
 	ks.mu.Lock()
 	defer ks.mu.Unlock()
 	if take {
-		ks.backup, err = c.Backup(ctx, true)
+		ks.backup, err = registry.Backup(ctx, true)
 		return err
 	}
-	_, err = c.Restore(ctx, ks.backup)
+	_, err = registry.Restore(ctx, ks.backup)
 	return err
 }
--- a/internal/lab/sidecars.go
+++ b/internal/lab/sidecars.go
@@ -18,17 +18,18 @@
 
 // sidecar is where the processes of one sidecar run, one after the other.
 type sidecar struct {
-	index       int
-	reservation *link.PortReservation // its address
-	folder      string
+	index       int                   // in the plan
+	reservation *link.PortReservation // of its address
+	folder      string                // TMPDIR of its processes
+	tasks       sync.WaitGroup        // steps that end a process
 
 	mu      sync.Mutex
-	process *proc.Process
-	runs    []check.Run
-	peak    check.Peak
-	tasks   sync.WaitGroup // that end or start a process
+	process *proc.Process // the latest one; nil: it has not joined
+	runs    []check.Run   // of all its processes
+	peak    check.Peak    // of all its processes
 }
 
+// address is where clients reach the sidecar: IP address and port.
 func (s *sidecar) address() string { return s.reservation.Addr.String() }
 
 // startSidecar starts a process of a sidecar, whose configuration has the list as it was at the start of the fleet.
@@ -59,21 +60,29 @@
 		args = []string{"stand-in", "plain", "--flaw", f.plan.File.Fleet.Flaw}
 	}
 	tmp := started.folder
-	if f.registry != nil && !f.plan.File.Registry.Cache || !f.plan.File.Fleet.Keep {
+	if !f.keepsFiles() {
 		tmp = ""
 	}
 	began := clock.Now()
-	p, err := f.starter.Start(proc.Spec{Name: name, Path: f.self.Path, Args: args, Log: f.log(name), Folder: started.folder,
+	process, err := f.starter.Start(proc.Spec{Name: name, Path: f.self.Path, Args: args, Log: f.log(name), Folder: started.folder,
 		Env: f.env("TMPDIR="+tmp, "PROXY_CONFIG="+config, "PROXY_NAME="+name, "PROXY_LISTEN="+started.address(), "PROXY_DISCOVERY="+environment.discovery)})
 	if err != nil {
 		return err
 	}
-	f.all.Add(p)
-	started.process = p
+	f.all.Add(process)
+	started.process = process
 	started.runs = append(started.runs, check.Run{From: began})
 	return nil
 }
 
+// keepsFiles reports whether a sidecar's process finds the files of the one before it.
+func (f *Fleet) keepsFiles() bool {
+	withoutCache := f.registry != nil && !f.plan.File.Registry.Cache
+	return f.plan.File.Fleet.Keep && !withoutCache
+}
+
+const readinessPollInterval = 10 * time.Millisecond
+
 // awaitReady waits until a sidecar answers. It fails with a *StartError where the process ends before, or after standInTimeout.
 func (f *Fleet) awaitReady(ctx context.Context, s *sidecar) error {
 	ctx, cancel := context.WithTimeout(ctx, standInTimeout)
@@ -98,25 +107,32 @@
 			return &StartError{Process: run.Name, Failure: "ended as it started"}
 		case <-ctx.Done():
 			return &StartError{Process: run.Name, Failure: fmt.Sprintf("is not ready after %v", standInTimeout)}
-		case <-time.After(10 * time.Millisecond):
+		case <-time.After(readinessPollInterval):
 		}
 	}
 }
 
-// Sample looks at what each sidecar's process holds and keeps the most.
+// Sample samples memory and descriptors of the processes of sidecars and registry nodes, whose peaks go to the evidence.
 func (f *Fleet) Sample() {
 	for _, s := range f.sidecars {
-		s.mu.Lock()
-		if s.process == nil {
-			s.mu.Unlock()
-			continue // it has not joined
-		}
-		if v, err := s.process.Sample(); err == nil { // one that has ended holds nothing
-			s.peak.MemoryMB, s.peak.Descriptors = max(s.peak.MemoryMB, v.MemoryMB), max(s.peak.Descriptors, v.Descriptors)
-		}
-		s.mu.Unlock()
+		s.sample()
 	}
 	if f.registry != nil {
 		f.registry.sample()
 	}
 }
+
+// sample samples the sidecar's process, if it has joined.
+func (s *sidecar) sample() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.process == nil {
+		return
+	}
+	sampled, err := s.process.Sample()
+	if err != nil {
+		return // a process that has ended holds nothing
+	}
+	s.peak.MemoryMB = max(s.peak.MemoryMB, sampled.MemoryMB)
+	s.peak.Descriptors = max(s.peak.Descriptors, sampled.Descriptors)
+}
