--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -9,17 +9,18 @@
 	"strings"
 )
 
-// Spread is the middle and the ends of some values.
+// Spread is the median and the range of some values.
 type Spread struct {
 	Min    float64 `json:"least"`
 	Median float64 `json:"median"`
 	Max    float64 `json:"most"`
 }
 
-func newSpread(v []float64) Spread {
-	v = slices.Sorted(slices.Values(v))
-	n := len(v)
-	return Spread{v[0], (v[(n-1)/2] + v[n/2]) / 2, v[n-1]}
+// newSpread returns the spread of at least one value.
+func newSpread(values []float64) Spread {
+	sorted := slices.Sorted(slices.Values(values))
+	count := len(sorted)
+	return Spread{Min: sorted[0], Median: (sorted[(count-1)/2] + sorted[count/2]) / 2, Max: sorted[count-1]}
 }
 
 // Compared is one figure of two experiments.
@@ -27,9 +28,9 @@
 	Figure string  `json:"figure"`
 	A      Spread  `json:"a"`
 	B      Spread  `json:"b"`
-	Ratio  *Spread `json:"ratio,omitempty"` // of B to A, run by run; none where A was 0
-	Better int     `json:"higher_in_b"`     // runs in which B's was higher
-	Runs   int     `json:"runs"`
+	Ratio  *Spread `json:"ratio,omitempty"` // of B to A, run by run; nil: A was 0 in some run
+	Better int     `json:"higher_in_b"`     // runs in which B's figure was higher
+	Runs   int     `json:"runs"`            // of A, and as many of B
 }
 
 // Compare holds runs of A against runs of B, the i-th against the i-th, and returns their common figures, sorted by name. It fails with a
@@ -40,36 +41,40 @@
 	}
 	var all []Compared
 	for _, name := range slices.Sorted(maps.Keys(runsA[0].Figures)) {
-		var valuesA, valuesB, ratios []float64
-		compared := Compared{Figure: name, Runs: len(runsA)}
-		for i := range runsA {
-			x, known := runsA[i].Figures[name]
-			y, both := runsB[i].Figures[name]
-			if !known || !both {
-				continue
-			}
-			valuesA, valuesB = append(valuesA, x), append(valuesB, y)
-			if y > x {
-				compared.Better++
-			}
-			if x != 0 {
-				ratios = append(ratios, y/x)
-			}
+		if compared, ok := compareFigure(name, runsA, runsB); ok {
+			all = append(all, compared)
 		}
-		if len(valuesA) != len(runsA) {
-			continue // not a figure of both
+	}
+	return all, nil
+}
+
+// compareFigure compares one figure of as many runs of A as of B. ok is false where a run lacks the figure.
+func compareFigure(name string, runsA, runsB []*Result) (compared Compared, ok bool) {
+	compared = Compared{Figure: name, Runs: len(runsA)}
+	var valuesA, valuesB, ratios []float64
+	for i := range runsA {
+		valueA, inA := runsA[i].Figures[name]
+		valueB, inB := runsB[i].Figures[name]
+		if !inA || !inB {
+			return Compared{}, false
 		}
-		compared.A, compared.B = newSpread(valuesA), newSpread(valuesB)
-		if len(ratios) == len(runsA) {
-			s := newSpread(ratios)
-			compared.Ratio = &s
+		valuesA, valuesB = append(valuesA, valueA), append(valuesB, valueB)
+		if valueB > valueA {
+			compared.Better++
+		}
+		if valueA != 0 {
+			ratios = append(ratios, valueB/valueA)
 		}
-		all = append(all, compared)
 	}
-	return all, nil
+	compared.A, compared.B = newSpread(valuesA), newSpread(valuesB)
+	if len(ratios) == len(runsA) {
+		spread := newSpread(ratios)
+		compared.Ratio = &spread
+	}
+	return compared, true
 }
 
-// PrintCompared writes a table of it.
+// PrintCompared writes compared figures as a table of text. An error of the writer is left alone.
 func PrintCompared(w io.Writer, all []Compared) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-20s %30s %30s %28s %8s\n", "figure", "A: median (least to most)", "B: median (least to most)", "B/A, run by run", "B higher")
@@ -83,6 +88,7 @@
 	_, _ = io.WriteString(w, text.String()) // a reader who has gone needs no table
 }
 
+// formatSpread is "median (min to max)", or a single value where all are the same or where the median is no number.
 func formatSpread(s Spread) string {
 	if s.Min == s.Max || math.IsNaN(s.Median) {
 		return fmt.Sprintf("%.4g", s.Median)
--- a/internal/lab/janitor.go
+++ b/internal/lab/janitor.go
@@ -10,21 +10,25 @@
 	"gradeusher.example/gradeusher/internal/lab/proc"
 )
 
-const cleanupTimeout = 10 * time.Second // for processes that are being killed to let go of their files
+const (
+	cleanupTimeout      = 10 * time.Second // for processes that are being killed to close their files
+	cleanupPollInterval = 20 * time.Millisecond
+)
 
-// startJanitor starts the process that removes the work folder when the lab is gone, however it went. leave has it do so now.
-func startJanitor(self Self, work string) (leave func() error, err error) {
-	s := proc.NewStarter()
-	p, err := s.Start(proc.Spec{Name: "janitor", Path: self.Path, Args: []string{"stand-in", "janitor", work}, Log: os.DevNull, Piped: true, OutlivesLab: true,
-		Env: append([]string{"TMPDIR=" + os.TempDir()}, self.Env...)})
+// startJanitor starts the process that removes the work folder when the lab has ended, however that came about. cleanUp has it do so now,
+// and fails with ErrNotRemoved where the folder is still there.
+func startJanitor(self Self, work string) (cleanUp func() error, err error) {
+	starter := proc.NewStarter()
+	janitor, err := starter.Start(proc.Spec{Name: "janitor", Path: self.Path, Args: []string{"stand-in", "janitor", work}, Log: os.DevNull, Piped: true,
+		OutlivesLab: true, Env: append([]string{"TMPDIR=" + os.TempDir()}, self.Env...)})
 	if err != nil {
-		s.Close()
+		starter.Close()
 		return nil, err
 	}
 	return func() error {
-		defer s.Close()
-		defer func() { _ = p.Out.Close() }() // nothing is read from it
-		p.End(cleanupTimeout + time.Second)
+		defer starter.Close()
+		defer func() { _ = janitor.Out.Close() }() // nothing is read from it
+		janitor.End(cleanupTimeout + time.Second)
 		if _, err := os.Stat(work); !os.IsNotExist(err) {
 			return fmt.Errorf("%s %w", work, ErrNotRemoved)
 		}
@@ -32,7 +36,8 @@
 	}, nil
 }
 
-// Clean is the janitor: it waits until the lab's end of its input is closed and removes the folder.
+// Clean is the janitor: it waits until the lab's end of its input is closed, and removes the folder work. It returns the error of the input,
+// or of the removal where that has not succeeded after cleanupTimeout.
 func Clean(lab io.Reader, work string) error {
 	if _, err := io.Copy(io.Discard, lab); err != nil {
 		return err
@@ -44,12 +49,12 @@
 	for _, folder := range folders {
 		_ = proc.SetReadOnly(folder, false) // most were never read-only, and files cannot be
 	}
-	for until := time.Now().Add(cleanupTimeout); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(cleanupTimeout); ; time.Sleep(cleanupPollInterval) {
 		err := os.RemoveAll(work)
-		if _, gone := os.Stat(work); err == nil && os.IsNotExist(gone) {
+		if _, statErr := os.Stat(work); err == nil && os.IsNotExist(statErr) {
 			return nil
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return err
 		}
 	}
--- a/internal/lab/registrywatchers.go
+++ b/internal/lab/registrywatchers.go
@@ -12,22 +12,25 @@
 
 // startWatchers starts the process of subscribers that only watch, if the plan has any.
 func (f *Fleet) startWatchers() (err error) {
-	n := f.plan.File.Registry.Watchers
-	if n == 0 {
+	count := f.plan.File.Registry.Watchers
+	if count == 0 {
 		return nil
 	}
 	args := []string{"watchers"}
-	for i := range n {
-		args = append(args, "--of", strings.Join(f.registryAddresses(f.plan.NearWatcher(i)), "/"))
+	for index := range count {
+		args = append(args, "--of", strings.Join(f.registryAddresses(f.plan.NearWatcher(index)), "/"))
 	}
 	f.registry.watchers, err = f.startStandIn("watchers", args)
 	return err
 }
 
-const watcherTimeout = 15 * time.Second // for all watchers to catch up, when the faults are over
+const (
+	watcherTimeout      = 15 * time.Second // for all watchers to catch up, when the faults are over
+	watcherPollInterval = 200 * time.Millisecond
+)
 
 // awaitWatchers waits, when all faults are over, until a node leads and every watcher was notified of its revision, or for watcherTimeout.
-// It returns what the last revision is; 0: nobody leads.
+// It returns the last revision that was seen; 0: nobody leads.
 func (ks *registryNodes) awaitWatchers(ctx context.Context) (last check.Last) {
 	ctx, cancel := context.WithTimeout(ctx, watcherTimeout)
 	defer cancel()
@@ -37,21 +40,21 @@
 		if err != nil {
 			return last
 		}
-		c, err := client.New([]string{leader.http.Addr.String()})
+		registry, err := client.New([]string{leader.http.Addr.String()})
 		if err != nil {
 			return last
 		}
-		all, _ := client.Status[nodeStatus](ctx, c)
-		c.Close()
-		for _, s := range all {
-			last = check.Last{Cluster: s.Cluster, Rev: s.Rev}
+		statuses, _ := client.Status[nodeStatus](ctx, registry) // of the leader alone, unless it has gone
+		registry.Close()
+		for _, status := range statuses {
+			last = check.Last{Cluster: status.Cluster, Rev: status.Rev}
 		}
-		shown, err := ctl.ReadRecords[ctl.RegistryUpdate](path)
-		if err == nil && len(check.LaggingReaders(ks.fleet.plan, shown, last)) == 0 {
+		updates, err := ctl.ReadRecords[ctl.RegistryUpdate](path)
+		if err == nil && len(check.LaggingReaders(ks.fleet.plan, updates, last)) == 0 {
 			return last
 		}
 		select {
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(watcherPollInterval):
 		case <-ctx.Done():
 			return last
 		}
--- a/internal/lab/truncate.go
+++ b/internal/lab/truncate.go
@@ -16,9 +16,9 @@
 
 // truncateStore truncates a registry node's newest log file (plan.ModeTornLog) or snapshot (plan.ModeTornSnapshot) to half of the bytes in use.
 func truncateStore(folder, mode string) error {
-	pattern := filepath.Join(folder, "log.bolt")
+	pattern := filepath.Join(folder, logFile)
 	if mode == plan.ModeTornSnapshot {
-		pattern = filepath.Join(folder, "snapshots", "*", "state.bin")
+		pattern = filepath.Join(folder, "snapshots", "*", snapshotFile)
 	}
 	paths, err := filepath.Glob(pattern)
 	if err != nil || len(paths) == 0 {
@@ -33,9 +33,16 @@
 	return os.Truncate(path, size/2)
 }
 
-// bytesInUse is how many bytes of a file hold anything: a log's file is laid out ahead of what is written, and a tear in that part is none.
+// The files of a registry node's store that are truncated.
+const (
+	logFile      = "log.bolt"
+	snapshotFile = "state.bin"
+)
+
+// bytesInUse is how many bytes of a file hold anything. The file of a log is laid out ahead of what is written, and a truncation in that
+// part would lose nothing.
 func bytesInUse(path string) (size int64, err error) {
-	if filepath.Base(path) != "log.bolt" {
+	if filepath.Base(path) != logFile {
 		info, err := os.Stat(path)
 		if err != nil {
 			return 0, err
@@ -54,6 +61,7 @@
 	return size, err
 }
 
+// modifiedAt is when a file was modified, in ns of the wall clock; a file that has gone is older than all.
 func modifiedAt(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
