--- a/internal/lab/plan/arrivals.go
+++ b/internal/lab/plan/arrivals.go
@@ -11,13 +11,13 @@
 
 // arrivalStream is a Poisson stream of arrivals.
 type arrivalStream struct {
-	rate     float64 // per second
-	from, to time.Duration
-	sidecars func(at time.Duration) []float64 // cumulative weights
+	rate     float64                          // per second
+	from, to time.Duration                    // from the start of the load
+	sidecars func(at time.Duration) []float64 // cumulative weights of the sidecars, by index; times do not decrease
 	client   func() int                       // draws the client of the next arrival
 }
 
-// drawArrivals draws the arrivals of the load and of the faults that add to it, in order of time.
+// drawArrivals draws the arrivals of the load and of the faults that add to it, in order of time. Each stream has a random stream of its own.
 func (p *Plan) drawArrivals() error {
 	client := p.clientSampler()
 	streams := []arrivalStream{{p.Rate(), 0, Seconds(p.File.Seconds), p.sidecarSampler(""), client}}
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// faultStreams are the streams of arrivals that a fault adds: of a burst by the clients of the load, of a flood by clients of its own.
+// faultStreams are the streams of arrivals that a fault adds: a burst one of the load's clients, a flood one for each of its own clients.
 func (p *Plan) faultStreams(index int, client func() int) ([]arrivalStream, error) {
 	fault := &p.File.Faults[index]
 	at, end, rate := Seconds(fault.At), Seconds(fault.At+fault.For), fault.Size*p.Rate()
@@ -74,7 +74,8 @@
 	return nil, nil
 }
 
-// floodClients returns the clients of one stream of a flood: always the same one, or each time the next one.
+// floodClients returns a function that draws the clients of one stream of a flood: always the same one, or each time another one where the
+// flood is distinct.
 func (p *Plan) floodClients(fault, index int) func() int {
 	client := p.floodClient(fault, index)
 	if !p.File.Faults[fault].Distinct {
@@ -83,48 +84,67 @@
 	return func() int { client++; return client }
 }
 
+// The ranges from which arrivals are drawn.
+var (
+	timeoutShareRange = [2]float64{0.7, 1}      // of the give-up time
+	backoffRange      = [2]float64{0.017, 0.13} // seconds
+)
+
+const (
+	maxWorkFactor = 10 // of the mean work of a class, so that a single draw cannot overload a server
+	noBackoff     = -1 // of an arrival without a retry
+)
+
 // drawStream draws the arrivals of one stream.
 func (p *Plan) drawStream(rng *rand.Rand, arrivals arrivalStream) {
-	file := p.File
-	var classes []float64
-	for _, c := range file.Classes {
-		classes = append(classes, c.Share)
-	}
-	classes = cumulativeSums(classes)
 	if arrivals.rate <= 0 {
 		return
 	}
-	// In seconds from the start of the stream.
-	for t := rng.ExpFloat64() / arrivals.rate; arrivals.from+Seconds(t) < arrivals.to; t += rng.ExpFloat64() / arrivals.rate {
-		at := arrivals.from + Seconds(t)
-		arrival := Arrival{At: at, Sidecar: pickWeighted(rng, arrivals.sidecars(at)), Class: pickWeighted(rng, classes), TimeoutShare: uniform(rng, [2]float64{0.7, 1}), Backoff: -1}
-		// At most ten times the mean, so that a single draw cannot push a server over.
-		arrival.Work = Seconds(min(rng.ExpFloat64(), 10) * file.Classes[arrival.Class].WorkMS / 1000 * file.Load.WorkPart)
-		backoff := Seconds(uniform(rng, [2]float64{0.017, 0.13}))
-		if file.Load.Retries {
-			arrival.Backoff = backoff
-		}
-		arrival.Client = arrivals.client()
-		p.Arrivals = append(p.Arrivals, arrival)
+	var shares []float64
+	for _, class := range p.File.Classes {
+		shares = append(shares, class.Share)
+	}
+	classes := cumulativeSums(shares)
+	sinceStart := rng.ExpFloat64() / arrivals.rate // seconds
+	for arrivals.from+Seconds(sinceStart) < arrivals.to {
+		p.Arrivals = append(p.Arrivals, p.drawArrival(rng, arrivals, classes, arrivals.from+Seconds(sinceStart)))
+		sinceStart += rng.ExpFloat64() / arrivals.rate
 	}
 }
 
+// drawArrival draws an arrival of a stream at a time. classes are the cumulative shares of the classes. The backoff is drawn whether there are
+// retries or not, so that they move no other draw.
+func (p *Plan) drawArrival(rng *rand.Rand, arrivals arrivalStream, classes []float64, at time.Duration) Arrival {
+	arrival := Arrival{At: at, Backoff: noBackoff}
+	arrival.Sidecar = pickWeighted(rng, arrivals.sidecars(at))
+	arrival.Class = pickWeighted(rng, classes)
+	arrival.TimeoutShare = uniform(rng, timeoutShareRange)
+	workMS := min(rng.ExpFloat64(), maxWorkFactor) * p.File.Classes[arrival.Class].WorkMS
+	arrival.Work = Seconds(workMS / 1000 * p.File.Load.WorkPart)
+	backoff := Seconds(uniform(rng, backoffRange))
+	if p.File.Load.Retries {
+		arrival.Backoff = backoff
+	}
+	arrival.Client = arrivals.client()
+	return arrival
+}
+
 // clientSampler returns a function that draws clients: the i-th, from 1, in proportion to i to the power of -skew (Zipf's law).
 func (p *Plan) clientSampler() func() int {
-	n := p.File.Load.Clients
-	if n == 0 {
+	count := p.File.Load.Clients
+	if count == 0 {
 		return func() int { return 0 }
 	}
-	r := stream(p.Seed, "clients")
-	weights := make([]float64, n)
+	rng := stream(p.Seed, "clients")
+	weights := make([]float64, count)
 	for i := range weights {
 		weights[i] = math.Pow(float64(i+1), -p.File.Load.Skew)
 	}
 	weights = cumulativeSums(weights)
-	return func() int { return pickWeighted(r, weights) + 1 }
+	return func() int { return pickWeighted(rng, weights) + 1 }
 }
 
-// ClientName is the value of a client's header; "" is no tenant.
+// ClientName is the name of a client by its number, which requests carry in the header X-Tenant-Id; "" is no tenant.
 func ClientName(client int) string {
 	if client == 0 {
 		return ""
@@ -132,55 +152,55 @@
 	return fmt.Sprintf("t%d", client)
 }
 
-const floodClients = 1 << 22 // numbers for each fault, above those of all other clients
+const floodClients = 1 << 22 // numbers of clients that each flood has to itself, above those of the load's clients
 
-// floodClient is the j-th client of a flood, which sends nothing else; of a distinct flood, the number before the first client.
-func (p *Plan) floodClient(fault, j int) int {
-	return (fault+1)*floodClients + j*floodClients/maxFlooders
+// floodClient is the number of a flood's client by its index; of a distinct flood, the number before those of its clients.
+func (p *Plan) floodClient(fault, index int) int {
+	return (fault+1)*floodClients + index*floodClients/maxFlooders
 }
 
-// Flooder reports whether a client is one of a flood, and of which fault.
+// Flooder returns the index of the fault by which a client floods. ok is false for clients of the load.
 func Flooder(client int) (fault int, ok bool) { return client/floodClients - 1, client >= floodClients }
 
 // floodSidecars are the cumulative weights of the sidecars that a flood uses: all equally, or as many as the fault says, drawn.
-func (p *Plan) floodSidecars(fault int, flood *Fault, at, end time.Duration) ([]float64, error) {
-	var all []int
-	for i, s := range p.Sidecars {
-		if s.runsThroughout(at, end) && flood.inZone(s.Zone) {
-			all = append(all, i)
+func (p *Plan) floodSidecars(index int, flood *Fault, at, end time.Duration) ([]float64, error) {
+	var used []int
+	for i, sidecar := range p.Sidecars {
+		if sidecar.runsThroughout(at, end) && flood.inZone(sidecar.Zone) {
+			used = append(used, i)
 		}
 	}
-	if flood.Through > len(all) || len(all) == 0 {
-		return nil, p.File.errorAt("fault", fault, "through", "there are only %d sidecars to flood through then", len(all))
+	if flood.Through > len(used) || len(used) == 0 {
+		return nil, p.File.errorAt("fault", index, "through", "there are only %d sidecars to flood through then", len(used))
 	}
-	rng := stream(p.Seed, fmt.Sprintf("fault %d", fault))
-	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	rng := stream(p.Seed, fmt.Sprintf("fault %d", index))
+	rng.Shuffle(len(used), func(i, j int) { used[i], used[j] = used[j], used[i] })
 	if flood.Through > 0 {
-		all = all[:flood.Through]
+		used = used[:flood.Through]
 	}
 	weights := make([]float64, len(p.Sidecars))
-	for _, i := range all {
+	for _, i := range used {
 		weights[i] = 1
 	}
 	return cumulativeSums(weights), nil
 }
 
-// cumulativeSums replaces each value by the sum up to it.
-func cumulativeSums(v []float64) []float64 {
+// cumulativeSums replaces each value by the sum up to it, and returns the same slice.
+func cumulativeSums(values []float64) []float64 {
 	sum := 0.0
-	for i := range v {
-		sum += v[i]
-		v[i] = sum
+	for i := range values {
+		sum += values[i]
+		values[i] = sum
 	}
-	return v
+	return values
 }
 
-// pickWeighted draws an index by cumulative weights.
-func pickWeighted(r *rand.Rand, sums []float64) int {
-	x := r.Float64() * sums[len(sums)-1]
-	i, found := slices.BinarySearch(sums, x)
+// pickWeighted draws an index by cumulative weights, of which the last is above 0.
+func pickWeighted(rng *rand.Rand, sums []float64) int {
+	point := rng.Float64() * sums[len(sums)-1]
+	index, found := slices.BinarySearch(sums, point)
 	if found { // an entry without weight ends where the one before does
-		i++
+		index++
 	}
-	return min(i, len(sums)-1)
+	return min(index, len(sums)-1)
 }
