--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -29,7 +29,8 @@
 // drawDelay draws a delay of the list, in a range of seconds.
 func (d *stepDrawer) drawDelay(v [2]float64) time.Duration { return Seconds(uniform(d.rng, v)) }
 
-// drawServerFault draws the steps of a fault of one server, by its index in lifetimes.
+// drawServerFault draws the steps of a fault of one server, by its index in lifetimes. Faults that change a server's speed exclude each
+// other, and so do those that end its process.
 func (d *stepDrawer) drawServerFault(fault *Fault, index int, at, end time.Duration) error {
 	uid := d.Servers[d.lifetimes[index].index].UID
 	switch fault.Do {
@@ -120,38 +121,46 @@
 	if err != nil {
 		return err
 	}
-	drain := cmp.Or(fault.Drain, 4)
-	batch := cmp.Or(fault.Batch, 0.1)
+	drain := cmp.Or(fault.Drain, defaultDrainS)
+	batch := cmp.Or(fault.Batch, defaultBatch)
 	batchSize := max(1, int(math.Round(batch*float64(d.InitialServers))))
 	batches := (len(chosen) + batchSize - 1) / batchSize
 	available := fault.For - drain
 	if available < 0 {
 		return fmt.Errorf("the drain of %v s does not fit into %v s", drain, fault.For)
 	}
-	for b := range batches {
+	for batchIndex := range batches {
 		begin := at
 		if batches > 1 {
-			begin += Seconds(available * float64(b) / float64(batches-1))
+			begin += Seconds(available * float64(batchIndex) / float64(batches-1))
 		}
-		removed := begin + Seconds(drain)
-		for _, i := range chosen[b*batchSize : min((b+1)*batchSize, len(chosen))] {
-			old := d.Servers[d.lifetimes[i].index]
-			if err := d.claim("server "+old.UID, begin, endOfTime); err != nil {
+		for _, index := range chosen[batchIndex*batchSize : min((batchIndex+1)*batchSize, len(chosen))] {
+			if err := d.replaceServer(index, begin, begin+Seconds(drain)); err != nil {
 				return err
 			}
-			d.lifetimes[i].to = begin
-			notified := begin + d.drawDelay(d.File.List.NoticeS)
-			d.addStep(Step{At: begin, Do: Drain, Server: old.UID})
-			d.updateList(notified, old.UID, list.Draining)
-			d.addStep(Step{At: removed, Do: Remove, Server: old.UID})
-			d.updateList(max(notified, removed+d.drawDelay(d.File.List.NoticeS)), old.UID, list.Deleted)
-			next := len(d.Servers)
-			kind := slices.IndexFunc(d.File.Kinds, func(k Kind) bool { return k.Name == old.Kind })
-			d.Servers = append(d.Servers, d.drawSpec(next, old.Zone, kind))
-			d.lifetimes = append(d.lifetimes, lifetime{next, removed, endOfTime})
-			d.addStep(Step{At: removed, Do: Add, Server: d.Servers[next].UID})
-			d.updateList(removed+d.drawDelay(d.File.List.AddS), d.Servers[next].UID, list.Serving)
 		}
 	}
 	return nil
 }
+
+// replaceServer drains a server, by its index in lifetimes, and replaces it by another one of its zone and kind when its process ends.
+func (d *stepDrawer) replaceServer(index int, drained, removed time.Duration) error {
+	old := d.Servers[d.lifetimes[index].index]
+	if err := d.claim("server "+old.UID, drained, endOfTime); err != nil {
+		return err
+	}
+	d.lifetimes[index].to = drained
+	notified := drained + d.drawDelay(d.File.List.NoticeS)
+	d.addStep(Step{At: drained, Do: Drain, Server: old.UID})
+	d.updateList(notified, old.UID, list.Draining)
+	d.addStep(Step{At: removed, Do: Remove, Server: old.UID})
+	d.updateList(max(notified, removed+d.drawDelay(d.File.List.NoticeS)), old.UID, list.Deleted)
+	next := len(d.Servers)
+	kind := slices.IndexFunc(d.File.Kinds, func(k Kind) bool { return k.Name == old.Kind })
+	successor := d.drawSpec(next, old.Zone, kind)
+	d.Servers = append(d.Servers, successor)
+	d.lifetimes = append(d.lifetimes, lifetime{next, removed, endOfTime})
+	d.addStep(Step{At: removed, Do: Add, Server: successor.UID})
+	d.updateList(removed+d.drawDelay(d.File.List.AddS), successor.UID, list.Serving)
+	return nil
+}
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -103,14 +103,13 @@
 	return n
 }
 
-// addSidecar adds a sidecar and draws its weight, which is later shared out within its zone.
-func (p *Plan) addSidecar(r *rand.Rand, i int, from time.Duration, peers int) {
-	f := p.File
-	// A log-normal distribution with mean 1 and the coefficient of variation of the file.
-	sigma := math.Sqrt(math.Log(1 + f.Load.Uneven*f.Load.Uneven))
-	zone := i % len(f.Fleet.Zones)
-	w := math.Exp(r.NormFloat64()*sigma - sigma*sigma/2)
-	p.Sidecars = append(p.Sidecars, Sidecar{Name: sidecarName(i), Zone: f.Fleet.Zones[zone], Group: zone, Weight: w, Peers: peers, From: from})
+// addSidecar adds a sidecar and draws its weight: from a log-normal distribution with mean 1 and the coefficient of variation of the file.
+func (p *Plan) addSidecar(rng *rand.Rand, index int, from time.Duration, peers int) {
+	file := p.File
+	sigma := math.Sqrt(math.Log(1 + file.Load.Uneven*file.Load.Uneven))
+	weight := math.Exp(rng.NormFloat64()*sigma - sigma*sigma/2)
+	zone := index % len(file.Fleet.Zones)
+	p.Sidecars = append(p.Sidecars, Sidecar{Name: sidecarName(index), Zone: file.Fleet.Zones[zone], Group: zone, Weight: weight, Peers: peers, From: from})
 }
 
 // sidecarSampler returns the cumulative weights of the sidecars that clients send to at a time, in all zones ("") or one. The first zone has
@@ -122,17 +121,16 @@
 	}
 	slices.Sort(changes)
 	changes = slices.DeleteFunc(slices.Compact(changes), func(t time.Duration) bool { return t == 0 })
-	var now []float64
+	var current []float64
 	return func(at time.Duration) []float64 {
-		stale := now == nil
+		stale := current == nil
 		for len(changes) > 0 && changes[0] <= at {
 			changes, stale = changes[1:], true
 		}
-		if !stale {
-			return now
+		if stale {
+			current = cumulativeSums(p.sidecarWeights(only, at))
 		}
-		now = cumulativeSums(p.sidecarWeights(only, at))
-		return now
+		return current
 	}
 }
 
