--- a/internal/lab/plan/file.go
+++ b/internal/lab/plan/file.go
@@ -33,20 +33,20 @@
 	text []byte
 }
 
-// Fleet is what is started.
+// Fleet is the processes that are started, but for the registry.
 type Fleet struct {
 	Zones     []string    `toml:"zones"`
 	Servers   int         `toml:"servers"`
 	Sidecars  int         `toml:"sidecars"`
-	PerHost   int         `toml:"per_host"`  // stand-in servers in one process
-	Program   Program     `toml:"program"`   // ProgramSidecar or ProgramPlain
-	Flaw      string      `toml:"flaw"`      // of the stand-in sidecar, one of Flaws
-	MemoryMB  int         `toml:"memory_mb"` // limit in the configuration of a sidecar
-	Sockets   int         `toml:"sockets"`
-	DelayMS   float64     `toml:"delay_ms"` // one way between any sidecar and server
-	Start     ServerStart `toml:"start"`    // how servers start before the load
-	ErrorRate float64     `toml:"error_rate"`
-	Keep      bool        `toml:"keep"` // a sidecar's process finds what the one before it wrote to $TMPDIR
+	PerHost   int         `toml:"per_host"`   // stand-in servers in one process
+	Program   Program     `toml:"program"`    // ProgramSidecar or ProgramPlain
+	Flaw      string      `toml:"flaw"`       // of the stand-in sidecar, one of Flaws
+	MemoryMB  int         `toml:"memory_mb"`  // limit in the configuration of a sidecar
+	Sockets   int         `toml:"sockets"`    // limit in the configuration of a sidecar
+	DelayMS   float64     `toml:"delay_ms"`   // one way between any sidecar and server
+	Start     ServerStart `toml:"start"`      // how servers start before the load
+	ErrorRate float64     `toml:"error_rate"` // share of the requests that a server answers with an error after the work
+	Keep      bool        `toml:"keep"`       // a sidecar's process finds what the one before it wrote to $TMPDIR
 }
 
 // Program is what runs as a sidecar or as a registry node. The values are part of the files' format.
@@ -90,17 +90,17 @@
 	Skew        float64 `toml:"skew"`      // exponent of Zipf's law: the i-th client has requests in proportion to i to the power of -skew
 }
 
-// Limits are the limits that invariants check.
+// Limits are the limits that invariants check. The operators' documents that they come from are named.
 type Limits struct {
 	AnswerSlackMS float64 `toml:"answer_slack_ms"` // past the client's time-out (FLEET.md: half a second)
 	DrainGraceMS  float64 `toml:"drain_grace_ms"`  // after a sidecar was notified
 	SlackMS       float64 `toml:"slack_ms"`        // of every time limit (PROTOCOL)
 	MemoryMB      float64 `toml:"memory_mb"`       // of a sidecar's process
-	Descriptors   int     `toml:"descriptors"`
-	LatenessMS    float64 `toml:"lateness_ms"` // of the lab, at the 99th percentile
+	Descriptors   int     `toml:"descriptors"`     // of a sidecar's process
+	LatenessMS    float64 `toml:"lateness_ms"`     // of the lab, at the 99th percentile
 }
 
-// List is how late the list of servers is.
+// List is how late and how exact the platform's list of servers is. Delays are drawn from ranges of seconds.
 type List struct {
 	NoticeS      [2]float64 `toml:"notice_s"` // until it knows that a process drains or ended
 	AddS         [2]float64 `toml:"add_s"`    // until it knows a new one
@@ -135,31 +135,31 @@
 // Kind is a kind of server (BRIEF).
 type Kind struct {
 	Name  string     `toml:"name"`
-	Share float64    `toml:"share"`
+	Share float64    `toml:"share"` // of the servers, in relation to other kinds
 	Cores int        `toml:"cores"`
-	Speed [2]float64 `toml:"speed"`
+	Speed [2]float64 `toml:"speed"` // range of a core's speed; work is given for a core of speed 1
 }
 
 // Class is a class of requests (BRIEF).
 type Class struct {
 	Name            string  `toml:"name"`
-	Share           float64 `toml:"share"`
-	WorkMS          float64 `toml:"work_ms"` // mean, on a core of speed 1
-	LatencyTargetMS float64 `toml:"aim_ms"`
-	GiveUpMS        float64 `toml:"give_up_ms"`
-	Value           float64 `toml:"worth"`
+	Share           float64 `toml:"share"`      // of the requests, in relation to other classes
+	WorkMS          float64 `toml:"work_ms"`    // mean, on a core of speed 1
+	LatencyTargetMS float64 `toml:"aim_ms"`     // after which a response has LateValue
+	GiveUpMS        float64 `toml:"give_up_ms"` // after which the client waits no longer
+	Value           float64 `toml:"worth"`      // of a response in time
 	LateValue       float64 `toml:"late_worth"` // share of the value of a response after the latency target
 	Safe            bool    `toml:"safe"`       // idempotent: it may be retried
 }
 
 // Bar is a bound, or two, of a figure of the report.
 type Bar struct {
-	Figure string   `toml:"figure"`
-	Min    *float64 `toml:"least"`
-	Max    *float64 `toml:"most"`
+	Figure string   `toml:"figure"` // one of Figures, or one with a class after a colon
+	Min    *float64 `toml:"least"`  // nil: no bound
+	Max    *float64 `toml:"most"`   // nil: no bound
 }
 
-// Defaults is a file with the defaults of all keys: today's fleet of BRIEF.
+// Defaults is a file with the defaults of all keys but kinds and classes, which Parse adds where a file has none: the fleet of BRIEF.
 func Defaults() File {
 	return File{
 		Seconds: 20,
@@ -174,12 +174,14 @@
 	}
 }
 
+// defaultKinds are the kinds of servers of BRIEF.
 var defaultKinds = []Kind{
 	{"fast", 0.32, 3, [2]float64{1.4, 1.8}},
 	{"standard", 0.32, 3, [2]float64{0.85, 1.1}},
 	{"slow", 0.36, 3, [2]float64{0.51, 0.69}},
 }
 
+// defaultClasses are the classes of requests of BRIEF.
 var defaultClasses = []Class{
 	{"fetch", 0.52, 78, 600, 2000, 1, 0.25, true},
 	{"submit", 0.48, 71, 500, 2000, 5, 0.3, false},
--- a/internal/lab/plan/make.go
+++ b/internal/lab/plan/make.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/lab/model"
 )
 
-// Make draws the plan of a file for a seed. It fails with an *Error where the faults exclude each other.
+// Make draws the plan of a file for a seed. It fails with an *Error where faults exclude each other, or find no target.
 func Make(file *File, seed uint64) (*Plan, error) {
 	plan := &Plan{File: file, Seed: seed}
 	if err := plan.drawSidecars(); err != nil {
@@ -41,8 +41,8 @@
 	return len(p.File.Fleet.Zones)
 }
 
-// drawKinds draws the kinds of n servers: by share, as closely as whole servers allow, in random order.
-func (p *Plan) drawKinds(n int) []int {
+// drawKinds draws the kinds of some servers, as indexes in the file: by share, as closely as whole servers allow, in random order.
+func (p *Plan) drawKinds(count int) []int {
 	sum := 0.0
 	for _, k := range p.File.Kinds {
 		sum += k.Share
@@ -50,30 +50,30 @@
 	var kinds []int
 	due := 0.0
 	for k, kind := range p.File.Kinds {
-		due += kind.Share / sum * float64(n)
+		due += kind.Share / sum * float64(count)
 		for len(kinds) < int(math.Round(due)) {
 			kinds = append(kinds, k)
 		}
 	}
-	r := stream(p.Seed, "kinds")
-	r.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
+	rng := stream(p.Seed, "kinds")
+	rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 	return kinds
 }
 
-// drawSpec draws the i-th server, in the ranges of BRIEF, or of the site file where BRIEF has none.
-func (p *Plan) drawSpec(i int, zone string, kind int) model.Spec {
-	rng := stream(p.Seed, fmt.Sprintf("server %d", i))
-	k := p.File.Kinds[kind]
+// drawSpec draws the server of an index, in the ranges of BRIEF, or of the site file where BRIEF has none.
+func (p *Plan) drawSpec(index int, zone string, kindIndex int) model.Spec {
+	rng := stream(p.Seed, fmt.Sprintf("server %d", index))
+	kind := p.File.Kinds[kindIndex]
 	spec := model.Spec{
-		UID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: zone, Kind: k.Name, Cores: k.Cores, Speed: uniform(rng, k.Speed), Slots: k.Cores,
-		Queue: k.Cores * (200 + rng.IntN(500)), Thrash: uniform(rng, [2]float64{0.015, 0.07}), ThrashAt: uniform(rng, [2]float64{2.6, 7}),
+		UID: fmt.Sprintf("s-%08x", rng.Uint32()), Zone: zone, Kind: kind.Name, Cores: kind.Cores, Speed: uniform(rng, kind.Speed), Slots: kind.Cores,
+		Queue: kind.Cores * (200 + rng.IntN(500)), Thrash: uniform(rng, [2]float64{0.015, 0.07}), ThrashAt: uniform(rng, [2]float64{2.6, 7}),
 		ColdFrom: uniform(rng, [2]float64{0.14, 0.36}), ColdFor: Seconds(uniform(rng, [2]float64{11, 24})),
 		FallMultiple: 3, FallFor: 1500 * time.Millisecond, ErrorRate: p.File.Fleet.ErrorRate, DropsExpired: rng.IntN(2) == 0,
-		ConnCap: k.Cores * (600 + rng.IntN(300)), ConnWork: Seconds(uniform(rng, [2]float64{0.00078, 0.0015})),
+		ConnCap: kind.Cores * (600 + rng.IntN(300)), ConnWork: Seconds(uniform(rng, [2]float64{0.00078, 0.0015})),
 		ReportEvery: Seconds(uniform(rng, [2]float64{0.32, 1.2})), ReportDelay: Seconds(uniform(rng, [2]float64{0.23, 0.48})), Seed: rng.Uint64(),
 	}
 	if p.File.List.Sizes == SizesRough {
-		rough := stream(p.Seed, fmt.Sprintf("size %d", i))
+		rough := stream(p.Seed, fmt.Sprintf("size %d", index))
 		spec.Hint = spec.Capacity() * uniform(rough, [2]float64{0.8, 1.2})
 	}
 	return spec
@@ -90,24 +90,24 @@
 
 // Rate is the mean number of requests per second of the load.
 func (p *Plan) Rate() float64 {
-	f := p.File
-	if f.Load.Rate > 0 {
-		return f.Load.Rate
+	file := p.File
+	if file.Load.Rate > 0 {
+		return file.Load.Rate
 	}
 	shares, work := 0.0, 0.0
-	for _, c := range f.Classes {
-		shares += c.Share
-		work += c.Share * c.WorkMS / 1000 * f.Load.WorkPart
+	for _, class := range file.Classes {
+		shares += class.Share
+		work += class.Share * class.WorkMS / 1000 * file.Load.WorkPart
 	}
-	return f.Load.Share * p.Capacity() / (work / shares)
+	return file.Load.Share * p.Capacity() / (work / shares)
 }
 
 // setHashes sets the hashes that identify the plan. StepsHash includes the names of the fields of Step, LinkEffect and model.Spec.
 func (p *Plan) setHashes() {
 	hasher := xxhash.New()
-	put := func(v ...any) {
-		for _, x := range v {
-			_ = binary.Write(hasher, binary.LittleEndian, x) // a hash takes everything
+	put := func(values ...any) {
+		for _, value := range values {
+			_ = binary.Write(hasher, binary.LittleEndian, value) // a hash never fails
 		}
 	}
 	for _, a := range p.Arrivals {
@@ -116,10 +116,10 @@
 	p.ArrivalsHash = fmt.Sprintf("%016x", hasher.Sum64())
 	hasher.Reset()
 	for _, s := range p.Steps {
-		_, _ = fmt.Fprintf(hasher, "%+v\n", s) // a hash takes everything
+		_, _ = fmt.Fprintf(hasher, "%+v\n", s) // a hash never fails
 	}
 	for _, s := range p.Servers {
-		_, _ = fmt.Fprintf(hasher, "%+v\n", s) // a hash takes everything
+		_, _ = fmt.Fprintf(hasher, "%+v\n", s) // a hash never fails
 	}
 	p.StepsHash = fmt.Sprintf("%016x", hasher.Sum64())
 }
@@ -129,11 +129,13 @@
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(label)))
 }
 
-// uniform draws a value of a range.
-func uniform(r *rand.Rand, v [2]float64) float64 { return v[0] + r.Float64()*(v[1]-v[0]) }
+// uniform draws a value of a range, from its first bound to its second.
+func uniform(rng *rand.Rand, bounds [2]float64) float64 {
+	return bounds[0] + rng.Float64()*(bounds[1]-bounds[0])
+}
 
-// Seconds is a time in seconds, as experiment files have it.
+// Seconds is the duration of a number of seconds, as experiment files have times.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Millis is a time in milliseconds.
+// Millis is the duration of a number of milliseconds.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/lab/plan/parse.go
+++ b/internal/lab/plan/parse.go
@@ -55,6 +55,7 @@
 	if extra := slices.DeleteFunc(meta.Undecoded(), func(k toml.Key) bool { return k[0] == "config" }); len(extra) > 0 {
 		return nil, &Error{path, file.lineOf(extra[0][:len(extra[0])-1], -1, extra[0][len(extra[0])-1]), fmt.Sprintf("unknown key %q", extra[0])}
 	}
+	// Defaults has neither kinds nor classes, as the library would append to them.
 	if len(file.Kinds) == 0 {
 		file.Kinds = slices.Clone(defaultKinds)
 	}
@@ -91,6 +92,7 @@
 	return header
 }
 
+// errorAt is an error at a key: of the index-th table of a name, from 0, or of any where the index is negative.
 func (f *File) errorAt(table string, index int, key, form string, args ...any) *Error {
 	var path []string
 	if table != "" {
--- a/internal/lab/plan/validate.go
+++ b/internal/lab/plan/validate.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
+// The bounds of an experiment.
 const (
-	maxSeconds  = 3600
-	maxServers  = 2000
-	maxSidecars = 1000
+	maxSeconds  = 3600 // of the load, and of times in it
+	maxServers  = 2000 // that run at the start
+	maxSidecars = 1000 // with those that join
 	maxArrivals = 2_000_000
 	maxZones    = 16
-	maxCores    = 1024
+	maxCores    = 1024 // of a server
 )
 
 // check rejects a file that makes no sense. The first error is the one that is reported.
@@ -27,7 +28,7 @@
 
 // keyRange is a number of the file and the range that it has to be in.
 type keyRange struct {
-	table, key      string
+	table, key      string // where the file has it
 	value, min, max float64
 }
 
@@ -92,14 +93,9 @@
 		return f.errorAt("fleet", -1, "zones", "zones: 1 to %d are possible", maxZones)
 	case (f.Load.Share == 0) == (f.Load.Rate == 0):
 		return f.errorAt("load", -1, "share", "load needs either share or rate")
-	case f.Fleet.Program != ProgramSidecar && f.Fleet.Program != ProgramPlain:
-		return f.errorAt("fleet", -1, "program", "program %q is neither sidecar nor plain", f.Fleet.Program)
-	case f.Fleet.Flaw != "" && f.Fleet.Program != ProgramPlain:
-		return f.errorAt("fleet", -1, "flaw", "only the plain program has flaws")
-	case !slices.Contains(Flaws, f.Fleet.Flaw):
-		return f.errorAt("fleet", -1, "flaw", "unknown flaw %q", f.Fleet.Flaw)
 	}
-	return nil
+	return f.checkProgram(programChoice{table: "fleet", program: f.Fleet.Program, itself: ProgramSidecar, flaw: f.Fleet.Flaw, flaws: Flaws,
+		onlyPlain: "only the plain program has flaws"})
 }
 
 // checkRegistry rejects a registry, or members, that are not possible with the program.
@@ -111,17 +107,35 @@
 		return f.errorAt("fleet", -1, "program", "the plain sidecar knows no keepers")
 	case f.Members.On && f.Fleet.Program == ProgramPlain:
 		return f.errorAt("fleet", -1, "program", "the plain sidecar knows no members")
-	case f.Registry.Program != ProgramRegistry && f.Registry.Program != ProgramPlain:
-		return f.errorAt("keepers", -1, "program", "program %q is neither keeper nor plain", f.Registry.Program)
-	case f.Registry.Flaw != "" && f.Registry.Program != ProgramPlain:
-		return f.errorAt("keepers", -1, "flaw", "only plain keepers have flaws")
-	case !slices.Contains(RegistryFlaws, f.Registry.Flaw):
-		return f.errorAt("keepers", -1, "flaw", "unknown flaw %q", f.Registry.Flaw)
+	}
+	return f.checkProgram(programChoice{table: "keepers", program: f.Registry.Program, itself: ProgramRegistry, flaw: f.Registry.Flaw,
+		flaws: RegistryFlaws, onlyPlain: "only plain keepers have flaws"})
+}
+
+// programChoice is the program of a table of the file, or a stand-in for it, which may have a flaw.
+type programChoice struct {
+	table     string
+	program   Program
+	itself    Program // the one that is no stand-in
+	flaw      string
+	flaws     []string // all flaws of the stand-in
+	onlyPlain string   // the error where the program itself is given a flaw
+}
+
+// checkProgram rejects an unknown program, and a flaw that it does not have.
+func (f *File) checkProgram(choice programChoice) *Error {
+	switch {
+	case choice.program != choice.itself && choice.program != ProgramPlain:
+		return f.errorAt(choice.table, -1, "program", "program %q is neither %s nor plain", choice.program, choice.itself)
+	case choice.flaw != "" && choice.program != ProgramPlain:
+		return f.errorAt(choice.table, -1, "flaw", "%s", choice.onlyPlain)
+	case !slices.Contains(choice.flaws, choice.flaw):
+		return f.errorAt(choice.table, -1, "flaw", "unknown flaw %q", choice.flaw)
 	}
 	return nil
 }
 
-// checkStart rejects unknown words of the list and the start, and an unknown name of what a control breaks.
+// checkStart rejects unknown sizes and starts, and a control that expects an unknown verdict to be broken.
 func (f *File) checkStart() *Error {
 	switch {
 	case f.List.Sizes != SizesAlike && f.List.Sizes != SizesRough:
