--- a/internal/lab/standin/host.go
+++ b/internal/lab/standin/host.go
@@ -52,14 +52,14 @@
 	return errors.Join(err, recorder.Close())
 }
 
-// host is the servers of one process. Orders other than link orders come one at a time.
+// host is the servers of one process. Orders other than those of links come one at a time.
 type host struct {
 	out           *ctl.EventWriter
-	groups        int
+	groups        int // of sidecars, each with a listener at every server
 	records       *ctl.Records
-	servers       map[string]*machine
-	removed       map[string]*machine
-	wallClockSkew time.Duration
+	servers       map[string]*machine // by UID
+	removed       map[string]*machine // those that were removed, by UID; their ports stay reserved
+	wallClockSkew time.Duration       // of the servers' machines
 
 	registrar *registrar // nil: servers register nowhere
 }
@@ -77,17 +77,17 @@
 func (h *host) run(orders io.Reader) error {
 	var links sync.WaitGroup
 	defer links.Wait()
-	return ctl.Lines(orders, func(o ctl.Order) error {
-		if o.Do == ctl.CommandLink {
+	return ctl.Lines(orders, func(order ctl.Order) error {
+		if order.Do == ctl.CommandLink {
 			links.Add(1)
 			go func() {
 				defer links.Done()
-				acknowledgeOrder(o, h.out, h.handleOrder)
+				acknowledgeOrder(order, h.out, h.handleOrder)
 			}()
 			return nil
 		}
 		links.Wait()
-		acknowledgeOrder(o, h.out, h.handleOrder)
+		acknowledgeOrder(order, h.out, h.handleOrder)
 		return nil
 	})
 }
@@ -103,6 +103,7 @@
 	}
 }
 
+// handleOrder applies an order of the lab (orderHandler). A fault may last longer than its machine, so orders to removed ones do nothing.
 func (h *host) handleOrder(order ctl.Order, event *ctl.Event) error {
 	switch order.Do {
 	case ctl.CommandClock:
@@ -112,10 +113,11 @@
 		return h.add(order, event)
 	}
 	target := h.servers[order.UID]
-	if target == nil && h.removed[order.UID] != nil && order.Do != ctl.CommandRevive {
-		return nil // a fault that lasts longer than the machine
-	}
-	if target == nil {
+	switch {
+	case target != nil:
+	case h.removed[order.UID] != nil && order.Do != ctl.CommandRevive:
+		return nil
+	default:
 		return fmt.Errorf("%s: no server %q", order.Do, order.UID)
 	}
 	switch order.Do {
@@ -129,7 +131,7 @@
 	case ctl.CommandLink, ctl.CommandReset, ctl.CommandForget:
 		return target.changeLinks(order)
 	}
-	return fmt.Errorf("unknown order %q", order.Do)
+	return unknownCommandError(order.Do)
 }
 
 // add starts a server on a new machine with ports of its own.
@@ -193,6 +195,7 @@
 	}
 }
 
+// bootMS is the time at which a process that starts now says that it started, by the wall clock of its machine: Unix time in ms.
 func (h *host) bootMS() int64 { return time.Now().Add(h.wallClockSkew).UnixMilli() }
 
 // start runs a server process on a machine. Groups that are partitioned from the machine are partitioned from the process too.
@@ -233,31 +236,32 @@
 	return ports, nil
 }
 
+// releasePorts releases the machine's ports. Errors are left alone: the end of this process closes the descriptors as well.
 func (m *machine) releasePorts() {
 	for _, reservation := range m.reservedPorts {
-		_ = reservation.Close() // a descriptor that the process's end would close as well
+		_ = reservation.Close()
 	}
 }
 
-// injectFault sets the fault of the machine's process.
-func (m *machine) injectFault(o ctl.Order) error {
-	if o.Fault == nil {
+// injectFault sets the fault state of the machine's process.
+func (m *machine) injectFault(order ctl.Order) error {
+	if order.Fault == nil {
 		return errors.New("trouble: the order names no fault")
 	}
-	m.process.updateModel(func(now int64) { m.process.model.SetFault(now, *o.Fault) })
+	m.process.updateModel(func(now int64) { m.process.model.SetFault(now, *order.Fault) })
 	return nil
 }
 
 // changeLinks changes the links to the machine, and partitions a group from it where the order says so.
-func (m *machine) changeLinks(o ctl.Order) error {
-	m.net.apply(o)
-	if o.Do == ctl.CommandLink && o.Partitioned != nil {
-		return m.setPartitioned(o.Group, *o.Partitioned)
+func (m *machine) changeLinks(order ctl.Order) error {
+	m.net.apply(order)
+	if order.Do == ctl.CommandLink && order.Partitioned != nil {
+		return m.setPartitioned(order.Group, *order.Partitioned)
 	}
 	return nil
 }
 
-// setPartitioned has calls of a group of sidecars arrive no more, or again.
+// setPartitioned partitions a group of sidecars from the machine, whose calls then do not arrive, or ends that.
 func (m *machine) setPartitioned(group int, partitioned bool) error {
 	if group < 0 || group >= len(m.process.listeners) {
 		return fmt.Errorf("link: no group %d", group)
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -64,9 +64,9 @@
 type platformList struct {
 	groups   Groups
 	records  *ctl.Records
-	net      *network
+	net      *network // its links, by index of the sidecar
 	listener *link.Listener
-	stop     chan struct{}
+	stop     chan struct{} // closed when the orders end
 	tasks    sync.WaitGroup
 
 	mu            sync.Mutex
@@ -85,6 +85,7 @@
 	entry ctl.Entry
 }
 
+// handleOrder applies an order of the lab, and wakes the watches.
 func (l *platformList) handleOrder(order ctl.Order) error {
 	l.mu.Lock()
 	defer func() {
@@ -108,7 +109,7 @@
 	case ctl.CommandReset, ctl.CommandForget:
 		l.net.apply(order)
 	default:
-		return fmt.Errorf("unknown order %q", order.Do)
+		return unknownCommandError(order.Do)
 	}
 	return nil
 }
@@ -132,6 +133,7 @@
 // revision is that of the latest change. The caller holds l.mu.
 func (l *platformList) revision() int64 { return l.firstRevision + int64(len(l.changes)) - 1 }
 
+// accept serves the connections of sidecars until the list ends.
 func (l *platformList) accept() {
 	defer l.tasks.Done()
 	for {
--- a/internal/lab/standin/listencode.go
+++ b/internal/lab/standin/listencode.go
@@ -36,6 +36,7 @@
 	return entries
 }
 
+// encode encodes entries for a sidecar.
 func (l *platformList) encode(near int, revision int64, complete bool, entries []ctl.Entry) []byte {
 	return EncodeList(near, l.groups[near], revision, complete, entries)
 }
--- a/internal/lab/standin/lyingmember.go
+++ b/internal/lab/standin/lyingmember.go
@@ -43,9 +43,10 @@
 	return errors.Join(err, liar.publishErr)
 }
 
+// lyingMember is a member and the forged report that it publishes.
 type lyingMember struct {
 	member     *members.Members
-	stop       chan struct{}
+	stop       chan struct{} // closed when the orders end
 	tasks      sync.WaitGroup
 	publishErr error // set before publishReports ends
 
@@ -53,14 +54,15 @@
 	report []byte // nil: nothing is published
 }
 
-func (l *lyingMember) handleOrder(o ctl.Order) error {
-	if o.Do != ctl.CommandFalseReports {
-		return fmt.Errorf("unknown order %q", o.Do)
+// handleOrder begins or ends false reports.
+func (l *lyingMember) handleOrder(order ctl.Order) error {
+	if order.Do != ctl.CommandFalseReports {
+		return unknownCommandError(order.Do)
 	}
 	var report []byte
-	if o.On {
+	if order.On {
 		var err error
-		if report, err = forgedReport(strings.Split(o.Mode, ","), time.Duration(o.By)); err != nil {
+		if report, err = forgedReport(strings.Split(order.Mode, ","), time.Duration(order.By)); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/standin/network.go
+++ b/internal/lab/standin/network.go
@@ -1,6 +1,8 @@
 package standin
 
 import (
+	"maps"
+	"slices"
 	"sync"
 
 	"gradeusher.example/gradeusher/internal/lab/ctl"
@@ -15,6 +17,7 @@
 	defaultState link.State
 }
 
+// newNetwork returns a network whose links have no faults.
 func newNetwork() *network {
 	return &network{links: map[int]*link.Link{}, states: map[int]link.State{}}
 }
@@ -23,65 +26,68 @@
 func (n *network) link(near int) *link.Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.links[near]
-	if l == nil {
-		l = link.New()
-		n.links[near] = l
-		if s, ok := n.states[near]; ok {
-			l.Set(s)
-		} else {
-			l.Set(n.defaultState)
-		}
+	if existing := n.links[near]; existing != nil {
+		return existing
+	}
+	state, ok := n.states[near]
+	if !ok {
+		state = n.defaultState
 	}
-	return l
+	created := link.New()
+	created.Set(state)
+	n.links[near] = created
+	return created
 }
 
-// set changes the state of the links to some near ends; no nears stands for all, also for those that come later.
-func (n *network) set(nears []int, s link.State) {
+// setState changes the state of the links to some near ends. No nears stand for all, also for those that come later.
+func (n *network) setState(nears []int, state link.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(nears) == 0 {
-		n.defaultState, n.states = s, map[int]link.State{}
-		for _, l := range n.links {
-			l.Set(s)
+		n.defaultState, n.states = state, map[int]link.State{}
+		for _, changed := range n.links {
+			changed.Set(state)
 		}
 	}
-	for _, i := range nears {
-		n.states[i] = s
-		if l := n.links[i]; l != nil {
-			l.Set(s)
+	for _, near := range nears {
+		n.states[near] = state
+		if changed := n.links[near]; changed != nil {
+			changed.Set(state)
 		}
 	}
 }
 
 // apply applies the part of an order that concerns links.
-func (n *network) apply(o ctl.Order) {
+func (n *network) apply(order ctl.Order) {
 	switch {
-	case o.Do == ctl.CommandReset:
-		n.forEach(o.Nears, (*link.Link).Reset)
-	case o.Do == ctl.CommandForget:
-		n.forEach(o.Nears, (*link.Link).Forget)
-	case o.State != nil:
-		n.set(o.Nears, *o.State)
+	case order.Do == ctl.CommandReset:
+		n.forEach(order.Nears, (*link.Link).Reset)
+	case order.Do == ctl.CommandForget:
+		n.forEach(order.Nears, (*link.Link).Forget)
+	case order.State != nil:
+		n.setState(order.Nears, *order.State)
 	}
 }
 
-// forEach calls visit with the links to some near ends; no nears stands for all.
+// forEach calls visit with the links to some near ends; no nears stand for all. It doesn't hold the lock meanwhile.
 func (n *network) forEach(nears []int, visit func(*link.Link) int) {
-	n.mu.Lock()
-	var links []*link.Link
-	for _, i := range nears {
-		if l := n.links[i]; l != nil {
-			links = append(links, l)
-		}
+	for _, visited := range n.linksTo(nears) {
+		visit(visited)
 	}
+}
+
+// linksTo are the links to some near ends that there are; no nears stand for all.
+func (n *network) linksTo(nears []int) []*link.Link {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if len(nears) == 0 {
-		for _, l := range n.links {
-			links = append(links, l)
-		}
+		return slices.Collect(maps.Values(n.links))
 	}
-	n.mu.Unlock()
-	for _, l := range links {
-		visit(l)
+	var links []*link.Link
+	for _, near := range nears {
+		if existing := n.links[near]; existing != nil {
+			links = append(links, existing)
+		}
 	}
+	return links
 }
--- a/internal/lab/standin/orders.go
+++ b/internal/lab/standin/orders.go
@@ -1,26 +1,33 @@
 package standin
 
 import (
+	"fmt"
 	"io"
 
 	"gradeusher.example/gradeusher/internal/lab/clock"
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 )
 
-// handleOrders applies each order as it comes, one after the other, until there are no more.
-func handleOrders(orders io.Reader, out *ctl.EventWriter, apply func(ctl.Order, *ctl.Event) error) error {
-	return ctl.Lines(orders, func(o ctl.Order) error {
-		acknowledgeOrder(o, out, apply)
+// orderHandler applies an order. It adds to the acknowledgement what the command returns; an error is sent as the acknowledgement's.
+type orderHandler func(order ctl.Order, acknowledgement *ctl.Event) error
+
+// handleOrders applies each order as it comes, one after the other, until there are no more. It returns the error of reading them.
+func handleOrders(orders io.Reader, out *ctl.EventWriter, apply orderHandler) error {
+	return ctl.Lines(orders, func(order ctl.Order) error {
+		acknowledgeOrder(order, out, apply)
 		return nil
 	})
 }
 
 // acknowledgeOrder applies an order and acknowledges that it took effect, or says why it did not.
-func acknowledgeOrder(o ctl.Order, out *ctl.EventWriter, apply func(ctl.Order, *ctl.Event) error) {
-	n := ctl.Event{ID: o.ID, UID: o.UID}
-	if err := apply(o, &n); err != nil {
-		n.Error = err.Error()
+func acknowledgeOrder(order ctl.Order, out *ctl.EventWriter, apply orderHandler) {
+	acknowledgement := ctl.Event{ID: order.ID, UID: order.UID}
+	if err := apply(order, &acknowledgement); err != nil {
+		acknowledgement.Error = err.Error()
 	}
-	n.At = clock.Now()
-	out.Send(n)
+	acknowledgement.At = clock.Now()
+	out.Send(acknowledgement)
 }
+
+// unknownCommandError says that a stand-in does not obey a command.
+func unknownCommandError(command ctl.Command) error { return fmt.Errorf("unknown order %q", command) }
--- a/internal/lab/standin/peers.go
+++ b/internal/lab/standin/peers.go
@@ -86,7 +86,7 @@
 		addressed.net.apply(order)
 		return nil
 	}
-	return fmt.Errorf("unknown order %q", order.Do)
+	return unknownCommandError(order.Do)
 }
 
 // addFront opens a port in front of a sidecar.
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -82,7 +81,7 @@
 	case ctl.CommandLink, ctl.CommandReset, ctl.CommandForget:
 		nodeNet.apply(order)
 	default:
-		return fmt.Errorf("unknown order %q", order.Do)
+		return unknownCommandError(order.Do)
 	}
 	return nil
 }
