--- a/internal/lab/standin/peers.go
+++ b/internal/lab/standin/peers.go
@@ -41,7 +41,7 @@
 // peers is the network between sidecars. Orders come one at a time.
 type peers struct {
 	fronts map[string]*front // by the name of the sidecar behind it
-	stop   chan struct{}
+	stop   chan struct{}     // closed when the orders end
 	tasks  sync.WaitGroup
 
 	traffic traffic
@@ -75,11 +75,12 @@
 	p.tasks.Wait()
 }
 
-func (p *peers) handleOrder(order ctl.Order, n *ctl.Event) error {
+// handleOrder applies an order of the lab to the front of a sidecar.
+func (p *peers) handleOrder(order ctl.Order, acknowledgement *ctl.Event) error {
 	addressed := p.fronts[order.UID]
 	switch {
 	case order.Do == ctl.CommandFront && addressed == nil:
-		return p.addFront(order, n)
+		return p.addFront(order, acknowledgement)
 	case addressed == nil:
 		return fmt.Errorf("%s: no sidecar %q", order.Do, order.UID)
 	case order.Do == ctl.CommandLink || order.Do == ctl.CommandReset || order.Do == ctl.CommandForget:
@@ -90,7 +91,7 @@
 }
 
 // addFront opens a port in front of a sidecar.
-func (p *peers) addFront(order ctl.Order, n *ctl.Event) error {
+func (p *peers) addFront(order ctl.Order, acknowledgement *ctl.Event) error {
 	sidecar, err := netip.ParseAddrPort(order.Front)
 	if err != nil {
 		return fmt.Errorf("front: %w", err)
@@ -100,7 +101,7 @@
 		return err
 	}
 	p.fronts[order.UID] = opened
-	n.Ports = []int{opened.streams.Port()}
+	acknowledgement.Ports = []int{opened.streams.Port()}
 	return nil
 }
 
@@ -196,14 +197,16 @@
 	})
 }
 
+// sendPacket sends a packet to a sidecar and counts it, unless the sidecar has gone.
 func (p *peers) sendPacket(to *front, packet []byte) {
 	if _, err := to.packets.WriteToUDPAddrPort(packet, to.sidecar); err != nil {
-		return // the sidecar has gone
+		return
 	}
 	p.traffic.packets.Add(1)
 	p.traffic.packetBytes.Add(int64(len(packet)))
 }
 
+// acceptStreams forwards the streams to a sidecar until the front is closed.
 func (p *peers) acceptStreams(to *front) {
 	for {
 		accepted, near, err := to.streams.Accept(p.stop)
--- a/internal/lab/standin/plainregistry.go
+++ b/internal/lab/standin/plainregistry.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	gapInterval        = 5
-	plainCluster       = "plain"
-	maxRegisterBytes   = 1 << 20
+	gapInterval        = 5       // revisions, of which one is left out
+	plainCluster       = "plain" // id of the cluster
+	maxRegisterBytes   = 1 << 20 // of a request
 	plainHeaderTimeout = 5 * time.Second
 )
 
@@ -54,14 +54,17 @@
 	return nil
 }
 
+// plainRegistry is the list of servers of a plain registry node.
 type plainRegistry struct {
-	flaw    registryFlaw
+	flaw registryFlaw
+
 	mu      sync.Mutex
 	entries map[string]client.Entry // by UID
 	changes []list.Target           // that of revision i is at i-1
 	changed chan struct{}           // closed at the next change
 }
 
+// addHandlers adds the handlers of the list, under the paths of the registry's HTTP API.
 func (p *plainRegistry) addHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/servers", p.handleList)
 	mux.HandleFunc("GET /v1/servers/{uid}", p.handleServer)
@@ -74,16 +77,19 @@
 	mux.HandleFunc("GET /v1/status", p.handleStatus)
 }
 
-func writeJSON(w http.ResponseWriter, code int, v any) {
+// writeJSON answers with a value in JSON. A caller who has gone needs no answer.
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(v) // to a caller who may have gone
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(value)
 }
 
-func writeRefusal(w http.ResponseWriter, code int, reason string) {
-	writeJSON(w, code, map[string]any{"code": "plain", "reason": reason})
+// writeRefusal answers that a request is refused.
+func writeRefusal(w http.ResponseWriter, status int, reason string) {
+	writeJSON(w, status, map[string]any{"code": "plain", "reason": reason})
 }
 
+// handleStatus answers as a leader who is up to date, whatever other nodes there are.
 func (p *plainRegistry) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,6 +111,8 @@
 	p.changed = make(chan struct{})
 }
 
+// handleRegister registers servers one after the other, until one has another revision than the caller expects. A server that drains still
+// does when the same process registers again.
 func (p *plainRegistry) handleRegister(w http.ResponseWriter, r *http.Request) {
 	var call struct {
 		Servers []list.Registration
--- a/internal/lab/standin/plainroutes.go
+++ b/internal/lab/standin/plainroutes.go
@@ -14,60 +14,90 @@
 )
 
 // plainRoutes is the route table of a plain registry node, which replicates it to no other. Every line of a watch is the complete
-// table. With the flaw "mute" a watch gets its first line only; with "back" a restore takes the generation back with the table.
+// table. With the flaw registryMute a watch gets its first line only; with registryRewind a restore takes the generation back with the table.
 type plainRoutes struct {
-	flaw    registryFlaw
+	flaw registryFlaw
+
 	mu      sync.Mutex
 	current plainTable
 	changed chan struct{} // closed at the next change
 }
 
+// plainTable is a route table and its generation, as backups and requests have it.
 type plainTable struct {
 	Gen   int64        `json:"gen"`
 	Rules routes.Table `json:"rules"`
 }
 
-const plainRoutesHeartbeat = time.Second
+const plainRoutesHeartbeat = time.Second // from one line of a watch to the next at most
 
+// newPlainRoutes returns an empty table of generation 0.
 func newPlainRoutes(flaw registryFlaw) *plainRoutes {
 	return &plainRoutes{flaw: flaw, current: plainTable{Rules: routes.Table{}}, changed: make(chan struct{})}
 }
 
+// addHandlers adds the handlers of routes, backup and restore, under the paths of the registry's HTTP API.
 func (p *plainRoutes) addHandlers(mux *http.ServeMux) {
-	mux.HandleFunc("PUT /v1/routes", func(w http.ResponseWriter, r *http.Request) {
-		p.handleReplace(w, r, func(t plainTable, gen int64) plainTable { return plainTable{gen + 1, t.Rules} })
-	})
+	mux.HandleFunc("PUT /v1/routes", p.handlePut)
 	mux.HandleFunc("GET /v1/routes", p.handleGet)
-	mux.HandleFunc("GET /v1/backup", func(w http.ResponseWriter, _ *http.Request) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		writeJSON(w, http.StatusOK, p.current)
-	})
-	mux.HandleFunc("POST /v1/restore", func(w http.ResponseWriter, r *http.Request) {
-		p.handleReplace(w, r, func(t plainTable, gen int64) plainTable {
-			if p.flaw != registryRewind {
-				t.Gen = gen + 1
-			}
-			return t
-		})
-	})
+	mux.HandleFunc("GET /v1/backup", p.handleBackup)
+	mux.HandleFunc("POST /v1/restore", p.handleRestore)
 }
 
-// handleReplace replaces the current table by what next makes of the one received and of the current generation. A PUT of the same
-// rules changes nothing.
-func (p *plainRoutes) handleReplace(w http.ResponseWriter, r *http.Request, next func(received plainTable, gen int64) plainTable) {
-	var received plainTable
-	if err := json.NewDecoder(io.LimitReader(r.Body, list.MaxListBytes)).Decode(&received); err != nil {
-		writeRefusal(w, http.StatusBadRequest, err.Error())
+// handleBackup answers with the table and its generation.
+func (p *plainRoutes) handleBackup(w http.ResponseWriter, _ *http.Request) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	writeJSON(w, http.StatusOK, p.current)
+}
+
+// handlePut replaces the table by another one as the next generation. The same rules change nothing.
+func (p *plainRoutes) handlePut(w http.ResponseWriter, r *http.Request) {
+	received, ok := readPlainTable(w, r)
+	if !ok {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r.Method == http.MethodPost || received.Rules.Hash() != p.current.Rules.Hash() {
-		p.current = next(received, p.current.Gen)
-		close(p.changed)
-		p.changed = make(chan struct{})
+	if received.Rules.Hash() != p.current.Rules.Hash() {
+		p.replace(plainTable{Gen: p.current.Gen + 1, Rules: received.Rules})
+	}
+	p.writeGeneration(w)
+}
+
+// handleRestore replaces the table by that of a backup, as the next generation unless the flaw takes that back as well.
+func (p *plainRoutes) handleRestore(w http.ResponseWriter, r *http.Request) {
+	received, ok := readPlainTable(w, r)
+	if !ok {
+		return
 	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.flaw != registryRewind {
+		received.Gen = p.current.Gen + 1
+	}
+	p.replace(received)
+	p.writeGeneration(w)
+}
+
+// readPlainTable reads the table of a request. It answers the request, and ok is false, where that is none.
+func readPlainTable(w http.ResponseWriter, r *http.Request) (received plainTable, ok bool) {
+	if err := json.NewDecoder(io.LimitReader(r.Body, list.MaxListBytes)).Decode(&received); err != nil {
+		writeRefusal(w, http.StatusBadRequest, err.Error())
+		return plainTable{}, false
+	}
+	return received, true
+}
+
+// replace replaces the table and wakes the watches. The caller holds p.mu.
+func (p *plainRoutes) replace(next plainTable) {
+	p.current = next
+	close(p.changed)
+	p.changed = make(chan struct{})
+}
+
+// writeGeneration answers with the current generation. The caller holds p.mu.
+func (p *plainRoutes) writeGeneration(w http.ResponseWriter) {
 	writeJSON(w, http.StatusOK, map[string]any{"gen": p.current.Gen, "cluster": plainCluster})
 }
 
--- a/internal/lab/standin/plainsidecar.go
+++ b/internal/lab/standin/plainsidecar.go
@@ -38,16 +38,16 @@
 	flawInterval       = 20               // requests, of which one meets the flaw
 	requestsUntilCrash = 5 * flawInterval // at least
 	leakBytes          = 16 << 20         // per request that meets the flaw
-	leakDescriptors    = 40
+	leakDescriptors    = 40               // per request that meets the flaw
 	crashExitCode      = 3
-	lateBy             = 700 * time.Millisecond
+	lateBy             = 700 * time.Millisecond // after the deadline
 
 	plainDialTimeout     = 250 * time.Millisecond
 	plainIdleTimeout     = 5 * time.Second
-	plainConnsPerServer  = 64
+	plainConnsPerServer  = 64 // that are kept idle
 	plainHeadersTimeout  = 10 * time.Second
 	plainShutdownTimeout = 3 * time.Second
-	plainWatchRetry      = 200 * time.Millisecond
+	plainWatchRetry      = 200 * time.Millisecond // from the end of a watch to the next one
 	maxListLineBytes     = 4 << 20
 )
 
@@ -99,6 +99,7 @@
 	Known     receivedList
 }
 
+// readPlainConfig reads a configuration, of which it ignores what a plain sidecar does not use.
 func readPlainConfig(path string) (plainConfig, error) {
 	var config plainConfig
 	text, err := os.ReadFile(path)
@@ -141,6 +142,7 @@
 	leakedFiles  []*os.File
 }
 
+// applyUpdate applies a line of the list, unless the flaw keeps the sidecar from it.
 func (p *plain) applyUpdate(received receivedList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -242,7 +244,7 @@
 		return
 	}
 	timeout := time.Duration(timeoutMS) * time.Millisecond
-	ctx, cancel := context.WithTimeout(r.Context(), timeout*8/10)
+	ctx, cancel := context.WithTimeout(r.Context(), timeout*8/10) // leaves the client time for the answer
 	defer cancel()
 	flaw := p.countRequest()
 	if flaw == sidecarMute {
@@ -284,12 +286,14 @@
 	return p.flaw
 }
 
+// leakMemory allocates and writes memory that it never frees.
 func (p *plain) leakMemory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leakedMemory = append(p.leakedMemory, bytes.Repeat([]byte{1}, leakBytes))
 }
 
+// leakDescriptors opens files that it never closes.
 func (p *plain) leakDescriptors() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/standin/registrar.go
+++ b/internal/lab/standin/registrar.go
@@ -42,27 +42,29 @@
 func (e *desiredEntry) canSend() bool { return !e.crashed && !e.isolated && e.registration.UID != "" }
 
 const (
-	reconcileTimeout       = 2 * time.Second
-	reconcileRetryInterval = 100 * time.Millisecond
-	minRenewTimeout        = 100 * time.Millisecond
+	reconcileTimeout       = 2 * time.Second        // for the calls of one reconciliation
+	reconcileRetryInterval = 100 * time.Millisecond // from a failed one to the next
+	minRenewTimeout        = 100 * time.Millisecond // for a renewal where leases are short
 	renewalsPerLease       = 3
 )
 
+// newRegistrar returns a registrar that has started. The caller closes it.
 func newRegistrar(registryNodes []string, lease time.Duration) (*registrar, error) {
 	registry, err := client.New(registryNodes)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &registrar{client: registry, lease: lease, cancel: cancel, wake: make(chan struct{}, 1), desired: map[string]*desiredEntry{}}
-	r.tasks.Add(1)
+	started := &registrar{client: registry, lease: lease, cancel: cancel, wake: make(chan struct{}, 1), desired: map[string]*desiredEntry{}}
+	started.tasks.Add(1)
 	go func() {
-		defer r.tasks.Done()
-		r.run(ctx)
+		defer started.tasks.Done()
+		started.run(ctx)
 	}()
-	return r, nil
+	return started, nil
 }
 
+// close ends the registrar. What the registry has is left to its leases.
 func (r *registrar) close() {
 	r.cancel()
 	r.tasks.Wait()
@@ -99,6 +101,7 @@
 	})
 }
 
+// run reconciles whenever something desired changed, and after a failure, and renews leases, until ctx is done.
 func (r *registrar) run(ctx context.Context) {
 	renew := time.NewTicker(r.lease / renewalsPerLease)
 	defer renew.Stop()
@@ -176,7 +179,7 @@
 	return true
 }
 
-// acknowledge notes the state that the registry has confirmed, unless another one is desired by now.
+// acknowledge records the state that the registry has confirmed, unless another one is desired by now.
 func (r *registrar) acknowledge(sent desiredEntry, state list.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -48,7 +48,7 @@
 	routeLines *ctl.Records
 	networks   map[string]*network // by the node's name
 	listeners  []*link.Listener
-	stop       chan struct{}
+	stop       chan struct{} // closed when the orders end
 	tasks      sync.WaitGroup
 	lastConn   atomic.Int64 // number of the latest connection that is recorded
 }
@@ -59,13 +59,14 @@
 	for _, listener := range r.listeners {
 		_ = listener.Close() // that it listens no more is all that matters
 	}
-	for _, n := range r.networks {
-		n.forEach(nil, (*link.Link).Reset)
+	for _, nodeNet := range r.networks {
+		nodeNet.forEach(nil, (*link.Link).Reset)
 	}
 	r.tasks.Wait()
 }
 
-func (r *relay) handleOrder(order ctl.Order, n *ctl.Event) error {
+// handleOrder applies an order of the lab to the network in front of the node UID, which the first order for it makes.
+func (r *relay) handleOrder(order ctl.Order, acknowledgement *ctl.Event) error {
 	nodeNet := r.networks[order.UID]
 	if nodeNet == nil {
 		nodeNet = newNetwork()
@@ -77,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		n.Ports = []int{port}
+		acknowledgement.Ports = []int{port}
 	case ctl.CommandLink, ctl.CommandReset, ctl.CommandForget:
 		nodeNet.apply(order)
 	default:
@@ -108,6 +109,7 @@
 	address string
 }
 
+// accept forwards the connections of a listener until that is closed.
 func (r *relay) accept(listener *link.Listener, nodeNet *network, node registryNode) {
 	for {
 		accepted, near, err := listener.Accept(r.stop)
--- a/internal/lab/standin/server.go
+++ b/internal/lab/standin/server.go
@@ -36,7 +36,7 @@
 	timer   *time.Timer // fires when the model has something to do
 	lastKey uint64      // of the jobs
 	waiting map[uint64]chan model.Outcome
-	conns   int
+	conns   int // open connections
 
 	stop      chan struct{} // closed when the process ends
 	endOnce   sync.Once
@@ -70,6 +70,7 @@
 	s.net.forEach(nil, (*link.Link).Reset)
 }
 
+// end ends the process: it accepts no more calls, and jobs under way have no outcome.
 func (s *server) end() {
 	s.endOnce.Do(func() {
 		close(s.stop)
@@ -80,6 +81,7 @@
 	})
 }
 
+// accept serves the connections of a listener until the process ends.
 func (s *server) accept(listener *link.Listener) {
 	defer s.tasks.Done()
 	for {
@@ -111,6 +113,7 @@
 	return s.spec.ConnCap > 0 && s.conns > s.spec.ConnCap
 }
 
+// removeConn counts the end of a connection.
 func (s *server) removeConn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,6 +128,7 @@
 	s.advance()
 }
 
+// tick advances the model at the time of its next event.
 func (s *server) tick() { s.updateModel(func(int64) {}) }
 
 // advance hands out the outcomes of jobs that ended and sets the timer for the next one. The caller holds s.mu.
