--- a/internal/lab/config.go
+++ b/internal/lab/config.go
@@ -12,9 +12,9 @@
 
 // sidecarEnvironment is what a sidecar's configuration says of the processes around it.
 type sidecarEnvironment struct {
-	listen            string
-	discovery         string // address of the list; "": the registry has it
-	seed              uint64
+	listen            string         // address at which clients reach it
+	discovery         string         // address of the list; "": the registry has it
+	seed              uint64         // of its own draws
 	known             []ctl.Entry    // the list at the start of the fleet
 	registryAddresses []string       // none: there is no registry
 	members           map[string]any // nil: sidecars do not know each other
@@ -28,17 +28,17 @@
 	file := experiment.File
 	planned := experiment.Sidecars[index]
 	var classes []object
-	for _, c := range file.Classes {
+	for _, class := range file.Classes {
 		effect := "at_most_once"
-		if c.Safe {
+		if class.Safe {
 			effect = "idempotent"
 		}
-		classes = append(classes, object{"name": c.Name, "effect": effect, "aim_s": c.LatencyTargetMS / 1000, "deadline_s": c.GiveUpMS / 1000,
-			"credit": c.Value, "late_value": c.LateValue, "group": "all", "window_s": 5, "stream": false})
+		classes = append(classes, object{"name": class.Name, "effect": effect, "aim_s": class.LatencyTargetMS / 1000, "deadline_s": class.GiveUpMS / 1000,
+			"credit": class.Value, "late_value": class.LateValue, "group": "all", "window_s": 5, "stream": false})
 	}
 	var models []string
-	for _, k := range file.Kinds {
-		models = append(models, k.Name)
+	for _, kind := range file.Kinds {
+		models = append(models, kind.Name)
 	}
 	config := object{
 		"name": planned.Name, "listen": environment.listen, "discovery": environment.discovery,
@@ -71,11 +71,11 @@
 	if environment.members != nil {
 		config["members"] = environment.members
 	}
-	for key, v := range file.Config {
+	for key, value := range file.Config {
 		if _, own := config[key]; own {
 			return nil, &SettingError{Sidecar: planned.Name, Setting: key}
 		}
-		config[key] = v
+		config[key] = value
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
--- a/internal/lab/plan/fault.go
+++ b/internal/lab/plan/fault.go
@@ -40,6 +40,7 @@
 	return false
 }
 
+// The bounds of a fault of clients or members.
 const (
 	maxFlooders        = 64 // clients of one flood
 	maxLyingMembers    = 16 // members of one lie
@@ -47,4 +48,4 @@
 )
 
 // inZone reports whether a fault acts on a zone.
-func (t *Fault) inZone(zone string) bool { return t.Zone == "" || t.Zone == zone }
+func (f *Fault) inZone(zone string) bool { return f.Zone == "" || f.Zone == zone }
--- a/internal/lab/plan/linksteps.go
+++ b/internal/lab/plan/linksteps.go
@@ -13,12 +13,12 @@
 	if fault.On == TargetPeers {
 		return d.drawPeerLinkFault(fault, at, end)
 	}
-	group := -1
+	group := noGroup
 	var nears []int
 	if fault.From != "" {
-		for i, s := range d.Sidecars {
-			if s.Zone == fault.From || s.Name == fault.From {
-				nears, group = append(nears, i), s.Group
+		for i, sidecar := range d.Sidecars {
+			if sidecar.Zone == fault.From || sidecar.Name == fault.From {
+				nears, group = append(nears, i), sidecar.Group
 			}
 		}
 		if len(nears) == 0 {
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// addLinkSteps adds the steps of a fault on the links of a step: one where it happens at once, else its beginning and its end.
+// addLinkSteps adds the steps of a fault on the links that a step names: one where the fault happens at once, else its beginning and its
+// end.
 func (d *stepDrawer) addLinkSteps(fault *Fault, at, end time.Duration, step Step) {
 	step.At, step.Do, step.Effect, step.On = at, Link, fault.effect(), true
 	switch fault.Do {
@@ -60,20 +61,20 @@
 }
 
 // effect is the effect of a fault on a link.
-func (t *Fault) effect() (e LinkEffect) {
-	switch t.Do {
+func (f *Fault) effect() (effect LinkEffect) {
+	switch f.Do {
 	case FaultDelay:
-		e.Delay, e.Jitter = Seconds(t.Size/1000), Seconds(t.Jitter/1000)
+		effect.Delay, effect.Jitter = Seconds(f.Size/1000), Seconds(f.Jitter/1000)
 	case FaultOneWayPartition:
-		e.HoldFar, e.HoldNear = t.Way == DirectionToFar, t.Way == DirectionToNear
+		effect.HoldFar, effect.HoldNear = f.Way == DirectionToFar, f.Way == DirectionToNear
 	case FaultPartition:
-		e.HoldFar, e.HoldNear = true, true
+		effect.HoldFar, effect.HoldNear = true, true
 	case FaultTrickle:
-		e.Rate = int(t.Size)
+		effect.Rate = int(f.Size)
 	case FaultPacketLoss:
-		e.Loss = t.Size
+		effect.Loss = f.Size
 	}
-	return e
+	return effect
 }
 
 // drawRegistryLinkFault draws a fault of the links of registry nodes, to their peers and clients. The far end is the node: "to-far" is what
--- a/internal/lab/plan/plan.go
+++ b/internal/lab/plan/plan.go
@@ -124,10 +124,13 @@
 	Group   int           // Link: the group whose calls are not established; negative: none
 }
 
+// noGroup is the value of Step.Group where calls of all groups are established.
+const noGroup = -1
+
 // LinkEffect is the effect of one fault on a link. Effects at the same time add up. The names of its fields are part of StepsHash.
 type LinkEffect struct {
-	HoldFar, HoldNear bool
-	Delay, Jitter     time.Duration
-	Rate              int
-	Loss              float64
+	HoldFar, HoldNear bool          // nothing arrives at the far end, or at the near one
+	Delay, Jitter     time.Duration // one way; the bound of a random delay besides
+	Rate              int           // bytes per second; 0: not limited
+	Loss              float64       // share of the packets that are lost
 }
--- a/internal/lab/plan/processes.go
+++ b/internal/lab/plan/processes.go
@@ -12,7 +12,7 @@
 // NodeIndex is the process index of the k-th registry node, from 0.
 func NodeIndex(k int) int { return firstNode - k }
 
-// NodeOf is the inverse of NodeIndex; ok is false for other processes and LeaderIndex.
+// NodeOf is the inverse of NodeIndex. ok is false for other processes and for LeaderIndex.
 func NodeOf(process int) (k int, ok bool) { return firstNode - process, process <= firstNode }
 
 // IsNode reports whether a process index is that of a registry node or LeaderIndex.
@@ -42,8 +42,8 @@
 // order.
 func (p *Plan) LyingMembers() (n int) {
 	for i := range p.File.Faults {
-		if t := &p.File.Faults[i]; t.Do == FaultFalseReports {
-			n += t.Count
+		if fault := &p.File.Faults[i]; fault.Do == FaultFalseReports {
+			n += fault.Count
 		}
 	}
 	return n
--- a/internal/lab/plan/processsteps.go
+++ b/internal/lab/plan/processsteps.go
@@ -37,13 +37,13 @@
 
 // busyUntil is until when no other fault may act on a process that this one acts on: as long as the fault lasts, or until a process that
 // ended runs again.
-func (t *Fault) busyUntil(at, end time.Duration) time.Duration {
-	ends := t.Do == FaultKill || t.Do == FaultTerminate
+func (f *Fault) busyUntil(at, end time.Duration) time.Duration {
+	ends := f.Do == FaultKill || f.Do == FaultTerminate
 	switch {
-	case ends && t.Restart == nil:
+	case ends && f.Restart == nil:
 		return endOfTime
 	case ends:
-		return at + Seconds(*t.Restart) + TermGrace
+		return at + Seconds(*f.Restart) + TermGrace
 	}
 	return end
 }
--- a/internal/lab/plan/routes.go
+++ b/internal/lab/plan/routes.go
@@ -19,8 +19,8 @@
 
 // RoutesUntil is when the last generation may be made, in seconds.
 func (p *Plan) RoutesUntil() float64 {
-	if u := p.File.Routes.UntilS; u > 0 {
-		return u
+	if until := p.File.Routes.UntilS; until > 0 {
+		return until
 	}
 	return p.File.Seconds
 }
--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -104,14 +104,14 @@
 // addLoss adds the loss of a machine and its return with a new process.
 func (d *stepDrawer) addLoss(uid string, at, end time.Duration) {
 	everything := LinkEffect{HoldFar: true, HoldNear: true}
-	d.addStep(Step{At: at, Do: Link, Server: uid, Effect: everything, On: true, Group: -1})
+	d.addStep(Step{At: at, Do: Link, Server: uid, Effect: everything, On: true, Group: noGroup})
 	d.isolate(at, uid, true)
 	if gone := at + d.drawDelay(d.File.List.UnreachableS); gone < end {
 		d.updateList(gone, uid, list.Deleted)
 	}
 	d.isolate(end, uid, false)
 	d.addStep(Step{At: end, Do: Revive, Server: uid})
-	d.addStep(Step{At: end, Do: Link, Server: uid, Effect: everything, Group: -1})
+	d.addStep(Step{At: end, Do: Link, Server: uid, Effect: everything, Group: noGroup})
 	d.updateList(end+d.drawDelay(d.File.List.AddS), uid, list.Serving)
 }
 
--- a/internal/lab/plan/validatefault.go
+++ b/internal/lab/plan/validatefault.go
@@ -103,7 +103,7 @@
 }
 
 // chooses reports whether a fault chooses among its targets by part, count or names.
-func (t *Fault) chooses() bool { return t.Part > 0 || t.Count > 0 || len(t.Names) > 0 }
+func (f *Fault) chooses() bool { return f.Part > 0 || f.Count > 0 || len(f.Names) > 0 }
 
 // checkFaultSize rejects a size out of range and an unknown direction.
 func (f *File) checkFaultSize(index int, fault *Fault, spec faultSpec) *Error {
