--- a/internal/lab/errors.go
+++ b/internal/lab/errors.go
@@ -21,6 +21,7 @@
 	Failure string // what was seen of it, as the end of a sentence
 }
 
+// Error implements error.
 func (e *StartError) Error() string { return e.Process + " " + e.Failure + ": see its log" }
 
 // OrderError says that a stand-in could not do what an order says.
@@ -29,6 +30,7 @@
 	Reason  string // its own words
 }
 
+// Error implements error.
 func (e *OrderError) Error() string { return e.Process + ": " + e.Reason }
 
 // RegistrationError says that too few servers registered before the load.
@@ -37,6 +39,7 @@
 	Within               time.Duration
 }
 
+// Error implements error.
 func (e *RegistrationError) Error() string {
 	return fmt.Sprintf("%d of %d servers registered within %v", e.Registered, e.Expected, e.Within)
 }
@@ -47,6 +50,7 @@
 	Setting string // its name on the wire
 }
 
+// Error implements error.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("configuration of %s: the lab sets %s itself", e.Sidecar, e.Setting)
 }
@@ -56,6 +60,7 @@
 	A, B int // number of runs
 }
 
+// Error implements error.
 func (e *RunCountError) Error() string {
 	return fmt.Sprintf("%d runs cannot be held against %d", e.A, e.B)
 }
@@ -66,4 +71,5 @@
 	ID     string
 }
 
+// Error implements error.
 func (e *UnknownRequestError) Error() string { return fmt.Sprintf("%s: no request %q", e.Folder, e.ID) }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -7,6 +7,9 @@
 // The terms: a near end opens connections and a far end accepts them; each pair has a link with faults of its own (package link).
 // A stand-in is a child process that obeys orders (packages standin and ctl). A step begins or ends a fault at a time of the plan;
 // its effect is when that was seen to happen. The evidence is everything that the checks look at.
+//
+// Times are ns of the lab's clock (package clock), which all processes share, unless a name or a comment says otherwise. Errors of
+// the lab itself, which errors.go lists, end an experiment without a result; what an experiment shows of the program is no error.
 package lab
 
 import (
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -27,6 +27,7 @@
 	activeFaults []*plan.Step // guarded by mu
 }
 
+// newLinkFaults returns the faults of a fleet that has none yet.
 func newLinkFaults(f *Fleet) *linkFaults { return &linkFaults{fleet: f, ends: map[string]*farEnd{}} }
 
 // farEndOf returns the far end of a UID, and makes it at the first call.
--- a/internal/lab/plan/file.go
+++ b/internal/lab/plan/file.go
@@ -168,9 +168,10 @@
 		Load: Load{Uneven: 1, Retries: true, WorkPart: 1},
 		Limits: Limits{AnswerSlackMS: 500, DrainGraceMS: 300, SlackMS: 50, MemoryMB: 192, Descriptors: 1024,
 			LatenessMS: 5},
-		List:     List{NoticeS: [2]float64{0.66, 3.9}, AddS: [2]float64{0.25, 2.6}, UnreachableS: [2]float64{6.5, 13}, Sizes: SizesAlike},
-		Members:  Members{BoundMS: 2000},
-		Registry: Registry{Program: ProgramRegistry, LeaseS: 3, GraceS: 3, MaxExpiringShare: 0.3, Snapshot: 4096, Writers: 4, Keys: 4, MaxRemovalShare: 0.3, MaxStalenessS: 2.5, Cache: true},
+		List:    List{NoticeS: [2]float64{0.66, 3.9}, AddS: [2]float64{0.25, 2.6}, UnreachableS: [2]float64{6.5, 13}, Sizes: SizesAlike},
+		Members: Members{BoundMS: 2000},
+		Registry: Registry{Program: ProgramRegistry, LeaseS: 3, GraceS: 3, MaxExpiringShare: 0.3,
+			Snapshot: 4096, Writers: 4, Keys: 4, MaxRemovalShare: 0.3, MaxStalenessS: 2.5, Cache: true},
 	}
 }
 
--- a/internal/lab/plan/parse.go
+++ b/internal/lab/plan/parse.go
@@ -14,11 +14,12 @@
 
 // Error says what is wrong with an experiment file, and where.
 type Error struct {
-	File string
-	Line int // 0: of the file as a whole
-	What string
+	File string // path
+	Line int    // from 1; 0: the error is of the file as a whole
+	What string // in one line
 }
 
+// Error implements error: the file, the line where there is one, and what is wrong.
 func (e *Error) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("%s: %s", e.File, e.What)
