--- a/internal/lab/plan/processsteps.go
+++ b/internal/lab/plan/processsteps.go
@@ -67,17 +67,17 @@
 
 // drawJoinOrLeave adds the steps of the sidecars that were drawn to join or leave.
 func (d *stepDrawer) drawJoinOrLeave(fault *Fault) error {
-	for i, s := range d.Sidecars {
+	for index, sidecar := range d.Sidecars {
+		joins := fault.Do == FaultJoin && sidecar.joined == d.fault+1
+		leaves := fault.Do == FaultLeave && sidecar.left == d.fault+1
 		switch {
-		case fault.Do == FaultJoin && s.joined == d.fault+1:
-			if s.Started() > 0 { // else it runs before the load starts
-				d.addStep(Step{At: s.Started(), Do: Start, Sidecar: i})
-			}
-		case fault.Do == FaultLeave && s.left == d.fault+1:
-			if err := d.claim(s.Name, s.To, endOfTime); err != nil {
+		case joins && sidecar.Started() > 0: // else it runs before the load starts
+			d.addStep(Step{At: sidecar.Started(), Do: Start, Sidecar: index})
+		case leaves:
+			if err := d.claim(sidecar.Name, sidecar.To, endOfTime); err != nil {
 				return err
 			}
-			d.addStep(Step{At: s.To, Do: Term, Sidecar: i})
+			d.addStep(Step{At: sidecar.To, Do: Term, Sidecar: index})
 		}
 	}
 	return nil
--- a/internal/lab/plan/sidecars.go
+++ b/internal/lab/plan/sidecars.go
@@ -40,10 +40,10 @@
 			return err
 		}
 	}
-	for _, s := range p.Sidecars {
-		stays := func(other Sidecar) bool { return other.Zone == s.Zone && other.From == 0 && other.To == 0 }
-		if !slices.ContainsFunc(p.Sidecars, stays) {
-			return p.File.errorAt("fault", -1, "do", "no sidecar of %s stays throughout", s.Zone)
+	for _, sidecar := range p.Sidecars {
+		staysInZone := func(other Sidecar) bool { return other.Zone == sidecar.Zone && other.From == 0 && other.To == 0 }
+		if !slices.ContainsFunc(p.Sidecars, staysInZone) {
+			return p.File.errorAt("fault", -1, "do", "no sidecar of %s stays throughout", sidecar.Zone)
 		}
 	}
 	if p.File.Registry.Count > 0 {
--- a/internal/lab/plan/steps.go
+++ b/internal/lab/plan/steps.go
@@ -73,9 +73,9 @@
 
 // claim rejects a second fault that acts on the same process, or the same property of a server, at the same time.
 func (d *stepDrawer) claim(what string, from, to time.Duration) error {
-	for _, s := range d.claims[what] {
-		if from < s.to && s.from < to {
-			return fmt.Errorf("acts on %s while fault %d of the file does", what, s.fault+1)
+	for _, earlier := range d.claims[what] {
+		if from < earlier.to && earlier.from < to {
+			return fmt.Errorf("acts on %s while fault %d of the file does", what, earlier.fault+1)
 		}
 	}
 	d.claims[what] = append(d.claims[what], claimedPeriod{from, to, d.fault})
@@ -83,12 +83,13 @@
 }
 
 // addStep adds a step of the current fault.
-func (d *stepDrawer) addStep(s Step) {
-	s.Fault = d.fault
-	d.Steps = append(d.Steps, s)
+func (d *stepDrawer) addStep(step Step) {
+	step.Fault = d.fault
+	d.Steps = append(d.Steps, step)
 }
 
-// choose draws the targets of a fault among all, by part, count or names.
+// choose returns the targets of a fault among all: those of its names, or as many as its count or part says, drawn. It fails where there
+// are too few.
 func choose[T any](rng *rand.Rand, fault *Fault, all []T, name func(T) string) ([]T, error) {
 	if len(fault.Names) > 0 {
 		var chosen []T
@@ -127,26 +128,30 @@
 		return d.chooseNodes(fault)
 	}
 	var all []int
-	for i, s := range d.Sidecars {
-		if s.runsThroughout(Seconds(fault.At), Seconds(fault.At+fault.For)) && fault.inZone(s.Zone) {
+	for i, sidecar := range d.Sidecars {
+		if sidecar.runsThroughout(Seconds(fault.At), Seconds(fault.At+fault.For)) && fault.inZone(sidecar.Zone) {
 			all = append(all, i)
 		}
 	}
 	return choose(d.rng, fault, all, func(i int) string { return d.Sidecars[i].Name })
 }
 
-// chooseNodes draws the registry nodes that a fault acts on, by process index. The name "leader" stands for the node that leads then.
+// leaderName is the name by which files choose the registry node that leads.
+const leaderName = "leader"
+
+// chooseNodes draws the registry nodes that a fault acts on, by process index. The name leaderName stands for the node that leads
+// when the step is taken.
 func (d *stepDrawer) chooseNodes(fault *Fault) ([]int, error) {
-	if slices.Equal(fault.Names, []string{"leader"}) {
+	if slices.Equal(fault.Names, []string{leaderName}) {
 		return []int{LeaderIndex}, nil
 	}
 	var all []int
-	for k := range d.File.Registry.Count {
-		all = append(all, NodeIndex(k))
+	for node := range d.File.Registry.Count {
+		all = append(all, NodeIndex(node))
 	}
-	return choose(d.rng, fault, all, func(i int) string {
-		k, _ := NodeOf(i)
-		return NodeName(k)
+	return choose(d.rng, fault, all, func(process int) string {
+		node, _ := NodeOf(process) // all are nodes
+		return NodeName(node)
 	})
 }
 
@@ -154,8 +159,9 @@
 // order of starts.
 func (d *stepDrawer) chooseServers(fault *Fault, from, to time.Duration) ([]int, error) {
 	var all []int
-	for i, l := range d.lifetimes {
-		if l.from <= from && l.to >= to && fault.inZone(d.Servers[l.index].Zone) {
+	for i, server := range d.lifetimes {
+		runsThroughout := server.from <= from && server.to >= to
+		if runsThroughout && fault.inZone(d.Servers[server.index].Zone) {
 			all = append(all, i)
 		}
 	}
@@ -167,7 +173,7 @@
 	at, end := Seconds(fault.At), Seconds(fault.At+fault.For)
 	switch fault.Do {
 	case FaultBurst, FaultFlood:
-		return nil // arrivals
+		return nil // they are arrivals, which drawArrivals draws
 	case FaultBackup, FaultRestore:
 		d.addStep(Step{At: at, Do: StepKind(fault.Do), Sidecar: LeaderIndex})
 		return nil
