--- a/internal/lab/plan/file.go
+++ b/internal/lab/plan/file.go
@@ -33,22 +33,50 @@
 	text []byte
 }
 
-// Fleet is what is started.
+// Fleet is the processes that are started, but for the registry.
 type Fleet struct {
-	Zones     []string `toml:"zones"`
-	Servers   int      `toml:"servers"`
-	Sidecars  int      `toml:"sidecars"`
-	PerHost   int      `toml:"per_host"`  // stand-in servers in one process
-	Program   string   `toml:"program"`   // "sidecar": the program; "plain": the stand-in to compare with
-	Flaw      string   `toml:"flaw"`      // of the stand-in sidecar, one of Flaws
-	MemoryMB  int      `toml:"memory_mb"` // limit in the configuration of a sidecar
-	Sockets   int      `toml:"sockets"`
-	DelayMS   float64  `toml:"delay_ms"` // one way between any sidecar and server
-	Start     string   `toml:"start"`    // "warm" or "cold": servers at the start
-	ErrorRate float64  `toml:"error_rate"`
-	Keep      bool     `toml:"keep"` // a sidecar's process finds what the one before it wrote to $TMPDIR
+	Zones     []string    `toml:"zones"`
+	Servers   int         `toml:"servers"`
+	Sidecars  int         `toml:"sidecars"`
+	PerHost   int         `toml:"per_host"`   // stand-in servers in one process
+	Program   Program     `toml:"program"`    // ProgramSidecar or ProgramPlain
+	Flaw      string      `toml:"flaw"`       // of the stand-in sidecar, one of Flaws
+	MemoryMB  int         `toml:"memory_mb"`  // limit in the configuration of a sidecar
+	Sockets   int         `toml:"sockets"`    // limit in the configuration of a sidecar
+	DelayMS   float64     `toml:"delay_ms"`   // one way between any sidecar and server
+	Start     ServerStart `toml:"start"`      // how servers start before the load
+	ErrorRate float64     `toml:"error_rate"` // share of the requests that a server answers with an error after the work
+	Keep      bool        `toml:"keep"`       // a sidecar's process finds what the one before it wrote to $TMPDIR
 }
 
+// Program is what runs as a sidecar or as a registry node. The values are part of the files' format.
+type Program string
+
+// The programs of sidecars and of registry nodes.
+const (
+	ProgramSidecar  Program = "sidecar" // the sidecar itself
+	ProgramRegistry Program = "keeper"  // the registry node itself
+	ProgramPlain    Program = "plain"   // a stand-in to compare with; as a registry node it does not replicate and has no disk
+)
+
+// ServerStart is how the servers of the start begin. The values are part of the files' format.
+type ServerStart string
+
+// The starts of servers.
+const (
+	StartWarm ServerStart = "warm"
+	StartCold ServerStart = "cold" // they warm up, as a new process does
+)
+
+// Sizes is what the list publishes as the servers' capacities. The values are part of the files' format.
+type Sizes string
+
+// The published capacities.
+const (
+	SizesAlike Sizes = "alike" // the same of all servers
+	SizesRough Sizes = "rough" // the true ones, up to a fifth wrong
+)
+
 // Load is what clients ask for.
 type Load struct {
 	Share       float64 `toml:"share"`     // of the work that all warm servers can do
@@ -62,28 +90,28 @@
 	Skew        float64 `toml:"skew"`      // exponent of Zipf's law: the i-th client has requests in proportion to i to the power of -skew
 }
 
-// Limits are the limits that invariants check.
+// Limits are the limits that invariants check. The operators' documents that they come from are named.
 type Limits struct {
 	AnswerSlackMS float64 `toml:"answer_slack_ms"` // past the client's time-out (FLEET.md: half a second)
 	DrainGraceMS  float64 `toml:"drain_grace_ms"`  // after a sidecar was notified
 	SlackMS       float64 `toml:"slack_ms"`        // of every time limit (PROTOCOL)
 	MemoryMB      float64 `toml:"memory_mb"`       // of a sidecar's process
-	Descriptors   int     `toml:"descriptors"`
-	LatenessMS    float64 `toml:"lateness_ms"` // of the lab, at the 99th percentile
+	Descriptors   int     `toml:"descriptors"`     // of a sidecar's process
+	LatenessMS    float64 `toml:"lateness_ms"`     // of the lab, at the 99th percentile
 }
 
-// List is how late the list of servers is.
+// List is how late and how exact the platform's list of servers is. Delays are drawn from ranges of seconds.
 type List struct {
 	NoticeS      [2]float64 `toml:"notice_s"` // until it knows that a process drains or ended
 	AddS         [2]float64 `toml:"add_s"`    // until it knows a new one
 	UnreachableS [2]float64 `toml:"silent_s"` // until it knows that a machine does not respond
-	Sizes        string     `toml:"sizes"`    // published capacities: "alike", or "rough": the true ones, up to a fifth wrong
+	Sizes        Sizes      `toml:"sizes"`
 }
 
 // Registry is the service registry that publishes the servers, in place of the platform's list.
 type Registry struct {
 	Count            int     `toml:"count"`       // of nodes; 0: the platform's list
-	Program          string  `toml:"program"`     // "keeper": the program; "plain": stand-ins that do not replicate and have no disk
+	Program          Program `toml:"program"`     // ProgramRegistry or ProgramPlain
 	Flaw             string  `toml:"flaw"`        // of the stand-in nodes, one of RegistryFlaws
 	LeaseS           float64 `toml:"lease_s"`     // of the servers' registrations
 	GraceS           float64 `toml:"grace_s"`     // from the end of a lease to the server's removal
@@ -107,51 +135,54 @@
 // Kind is a kind of server (BRIEF).
 type Kind struct {
 	Name  string     `toml:"name"`
-	Share float64    `toml:"share"`
+	Share float64    `toml:"share"` // of the servers, in relation to other kinds
 	Cores int        `toml:"cores"`
-	Speed [2]float64 `toml:"speed"`
+	Speed [2]float64 `toml:"speed"` // range of a core's speed; work is given for a core of speed 1
 }
 
 // Class is a class of requests (BRIEF).
 type Class struct {
 	Name            string  `toml:"name"`
-	Share           float64 `toml:"share"`
-	WorkMS          float64 `toml:"work_ms"` // mean, on a core of speed 1
-	LatencyTargetMS float64 `toml:"aim_ms"`
-	GiveUpMS        float64 `toml:"give_up_ms"`
-	Value           float64 `toml:"worth"`
+	Share           float64 `toml:"share"`      // of the requests, in relation to other classes
+	WorkMS          float64 `toml:"work_ms"`    // mean, on a core of speed 1
+	LatencyTargetMS float64 `toml:"aim_ms"`     // after which a response has LateValue
+	GiveUpMS        float64 `toml:"give_up_ms"` // after which the client waits no longer
+	Value           float64 `toml:"worth"`      // of a response in time
 	LateValue       float64 `toml:"late_worth"` // share of the value of a response after the latency target
 	Safe            bool    `toml:"safe"`       // idempotent: it may be retried
 }
 
 // Bar is a bound, or two, of a figure of the report.
 type Bar struct {
-	Figure string   `toml:"figure"`
-	Min    *float64 `toml:"least"`
-	Max    *float64 `toml:"most"`
+	Figure string   `toml:"figure"` // one of Figures, or one with a class after a colon
+	Min    *float64 `toml:"least"`  // nil: no bound
+	Max    *float64 `toml:"most"`   // nil: no bound
 }
 
-// Defaults is a file with the defaults of all keys: today's fleet of BRIEF.
+// Defaults is a file with the defaults of all keys but kinds and classes, which Parse adds where a file has none: the fleet of BRIEF.
 func Defaults() File {
 	return File{
 		Seconds: 20,
-		Fleet: Fleet{Zones: []string{"room-a", "room-b"}, Servers: 10, Sidecars: 4, PerHost: 50, Program: "sidecar", MemoryMB: 192,
-			Sockets: 1024, Start: "warm", Keep: true, ErrorRate: 0.001},
+		Fleet: Fleet{Zones: []string{"room-a", "room-b"}, Servers: 10, Sidecars: 4, PerHost: 50, Program: ProgramSidecar, MemoryMB: 192,
+			Sockets: 1024, Start: StartWarm, Keep: true, ErrorRate: 0.001},
 		Load: Load{Uneven: 1, Retries: true, WorkPart: 1},
 		Limits: Limits{AnswerSlackMS: 500, DrainGraceMS: 300, SlackMS: 50, MemoryMB: 192, Descriptors: 1024,
 			LatenessMS: 5},
-		List:     List{NoticeS: [2]float64{0.66, 3.9}, AddS: [2]float64{0.25, 2.6}, UnreachableS: [2]float64{6.5, 13}, Sizes: "alike"},
-		Members:  Members{BoundMS: 2000},
-		Registry: Registry{Program: "keeper", LeaseS: 3, GraceS: 3, MaxExpiringShare: 0.3, Snapshot: 4096, Writers: 4, Keys: 4, MaxRemovalShare: 0.3, MaxStalenessS: 2.5, Cache: true},
+		List:    List{NoticeS: [2]float64{0.66, 3.9}, AddS: [2]float64{0.25, 2.6}, UnreachableS: [2]float64{6.5, 13}, Sizes: SizesAlike},
+		Members: Members{BoundMS: 2000},
+		Registry: Registry{Program: ProgramRegistry, LeaseS: 3, GraceS: 3, MaxExpiringShare: 0.3,
+			Snapshot: 4096, Writers: 4, Keys: 4, MaxRemovalShare: 0.3, MaxStalenessS: 2.5, Cache: true},
 	}
 }
 
+// defaultKinds are the kinds of servers of BRIEF.
 var defaultKinds = []Kind{
 	{"fast", 0.32, 3, [2]float64{1.4, 1.8}},
 	{"standard", 0.32, 3, [2]float64{0.85, 1.1}},
 	{"slow", 0.36, 3, [2]float64{0.51, 0.69}},
 }
 
+// defaultClasses are the classes of requests of BRIEF.
 var defaultClasses = []Class{
 	{"fetch", 0.52, 78, 600, 2000, 1, 0.25, true},
 	{"submit", 0.48, 71, 500, 2000, 5, 0.3, false},
--- a/internal/lab/plan/linksteps.go
+++ b/internal/lab/plan/linksteps.go
@@ -7,18 +7,18 @@
 
 // drawLinkFault draws the links that a fault acts on, and adds its steps.
 func (d *stepDrawer) drawLinkFault(fault *Fault, at, end time.Duration) error {
-	if fault.On == "keepers" {
+	if fault.On == TargetRegistry {
 		return d.drawRegistryLinkFault(fault, at, end)
 	}
-	if fault.On == "peers" {
+	if fault.On == TargetPeers {
 		return d.drawPeerLinkFault(fault, at, end)
 	}
-	group := -1
+	group := noGroup
 	var nears []int
 	if fault.From != "" {
-		for i, s := range d.Sidecars {
-			if s.Zone == fault.From || s.Name == fault.From {
-				nears, group = append(nears, i), s.Group
+		for i, sidecar := range d.Sidecars {
+			if sidecar.Zone == fault.From || sidecar.Name == fault.From {
+				nears, group = append(nears, i), sidecar.Group
 			}
 		}
 		if len(nears) == 0 {
@@ -26,7 +26,7 @@
 		}
 	}
 	uids := []string{""} // "" is the list
-	if fault.On == "servers" {
+	if fault.On == TargetServers {
 		// A link exists whether its sidecar runs or not, so sidecars are chosen by zone or name alone.
 		servers, err := d.chooseServers(fault, at, at)
 		if err != nil {
@@ -43,13 +43,14 @@
 	return nil
 }
 
-// addLinkSteps adds the steps of a fault on the links of a step: one where it happens at once, else its beginning and its end.
+// addLinkSteps adds the steps of a fault on the links that a step names: one where the fault happens at once, else its beginning and its
+// end.
 func (d *stepDrawer) addLinkSteps(fault *Fault, at, end time.Duration, step Step) {
 	step.At, step.Do, step.Effect, step.On = at, Link, fault.effect(), true
 	switch fault.Do {
-	case "reset":
+	case FaultReset:
 		step.Do = Reset
-	case "half-open":
+	case FaultHalfOpen:
 		step.Do = Forget
 	}
 	d.addStep(step)
@@ -60,20 +61,20 @@
 }
 
 // effect is the effect of a fault on a link.
-func (t *Fault) effect() (e LinkEffect) {
-	switch t.Do {
-	case "delay":
-		e.Delay, e.Jitter = Seconds(t.Size/1000), Seconds(t.Jitter/1000)
-	case "silence":
-		e.HoldFar, e.HoldNear = t.Way == "to-far", t.Way == "to-near"
-	case "partition":
-		e.HoldFar, e.HoldNear = true, true
-	case "trickle":
-		e.Rate = int(t.Size)
-	case "loss":
-		e.Loss = t.Size
+func (f *Fault) effect() (effect LinkEffect) {
+	switch f.Do {
+	case FaultDelay:
+		effect.Delay, effect.Jitter = Seconds(f.Size/1000), Seconds(f.Jitter/1000)
+	case FaultOneWayPartition:
+		effect.HoldFar, effect.HoldNear = f.Way == DirectionToFar, f.Way == DirectionToNear
+	case FaultPartition:
+		effect.HoldFar, effect.HoldNear = true, true
+	case FaultTrickle:
+		effect.Rate = int(f.Size)
+	case FaultPacketLoss:
+		effect.Loss = f.Size
 	}
-	return e
+	return effect
 }
 
 // drawRegistryLinkFault draws a fault of the links of registry nodes, to their peers and clients. The far end is the node: "to-far" is what
--- a/internal/lab/plan/parse.go
+++ b/internal/lab/plan/parse.go
@@ -14,11 +14,12 @@
 
 // Error says what is wrong with an experiment file, and where.
 type Error struct {
-	File string
-	Line int // 0: of the file as a whole
-	What string
+	File string // path
+	Line int    // from 1; 0: the error is of the file as a whole
+	What string // in one line
 }
 
+// Error implements error: the file, the line where there is one, and what is wrong.
 func (e *Error) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("%s: %s", e.File, e.What)
@@ -55,6 +56,7 @@
 	if extra := slices.DeleteFunc(meta.Undecoded(), func(k toml.Key) bool { return k[0] == "config" }); len(extra) > 0 {
 		return nil, &Error{path, file.lineOf(extra[0][:len(extra[0])-1], -1, extra[0][len(extra[0])-1]), fmt.Sprintf("unknown key %q", extra[0])}
 	}
+	// Defaults has neither kinds nor classes, as the library would append to them.
 	if len(file.Kinds) == 0 {
 		file.Kinds = slices.Clone(defaultKinds)
 	}
@@ -91,6 +93,7 @@
 	return header
 }
 
+// errorAt is an error at a key: of the index-th table of a name, from 0, or of any where the index is negative.
 func (f *File) errorAt(table string, index int, key, form string, args ...any) *Error {
 	var path []string
 	if table != "" {
--- a/internal/lab/plan/serversteps.go
+++ b/internal/lab/plan/serversteps.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gradeusher.example/gradeusher/internal/lab/model"
+	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
 // isolate adds a step that begins or ends the isolation of a server's machine from the registry.
@@ -18,35 +19,36 @@
 }
 
 // updateList adds a step by which the list learns the state of a server.
-func (d *stepDrawer) updateList(at time.Duration, uid, state string) {
+func (d *stepDrawer) updateList(at time.Duration, uid string, state list.State) {
 	if d.File.Registry.Count > 0 {
 		return // servers register by themselves
 	}
-	d.addStep(Step{At: at, Do: UpdateList, Sidecar: ListIndex, Server: uid, State: state})
+	d.addStep(Step{At: at, Do: UpdateList, Sidecar: ListIndex, Server: uid, State: string(state)})
 }
 
 // drawDelay draws a delay of the list, in a range of seconds.
 func (d *stepDrawer) drawDelay(v [2]float64) time.Duration { return Seconds(uniform(d.rng, v)) }
 
-// drawServerFault draws the steps of a fault of one server, by its index in lifetimes.
+// drawServerFault draws the steps of a fault of one server, by its index in lifetimes. Faults that change a server's speed exclude each
+// other, and so do those that end its process.
 func (d *stepDrawer) drawServerFault(fault *Fault, index int, at, end time.Duration) error {
 	uid := d.Servers[d.lifetimes[index].index].UID
 	switch fault.Do {
-	case "clock":
+	case FaultClockJump:
 		d.addStep(Step{At: at, Do: Clock, Server: uid, By: Seconds(fault.Size)})
 		return nil
-	case "die", "flap", "lose":
+	case FaultCrash, FaultFlap, FaultMachineLoss:
 		return d.drawServerRestart(fault, index, at, end)
 	}
 	if err := d.claim("server "+uid+"'s speed", at, end); err != nil {
 		return err
 	}
 	switch fault.Do {
-	case "slow":
+	case FaultSlow:
 		d.addServerFault(uid, at, end, model.Fault{Slow: fault.Size})
-	case "hang":
+	case FaultHang:
 		d.addServerFault(uid, at, end, model.Fault{Hang: true})
-	case "steal":
+	case FaultSteal:
 		every := cmp.Or(Seconds(fault.Every), end-at)
 		for on := at; on < end; on += 2 * every {
 			d.addServerFault(uid, on, min(on+every, end), model.Fault{Stolen: fault.Size})
@@ -64,11 +66,11 @@
 // drawServerRestart draws the steps of a fault that ends the process of a server, or separates its machine from everybody.
 func (d *stepDrawer) drawServerRestart(fault *Fault, index int, at, end time.Duration) error {
 	uid := d.Servers[d.lifetimes[index].index].UID
-	neverRestarts := fault.Do == "die" && fault.Restart == nil
+	neverRestarts := fault.Do == FaultCrash && fault.Restart == nil
 	switch {
 	case neverRestarts:
 		end = endOfTime
-	case fault.Do == "die":
+	case fault.Do == FaultCrash:
 		end = at + Seconds(*fault.Restart)
 	}
 	if err := d.claim("server "+uid, at, end); err != nil {
@@ -78,15 +80,15 @@
 	case neverRestarts:
 		d.addStep(Step{At: at, Do: Die, Server: uid})
 		d.lifetimes[index].to = at
-		d.updateList(at+d.drawDelay(d.File.List.NoticeS), uid, "DELETED")
-	case fault.Do == "die":
+		d.updateList(at+d.drawDelay(d.File.List.NoticeS), uid, list.Deleted)
+	case fault.Do == FaultCrash:
 		d.addRestart(uid, at, end)
-	case fault.Do == "flap":
+	case fault.Do == FaultFlap:
 		every := Seconds(fault.Every)
 		for off := at; off < end; off += 2 * every {
 			d.addRestart(uid, off, min(off+every, end))
 		}
-	case fault.Do == "lose":
+	case fault.Do == FaultMachineLoss:
 		d.addLoss(uid, at, end)
 	}
 	return nil
@@ -96,21 +98,21 @@
 func (d *stepDrawer) addRestart(uid string, end, start time.Duration) {
 	d.addStep(Step{At: end, Do: Die, Server: uid})
 	d.addStep(Step{At: start, Do: Revive, Server: uid})
-	d.updateList(start+d.drawDelay(d.File.List.AddS), uid, "SERVING")
+	d.updateList(start+d.drawDelay(d.File.List.AddS), uid, list.Serving)
 }
 
 // addLoss adds the loss of a machine and its return with a new process.
 func (d *stepDrawer) addLoss(uid string, at, end time.Duration) {
 	everything := LinkEffect{HoldFar: true, HoldNear: true}
-	d.addStep(Step{At: at, Do: Link, Server: uid, Effect: everything, On: true, Group: -1})
+	d.addStep(Step{At: at, Do: Link, Server: uid, Effect: everything, On: true, Group: noGroup})
 	d.isolate(at, uid, true)
 	if gone := at + d.drawDelay(d.File.List.UnreachableS); gone < end {
-		d.updateList(gone, uid, "DELETED")
+		d.updateList(gone, uid, list.Deleted)
 	}
 	d.isolate(end, uid, false)
 	d.addStep(Step{At: end, Do: Revive, Server: uid})
-	d.addStep(Step{At: end, Do: Link, Server: uid, Effect: everything, Group: -1})
-	d.updateList(end+d.drawDelay(d.File.List.AddS), uid, "SERVING")
+	d.addStep(Step{At: end, Do: Link, Server: uid, Effect: everything, Group: noGroup})
+	d.updateList(end+d.drawDelay(d.File.List.AddS), uid, list.Serving)
 }
 
 // drawDeployment replaces servers batch by batch, evenly over the time of the fault.
@@ -119,38 +121,46 @@
 	if err != nil {
 		return err
 	}
-	drain := cmp.Or(fault.Drain, 4)
-	batch := cmp.Or(fault.Batch, 0.1)
+	drain := cmp.Or(fault.Drain, defaultDrainS)
+	batch := cmp.Or(fault.Batch, defaultBatch)
 	batchSize := max(1, int(math.Round(batch*float64(d.InitialServers))))
 	batches := (len(chosen) + batchSize - 1) / batchSize
 	available := fault.For - drain
 	if available < 0 {
 		return fmt.Errorf("the drain of %v s does not fit into %v s", drain, fault.For)
 	}
-	for b := range batches {
+	for batchIndex := range batches {
 		begin := at
 		if batches > 1 {
-			begin += Seconds(available * float64(b) / float64(batches-1))
+			begin += Seconds(available * float64(batchIndex) / float64(batches-1))
 		}
-		removed := begin + Seconds(drain)
-		for _, i := range chosen[b*batchSize : min((b+1)*batchSize, len(chosen))] {
-			old := d.Servers[d.lifetimes[i].index]
-			if err := d.claim("server "+old.UID, begin, endOfTime); err != nil {
+		for _, index := range chosen[batchIndex*batchSize : min((batchIndex+1)*batchSize, len(chosen))] {
+			if err := d.replaceServer(index, begin, begin+Seconds(drain)); err != nil {
 				return err
 			}
-			d.lifetimes[i].to = begin
-			notified := begin + d.drawDelay(d.File.List.NoticeS)
-			d.addStep(Step{At: begin, Do: Drain, Server: old.UID})
-			d.updateList(notified, old.UID, "DRAINING")
-			d.addStep(Step{At: removed, Do: Remove, Server: old.UID})
-			d.updateList(max(notified, removed+d.drawDelay(d.File.List.NoticeS)), old.UID, "DELETED")
-			next := len(d.Servers)
-			kind := slices.IndexFunc(d.File.Kinds, func(k Kind) bool { return k.Name == old.Kind })
-			d.Servers = append(d.Servers, d.drawSpec(next, old.Zone, kind))
-			d.lifetimes = append(d.lifetimes, lifetime{next, removed, endOfTime})
-			d.addStep(Step{At: removed, Do: Add, Server: d.Servers[next].UID})
-			d.updateList(removed+d.drawDelay(d.File.List.AddS), d.Servers[next].UID, "SERVING")
 		}
 	}
 	return nil
 }
+
+// replaceServer drains a server, by its index in lifetimes, and replaces it by another one of its zone and kind when its process ends.
+func (d *stepDrawer) replaceServer(index int, drained, removed time.Duration) error {
+	old := d.Servers[d.lifetimes[index].index]
+	if err := d.claim("server "+old.UID, drained, endOfTime); err != nil {
+		return err
+	}
+	d.lifetimes[index].to = drained
+	notified := drained + d.drawDelay(d.File.List.NoticeS)
+	d.addStep(Step{At: drained, Do: Drain, Server: old.UID})
+	d.updateList(notified, old.UID, list.Draining)
+	d.addStep(Step{At: removed, Do: Remove, Server: old.UID})
+	d.updateList(max(notified, removed+d.drawDelay(d.File.List.NoticeS)), old.UID, list.Deleted)
+	next := len(d.Servers)
+	kind := slices.IndexFunc(d.File.Kinds, func(k Kind) bool { return k.Name == old.Kind })
+	successor := d.drawSpec(next, old.Zone, kind)
+	d.Servers = append(d.Servers, successor)
+	d.lifetimes = append(d.lifetimes, lifetime{next, removed, endOfTime})
+	d.addStep(Step{At: removed, Do: Add, Server: successor.UID})
+	d.updateList(removed+d.drawDelay(d.File.List.AddS), successor.UID, list.Serving)
+	return nil
+}
--- a/internal/lab/registrywatchers.go
+++ b/internal/lab/registrywatchers.go
@@ -7,57 +7,54 @@
 
 	"gradeusher.example/gradeusher/internal/lab/check"
 	"gradeusher.example/gradeusher/internal/lab/ctl"
-	"gradeusher.example/gradeusher/internal/lab/proc"
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
 // startWatchers starts the process of subscribers that only watch, if the plan has any.
-func (f *Fleet) startWatchers() error {
-	n := f.plan.File.Registry.Watchers
-	if n == 0 {
+func (f *Fleet) startWatchers() (err error) {
+	count := f.plan.File.Registry.Watchers
+	if count == 0 {
 		return nil
 	}
-	args := []string{"stand-in", "watchers"}
-	for i := range n {
-		args = append(args, "--of", strings.Join(f.registryAddresses(f.plan.NearWatcher(i)), "/"))
+	args := []string{"watchers"}
+	for index := range count {
+		args = append(args, "--of", strings.Join(f.registryAddresses(f.plan.NearWatcher(index)), "/"))
 	}
-	c, err := startChild(f.starter, proc.Spec{Name: "watchers", Path: f.self.Path, Log: f.log("watchers"), Env: f.env("TMPDIR=" + f.work), Args: args}, f.handleEvent)
-	if err != nil {
-		return err
-	}
-	f.all.Add(c.Process)
-	f.registry.watchers = c
-	return nil
+	f.registry.watchers, err = f.startStandIn("watchers", args)
+	return err
 }
 
-const watcherTimeout = 15 * time.Second // for all watchers to catch up, when the faults are over
+const (
+	watcherTimeout      = 15 * time.Second // for all watchers to catch up, when the faults are over
+	watcherPollInterval = 200 * time.Millisecond
+)
 
 // awaitWatchers waits, when all faults are over, until a node leads and every watcher was notified of its revision, or for watcherTimeout.
-// It returns what the last revision is; 0: nobody leads.
+// It returns the last revision that was seen; 0: nobody leads.
 func (ks *registryNodes) awaitWatchers(ctx context.Context) (last check.Last) {
 	ctx, cancel := context.WithTimeout(ctx, watcherTimeout)
 	defer cancel()
-	path := ks.fleet.records("shown", 0)
+	path := ks.fleet.records(recordsOfRegistryUpdates, 0)
 	for {
 		leader, err := ks.leader(ctx)
 		if err != nil {
 			return last
 		}
-		c, err := client.New([]string{leader.http.Addr.String()})
+		registry, err := client.New([]string{leader.http.Addr.String()})
 		if err != nil {
 			return last
 		}
-		all, _ := client.Status[nodeStatus](ctx, c)
-		c.Close()
-		for _, s := range all {
-			last = check.Last{Cluster: s.Cluster, Rev: s.Rev}
+		statuses, _ := client.Status[nodeStatus](ctx, registry) // of the leader alone, unless it has gone
+		registry.Close()
+		for _, status := range statuses {
+			last = check.Last{Cluster: status.Cluster, Rev: status.Rev}
 		}
-		shown, err := ctl.ReadRecords[ctl.RegistryUpdate](path)
-		if err == nil && len(check.LaggingReaders(ks.fleet.plan, shown, last)) == 0 {
+		updates, err := ctl.ReadRecords[ctl.RegistryUpdate](path)
+		if err == nil && len(check.LaggingReaders(ks.fleet.plan, updates, last)) == 0 {
 			return last
 		}
 		select {
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(watcherPollInterval):
 		case <-ctx.Done():
 			return last
 		}
--- a/internal/lab/standin/list.go
+++ b/internal/lab/standin/list.go
@@ -51,7 +51,7 @@
 	platform.tasks.Add(1)
 	go platform.accept()
 	out := ctl.NewEventWriter(news)
-	out.Send(ctl.Event{Kind: "ready", Ports: []int{listener.Port()}, At: clock.Now()})
+	out.Send(ctl.Event{Kind: ctl.EventReady, Ports: []int{listener.Port()}, At: clock.Now()})
 	err = handleOrders(orders, out, func(o ctl.Order, _ *ctl.Event) error { return platform.handleOrder(o) })
 	close(platform.stop)
 	_ = listener.Close() // that it listens no more is all that matters
@@ -64,9 +64,9 @@
 type platformList struct {
 	groups   Groups
 	records  *ctl.Records
-	net      *network
+	net      *network // its links, by index of the sidecar
 	listener *link.Listener
-	stop     chan struct{}
+	stop     chan struct{} // closed when the orders end
 	tasks    sync.WaitGroup
 
 	mu            sync.Mutex
@@ -85,6 +85,7 @@
 	entry ctl.Entry
 }
 
+// handleOrder applies an order of the lab, and wakes the watches.
 func (l *platformList) handleOrder(order ctl.Order) error {
 	l.mu.Lock()
 	defer func() {
@@ -93,22 +94,22 @@
 		l.mu.Unlock()
 	}()
 	switch order.Do {
-	case "list":
+	case ctl.CommandUpdateList:
 		if order.Entry == nil {
 			return errors.New("list: the order has no entry")
 		}
 		l.addChange(*order.Entry)
-	case "list-mode":
+	case ctl.CommandListMode:
 		l.mode, l.updateDelay = listMode(order.Mode), time.Duration(order.Late*float64(time.Second))
-	case "link":
+	case ctl.CommandLink:
 		l.net.apply(order)
 		if order.Partitioned != nil {
 			return l.listener.SetPartitioned(*order.Partitioned)
 		}
-	case "reset", "forget":
+	case ctl.CommandReset, ctl.CommandForget:
 		l.net.apply(order)
 	default:
-		return fmt.Errorf("unknown order %q", order.Do)
+		return unknownCommandError(order.Do)
 	}
 	return nil
 }
@@ -132,6 +133,7 @@
 // revision is that of the latest change. The caller holds l.mu.
 func (l *platformList) revision() int64 { return l.firstRevision + int64(len(l.changes)) - 1 }
 
+// accept serves the connections of sidecars until the list ends.
 func (l *platformList) accept() {
 	defer l.tasks.Done()
 	for {
--- a/internal/lab/standin/listencode.go
+++ b/internal/lab/standin/listencode.go
@@ -6,6 +6,7 @@
 
 	"gradeusher.example/gradeusher/internal/lab/ctl"
 	"gradeusher.example/gradeusher/internal/lab/link"
+	"gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
 // snapshot is the list as it was at a revision, without servers that came later or that are deleted, and its entries. The caller
@@ -17,7 +18,7 @@
 	}
 	var entries []ctl.Entry
 	for _, uid := range l.order {
-		if entry, ok := at[uid]; ok && entry.State != "DELETED" {
+		if entry, ok := at[uid]; ok && entry.State != string(list.Deleted) {
 			entries = append(entries, entry)
 		}
 	}
@@ -35,6 +36,7 @@
 	return entries
 }
 
+// encode encodes entries for a sidecar.
 func (l *platformList) encode(near int, revision int64, complete bool, entries []ctl.Entry) []byte {
 	return EncodeList(near, l.groups[near], revision, complete, entries)
 }
--- a/internal/lab/standin/relay.go
+++ b/internal/lab/standin/relay.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -34,7 +33,7 @@
 	forwarder := &relay{sidecars: sidecars, readers: readers, notified: notifiedRecords, listLines: listRecords,
 		routeLines: routeRecords, networks: map[string]*network{}, stop: make(chan struct{})}
 	out := ctl.NewEventWriter(news)
-	out.Send(ctl.Event{Kind: "ready", At: clock.Now()})
+	out.Send(ctl.Event{Kind: ctl.EventReady, At: clock.Now()})
 	err = handleOrders(orders, out, forwarder.handleOrder)
 	forwarder.close()
 	return errors.Join(err, notifiedRecords.Close(), listRecords.Close(), routeRecords.Close())
@@ -49,7 +48,7 @@
 	routeLines *ctl.Records
 	networks   map[string]*network // by the node's name
 	listeners  []*link.Listener
-	stop       chan struct{}
+	stop       chan struct{} // closed when the orders end
 	tasks      sync.WaitGroup
 	lastConn   atomic.Int64 // number of the latest connection that is recorded
 }
@@ -60,29 +59,30 @@
 	for _, listener := range r.listeners {
 		_ = listener.Close() // that it listens no more is all that matters
 	}
-	for _, n := range r.networks {
-		n.forEach(nil, (*link.Link).Reset)
+	for _, nodeNet := range r.networks {
+		nodeNet.forEach(nil, (*link.Link).Reset)
 	}
 	r.tasks.Wait()
 }
 
-func (r *relay) handleOrder(order ctl.Order, n *ctl.Event) error {
+// handleOrder applies an order of the lab to the network in front of the node UID, which the first order for it makes.
+func (r *relay) handleOrder(order ctl.Order, acknowledgement *ctl.Event) error {
 	nodeNet := r.networks[order.UID]
 	if nodeNet == nil {
 		nodeNet = newNetwork()
 		r.networks[order.UID] = nodeNet
 	}
 	switch order.Do {
-	case "front":
+	case ctl.CommandFront:
 		port, err := r.listen(order, nodeNet)
 		if err != nil {
 			return err
 		}
-		n.Ports = []int{port}
-	case "link", "reset", "forget":
+		acknowledgement.Ports = []int{port}
+	case ctl.CommandLink, ctl.CommandReset, ctl.CommandForget:
 		nodeNet.apply(order)
 	default:
-		return fmt.Errorf("unknown order %q", order.Do)
+		return unknownCommandError(order.Do)
 	}
 	return nil
 }
@@ -109,6 +109,7 @@
 	address string
 }
 
+// accept forwards the connections of a listener until that is closed.
 func (r *relay) accept(listener *link.Listener, nodeNet *network, node registryNode) {
 	for {
 		accepted, near, err := listener.Accept(r.stop)
