--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	logger := slog.NewLogLogger(m.options.Log.Handler(), slog.LevelDebug)
-	t, err := newTransport(host, port, m.options.Reach, m.options.dropPacket)
+	t, err := newTransport(host, port, m.options.Reach, m.options.knobs.DropPacket)
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return errors.Join(errInUse, err)
 	} else if err != nil {
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -55,7 +55,7 @@
 	OnUpdate func(Update)
 	OnView   func(View)
 
-	dropPacket func() bool // a packet that is sent is lost, as tests want it; nil: none is
+	knobs TestingKnobs // zero in production
 }
 
 // View is who is a member, as one of them sees it.
--- a/internal/sidecar/members/transport.go
+++ b/internal/sidecar/members/transport.go
@@ -27,7 +27,7 @@
 	packetConn *net.UDPConn
 	listener   *net.TCPListener
 	reach      string      // "": each at its own host
-	dropPacket func() bool // nil: no packet
+	dropPacket func() bool // see TestingKnobs
 	ctx        context.Context
 	end        context.CancelFunc
 	readers    sync.WaitGroup
--- a/internal/sidecar/members/updates_benchmark_test.go
+++ b/internal/sidecar/members/updates_benchmark_test.go
@@ -45,7 +45,7 @@
 	for index, wave := 0, 0; index < count; index++ {
 		fleet.latest[index], fleet.ages[index] = make([][2]atomic.Int64, count), hdrhistogram.New(1, 60_000, 3)
 		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0"}
-		options.dropPacket = func() bool { return rand.Uint64N(1000) < fleet.loss.Load() }
+		options.knobs.DropPacket = func() bool { return rand.Uint64N(1000) < fleet.loss.Load() }
 		options.OnUpdate = func(w Update) {
 			told := int64(binary.BigEndian.Uint64(w.Payload))
 			origin, _ := strconv.Atoi(w.Origin[len("sidecar-"):])
