--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -42,6 +42,35 @@
 	names  map[uint32]bool
 }
 
+// question is a frame of an exchange that calls for an answer: versions or wants.
+type question interface {
+	// from returns the process that asks.
+	from() process
+	// answer returns the stored states that the asker is to be sent, and, encoded, what the answering process wants of it; nil: nothing.
+	answer(stored *states, answering process, now, ttl time.Duration) (give []frame, want []byte)
+}
+
+var (
+	_ question = (*versions)(nil)
+	_ question = (*wants)(nil)
+)
+
+func (v *versions) from() process { return v.asker }
+
+func (v *versions) answer(stored *states, answering process, now, ttl time.Duration) (give []frame, want []byte) {
+	give, newer := stored.compare(v, now, ttl)
+	if len(newer) > 0 {
+		want = encodeWants(answering, v.salt, newer)
+	}
+	return give, want
+}
+
+func (w *wants) from() process { return w.wanter }
+
+func (w *wants) answer(stored *states, _ process, now, ttl time.Duration) (give []frame, want []byte) {
+	return stored.wanted(w, now, ttl), nil
+}
+
 // hash identifies the state's origin, process and kind; short names are derived from it.
 func (f *frame) hash() uint64 {
 	var d xxhash.Digest
@@ -87,8 +116,8 @@
 	return asks
 }
 
-// answer compares a part of a question with the stored states: give is what the asker lacks, want is what it has newer.
-func (s *states) answer(question *versions, now, ttl time.Duration) (give []frame, want []uint32) {
+// compare compares a part of a question with the stored states: give is what the asker lacks, want is what it has newer.
+func (s *states) compare(question *versions, now, ttl time.Duration) (give []frame, want []uint32) {
 	for _, stored := range s.latest {
 		if stored.key%uint64(question.parts) != uint64(question.part) {
 			continue
--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -101,15 +101,15 @@
 
 // receiveExchange processes a frame of an exchange, and reports whether it is one. Questions are queued for runExchange.
 func (m *Members) receiveExchange(b []byte) bool {
-	var question any
+	var asked question
 	var err error
 	switch {
 	case len(b) == 0:
 		return false
 	case b[0] == askForm:
-		question, err = decodeAsk(b)
+		asked, err = decodeAsk(b)
 	case b[0] == wantForm:
-		question, err = decodeWants(b)
+		asked, err = decodeWants(b)
 	case b[0] == deltaForm:
 		err = unpack(b[1:], func(f []byte) {
 			if len(f) > 0 && f[0] == updateForm {
@@ -123,9 +123,9 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.counts.Malformed++
-	} else if question != nil {
+	} else if asked != nil {
 		select {
-		case m.questions <- question:
+		case m.questions <- asked:
 		default:
 			m.countSendLimited()
 		}
@@ -133,32 +133,22 @@
 	return true
 }
 
-// answerQuestion is what to send to whom in answer to a question.
-func (m *Members) answerQuestion(q any) (to string, packets [][]byte) {
+// answerQuestion returns what to send to whom in answer to a question; nothing where the asker is not a process that is there.
+func (m *Members) answerQuestion(q question) (to string, packets [][]byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.clock()
-	var who process
-	var give []frame
-	var want []uint32
-	switch q := q.(type) {
-	case *versions:
-		who = q.asker
-		give, want = m.states.answer(q, now, m.options.TTL)
-		if len(want) > 0 {
-			packets = append(packets, encodeWants(process{m.options.Name, m.start}, q.salt, want))
-		}
-	case *wants:
-		who = q.wanter
-		give = m.states.wanted(q, now, m.options.TTL)
-	}
-	n := m.nodes[who.node()]
-	if n == nil {
+	asker := m.nodes[q.from().node()]
+	if asker == nil {
 		m.counts.NonMembers++
 		return "", nil
 	}
+	now := m.clock()
+	give, want := q.answer(m.states, process{m.options.Name, m.start}, now, m.options.TTL)
+	if want != nil {
+		packets = append(packets, want)
+	}
 	deltas := m.states.deltas(give, now)
-	return n.address, append(packets, deltas[:min(len(deltas), maxDeltas)]...)
+	return asker.address, append(packets, deltas[:min(len(deltas), maxDeltas)]...)
 }
 
 // mayReceiveFrom reports whether another origin's budget, as counted here, allows more. The member's own states are limited in
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -131,8 +131,8 @@
 	peers         []peerNode    // processes of others; nil: to be taken from nodes
 	lastUpdateAt  time.Duration // when the last update was published or accepted
 	budgets       map[string]*byteBudget
-	delayed       []frame // own states that wait, one a kind
-	questions     chan any
+	delayed       []frame       // own states that wait, one a kind
+	questions     chan question // of peers, which runExchange answers
 	claimAt       time.Duration // the own claim again
 	counts        Counts
 }
@@ -168,7 +168,7 @@
 	m := &Members{options: options, start: now.UnixNano(), startedAt: now, listening: make(chan struct{}),
 		wakeWorker: make(chan struct{}, 1), wakeJoiner: make(chan struct{}, 1),
 		nodes: map[string]*node{}, members: map[string]int64{}, leaving: map[string]leavingProcess{}, lost: map[string]lostProcess{},
-		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*byteBudget{}, questions: make(chan any, maxQuestions)}
+		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*byteBudget{}, questions: make(chan question, maxQuestions)}
 	m.ownNode = process{options.Name, m.start}.node()
 	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMult, NumNodes: m.count}
 	m.nodes[m.ownNode] = &node{process: process{options.Name, m.start}}
