--- a/internal/sidecar/members/budget.go
+++ b/internal/sidecar/members/budget.go
@@ -42,3 +42,25 @@
 func originShare(members int) float64 {
 	return min(max(updateBytesPerSecond/float64(max(members, 1)), minOriginBytesPerSecond), maxOriginBytesPerSecond)
 }
+
+// mayReceiveFrom reports whether another origin's budget, as counted here, allows more. The member's own states are limited in
+// Publish. m.mu is held.
+func (m *Members) mayReceiveFrom(name string, now time.Duration) bool {
+	if name == m.options.Name {
+		return true
+	}
+	b := m.budgets[name]
+	rate := receiveLenience * originShare(len(m.members))
+	return b == nil || b.hasBytes(now, rate, rate*burstSeconds)
+}
+
+// spendBudget charges a frame to the budget of its origin, and reports whether it is within. m.mu is held.
+func (m *Members) spendBudget(f frame, now time.Duration) bool {
+	b := m.budgets[f.name]
+	if b == nil {
+		b = &byteBudget{}
+		m.budgets[f.name] = b
+	}
+	rate := receiveLenience * originShare(len(m.members))
+	return b.spend(f.size(), now, rate, rate*burstSeconds)
+}
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -178,20 +178,6 @@
 	return packets
 }
 
-// append appends the process: its start, and its name with its length.
-func (p process) append(b []byte) []byte {
-	return append(append(binary.BigEndian.AppendUint64(b, uint64(p.start)), byte(len(p.name))), p.name...)
-}
-
-// decodeProcess reads what append appended, and returns what is behind it.
-func decodeProcess(b []byte) (p process, rest []byte, err error) {
-	if len(b) < 9 || b[8] == 0 || b[8] > MaxNameBytes || len(b) < 9+int(b[8]) {
-		return p, nil, errMalformed
-	}
-	n := 9 + int(b[8])
-	return process{string(b[9:n]), int64(binary.BigEndian.Uint64(b))}, b[n:], nil
-}
-
 // decodeAsk reads a part of a question.
 func decodeAsk(b []byte) (*versions, error) {
 	if len(b) < 7 || len(b) > maxFrameBytes || b[0] != askForm || b[1] >= b[2] || b[2] > maxParts {
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -27,46 +27,15 @@
 	"cmp"
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
-	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/hashicorp/memberlist"
 )
 
-// Options say who a member is and whom it joins.
-type Options struct {
-	Name      string        // of the member, the same in each process of it; 1 to MaxNameBytes bytes
-	Listen    string        // IP address and port, for UDP and TCP; port 0: any
-	Advertise string        // IP address and port where others reach it; "": Listen
-	Join      []string      // hosts and ports of any members; those that are gone are tried again, ever more rarely
-	Reach     string        // every peer is reached at this IP address, at the port of its own; "": at its own
-	TTL       time.Duration // updates that are older are dropped; 0: DefaultTTL
-	Log       *slog.Logger  // nil: none
-
-	// OnUpdate is called for each update, and OnView for each new view; one call at a time, from one goroutine. A state that is
-	// replaced before its turn is not notified. Nil: no calls.
-	OnUpdate func(Update)
-	OnView   func(View)
-
-	knobs TestingKnobs // zero in production
-}
-
-// View is who is a member, as one of them sees it.
-type View struct {
-	Epoch uint64 // see epochs
-	Index int    // of this member, in Names
-	Count int    // of members, this one included; at least 1
-	// Names are in the order of a hash of them: neighbours in a list of machines are not neighbours here.
-	Names []string
-}
-
 // Update is the newest state of one kind that an origin published.
 type Update struct {
 	Origin  string // a member's name
@@ -77,9 +46,6 @@
 	Payload []byte
 }
 
-// DefaultTTL is Options.TTL where none is set.
-const DefaultTTL = 2 * time.Second
-
 // Counts is what a member did since its start.
 type Counts struct {
 	Traffic
@@ -94,7 +60,6 @@
 const (
 	farewellPrefix = "farewell/"
 	maxMembers     = 4096
-	separator      = "@" // between a member's name and its process's start, in memberlist's name for the process
 )
 
 // Members is one member, from New to Close.
@@ -177,46 +142,6 @@
 	return m, nil
 }
 
-// check returns an OptionError for the first option that is not valid.
-func (o Options) check() error {
-	if len(o.Name) < 1 || len(o.Name) > MaxNameBytes {
-		return &OptionError{"name", fmt.Errorf("%q has not 1 to %d bytes", o.Name, MaxNameBytes)}
-	}
-	if _, _, err := splitAddress(o.Listen); err != nil {
-		return &OptionError{"listen", err}
-	}
-	if o.Advertise != "" {
-		if _, _, err := splitAddress(o.Advertise); err != nil {
-			return &OptionError{"advertise", err}
-		}
-	}
-	for _, address := range o.Join {
-		if _, _, err := net.SplitHostPort(address); err != nil {
-			return &OptionError{"join", err}
-		}
-	}
-	if o.Reach != "" && net.ParseIP(o.Reach) == nil {
-		return &OptionError{"reach", fmt.Errorf("%q is no IP address", o.Reach)}
-	}
-	if o.TTL < 0 {
-		return &OptionError{"bound", fmt.Errorf("%v is negative", o.TTL)}
-	}
-	return nil
-}
-
-// splitAddress is an IP address and port.
-func splitAddress(address string) (host string, port int, err error) {
-	host, service, err := net.SplitHostPort(address)
-	if err != nil {
-		return "", 0, err
-	}
-	n, err := strconv.ParseUint(service, 10, 16)
-	if err != nil || net.ParseIP(host) == nil {
-		return "", 0, fmt.Errorf("%q is no IP address and port", address)
-	}
-	return host, int(n), nil
-}
-
 // Start has the member listen and join until Close; once ctx is done it notifies and publishes nothing more. Where the address is in use, as by the process that this
 // one follows, it goes on trying; other errors are returned.
 func (m *Members) Start(ctx context.Context) error {
@@ -257,31 +182,6 @@
 	})
 }
 
-// Publish has the payload be this member's state of a kind, in place of the last one. The payload is not to be changed after.
-// A member that publishes more than its share (see originShare: 640 bytes a second at 300 members, headers included) sends its
-// newest state later, and a state that is replaced before its turn not at all. A kind or payload over its bound is a BoundsError.
-func (m *Members) Publish(kind uint8, payload []byte) error {
-	if kind >= MaxKinds || len(payload) > MaxPayloadBytes {
-		return &BoundsError{Kind: kind, Bytes: len(payload)}
-	}
-	m.mu.Lock()
-	f := frame{name: m.options.Name, kind: kind, start: m.start, madeAt: m.clock(), payload: payload}
-	if i := slices.IndexFunc(m.delayed, func(w frame) bool { return w.kind == kind }); i >= 0 {
-		m.delayed[i] = f
-	} else {
-		m.delayed = append(m.delayed, f)
-	}
-	now := m.releaseDelayedLocked()
-	if len(m.delayed) > 0 {
-		m.counts.Delayed++
-	}
-	m.mu.Unlock()
-	for _, f := range now {
-		m.queueFrame(f)
-	}
-	return nil
-}
-
 // View is who is a member now.
 func (m *Members) View() View {
 	m.mu.Lock()
@@ -322,49 +222,6 @@
 	return len(m.members)
 }
 
-// updateView computes the members and the view from the processes that are there. m.mu is held.
-func (m *Members) updateView() {
-	now := time.Now()
-	clear(m.members)
-	for _, n := range m.nodes {
-		m.members[n.name] = max(m.members[n.name], n.start)
-	}
-	names := make([]string, 0, len(m.members))
-	for name := range m.members {
-		names = append(names, name)
-	}
-	// Without the leaving members, all indexes would change twice: at the farewell of an old process and at the arrival of the new one.
-	for name, p := range m.leaving {
-		if _, there := m.members[name]; now.Sub(p.at) >= handoverTime {
-			delete(m.leaving, name)
-		} else if !there {
-			names = append(names, name)
-		}
-	}
-	sortByHash(names)
-	if slices.Equal(names, m.view.Names) {
-		return
-	}
-	hash := xxhash.Sum64String(strings.Join(names, "\x00"))
-	if m.epochs.adoptSet(uint32(hash)) {
-		m.queueClaim(m.epochs.own)
-	}
-	m.view = View{Epoch: m.epochs.own.epoch(), Index: slices.Index(names, m.options.Name), Count: len(names), Names: names}
-}
-
-// sortByHash sorts names by their hash.
-func sortByHash(names []string) {
-	slices.SortFunc(names, func(x, y string) int {
-		if a, b := xxhash.Sum64String(x), xxhash.Sum64String(y); a != b {
-			if a < b {
-				return -1
-			}
-			return 1
-		}
-		return strings.Compare(x, y)
-	})
-}
-
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- /dev/null
+++ b/internal/sidecar/members/receive.go
@@ -0,0 +1,83 @@
+package members
+
+import "time"
+
+// receive processes a frame from a peer, and forwards it if it is new.
+func (m *Members) receive(b []byte, mayForward bool) {
+	if m.receiveExchange(b) {
+		return
+	}
+	if c, err := decodeClaim(b); err == nil {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		if m.epochs.receiveClaim(c) {
+			m.view.Epoch = m.epochs.own.epoch()
+			m.queueClaim(c)
+		}
+		return
+	}
+	if p, err := decodeFarewell(b); err == nil {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		if m.processLeaves(p) && mayForward {
+			m.unsent = append(m.unsent, &broadcast{name: farewellPrefix + p.name, encoded: b})
+			wake(m.wakeWorker)
+		}
+		return
+	}
+	f, err := decodeUpdate(b)
+	m.mu.Lock()
+	fresh := m.acceptFrame(f, err)
+	young := fresh && m.states.age(f, m.clock()) <= maxGossipAge
+	m.mu.Unlock()
+	if young && mayForward && m.queue.NumQueued() < maxQueued {
+		m.queueFrame(f)
+	}
+}
+
+// processLeaves records the farewell of a process, and reports whether it is new. m.mu is held. The farewell is needed because
+// memberlist does not say whether a process left or died, and only the index of one that left is reserved for its successor.
+func (m *Members) processLeaves(p process) bool {
+	known := m.members[p.name] == p.start && p.name != m.options.Name
+	for name := range m.lost {
+		if parse(name) == p {
+			known = true
+			delete(m.lost, name)
+		}
+	}
+	if !known || m.leaving[p.name].start == p.start {
+		return false
+	}
+	m.leaving[p.name] = leavingProcess{p.start, time.Now()}
+	return true
+}
+
+// acceptFrame merges a frame and reports whether it is to be notified and forwarded. m.mu is held.
+func (m *Members) acceptFrame(received frame, err error) bool {
+	now := m.clock()
+	switch start, known := m.members[received.name]; {
+	case err != nil:
+		m.counts.Malformed++
+		return false
+	case received.name == m.options.Name: // this process's own frame, come back, or one of another process of this member
+		m.counts.Duplicates++
+		return false
+	case !known || received.start != start:
+		m.counts.NonMembers++
+		return false
+	case m.states.isNewer(received) && !m.spendBudget(received, now):
+		m.counts.RateLimited++
+		return false
+	case !m.states.merge(received, now):
+		m.counts.Duplicates++
+		return false
+	case m.states.age(received, now) > m.options.TTL:
+		m.counts.Expired++
+		return false
+	}
+	m.counts.Updates++
+	m.lastUpdateAt = now
+	m.pending[stateKey{received.name, received.kind}] = struct{}{}
+	wake(m.wakeWorker)
+	return true
+}
--- a/internal/sidecar/members/states.go
+++ b/internal/sidecar/members/states.go
@@ -16,12 +16,6 @@
 	kind uint8
 }
 
-// process is one process of an origin.
-type process struct {
-	name  string
-	start int64
-}
-
 // states keeps the newest state of each origin and kind, by the start of its process and then by its number, and how far the
 // clock of each process is from the own. merge is commutative, associative and idempotent over copies, each with the time at
 // which it came.
