--- a/internal/sidecar/wire/lists.go
+++ b/internal/sidecar/wire/lists.go
@@ -94,16 +94,3 @@
 	}
 	return entry, nil
 }
-
-func (r *Reader) state(i int) balance.State {
-	switch r.text(i) {
-	case "healthy":
-		return balance.Ready
-	case "cordoned":
-		return balance.Draining
-	case "deregistered":
-		return balance.Removed
-	}
-	r.fail(i, "a state")
-	return balance.Ready
-}
