--- a/internal/sidecar/wire/fields.go
+++ b/internal/sidecar/wire/fields.go
@@ -11,58 +11,58 @@
 )
 
 // requestID is the first part of the events of requests.
-func (r *Reader) requestID() balance.RequestID { return balance.RequestID(r.number64(1)) }
+func (r *Reader) requestID() balance.RequestID { return balance.RequestID(r.uint(1)) }
 
 func (r *Reader) split(line []byte) {
-	r.parts = r.parts[:0]
+	r.fields = r.fields[:0]
 	for {
 		i := bytes.IndexByte(line, '\t')
 		if i < 0 {
-			r.parts = append(r.parts, line)
+			r.fields = append(r.fields, line)
 			return
 		}
-		r.parts = append(r.parts, line[:i])
+		r.fields = append(r.fields, line[:i])
 		line = line[i+1:]
 	}
 }
 
 // absent tells whether part i is missing or "-".
 func (r *Reader) absent(i int) bool {
-	return i >= len(r.parts) || len(r.parts[i]) == 0 || len(r.parts[i]) == 1 && r.parts[i][0] == '-'
+	return i >= len(r.fields) || len(r.fields[i]) == 0 || len(r.fields[i]) == 1 && r.fields[i][0] == '-'
 }
 
 func (r *Reader) fail(i int, want string) {
 	if r.err != nil {
 		return
 	}
-	if i >= len(r.parts) {
+	if i >= len(r.fields) {
 		r.err = fmt.Errorf("part %d is missing, want %s", i, want)
 		return
 	}
-	r.err = fmt.Errorf("part %d is %q, want %s", i, r.parts[i], want)
+	r.err = fmt.Errorf("part %d is %q, want %s", i, r.fields[i], want)
 }
 
-func (r *Reader) number64(i int) uint64 {
-	if i >= len(r.parts) {
+func (r *Reader) uint(i int) uint64 {
+	if i >= len(r.fields) {
 		r.fail(i, "a whole number")
 		return 0
 	}
-	n, ok := parseUint(r.parts[i])
+	n, ok := parseUint(r.fields[i])
 	if !ok {
 		r.fail(i, "a whole number")
 	}
 	return n
 }
 
-func (r *Reader) optional64(i int) uint64 {
+func (r *Reader) optionalUint(i int) uint64 {
 	if r.absent(i) {
 		return 0
 	}
-	return r.number64(i)
+	return r.uint(i)
 }
 
 func (r *Reader) integer(i int) int {
-	n := r.number64(i)
+	n := r.uint(i)
 	if n > math.MaxInt32 {
 		r.fail(i, "a small whole number")
 		return 0
@@ -71,11 +71,11 @@
 }
 
 func (r *Reader) float(i int) float64 {
-	if i >= len(r.parts) {
+	if i >= len(r.fields) {
 		r.fail(i, "a number")
 		return 0
 	}
-	f, err := strconv.ParseFloat(string(r.parts[i]), 64)
+	f, err := strconv.ParseFloat(string(r.fields[i]), 64)
 	if err != nil || math.IsNaN(f) || math.Abs(f) > 1e12 {
 		r.fail(i, "a number")
 		return 0
@@ -94,8 +94,8 @@
 }
 
 func (r *Reader) boolean(i int) bool {
-	if i < len(r.parts) && len(r.parts[i]) == 1 {
-		switch r.parts[i][0] {
+	if i < len(r.fields) && len(r.fields[i]) == 1 {
+		switch r.fields[i][0] {
 		case '1':
 			return true
 		case '0':
@@ -114,14 +114,14 @@
 	if r.absent(i) {
 		return ""
 	}
-	if s, ok := r.intern[string(r.parts[i])]; ok {
+	if s, ok := r.interned[string(r.fields[i])]; ok {
 		return s
 	}
-	if len(r.intern) >= maxInterned {
-		clear(r.intern)
+	if len(r.interned) >= maxInterned {
+		clear(r.interned)
 	}
-	s := string(r.parts[i])
-	r.intern[s] = s
+	s := string(r.fields[i])
+	r.interned[s] = s
 	return s
 }
 
@@ -132,8 +132,8 @@
 }
 
 func (r *Reader) outcome(i int) balance.Outcome {
-	if i < len(r.parts) {
-		if o, ok := outcomes[string(r.parts[i])]; ok {
+	if i < len(r.fields) {
+		if o, ok := outcomes[string(r.fields[i])]; ok {
 			return o
 		}
 	}
--- a/internal/sidecar/wire/lists.go
+++ b/internal/sidecar/wire/lists.go
@@ -22,12 +22,12 @@
 func (r *Reader) endpoints() {
 	event := &r.event
 	event.Entries = nil
-	r.parts = append(r.parts, nil, nil)
-	if len(r.parts) < 5 {
+	r.fields = append(r.fields, nil, nil)
+	if len(r.fields) < 5 {
 		r.err = errTooFewParts
 		return
 	}
-	kind, known := listKinds[string(r.parts[2])]
+	kind, known := listKinds[string(r.fields[2])]
 	if !known {
 		r.fail(2, "a mode")
 		return
@@ -62,7 +62,7 @@
 		if err != nil {
 			return fmt.Errorf("list of %d entries ends early: %w", rows, err)
 		}
-		entry, err := r.item(line)
+		entry, err := r.listEntry(line)
 		if err != nil {
 			return err
 		}
@@ -72,13 +72,13 @@
 	return nil
 }
 
-// item reads an entry of a list.
-func (r *Reader) item(line []byte) (balance.Endpoint, error) {
+// listEntry reads an entry of a list.
+func (r *Reader) listEntry(line []byte) (balance.Endpoint, error) {
 	r.split(line)
-	if string(r.parts[0]) != "ITEM" {
-		return balance.Endpoint{}, fmt.Errorf("%q where an entry is due", r.parts[0])
+	if string(r.fields[0]) != "ITEM" {
+		return balance.Endpoint{}, fmt.Errorf("%q where an entry is due", r.fields[0])
 	}
-	entry := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), Cell: int(r.optional64(4)), Size: 1}
+	entry := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), Cell: int(r.optionalUint(4)), Size: 1}
 	if entry.ID == "" {
 		r.fail(1, "a server")
 	}
--- a/internal/sidecar/wire/reader.go
+++ b/internal/sidecar/wire/reader.go
@@ -17,19 +17,19 @@
 
 // Reader reads events.
 type Reader struct {
-	in     *bufio.Reader
-	long   []byte
-	line   int
-	event  Event
-	parts  [][]byte
-	lists  [16][]balance.Endpoint
-	intern map[string]string
-	err    error // of the first malformed part of the line
+	in       *bufio.Reader
+	longLine []byte
+	line     int
+	event    Event
+	fields   [][]byte
+	lists    [16][]balance.Endpoint
+	interned map[string]string
+	err      error // of the first malformed part of the line
 }
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<16), intern: map[string]string{}}
+	return &Reader{in: bufio.NewReaderSize(in, 1<<16), interned: map[string]string{}}
 }
 
 // Next returns the next event, which holds until the following call. At the end of input it returns io.EOF.
@@ -46,11 +46,11 @@
 		if len(line) == 0 {
 			continue
 		}
-		ok, err := r.parse(line)
+		complete, err := r.parse(line)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", r.line, err)
 		}
-		if ok {
+		if complete {
 			return &r.event, nil
 		}
 	}
@@ -59,12 +59,12 @@
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], line...)
+		r.longLine = append(r.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = r.in.ReadSlice('\n')
-			r.long = append(r.long, line...)
+			r.longLine = append(r.longLine, line...)
 		}
-		line = r.long
+		line = r.longLine
 	}
 	if err != nil && (!errors.Is(err, io.EOF) || len(line) == 0) {
 		return nil, err
@@ -77,7 +77,7 @@
 func (r *Reader) parse(line []byte) (bool, error) {
 	r.split(line)
 	r.err = nil
-	name := string(r.parts[0])
+	name := string(r.fields[0])
 	switch name {
 	case "DEFINE_LIST":
 		return false, r.defineList()
@@ -88,7 +88,7 @@
 		return false, fmt.Errorf("unknown message %q", name)
 	}
 	if r.err != nil {
-		return false, fmt.Errorf("%s: %w", r.parts[0], r.err)
+		return false, fmt.Errorf("%s: %w", r.fields[0], r.err)
 	}
 	return true, nil
 }
@@ -105,9 +105,9 @@
 		event.Kind, event.Instance = Instance, r.integer(1)
 	case "OPEN_INSTANCE":
 		event.Kind = Open
-		seed := r.number64(1)
+		seed := r.uint(1)
 		if r.err == nil {
-			event.Settings, event.Names, r.err = settings(seed, r.parts[2:])
+			event.Settings, event.Names, r.err = parseSettings(seed, r.fields[2:])
 		}
 	case "STOP":
 		event.Kind = Stop
@@ -115,7 +115,7 @@
 		event.Kind = Endpoints
 		r.endpoints()
 	case "DUE":
-		event.Kind, event.Token = Timer, r.number64(1)
+		event.Kind, event.Token = Timer, r.uint(1)
 	default:
 		return false
 	}
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -25,8 +25,8 @@
 	MaxRetryAfter  time.Duration // the longest wait that a client honours; 0: not given
 }
 
-// settings reads an instance's settings line. Unknown ones are skipped.
-func settings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
+// parseSettings reads an instance's settings line. Unknown ones are skipped.
+func parseSettings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
 	reader := &settingsReader{values: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
 		if key, value, ok := strings.Cut(string(p), "="); ok {
@@ -35,8 +35,8 @@
 			return balance.Settings{}, nil, fmt.Errorf("setting %q is no key=value pair", p)
 		}
 	}
-	set, names := reader.settings(seed)
-	return set, names, reader.err
+	settings, names := reader.balancerSettings(seed)
+	return settings, names, reader.err
 }
 
 // SettingsJSON reads the same settings from a nested JSON object, by the same paths and words.
@@ -49,54 +49,54 @@
 		return balance.Settings{}, nil, Limits{}, fmt.Errorf("settings: %w", err)
 	}
 	reader.flatten("", tree)
-	set, names := reader.settings(seed)
+	settings, names := reader.balancerSettings(seed)
 	limits := Limits{ConnectTimeout: reader.positiveDuration("limits.connect_timeout_s"), IdleTimeout: reader.positiveDuration("limits.idle_close_s"),
 		MaxPending: reader.integer("limits.most_held"), MaxRetryAfter: reader.positiveDuration("limits.max_retry_after_s")}
 	if limits.MaxPending < 0 {
 		reader.fail("limits.most_held", "a number from 0 up")
 	}
-	return set, names, limits, reader.err
+	return settings, names, limits, reader.err
 }
 
-// settings reads the Balancer's settings.
-func (c *settingsReader) settings(seed uint64) (balance.Settings, *Names) {
+// balancerSettings reads the Balancer's settings.
+func (r *settingsReader) balancerSettings(seed uint64) (balance.Settings, *Names) {
 	for _, key := range []string{"peers_total", "ordinal", "request_classes.count", "limits.try_limit", "my_zone"} {
-		c.required(key)
+		r.required(key)
 	}
-	set := balance.Settings{
+	settings := balance.Settings{
 		Seed:                 seed,
-		Index:                c.integer("ordinal"),
-		PeerCount:            c.integer("peers_total"),
-		Zone:                 c.values["my_zone"],
-		Zones:                c.list("areas"),
-		Kinds:                c.list("models"),
-		MaxAttempts:          c.integer("limits.try_limit"),
-		CancelAllowed:        c.boolean("limits.cancelling"),
-		SubscribeToDiscovery: chooseWord(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
-		DiscoveryDeadline:    c.duration("rules.must_ask_in_s"),
-		WarmUpTime:           c.duration("rules.cold_s"),
-		StartCapacity:        c.float("rules.start_capacity"),
-		OverloadMultiple:     c.float("rules.fall_multiple"),
-		OverloadTime:         c.duration("rules.fall_s"),
-		ZoneCrossingCost:     c.float("charges.cross_zone"),
+		Index:                r.integer("ordinal"),
+		PeerCount:            r.integer("peers_total"),
+		Zone:                 r.values["my_zone"],
+		Zones:                r.list("areas"),
+		Kinds:                r.list("models"),
+		MaxAttempts:          r.integer("limits.try_limit"),
+		CancelAllowed:        r.boolean("limits.cancelling"),
+		SubscribeToDiscovery: enumValue(r, "discovery", map[string]bool{"pushed": false, "on_request": true}),
+		DiscoveryDeadline:    r.duration("rules.must_ask_in_s"),
+		WarmUpTime:           r.duration("rules.cold_s"),
+		StartCapacity:        r.float("rules.start_capacity"),
+		OverloadMultiple:     r.float("rules.fall_multiple"),
+		OverloadTime:         r.duration("rules.fall_s"),
+		ZoneCrossingCost:     r.float("charges.cross_zone"),
 	}
-	tier := c.integer("tier")
-	if tiers := c.list("tiers"); tier >= 0 && tier < len(tiers) {
-		set.Service = tiers[tier]
+	tier := r.integer("tier")
+	if tiers := r.list("tiers"); tier >= 0 && tier < len(tiers) {
+		settings.Service = tiers[tier]
 	}
 	names := &Names{Class: map[string]int{}, Tenant: map[string]int{}}
-	for i := range c.count("request_classes.count") {
-		class := c.class("request_classes." + strconv.Itoa(i) + ".")
-		set.Classes = append(set.Classes, class)
+	for i := range r.count("request_classes.count") {
+		class := r.class("request_classes." + strconv.Itoa(i) + ".")
+		settings.Classes = append(settings.Classes, class)
 		names.Class[class.Name] = i
 	}
-	for i := range c.count("tenants.count") {
+	for i := range r.count("tenants.count") {
 		path := "tenants." + strconv.Itoa(i) + "."
-		tenant := balance.Tenant{Name: c.required(path + "name"), Allowance: c.float(path + "allowance_per_s")}
-		set.Tenants = append(set.Tenants, tenant)
+		tenant := balance.Tenant{Name: r.required(path + "name"), Allowance: r.float(path + "allowance_per_s")}
+		settings.Tenants = append(settings.Tenants, tenant)
 		names.Tenant[tenant.Name] = i
 	}
-	return set, names
+	return settings, names
 }
 
 var effects = map[string]balance.Effect{
@@ -114,15 +114,15 @@
 }
 
 // class reads a class of requests below a path.
-func (c *settingsReader) class(path string) balance.Class {
+func (r *settingsReader) class(path string) balance.Class {
 	return balance.Class{
-		Name:          c.required(path + "name"),
-		Effect:        chooseWord(c, path+"effect", effects),
-		Scope:         chooseWord(c, path+"group", scopes),
-		DedupeWindow:  c.duration(path + "window_s"),
-		LatencyTarget: c.duration(path + "aim_s"),
-		Deadline:      c.duration(path + "deadline_s"),
-		Value:         c.float(path + "credit"),
-		LateValue:     c.float(path + "late_value"),
+		Name:          r.required(path + "name"),
+		Effect:        enumValue(r, path+"effect", effects),
+		Scope:         enumValue(r, path+"group", scopes),
+		DedupeWindow:  r.duration(path + "window_s"),
+		LatencyTarget: r.duration(path + "aim_s"),
+		Deadline:      r.duration(path + "deadline_s"),
+		Value:         r.float(path + "credit"),
+		LateValue:     r.float(path + "late_value"),
 	}
 }
--- a/internal/sidecar/wire/settingsreader.go
+++ b/internal/sidecar/wire/settingsreader.go
@@ -16,106 +16,106 @@
 }
 
 // flatten stores a JSON value under its path, as the text wire spells it.
-func (c *settingsReader) flatten(path string, value any) {
+func (r *settingsReader) flatten(path string, value any) {
 	switch typed := value.(type) {
 	case map[string]any:
 		for key, inner := range typed {
-			c.flatten(strings.TrimPrefix(path+"."+key, "."), inner)
+			r.flatten(strings.TrimPrefix(path+"."+key, "."), inner)
 		}
 	case []any:
-		c.values[path+".count"] = strconv.Itoa(len(typed))
+		r.values[path+".count"] = strconv.Itoa(len(typed))
 		for i, inner := range typed {
-			c.flatten(path+"."+strconv.Itoa(i), inner)
+			r.flatten(path+"."+strconv.Itoa(i), inner)
 			// Kept apart rather than joined: a name may hold a comma.
-			c.lists[path] = append(c.lists[path], fmt.Sprint(inner))
+			r.lists[path] = append(r.lists[path], fmt.Sprint(inner))
 		}
 	case nil: // as if absent
 	default:
-		c.values[path] = fmt.Sprint(typed)
+		r.values[path] = fmt.Sprint(typed)
 	}
 }
 
-func (c *settingsReader) fail(key, want string) {
-	if c.err == nil {
-		c.err = fmt.Errorf("setting %s is %q, want %s", key, c.values[key], want)
+func (r *settingsReader) fail(key, want string) {
+	if r.err == nil {
+		r.err = fmt.Errorf("setting %s is %q, want %s", key, r.values[key], want)
 	}
 }
 
 // required fails for a required key that is missing.
-func (c *settingsReader) required(key string) string {
-	v, ok := c.values[key]
-	if !ok && c.err == nil {
-		c.err = fmt.Errorf("setting %s is missing", key)
+func (r *settingsReader) required(key string) string {
+	v, ok := r.values[key]
+	if !ok && r.err == nil {
+		r.err = fmt.Errorf("setting %s is missing", key)
 	}
 	return v
 }
 
-func (c *settingsReader) float(key string) float64 {
-	v, ok := c.values[key]
+func (r *settingsReader) float(key string) float64 {
+	v, ok := r.values[key]
 	if !ok || v == "-" {
 		return 0
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.Abs(f) > 1e12 {
-		c.fail(key, "a number")
+		r.fail(key, "a number")
 		return 0
 	}
 	return f
 }
 
-func (c *settingsReader) integer(key string) int {
-	f := c.float(key)
+func (r *settingsReader) integer(key string) int {
+	f := r.float(key)
 	if f != math.Trunc(f) || math.Abs(f) > math.MaxInt32 {
-		c.fail(key, "a whole number")
+		r.fail(key, "a whole number")
 	}
 	return int(f)
 }
 
-func (c *settingsReader) duration(key string) time.Duration { return seconds(c.float(key)) }
+func (r *settingsReader) duration(key string) time.Duration { return seconds(r.float(key)) }
 
 // positiveDuration is a duration that cannot be negative.
-func (c *settingsReader) positiveDuration(key string) time.Duration {
-	d := c.duration(key)
+func (r *settingsReader) positiveDuration(key string) time.Duration {
+	d := r.duration(key)
 	if d < 0 {
-		c.fail(key, "a number from 0 up")
+		r.fail(key, "a number from 0 up")
 	}
 	return d
 }
 
-func (c *settingsReader) boolean(key string) bool {
-	switch c.values[key] {
+func (r *settingsReader) boolean(key string) bool {
+	switch r.values[key] {
 	case "true", "1":
 		return true
 	case "", "-", "false", "0":
 	default:
-		c.fail(key, "true or false")
+		r.fail(key, "true or false")
 	}
 	return false
 }
 
-func (c *settingsReader) list(key string) []string {
-	if v := c.values[key]; v != "" && v != "-" {
+func (r *settingsReader) list(key string) []string {
+	if v := r.values[key]; v != "" && v != "-" {
 		return strings.Split(v, ",")
 	}
-	return c.lists[key]
+	return r.lists[key]
 }
 
-// chooseWord maps a word to its meaning.
-func chooseWord[T any](c *settingsReader, key string, words map[string]T) T {
-	v, ok := words[c.values[key]]
+// enumValue maps a word to its meaning.
+func enumValue[T any](r *settingsReader, key string, words map[string]T) T {
+	v, ok := words[r.values[key]]
 	if !ok {
-		c.fail(key, "one of the known words")
+		r.fail(key, "one of the known words")
 	}
 	return v
 }
 
-// maxListed bounds the length of a settings list that a line may claim.
-const maxListed = 4096
+// maxListLength bounds the length of a settings list that a line may claim.
+const maxListLength = 4096
 
-func (c *settingsReader) count(key string) int {
-	n := c.integer(key)
-	if n < 0 || n > maxListed {
-		c.fail(key, "a small count")
+func (r *settingsReader) count(key string) int {
+	n := r.integer(key)
+	if n < 0 || n > maxListLength {
+		r.fail(key, "a small count")
 		return 0
 	}
 	return n
