--- a/internal/sidecar/wire/lists.go
+++ b/internal/sidecar/wire/lists.go
@@ -22,8 +22,7 @@
 func (r *Reader) endpoints() {
 	event := &r.event
 	event.Entries = nil
-	r.fields = append(r.fields, nil, nil)
-	if len(r.fields) < 5 {
+	if len(r.fields) < minListEventFields {
 		r.err = errTooFewParts
 		return
 	}
@@ -38,6 +37,9 @@
 	}
 }
 
+// minListEventFields are the fields of a list event that are needed: its name, the list's number and the kind of the list.
+const minListEventFields = 3
+
 var errTooFewParts = errors.New("too few parts")
 
 var listKinds = map[string]balance.ListKind{
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -50,12 +50,22 @@
 	}
 	reader.flatten("", tree)
 	settings, names := reader.balancerSettings(seed)
-	limits := Limits{ConnectTimeout: reader.positiveDuration("limits.connect_timeout_s"), IdleTimeout: reader.positiveDuration("limits.idle_close_s"),
-		MaxPending: reader.integer("limits.most_held"), MaxRetryAfter: reader.positiveDuration("limits.max_retry_after_s")}
+	limits := reader.hostLimits()
+	return settings, names, limits, reader.err
+}
+
+// hostLimits reads the settings that concern the host.
+func (r *settingsReader) hostLimits() Limits {
+	limits := Limits{
+		ConnectTimeout: r.positiveDuration("limits.connect_timeout_s"),
+		IdleTimeout:    r.positiveDuration("limits.idle_close_s"),
+		MaxPending:     r.integer("limits.most_held"),
+		MaxRetryAfter:  r.positiveDuration("limits.max_retry_after_s"),
+	}
 	if limits.MaxPending < 0 {
-		reader.fail("limits.most_held", "a number from 0 up")
+		r.fail("limits.most_held", "a number from 0 up")
 	}
-	return settings, names, limits, reader.err
+	return limits
 }
 
 // balancerSettings reads the Balancer's settings.
