--- a/internal/sidecar/wire/lists.go
+++ b/internal/sidecar/wire/lists.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// listNumber is the number of one of the reader's lists.
+// listNumber returns the number of a list, which is field i.
 func (r *Reader) listNumber(i int) int {
 	n := r.integer(i)
 	if n >= len(r.lists) {
@@ -18,7 +18,7 @@
 	return n
 }
 
-// endpoints reads the event of a list that was defined.
+// endpoints decodes the event of a list, which DEFINE_LIST has defined unless discovery failed.
 func (r *Reader) endpoints() {
 	event := &r.event
 	event.Entries = nil
@@ -37,11 +37,12 @@
 	}
 }
 
-// minListEventFields are the fields of a list event that are needed: its name, the list's number and the kind of the list.
+// minListEventFields is how many fields of a list event are needed: its name, the list's number and the kind of the list.
 const minListEventFields = 3
 
 var errTooFewParts = errors.New("too few parts")
 
+// listKinds are the kinds of lists by their words.
 var listKinds = map[string]balance.ListKind{
 	"all":        balance.ListFull,
 	"changes":    balance.ListChanges,
@@ -49,7 +50,7 @@
 	"refused":    balance.ListRefused,
 }
 
-// defineList reads a list's line and the entries that follow it.
+// defineList decodes a list: a line with its number and length, and a line for each entry.
 func (r *Reader) defineList() error {
 	number, rows := r.listNumber(1), r.integer(2)
 	if r.err != nil {
@@ -59,7 +60,7 @@
 	for range rows {
 		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			err = io.ErrUnexpectedEOF // no regular end of input
+			err = io.ErrUnexpectedEOF // io.EOF from Next is the regular end of input
 		}
 		if err != nil {
 			return fmt.Errorf("list of %d entries ends early: %w", rows, err)
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// listEntry reads an entry of a list.
+// listEntry decodes an entry of a list. Its capacity is 1 and its start long ago where the line does not give them.
 func (r *Reader) listEntry(line []byte) (balance.Endpoint, error) {
 	r.split(line)
 	if string(r.fields[0]) != "ITEM" {
--- a/internal/sidecar/wire/reader.go
+++ b/internal/sidecar/wire/reader.go
@@ -1,8 +1,21 @@
-// Package wire reads and writes the simulator's text wire, and reads the Balancer's settings from it or from JSON. It decides
-// nothing.
+// Package wire encodes and decodes the simulator's text protocol, and reads the settings of a balance.Balancer from it or from JSON.
+// It holds no policy. The operators' page on the simulator's wire defines the messages.
 //
-// The wire is lines of parts with tabs between them. A batch of events begins with the time (FRAME), goes on with events for one
-// instance after the other (SWITCH_TO), and ends with YOUR_TURN; the reply to it is the actions of all instances and END.
+// A process of the simulator runs many instances of a sidecar over one pair of pipes. The simulator sends batches of events, and the
+// process answers each batch with one reply:
+//
+//	FRAME 8.41225       the time of the batch, in seconds
+//	SWITCH_TO 3         the instance that the following events are for
+//	DUE 77              an event
+//	YOUR_TURN           the end of the batch
+//
+//	SPEAKING 3          the instance that does the following actions
+//	AFTER 0.5 77        an action
+//	END                 the end of the reply
+//
+// A line is a message: its name, and fields that are separated by single tabs. "-" stands for a value that is absent. Times are in
+// seconds, with a resolution of microseconds. Errors count the fields of a line from 0, which is the name, and call them parts, as the
+// operators' page does.
 package wire
 
 import (
@@ -15,25 +28,25 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Reader reads events.
+// Reader decodes events. It is not safe for concurrent use.
 type Reader struct {
 	in       *bufio.Reader
-	longLine []byte
-	line     int
+	longLine []byte // holds a line that exceeds in's buffer
+	line     int    // lines read so far
 	event    Event
-	fields   [][]byte
-	lists    [16][]balance.Endpoint
-	interned map[string]string
-	err      error // of the first malformed part of the line
+	fields   [][]byte               // of the current line, the message's name first
+	lists    [16][]balance.Endpoint // as DEFINE_LIST last defined each
+	interned map[string]string      // see text
+	err      error                  // of the first malformed field of the current line
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that decodes what in holds.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<16), interned: map[string]string{}}
 }
 
-// Next returns the next event, which holds until the following call. At the end of input it returns io.EOF.
-// Other errors name the line.
+// Next returns the next event, which is valid until the following call. It returns io.EOF at the end of input. Other errors are of in,
+// or of a line that cannot be decoded, and name the line's number, from 1.
 func (r *Reader) Next() (*Event, error) {
 	for {
 		line, err := r.readLine()
@@ -56,6 +69,7 @@
 	}
 }
 
+// readLine returns the next line without its end, valid until the following call. The last line may lack its end.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -73,7 +87,7 @@
 	return bytes.TrimSuffix(line, []byte{'\n'}), nil
 }
 
-// parse reads one line into r.event and tells whether an event is complete.
+// parse decodes one line into r.event, and reports whether the line is an event.
 func (r *Reader) parse(line []byte) (bool, error) {
 	r.split(line)
 	r.err = nil
@@ -81,7 +95,8 @@
 	switch name {
 	case "DEFINE_LIST":
 		return false, r.defineList()
-	case "STATUS_BACK", "PEER_DATA": // answers to what the module never asks, and what it does not listen to
+	case "STATUS_BACK", "PEER_DATA":
+		// The Balancer asks no server for its status, and does not use the messages of other instances.
 		return false, nil
 	}
 	if !r.parseInstanceEvent(name) && !r.parseRequestEvent(name) {
@@ -93,7 +108,7 @@
 	return true, nil
 }
 
-// parseInstanceEvent reads the events of batches, instances and lists. It tells whether the line is one.
+// parseInstanceEvent decodes the events of batches, instances, lists and timers, and reports whether the line is one of these.
 func (r *Reader) parseInstanceEvent(name string) bool {
 	event := &r.event
 	switch name {
@@ -122,7 +137,7 @@
 	return true
 }
 
-// parseRequestEvent reads the events of requests. It tells whether the line is one.
+// parseRequestEvent decodes the events of requests, and reports whether the line is one of these.
 func (r *Reader) parseRequestEvent(name string) bool {
 	event := &r.event
 	switch name {
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -11,21 +11,21 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Names maps the names that requests carry to indexes into the settings.
+// Names maps the names that requests carry to indexes into balance.Settings.
 type Names struct {
-	Class  map[string]int
-	Tenant map[string]int
+	Class  map[string]int // into Settings.Classes
+	Tenant map[string]int // into Settings.Tenants
 }
 
-// Limits are the settings that concern the host rather than the Balancer.
+// Limits are the settings that concern the host of a Balancer and not the Balancer itself. Zero values were not given.
 type Limits struct {
-	ConnectTimeout time.Duration // a connection not up within it has failed; 0: not given
-	IdleTimeout    time.Duration // servers close idle connections after it; 0: not given
-	MaxPending     int           // requests pending at once; 0: not given
-	MaxRetryAfter  time.Duration // the longest wait that a client honours; 0: not given
+	ConnectTimeout time.Duration // for opening a connection to a server
+	IdleTimeout    time.Duration // after which servers close idle connections
+	MaxPending     int           // requests that may be pending at once
+	MaxRetryAfter  time.Duration // the longest time to stay away that clients honour
 }
 
-// parseSettings reads an instance's settings line. Unknown ones are skipped.
+// parseSettings decodes the key=value pairs of an instance's settings. Unknown keys are ignored.
 func parseSettings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
 	reader := &settingsReader{values: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
@@ -39,7 +39,8 @@
 	return settings, names, reader.err
 }
 
-// SettingsJSON reads the same settings from a nested JSON object, by the same paths and words.
+// SettingsJSON reads the same settings from a JSON object, in which the dots of a key of the text wire are levels of nesting and lists
+// are arrays. Values have the same units and words. Errors name the key.
 func SettingsJSON(seed uint64, object []byte) (balance.Settings, *Names, Limits, error) {
 	reader := &settingsReader{values: map[string]string{}, lists: map[string][]string{}}
 	decoder := json.NewDecoder(bytes.NewReader(object))
@@ -54,7 +55,7 @@
 	return settings, names, limits, reader.err
 }
 
-// hostLimits reads the settings that concern the host.
+// hostLimits returns the settings that concern the host.
 func (r *settingsReader) hostLimits() Limits {
 	limits := Limits{
 		ConnectTimeout: r.positiveDuration("limits.connect_timeout_s"),
@@ -68,7 +69,7 @@
 	return limits
 }
 
-// balancerSettings reads the Balancer's settings.
+// balancerSettings returns the Balancer's settings. They are valid only if r.err is nil.
 func (r *settingsReader) balancerSettings(seed uint64) (balance.Settings, *Names) {
 	for _, key := range []string{"peers_total", "ordinal", "request_classes.count", "limits.try_limit", "my_zone"} {
 		r.required(key)
@@ -109,12 +110,14 @@
 	return settings, names
 }
 
+// effects are what a second execution of a request may do, by their words.
 var effects = map[string]balance.Effect{
 	"idempotent":   balance.Idempotent,
 	"deduplicated": balance.Deduplicated,
 	"at_most_once": balance.AtMostOnce,
 }
 
+// scopes are the sets of servers that drop each other's duplicates, by their words.
 var scopes = map[string]balance.Scope{
 	"":     balance.ScopeCell,
 	"-":    balance.ScopeCell,
@@ -123,7 +126,7 @@
 	"cell": balance.ScopeCell,
 }
 
-// class reads a class of requests below a path.
+// class returns the class of requests whose keys begin with path.
 func (r *settingsReader) class(path string) balance.Class {
 	return balance.Class{
 		Name:          r.required(path + "name"),
--- a/internal/sidecar/wire/writer.go
+++ b/internal/sidecar/wire/writer.go
@@ -9,19 +9,20 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Writer writes the actions of many instances. Errors are kept and returned by End.
+// Writer encodes the replies to batches: the actions of instances, which are numbered as in the events, and an end. An error of the
+// underlying writer is returned by End, and by each End after it. A Writer is not safe for concurrent use.
 type Writer struct {
 	out      *bufio.Writer
-	line     []byte
-	instance int // the instance whose actions are being written; -1: none yet
+	line     []byte // of the action that is being written, after a SPEAKING line where one is due
+	instance int    // the instance whose actions are being written; -1: none yet
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes replies to out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: bufio.NewWriterSize(out, 1<<16), instance: -1}
 }
 
-// begin starts an action's line.
+// begin starts the line of an action.
 func (w *Writer) begin(instance int, name string) {
 	w.line = w.line[:0]
 	if instance != w.instance {
@@ -33,21 +34,23 @@
 	w.line = append(w.line, name...)
 }
 
+// uint appends a number to the line.
 func (w *Writer) uint(n uint64) {
 	w.line = strconv.AppendUint(append(w.line, '\t'), n, 10)
 }
 
+// text appends a string, which must not contain a tab or an end of line.
 func (w *Writer) text(s string) { w.line = append(append(w.line, '\t'), s...) }
 
-// seconds writes a time in the wire's resolution of microseconds.
+// seconds appends a time in seconds, cut to microseconds, the resolution of the wire.
 func (w *Writer) seconds(d time.Duration) {
-	w.line = strconv.AppendFloat(append(w.line, '\t'), float64(d.Microseconds())/1e6, 'f', -1, 64)
+	w.line = strconv.AppendFloat(append(w.line, '\t'), float64(d.Microseconds())/microsecondsASecond, 'f', -1, 64)
 }
 
-// end writes the line out; the error, if any, stays with the buffer until the reply's flush.
+// end writes the line. bufio.Writer keeps an error until the flush at the end of the reply.
 func (w *Writer) end() { _, _ = w.out.Write(append(w.line, '\n')) }
 
-// Send writes an attempt.
+// Send writes that a request is sent to an endpoint. The attempt ends after the time-out; 0: when the client gives up.
 func (w *Writer) Send(instance int, id balance.RequestID, endpoint string, timeout time.Duration) {
 	w.begin(instance, "FORWARD")
 	w.uint(uint64(id))
@@ -56,7 +59,7 @@
 	w.end()
 }
 
-// Cancel writes the end of interest in an attempt.
+// Cancel writes that an attempt is cancelled.
 func (w *Writer) Cancel(instance int, id balance.RequestID, attempt int) {
 	w.begin(instance, "DROP_ATTEMPT")
 	w.uint(uint64(id))
@@ -64,7 +67,7 @@
 	w.end()
 }
 
-// Refuse writes a refusal.
+// Refuse writes that a request is refused, and after which time its client may come again; 0: no advice.
 func (w *Writer) Refuse(instance int, id balance.RequestID, after time.Duration) {
 	w.begin(instance, "NOT_NOW")
 	w.uint(uint64(id))
@@ -72,14 +75,14 @@
 	w.end()
 }
 
-// Fail writes a failure.
+// Fail writes that a request has failed.
 func (w *Writer) Fail(instance int, id balance.RequestID) {
 	w.begin(instance, "END_FAILED")
 	w.uint(uint64(id))
 	w.end()
 }
 
-// Timer writes the wish for a timer event.
+// Timer asks for a Timer event with a token after a time.
 func (w *Writer) Timer(instance int, after time.Duration, token uint64) {
 	w.begin(instance, "AFTER")
 	w.seconds(after)
@@ -87,21 +90,21 @@
 	w.end()
 }
 
-// Subscribe writes a subscription to discovery's changes.
+// Subscribe asks discovery for the changes that the instance has missed and for all later ones.
 func (w *Writer) Subscribe(instance int) {
 	w.begin(instance, "TAIL")
 	w.uint(1)
 	w.end()
 }
 
-// Log writes a report line.
+// Log writes a line of the simulator's report. The text must not contain an end of line.
 func (w *Writer) Log(instance int, text string) {
 	w.begin(instance, "JOURNAL_LINE")
 	w.text(text)
 	w.end()
 }
 
-// End closes and flushes the reply.
+// End ends the reply and flushes it. It returns the first error of the underlying writer.
 func (w *Writer) End() error {
 	_, _ = w.out.WriteString("END\n")
 	w.instance = -1
