--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"go.uber.org/goleak"
 )
 
 // BenchmarkFleet measures a fleet in this process: go test -run '^$' -bench Fleet -benchtime 1x ./internal/sidecar/members. It says,
@@ -49,6 +50,7 @@
 // benchmarkFleet is the members of a benchmark in this process.
 type benchmarkFleet struct {
 	all     []*Members
+	before  goleak.Option // the goroutines that ran before the members started
 	arrived *arrivals
 	began   time.Time
 
@@ -88,7 +90,7 @@
 
 func startBenchmarkFleet(b *testing.B, n int) *benchmarkFleet {
 	b.Helper()
-	fleet := &benchmarkFleet{all: make([]*Members, n), counts: make([]int, n), reached: make(chan int, 1), began: time.Now(),
+	fleet := &benchmarkFleet{all: make([]*Members, n), before: goleak.IgnoreCurrent(), counts: make([]int, n), reached: make(chan int, 1), began: time.Now(),
 		arrived: &arrivals{seen: map[uint64]int{}, want: (n - 1) * 95 / 100, done: make(chan uint64, 1000)}}
 	for index := range fleet.all {
 		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0", OnUpdate: fleet.arrived.countUpdate}
@@ -107,12 +109,26 @@
 	return fleet
 }
 
-func (f *benchmarkFleet) close() {
-	var g sync.WaitGroup
-	for _, m := range f.all {
-		g.Go(m.Close)
+// closeAll closes members and waits until no goroutine is left but those from before. memberlist's Shutdown does not wait for the
+// probe under way, which ends by its time-out.
+func closeAll(b *testing.B, all []*Members, before goleak.Option) {
+	b.Helper()
+	const maxWait = 10 * time.Second
+	var closing sync.WaitGroup
+	for _, m := range all {
+		closing.Go(m.Close)
+	}
+	closing.Wait()
+	closed := time.Now()
+	for {
+		err := goleak.Find(before)
+		if err == nil {
+			return
+		}
+		if time.Since(closed) > maxWait {
+			b.Fatal(err)
+		}
 	}
-	g.Wait()
 }
 
 // agrees reports whether all members see all, under one epoch.
@@ -207,7 +223,7 @@
 
 func benchFleet(b *testing.B, n int) {
 	fleet := startBenchmarkFleet(b, n)
-	defer fleet.close()
+	defer closeAll(b, fleet.all, fleet.before)
 	fleet.setTarget(n)
 	fleet.awaitAgreement(b)
 	b.ReportMetric(time.Since(fleet.began).Seconds(), "settle_s")
--- a/internal/sidecar/members/updates_benchmark_test.go
+++ b/internal/sidecar/members/updates_benchmark_test.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"math/rand/v2"
 	"strconv"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"go.uber.org/goleak"
 )
 
 // BenchmarkUpdates has all of a fleet publish two states a second, of 300 bytes together, while 13 in 100 packets are lost and one
@@ -23,7 +23,7 @@
 			for range b.N {
 				f := startFleet(b, n, 0.13)
 				f.measureUpdates(b, 20*time.Second, 100, 200)
-				f.close()
+				f.close(b)
 			}
 		})
 	}
@@ -32,6 +32,7 @@
 // updateFleet is many members in this process, and what they received.
 type updateFleet struct {
 	all    []*Members
+	before goleak.Option       // the goroutines that ran before the members started
 	latest [][][2]atomic.Int64 // Unix nanoseconds when the update that a reader received last was published, by origin and kind
 	ages   []*hdrhistogram.Histogram
 	under  []time.Duration // the most by which a reader took an update for younger than it was
@@ -40,7 +41,7 @@
 
 // startFleet starts members in waves, each of which is a quarter of those that are there, and waits until all know all.
 func startFleet(b testing.TB, count int, loss float64) *updateFleet {
-	fleet := &updateFleet{all: make([]*Members, count), latest: make([][][2]atomic.Int64, count), ages: make([]*hdrhistogram.Histogram, count), under: make([]time.Duration, count)}
+	fleet := &updateFleet{all: make([]*Members, count), before: goleak.IgnoreCurrent(), latest: make([][][2]atomic.Int64, count), ages: make([]*hdrhistogram.Histogram, count), under: make([]time.Duration, count)}
 	late := time.Now().Add(time.Minute)
 	for index, wave := 0, 0; index < count; index++ {
 		fleet.latest[index], fleet.ages[index] = make([][2]atomic.Int64, count), hdrhistogram.New(1, 60_000, 3)
@@ -87,14 +88,10 @@
 	return true
 }
 
-func (f *updateFleet) close() {
+func (f *updateFleet) close(b *testing.B) {
+	b.Helper()
 	f.loss.Store(0)
-	var g sync.WaitGroup
-	for _, m := range f.all {
-		g.Go(m.Close)
-	}
-	g.Wait()
-	time.Sleep(2 * streamTimeout) // memberlist's last pings by stream end by their time alone
+	closeAll(b, f.all, f.before)
 }
 
 // kill closes a member's sockets without a word.
