--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -209,14 +209,7 @@
 		<-f.reached
 	}
 	f.mu.Unlock()
-	dead := f.all[len(f.all)-1]
-	dead.cancel()
-	dead.goroutines.Wait()
-	killed := time.Now()
-	_ = dead.list.Shutdown()
-	dead.mu.Lock()
-	dead.list = nil // it sends no farewell
-	dead.mu.Unlock()
+	killed := f.all[len(f.all)-1].kill()
 	<-f.reached
 	b.ReportMetric(float64(time.Since(killed).Milliseconds()), "death95_ms")
 }
--- a/internal/sidecar/members/updates_benchmark_test.go
+++ b/internal/sidecar/members/updates_benchmark_test.go
@@ -94,14 +94,16 @@
 	closeAll(b, f.all, f.before)
 }
 
-// kill closes a member's sockets without a word.
-func (m *Members) kill() {
+// kill closes a member's sockets without a farewell, and returns when it did.
+func (m *Members) kill() time.Time {
 	m.cancel()
 	m.goroutines.Wait()
+	killed := time.Now()
 	_ = m.list.Shutdown()
 	m.mu.Lock()
-	m.list = nil // it says no farewell
+	m.list = nil // Close sends no farewell
 	m.mu.Unlock()
+	return killed
 }
 
 // updateMeasurement is what measureUpdates counts while the members publish.
