--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -59,12 +59,12 @@
 
 // Registry is the project's own list service, and how far its lists are believed.
 type Registry struct {
-	Addresses []string
-	Suspicion client.ShrinkLimits
-	MaxAge    time.Duration     // a node that was out of touch for longer is left for another
-	Reach     string            // this machine reaches every server at this host, at the port of its endpoint; "": at its endpoint
-	Routes    bool              // it has the route table too, which takes precedence over the settings' rules
-	Tags      map[string]string // of this client, besides its region, for the rules of that table
+	Addresses    []string
+	ShrinkLimits client.ShrinkLimits
+	MaxAge       time.Duration     // a node that was out of touch for longer is left for another
+	Reach        string            // this machine reaches every server at this host, at the port of its endpoint; "": at its endpoint
+	Routes       bool              // it has the route table too, which takes precedence over the settings' rules
+	Tags         map[string]string // of this client, besides its region, for the rules of that table
 }
 
 // The limits and settings of a sidecar whose configuration gives none.
@@ -81,35 +81,35 @@
 
 // configFile is the form of the file that PROXY_CONFIG names. Unknown keys are ignored.
 type configFile struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Control   string
-	Beliefs   bool `json:"keep_beliefs"`
-	Seed      string
-	Limits    struct {
+	Name         string
+	Listen       string
+	Discovery    string
+	Control      string
+	KeepSnapshot bool `json:"keep_beliefs"`
+	Seed         string
+	Limits       struct {
 		Cores    *float64
 		MemoryMB *int `json:"memory_mb"`
 		Sockets  *int
 	}
 	Known    *json.RawMessage
 	Settings json.RawMessage
-	Keepers  *registryFile
+	Registry *registryFile `json:"Keepers"`
 	Members  *membersFile
 	Hitters  *hittersFile
 }
 
 // registryFile is the form of what the file says of the registry. What is left out is the client's default.
 type registryFile struct {
-	Addresses  []string
-	DoubtShare *float64 `json:"doubt_share"`
-	DoubtLeast *int     `json:"doubt_least"`
-	DoubtAfter *float64 `json:"doubt_after_s"`
-	DoubtEvery *float64 `json:"doubt_every_s"`
-	MostAge    *float64 `json:"most_age_s"`
-	Reach      string
-	Routes     bool
-	Tags       map[string]string
+	Addresses              []string
+	MaxShare               *float64 `json:"doubt_share"`
+	MinCount               *int     `json:"doubt_least"`
+	ConfirmAfterSeconds    *float64 `json:"doubt_after_s"`
+	ReleaseIntervalSeconds *float64 `json:"doubt_every_s"`
+	MaxAgeSeconds          *float64 `json:"most_age_s"`
+	Reach                  string
+	Routes                 bool
+	Tags                   map[string]string
 }
 
 // LoadConfig reads the configuration from the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and
@@ -159,11 +159,11 @@
 		Listen:       cmp.Or(getenv("PROXY_LISTEN"), file.Listen),
 		Discovery:    cmp.Or(getenv("PROXY_DISCOVERY"), file.Discovery),
 		SharedDir:    getenv("TMPDIR"),
-		KeepSnapshot: file.Beliefs,
+		KeepSnapshot: file.KeepSnapshot,
 		Control:      cmp.Or(getenv("PROXY_CONTROL"), file.Control),
 	}
 	var err error
-	if config.Registry, err = file.Keepers.config(getenv("PROXY_KEEPERS")); err != nil {
+	if config.Registry, err = file.Registry.config(getenv("PROXY_KEEPERS")); err != nil {
 		return nil, fmt.Errorf("keepers: %w", err)
 	}
 	if err := config.checkAddresses(); err != nil {
@@ -289,12 +289,12 @@
 		file = &registryFile{}
 	}
 	r := &Registry{
-		Addresses: file.Addresses,
-		Suspicion: client.DefaultShrinkLimits,
-		MaxAge:    defaultMaxAge,
-		Reach:     file.Reach,
-		Routes:    file.Routes,
-		Tags:      file.Tags,
+		Addresses:    file.Addresses,
+		ShrinkLimits: client.DefaultShrinkLimits,
+		MaxAge:       defaultMaxAge,
+		Reach:        file.Reach,
+		Routes:       file.Routes,
+		Tags:         file.Tags,
 	}
 	if environment != "" {
 		r.Addresses = strings.Split(environment, ",")
@@ -302,7 +302,7 @@
 	if err := r.checkAddresses(); err != nil {
 		return nil, err
 	}
-	if err := file.readSuspicion(r); err != nil {
+	if err := file.readShrinkLimits(r); err != nil {
 		return nil, err
 	}
 	return r, nil
@@ -323,28 +323,28 @@
 	return nil
 }
 
-// readSuspicion takes over when a list of the registry is not believed.
-func (file *registryFile) readSuspicion(r *Registry) error {
-	if share := file.DoubtShare; share != nil {
+// readShrinkLimits takes over how much smaller a list may be before it is confirmed, and how long a node may be out of touch.
+func (file *registryFile) readShrinkLimits(r *Registry) error {
+	if share := file.MaxShare; share != nil {
 		if !(*share >= 0 && *share <= 1) {
 			return fmt.Errorf("doubt_share: %v is not within 0 to 1", *share)
 		}
-		r.Suspicion.MaxShare = *share
+		r.ShrinkLimits.MaxShare = *share
 	}
-	if least := file.DoubtLeast; least != nil {
-		if *least < 0 {
-			return fmt.Errorf("doubt_least: %d is below 0", *least)
+	if count := file.MinCount; count != nil {
+		if *count < 0 {
+			return fmt.Errorf("doubt_least: %d is below 0", *count)
 		}
-		r.Suspicion.MinCount = *least
+		r.ShrinkLimits.MinCount = *count
 	}
 	for _, d := range []struct {
 		name    string
 		seconds *float64
 		to      *time.Duration
 	}{
-		{"doubt_after_s", file.DoubtAfter, &r.Suspicion.ConfirmAfter},
-		{"doubt_every_s", file.DoubtEvery, &r.Suspicion.ReleaseInterval},
-		{"most_age_s", file.MostAge, &r.MaxAge},
+		{"doubt_after_s", file.ConfirmAfterSeconds, &r.ShrinkLimits.ConfirmAfter},
+		{"doubt_every_s", file.ReleaseIntervalSeconds, &r.ShrinkLimits.ReleaseInterval},
+		{"most_age_s", file.MaxAgeSeconds, &r.MaxAge},
 	} {
 		if err := readSeconds(d.name, d.seconds, d.to); err != nil {
 			return err
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -24,13 +24,13 @@
 
 // hittersFile is the form of what the file says of clients that ask for much. What is left out is the default.
 type hittersFile struct {
-	Header *string
-	Salt   string
-	Bars   []float64 // the upper, and the lower
-	Window *float64  `json:"window_s"`
-	Hold   *float64  `json:"hold_s"`
-	Cool   *float64  `json:"cool_s"`
-	Bound  *float64  `json:"bound_s"`
+	Header           *string
+	Salt             string
+	Thresholds       []float64 `json:"Bars"` // the upper, and the lower
+	WindowSeconds    *float64  `json:"window_s"`
+	SuspicionSeconds *float64  `json:"hold_s"`
+	CoolingSeconds   *float64  `json:"cool_s"`
+	ReportTTLSeconds *float64  `json:"bound_s"`
 }
 
 // config reads what the file says. Bounds of the settings are checked where they are used.
@@ -47,22 +47,27 @@
 		}
 		parsed.Header = http.CanonicalHeaderKey(*v)
 	}
-	if v := file.Bars; v != nil {
+	if v := file.Thresholds; v != nil {
 		if len(v) != 2 {
 			return nil, nil, errors.New("bars: not two shares, the upper and the lower")
 		}
 		set.HighThreshold, set.LowThreshold = v[0], v[1]
 	}
-	for _, s := range []struct {
+	for _, setting := range []struct {
 		name  string
 		given *float64
 		to    *time.Duration
-	}{{"window_s", file.Window, &set.Window}, {"hold_s", file.Hold, &set.SuspicionTime}, {"cool_s", file.Cool, &set.CoolingTime}, {"bound_s", file.Bound, &set.ReportTTL}} {
-		if s.given == nil {
+	}{
+		{"window_s", file.WindowSeconds, &set.Window},
+		{"hold_s", file.SuspicionSeconds, &set.SuspicionTime},
+		{"cool_s", file.CoolingSeconds, &set.CoolingTime},
+		{"bound_s", file.ReportTTLSeconds, &set.ReportTTL},
+	} {
+		if setting.given == nil {
 			continue
 		}
-		if *s.to = time.Duration(*s.given * float64(time.Second)); !(*s.given >= 0 && *s.given <= maxSeconds) {
-			return nil, nil, fmt.Errorf("%s: %v is not from 0 to %d", s.name, *s.given, maxSeconds)
+		if *setting.to = time.Duration(*setting.given * float64(time.Second)); !(*setting.given >= 0 && *setting.given <= maxSeconds) {
+			return nil, nil, fmt.Errorf("%s: %v is not from 0 to %d", setting.name, *setting.given, maxSeconds)
 		}
 	}
 	if _, err := hitters.New(&set); err != nil {
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -24,11 +24,11 @@
 
 // membersFile is the form of what the file says of members.
 type membersFile struct {
-	Listen    string
-	Advertise string
-	Join      []string
-	Reach     string
-	Bound     *float64 `json:"bound_s"`
+	Listen           string
+	Advertise        string
+	Join             []string
+	Reach            string
+	ReportTTLSeconds *float64 `json:"bound_s"`
 }
 
 // config reads what the file says; environment, if set, names the members to join instead.
@@ -43,7 +43,7 @@
 	if environment != "" {
 		m.Join = strings.Split(environment, ",")
 	}
-	if v := file.Bound; v != nil {
+	if v := file.ReportTTLSeconds; v != nil {
 		if m.ReportTTL = time.Duration(*v * float64(time.Second)); !(*v > 0 && *v <= maxSeconds) {
 			return nil, fmt.Errorf("bound_s: %v is not above 0 and at most %d", *v, maxSeconds)
 		}
--- a/internal/sidecar/registry.go
+++ b/internal/sidecar/registry.go
@@ -15,7 +15,7 @@
 func (h *host) followRegistry(ctx context.Context, c *Config) error {
 	k := c.Registry
 	var err error
-	h.registry, err = client.NewListSubscriber(client.ListOptions{Registry: k.Addresses, ShrinkLimits: k.Suspicion, MaxAge: k.MaxAge, Log: h.log,
+	h.registry, err = client.NewListSubscriber(client.ListOptions{Registry: k.Addresses, ShrinkLimits: k.ShrinkLimits, MaxAge: k.MaxAge, Log: h.log,
 		Cache: client.NewListCache(c.SharedDir, c.Name),
 		OnUpdate: func(u client.ListUpdate) {
 			l := List{Complete: u.Complete}
