--- a/internal/sidecar/registry/roles.go
+++ b/internal/sidecar/registry/roles.go
@@ -234,9 +234,9 @@
 // resolveRolesFrom waits until this node knows the revision that a client has, and returns the one from which it goes on; below 0: it needs all.
 func (n *Node) resolveRolesFrom(r *http.Request, asked rolesQuery) (int64, error) {
 	var revision int64
-	where, err := n.waitUntilKnown(r, asked.cluster, func() (ahead bool, changed <-chan struct{}) {
+	where, err := n.waitUntilKnown(r, asked.cluster, func() (known bool, changed <-chan struct{}) {
 		n.store.read(func(m *state.Machine) { revision, changed = m.RoleRevision(), n.store.rolesChanged })
-		return asked.from > revision, changed
+		return asked.from <= revision, changed
 	})
 	switch {
 	case errors.Is(err, errBehind):
--- a/internal/sidecar/registry/routes.go
+++ b/internal/sidecar/registry/routes.go
@@ -182,9 +182,9 @@
 		return nil, nil
 	}
 	var generation int64
-	where, err := n.waitUntilKnown(r, asked.cluster, func() (ahead bool, changed <-chan struct{}) {
+	where, err := n.waitUntilKnown(r, asked.cluster, func() (known bool, changed <-chan struct{}) {
 		n.store.read(func(m *state.Machine) { generation, changed = m.Generation(), n.store.routesChanged })
-		return asked.from > generation, changed
+		return asked.from <= generation, changed
 	})
 	switch {
 	case errors.Is(err, errBehind) && asked.cluster == "":
--- a/internal/sidecar/registry/serverwatch.go
+++ b/internal/sidecar/registry/serverwatch.go
@@ -41,16 +41,16 @@
 // the client needs the complete list, since its own is none of this cluster.
 func (n *Node) resolveFrom(r *http.Request, asked watchQuery) (from int64, err error) {
 	var update listUpdate
-	where, err := n.waitUntilKnown(r, asked.cluster, func() (bool, <-chan struct{}) {
+	where, err := n.waitUntilKnown(r, asked.cluster, func() (known bool, changed <-chan struct{}) {
 		update = n.store.updateAfter(asked.from)
-		return update.ahead, update.changed
+		return !update.unknown, update.changed
 	})
 	switch {
 	case errors.Is(err, errBehind):
 		return 0, fmt.Errorf("%w: it knows revision %d, not %d", errBehind, update.revision, asked.from)
 	case err != nil:
 		return 0, err
-	case where == positionAhead && asked.cluster != "":
+	case where == positionUnknown && asked.cluster != "":
 		return 0, &state.Error{Code: state.Conflict, Reason: fmt.Sprintf("revision %d lies ahead: the list is at %d", asked.from, update.revision)}
 	case where != positionKnown:
 		// Another cluster's, or a sidecar's of before from another list service. The complete list says whose it is (PROTOCOL).
@@ -82,7 +82,7 @@
 func (n *Node) streamServers(stream *watchStream, from int64, withAges bool) {
 	for first := true; ; first = false {
 		update := n.store.updateAfter(from)
-		if update.ahead { // the state was replaced by an older one: cannot happen, as a restore raises the revision
+		if update.unknown { // the state was replaced by an older one: cannot happen, as a restore raises the revision
 			return
 		}
 		lines := update.lines
--- a/internal/sidecar/registry/store.go
+++ b/internal/sidecar/registry/store.go
@@ -135,7 +135,7 @@
 	lines    [][]byte        // the changes since then, in order
 	complete bool            // the complete list is needed instead
 	revision int64           // that the client has afterwards
-	ahead    bool            // the client's revision lies ahead of this node's
+	unknown  bool            // the client's revision is later than this node's
 	changed  <-chan struct{} // closed when there is more
 }
 
@@ -147,7 +147,7 @@
 	oldest := update.revision - int64(len(s.lines))
 	switch {
 	case from > update.revision:
-		update.ahead = true
+		update.unknown = true
 	case from < oldest || from < 0:
 		update.complete = true
 	default:
--- a/internal/sidecar/registry/watch.go
+++ b/internal/sidecar/registry/watch.go
@@ -74,33 +74,33 @@
 const (
 	positionKnown   position = iota // this node knows it
 	positionForeign                 // it is another cluster's
-	positionAhead                   // it lies ahead of the leader's
+	positionUnknown                 // it is later than the leader's
 )
 
 // waitUntilKnown waits until this node knows the revision that a client of a cluster has, so that no client is shown an older state than it has.
-// isAhead tells whether the revision lies ahead of this node's, and returns a channel that is closed when that may change. Errors are
+// isKnown reports whether the revision is not later than this node's, and returns a channel that is closed when that may change. Errors are
 // errBehind where the node did not catch up in time, or that of the call's context.
-func (n *Node) waitUntilKnown(r *http.Request, cluster string, isAhead func() (bool, <-chan struct{})) (position, error) {
+func (n *Node) waitUntilKnown(r *http.Request, cluster string, isKnown func() (known bool, changed <-chan struct{})) (position, error) {
 	deadline := time.NewTimer(milliseconds(n.config.Limits.CatchUpMS))
 	defer deadline.Stop()
 	for {
-		ahead, changed := isAhead()
+		known, changed := isKnown()
 		own := n.store.cluster()
 		switch {
 		case own != "" && cluster != "" && cluster != own:
 			return positionForeign, nil
-		case !ahead:
+		case known:
 			return positionKnown, nil
 		case own == "":
 		case n.replica.Confirm(r.Context()) == nil:
-			return positionAhead, nil
+			return positionUnknown, nil
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			return positionAhead, errBehind
+			return positionUnknown, errBehind
 		case <-r.Context().Done():
-			return positionAhead, r.Context().Err()
+			return positionUnknown, r.Context().Err()
 		}
 	}
 }
