--- a/internal/sidecar/answerstream_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -318,7 +318,7 @@
 		began := time.Now()
 		_, _ = fmt.Fprint(c, head+long[:6*piece])
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
-		if took := time.Since(began); took > mostSilence {
+		if took := time.Since(began); took > maxResponseTime {
 			t.Errorf("it took %v", took)
 		}
 		if err == nil && resp.StatusCode < 400 {
--- a/internal/sidecar/connlimiter_test.go
+++ b/internal/sidecar/connlimiter_test.go
@@ -93,7 +93,7 @@
 	}
 	w.observeState(last, http.StateClosed) // as its server says later
 	if w.count.Load() != 28 {
-		t.Errorf("connections %d after a close told twice", w.count.Load())
+		t.Errorf("connections %d after a close that was observed twice", w.count.Load())
 	}
 }
 
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -115,7 +115,8 @@
 	return strings.Join(all, " ")
 }
 
-// TestUnresponsiveWatch has a watch fall silent, and the new one too, in each way: what they miss is there before it counts as told.
+// TestUnresponsiveWatch has a watch stop sending, and the one that replaces it too, in each way: the sidecar has the changes that they
+// missed before it counts as notified of them.
 func TestUnresponsiveWatch(t *testing.T) {
 	list := listText(7, true, entry("s-0", "127.0.0.1:1", "SERVING", 0))
 	news := listText(8, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
@@ -137,7 +138,7 @@
 					t.Errorf("a new process knew the list after %v", took)
 				}
 				if took := h.knows("s-1"); took > publishedWithin-500*time.Millisecond {
-					t.Errorf("told %v after it fell silent", took)
+					t.Errorf("notified %v after it stopped", took)
 				}
 				a.mu.Lock()
 				defer a.mu.Unlock()
@@ -240,7 +241,7 @@
 }
 
 // TestMoves has the list move while the service that was asked is long gone, and the new one miss the first call: what it has is known
-// before it counts as told, 4 s after the signal.
+// before the sidecar counts as notified, 4 s after the signal.
 func TestMoves(t *testing.T) {
 	news := listText(3, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
 	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": saying(news)} {
@@ -266,7 +267,7 @@
 				}
 				driver.post(func() { driver.moveTo("127.0.0.1:10") })
 				if took := driver.knows("s-1"); took > 4*time.Second-500*time.Millisecond {
-					t.Errorf("told %v after it moved", took)
+					t.Errorf("notified %v after it moved", took)
 				}
 			})
 		})
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -78,11 +78,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var told handoverJSON
-	if err := json.Unmarshal(text, &told); err != nil {
+	var stored handoverJSON
+	if err := json.Unmarshal(text, &stored); err != nil {
 		return nil, fmt.Errorf("%s: %w", f.path, err)
 	}
-	return told.Out, nil
+	return stored.Out, nil
 }
 
 // out is the ids of the servers taken out.
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -122,7 +122,7 @@
 			if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Error("the connection did not end")
 			}
-			if took := time.Since(began); took > mostSilence {
+			if took := time.Since(began); took > maxResponseTime {
 				t.Errorf("it took %v", took)
 			}
 			if n := b.count(); n != 0 {
@@ -132,6 +132,6 @@
 	}
 }
 
-// mostSilence is well above the 3 s of the terms, so that a loaded machine does not fail, and well under what a
-// forgotten deadline takes.
-const mostSilence = 9 * time.Second
+// maxResponseTime is how long the sidecar may take to end a connection of which no more comes. It is well above the 3 s of the terms, so
+// that a loaded machine does not fail, and well under what a forgotten deadline takes.
+const maxResponseTime = 9 * time.Second
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -158,13 +158,13 @@
 		return
 	}
 	state.published, state.publishedAt = report, h.now
-	told := report
-	told.Verdicts = slices.Clone(report.Verdicts)
-	for i := range told.Verdicts {
-		boot, _ := h.upstream.startOf(told.Verdicts[i].Server)
-		told.Verdicts[i].Start = startMS(boot)
+	published := report
+	published.Verdicts = slices.Clone(report.Verdicts)
+	for i := range published.Verdicts {
+		boot, _ := h.upstream.startOf(published.Verdicts[i].Server)
+		published.Verdicts[i].Start = startMS(boot)
 	}
-	text, err := signals.Encode(told)
+	text, err := signals.Encode(published)
 	if err == nil {
 		err = h.members.Publish(kindSignals, text)
 	}
--- a/internal/sidecar/memberreports_test.go
+++ b/internal/sidecar/memberreports_test.go
@@ -40,7 +40,7 @@
 	return lie
 }
 
-// startSix starts servers of which the first falls silent while it is down.
+// startSix starts servers of which the first answers nothing while it is down.
 func startSix(t *testing.T, down *atomic.Bool) (backends []*backend) {
 	t.Helper()
 	answer := say(200, "", "ok")
@@ -65,8 +65,8 @@
 	}
 }
 
-// cutOffEntries is the list of a sidecar that reaches only the last of six servers.
-func cutOffEntries(t *testing.T, backends []*backend) (entries []string) {
+// partitionedEntries returns the list of a sidecar that is partitioned from all but the last of six servers.
+func partitionedEntries(t *testing.T, backends []*backend) (entries []string) {
 	t.Helper()
 	for i := range backends {
 		address := freeAddress(t)
@@ -78,7 +78,8 @@
 	return entries
 }
 
-// checkReport holds that a sidecar that is cut off does not condemn all, and that one that only heard of a fault does not state it.
+// checkReport checks that a sidecar that is partitioned does not condemn all, and that one that received others' reports of a fault does
+// not state the fault itself.
 func checkReport(t *testing.T, received members.Update) {
 	t.Helper()
 	report, err := signals.Decode(received.Payload)
@@ -87,22 +88,22 @@
 	case received.Kind != kindSignals || err != nil:
 		t.Errorf("%+v: %v", received, err)
 	case received.Origin == "cut" && len(report.Verdicts) > 2:
-		t.Errorf("one that is cut off from five of six condemns %d", len(report.Verdicts))
+		t.Errorf("one that is partitioned from five of six condemns %d", len(report.Verdicts))
 	case received.Origin == "d" && condemns:
-		t.Errorf("one that only heard of it states: %+v", report)
+		t.Errorf("one that only received reports states: %+v", report)
 	}
 }
 
-// TestMemberReportsSpareRequests: three sidecars of four learn by failures that a server has fallen silent. The fourth, which
-// has sent nothing to it, avoids it by their word, and spends no request. A sidecar that is cut off from most servers, and one
-// that lies, condemn nobody.
+// TestMemberReportsSpareRequests: three sidecars of four learn by failures that a server does not answer any more. The fourth,
+// which has sent nothing to it, avoids it by their reports, and spends no request. A sidecar that is partitioned from most servers, and
+// one that lies, condemn nobody.
 func TestMemberReportsSpareRequests(t *testing.T) {
 	var down atomic.Bool
 	backends := startSix(t, &down)
-	heard := make(chan members.Update, 4096)
+	updates := make(chan members.Update, 4096)
 	watcher := startMember(t, members.Options{Name: "watcher", Listen: "127.0.0.1:0", OnUpdate: func(n members.Update) {
 		select {
-		case heard <- n:
+		case updates <- n:
 		default: // nobody looks
 		}
 	}})
@@ -119,7 +120,7 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		begin(name, serving(1, backends...))
 	}
-	begin("cut", listText(1, true, cutOffEntries(t, backends)...))
+	begin("cut", listText(1, true, partitionedEntries(t, backends)...))
 	figure := func(i int, name string) (n int) {
 		_, after, _ := strings.Cut(dialControl(t, controls[i], "INFO\n"), "svc."+name+":")
 		_, _ = fmt.Sscanf(after, "%d|", &n)
@@ -132,10 +133,10 @@
 		return sidecars[i].do(sidecars[i].request(context.Background(), "read", "400")).status
 	}
 	askEach(t, 12, func(i int) int { return ask(i % 4) })
-	// The liar condemns s-1 again and again, and the one that is cut off fails at all but s-5.
+	// The liar condemns s-1 again and again, and the one that is partitioned fails at all but s-5.
 	lie := encodeLie(t)
 	down.Store(true)
-	eventually(t, "avoided by its witnesses and by word", func() bool {
+	eventually(t, "avoided by its witnesses and by reports", func() bool {
 		if err := watcher.Publish(kindSignals, lie); err != nil {
 			t.Fatal(err)
 		}
@@ -150,10 +151,10 @@
 		t.Errorf("%d requests were spent on what the members knew", got)
 	}
 	if got := figure(3, "out_of_rotation"); got > 1 {
-		t.Errorf("%d are avoided: the word of one alone, or of one cut off, moves somebody", got)
+		t.Errorf("%d are avoided: the report of one alone, or of a partitioned one, has an effect", got)
 	}
-	for len(heard) > 0 {
-		checkReport(t, <-heard)
+	for len(updates) > 0 {
+		checkReport(t, <-updates)
 	}
 	down.Store(false)
 	eventually(t, "used again", func() bool {
--- a/internal/sidecar/servertable_test.go
+++ b/internal/sidecar/servertable_test.go
@@ -18,10 +18,10 @@
 	return t
 }
 
-// followed is what a Balancer knows who was told lists.
+// followed is what a Balancer knows that was given lists.
 type followed map[string]Target
 
-func (f followed) told(l List) {
+func (f followed) apply(l List) {
 	if l.Complete {
 		clear(f)
 	}
@@ -36,7 +36,7 @@
 // list says drains gets nothing. Then the list goes on.
 func TestOldList(t *testing.T) {
 	l, f, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
-	take := func(in List) { f.told(l.apply(in, now)) }
+	take := func(in List) { f.apply(l.apply(in, now)) }
 	take(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0), listed("c", balance.Ready, 0)}})
 	take(List{Version: 44, Targets: []Target{listed("a", balance.Removed, 0), listed("b", balance.Removed, 0), listed("d", balance.Ready, 9), listed("e", balance.Ready, 9)}})
 	take(List{Version: 41, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Draining, 0), listed("c", balance.Draining, 0)}})
@@ -52,16 +52,16 @@
 // TestLostCount has a list service begin to count anew: who is new by it is there at once, and it is believed at last, not before.
 func TestLostCount(t *testing.T) {
 	l, seen, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
-	take := func(in List) { seen.told(l.apply(in, now)) }
+	take := func(in List) { seen.apply(l.apply(in, now)) }
 	take(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0)}})
-	mended := List{Version: 2, Complete: true, Targets: []Target{listed("b", balance.Ready, 50), listed("c", balance.Ready, 0)}}
-	take(mended)
+	regressed := List{Version: 2, Complete: true, Targets: []Target{listed("b", balance.Ready, 50), listed("c", balance.Ready, 0)}}
+	take(regressed)
 	now = now.Add(staleTimeout - time.Second)
-	if take(mended); states(seen) != "map[a:0 b:0 c:0]" || seen["b"].Started.Unix() != 50 {
+	if take(regressed); states(seen) != "map[a:0 b:0 c:0]" || seen["b"].Started.Unix() != 50 {
 		t.Errorf("%v while it is doubted", seen)
 	}
 	now = now.Add(time.Second)
-	if take(mended); states(seen) != "map[b:0 c:0]" || l.resumeFrom() != 2 {
+	if take(regressed); states(seen) != "map[b:0 c:0]" || l.resumeFrom() != 2 {
 		t.Errorf("%s from %d when it has to be believed", states(seen), l.resumeFrom())
 	}
 	take(List{Version: 3, Targets: []Target{listed("c", balance.Removed, 0)}})
@@ -110,9 +110,9 @@
 // apply has the table take a list, and checks the invariants.
 func (p *tablePlay) apply(t *rapid.T, received List) {
 	before := followed{}
-	before.told(p.table.complete())
+	before.apply(p.table.complete())
 	wasStale, since := p.table.isStale(), p.table.staleSince
-	p.seen.told(p.table.apply(received, p.now))
+	p.seen.apply(p.table.apply(received, p.now))
 	for _, e := range received.Targets {
 		if to, known := p.seen[e.ID]; e.State != balance.Ready && known && to.State == balance.Ready {
 			t.Fatalf("%s still gets requests, though it is %d by the list", e.ID, e.State)
@@ -137,7 +137,7 @@
 		t.Fatalf("a list of %d is stale for one that held %d", received.Version, p.highest)
 	}
 	complete := followed{}
-	if complete.told(p.table.complete()); fmt.Sprint(complete) != fmt.Sprint(p.seen) {
+	if complete.apply(p.table.complete()); fmt.Sprint(complete) != fmt.Sprint(p.seen) {
 		t.Fatalf("published %v, held %v", p.seen, complete)
 	}
 }
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// TestLateRequests has requests be written slowly while the sidecar is told to leave: what comes whole in time is served,
+// TestLateRequests has requests be written slowly while the sidecar shuts down: what comes whole in time is served,
 // what comes too late is refused, and no server gets it whole.
 func TestLateRequests(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
@@ -78,7 +78,7 @@
 	clock.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
 	now := time.Now()
 	if end := now.Add(time.Hour); !clock.bound(end).Equal(end) || clock.isLate(now) {
-		t.Error("a process that was not told to leave is in a hurry")
+		t.Error("a process that does not shut down is in a hurry")
 	}
 	clock.begin(now)
 	kill := now.Add(maxLongestDeadline + killMargin)
--- a/internal/sidecar/sibling_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -20,17 +20,17 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	told := make(chan bool, 1)
-	go b.follow(ctx, func(is bool) { told <- is })
+	updates := make(chan bool, 1)
+	go b.follow(ctx, func(is bool) { updates <- is })
 	s := path.start()
-	if !within(t, told, "word of the other process") {
-		t.Error("told that it is gone")
+	if !within(t, updates, "the other process") {
+		t.Error("a process that runs is said to have ended")
 	}
 	if err := s.process.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	if within(t, told, "word of its end") {
-		t.Error("told that it is there")
+	if within(t, updates, "its end") {
+		t.Error("a process that has ended is said to run")
 	}
 }
 
