--- a/internal/sidecar/members/broadcast.go
+++ b/internal/sidecar/members/broadcast.go
@@ -46,6 +46,6 @@
 
 // queueClaim queues the member's own claim for gossip, in place of earlier ones. m.mu is held.
 func (m *Members) queueClaim(c claim) {
-	m.unsent = append(m.unsent, &broadcast{name: "epoch", encoded: c.encode()})
+	m.broadcasts = append(m.broadcasts, &broadcast{name: "epoch", encoded: c.encode()})
 	wake(m.wakeWorker)
 }
--- a/internal/sidecar/members/budget.go
+++ b/internal/sidecar/members/budget.go
@@ -4,17 +4,17 @@
 
 // byteBudget is a token bucket in bytes: it fills at a rate and holds a burst at most.
 type byteBudget struct {
-	left float64
-	at   time.Duration // when left was computed, by the process's own clock; 0: never
+	left      float64
+	updatedAt time.Duration // when left was computed, by the process's own clock; 0: never
 }
 
 // hasBytes reports whether something may be sent at a time of the process's own clock. rate is in bytes a second.
 func (b *byteBudget) hasBytes(now time.Duration, rate, burstBytes float64) bool {
-	if b.at == 0 {
+	if b.updatedAt == 0 {
 		b.left = burstBytes
 	}
-	b.left = min(b.left+rate*max(0, now-b.at).Seconds(), burstBytes)
-	b.at = max(b.at, now, 1)
+	b.left = min(b.left+rate*max(0, now-b.updatedAt).Seconds(), burstBytes)
+	b.updatedAt = max(b.updatedAt, now, 1)
 	return b.left > 0
 }
 
--- a/internal/sidecar/members/compat_test.go
+++ b/internal/sidecar/members/compat_test.go
@@ -8,7 +8,7 @@
 
 // TestFrameBytes: sidecars of several versions read each other's frames during an upgrade.
 func TestFrameBytes(t *testing.T) {
-	update := frame{name: "n7", kind: 3, start: 0x0102030405060708, seq: 300, madeAt: 1500 * time.Microsecond, forwardedAge: 1234 * time.Millisecond,
+	update := frame{name: "n7", kind: 3, start: 0x0102030405060708, seq: 300, publishedAt: 1500 * time.Microsecond, forwardedAge: 1234 * time.Millisecond,
 		payload: []byte("news")}
 	ownClaim := claim{count: 5, hash: 0x0a0b0c0d}
 	for name, v := range map[string]struct {
@@ -20,7 +20,7 @@
 		}
 	}
 	got, err := decodeUpdate(update.encode())
-	if err != nil || got.name != update.name || got.kind != update.kind || got.start != update.start || got.seq != update.seq || got.madeAt != update.madeAt ||
+	if err != nil || got.name != update.name || got.kind != update.kind || got.start != update.start || got.seq != update.seq || got.publishedAt != update.publishedAt ||
 		got.forwardedAge != update.forwardedAge || string(got.payload) != "news" {
 		t.Errorf("%+v %v", got, err)
 	}
--- a/internal/sidecar/members/delegate.go
+++ b/internal/sidecar/members/delegate.go
@@ -59,7 +59,7 @@
 		m.counts.NonMembers++
 		return
 	}
-	p := parse(n.Name)
+	p := parseNodeName(n.Name)
 	m.peers = nil
 	m.nodes[n.Name] = &node{p, net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port)))}
 	delete(m.lost, n.Name)
@@ -78,7 +78,7 @@
 	}
 	delete(m.nodes, n.Name)
 	m.peers = nil
-	if m.leaving[gone.name].start != gone.start {
+	if m.farewells[gone.name].start != gone.start {
 		m.markLost(n.Name, gone)
 	}
 	m.viewStale = true
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -102,7 +102,7 @@
 	asks := make([][]byte, n)
 	for i := range asks {
 		b := append(make([]byte, 0, maxFrameBytes), askForm, uint8(i), n)
-		asks[i] = who.append(binary.BigEndian.AppendUint32(b, salt))
+		asks[i] = who.appendTo(binary.BigEndian.AppendUint32(b, salt))
 	}
 	for _, f := range s.latest {
 		b := &asks[f.key%uint64(n)]
@@ -169,7 +169,7 @@
 			b = append(make([]byte, 0, maxFrameBytes), deltaForm)
 		}
 		at := len(b)
-		b = f.append(append(b, 0, 0))
+		b = f.appendTo(append(b, 0, 0))
 		binary.BigEndian.PutUint16(b[at:], uint16(len(b)-at-2))
 	}
 	if b != nil {
@@ -197,7 +197,7 @@
 
 // encodeWants writes wants, as many as fit into a packet.
 func encodeWants(who process, salt uint32, names []uint32) []byte {
-	b := who.append(binary.BigEndian.AppendUint32([]byte{wantForm}, salt))
+	b := who.appendTo(binary.BigEndian.AppendUint32([]byte{wantForm}, salt))
 	for _, name := range names[:min(len(names), (maxFrameBytes-len(b))/wantSize)] {
 		b = append(b, byte(name>>16), byte(name>>8), byte(name))
 	}
--- a/internal/sidecar/members/epoch.go
+++ b/internal/sidecar/members/epoch.go
@@ -71,17 +71,17 @@
 	}
 	e.claims[c.hash] = c.count
 	for len(e.claims) > maxClaims {
-		least := c
+		lowest := c
 		for hash, count := range e.claims {
-			if k := (claim{count, hash}); k.epoch() < least.epoch() && k != e.own {
-				least = k
+			if k := (claim{count, hash}); k.epoch() < lowest.epoch() && k != e.own {
+				lowest = k
 			}
 		}
-		if least == e.own {
+		if lowest == e.own {
 			return
 		}
-		e.droppedCount = max(e.droppedCount, least.count)
-		delete(e.claims, least.hash)
+		e.droppedCount = max(e.droppedCount, lowest.count)
+		delete(e.claims, lowest.hash)
 	}
 }
 
--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -137,7 +137,7 @@
 func (m *Members) answerQuestion(q question) (to string, packets [][]byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	asker := m.nodes[q.from().node()]
+	asker := m.nodes[q.from().nodeName()]
 	if asker == nil {
 		m.counts.NonMembers++
 		return "", nil
--- a/internal/sidecar/members/frame.go
+++ b/internal/sidecar/members/frame.go
@@ -30,7 +30,7 @@
 	kind         uint8
 	start        int64         // of the origin's process
 	seq          uint64        // rises with each state that the process publishes, of whatever kind
-	madeAt       time.Duration // when it was published, by the clock of the origin's process, from 0 at its start
+	publishedAt  time.Duration // when it was published, by the clock of the origin's process, from 0 at its start
 	forwardedAge time.Duration // its age when this copy was sent, as far as it passed at those who forwarded it
 	payload      []byte
 	key          uint64   // see hash; set in stored states, as is offset
@@ -42,19 +42,19 @@
 	headerBytes = ageOffset + 4 + 8
 )
 
-func (f *frame) encode() []byte { return f.append(make([]byte, 0, f.size())) }
+func (f *frame) encode() []byte { return f.appendTo(make([]byte, 0, f.size())) }
 
 // size is how long its encoding is at most.
 func (f *frame) size() int {
 	return headerBytes + 2*binary.MaxVarintLen64 + 1 + len(f.name) + 2 + len(f.payload)
 }
 
-func (f *frame) append(b []byte) []byte {
+func (f *frame) appendTo(b []byte) []byte {
 	b = append(b, updateForm, f.kind)
 	b = binary.BigEndian.AppendUint32(b, roundUpMS(f.forwardedAge))
 	b = binary.BigEndian.AppendUint64(b, uint64(f.start))
 	b = binary.AppendUvarint(b, f.seq)
-	b = binary.AppendUvarint(b, uint64(f.madeAt/time.Microsecond))
+	b = binary.AppendUvarint(b, uint64(f.publishedAt/time.Microsecond))
 	b = append(append(b, byte(len(f.name))), f.name...)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(f.payload)))
 	return append(b, f.payload...)
@@ -81,8 +81,8 @@
 	f.forwardedAge = time.Duration(binary.BigEndian.Uint32(b[ageOffset:])) * time.Millisecond
 	f.start = int64(binary.BigEndian.Uint64(b[ageOffset+4:]))
 	rest := b[headerBytes:]
-	var stamp uint64
-	for _, to := range []*uint64{&f.seq, &stamp} {
+	var publishedMicroseconds uint64
+	for _, to := range []*uint64{&f.seq, &publishedMicroseconds} {
 		value, size := binary.Uvarint(rest)
 		if size <= 0 {
 			return f, errMalformed
@@ -90,10 +90,10 @@
 		*to = value
 		rest = rest[size:]
 	}
-	if len(rest) < 1 || stamp > uint64(1<<63-1)/uint64(time.Microsecond) || f.start <= 0 {
+	if len(rest) < 1 || publishedMicroseconds > uint64(1<<63-1)/uint64(time.Microsecond) || f.start <= 0 {
 		return f, errMalformed
 	}
-	f.madeAt = time.Duration(stamp) * time.Microsecond
+	f.publishedAt = time.Duration(publishedMicroseconds) * time.Microsecond
 	n := int(rest[0])
 	if rest = rest[1:]; n == 0 || n > MaxNameBytes || len(rest) < n+2 {
 		return f, errMalformed
@@ -120,8 +120,8 @@
 	return claim{binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:])}, nil
 }
 
-// encode is the farewell of a process.
-func (p process) encode() []byte {
+// encodeFarewell encodes the farewell of a process.
+func (p process) encodeFarewell() []byte {
 	return append(binary.BigEndian.AppendUint64([]byte{farewellForm}, uint64(p.start)), p.name...)
 }
 
--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -31,7 +31,7 @@
 	viewDelayPerMember  = 300 * time.Microsecond // for each member: where many start at once their views would change at each
 	rejoinDelay         = 3 * time.Second        // that a process is lost: one that is falsely taken for dead comes back by itself
 	retryDelayPerMember = 80 * time.Millisecond  // for each member between tries, so that the fleet makes about ten a second
-	sweepEvery          = 250 * time.Millisecond
+	sweepInterval       = 250 * time.Millisecond
 	claimInterval       = 2 * time.Second  // about
 	lostTTL             = 10 * time.Minute // a lost process is looked for
 	maxLost             = 1024
@@ -68,7 +68,7 @@
 	config.PushPullInterval, config.TCPTimeout = pushPullInterval, streamTimeout
 	config.EnableCompression = false // of packets that are small
 	m.mu.Lock()
-	m.net = t
+	m.transport = t
 	m.mu.Unlock()
 	list, err := memberlist.Create(config)
 	if err != nil {
@@ -147,7 +147,7 @@
 
 // missing returns addresses of members that may be there but are not seen: of processes that are lost, and those to join at
 // which nobody is known. recentlyLost reports that some were lost less than rejoinDelay ago. The host of the latter counts only where no host is reached in place of it.
-func (m *Members) missing() (at []string, recentlyLost bool) {
+func (m *Members) missing() (addresses []string, recentlyLost bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	there := map[string]bool{m.Address(): true, m.options.Advertise: true}
@@ -155,22 +155,22 @@
 		there[n.address] = true
 	}
 	for name, l := range m.lost {
-		hasSuccessor := parse(name).start < m.members[parse(name).name]
+		hasSuccessor := parseNodeName(name).start < m.members[parseNodeName(name).name]
 		switch {
 		case hasSuccessor || there[l.address]:
 			delete(m.lost, name)
-		case time.Since(l.at) >= rejoinDelay:
-			at = append(at, l.address)
+		case time.Since(l.lostAt) >= rejoinDelay:
+			addresses = append(addresses, l.address)
 		default:
 			recentlyLost = true
 		}
 	}
 	for _, a := range m.options.Join {
 		if !there[a] {
-			at = append(at, a)
+			addresses = append(addresses, a)
 		}
 	}
-	return at, recentlyLost
+	return addresses, recentlyLost
 }
 
 // tryJoin joins through one that is missing, or two, and reports whether that found any member.
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -80,25 +80,25 @@
 
 	mu            sync.Mutex // never held while memberlist or its queue is called: they call back under their own locks
 	list          *memberlist.Memberlist
-	net           *transport
+	transport     *transport
 	seq           uint64
-	nodes         map[string]*node          // processes that are there, by memberlist's name
-	members       map[string]int64          // members that are there, by the latest start
-	leaving       map[string]leavingProcess // members whose process said that it leaves
-	lost          map[string]lostProcess    // processes that died or fell out of touch
+	nodes         map[string]*node       // processes that are there, by memberlist's name
+	members       map[string]int64       // members that are there, by the latest start
+	farewells     map[string]farewell    // by member
+	lost          map[string]lostProcess // processes that died or fell out of touch
 	states        *states
 	epochs        epochs
 	view          View
 	pending       map[stateKey]struct{}
 	viewStale     bool          // the view
 	notifiedEpoch uint64        // the epoch of the last notification
-	unsent        []*broadcast  // claims and farewells to pass on
+	broadcasts    []*broadcast  // claims and farewells to pass on
 	peers         []peerNode    // processes of others; nil: to be taken from nodes
 	lastUpdateAt  time.Duration // when the last update was published or accepted
 	budgets       map[string]*byteBudget
 	delayed       []frame       // own states that wait, one a kind
 	questions     chan question // of peers, which runExchange answers
-	claimAt       time.Duration // the own claim again
+	nextClaim     time.Duration // the own claim again
 	counts        Counts
 }
 
@@ -111,13 +111,13 @@
 // lostProcess is where a process was that is not seen any more, and since when.
 type lostProcess struct {
 	address string
-	at      time.Time
+	lostAt  time.Time
 }
 
-// leavingProcess is a process that leaves, and when its farewell arrived.
-type leavingProcess struct {
-	start int64
-	at    time.Time
+// farewell is what a process sends when it ends by itself, and when it arrived.
+type farewell struct {
+	start      int64 // of the process
+	receivedAt time.Time
 }
 
 // New checks the options; its errors are OptionErrors. The member knows nobody until Start.
@@ -132,9 +132,9 @@
 	now := time.Now()
 	m := &Members{options: options, start: now.UnixNano(), startedAt: now, listening: make(chan struct{}),
 		wakeWorker: make(chan struct{}, 1), wakeJoiner: make(chan struct{}, 1),
-		nodes: map[string]*node{}, members: map[string]int64{}, leaving: map[string]leavingProcess{}, lost: map[string]lostProcess{},
+		nodes: map[string]*node{}, members: map[string]int64{}, farewells: map[string]farewell{}, lost: map[string]lostProcess{},
 		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*byteBudget{}, questions: make(chan question, maxQuestions)}
-	m.ownNode = process{options.Name, m.start}.node()
+	m.ownNode = process{options.Name, m.start}.nodeName()
 	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMult, NumNodes: m.count}
 	m.nodes[m.ownNode] = &node{process: process{options.Name, m.start}}
 	m.updateView()
@@ -172,7 +172,7 @@
 		if list == nil {
 			return
 		}
-		m.queue.QueueBroadcast(&broadcast{name: farewellPrefix + m.options.Name, encoded: process{m.options.Name, m.start}.encode()})
+		m.queue.QueueBroadcast(&broadcast{name: farewellPrefix + m.options.Name, encoded: process{m.options.Name, m.start}.encodeFarewell()})
 		if err := list.Leave(leaveTimeout); err != nil {
 			m.options.Log.Debug("members", "leave", err)
 		}
@@ -195,8 +195,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.counts
-	if m.net != nil {
-		c.Traffic = m.net.traffic()
+	if m.transport != nil {
+		c.Traffic = m.transport.traffic()
 	}
 	c.Queued = waiting
 	return c
@@ -210,7 +210,7 @@
 		return ""
 	}
 	host, _, _ := net.SplitHostPort(m.options.Listen)
-	return net.JoinHostPort(host, strconv.Itoa(m.net.port()))
+	return net.JoinHostPort(host, strconv.Itoa(m.transport.port()))
 }
 
 // clock is the time since this process's start, monotonic.
--- a/internal/sidecar/members/model_test.go
+++ b/internal/sidecar/members/model_test.go
@@ -33,7 +33,7 @@
 			way := time.Duration(rapid.IntRange(0, 5000).Draw(t, "way")) * time.Millisecond
 			forwarded := time.Duration(rapid.IntRange(0, 3000).Draw(t, "held")) * time.Millisecond
 			quickest[p] = min(quickest[p], way)
-			f := frame{name: p.name, start: p.start, kind: uint8(seq % 2), seq: seq, madeAt: published + clocks[p], forwardedAge: forwarded, payload: []byte{byte(seq)}}
+			f := frame{name: p.name, start: p.start, kind: uint8(seq % 2), seq: seq, publishedAt: published + clocks[p], forwardedAge: forwarded, payload: []byte{byte(seq)}}
 			all = append(all, arrival{f, published + way + forwarded})
 		}
 		merge := func(order []arrival) *states {
@@ -50,7 +50,7 @@
 		now := 20 * time.Second
 		for _, f := range once.latest {
 			p := process{f.name, f.start}
-			age, truly := once.age(f, now), now-(f.madeAt-clocks[p])
+			age, truly := once.age(f, now), now-(f.publishedAt-clocks[p])
 			least := truly - quickest[p] - time.Duration(2*maxClockDrift*float64(now))
 			if age < least || age > truly+time.Duration(2*maxClockDrift*float64(now)) {
 				t.Fatalf("%+v seems %v old, is %v, quickest way %v", f, age, truly, quickest[p])
@@ -180,7 +180,7 @@
 // decode from a truncated frame.
 func checkDecodedUpdate(t *testing.T, b []byte, update frame) {
 	t.Helper()
-	if len(update.payload) > MaxPayloadBytes || len(update.name) > MaxNameBytes || update.kind >= MaxKinds || update.madeAt < 0 {
+	if len(update.payload) > MaxPayloadBytes || len(update.name) > MaxNameBytes || update.kind >= MaxKinds || update.publishedAt < 0 {
 		t.Fatalf("%+v", update)
 	}
 	again, err := decodeUpdate(update.encode())
@@ -194,10 +194,10 @@
 
 // What is read is what was written, and nothing else is read.
 func FuzzFrames(f *testing.F) {
-	seed := frame{name: "a", kind: 1, start: 5, seq: 300, madeAt: time.Second, forwardedAge: 1500 * time.Microsecond, payload: []byte("xyz")}
+	seed := frame{name: "a", kind: 1, start: 5, seq: 300, publishedAt: time.Second, forwardedAge: 1500 * time.Microsecond, payload: []byte("xyz")}
 	f.Add(seed.encode())
 	f.Add(claim{7, 9}.encode())
-	f.Add(process{"a", 5}.encode())
+	f.Add(process{"a", 5}.encodeFarewell())
 	f.Add(pack([][]byte{seed.encode(), claim{7, 9}.encode()}))
 	if old := withAge(seed.encode(), 2*time.Second); len(old) != len(seed.encode()) {
 		f.Fatal("an age changes the length")
@@ -209,7 +209,7 @@
 		if c, err := decodeClaim(b); err == nil && !bytes.Equal(c.encode(), b) {
 			t.Fatal(c)
 		}
-		if p, err := decodeFarewell(b); err == nil && !bytes.Equal(p.encode(), b) {
+		if p, err := decodeFarewell(b); err == nil && !bytes.Equal(p.encodeFarewell(), b) {
 			t.Fatal(p)
 		}
 		total := 0
--- a/internal/sidecar/members/publish.go
+++ b/internal/sidecar/members/publish.go
@@ -10,7 +10,7 @@
 		return &BoundsError{Kind: kind, Bytes: len(payload)}
 	}
 	m.mu.Lock()
-	f := frame{name: m.options.Name, kind: kind, start: m.start, madeAt: m.clock(), payload: payload}
+	f := frame{name: m.options.Name, kind: kind, start: m.start, publishedAt: m.clock(), payload: payload}
 	if i := slices.IndexFunc(m.delayed, func(w frame) bool { return w.kind == kind }); i >= 0 {
 		m.delayed[i] = f
 	} else {
@@ -46,7 +46,7 @@
 		m.delayed = m.delayed[1:]
 		m.seq++
 		f.seq = m.seq
-		m.states.merge(f, f.madeAt)
+		m.states.merge(f, f.publishedAt)
 		m.lastUpdateAt = m.clock()
 		released = append(released, f)
 	}
--- a/internal/sidecar/members/receive.go
+++ b/internal/sidecar/members/receive.go
@@ -19,8 +19,8 @@
 	if p, err := decodeFarewell(b); err == nil {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.processLeaves(p) && mayForward {
-			m.unsent = append(m.unsent, &broadcast{name: farewellPrefix + p.name, encoded: b})
+		if m.receiveFarewell(p) && mayForward {
+			m.broadcasts = append(m.broadcasts, &broadcast{name: farewellPrefix + p.name, encoded: b})
 			wake(m.wakeWorker)
 		}
 		return
@@ -35,20 +35,20 @@
 	}
 }
 
-// processLeaves records the farewell of a process, and reports whether it is new. m.mu is held. The farewell is needed because
+// receiveFarewell records the farewell of a process, and reports whether it is new. m.mu is held. The farewell is needed because
 // memberlist does not say whether a process left or died, and only the index of one that left is reserved for its successor.
-func (m *Members) processLeaves(p process) bool {
+func (m *Members) receiveFarewell(p process) bool {
 	known := m.members[p.name] == p.start && p.name != m.options.Name
 	for name := range m.lost {
-		if parse(name) == p {
+		if parseNodeName(name) == p {
 			known = true
 			delete(m.lost, name)
 		}
 	}
-	if !known || m.leaving[p.name].start == p.start {
+	if !known || m.farewells[p.name].start == p.start {
 		return false
 	}
-	m.leaving[p.name] = leavingProcess{p.start, time.Now()}
+	m.farewells[p.name] = farewell{p.start, time.Now()}
 	return true
 }
 
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -40,7 +40,7 @@
 		for i, o := range network.list {
 			m.NotifyJoin(&memberlist.Node{Name: o.ownNode, Addr: net.IPv4(127, 0, 0, 1), Port: uint16(i + 1)})
 		}
-		m.turn(true)
+		m.ready(true)
 	}
 	return network
 }
@@ -139,7 +139,7 @@
 func (run *spreadRun) receiveAll(t *testing.T) {
 	t.Helper()
 	for i, m := range run.network.list {
-		for _, update := range m.turn(false).updates {
+		for _, update := range m.ready(false).updates {
 			published := run.began.Add(time.Duration(binary.BigEndian.Uint64(update.Payload)))
 			if update.Kind < floodKind {
 				_ = run.ages.RecordValue(time.Since(published).Milliseconds())
@@ -276,7 +276,7 @@
 func FuzzExchange(f *testing.F) {
 	s := newStates()
 	for i := range 3 {
-		s.merge(frame{name: "b", kind: uint8(i), start: 5, seq: uint64(i + 1), madeAt: time.Second, payload: []byte("xyz")}, time.Second)
+		s.merge(frame{name: "b", kind: uint8(i), start: 5, seq: uint64(i + 1), publishedAt: time.Second, payload: []byte("xyz")}, time.Second)
 	}
 	never := func(string) bool { return false }
 	f.Add(s.ask(process{"a", 5}, 77, time.Second, time.Hour, never)[0])
@@ -289,7 +289,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		member.NotifyJoin(&memberlist.Node{Name: process{"b", 5}.node(), Addr: net.IPv4(127, 0, 0, 1), Port: 1})
+		member.NotifyJoin(&memberlist.Node{Name: process{"b", 5}.nodeName(), Addr: net.IPv4(127, 0, 0, 1), Port: 1})
 		member.NotifyMsg(b)
 		member.MergeRemoteState(b, false)
 		checkAnswers(t, member)
--- a/internal/sidecar/members/states.go
+++ b/internal/sidecar/members/states.go
@@ -38,7 +38,7 @@
 // merge merges a copy that arrived at a time of the process's own clock, and reports whether its state is newer than the stored one.
 func (s *states) merge(f frame, now time.Duration) bool {
 	p := process{f.name, f.start}
-	distance := (now - f.madeAt - f.forwardedAge).Seconds() - maxClockDrift*now.Seconds()
+	distance := (now - f.publishedAt - f.forwardedAge).Seconds() - maxClockDrift*now.Seconds()
 	if f.offset = s.offsets[p]; f.offset == nil {
 		f.offset = &distance
 		s.offsets[p] = f.offset
@@ -64,14 +64,14 @@
 
 // age returns how long ago a state was published. For a process of which nothing is stored it is beyond any TTL.
 func (s *states) age(f frame, now time.Duration) time.Duration {
-	least := f.offset // of one that is held
-	if least == nil {
-		if least = s.offsets[process{f.name, f.start}]; least == nil {
+	offset := f.offset // of a stored state
+	if offset == nil {
+		if offset = s.offsets[process{f.name, f.start}]; offset == nil {
 			return math.MaxInt64
 		}
 	}
-	distance := *least + maxClockDrift*now.Seconds()
-	return max(0, now-f.madeAt-time.Duration(distance*float64(time.Second)))
+	distance := *offset + maxClockDrift*now.Seconds()
+	return max(0, now-f.publishedAt-time.Duration(distance*float64(time.Second)))
 }
 
 // retain drops all processes but those that fit.
--- a/internal/sidecar/members/transport.go
+++ b/internal/sidecar/members/transport.go
@@ -17,8 +17,8 @@
 
 // Traffic is what went over the sockets since the start, membership and updates together.
 type Traffic struct {
-	PacketsSent, PacketsReceived, StreamsOpened, StreamsTaken int64
-	BytesSent, BytesReceived                                  int64 // of packets and streams, without the heads of UDP, TCP and IP
+	PacketsSent, PacketsReceived, StreamsOpened, StreamsAccepted int64
+	BytesSent, BytesReceived                                     int64 // of packets and streams, without the heads of UDP, TCP and IP
 }
 
 // transport is UDP and TCP at one port, which counts, and reaches every peer at one host if reach is set. memberlist's own takes a
@@ -34,7 +34,7 @@
 	packets    chan *memberlist.Packet
 	streams    chan net.Conn
 
-	sent, received, opened, taken, bytesOut, bytesIn atomic.Int64
+	packetsSent, packetsReceived, streamsOpened, streamsAccepted, bytesSent, bytesReceived atomic.Int64
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
@@ -91,8 +91,8 @@
 		if err != nil || n == 0 {
 			continue
 		}
-		t.received.Add(1)
-		t.bytesIn.Add(int64(n))
+		t.packetsReceived.Add(1)
+		t.bytesReceived.Add(int64(n))
 		select {
 		case t.packets <- &memberlist.Packet{Buf: bytes.Clone(buf[:n]), From: from, Timestamp: now}:
 		case <-t.ctx.Done():
@@ -111,7 +111,7 @@
 		if err != nil {
 			continue
 		}
-		t.taken.Add(1)
+		t.streamsAccepted.Add(1)
 		select {
 		case t.streams <- &countedConn{c, t}:
 		case <-t.ctx.Done():
@@ -152,8 +152,8 @@
 	return ip, port, nil
 }
 
-// at is where a peer is reached.
-func (t *transport) at(address string) string {
+// dialAddress returns where a peer is reached.
+func (t *transport) dialAddress(address string) string {
 	if t.reach == "" {
 		return address
 	}
@@ -171,12 +171,12 @@
 
 // WriteToAddress sends a packet to a peer. Acks come this way too: who asks names its own address in the question.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	to, err := netip.ParseAddrPort(t.at(a.Addr))
+	to, err := netip.ParseAddrPort(t.dialAddress(a.Addr))
 	if err != nil {
 		return time.Time{}, err
 	}
-	t.sent.Add(1)
-	t.bytesOut.Add(int64(len(b)))
+	t.packetsSent.Add(1)
+	t.bytesSent.Add(int64(len(b)))
 	if t.dropPacket != nil && t.dropPacket() {
 		return time.Now(), nil
 	}
@@ -191,9 +191,9 @@
 
 // DialAddressTimeout opens a stream to a peer. It ends early when this member does.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	t.opened.Add(1)
+	t.streamsOpened.Add(1)
 	d := net.Dialer{Timeout: timeout}
-	c, err := d.DialContext(t.ctx, "tcp", t.at(a.Addr))
+	c, err := d.DialContext(t.ctx, "tcp", t.dialAddress(a.Addr))
 	if err != nil {
 		return nil, err
 	}
@@ -209,24 +209,31 @@
 }
 
 func (t *transport) traffic() Traffic {
-	return Traffic{t.sent.Load(), t.received.Load(), t.opened.Load(), t.taken.Load(), t.bytesOut.Load(), t.bytesIn.Load()}
+	return Traffic{
+		PacketsSent:     t.packetsSent.Load(),
+		PacketsReceived: t.packetsReceived.Load(),
+		StreamsOpened:   t.streamsOpened.Load(),
+		StreamsAccepted: t.streamsAccepted.Load(),
+		BytesSent:       t.bytesSent.Load(),
+		BytesReceived:   t.bytesReceived.Load(),
+	}
 }
 
 // countedConn is a stream whose bytes count.
 type countedConn struct {
 	net.Conn
-	of *transport
+	transport *transport
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.of.bytesIn.Add(int64(n))
+	c.transport.bytesReceived.Add(int64(n))
 	return n, err
 }
 
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.of.bytesOut.Add(int64(n))
+	c.transport.bytesSent.Add(int64(n))
 	return n, err
 }
 
--- a/internal/sidecar/members/updates_benchmark_test.go
+++ b/internal/sidecar/members/updates_benchmark_test.go
@@ -48,12 +48,12 @@
 		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0"}
 		options.knobs.DropPacket = func() bool { return rand.Uint64N(1000) < fleet.loss.Load() }
 		options.OnUpdate = func(w Update) {
-			told := int64(binary.BigEndian.Uint64(w.Payload))
+			publishedAt := int64(binary.BigEndian.Uint64(w.Payload))
 			origin, _ := strconv.Atoi(w.Origin[len("sidecar-"):])
-			fleet.latest[index][origin][w.Kind].Store(told)
-			truly := time.Duration(time.Now().UnixNano() - told)
-			fleet.under[index] = max(fleet.under[index], truly-w.Age)
-			_ = fleet.ages[index].RecordValue(truly.Milliseconds())
+			fleet.latest[index][origin][w.Kind].Store(publishedAt)
+			age := time.Duration(time.Now().UnixNano() - publishedAt)
+			fleet.under[index] = max(fleet.under[index], age-w.Age)
+			_ = fleet.ages[index].RecordValue(age.Milliseconds())
 		}
 		for k := range min(3, wave) {
 			options.Join = append(options.Join, fleet.all[(index+k*wave/3)%wave].Address())
--- a/internal/sidecar/members/view.go
+++ b/internal/sidecar/members/view.go
@@ -29,9 +29,9 @@
 		names = append(names, name)
 	}
 	// Without the leaving members, all indexes would change twice: at the farewell of an old process and at the arrival of the new one.
-	for name, p := range m.leaving {
-		if _, there := m.members[name]; now.Sub(p.at) >= handoverTime {
-			delete(m.leaving, name)
+	for name, p := range m.farewells {
+		if _, there := m.members[name]; now.Sub(p.receivedAt) >= handoverTime {
+			delete(m.farewells, name)
 		} else if !there {
 			names = append(names, name)
 		}
--- a/internal/sidecar/members/worker.go
+++ b/internal/sidecar/members/worker.go
@@ -14,16 +14,16 @@
 // a count of their own for the new set; with it, most of them receive the first one's claim before.
 func (m *Members) runWorker() {
 	defer m.goroutines.Done()
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
-	var settled <-chan time.Time
+	var viewTimer <-chan time.Time
 	m.options.viewChanged(m.View())
 	for {
-		look := false
+		viewDue := false
 		select {
 		case <-m.wakeWorker:
-		case <-settled:
-			settled, look = nil, true
+		case <-viewTimer:
+			viewTimer, viewDue = nil, true
 		case <-tick.C:
 			m.dropExpired()
 		case <-m.ctx.Done():
@@ -32,19 +32,19 @@
 		for _, f := range m.releaseDelayed() {
 			m.queueFrame(f)
 		}
-		t := m.turn(look)
-		if t.stale && settled == nil {
-			settled = time.After(minViewDelay + rand.N(maxViewDelay-minViewDelay) + viewDelayPerMember*time.Duration(t.view.Count))
+		r := m.ready(viewDue)
+		if r.viewStale && viewTimer == nil {
+			viewTimer = time.After(minViewDelay + rand.N(maxViewDelay-minViewDelay) + viewDelayPerMember*time.Duration(r.view.Count))
 		}
-		for _, b := range t.owed {
+		for _, b := range r.broadcasts {
 			m.queue.QueueBroadcast(b)
 		}
-		if t.changed {
-			m.options.viewChanged(t.view)
+		if r.viewChanged {
+			m.options.viewChanged(r.view)
 		}
 		if m.options.OnUpdate != nil {
-			for _, n := range t.updates {
-				m.options.OnUpdate(n)
+			for _, update := range r.updates {
+				m.options.OnUpdate(update)
 			}
 		}
 	}
@@ -56,38 +56,38 @@
 	}
 }
 
-// turn is what the worker has to notify and to send.
-type turn struct {
-	view    View
-	changed bool // the view's epoch has not been notified yet
-	updates []Update
-	owed    []*broadcast
-	stale   bool // the view is to be computed again soon
+// ready is what the worker has to notify and to send.
+type ready struct {
+	view        View
+	viewChanged bool // the view's epoch has not been notified yet
+	viewStale   bool // the view is to be computed again soon
+	updates     []Update
+	broadcasts  []*broadcast
 }
 
-// turn takes what there is to notify, and computes the view again if look is set and it is stale.
-func (m *Members) turn(look bool) (t turn) {
+// ready takes what there is to notify and to send, and computes the view again if that is due and it is stale.
+func (m *Members) ready(viewDue bool) (r ready) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if look && m.viewStale || len(m.leaving) > 0 && !m.viewStale {
+	if viewDue && m.viewStale || len(m.farewells) > 0 && !m.viewStale {
 		m.updateView()
 		m.viewStale = false
 		m.states.retain(func(p process) bool { return p.name == m.options.Name || m.members[p.name] == p.start })
 		maps.DeleteFunc(m.budgets, func(name string, _ *byteBudget) bool { return m.members[name] == 0 })
 	}
-	t.view, t.changed, t.stale = m.view, m.notifiedEpoch != m.view.Epoch, m.viewStale
+	r.view, r.viewChanged, r.viewStale = m.view, m.notifiedEpoch != m.view.Epoch, m.viewStale
 	m.notifiedEpoch = m.view.Epoch
-	t.owed, m.unsent = m.unsent, nil
+	r.broadcasts, m.broadcasts = m.broadcasts, nil
 	now := m.clock()
 	for key := range m.pending {
 		f, stored := m.states.latest[key]
 		if age := m.states.age(f, now); stored && age <= m.options.TTL {
-			t.updates = append(t.updates, Update{f.name, f.start, f.seq, f.kind, age, f.payload})
+			r.updates = append(r.updates, Update{f.name, f.start, f.seq, f.kind, age, f.payload})
 		}
 	}
 	clear(m.pending)
-	slices.SortFunc(t.updates, func(x, y Update) int { return cmp.Or(strings.Compare(x.Origin, y.Origin), cmp.Compare(x.Kind, y.Kind)) })
-	return t
+	slices.SortFunc(r.updates, func(x, y Update) int { return cmp.Or(strings.Compare(x.Origin, y.Origin), cmp.Compare(x.Kind, y.Kind)) })
+	return r
 }
 
 // dropExpired drops the payloads of states older than the TTL; their numbers and starts are kept until the origin is gone. It also
@@ -97,8 +97,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock()
-	if now >= m.claimAt && len(m.members) > 1 {
-		m.claimAt = now + claimInterval/2 + rand.N(claimInterval)
+	if now >= m.nextClaim && len(m.members) > 1 {
+		m.nextClaim = now + claimInterval/2 + rand.N(claimInterval)
 		m.queueClaim(m.epochs.own)
 	}
 	for key, f := range m.states.latest {
@@ -108,7 +108,7 @@
 		}
 	}
 	for name, l := range m.lost {
-		if time.Since(l.at) > lostTTL {
+		if time.Since(l.lostAt) > lostTTL {
 			delete(m.lost, name)
 		}
 	}
