--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -39,35 +39,37 @@
 	}
 	next := time.NewTimer(rand.N(busyExchangeInterval))
 	defer next.Stop()
-	var sent byteBudget
-	send := func(to string, packets [][]byte) {
-		for _, b := range packets {
-			if !sent.spend(len(b), m.clock(), exchangeBytesPerSecond, exchangeBurstBytes) {
-				m.countSendLimited()
-			} else if err := m.list.SendToAddress(memberlist.Address{Addr: to}, b); err != nil {
-				m.options.Log.Debug("members", "exchange", err)
-			}
-		}
-	}
+	var budget byteBudget
 	for {
 		select {
 		case <-next.C:
 			to, asks, busy := m.nextQuestion()
-			send(to, asks)
-			every := quietExchangeInterval
+			m.sendExchange(&budget, to, asks)
+			interval := quietExchangeInterval
 			if busy {
-				every = busyExchangeInterval
+				interval = busyExchangeInterval
 			}
-			next.Reset(every*3/4 + rand.N(every/2))
+			next.Reset(interval*3/4 + rand.N(interval/2))
 		case q := <-m.questions:
 			to, packets := m.answerQuestion(q)
-			send(to, packets)
+			m.sendExchange(&budget, to, packets)
 		case <-m.ctx.Done():
 			return
 		}
 	}
 }
 
+// sendExchange sends packets of an exchange to an address, as far as the budget for them goes.
+func (m *Members) sendExchange(budget *byteBudget, to string, packets [][]byte) {
+	for _, b := range packets {
+		if !budget.spend(len(b), m.clock(), exchangeBytesPerSecond, exchangeBurstBytes) {
+			m.countSendLimited()
+		} else if err := m.list.SendToAddress(memberlist.Address{Addr: to}, b); err != nil {
+			m.options.Log.Debug("members", "exchange", err)
+		}
+	}
+}
+
 func (m *Members) countSendLimited() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,11 +81,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.peers == nil {
-		for name, n := range m.nodes {
-			if name != m.ownNode {
-				m.peers = append(m.peers, peerNode{name, n.address})
-			}
-		}
+		m.peers = m.peerNodes()
 	}
 	if len(m.peers) == 0 {
 		return "", nil, false
@@ -99,6 +97,17 @@
 	return m.peers[rand.IntN(len(m.peers))].address, asks, now-m.lastUpdateAt < busyTime
 }
 
+// peerNodes returns the processes of the other members that are there. m.mu is held.
+func (m *Members) peerNodes() []peerNode {
+	var peers []peerNode
+	for name, n := range m.nodes {
+		if name != m.ownNode {
+			peers = append(peers, peerNode{name, n.address})
+		}
+	}
+	return peers
+}
+
 // receiveExchange processes a frame of an exchange, and reports whether it is one. Questions are queued for runExchange.
 func (m *Members) receiveExchange(b []byte) bool {
 	var asked question
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -65,44 +65,48 @@
 // Members is one member, from New to Close.
 type Members struct {
 	options   Options
-	start     int64 // of this process, nanoseconds of Unix time: only ever compared with those of the same name
-	startedAt time.Time
-	ownNode   string // in memberlist
+	start     int64     // of this process, Unix time in nanoseconds; compared only with processes of the same member
+	startedAt time.Time // the same, with the monotonic reading that clock counts from
+	ownNode   string    // memberlist's name for this process
 
-	ctx        context.Context
+	ctx        context.Context // done once the member ends
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 	closing    sync.Once
-	listening  chan struct{} // closed once it listens
-	wakeWorker chan struct{}
-	wakeJoiner chan struct{}
+	listening  chan struct{} // closed once transport and list are set
+	wakeWorker chan struct{} // capacity 1
+	wakeJoiner chan struct{} // capacity 1
+	questions  chan question // of peers, which runExchange answers
 	queue      *memberlist.TransmitLimitedQueue
 
-	mu            sync.Mutex // never held while memberlist or its queue is called: they call back under their own locks
-	list          *memberlist.Memberlist
-	transport     *transport
-	seq           uint64
-	nodes         map[string]*node       // processes that are there, by memberlist's name
-	members       map[string]int64       // members that are there, by the latest start
-	farewells     map[string]farewell    // by member
-	lost          map[string]lostProcess // processes that died or fell out of touch
-	states        *states
+	// mu guards what follows. It is not held while memberlist or queue is called: they call back under their own locks.
+	mu        sync.Mutex
+	list      *memberlist.Memberlist
+	transport *transport
+	counts    Counts
+
+	nodes     map[string]*node       // processes that are there, by memberlist's name
+	peers     []peerNode             // the nodes of other members; nil: to be taken from nodes
+	members   map[string]int64       // the latest start of each member that is there
+	farewells map[string]farewell    // the last of each member whose index is reserved for a successor
+	lost      map[string]lostProcess // processes that died or fell out of touch, by memberlist's name
+
 	epochs        epochs
 	view          View
-	pending       map[stateKey]struct{}
-	viewStale     bool          // the view
-	notifiedEpoch uint64        // the epoch of the last notification
-	broadcasts    []*broadcast  // claims and farewells to pass on
-	peers         []peerNode    // processes of others; nil: to be taken from nodes
-	lastUpdateAt  time.Duration // when the last update was published or accepted
-	budgets       map[string]*byteBudget
-	delayed       []frame       // own states that wait, one a kind
-	questions     chan question // of peers, which runExchange answers
-	nextClaim     time.Duration // the own claim again
-	counts        Counts
+	viewStale     bool          // nodes changed since view was computed
+	notifiedEpoch uint64        // the epoch of the last view that OnView was called with
+	nextClaim     time.Duration // when the own claim is gossiped again, by clock
+	broadcasts    []*broadcast  // claims and farewells that the worker has to queue
+
+	seq          uint64 // of the last state that was published
+	states       *states
+	pending      map[stateKey]struct{}  // states that OnUpdate is to be called with
+	delayed      []frame                // own states that wait for the budget, one a kind
+	budgets      map[string]*byteBudget // by origin, the own one included
+	lastUpdateAt time.Duration          // when the last update was published or accepted, by clock
 }
 
-// node is a process of a member.
+// node is a process of a member, and where it is reached.
 type node struct {
 	process
 	address string
--- a/internal/sidecar/members/receive.go
+++ b/internal/sidecar/members/receive.go
@@ -8,23 +8,38 @@
 		return
 	}
 	if c, err := decodeClaim(b); err == nil {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		if m.epochs.receiveClaim(c) {
-			m.view.Epoch = m.epochs.own.epoch()
-			m.queueClaim(c)
-		}
+		m.receiveClaim(c)
 		return
 	}
 	if p, err := decodeFarewell(b); err == nil {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		if m.receiveFarewell(p) && mayForward {
-			m.broadcasts = append(m.broadcasts, &broadcast{name: farewellPrefix + p.name, encoded: b})
-			wake(m.wakeWorker)
-		}
+		m.receiveFarewell(p, b, mayForward)
 		return
 	}
+	m.receiveUpdate(b, mayForward)
+}
+
+// receiveClaim adopts the epoch of a claim and forwards the claim, if the member's own epoch rises by it.
+func (m *Members) receiveClaim(c claim) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.epochs.receiveClaim(c) {
+		m.view.Epoch = m.epochs.own.epoch()
+		m.queueClaim(c)
+	}
+}
+
+// receiveFarewell records the farewell of a process, and forwards it as it was encoded if it is new.
+func (m *Members) receiveFarewell(p process, encoded []byte, mayForward bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.recordFarewell(p) && mayForward {
+		m.broadcasts = append(m.broadcasts, &broadcast{name: farewellPrefix + p.name, encoded: encoded})
+		wake(m.wakeWorker)
+	}
+}
+
+// receiveUpdate merges what can only be an update, and forwards it if it is new and young and the queue is not full.
+func (m *Members) receiveUpdate(b []byte, mayForward bool) {
 	f, err := decodeUpdate(b)
 	m.mu.Lock()
 	fresh := m.acceptFrame(f, err)
@@ -35,9 +50,9 @@
 	}
 }
 
-// receiveFarewell records the farewell of a process, and reports whether it is new. m.mu is held. The farewell is needed because
+// recordFarewell records the farewell of a process, and reports whether it is new. m.mu is held. The farewell is needed because
 // memberlist does not say whether a process left or died, and only the index of one that left is reserved for its successor.
-func (m *Members) receiveFarewell(p process) bool {
+func (m *Members) recordFarewell(p process) bool {
 	known := m.members[p.name] == p.start && p.name != m.options.Name
 	for name := range m.lost {
 		if parseNodeName(name) == p {
--- a/internal/sidecar/members/states.go
+++ b/internal/sidecar/members/states.go
@@ -74,6 +74,16 @@
 	return max(0, now-f.publishedAt-time.Duration(distance*float64(time.Second)))
 }
 
+// dropPayloads drops the payloads of states older than the TTL, of all members but the own.
+func (s *states) dropPayloads(own string, now, ttl time.Duration) {
+	for key, f := range s.latest {
+		if key.name != own && f.payload != nil && s.age(f, now) > ttl {
+			f.payload = nil
+			s.latest[key] = f
+		}
+	}
+}
+
 // retain drops all processes but those that fit.
 func (s *states) retain(fits func(process) bool) {
 	for p := range s.offsets {
--- a/internal/sidecar/members/worker.go
+++ b/internal/sidecar/members/worker.go
@@ -9,15 +9,13 @@
 	"time"
 )
 
-// runWorker notifies of views and updates until the member ends. A view changes minViewDelay to maxViewDelay, and a further delay
-// for each member, after the members did. The delay is random because members that saw a change at the same time would each claim
-// a count of their own for the new set; with it, most of them receive the first one's claim before.
+// runWorker notifies of views and updates until the member ends.
 func (m *Members) runWorker() {
 	defer m.goroutines.Done()
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	var viewTimer <-chan time.Time
-	m.options.viewChanged(m.View())
+	m.options.notifyView(m.View())
 	for {
 		viewDue := false
 		select {
@@ -25,7 +23,7 @@
 		case <-viewTimer:
 			viewTimer, viewDue = nil, true
 		case <-tick.C:
-			m.dropExpired()
+			m.sweep()
 		case <-m.ctx.Done():
 			return
 		}
@@ -34,28 +32,40 @@
 		}
 		r := m.ready(viewDue)
 		if r.viewStale && viewTimer == nil {
-			viewTimer = time.After(minViewDelay + rand.N(maxViewDelay-minViewDelay) + viewDelayPerMember*time.Duration(r.view.Count))
+			viewTimer = time.After(viewDelay(r.view.Count))
 		}
 		for _, b := range r.broadcasts {
 			m.queue.QueueBroadcast(b)
 		}
 		if r.viewChanged {
-			m.options.viewChanged(r.view)
-		}
-		if m.options.OnUpdate != nil {
-			for _, update := range r.updates {
-				m.options.OnUpdate(update)
-			}
+			m.options.notifyView(r.view)
 		}
+		m.options.notifyUpdates(r.updates)
 	}
 }
 
-func (o *Options) viewChanged(v View) {
+// viewDelay returns how long after a change of the members their view is computed: between minViewDelay and maxViewDelay, and
+// viewDelayPerMember for each. It is random because members that saw a change at the same time would each claim a count of their own
+// for the new set; with it, most of them receive the first one's claim before.
+func viewDelay(members int) time.Duration {
+	return minViewDelay + rand.N(maxViewDelay-minViewDelay) + viewDelayPerMember*time.Duration(members)
+}
+
+func (o *Options) notifyView(v View) {
 	if o.OnView != nil {
 		o.OnView(v)
 	}
 }
 
+func (o *Options) notifyUpdates(updates []Update) {
+	if o.OnUpdate == nil {
+		return
+	}
+	for _, update := range updates {
+		o.OnUpdate(update)
+	}
+}
+
 // ready is what the worker has to notify and to send.
 type ready struct {
 	view        View
@@ -69,7 +79,9 @@
 func (m *Members) ready(viewDue bool) (r ready) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if viewDue && m.viewStale || len(m.farewells) > 0 && !m.viewStale {
+	// A farewell expires by time alone, so while there is one the view is computed each time.
+	farewellsMayExpire := len(m.farewells) > 0 && !m.viewStale
+	if viewDue && m.viewStale || farewellsMayExpire {
 		m.updateView()
 		m.viewStale = false
 		m.states.retain(func(p process) bool { return p.name == m.options.Name || m.members[p.name] == p.start })
@@ -78,22 +90,31 @@
 	r.view, r.viewChanged, r.viewStale = m.view, m.notifiedEpoch != m.view.Epoch, m.viewStale
 	m.notifiedEpoch = m.view.Epoch
 	r.broadcasts, m.broadcasts = m.broadcasts, nil
+	r.updates = m.takeUpdates()
+	return r
+}
+
+// takeUpdates returns the pending updates within the TTL, by origin and kind, and clears what is pending. m.mu is held.
+func (m *Members) takeUpdates() []Update {
+	var updates []Update
 	now := m.clock()
 	for key := range m.pending {
 		f, stored := m.states.latest[key]
 		if age := m.states.age(f, now); stored && age <= m.options.TTL {
-			r.updates = append(r.updates, Update{f.name, f.start, f.seq, f.kind, age, f.payload})
+			updates = append(updates, Update{Origin: f.name, Start: f.start, Seq: f.seq, Kind: f.kind, Age: age, Payload: f.payload})
 		}
 	}
 	clear(m.pending)
-	slices.SortFunc(r.updates, func(x, y Update) int { return cmp.Or(strings.Compare(x.Origin, y.Origin), cmp.Compare(x.Kind, y.Kind)) })
-	return r
+	slices.SortFunc(updates, func(x, y Update) int {
+		return cmp.Or(strings.Compare(x.Origin, y.Origin), cmp.Compare(x.Kind, y.Kind))
+	})
+	return updates
 }
 
-// dropExpired drops the payloads of states older than the TTL; their numbers and starts are kept until the origin is gone. It also
+// sweep drops the payloads of states older than the TTL; their numbers and starts are kept until the origin is gone. It also
 // repeats the member's own claim periodically: a member that missed a count would otherwise differ until its next push-pull with
 // a peer, which takes a minute in a large fleet.
-func (m *Members) dropExpired() {
+func (m *Members) sweep() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock()
@@ -101,12 +122,7 @@
 		m.nextClaim = now + claimInterval/2 + rand.N(claimInterval)
 		m.queueClaim(m.epochs.own)
 	}
-	for key, f := range m.states.latest {
-		if key.name != m.options.Name && f.payload != nil && m.states.age(f, now) > m.options.TTL {
-			f.payload = nil
-			m.states.latest[key] = f
-		}
-	}
+	m.states.dropPayloads(m.options.Name, now, m.options.TTL)
 	for name, l := range m.lost {
 		if time.Since(l.lostAt) > lostTTL {
 			delete(m.lost, name)
