--- a/internal/sidecar/members/broadcast.go
+++ b/internal/sidecar/members/broadcast.go
@@ -7,11 +7,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// broadcast is a frame to gossip. A later broadcast of the same name replaces it.
+// broadcast is a frame in memberlist's queue of gossip. A later broadcast of the same name replaces it.
 type broadcast struct {
 	name    string
 	encoded []byte
-	age     func() time.Duration // nil: it has none
+	age     func() time.Duration // of an update; nil: the frame carries no age
 }
 
 var _ memberlist.NamedBroadcast = (*broadcast)(nil)
@@ -19,10 +19,10 @@
 // Name implements memberlist.NamedBroadcast, as do the methods after it.
 func (b *broadcast) Name() string { return b.name }
 
-// Invalidates is not asked for broadcasts with a name.
+// Invalidates returns false. memberlist compares the names of named broadcasts instead of calling it.
 func (b *broadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
-// Message is the frame, with its age as it is sent.
+// Message returns the frame to send, with its age at this moment.
 func (b *broadcast) Message() []byte {
 	if b.age == nil {
 		return b.encoded
@@ -30,7 +30,7 @@
 	return withAge(b.encoded, b.age())
 }
 
-// Finished implements memberlist.Broadcast.
+// Finished does nothing: nobody waits for a broadcast.
 func (b *broadcast) Finished() {}
 
 // queueFrame queues a frame for gossip. m.mu must not be held.
@@ -44,7 +44,7 @@
 	m.queue.QueueBroadcast(b)
 }
 
-// queueClaim queues the member's own claim for gossip, in place of earlier ones. m.mu is held.
+// queueClaim has the worker queue a claim for gossip, in place of earlier ones. m.mu is held.
 func (m *Members) queueClaim(c claim) {
 	m.broadcasts = append(m.broadcasts, &broadcast{name: "epoch", encoded: c.encode()})
 	wake(m.wakeWorker)
--- a/internal/sidecar/members/budget.go
+++ b/internal/sidecar/members/budget.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// byteBudget is a token bucket in bytes: it fills at a rate and holds a burst at most.
+// byteBudget is a token bucket of bytes. Rate, in bytes a second, and burst are given with each call, as they change with the number of
+// members. The zero value is a full bucket.
 type byteBudget struct {
 	left      float64
 	updatedAt time.Duration // when left was computed, by the process's own clock; 0: never
 }
 
-// hasBytes reports whether something may be sent at a time of the process's own clock. rate is in bytes a second.
+// hasBytes refills the bucket up to a time of the own clock, and reports whether a frame may be sent.
 func (b *byteBudget) hasBytes(now time.Duration, rate, burstBytes float64) bool {
 	if b.updatedAt == 0 {
 		b.left = burstBytes
@@ -18,7 +19,8 @@
 	return b.left > 0
 }
 
-// spend takes bytes if any are left, and reports whether it did. It may overdraw the budget, since a frame is sent complete.
+// spend takes the bytes of a frame if any bytes are left, and reports whether it did. It may overdraw the bucket, since a frame is sent
+// complete or not at all.
 func (b *byteBudget) spend(bytes int, now time.Duration, rate, burstBytes float64) bool {
 	if !b.hasBytes(now, rate, burstBytes) {
 		return false
@@ -27,23 +29,23 @@
 	return true
 }
 
-// The bounds on updates. Without them, one member that publishes too much would fill the packets of all members.
+// The bounds on updates and exchanges. Without them, one member that publishes too much would fill the packets of all members.
 const (
-	updateBytesPerSecond    = 192_000 // bytes a second that all origins together may publish
-	maxOriginBytesPerSecond = 16_000  // an origin, in a small fleet
-	minOriginBytesPerSecond = 64      // and in the largest
-	burstSeconds            = 2       // seconds of its share that an origin may publish at once
-	receiveLenience         = 1.5     // factor by which receivers exceed an origin's share: delayed states arrive in a burst
-	exchangeBytesPerSecond  = 256_000 // bytes a second that a member sends in exchanges
-	exchangeBurstBytes      = exchangeBytesPerSecond / 4
+	updateBytesPerSecond    = 192_000                    // that all origins together may publish
+	maxOriginBytesPerSecond = 16_000                     // that an origin may publish in a small fleet
+	minOriginBytesPerSecond = 64                         // and in the largest
+	burstSeconds            = 2                          // of its share, that an origin may publish at once
+	receiveLenience         = 1.5                        // factor on an origin's share at its receivers: delayed states arrive in a burst
+	exchangeBytesPerSecond  = 256_000                    // that a member sends in exchanges
+	exchangeBurstBytes      = exchangeBytesPerSecond / 4 // and at once
 )
 
-// originShare returns how many bytes a second each of so many members may publish.
+// originShare returns how many bytes a second each of so many members may publish, headers of frames included.
 func originShare(members int) float64 {
 	return min(max(updateBytesPerSecond/float64(max(members, 1)), minOriginBytesPerSecond), maxOriginBytesPerSecond)
 }
 
-// mayReceiveFrom reports whether another origin's budget, as counted here, allows more. The member's own states are limited in
+// mayReceiveFrom reports whether the budget of an origin, as counted here, allows another frame. The member's own states are limited by
 // Publish. m.mu is held.
 func (m *Members) mayReceiveFrom(name string, now time.Duration) bool {
 	if name == m.options.Name {
@@ -54,7 +56,7 @@
 	return b == nil || b.hasBytes(now, rate, rate*burstSeconds)
 }
 
-// spendBudget charges a frame to the budget of its origin, and reports whether it is within. m.mu is held.
+// spendBudget charges a frame to the budget of its origin, and reports whether the budget allowed it. m.mu is held.
 func (m *Members) spendBudget(f frame, now time.Duration) bool {
 	b := m.budgets[f.name]
 	if b == nil {
--- a/internal/sidecar/members/delegate.go
+++ b/internal/sidecar/members/delegate.go
@@ -7,25 +7,25 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// This file implements memberlist's callbacks. memberlist calls them under its own lock, so a call back into it would deadlock.
+// This file implements memberlist's callbacks. memberlist calls some of them under its own lock, so none may call back into memberlist.
 
 var (
 	_ memberlist.Delegate      = (*Members)(nil)
 	_ memberlist.EventDelegate = (*Members)(nil)
 )
 
-// NodeMeta implements memberlist.Delegate, as do the methods after it.
+// NodeMeta implements memberlist.Delegate, as do the methods up to MergeRemoteState. Members have no metadata.
 func (m *Members) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg receives a frame.
+// NotifyMsg receives a frame that a peer gossiped or sent.
 func (m *Members) NotifyMsg(b []byte) { m.receive(b, true) }
 
-// GetBroadcasts gives frames to send.
+// GetBroadcasts returns frames to gossip, of limit bytes in all at most, each with overhead bytes more.
 func (m *Members) GetBroadcasts(overhead, limit int) [][]byte {
 	return m.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns all stored claims and the states within the TTL, for a peer that may have missed some.
+// LocalState returns all stored claims and the states within the TTL, for a push-pull with a peer that may have missed some.
 func (m *Members) LocalState(bool) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -42,7 +42,8 @@
 	return pack(frames)
 }
 
-// MergeRemoteState merges a peer's state. While joining, nothing is forwarded: what is new to this member is known to the others.
+// MergeRemoteState merges what LocalState of a peer returned. While this member joins it forwards nothing: what is new to it is known to
+// the others.
 func (m *Members) MergeRemoteState(b []byte, join bool) {
 	if err := unpack(b, func(f []byte) { m.receive(f, !join) }); err != nil {
 		m.mu.Lock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// NotifyJoin implements memberlist.EventDelegate, as do the methods after it.
+// NotifyJoin implements memberlist.EventDelegate, as do the methods after it. It records a process that joined.
 func (m *Members) NotifyJoin(n *memberlist.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -7,35 +7,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file compares two members' states and encodes the comparison. Nothing here sends.
+// This file compares the states of two members, and encodes the messages of the comparison. It does no I/O.
 //
-// One asks with what it has: a short name and the low bits of the number of each state. The other sends what it has
-// newer, and wants by short name what is newer there, which the first then sends. So a state goes to a member about once, while gossip, which
-// does not know what is known, sends it as often as it takes until the last member has drawn it: six times at 300 members.
+// The first member asks with versions: a short name and the low bits of the number of each state that it has. The second sends deltas,
+// the states of which it has newer ones, and wants by short name those that are newer at the first, which sends these as deltas too. So a
+// state is sent to each member about once. Gossip does not know what a peer has, and sends a state several times to each: six times at
+// 300 members.
 //
-// Short names are drawn anew for each question: two states of one name cost one exchange, not the update.
+// A short name depends on a salt, which each question draws. Two states that have one short name under a salt miss one exchange.
 
+// The forms of the frames of an exchange, in the first byte.
 const (
-	askForm   = 4
-	wantForm  = 5
-	deltaForm = 6
-
-	maxFrameBytes = 1360 // bytes of a frame of these forms: with the heads of memberlist, UDP and IP it stays under 1,400
-	entrySize     = 3 + 2
-	wantSize      = 3
-	maxAskEntries = (maxFrameBytes - 1 - 4 - 2 - 9 - MaxNameBytes) / entrySize // states in an ask
-	maxParts      = 32                                                         // of a question: room for 8,000 states
+	askForm   = 4 // versions
+	wantForm  = 5 // wants
+	deltaForm = 6 // packed updates
+
+	maxFrameBytes = 1360                                                       // of a frame of these forms: with the headers of memberlist, UDP and IP it stays below 1,400
+	entrySize     = 3 + 2                                                      // of a state in versions: short name, low bits of its number
+	wantSize      = 3                                                          // of a state in wants: short name
+	maxAskEntries = (maxFrameBytes - 1 - 4 - 2 - 9 - MaxNameBytes) / entrySize // states in a part of a question
+	maxParts      = 32                                                         // of a question: enough for 8,000 states
 )
 
-// versions is one of the parts of a question: the low bits of the numbers that the asker has there, by short name.
+// versions is a part of a question: which states the asker has, of those whose key modulo the number of parts is the part's number.
 type versions struct {
 	asker       process
 	salt        uint32
-	part, parts uint8
-	seqs        map[uint32]uint16
+	part, parts uint8             // the number of this part, and how many there are
+	seqs        map[uint32]uint16 // by short name, see seqBits
 }
 
-// wants are states that one wants of another, by the salt of that one's question.
+// wants are states that a process wants of the one that asked it, by their short names under the salt of that question.
 type wants struct {
 	wanter process
 	salt   uint32
@@ -71,7 +73,7 @@
 	return stored.wanted(w, now, ttl), nil
 }
 
-// hash identifies the state's origin, process and kind; short names are derived from it.
+// hash returns the key of a state, which stands for its origin, process and kind. Short names are derived from it.
 func (f *frame) hash() uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(f.start) + uint64(f.kind)<<56)
@@ -79,12 +81,12 @@
 	return d.Sum64()
 }
 
-// shortName returns the name of a state under a salt, 24 bits long.
+// shortName returns the short name, of 24 bits, that the state of a key has under a salt.
 func shortName(id uint64, salt uint32) uint32 {
 	return uint32((id ^ uint64(salt)*0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 >> 40)
 }
 
-// seqBits returns the bits of a number that an ask carries; the last bit says that nothing newer is wanted now.
+// seqBits returns the low 15 bits of a number, shifted left by 1. The lowest bit is set if the asker wants nothing newer now.
 func seqBits(seq uint64, enough bool) uint16 {
 	if enough {
 		return uint16(seq)<<1 | 1
@@ -92,11 +94,11 @@
 	return uint16(seq) << 1
 }
 
-// parts returns in how many parts a question about so many states is sent.
+// parts returns in how many parts a question about so many states is sent: on average a part is filled to three quarters at most.
 func parts(states int) uint8 { return uint8(min(1+states/(maxAskEntries*3/4), maxParts)) }
 
-// ask is a question to any peer, in parts that each fit into a packet: those of the states that are within the TTL. enough reports of which
-// origins nothing more is wanted for now.
+// ask encodes a question to any peer, about the states within the TTL, in parts that each fit into a packet. enough reports of which
+// origins no newer states are wanted for now.
 func (s *states) ask(who process, salt uint32, now, ttl time.Duration, enough func(name string) bool) [][]byte {
 	n := parts(len(s.latest))
 	asks := make([][]byte, n)
@@ -116,7 +118,8 @@
 	return asks
 }
 
-// compare compares a part of a question with the stored states: give is what the asker lacks, want is what it has newer.
+// compare compares a part of a question with the stored states. give are the states within the TTL that are missing or older at the
+// asker, want the short names of those that are newer there. It removes what it has compared from the question.
 func (s *states) compare(question *versions, now, ttl time.Duration) (give []frame, want []uint32) {
 	for _, stored := range s.latest {
 		if stored.key%uint64(question.parts) != uint64(question.part) {
@@ -146,7 +149,7 @@
 	return give, want
 }
 
-// wanted returns the stored states, within the TTL, that another wants.
+// wanted returns the stored states within the TTL that a process wants.
 func (s *states) wanted(w *wants, now, ttl time.Duration) (give []frame) {
 	for _, f := range s.latest {
 		if w.names[shortName(f.key, w.salt)] && s.age(f, now) <= ttl {
@@ -156,7 +159,7 @@
 	return give
 }
 
-// deltas encodes frames into packets, each with its age.
+// deltas encodes updates, with their ages, into as few packets of maxFrameBytes as their order allows.
 func (s *states) deltas(give []frame, now time.Duration) (packets [][]byte) {
 	var b []byte
 	for _, f := range give {
@@ -178,7 +181,7 @@
 	return packets
 }
 
-// decodeAsk reads a part of a question.
+// decodeAsk decodes a part of a question. It returns errMalformed if b is none.
 func decodeAsk(b []byte) (*versions, error) {
 	if len(b) < 7 || len(b) > maxFrameBytes || b[0] != askForm || b[1] >= b[2] || b[2] > maxParts {
 		return nil, errMalformed
@@ -195,7 +198,7 @@
 	return q, nil
 }
 
-// encodeWants writes wants, as many as fit into a packet.
+// encodeWants encodes wants, and leaves out the names that do not fit into a packet.
 func encodeWants(who process, salt uint32, names []uint32) []byte {
 	b := who.appendTo(binary.BigEndian.AppendUint32([]byte{wantForm}, salt))
 	for _, name := range names[:min(len(names), (maxFrameBytes-len(b))/wantSize)] {
@@ -204,7 +207,7 @@
 	return b
 }
 
-// decodeWants reads wants.
+// decodeWants decodes wants. It returns errMalformed if b is none.
 func decodeWants(b []byte) (*wants, error) {
 	if len(b) < 5 || len(b) > maxFrameBytes || b[0] != wantForm {
 		return nil, errMalformed
--- a/internal/sidecar/members/epoch.go
+++ b/internal/sidecar/members/epoch.go
@@ -2,32 +2,33 @@
 
 import "maps"
 
-// This file has members agree on a number for the set that they form, without any of them deciding it.
+// This file has members agree on an epoch for the set that they form, without a member that decides it.
 
-// claim states that a member has given the set with this hash this count.
+// claim says that a member gave the set of members with this hash this count.
 type claim struct{ count, hash uint32 }
 
-// epoch is the count over the hash: equal epochs mean equal sets, but for a collision of 32 bits.
+// epoch returns the count in the high half and the hash in the low one. Equal epochs mean equal sets, unless 32 bits of hash collide.
 func (c claim) epoch() uint64 { return uint64(c.count)<<32 | uint64(c.hash) }
 
+// maxClaims is how many claims a member stores.
 const maxClaims = 16
 
-// epochs is one member's view of the count, in the manner of Lamport's clocks (Time, clocks, and the ordering of events,
-// CACM 1978). A member whose set changes takes the count under which others already know the new set, if that is above its
-// own, else one above all that it has received, and announces it. A member that receives its own set under a higher count takes
-// that. Invariants:
+// epochs is what one member knows of claims. The counts are logical clocks (Lamport, Time, clocks, and the ordering of events in a
+// distributed system, CACM 1978). A member whose set changes adopts the count that others gave the new set, if that is above its own.
+// Else it takes a count above all that it has received, and announces it. A member that receives a higher count for its own set adopts it.
+// Invariants:
 //
-//  1. A member's own epoch never goes down, and rises with each change of its set.
+//  1. A member's own epoch never decreases, and increases with each change of its set.
 //  2. Two members with the same epoch have the same set.
-//  3. Once sets rest and each has received all claims, equal sets have equal epochs: the highest count that any of them holds.
+//  3. Once sets change no more and each member has received all claims, equal sets have equal epochs: the highest count of any member.
 //
-// A member that lies about counts costs calls to others, not agreement: 2 holds by the hash. At the highest count they cease
-// to rise. The zero value is that of a member which knows no set.
+// A member that claims wrong counts causes traffic, but does not break 2, which holds by the hash. At the highest count of 32 bits epochs
+// increase no more. The zero value is that of a member that knows no set.
 type epochs struct {
 	own          claim
 	highestCount uint32            // of all received claims
 	claims       map[uint32]uint32 // the highest count received, by hash; at most maxClaims
-	droppedCount uint32            // the highest count that was evicted
+	droppedCount uint32            // the highest count of an evicted claim
 }
 
 // adoptSet sets the hash of the member's own set, and reports whether its claim is to be sent to the others.
@@ -48,10 +49,10 @@
 	return true
 }
 
-// receiveClaim records a claim, and reports whether the member's own epoch rose by it: only then it is to be forwarded. Where sets
-// change fast, as in a fleet that starts, claims of short-lived sets would otherwise be most of the gossip.
+// receiveClaim records a claim, and reports whether the member's own epoch rose by it. Only then is the claim to be forwarded: where sets
+// change fast, as in a fleet that starts, claims of sets of a moment would otherwise be most of the gossip.
 func (e *epochs) receiveClaim(c claim) (rose bool) {
-	// A claim that was evicted would be new each time that it arrives, and circulate for ever.
+	// Without the second condition, a claim that was evicted would be new each time that it arrives, and be forwarded for ever.
 	if c.count <= e.claims[c.hash] || c.count <= e.droppedCount && c.hash != e.own.hash {
 		return false
 	}
@@ -64,7 +65,7 @@
 	return false
 }
 
-// storeClaim stores a claim. Over maxClaims the lowest is evicted: the oldest sets are the ones that do not come back.
+// storeClaim stores a claim. Beyond maxClaims it evicts the lowest, since the oldest sets are the least likely to come back.
 func (e *epochs) storeClaim(c claim) {
 	if e.claims == nil {
 		e.claims = map[uint32]uint32{}
--- a/internal/sidecar/members/errors.go
+++ b/internal/sidecar/members/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// OptionError says which option is not valid, by the name of its setting, and why.
+// OptionError says which of the Options is not valid, and why.
 type OptionError struct {
-	Setting string
+	Setting string // "name", "listen", "advertise", "join", "reach" or "bound" (TTL)
 	Err     error
 }
 
@@ -13,8 +13,7 @@
 // Unwrap returns the reason.
 func (e *OptionError) Unwrap() error { return e.Err }
 
-// BoundsError says that a state was not published: its kind has to be less than MaxKinds, and its payload at most MaxPayloadBytes
-// long.
+// BoundsError says that a state was not published, since its kind is not less than MaxKinds or its payload longer than MaxPayloadBytes.
 type BoundsError struct {
 	Kind  uint8
 	Bytes int // of the payload
--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -7,29 +7,30 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// This file brings updates to all members, however many there are. Gossip forwards young ones: it is the quickest while there is
-// little, and carries no more than its packets do. What it leaves out, or a network loses, comes by exchanges: every
-// pushPullInterval each member asks one other, drawn, what that one has newer, and both get what they lack (digest.go). The share of those
-// who lack a state then shrinks in each such time by a factor of e squared or so, whatever there is besides it.
+// This file brings updates to all members, whatever their number. Gossip forwards young updates: it is the fastest way while there are
+// few, and carries no more than fits into its packets. What it leaves out or the network loses is repaired by exchanges: every
+// busyExchangeInterval while there are updates, else every quietExchangeInterval, each member asks another one, drawn at random, for newer
+// states, and both get what they lack (digest.go). In each interval the share of members that lack a state shrinks by a factor of about e
+// squared, independently of other states.
 //
-// Bounds: a member sends exchangeBytesPerSecond bytes a second in exchanges, and gossip's gossipNodes packets each gossipInterval; an origin
-// publishes at most its share (budget.go), which it enforces on itself and the others enforce on it.
+// Bounds: a member sends exchangeBytesPerSecond in exchanges, and gossipNodes packets of gossip in each gossipInterval. An origin publishes
+// at most its share (budget.go), which it enforces on itself and the others enforce on it.
 
 // The timing of exchanges.
 const (
-	busyExchangeInterval  = 150 * time.Millisecond // between own questions, while there are updates
-	quietExchangeInterval = 600 * time.Millisecond // and else
-	busyTime              = time.Second            // after the last update
-	maxGossipAge          = 500 * time.Millisecond // older updates are not gossiped
-	maxQueued             = 24                     // states to gossip on: with more, each member's own ones would wait behind them
-	maxQuestions          = 64                     // questions to answer
-	maxDeltas             = 16                     // packets in answer to one
+	busyExchangeInterval  = 150 * time.Millisecond // between a member's questions while there are updates, a quarter more or less
+	quietExchangeInterval = 600 * time.Millisecond // and otherwise
+	busyTime              = time.Second            // after the last update, in which the shorter interval holds
+	maxGossipAge          = 500 * time.Millisecond // of updates that are gossiped on
+	maxQueued             = 24                     // frames in the queue to which updates of others are added: own states would wait behind them
+	maxQuestions          = 64                     // that wait for their answers; more are dropped
+	maxDeltas             = 16                     // packets of updates in answer to one question
 )
 
-// peerNode is a process of another member and where it is.
+// peerNode is a process of another member: its name in memberlist, and its address.
 type peerNode struct{ name, address string }
 
-// runExchange asks and answers until the member ends.
+// runExchange asks other members and answers their questions, from when the member listens until it ends.
 func (m *Members) runExchange() {
 	defer m.goroutines.Done()
 	select {
@@ -70,13 +71,15 @@
 	}
 }
 
+// countSendLimited counts a packet that was not sent, or a question that was dropped. m.mu must not be held.
 func (m *Members) countSendLimited() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.SendLimited++
 }
 
-// nextQuestion returns what to ask whom now, and whether there was an update within busyTime.
+// nextQuestion returns a question to a peer that is drawn at random, encoded, with the peer's address, and whether there was an update within
+// busyTime. It returns no question if there is no peer.
 func (m *Members) nextQuestion() (to string, asks [][]byte, busy bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -142,7 +145,8 @@
 	return true
 }
 
-// answerQuestion returns what to send to whom in answer to a question; nothing where the asker is not a process that is there.
+// answerQuestion returns the packets that answer a question, and the asker's address. It returns none if the asker is not a process that
+// is there.
 func (m *Members) answerQuestion(q question) (to string, packets [][]byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sidecar/members/frame.go
+++ b/internal/sidecar/members/frame.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// The bounds of what members send each other. A frame fits into one UDP packet with room for memberlist's own heads.
+// The bounds of what members send each other. A frame fits into one UDP packet with room for memberlist's own headers.
 const (
-	MaxPayloadBytes = 768 // bytes of one state
-	MaxKinds        = 8   // kinds of states: 0 to 7
-	MaxNameBytes    = 96  // bytes of a member's name
-	maxStateBytes   = 1 << 19
+	MaxPayloadBytes = 768     // of one state
+	MaxKinds        = 8       // kinds of states: 0 to 7
+	MaxNameBytes    = 96      // of a member's name
+	maxStateBytes   = 1 << 19 // of all frames of one push-pull
 )
 
-// The forms of frames. A frame of an unknown form comes from a later version: it is ignored and counted as malformed.
+// The forms of frames, in the first byte. The forms of an exchange are in digest.go. A frame of an unknown form comes from a later
+// version of the program: it is ignored and counted as malformed.
 const (
 	updateForm   = 1
 	claimForm    = 2
@@ -23,28 +24,33 @@
 
 var errMalformed = errors.New("torn or foreign")
 
-// frame is one state of an origin on its way. The encoding is by encoding/binary and not by a codec that reflects: with 300
-// members a process reads thousands a second, most of them repeats, and only the age in it changes at each hop.
+// frame is an update, or the state that it was stored as. The encoding is written with encoding/binary and not by a codec that uses
+// reflection: with 300 members a process decodes thousands of frames a second, most of them duplicates, and only the age in a frame
+// changes at each hop.
 type frame struct {
-	name         string
-	kind         uint8
+	name         string        // of the origin
+	kind         uint8         // less than MaxKinds
 	start        int64         // of the origin's process
-	seq          uint64        // rises with each state that the process publishes, of whatever kind
-	publishedAt  time.Duration // when it was published, by the clock of the origin's process, from 0 at its start
-	forwardedAge time.Duration // its age when this copy was sent, as far as it passed at those who forwarded it
-	payload      []byte
-	key          uint64   // see hash; set in stored states, as is offset
-	offset       *float64 // that of its process, see states
+	seq          uint64        // rises by 1 with each state that the process publishes, of whatever kind
+	publishedAt  time.Duration // by the clock of the origin's process, which counts from its start
+	forwardedAge time.Duration // the part of its age that passed at the members that forwarded it; 0 in stored states
+	payload      []byte        // nil in stored states that are older than the TTL
+
+	// Only stored states have these.
+	key    uint64   // see hash
+	offset *float64 // that of the origin's process, see states
 }
 
 const (
-	ageOffset   = 2 // offset of the age in a frame, in milliseconds rounded up
-	headerBytes = ageOffset + 4 + 8
+	ageOffset   = 2                 // where the age is in an encoded update, after its form and kind
+	headerBytes = ageOffset + 4 + 8 // up to the end of the start
 )
 
+// encode encodes an update: form, kind, age in milliseconds, start, seq, time of publishing in microseconds, name, payload. Integers are
+// big-endian or varints, and the lengths of name and payload stand before them.
 func (f *frame) encode() []byte { return f.appendTo(make([]byte, 0, f.size())) }
 
-// size is how long its encoding is at most.
+// size returns how many bytes the encoding has at most.
 func (f *frame) size() int {
 	return headerBytes + 2*binary.MaxVarintLen64 + 1 + len(f.name) + 2 + len(f.payload)
 }
@@ -60,19 +66,19 @@
 	return append(b, f.payload...)
 }
 
-// withAge is a copy of an encoded frame that says another age.
+// withAge returns a copy of an encoded update with another age.
 func withAge(encoded []byte, age time.Duration) []byte {
 	b := append([]byte(nil), encoded...)
 	binary.BigEndian.PutUint32(b[ageOffset:], roundUpMS(age))
 	return b
 }
 
-// roundUpMS returns an age in milliseconds, rounded up: rounded down, an update would grow younger at each hop.
+// roundUpMS returns an age in milliseconds, rounded up. Rounded down, an update would become younger at each hop.
 func roundUpMS(age time.Duration) uint32 {
 	return uint32(min(max(0, (age+time.Millisecond-1)/time.Millisecond), 1<<32-1))
 }
 
-// decodeUpdate reads a frame that encode made. The result shares no memory with b.
+// decodeUpdate decodes an update, and returns errMalformed if b is none. The result shares no memory with b.
 func decodeUpdate(b []byte) (f frame, err error) {
 	if len(b) < headerBytes || b[0] != updateForm || b[1] >= MaxKinds {
 		return f, errMalformed
@@ -106,6 +112,7 @@
 	return f, nil
 }
 
+// claimSize is the length of an encoded claim: form, count, hash.
 const claimSize = 1 + 4 + 4
 
 func (c claim) encode() []byte {
@@ -132,7 +139,7 @@
 	return process{string(b[9:]), int64(binary.BigEndian.Uint64(b[1:]))}, nil
 }
 
-// pack puts frames behind each other, up to maxStateBytes bytes in all.
+// pack concatenates frames, each after its length of 2 bytes. It ends before the frame that would exceed maxStateBytes.
 func pack(frames [][]byte) []byte {
 	var b []byte
 	for _, f := range frames {
@@ -144,7 +151,7 @@
 	return b
 }
 
-// unpack calls each for the frames that pack put together. What is torn ends it with an error.
+// unpack calls each for the frames that pack concatenated. It stops with errMalformed at a frame that is cut off.
 func unpack(b []byte, each func([]byte)) error {
 	if len(b) > maxStateBytes {
 		return errMalformed
--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// runJoin listens, unless the member does already, and joins others, until the member ends. Once nobody is missing it waits until
-// somebody is. The pauses are random: members that lost each other at the same time would otherwise try again at the same time.
+// runJoin listens, unless the member does already, and joins other members until this one ends. While nobody is missing it waits until
+// somebody is. The backoff is random: members that lost each other at the same time would otherwise try again at the same time.
 func (m *Members) runJoin(isListening bool) {
 	defer m.goroutines.Done()
 	pauses := backoff.NewExponentialBackOff()
@@ -40,7 +40,7 @@
 	}
 }
 
-// joinAndWait joins the members that are missing, and waits until it is to be tried again. It returns false once the member ends.
+// joinAndWait joins members that are missing, and waits until that is to be tried again. It returns false once the member ends.
 func (m *Members) joinAndWait(pauses *backoff.ExponentialBackOff, isListening bool) bool {
 	var woken <-chan struct{}
 	var wait <-chan time.Time
@@ -71,8 +71,8 @@
 	}
 }
 
-// missing returns addresses of members that may be there but are not seen: of processes that are lost, and those to join at
-// which nobody is known. recentlyLost reports that some were lost less than rejoinDelay ago. The host of the latter counts only where no host is reached in place of it.
+// missing returns the addresses at which members may be that are not seen: those of processes that were lost, and those of Options.Join at
+// which no process is known. recentlyLost reports that processes were lost less than rejoinDelay ago, whose addresses are left out.
 func (m *Members) missing() (addresses []string, recentlyLost bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +99,7 @@
 	return addresses, recentlyLost
 }
 
-// tryJoin joins through one that is missing, or two, and reports whether that found any member.
+// tryJoin joins through up to two of the missing addresses, drawn at random, and reports whether new members were found.
 func (m *Members) tryJoin(missing []string) bool {
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	before := m.count()
--- a/internal/sidecar/members/listen.go
+++ b/internal/sidecar/members/listen.go
@@ -8,9 +8,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
+// errInUse is joined to the error of listening at an address that another process, such as the earlier one of an upgrade, listens at.
 var errInUse = errors.New("the address is in use")
 
-// listen opens the sockets and has memberlist run over them.
+// listen opens the sockets and starts memberlist on them.
 func (m *Members) listen() error {
 	host, port, err := splitAddress(m.options.Listen)
 	if err != nil {
@@ -36,7 +37,7 @@
 	config.ProbeInterval, config.ProbeTimeout, config.SuspicionMult = probeInterval, probeTimeout, suspicionMult
 	config.GossipInterval, config.GossipNodes, config.GossipToTheDeadTime = gossipInterval, gossipNodes, gossipToDeadTime
 	config.PushPullInterval, config.TCPTimeout = pushPullInterval, streamTimeout
-	config.EnableCompression = false // of packets that are small
+	config.EnableCompression = false // packets are small
 	m.mu.Lock()
 	m.transport = t
 	m.mu.Unlock()
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -1,26 +1,29 @@
-// Package members lets sidecars know each other: who is a member, which index each has, and the newest state of each. It
-// carries updates of these states and does not judge what they mean. Membership and gossip are hashicorp/memberlist's (SWIM with
-// Lifeguard).
+// Package members gives sidecars a view of each other: who is a member, which index each member has, and the newest states that
+// each has published. It does not interpret the states. Membership and gossip are hashicorp/memberlist's, which implements SWIM with
+// Lifeguard. This package adds the index and the epoch of a view, and brings each member the updates that gossip did not.
 //
 // # Terms
 //
-//   - A member is a sidecar by its name; its processes follow each other, each with a later start.
-//   - A view is the set of members as one of them sees it, with its epoch. A state is what an origin (a member) published last of
-//     one kind; an update is a state on its way.
-//   - A frame is the encoded form of an update, a claim (of an epoch) or a farewell.
+//   - A member is a sidecar, identified by its name. Its processes follow each other, each with a later start.
+//   - A view is the set of members as one of them sees it, with an epoch: a number on which the members agree.
+//   - A state is what a member, its origin, published last of one kind. An update is a state on its way to the others.
+//   - A claim says that a member gave a set of members an epoch. A farewell says that a process ends by itself.
+//   - A frame is the encoded form of an update, a claim, a farewell, or a message of an exchange.
+//   - An exchange compares the states of two members, and brings each what it lacks (anti-entropy).
 //
 // # Invariants
 //
-// With members that tell the truth about themselves:
+// Where all members follow the protocol:
 //
-//   - A member that dies is out of the others' views within about 2 s, from 20 to 300 members; one that leaves, within 1 s more
-//     than its farewell takes, unless its successor is there by then.
-//   - Two members with the same epoch have the same set, hence the same indexes. An epoch never goes down.
-//   - Updates come newest first for each origin and kind, never older than the TTL, and only of members' own processes.
-//   - Old and new process of an upgrade are one member. The old one's farewell does not take the new one out.
+//   - A member that dies is out of the others' views within about 2 s, from 20 to 300 members. One that leaves is out of them
+//     handoverTime after its farewell arrived, unless its successor has joined by then.
+//   - Two members with the same epoch have the same set of members, hence the same indexes. An epoch never decreases.
+//   - For each origin and kind, updates arrive in the order in which they were published; some may be left out. None is older than
+//     the TTL, and each is of a process that is its member's newest when it arrives.
+//   - The old and the new process of an upgrade are one member. The old one's farewell does not remove the new one.
 //
-// Members are not authenticated. Whoever can reach a member's port can join, and state what it likes in the name of another; a
-// forged state of a member is seen, and overruled, by that member only.
+// Members are not authenticated. Whoever can reach a member's port can join, and publish states in the name of another member; that
+// member ignores what comes in its own name.
 package members
 
 import (
@@ -46,20 +49,28 @@
 	Payload []byte
 }
 
-// Counts is what a member did since its start.
+// Counts are counters of one member since its start, and the length of its queue.
 type Counts struct {
 	Traffic
-	Updates, Duplicates, Expired, Malformed, NonMembers int64 // frames: new ones, known ones, over the bound, not readable, of no member
-	Delayed                                             int64 // own states that had to wait, as this member published too much; see Publish
-	RateLimited                                         int64 // frames rejected, or states not asked for, as their origin published too much
-	SendLimited                                         int64 // packets of exchanges not sent, as this member sent too much, or was asked too much
-	Queued                                              int   // frames to pass on
-	Joins, JoinsFailed                                  int64 // attempts to join
+
+	// Frames that were received.
+	Updates    int64 // of a newer state than was stored, within the TTL
+	Duplicates int64 // of a state that was stored already, or of this member itself
+	Expired    int64 // of a newer state that was older than the TTL
+	Malformed  int64 // that could not be decoded
+	NonMembers int64 // of a process that is not its member's newest; also questions of unknown processes, and processes beyond maxMembers
+
+	Delayed     int64 // calls of Publish after which states had to wait, as this member published too much
+	RateLimited int64 // frames rejected, and states not asked for, as their origin published too much
+	SendLimited int64 // packets of exchanges not sent, as this member sent too much, and questions beyond maxQuestions
+	Queued      int   // frames that wait to be gossiped
+	Joins       int64 // attempts to join through other members
+	JoinsFailed int64 // those that reached none
 }
 
 const (
-	farewellPrefix = "farewell/"
-	maxMembers     = 4096
+	farewellPrefix = "farewell/" // of the name of a broadcast that is a farewell, before the member's name
+	maxMembers     = 4096        // processes that are known at once
 )
 
 // Members is one member, from New to Close.
@@ -124,7 +135,7 @@
 	receivedAt time.Time
 }
 
-// New checks the options; its errors are OptionErrors. The member knows nobody until Start.
+// New returns a member that knows of itself only, until Start. It returns an OptionError for the first option that is not valid.
 func New(options Options) (*Members, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -146,8 +157,9 @@
 	return m, nil
 }
 
-// Start has the member listen and join until Close; once ctx is done it notifies and publishes nothing more. Where the address is in use, as by the process that this
-// one follows, it goes on trying; other errors are returned.
+// Start has the member listen and join the others until Close. Once ctx is done it calls neither OnUpdate nor OnView any more, and takes
+// no part in exchanges. Where the address is in use, as by the earlier process of an upgrade, Start returns nil and the member tries
+// again until it is free; other errors of listening are returned.
 func (m *Members) Start(ctx context.Context) error {
 	m.ctx, m.cancel = context.WithCancel(ctx)
 	err := m.listen()
@@ -162,7 +174,8 @@
 	return nil
 }
 
-// Close leaves and ends. The farewell takes half a second at most.
+// Close sends the farewell, which takes leaveTimeout at most, closes the sockets and waits for the member's own goroutines. Only the
+// first call has an effect, and none if it comes before Start. Goroutines of memberlist may end somewhat later.
 func (m *Members) Close() {
 	m.closing.Do(func() {
 		if m.cancel == nil {
@@ -186,14 +199,14 @@
 	})
 }
 
-// View is who is a member now.
+// View returns the view as last computed. Its Names are shared and must not be changed.
 func (m *Members) View() View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view
 }
 
-// Counts are the figures as they stand.
+// Counts returns the counters as they stand.
 func (m *Members) Counts() Counts {
 	waiting := m.queue.NumQueued() // not under the lock, which the queue takes under its own
 	m.mu.Lock()
@@ -206,7 +219,7 @@
 	return c
 }
 
-// Address is where this member listens; "" until it does.
+// Address returns the host and port at which the member listens; "" until it does.
 func (m *Members) Address() string {
 	select {
 	case <-m.listening:
@@ -217,15 +230,17 @@
 	return net.JoinHostPort(host, strconv.Itoa(m.transport.port()))
 }
 
-// clock is the time since this process's start, monotonic.
+// clock returns the monotonic time since this member was made, which is the clock of all durations that are points in time.
 func (m *Members) clock() time.Duration { return time.Since(m.startedAt) }
 
+// count returns how many members are there, for memberlist's queue among others.
 func (m *Members) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.members)
 }
 
+// wake wakes the goroutine that receives from a channel of capacity 1, now or the next time that it waits.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/sidecar/members/options.go
+++ b/internal/sidecar/members/options.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Options say who a member is and whom it joins.
+// Options configure a member.
 type Options struct {
-	Name      string        // of the member, the same in each process of it; 1 to MaxNameBytes bytes
-	Listen    string        // IP address and port, for UDP and TCP; port 0: any
-	Advertise string        // IP address and port where others reach it; "": Listen
-	Join      []string      // hosts and ports of any members; those that are gone are tried again, ever more rarely
-	Reach     string        // every peer is reached at this IP address, at the port of its own; "": at its own
+	Name      string        // of the member, the same in each of its processes; 1 to MaxNameBytes bytes
+	Listen    string        // IP address and port, for UDP and TCP; port 0: any free one
+	Advertise string        // IP address and port at which others reach this member; "": Listen
+	Join      []string      // hosts and ports of any members; those that are missing are tried again, with backoff
+	Reach     string        // IP address at which every peer is reached, at the peer's own port; "": the peer's own address
 	TTL       time.Duration // updates that are older are dropped; 0: DefaultTTL
-	Log       *slog.Logger  // nil: none
+	Log       *slog.Logger  // nil: nothing is logged
 
-	// OnUpdate is called for each update, and OnView for each new view; one call at a time, from one goroutine. A state that is
-	// replaced before its turn is not notified. Nil: no calls.
+	// OnUpdate is called for each update that arrives, and OnView for the first view and each that has another epoch. Calls come one at
+	// a time, from one goroutine. An update that is replaced by a newer one before the call is left out. Nil: no calls.
 	OnUpdate func(Update)
 	OnView   func(View)
 
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// splitAddress is an IP address and port.
+// splitAddress splits an address into an IP address and a port. It returns an error for host names and for names of services.
 func splitAddress(address string) (host string, port int, err error) {
 	host, service, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/sidecar/members/process.go
+++ b/internal/sidecar/members/process.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// separator stands between a member's name and its process's start, in memberlist's name for the process.
+// separator stands between the member's name and the process's start in the name that memberlist has for a process.
 const separator = "@"
 
-// process is one process of an origin.
+// process identifies a process of a member.
 type process struct {
-	name  string
-	start int64
+	name  string // of the member
+	start int64  // Unix time in nanoseconds; 0: not known
 }
 
-// node returns memberlist's name for a process.
+// nodeName returns the process's name in memberlist.
 func (p process) nodeName() string { return p.name + separator + strconv.FormatInt(p.start, 36) }
 
-// parse returns the process that a name of memberlist stands for. A name without a start is a member whose process has start 0.
+// parseNodeName returns the process that a name in memberlist stands for. A name without a valid start is a member's name, and the start
+// of its process is 0.
 func parseNodeName(name string) process {
 	if at := strings.LastIndex(name, separator); at > 0 {
 		if start, err := strconv.ParseInt(name[at+1:], 36, 64); err == nil && start > 0 {
@@ -33,7 +34,7 @@
 	return append(append(binary.BigEndian.AppendUint64(b, uint64(p.start)), byte(len(p.name))), p.name...)
 }
 
-// decodeProcess reads what appendTo appended, and returns what is behind it.
+// decodeProcess decodes what appendTo appended, and returns the bytes after it.
 func decodeProcess(b []byte) (p process, rest []byte, err error) {
 	if len(b) < 9 || b[8] == 0 || b[8] > MaxNameBytes || len(b) < 9+int(b[8]) {
 		return p, nil, errMalformed
--- a/internal/sidecar/members/publish.go
+++ b/internal/sidecar/members/publish.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Publish has the payload be this member's state of a kind, in place of the last one. The payload is not to be changed after.
-// A member that publishes more than its share (see originShare: 640 bytes a second at 300 members, headers included) sends its
-// newest state later, and a state that is replaced before its turn not at all. A kind or payload over its bound is a BoundsError.
+// Publish replaces this member's state of a kind. The payload must not be changed afterwards. A member that publishes more than its
+// share (see originShare: 640 bytes a second at 300 members, headers included) sends its newest state later, and leaves out a state
+// that is replaced before it was sent. A kind or payload beyond its bound is refused with a BoundsError.
 func (m *Members) Publish(kind uint8, payload []byte) error {
 	if kind >= MaxKinds || len(payload) > MaxPayloadBytes {
 		return &BoundsError{Kind: kind, Bytes: len(payload)}
@@ -34,6 +34,7 @@
 	return m.releaseDelayedLocked()
 }
 
+// releaseDelayedLocked is releaseDelayed for callers that hold m.mu.
 func (m *Members) releaseDelayedLocked() (released []frame) {
 	b := m.budgets[m.options.Name]
 	if b == nil {
--- a/internal/sidecar/members/receive.go
+++ b/internal/sidecar/members/receive.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// receive processes a frame from a peer, and forwards it if it is new.
+// receive processes a frame from a peer, and forwards it if it is new and mayForward is set. m.mu must not be held.
 func (m *Members) receive(b []byte, mayForward bool) {
 	if m.receiveExchange(b) {
 		return
@@ -67,14 +67,15 @@
 	return true
 }
 
-// acceptFrame merges a frame and reports whether it is to be notified and forwarded. m.mu is held.
+// acceptFrame merges an update, or counts why it is not merged; err is that of decoding it. It reports whether OnUpdate is to be called
+// for it and whether it may be forwarded. m.mu is held.
 func (m *Members) acceptFrame(received frame, err error) bool {
 	now := m.clock()
 	switch start, known := m.members[received.name]; {
 	case err != nil:
 		m.counts.Malformed++
 		return false
-	case received.name == m.options.Name: // this process's own frame, come back, or one of another process of this member
+	case received.name == m.options.Name: // a frame of this process that came back, or of another process of this member
 		m.counts.Duplicates++
 		return false
 	case !known || received.start != start:
--- a/internal/sidecar/members/states.go
+++ b/internal/sidecar/members/states.go
@@ -5,37 +5,41 @@
 	"time"
 )
 
-// This file stores what the others published: a join of lattices, so that loss, duplicates and order do not matter.
+// This file stores what the members published. Merging is a join in a semilattice, so loss, duplicates and order do not matter.
 
-// maxClockDrift is how far the clocks of two machines may run apart, each second, at most: the kernel slews by 500 ppm at most.
+// maxClockDrift is by how many seconds a second the monotonic clocks of two machines may drift apart: the kernel slews a clock by 500 ppm
+// at most.
 const maxClockDrift = 500e-6
 
-// stateKey is a state's place: each origin has one a kind.
+// stateKey identifies a state: each origin has one of each kind.
 type stateKey struct {
-	name string
+	name string // of the origin
 	kind uint8
 }
 
-// states keeps the newest state of each origin and kind, by the start of its process and then by its number, and how far the
-// clock of each process is from the own. merge is commutative, associative and idempotent over copies, each with the time at
-// which it came.
+// states stores the newest state of each origin and kind, by the start of its process and then by its number, and the offset between
+// the clock of each process and the own clock. merge is commutative, associative and idempotent over copies of states, each with the time
+// at which it arrived.
 //
-// An age is never computed by comparing wall clocks. A copy carries the time that it spent at those who forwarded it, which misses the time
-// that it was on its way. So for each process the least of (own time at arrival - stamp - said age) is kept: it is the
-// distance of the clocks plus the quickest way ever seen, and what a later copy needed beyond that is its age, also when a
-// network, a stopped peer or a full buffer delayed it. Bound: an age is too low by the quickest way that any copy from
-// that process took, and by drift, 0.5 ms a second, at most. Where every copy from the start on was delayed alike, that
-// cannot be seen here; memberlist's probes take such a peer for dead.
+// Ages are computed without comparing wall clocks. A copy carries the time that it spent at the members that forwarded it, but not the
+// time that it spent in the network. For each process the offset is therefore the minimum, over all its copies, of
+//
+//	own time at arrival - time of publishing - forwarded age
+//
+// which is the offset of the clocks plus the shortest time that any copy spent in the network. The time that another copy took beyond
+// that is part of its age, whether a network, a stopped peer or a full buffer delayed it. An age is too low by at most that shortest time,
+// and by the drift since, 0.5 ms a second. If all copies from the start on are delayed alike, it cannot be seen here; then memberlist's
+// probes time out and the peer is declared dead.
 type states struct {
 	latest  map[stateKey]frame
-	offsets map[process]*float64 // seconds: the least distance, brought back by drift to time 0
+	offsets map[process]*float64 // in seconds, less the greatest drift since time 0 of the own clock
 }
 
 func newStates() *states {
 	return &states{latest: map[stateKey]frame{}, offsets: map[process]*float64{}}
 }
 
-// merge merges a copy that arrived at a time of the process's own clock, and reports whether its state is newer than the stored one.
+// merge merges a copy that arrived at a time of the own clock, and reports whether its state is newer than the stored one.
 func (s *states) merge(f frame, now time.Duration) bool {
 	p := process{f.name, f.start}
 	distance := (now - f.publishedAt - f.forwardedAge).Seconds() - maxClockDrift*now.Seconds()
@@ -52,7 +56,7 @@
 	return true
 }
 
-// isNewer reports whether a frame's state is newer than the stored one.
+// isNewer reports whether a frame's state is newer than the one that is stored, if any.
 func (s *states) isNewer(f frame) bool {
 	old, known := s.latest[stateKey{f.name, f.kind}]
 	return !known || newer(f, old)
@@ -62,7 +66,8 @@
 	return f.start > old.start || f.start == old.start && f.seq > old.seq
 }
 
-// age returns how long ago a state was published. For a process of which nothing is stored it is beyond any TTL.
+// age returns how long ago a state was published, at a time of the own clock. If nothing of its process is stored, it is the largest
+// duration.
 func (s *states) age(f frame, now time.Duration) time.Duration {
 	offset := f.offset // of a stored state
 	if offset == nil {
@@ -84,15 +89,15 @@
 	}
 }
 
-// retain drops all processes but those that fit.
-func (s *states) retain(fits func(process) bool) {
+// retain drops the states and offsets of all processes but those that keep returns true for.
+func (s *states) retain(keep func(process) bool) {
 	for p := range s.offsets {
-		if !fits(p) {
+		if !keep(p) {
 			delete(s.offsets, p)
 		}
 	}
 	for key, f := range s.latest {
-		if !fits(process{f.name, f.start}) {
+		if !keep(process{f.name, f.start}) {
 			delete(s.latest, key)
 		}
 	}
--- a/internal/sidecar/members/timing.go
+++ b/internal/sidecar/members/timing.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// The timing. A death is known after about 1.6 probe intervals until one probes the dead, one more in which it and its
-// helpers hear nothing, suspicion for suspicionMult * log10(members) intervals, and gossip: at 300 members 0.3 + 0.2 + 1.5 +
-// 0.3 s. Shorter ones would declare a process dead that waits for a processor, or whose only prober does.
+// The timing of membership. The death of a process is known to all after: about 1.6 probe intervals until some member probes it; one
+// interval in which the prober, and the members that probe on its behalf, get no acknowledgement; suspicion for suspicionMult *
+// log10(members) intervals; and gossip of the verdict. At 300 members these are 0.3 + 0.2 + 1.5 + 0.3 s. With shorter intervals, a process
+// that waits for a processor, or whose only prober does, would be declared dead.
 const (
 	probeInterval       = 200 * time.Millisecond
 	probeTimeout        = 150 * time.Millisecond
-	suspicionMult       = 3 // so one other member has to miss it too; else suspicion lasts six times as long
+	suspicionMult       = 3 // one other member has to suspect the process too, else suspicion lasts six times as long
 	gossipInterval      = 100 * time.Millisecond
 	gossipNodes         = 4
-	retransmitMult      = 2 // times log10(members), rounded up: at 300 each forwards an update 6 times, and 1 in 400 misses it
+	retransmitMult      = 2 // times log10(members), rounded up: each of 300 members forwards an update 6 times, and 1 in 400 misses it
 	pushPullInterval    = 5 * time.Second
 	streamTimeout       = time.Second
 	gossipToDeadTime    = 30 * time.Second
 	leaveTimeout        = 500 * time.Millisecond
-	handoverTime        = time.Second // between an old process's farewell and the new one's arrival, in which the place is kept
+	handoverTime        = time.Second // after a farewell, in which the index is reserved for the successor
 	minViewDelay        = 10 * time.Millisecond
 	maxViewDelay        = 80 * time.Millisecond
-	viewDelayPerMember  = 300 * time.Microsecond // for each member: where many start at once their views would change at each
-	rejoinDelay         = 3 * time.Second        // that a process is lost: one that is falsely taken for dead comes back by itself
-	retryDelayPerMember = 80 * time.Millisecond  // for each member between tries, so that the fleet makes about ten a second
+	viewDelayPerMember  = 300 * time.Microsecond // without it, the views of many members that start at once would change with each of them
+	rejoinDelay         = 3 * time.Second        // after a process was lost: one that was falsely declared dead refutes that by itself
+	retryDelayPerMember = 80 * time.Millisecond  // between attempts to join, so that a whole fleet makes about ten a second
 	sweepInterval       = 250 * time.Millisecond
-	claimInterval       = 2 * time.Second  // about
-	lostTTL             = 10 * time.Minute // a lost process is looked for
-	maxLost             = 1024
-	label               = "gradeusher/1" // on each packet and stream: others are passed over
+	claimInterval       = 2 * time.Second  // between repeats of the own claim: half of it to one and a half
+	lostTTL             = 10 * time.Minute // after which a lost process is not looked for any more
+	maxLost             = 1024             // lost processes that are looked for
+	label               = "gradeusher/1"   // of each packet and stream; those with another label are rejected
 )
--- a/internal/sidecar/members/transport.go
+++ b/internal/sidecar/members/transport.go
@@ -15,18 +15,20 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic is what went over the sockets since the start, membership and updates together.
+// Traffic counts what went over a member's sockets since its start, for membership and updates together.
 type Traffic struct {
-	PacketsSent, PacketsReceived, StreamsOpened, StreamsAccepted int64
-	BytesSent, BytesReceived                                     int64 // of packets and streams, without the heads of UDP, TCP and IP
+	PacketsSent, PacketsReceived   int64 // UDP
+	StreamsOpened, StreamsAccepted int64 // TCP; opened ones include those that failed
+	BytesSent, BytesReceived       int64 // of packets and streams, without the headers of UDP, TCP and IP
 }
 
-// transport is UDP and TCP at one port, which counts, and reaches every peer at one host if reach is set. memberlist's own takes a
-// new buffer of 64 kB for each packet: at a few hundred packets a second most of its time would go to that.
+// transport implements memberlist.NodeAwareTransport with UDP and TCP sockets at one port. It counts the traffic, and reaches every peer
+// at one host if reach is set. memberlist's own transport allocates a buffer of 64 kB for each packet, which would take most of a member's
+// processor time at a few hundred packets a second.
 type transport struct {
 	packetConn *net.UDPConn
 	listener   *net.TCPListener
-	reach      string      // "": each at its own host
+	reach      string      // IP address; "": each peer is reached at its own
 	dropPacket func() bool // see TestingKnobs
 	ctx        context.Context
 	end        context.CancelFunc
@@ -41,16 +43,16 @@
 
 const (
 	maxPacketBytes    = 1 << 16
-	socketBufferBytes = 1 << 21 // bytes that wait in the socket for a process that waits for its core; the kernel may give less
-	errorBackoff      = 10 * time.Millisecond
+	socketBufferBytes = 1 << 21               // for packets that arrive while the process waits for a processor; the kernel may grant less
+	errorBackoff      = 10 * time.Millisecond // before a socket is used again after an error
 )
 
-// newTransport listens at a host and port. Its readers end with Shutdown.
+// newTransport listens at a host and port; port 0: any free one. Its readers end with Shutdown.
 func newTransport(host string, port int, reach string, dropPacket func() bool) (*transport, error) {
-	const tries = 16 // at port 0: the number that is free for TCP may be taken for UDP
+	const maxAttempts = 16 // at port 0: a port that is free for TCP may be in use for UDP
 	t := &transport{reach: reach, dropPacket: dropPacket, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
 	var err error
-	for range tries {
+	for range maxAttempts {
 		if err = t.listen(net.ParseIP(host), port); err == nil || port != 0 {
 			break
 		}
@@ -65,6 +67,7 @@
 	return t, nil
 }
 
+// listen opens both sockets, or none if it returns an error.
 func (t *transport) listen(ip net.IP, port int) (err error) {
 	if t.listener, err = net.ListenTCP("tcp", &net.TCPAddr{IP: ip, Port: port}); err != nil {
 		return err
@@ -72,13 +75,14 @@
 	if t.packetConn, err = net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: t.port()}); err != nil {
 		return errors.Join(err, t.listener.Close())
 	}
-	_ = t.packetConn.SetReadBuffer(socketBufferBytes) // the default does, but for bursts
+	_ = t.packetConn.SetReadBuffer(socketBufferBytes) // without it, bursts of packets may be lost, as any packet may
 	return nil
 }
 
-// port is where it listens.
+// port returns the port at which it listens.
 func (t *transport) port() int { return t.listener.Addr().(*net.TCPAddr).Port }
 
+// readPackets hands received packets to memberlist until Shutdown.
 func (t *transport) readPackets() {
 	defer t.readers.Done()
 	buf := make([]byte, maxPacketBytes)
@@ -101,6 +105,7 @@
 	}
 }
 
+// acceptStreams hands streams that peers opened to memberlist until Shutdown.
 func (t *transport) acceptStreams() {
 	defer t.readers.Done()
 	for {
@@ -121,7 +126,7 @@
 	}
 }
 
-// continueAfter waits a moment after a fault, as when descriptors are short, and reports whether the transport is still open.
+// continueAfter waits for errorBackoff after an error, such as a lack of file descriptors, and reports whether the transport is open.
 func (t *transport) continueAfter(err error) bool {
 	if err == nil {
 		return true
@@ -134,13 +139,13 @@
 	}
 }
 
-// PacketCh implements memberlist.Transport, as do the methods after it.
+// PacketCh implements memberlist.NodeAwareTransport, as do the methods up to Shutdown. It returns the channel of received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh hands out the streams that peers opened.
+// StreamCh returns the channel of streams that peers opened.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// FinalAdvertiseAddr returns the address that is advertised to others.
+// FinalAdvertiseAddr returns the address that is advertised to others, which is the configured one.
 func (t *transport) FinalAdvertiseAddr(host string, port int) (net.IP, int, error) {
 	ip := net.ParseIP(host)
 	if ip == nil {
@@ -169,7 +174,7 @@
 	return t.WriteToAddress(b, memberlist.Address{Addr: address})
 }
 
-// WriteToAddress sends a packet to a peer. Acks come this way too: who asks names its own address in the question.
+// WriteToAddress sends a packet to a peer. It sends acknowledgements of pings too: a ping says at which address its sender is reached.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	to, err := netip.ParseAddrPort(t.dialAddress(a.Addr))
 	if err != nil {
@@ -189,7 +194,7 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: address}, timeout)
 }
 
-// DialAddressTimeout opens a stream to a peer. It ends early when this member does.
+// DialAddressTimeout opens a stream to a peer. Shutdown ends it early.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	t.streamsOpened.Add(1)
 	d := net.Dialer{Timeout: timeout}
@@ -208,6 +213,7 @@
 	return err
 }
 
+// traffic returns the counters as they stand.
 func (t *transport) traffic() Traffic {
 	return Traffic{
 		PacketsSent:     t.packetsSent.Load(),
@@ -219,7 +225,7 @@
 	}
 }
 
-// countedConn is a stream whose bytes count.
+// countedConn is a stream whose bytes are counted in its transport.
 type countedConn struct {
 	net.Conn
 	transport *transport
--- a/internal/sidecar/members/view.go
+++ b/internal/sidecar/members/view.go
@@ -8,16 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is who is a member, as one of them sees it.
+// View is the set of members as one of them sees it.
 type View struct {
-	Epoch uint64 // see epochs
-	Index int    // of this member, in Names
+	Epoch uint64 // equal epochs of two members mean equal sets; it never decreases
+	Index int    // of this member in Names
 	Count int    // of members, this one included; at least 1
-	// Names are in the order of a hash of them: neighbours in a list of machines are not neighbours here.
+	// Names are sorted by a hash of them, so that neighbours in a list of machines are not neighbours here.
 	Names []string
 }
 
-// updateView computes the members and the view from the processes that are there. m.mu is held.
+// updateView computes members and view from the processes that are there and the farewells. It drops farewells that have expired, and
+// claims an epoch for a set that is new. m.mu is held.
 func (m *Members) updateView() {
 	now := time.Now()
 	clear(m.members)
@@ -28,7 +29,8 @@
 	for name := range m.members {
 		names = append(names, name)
 	}
-	// Without the leaving members, all indexes would change twice: at the farewell of an old process and at the arrival of the new one.
+	// A member whose process said farewell stays in the view for handoverTime. Else an upgrade would change all indexes twice: when the
+	// old process leaves, and when the new one joins.
 	for name, p := range m.farewells {
 		if _, there := m.members[name]; now.Sub(p.receivedAt) >= handoverTime {
 			delete(m.farewells, name)
@@ -47,7 +49,7 @@
 	m.view = View{Epoch: m.epochs.own.epoch(), Index: slices.Index(names, m.options.Name), Count: len(names), Names: names}
 }
 
-// sortByHash sorts names by their hash.
+// sortByHash sorts names by their hash, and names of equal hash by themselves.
 func sortByHash(names []string) {
 	slices.SortFunc(names, func(x, y string) int {
 		if a, b := xxhash.Sum64String(x), xxhash.Sum64String(y); a != b {
--- a/internal/sidecar/members/worker.go
+++ b/internal/sidecar/members/worker.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// runWorker notifies of views and updates until the member ends.
+// runWorker calls OnView and OnUpdate, and queues what is to be gossiped, until the member ends.
 func (m *Members) runWorker() {
 	defer m.goroutines.Done()
 	tick := time.NewTicker(sweepInterval)
@@ -51,12 +51,14 @@
 	return minViewDelay + rand.N(maxViewDelay-minViewDelay) + viewDelayPerMember*time.Duration(members)
 }
 
+// notifyView calls OnView, if there is one.
 func (o *Options) notifyView(v View) {
 	if o.OnView != nil {
 		o.OnView(v)
 	}
 }
 
+// notifyUpdates calls OnUpdate, if there is one.
 func (o *Options) notifyUpdates(updates []Update) {
 	if o.OnUpdate == nil {
 		return
@@ -66,16 +68,16 @@
 	}
 }
 
-// ready is what the worker has to notify and to send.
+// ready is what the worker is to notify and to gossip, as Ready in etcd's raft.
 type ready struct {
 	view        View
-	viewChanged bool // the view's epoch has not been notified yet
+	viewChanged bool // OnView was not yet called for the view's epoch
 	viewStale   bool // the view is to be computed again soon
 	updates     []Update
 	broadcasts  []*broadcast
 }
 
-// ready takes what there is to notify and to send, and computes the view again if that is due and it is stale.
+// ready takes what there is to notify and to gossip. If viewDue is set and the view is stale, it computes the view first.
 func (m *Members) ready(viewDue bool) (r ready) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,9 +113,9 @@
 	return updates
 }
 
-// sweep drops the payloads of states older than the TTL; their numbers and starts are kept until the origin is gone. It also
-// repeats the member's own claim periodically: a member that missed a count would otherwise differ until its next push-pull with
-// a peer, which takes a minute in a large fleet.
+// sweep does the periodic work. It drops the payloads of states older than the TTL, whose numbers are kept until their process is gone,
+// and the processes that were lost for lostTTL. It gossips the member's own claim again: a member that missed a claim would otherwise
+// have another epoch until its next push-pull with a peer, which takes a minute in a large fleet.
 func (m *Members) sweep() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
