--- a/internal/sidecar/answerstream.go
+++ b/internal/sidecar/answerstream.go
@@ -100,16 +100,16 @@
 		hold := time.AfterFunc(holdTime, f.start)
 		defer hold.Stop()
 	}
-	piece := chunks.Get().(*[chunkBytes]byte)
-	defer chunks.Put(piece)
+	chunk := chunks.Get().(*[chunkBytes]byte)
+	defer chunks.Put(chunk)
 	for {
-		n, err := body.Read(piece[:])
-		if n > 0 && !f.add(piece[:n]) {
+		n, err := body.Read(chunk[:])
+		if n > 0 && !f.add(chunk[:n]) {
 			if f.begin == nil {
 				return nil, errTooLong
 			}
 			f.start()
-			f.add(piece[:n])
+			f.add(chunk[:n])
 		}
 		if err != nil {
 			return f.end(err)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -119,20 +119,20 @@
 // missed before it counts as notified of them.
 func TestUnresponsiveWatch(t *testing.T) {
 	list := listText(7, true, entry("s-0", "127.0.0.1:1", "SERVING", 0))
-	news := listText(8, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
-	half := news[:len(news)/2]
+	update := listText(8, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
+	truncated := update[:len(update)/2]
 	for name, second := range map[string]func(io.Writer){
-		"answers":              saying(news),
+		"answers":              saying(update),
 		"no headers":           unresponsive,
 		"no list":              saying(),
-		"half a list":          saying(half),
+		"half a list":          saying(truncated),
 		"a list without end":   saying(strings.Repeat(" ", 100), "{", "\n", " ", "\n", " ", "\n"),
 		"heartbeats, no list":  func(out io.Writer) { heartbeats(out) },
 		"a list that is wrong": saying("[]\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				a := &agent{answers: []func(io.Writer){saying(list, "\n"), second, saying(news)}}
+				a := &agent{answers: []func(io.Writer){saying(list, "\n"), second, saying(update)}}
 				h := following(t, a, "pushed")
 				if took := h.knows("s-0"); took > 100*time.Millisecond {
 					t.Errorf("a new process knew the list after %v", took)
@@ -143,7 +143,7 @@
 				a.mu.Lock()
 				defer a.mu.Unlock()
 				if a.queries[0] != "watch=1" || a.queries[1] != "watch=1" {
-					t.Errorf("queries %q, want the whole list of an agent that may have news", a.queries)
+					t.Errorf("queries %q, want the whole list of an agent that may have an update", a.queries)
 				}
 			})
 		})
@@ -243,13 +243,13 @@
 // TestMoves has the list move while the service that was asked is long gone, and the new one miss the first call: what it has is known
 // before the sidecar counts as notified, 4 s after the signal.
 func TestMoves(t *testing.T) {
-	news := listText(3, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
-	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": saying(news)} {
+	update := listText(3, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
+	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": saying(update)} {
 		t.Run(mode, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
 				driver := following(t, &agent{answers: []func(io.Writer){saying(listText(9, true, entry("s-0", "127.0.0.1:1", "SERVING", 0)))}}, mode)
 				dial := driver.discovery.client.DialContext
-				next := &agent{answers: []func(io.Writer){first, saying(news)}}
+				next := &agent{answers: []func(io.Writer){first, saying(update)}}
 				driver.discovery.client.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 					switch {
 					case address == "127.0.0.1:10":
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -59,16 +59,16 @@
 	say(second, "DETACH s-0")
 	// Each knows of both calls: an id that is out is known, though the list does not name it any more.
 	say(first, "ATTACH s-0")
-	first.leave()
+	first.shutDown()
 	shared.askUntil(func() bool { return reader.count() > 0 })
 	if n := out.count(); n != 0 {
 		t.Errorf("%d requests came to the server that is out", n)
 	}
 	say(second, "ATTACH s-1")
 	third := shared.start()
-	second.leave()
+	second.shutDown()
 	shared.askUntil(func() bool { return out.count() > 0 })
-	third.leave()
+	third.shutDown()
 }
 
 // takeOutTen takes ten servers out of service.
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -129,28 +129,28 @@
 			h.log.Debug("clients", "origin", n.Origin, "err", err)
 			return
 		}
-		word := hitters.OriginReport{Origin: c.Hitters.origin(n.Origin), Start: n.Start, Seq: n.Seq, Age: n.Age, Report: report}
-		h.post(func() { h.balancer.HeavyHitters().Receive(h.now, word) })
+		received := hitters.OriginReport{Origin: c.Hitters.origin(n.Origin), Start: n.Start, Seq: n.Seq, Age: n.Age, Report: report}
+		h.post(func() { h.balancer.HeavyHitters().Receive(h.now, received) })
 	}
 }
 
 // heavyInfo adds the heavy clients to the metrics, their share in thousandths, where they are looked for.
 func (s *server) heavyInfo(text *strings.Builder) {
-	var held []hitters.Client
+	var heavy []hitters.Client
 	var yielded uint64
 	if s.config.Hitters == nil || !s.host.ask(func() {
-		judge := s.host.balancer.HeavyHitters()
-		yielded = judge.Rejected()
-		for _, c := range judge.Clients() {
+		detector := s.host.balancer.HeavyHitters()
+		yielded = detector.Rejected()
+		for _, c := range detector.Clients() {
 			if c.State == hitters.Heavy {
-				held = append(held, *c)
+				heavy = append(heavy, *c)
 			}
 		}
 	}) {
 		return
 	}
-	fmt.Fprintf(text, "svc.gave_way:%d|c\nsvc.heavy_clients:%d|g\n", yielded, len(held))
-	for _, c := range held {
+	fmt.Fprintf(text, "svc.gave_way:%d|c\nsvc.heavy_clients:%d|g\n", yielded, len(heavy))
+	for _, c := range heavy {
 		fmt.Fprintf(text, "svc.heavy_clients.%016x:%d|g\n", c.Key, int(1000*c.Share))
 	}
 }
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -53,15 +53,15 @@
 }
 
 // receiveSignals receives what a member states of servers. What cannot be read is ignored.
-func (h *host) receiveSignals(news members.Update) {
-	r, err := signals.Decode(news.Payload)
+func (h *host) receiveSignals(update members.Update) {
+	r, err := signals.Decode(update.Payload)
 	if err != nil {
-		h.log.Debug("signals", "origin", news.Origin, "err", err)
+		h.log.Debug("signals", "origin", update.Origin, "err", err)
 		return
 	}
 	h.post(func() {
 		state := &h.fleet
-		if !slices.Contains(state.view.Names, news.Origin) {
+		if !slices.Contains(state.view.Names, update.Origin) {
 			return
 		}
 		for i := range r.Verdicts {
@@ -73,11 +73,11 @@
 				v.Start = -1 // another process than the one listed here; it counts for how much the witness condemns
 			}
 		}
-		if p := (balance.Peer{Zone: r.Zone, TrafficLevel: r.TrafficLevel}); state.peers[news.Origin] != p {
-			state.peers[news.Origin] = p
+		if p := (balance.Peer{Zone: r.Zone, TrafficLevel: r.TrafficLevel}); state.peers[update.Origin] != p {
+			state.peers[update.Origin] = p
 			state.changed(h.now)
 		}
-		h.balancer.ReceiveReport(h.now, signals.Statement{Origin: news.Origin, Start: news.Start, Seq: news.Seq, Age: news.Age, Report: r})
+		h.balancer.ReceiveReport(h.now, signals.Statement{Origin: update.Origin, Start: update.Start, Seq: update.Seq, Age: update.Age, Report: r})
 	})
 }
 
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -63,9 +63,9 @@
 func (h *host) joinMembers(ctx context.Context, config *Config, listen map[uint8]func(members.Update)) error {
 	options := config.Members.options(config.Name)
 	options.Log = slog.New(h.log.Handler())
-	options.OnUpdate = func(n members.Update) {
-		if take := listen[n.Kind]; take != nil {
-			take(n)
+	options.OnUpdate = func(update members.Update) {
+		if handle := listen[update.Kind]; handle != nil {
+			handle(update)
 		}
 	}
 	options.OnView = func(v members.View) { h.post(func() { h.updateMembers(v) }) }
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -67,8 +67,8 @@
 	if r.isPending && !h.balancer.RulesPending() {
 		r.isPending = false // what waited is applied by now
 	}
-	if held := r.follower.Status().Generation; !r.isPending && held >= 0 {
-		r.applied = held // also where only the number is new
+	if generation := r.follower.Status().Generation; !r.isPending && generation >= 0 {
+		r.applied = generation // also where only the number is new
 	}
 	return r.applied
 }
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -47,11 +47,11 @@
 
 // resize keeps to a part of the limits: to all of them, or to half where parts is 2.
 func (s *server) resize(parts int) {
-	most := (s.config.Sockets - max(spareSockets, s.config.Sockets/spareSocketsDivisor)) / parts / socketsPerCall
-	if held := s.config.Limits.MaxPending; held > 0 {
-		most = min(most, held)
+	maxPending := (s.config.Sockets - max(spareSockets, s.config.Sockets/spareSocketsDivisor)) / parts / socketsPerCall
+	if limit := s.config.Limits.MaxPending; limit > 0 {
+		maxPending = min(maxPending, limit)
 	}
-	s.maxPending.Store(int64(most))
+	s.maxPending.Store(int64(maxPending))
 	s.connections.resize(s.config.Sockets, parts > 1)
 	s.host.upstream.budget.limit.Store(budgetOf(s.config.MemoryMB) / int64(parts))
 }
--- a/internal/sidecar/servertable_test.go
+++ b/internal/sidecar/servertable_test.go
@@ -36,14 +36,14 @@
 // list says drains gets nothing. Then the list goes on.
 func TestOldList(t *testing.T) {
 	l, f, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
-	take := func(in List) { f.apply(l.apply(in, now)) }
-	take(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0), listed("c", balance.Ready, 0)}})
-	take(List{Version: 44, Targets: []Target{listed("a", balance.Removed, 0), listed("b", balance.Removed, 0), listed("d", balance.Ready, 9), listed("e", balance.Ready, 9)}})
-	take(List{Version: 41, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Draining, 0), listed("c", balance.Draining, 0)}})
+	receive := func(in List) { f.apply(l.apply(in, now)) }
+	receive(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0), listed("c", balance.Ready, 0)}})
+	receive(List{Version: 44, Targets: []Target{listed("a", balance.Removed, 0), listed("b", balance.Removed, 0), listed("d", balance.Ready, 9), listed("e", balance.Ready, 9)}})
+	receive(List{Version: 41, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Draining, 0), listed("c", balance.Draining, 0)}})
 	if want := "map[c:1 d:0 e:0]"; states(f) != want || l.resumeFrom() != noVersion {
 		t.Errorf("%s from %d after the old list, want %s and the whole list", states(f), l.resumeFrom(), want)
 	}
-	take(List{Version: 45, Targets: []Target{listed("e", balance.Draining, 9)}})
+	receive(List{Version: 45, Targets: []Target{listed("e", balance.Draining, 9)}})
 	if want := "map[c:0 d:0 e:1]"; states(f) != want || l.resumeFrom() != 45 {
 		t.Errorf("%s from %d after it went on, want %s", states(f), l.resumeFrom(), want)
 	}
@@ -52,19 +52,19 @@
 // TestLostCount has a list service begin to count anew: who is new by it is there at once, and it is believed at last, not before.
 func TestLostCount(t *testing.T) {
 	l, seen, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
-	take := func(in List) { seen.apply(l.apply(in, now)) }
-	take(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0)}})
+	receive := func(in List) { seen.apply(l.apply(in, now)) }
+	receive(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0)}})
 	regressed := List{Version: 2, Complete: true, Targets: []Target{listed("b", balance.Ready, 50), listed("c", balance.Ready, 0)}}
-	take(regressed)
+	receive(regressed)
 	now = now.Add(staleTimeout - time.Second)
-	if take(regressed); states(seen) != "map[a:0 b:0 c:0]" || seen["b"].Started.Unix() != 50 {
+	if receive(regressed); states(seen) != "map[a:0 b:0 c:0]" || seen["b"].Started.Unix() != 50 {
 		t.Errorf("%v while it is doubted", seen)
 	}
 	now = now.Add(time.Second)
-	if take(regressed); states(seen) != "map[b:0 c:0]" || l.resumeFrom() != 2 {
+	if receive(regressed); states(seen) != "map[b:0 c:0]" || l.resumeFrom() != 2 {
 		t.Errorf("%s from %d when it has to be believed", states(seen), l.resumeFrom())
 	}
-	take(List{Version: 3, Targets: []Target{listed("c", balance.Removed, 0)}})
+	receive(List{Version: 3, Targets: []Target{listed("c", balance.Removed, 0)}})
 	if states(seen) != "map[b:0]" {
 		t.Errorf("%s after it goes on", states(seen))
 	}
--- a/internal/sidecar/sibling.go
+++ b/internal/sidecar/sibling.go
@@ -33,11 +33,11 @@
 
 // hasSibling tells whether another process holds a lock.
 func (b *siblingLock) hasSibling() (bool, error) {
-	held := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
-	if err := syscall.FcntlFlock(b.file.Fd(), syscall.F_GETLK, &held); err != nil {
+	lock := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
+	if err := syscall.FcntlFlock(b.file.Fd(), syscall.F_GETLK, &lock); err != nil {
 		return false, fmt.Errorf("lock: %w", err)
 	}
-	return held.Type != syscall.F_UNLCK, nil
+	return lock.Type != syscall.F_UNLCK, nil
 }
 
 // follow calls changed each time that another process has come or gone, until ctx is done.
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -119,8 +119,8 @@
 
 func (s *child) call(line string) string { return dialControl(s.t, s.control, line+"\n") }
 
-// leave has the process leave, and returns once it has ended.
-func (s *child) leave() {
+// shutDown has the process end gracefully, and returns once it has ended.
+func (s *child) shutDown() {
 	s.t.Helper()
 	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
 		s.t.Fatal(err)
@@ -210,7 +210,7 @@
 	}
 	for range 3 {
 		next := f.start()
-		old.leave()
+		old.shutDown()
 		old = next
 	}
 	close(stop)
@@ -280,7 +280,7 @@
 func TestShutdownClosesIdle(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
-	leaving := f.start()
+	old := f.start()
 	dial := func() net.Conn {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", f.address)
 		if err != nil {
@@ -299,8 +299,8 @@
 		t.Fatal(err)
 	}
 	time.Sleep(100 * time.Millisecond) // it is read by then; if not, the test sees less
-	left := make(chan bool)
-	go func() { leaving.leave(); close(left) }()
+	ended := make(chan bool)
+	go func() { old.shutDown(); close(ended) }()
 	for _, c := range []net.Conn{silent, idle} {
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // the connection's own error, not one that wraps it
 			t.Errorf("an idle connection ended with %v", err)
@@ -312,5 +312,5 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != http.StatusOK || !resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		t.Errorf("answer %+v, error %v to a request that had begun", resp, err)
 	}
-	within(t, left, "end")
+	within(t, ended, "end")
 }
--- a/internal/sidecar/uploadbody.go
+++ b/internal/sidecar/uploadbody.go
@@ -80,13 +80,13 @@
 		return
 	}
 	until := time.Now().Add(lingerTimeout)
-	piece := chunks.Get().(*[chunkBytes]byte)
-	defer chunks.Put(piece)
+	chunk := chunks.Get().(*[chunkBytes]byte)
+	defer chunks.Put(chunk)
 	for {
 		if now := time.Now(); now.After(until) || p.conn.SetReadDeadline(now.Add(lingerStallTimeout)) != nil {
 			return
 		}
-		if _, err := p.body.Read(piece[:]); err != nil {
+		if _, err := p.body.Read(chunk[:]); err != nil {
 			return
 		}
 	}
