--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -90,7 +90,7 @@
 		return "", nil, false
 	}
 	now := m.clock()
-	asks = m.states.ask(process{m.options.Name, m.start}, rand.Uint32(), now, m.options.TTL, func(name string) bool {
+	asks = m.states.ask(m.process(), rand.Uint32(), now, m.options.TTL, func(name string) bool {
 		closed := !m.mayReceiveFrom(name, now)
 		if closed {
 			m.counts.RateLimited++
@@ -156,7 +156,7 @@
 		return "", nil
 	}
 	now := m.clock()
-	give, want := q.answer(m.states, process{m.options.Name, m.start}, now, m.options.TTL)
+	give, want := q.answer(m.states, m.process(), now, m.options.TTL)
 	if want != nil {
 		packets = append(packets, want)
 	}
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -149,9 +149,9 @@
 		wakeWorker: make(chan struct{}, 1), wakeJoiner: make(chan struct{}, 1),
 		nodes: map[string]*node{}, members: map[string]int64{}, farewells: map[string]farewell{}, lost: map[string]lostProcess{},
 		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*byteBudget{}, questions: make(chan question, maxQuestions)}
-	m.ownNode = process{options.Name, m.start}.nodeName()
+	m.ownNode = m.process().nodeName()
 	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMult, NumNodes: m.count}
-	m.nodes[m.ownNode] = &node{process: process{options.Name, m.start}}
+	m.nodes[m.ownNode] = &node{process: m.process()}
 	m.updateView()
 	m.notifiedEpoch = m.view.Epoch
 	return m, nil
@@ -189,7 +189,7 @@
 		if list == nil {
 			return
 		}
-		m.queue.QueueBroadcast(&broadcast{name: farewellPrefix + m.options.Name, encoded: process{m.options.Name, m.start}.encodeFarewell()})
+		m.queue.QueueBroadcast(&broadcast{name: farewellPrefix + m.options.Name, encoded: m.process().encodeFarewell()})
 		if err := list.Leave(leaveTimeout); err != nil {
 			m.options.Log.Debug("members", "leave", err)
 		}
@@ -230,6 +230,9 @@
 	return net.JoinHostPort(host, strconv.Itoa(m.transport.port()))
 }
 
+// process returns the member's own process.
+func (m *Members) process() process { return process{m.options.Name, m.start} }
+
 // clock returns the monotonic time since this member was made, which is the clock of all durations that are points in time.
 func (m *Members) clock() time.Duration { return time.Since(m.startedAt) }
 
