--- a/internal/sidecar/members/fleet_test.go
+++ b/internal/sidecar/members/fleet_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/goleak"
 )
 
-// BenchmarkFleet measures a fleet in this process: go test -run '^$' -bench Fleet -benchtime 1x ./internal/sidecar/members. It says,
-// a member and a second, the packets and kB sent with nothing to say, with one that speaks, and with all that say 300 bytes
-// a second each; the time from one publish to 95% of the members; and the time until a death is known to 95%.
+// BenchmarkFleet measures a fleet in this process: go test -run '^$' -bench Fleet -benchtime 1x ./internal/sidecar/members. It reports the
+// packets and kB that a member sends in a second while nobody publishes, while one member does, and while each publishes 300 bytes a
+// second; the time from a publish until 95% of the members have the update; and the time until 95% know of a death.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{20, 100, 300} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/internal/sidecar/members/members_test.go
+++ b/internal/sidecar/members/members_test.go
@@ -44,7 +44,7 @@
 	member.Close()
 }
 
-// peer is a member in this process and what it was notified of.
+// peer is a member in this process, and what it was notified of.
 type peer struct {
 	*Members
 	views   chan View
@@ -75,17 +75,17 @@
 	return started
 }
 
-// await returns the first of those from a channel that fits.
+// await returns the first value from a channel that fits.
 func await[T any](t *testing.T, c <-chan T, what string, fits func(T) bool) T {
 	t.Helper()
-	late := time.After(15 * time.Second)
+	timeout := time.After(15 * time.Second)
 	for {
 		select {
 		case v := <-c:
 			if fits(v) {
 				return v
 			}
-		case <-late:
+		case <-timeout:
 			t.Fatalf("not seen: %s", what)
 		}
 	}
@@ -138,16 +138,16 @@
 	second := start(t, Options{Name: "b", Join: []string{first.Address()}})
 	third := start(t, Options{Name: "c", Join: []string{second.Address()}})
 	awaitSameView(t, 3, first, second, third)
-	places := map[int]bool{}
+	indexes := map[int]bool{}
 	for _, p := range []*peer{first, second, third} {
 		v := p.View()
 		if v.Names[v.Index] != p.options.Name || v.Epoch != first.View().Epoch {
 			t.Fatalf("%+v", v)
 		}
-		places[v.Index] = true
+		indexes[v.Index] = true
 	}
-	if len(places) != 3 {
-		t.Fatal(places)
+	if len(indexes) != 3 {
+		t.Fatal(indexes)
 	}
 	if err := first.Publish(2, []byte("word")); err != nil {
 		t.Fatal(err)
@@ -158,7 +158,7 @@
 			t.Fatalf("%+v", n)
 		}
 	}
-	// One that joins later receives it too.
+	// A member that joins later receives the update too.
 	later := start(t, Options{Name: "d", Join: []string{third.Address()}})
 	publishUntilReceived(t, first, later, "word")
 
@@ -175,7 +175,8 @@
 	}
 }
 
-// Old and new process of an upgrade are one member, also at one address, and the old one's farewell leaves the new one in.
+// TestUpgradeIsOneMember: the old and the new process of an upgrade are one member, also at one address, and the old one's farewell does
+// not remove the new one.
 func TestUpgradeIsOneMember(t *testing.T) {
 	other := start(t, Options{Name: "a"})
 	old := start(t, Options{Name: "b", Join: []string{other.Address()}})
@@ -205,12 +206,12 @@
 			t.Fatalf("%+v", v)
 		}
 	}
-	// That is how it ends when nobody follows.
+	// Without a successor, the farewell removes the member.
 	side.Close()
 	await(t, other.views, "that b is gone", func(v View) bool { return v.Count == 1 })
 }
 
-// Peers advertise an address where nobody listens: only the host at which they are reached leads to them, also for acks.
+// TestReach: peers advertise an address where nobody listens, so that they are reached at Options.Reach only, also by acknowledgements.
 func TestReach(t *testing.T) {
 	a := start(t, Options{Name: "a", Listen: "127.0.0.2:0", Reach: "127.0.0.2", Advertise: "127.0.0.9:1"})
 	_, port, _ := splitAddress(a.Address())
@@ -267,7 +268,8 @@
 	return command
 }
 
-// One that is stopped is out in time; when it wakes it comes back, and nothing that it said before is believed.
+// TestStoppedProcessWakes: a process that is stopped leaves the views in time. When it continues it joins again, and none of its updates
+// from before is accepted.
 func TestStoppedProcessWakes(t *testing.T) {
 	watcher := start(t, Options{Name: "a"})
 	stoppable := startProcess(t, "b", watcher.Address())
@@ -288,7 +290,7 @@
 			last = max(last, n.Seq)
 		}
 	}
-	time.Sleep(time.Until(stopped.Add(watcher.options.TTL + time.Second))) // the test is of age
+	time.Sleep(time.Until(stopped.Add(watcher.options.TTL + time.Second))) // until all updates from before have expired
 	if err := stoppable.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/members/model_test.go
+++ b/internal/sidecar/members/model_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Copies of states merge to the same in any order and with repeats, and none seems younger than it is by more than the
-// quickest way.
+// TestStatesMergeInAnyOrder: copies of states merge to the same in any order and with duplicates, and no age is too low by more than the
+// shortest time that a copy spent in the network.
 func TestStatesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type arrival struct {
@@ -20,21 +20,21 @@
 			at time.Duration
 		}
 		clocks := map[process]time.Duration{}
-		quickest := map[process]time.Duration{}
+		shortest := map[process]time.Duration{}
 		var all []arrival
 		for range rapid.IntRange(1, 30).Draw(t, "copies") {
 			p := process{rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), rapid.Int64Range(1, 2).Draw(t, "start")}
 			if _, known := clocks[p]; !known {
 				clocks[p] = time.Duration(rapid.Int64Range(-3600, 3600).Draw(t, "clock")) * time.Second
-				quickest[p] = math.MaxInt64
+				shortest[p] = math.MaxInt64
 			}
 			seq := rapid.Uint64Range(1, 6).Draw(t, "seq")
 			published := time.Duration(seq) * time.Second // by the own clock
-			way := time.Duration(rapid.IntRange(0, 5000).Draw(t, "way")) * time.Millisecond
+			inNetwork := time.Duration(rapid.IntRange(0, 5000).Draw(t, "way")) * time.Millisecond
 			forwarded := time.Duration(rapid.IntRange(0, 3000).Draw(t, "held")) * time.Millisecond
-			quickest[p] = min(quickest[p], way)
+			shortest[p] = min(shortest[p], inNetwork)
 			f := frame{name: p.name, start: p.start, kind: uint8(seq % 2), seq: seq, publishedAt: published + clocks[p], forwardedAge: forwarded, payload: []byte{byte(seq)}}
-			all = append(all, arrival{f, published + way + forwarded})
+			all = append(all, arrival{f, published + inNetwork + forwarded})
 		}
 		merge := func(order []arrival) *states {
 			s := newStates()
@@ -50,10 +50,10 @@
 		now := 20 * time.Second
 		for _, f := range once.latest {
 			p := process{f.name, f.start}
-			age, truly := once.age(f, now), now-(f.publishedAt-clocks[p])
-			least := truly - quickest[p] - time.Duration(2*maxClockDrift*float64(now))
-			if age < least || age > truly+time.Duration(2*maxClockDrift*float64(now)) {
-				t.Fatalf("%+v seems %v old, is %v, quickest way %v", f, age, truly, quickest[p])
+			age, trueAge := once.age(f, now), now-(f.publishedAt-clocks[p])
+			minAge := trueAge - shortest[p] - time.Duration(2*maxClockDrift*float64(now))
+			if age < minAge || age > trueAge+time.Duration(2*maxClockDrift*float64(now)) {
+				t.Fatalf("%+v seems %v old, is %v, shortest time in the network %v", f, age, trueAge, shortest[p])
 			}
 		}
 	})
@@ -153,7 +153,7 @@
 	}
 }
 
-// The invariants of epochs, over drawn changes of sets, losses, repeats and orders.
+// TestEpochsAgree checks the invariants of epochs over drawn changes of sets, losses, duplicates and orders.
 func TestEpochsAgree(t *testing.T) {
 	const members, maxSteps = 5, 80
 	rapid.Check(t, func(t *rapid.T) {
@@ -192,7 +192,7 @@
 	}
 }
 
-// What is read is what was written, and nothing else is read.
+// FuzzFrames: what is decoded is what was encoded, and nothing else is decoded.
 func FuzzFrames(f *testing.F) {
 	seed := frame{name: "a", kind: 1, start: 5, seq: 300, publishedAt: time.Second, forwardedAge: 1500 * time.Microsecond, payload: []byte("xyz")}
 	f.Add(seed.encode())
--- a/internal/sidecar/members/spread_test.go
+++ b/internal/sidecar/members/spread_test.go
@@ -14,13 +14,13 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// simulatedNetwork carries what members without sockets send, and loses some of it. Time goes by in steps.
+// simulatedNetwork carries the packets of members without sockets, and loses some of them. Time passes in steps.
 type simulatedNetwork struct {
 	all         map[string]*Members
 	list        []*Members
 	asks        []time.Duration // when each asks next
-	loss        float64
-	bytes, lost int
+	loss        float64         // probability that a packet is lost
+	bytes, lost int             // bytes sent, packets lost
 }
 
 const networkStep = 10 * time.Millisecond
@@ -45,7 +45,7 @@
 	return network
 }
 
-// carry brings packets to a peer, and what it answers back.
+// carry delivers packets to a peer, and its answers.
 func (a *simulatedNetwork) carry(to string, packets [][]byte) {
 	for _, b := range packets {
 		if a.bytes += len(b); rand.Float64() < a.loss {
@@ -61,7 +61,7 @@
 	}
 }
 
-// step has all ask whose time it is, and gossip every gossipInterval.
+// step has the members ask whose question is due, and all gossip once in gossipInterval.
 func (a *simulatedNetwork) step(now time.Duration) {
 	for i, member := range a.list {
 		for _, f := range member.releaseDelayed() {
@@ -228,8 +228,8 @@
 	}
 }
 
-// Updates of all members reach all in time, with 13% of packets lost, also while one publishes a hundred times its share: one that
-// limits itself, and one that does not, which the others limit.
+// TestUpdatesReachAllMembers: updates of all members reach all others in time, with 13% of packets lost, also while one member publishes a
+// hundred times its share: one that limits itself, and one that does not, which the others limit.
 func TestUpdatesReachAllMembers(t *testing.T) {
 	for _, run := range []spreadRun{
 		{count: 20},
@@ -272,7 +272,7 @@
 	}
 }
 
-// Whatever a stranger sends is read or refused, and what is read is what was written.
+// FuzzExchange: whatever is received is decoded or rejected, and what is decoded is what was encoded.
 func FuzzExchange(f *testing.F) {
 	s := newStates()
 	for i := range 3 {
--- a/internal/sidecar/members/updates_benchmark_test.go
+++ b/internal/sidecar/members/updates_benchmark_test.go
@@ -15,8 +15,8 @@
 )
 
 // BenchmarkUpdates has all of a fleet publish two states a second, of 300 bytes together, while 13 in 100 packets are lost and one
-// member is killed: go test -run '^$' -bench Updates -benchtime 1x ./internal/sidecar/members. It says how old updates are when they arrive,
-// how many of all (reader, origin, kind) hold nothing within the bound, and what a member sends and takes a second.
+// member is killed: go test -run '^$' -bench Updates -benchtime 1x ./internal/sidecar/members. It reports how old updates are when they
+// arrive, for how many of all (reader, origin, kind) there is no state within the TTL, and what a member sends and receives in a second.
 func BenchmarkUpdates(b *testing.B) {
 	for _, n := range []int{20, 100, 200, 300} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -42,7 +42,7 @@
 // startFleet starts members in waves, each of which is a quarter of those that are there, and waits until all know all.
 func startFleet(b testing.TB, count int, loss float64) *updateFleet {
 	fleet := &updateFleet{all: make([]*Members, count), before: goleak.IgnoreCurrent(), latest: make([][][2]atomic.Int64, count), ages: make([]*hdrhistogram.Histogram, count), under: make([]time.Duration, count)}
-	late := time.Now().Add(time.Minute)
+	deadline := time.Now().Add(time.Minute)
 	for index, wave := 0, 0; index < count; index++ {
 		fleet.latest[index], fleet.ages[index] = make([][2]atomic.Int64, count), hdrhistogram.New(1, 60_000, 3)
 		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0"}
@@ -68,9 +68,9 @@
 		if wave > 0 && index+1 < count && index < wave+wave/4+4 {
 			continue
 		}
-		b.Logf("%d members after %v", index+1, time.Since(late.Add(-time.Minute)).Round(time.Millisecond))
+		b.Logf("%d members after %v", index+1, time.Since(deadline.Add(-time.Minute)).Round(time.Millisecond))
 		for wave = index + 1; !fleet.settled(wave); time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(late) {
+			if time.Now().After(deadline) {
 				b.Fatalf("%d members do not know each other", wave)
 			}
 		}
