--- a/internal/sidecar/members/join.go
+++ b/internal/sidecar/members/join.go
@@ -19,8 +19,8 @@
 // somebody is. The backoff is random: members that lost each other at the same time would otherwise try again at the same time.
 func (m *Members) runJoin(isListening bool) {
 	defer m.goroutines.Done()
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval, pauses.MaxInterval, pauses.RandomizationFactor = 100*time.Millisecond, 10*time.Second, 0.5
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval, retry.RandomizationFactor = minRetryDelay, retryRandomization
 	for {
 		if !isListening {
 			err := m.listen()
@@ -30,45 +30,41 @@
 			}
 			if err == nil {
 				isListening = true
-				pauses.Reset()
+				retry.Reset()
 			}
-			pauses.MaxInterval = 200 * time.Millisecond
+			retry.MaxInterval = maxListenRetryDelay
 		}
-		if !m.joinAndWait(pauses, isListening) {
+		var woken <-chan struct{}
+		var due <-chan time.Time
+		if isListening {
+			woken, due = m.joinMissing(retry)
+		} else {
+			due = time.After(retry.NextBackOff())
+		}
+		select {
+		case <-woken:
+		case <-due:
+		case <-m.ctx.Done():
 			return
 		}
 	}
 }
 
-// joinAndWait joins members that are missing, and waits until that is to be tried again. It returns false once the member ends.
-func (m *Members) joinAndWait(pauses *backoff.ExponentialBackOff, isListening bool) bool {
-	var woken <-chan struct{}
-	var wait <-chan time.Time
-	if isListening {
-		pauses.MaxInterval = max(4*time.Second, retryDelayPerMember*time.Duration(m.count()))
-		missing, later := m.missing()
-		switch {
-		case len(missing) == 0:
-			pauses.Reset()
-			woken = m.wakeJoiner
-			if later {
-				wait = time.After(rejoinDelay)
-			}
-		case m.tryJoin(missing):
-			pauses.Reset()
+// joinMissing joins members that are missing. It returns channels of which either says that this is to be tried again; nil: never.
+func (m *Members) joinMissing(retry *backoff.ExponentialBackOff) (woken <-chan struct{}, due <-chan time.Time) {
+	retry.MaxInterval = max(maxRetryDelay, retryDelayPerMember*time.Duration(m.count()))
+	missing, recentlyLost := m.missing()
+	if len(missing) == 0 {
+		retry.Reset()
+		if recentlyLost {
+			due = time.After(rejoinDelay)
 		}
+		return m.wakeJoiner, due
 	}
-	if woken == nil { // somebody is missing
-		wait = time.After(pauses.NextBackOff())
-	}
-	select {
-	case <-woken:
-		return true
-	case <-wait:
-		return true
-	case <-m.ctx.Done():
-		return false
+	if m.tryJoin(missing) {
+		retry.Reset()
 	}
+	return nil, time.After(retry.NextBackOff())
 }
 
 // missing returns the addresses at which members may be that are not seen: those of processes that were lost, and those of Options.Join at
@@ -99,11 +95,11 @@
 	return addresses, recentlyLost
 }
 
-// tryJoin joins through up to two of the missing addresses, drawn at random, and reports whether new members were found.
+// tryJoin joins through up to maxJoinAddresses of the missing addresses, drawn at random, and reports whether new members were found.
 func (m *Members) tryJoin(missing []string) bool {
 	rand.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	before := m.count()
-	_, err := m.list.Join(missing[:min(2, len(missing))])
+	_, err := m.list.Join(missing[:min(maxJoinAddresses, len(missing))])
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.Joins++
--- a/internal/sidecar/members/timing.go
+++ b/internal/sidecar/members/timing.go
@@ -22,7 +22,12 @@
 	maxViewDelay        = 80 * time.Millisecond
 	viewDelayPerMember  = 300 * time.Microsecond // without it, the views of many members that start at once would change with each of them
 	rejoinDelay         = 3 * time.Second        // after a process was lost: one that was falsely declared dead refutes that by itself
-	retryDelayPerMember = 80 * time.Millisecond  // between attempts to join, so that a whole fleet makes about ten a second
+	minRetryDelay       = 100 * time.Millisecond // the first delay between attempts to listen or to join
+	retryRandomization  = 0.5                    // by which part delays are longer or shorter
+	maxListenRetryDelay = 200 * time.Millisecond // between attempts to listen
+	maxRetryDelay       = 4 * time.Second        // between attempts to join, in a small fleet
+	maxJoinAddresses    = 2                      // of one attempt to join
+	retryDelayPerMember = 80 * time.Millisecond  // between attempts to join in a large fleet, which makes about ten a second then
 	sweepInterval       = 250 * time.Millisecond
 	claimInterval       = 2 * time.Second  // between repeats of the own claim: half of it to one and a half
 	lostTTL             = 10 * time.Minute // after which a lost process is not looked for any more
