--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -7,29 +7,30 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// This file brings updates to all members, however many there are. Gossip forwards young ones: it is the quickest while there is
-// little, and carries no more than its packets do. What it leaves out, or a network loses, comes by exchanges: every
-// pushPullInterval each member asks one other, drawn, what that one has newer, and both get what they lack (digest.go). The share of those
-// who lack a state then shrinks in each such time by a factor of e squared or so, whatever there is besides it.
+// This file brings updates to all members, whatever their number. Gossip forwards young updates: it is the fastest way while there are
+// few, and carries no more than fits into its packets. What it leaves out or the network loses is repaired by exchanges: every
+// busyExchangeInterval while there are updates, else every quietExchangeInterval, each member asks another one, drawn at random, for newer
+// states, and both get what they lack (digest.go). In each interval the share of members that lack a state shrinks by a factor of about e
+// squared, independently of other states.
 //
-// Bounds: a member sends exchangeBytesPerSecond bytes a second in exchanges, and gossip's gossipNodes packets each gossipInterval; an origin
-// publishes at most its share (budget.go), which it enforces on itself and the others enforce on it.
+// Bounds: a member sends exchangeBytesPerSecond in exchanges, and gossipNodes packets of gossip in each gossipInterval. An origin publishes
+// at most its share (budget.go), which it enforces on itself and the others enforce on it.
 
 // The timing of exchanges.
 const (
-	busyExchangeInterval  = 150 * time.Millisecond // between own questions, while there are updates
-	quietExchangeInterval = 600 * time.Millisecond // and else
-	busyTime              = time.Second            // after the last update
-	maxGossipAge          = 500 * time.Millisecond // older updates are not gossiped
-	maxQueued             = 24                     // states to gossip on: with more, each member's own ones would wait behind them
-	maxQuestions          = 64                     // questions to answer
-	maxDeltas             = 16                     // packets in answer to one
+	busyExchangeInterval  = 150 * time.Millisecond // between a member's questions while there are updates, a quarter more or less
+	quietExchangeInterval = 600 * time.Millisecond // and otherwise
+	busyTime              = time.Second            // after the last update, in which the shorter interval holds
+	maxGossipAge          = 500 * time.Millisecond // of updates that are gossiped on
+	maxQueued             = 24                     // frames in the queue to which updates of others are added: own states would wait behind them
+	maxQuestions          = 64                     // that wait for their answers; more are dropped
+	maxDeltas             = 16                     // packets of updates in answer to one question
 )
 
-// peerNode is a process of another member and where it is.
+// peerNode is a process of another member: its name in memberlist, and its address.
 type peerNode struct{ name, address string }
 
-// runExchange asks and answers until the member ends.
+// runExchange asks other members and answers their questions, from when the member listens until it ends.
 func (m *Members) runExchange() {
 	defer m.goroutines.Done()
 	select {
@@ -39,57 +40,57 @@
 	}
 	next := time.NewTimer(rand.N(busyExchangeInterval))
 	defer next.Stop()
-	var sent byteBudget
-	send := func(to string, packets [][]byte) {
-		for _, b := range packets {
-			if !sent.spend(len(b), m.clock(), exchangeBytesPerSecond, exchangeBurstBytes) {
-				m.countSendLimited()
-			} else if err := m.list.SendToAddress(memberlist.Address{Addr: to}, b); err != nil {
-				m.options.Log.Debug("members", "exchange", err)
-			}
-		}
-	}
+	var budget byteBudget
 	for {
 		select {
 		case <-next.C:
 			to, asks, busy := m.nextQuestion()
-			send(to, asks)
-			every := quietExchangeInterval
+			m.sendExchange(&budget, to, asks)
+			interval := quietExchangeInterval
 			if busy {
-				every = busyExchangeInterval
+				interval = busyExchangeInterval
 			}
-			next.Reset(every*3/4 + rand.N(every/2))
+			next.Reset(interval*3/4 + rand.N(interval/2))
 		case q := <-m.questions:
 			to, packets := m.answerQuestion(q)
-			send(to, packets)
+			m.sendExchange(&budget, to, packets)
 		case <-m.ctx.Done():
 			return
 		}
 	}
 }
 
+// sendExchange sends packets of an exchange to an address, as far as the budget for them goes.
+func (m *Members) sendExchange(budget *byteBudget, to string, packets [][]byte) {
+	for _, b := range packets {
+		if !budget.spend(len(b), m.clock(), exchangeBytesPerSecond, exchangeBurstBytes) {
+			m.countSendLimited()
+		} else if err := m.list.SendToAddress(memberlist.Address{Addr: to}, b); err != nil {
+			m.options.Log.Debug("members", "exchange", err)
+		}
+	}
+}
+
+// countSendLimited counts a packet that was not sent, or a question that was dropped. m.mu must not be held.
 func (m *Members) countSendLimited() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.SendLimited++
 }
 
-// nextQuestion returns what to ask whom now, and whether there was an update within busyTime.
+// nextQuestion returns a question to a peer that is drawn at random, encoded, with the peer's address, and whether there was an update within
+// busyTime. It returns no question if there is no peer.
 func (m *Members) nextQuestion() (to string, asks [][]byte, busy bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.peers == nil {
-		for name, n := range m.nodes {
-			if name != m.ownNode {
-				m.peers = append(m.peers, peerNode{name, n.address})
-			}
-		}
+		m.peers = m.peerNodes()
 	}
 	if len(m.peers) == 0 {
 		return "", nil, false
 	}
 	now := m.clock()
-	asks = m.states.ask(process{m.options.Name, m.start}, rand.Uint32(), now, m.options.TTL, func(name string) bool {
+	asks = m.states.ask(m.process(), rand.Uint32(), now, m.options.TTL, func(name string) bool {
 		closed := !m.mayReceiveFrom(name, now)
 		if closed {
 			m.counts.RateLimited++
@@ -99,17 +100,28 @@
 	return m.peers[rand.IntN(len(m.peers))].address, asks, now-m.lastUpdateAt < busyTime
 }
 
+// peerNodes returns the processes of the other members that are there. m.mu is held.
+func (m *Members) peerNodes() []peerNode {
+	var peers []peerNode
+	for name, n := range m.nodes {
+		if name != m.ownNode {
+			peers = append(peers, peerNode{name, n.address})
+		}
+	}
+	return peers
+}
+
 // receiveExchange processes a frame of an exchange, and reports whether it is one. Questions are queued for runExchange.
 func (m *Members) receiveExchange(b []byte) bool {
-	var question any
+	var asked question
 	var err error
 	switch {
 	case len(b) == 0:
 		return false
 	case b[0] == askForm:
-		question, err = decodeAsk(b)
+		asked, err = decodeAsk(b)
 	case b[0] == wantForm:
-		question, err = decodeWants(b)
+		asked, err = decodeWants(b)
 	case b[0] == deltaForm:
 		err = unpack(b[1:], func(f []byte) {
 			if len(f) > 0 && f[0] == updateForm {
@@ -123,9 +135,9 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.counts.Malformed++
-	} else if question != nil {
+	} else if asked != nil {
 		select {
-		case m.questions <- question:
+		case m.questions <- asked:
 		default:
 			m.countSendLimited()
 		}
@@ -133,78 +145,21 @@
 	return true
 }
 
-// answerQuestion is what to send to whom in answer to a question.
-func (m *Members) answerQuestion(q any) (to string, packets [][]byte) {
+// answerQuestion returns the packets that answer a question, and the asker's address. It returns none if the asker is not a process that
+// is there.
+func (m *Members) answerQuestion(q question) (to string, packets [][]byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.clock()
-	var who process
-	var give []frame
-	var want []uint32
-	switch q := q.(type) {
-	case *versions:
-		who = q.asker
-		give, want = m.states.answer(q, now, m.options.TTL)
-		if len(want) > 0 {
-			packets = append(packets, encodeWants(process{m.options.Name, m.start}, q.salt, want))
-		}
-	case *wants:
-		who = q.wanter
-		give = m.states.wanted(q, now, m.options.TTL)
-	}
-	n := m.nodes[who.node()]
-	if n == nil {
+	asker := m.nodes[q.from().nodeName()]
+	if asker == nil {
 		m.counts.NonMembers++
 		return "", nil
 	}
-	deltas := m.states.deltas(give, now)
-	return n.address, append(packets, deltas[:min(len(deltas), maxDeltas)]...)
-}
-
-// mayReceiveFrom reports whether another origin's budget, as counted here, allows more. The member's own states are limited in
-// Publish. m.mu is held.
-func (m *Members) mayReceiveFrom(name string, now time.Duration) bool {
-	if name == m.options.Name {
-		return true
-	}
-	b := m.budgets[name]
-	rate := receiveLenience * originShare(len(m.members))
-	return b == nil || b.hasBytes(now, rate, rate*burstSeconds)
-}
-
-// spendBudget charges a frame to the budget of its origin, and reports whether it is within. m.mu is held.
-func (m *Members) spendBudget(f frame, now time.Duration) bool {
-	b := m.budgets[f.name]
-	if b == nil {
-		b = &byteBudget{}
-		m.budgets[f.name] = b
-	}
-	rate := receiveLenience * originShare(len(m.members))
-	return b.spend(f.size(), now, rate, rate*burstSeconds)
-}
-
-// releaseDelayed publishes delayed states as far as the member's share goes, and returns them. m.mu must not be held.
-func (m *Members) releaseDelayed() []frame {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.releaseDelayedLocked()
-}
-
-func (m *Members) releaseDelayedLocked() (released []frame) {
-	b := m.budgets[m.options.Name]
-	if b == nil {
-		b = &byteBudget{}
-		m.budgets[m.options.Name] = b
-	}
-	rate := originShare(len(m.members))
-	for len(m.delayed) > 0 && b.spend(m.delayed[0].size(), m.clock(), rate, rate*burstSeconds) {
-		f := m.delayed[0]
-		m.delayed = m.delayed[1:]
-		m.seq++
-		f.seq = m.seq
-		m.states.merge(f, f.madeAt)
-		m.lastUpdateAt = m.clock()
-		released = append(released, f)
+	now := m.clock()
+	give, want := q.answer(m.states, m.process(), now, m.options.TTL)
+	if want != nil {
+		packets = append(packets, want)
 	}
-	return released
+	deltas := m.states.deltas(give, now)
+	return asker.address, append(packets, deltas[:min(len(deltas), maxDeltas)]...)
 }
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -1,72 +1,44 @@
-// Package members lets sidecars know each other: who is a member, which index each has, and the newest state of each. It
-// carries updates of these states and does not judge what they mean. Membership and gossip are hashicorp/memberlist's (SWIM with
-// Lifeguard).
+// Package members gives sidecars a view of each other: who is a member, which index each member has, and the newest states that
+// each has published. It does not interpret the states. Membership and gossip are hashicorp/memberlist's, which implements SWIM with
+// Lifeguard. This package adds the index and the epoch of a view, and brings each member the updates that gossip did not.
 //
 // # Terms
 //
-//   - A member is a sidecar by its name; its processes follow each other, each with a later start.
-//   - A view is the set of members as one of them sees it, with its epoch. A state is what an origin (a member) published last of
-//     one kind; an update is a state on its way.
-//   - A frame is the encoded form of an update, a claim (of an epoch) or a farewell.
+//   - A member is a sidecar, identified by its name. Its processes follow each other, each with a later start.
+//   - A view is the set of members as one of them sees it, with an epoch: a number on which the members agree.
+//   - A state is what a member, its origin, published last of one kind. An update is a state on its way to the others.
+//   - A claim says that a member gave a set of members an epoch. A farewell says that a process ends by itself.
+//   - A frame is the encoded form of an update, a claim, a farewell, or a message of an exchange.
+//   - An exchange compares the states of two members, and brings each what it lacks (anti-entropy).
 //
 // # Invariants
 //
-// With members that tell the truth about themselves:
+// Where all members follow the protocol:
 //
-//   - A member that dies is out of the others' views within about 2 s, from 20 to 300 members; one that leaves, within 1 s more
-//     than its farewell takes, unless its successor is there by then.
-//   - Two members with the same epoch have the same set, hence the same indexes. An epoch never goes down.
-//   - Updates come newest first for each origin and kind, never older than the TTL, and only of members' own processes.
-//   - Old and new process of an upgrade are one member. The old one's farewell does not take the new one out.
+//   - A member that dies is out of the others' views within about 2 s, from 20 to 300 members. One that leaves is out of them
+//     handoverTime after its farewell arrived, unless its successor has joined by then.
+//   - Two members with the same epoch have the same set of members, hence the same indexes. An epoch never decreases.
+//   - For each origin and kind, updates arrive in the order in which they were published; some may be left out. None is older than
+//     the TTL, and each is of a process that is its member's newest when it arrives.
+//   - The old and the new process of an upgrade are one member. The old one's farewell does not remove the new one.
 //
-// Members are not authenticated. Whoever can reach a member's port can join, and state what it likes in the name of another; a
-// forged state of a member is seen, and overruled, by that member only.
+// Members are not authenticated. Whoever can reach a member's port can join, and publish states in the name of another member; that
+// member ignores what comes in its own name.
 package members
 
 import (
 	"cmp"
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
-	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/hashicorp/memberlist"
 )
 
-// Options say who a member is and whom it joins.
-type Options struct {
-	Name      string        // of the member, the same in each process of it; 1 to MaxNameBytes bytes
-	Listen    string        // IP address and port, for UDP and TCP; port 0: any
-	Advertise string        // IP address and port where others reach it; "": Listen
-	Join      []string      // hosts and ports of any members; those that are gone are tried again, ever more rarely
-	Reach     string        // every peer is reached at this IP address, at the port of its own; "": at its own
-	TTL       time.Duration // updates that are older are dropped; 0: DefaultTTL
-	Log       *slog.Logger  // nil: none
-
-	// OnUpdate is called for each update, and OnView for each new view; one call at a time, from one goroutine. A state that is
-	// replaced before its turn is not notified. Nil: no calls.
-	OnUpdate func(Update)
-	OnView   func(View)
-
-	dropPacket func() bool // a packet that is sent is lost, as tests want it; nil: none is
-}
-
-// View is who is a member, as one of them sees it.
-type View struct {
-	Epoch uint64 // see epochs
-	Index int    // of this member, in Names
-	Count int    // of members, this one included; at least 1
-	// Names are in the order of a hash of them: neighbours in a list of machines are not neighbours here.
-	Names []string
-}
-
 // Update is the newest state of one kind that an origin published.
 type Update struct {
 	Origin  string // a member's name
@@ -77,67 +49,75 @@
 	Payload []byte
 }
 
-// DefaultTTL is Options.TTL where none is set.
-const DefaultTTL = 2 * time.Second
-
-// Counts is what a member did since its start.
+// Counts are counters of one member since its start, and the length of its queue.
 type Counts struct {
 	Traffic
-	Updates, Duplicates, Expired, Malformed, NonMembers int64 // frames: new ones, known ones, over the bound, not readable, of no member
-	Delayed                                             int64 // own states that had to wait, as this member published too much; see Publish
-	RateLimited                                         int64 // frames rejected, or states not asked for, as their origin published too much
-	SendLimited                                         int64 // packets of exchanges not sent, as this member sent too much, or was asked too much
-	Queued                                              int   // frames to pass on
-	Joins, JoinsFailed                                  int64 // attempts to join
+
+	// Frames that were received.
+	Updates    int64 // of a newer state than was stored, within the TTL
+	Duplicates int64 // of a state that was stored already, or of this member itself
+	Expired    int64 // of a newer state that was older than the TTL
+	Malformed  int64 // that could not be decoded
+	NonMembers int64 // of a process that is not its member's newest; also questions of unknown processes, and processes beyond maxMembers
+
+	Delayed     int64 // calls of Publish after which states had to wait, as this member published too much
+	RateLimited int64 // frames rejected, and states not asked for, as their origin published too much
+	SendLimited int64 // packets of exchanges not sent, as this member sent too much, and questions beyond maxQuestions
+	Queued      int   // frames that wait to be gossiped
+	Joins       int64 // attempts to join through other members
+	JoinsFailed int64 // those that reached none
 }
 
 const (
-	farewellPrefix = "farewell/"
-	maxMembers     = 4096
-	separator      = "@" // between a member's name and its process's start, in memberlist's name for the process
+	farewellPrefix = "farewell/" // of the name of a broadcast that is a farewell, before the member's name
+	maxMembers     = 4096        // processes that are known at once
 )
 
 // Members is one member, from New to Close.
 type Members struct {
 	options   Options
-	start     int64 // of this process, nanoseconds of Unix time: only ever compared with those of the same name
-	startedAt time.Time
-	ownNode   string // in memberlist
+	start     int64     // of this process, Unix time in nanoseconds; compared only with processes of the same member
+	startedAt time.Time // the same, with the monotonic reading that clock counts from
+	ownNode   string    // memberlist's name for this process
 
-	ctx        context.Context
+	ctx        context.Context // done once the member ends
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 	closing    sync.Once
-	listening  chan struct{} // closed once it listens
-	wakeWorker chan struct{}
-	wakeJoiner chan struct{}
+	listening  chan struct{} // closed once transport and list are set
+	wakeWorker chan struct{} // capacity 1
+	wakeJoiner chan struct{} // capacity 1
+	questions  chan question // of peers, which runExchange answers
 	queue      *memberlist.TransmitLimitedQueue
 
-	mu            sync.Mutex // never held while memberlist or its queue is called: they call back under their own locks
-	list          *memberlist.Memberlist
-	net           *transport
-	seq           uint64
-	nodes         map[string]*node          // processes that are there, by memberlist's name
-	members       map[string]int64          // members that are there, by the latest start
-	leaving       map[string]leavingProcess // members whose process said that it leaves
-	lost          map[string]lostProcess    // processes that died or fell out of touch
-	states        *states
+	// mu guards what follows. It is not held while memberlist or queue is called: they call back under their own locks.
+	mu        sync.Mutex
+	list      *memberlist.Memberlist
+	transport *transport
+	counts    Counts
+
+	nodes     map[string]*node       // processes that are there, by memberlist's name
+	peers     []peerNode             // the nodes of other members; nil: to be taken from nodes
+	members   map[string]int64       // the latest start of each member that is there
+	farewells map[string]farewell    // the last of each member whose index is reserved for a successor
+	lost      map[string]lostProcess // processes that died or fell out of touch, by memberlist's name
+
 	epochs        epochs
 	view          View
-	pending       map[stateKey]struct{}
-	viewStale     bool          // the view
-	notifiedEpoch uint64        // the epoch of the last notification
-	unsent        []*broadcast  // claims and farewells to pass on
-	peers         []peerNode    // processes of others; nil: to be taken from nodes
-	lastUpdateAt  time.Duration // when the last update was published or accepted
-	budgets       map[string]*byteBudget
-	delayed       []frame // own states that wait, one a kind
-	questions     chan any
-	claimAt       time.Duration // the own claim again
-	counts        Counts
+	viewStale     bool          // nodes changed since view was computed
+	notifiedEpoch uint64        // the epoch of the last view that OnView was called with
+	nextClaim     time.Duration // when the own claim is gossiped again, by clock
+	broadcasts    []*broadcast  // claims and farewells that the worker has to queue
+
+	seq          uint64 // of the last state that was published
+	states       *states
+	pending      map[stateKey]struct{}  // states that OnUpdate is to be called with
+	delayed      []frame                // own states that wait for the budget, one a kind
+	budgets      map[string]*byteBudget // by origin, the own one included
+	lastUpdateAt time.Duration          // when the last update was published or accepted, by clock
 }
 
-// node is a process of a member.
+// node is a process of a member, and where it is reached.
 type node struct {
 	process
 	address string
@@ -146,16 +126,16 @@
 // lostProcess is where a process was that is not seen any more, and since when.
 type lostProcess struct {
 	address string
-	at      time.Time
+	lostAt  time.Time
 }
 
-// leavingProcess is a process that leaves, and when its farewell arrived.
-type leavingProcess struct {
-	start int64
-	at    time.Time
+// farewell is what a process sends when it ends by itself, and when it arrived.
+type farewell struct {
+	start      int64 // of the process
+	receivedAt time.Time
 }
 
-// New checks the options; its errors are OptionErrors. The member knows nobody until Start.
+// New returns a member that knows of itself only, until Start. It returns an OptionError for the first option that is not valid.
 func New(options Options) (*Members, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -167,58 +147,19 @@
 	now := time.Now()
 	m := &Members{options: options, start: now.UnixNano(), startedAt: now, listening: make(chan struct{}),
 		wakeWorker: make(chan struct{}, 1), wakeJoiner: make(chan struct{}, 1),
-		nodes: map[string]*node{}, members: map[string]int64{}, leaving: map[string]leavingProcess{}, lost: map[string]lostProcess{},
-		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*byteBudget{}, questions: make(chan any, maxQuestions)}
-	m.ownNode = process{options.Name, m.start}.node()
+		nodes: map[string]*node{}, members: map[string]int64{}, farewells: map[string]farewell{}, lost: map[string]lostProcess{},
+		states: newStates(), pending: map[stateKey]struct{}{}, budgets: map[string]*byteBudget{}, questions: make(chan question, maxQuestions)}
+	m.ownNode = m.process().nodeName()
 	m.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMult, NumNodes: m.count}
-	m.nodes[m.ownNode] = &node{process: process{options.Name, m.start}}
+	m.nodes[m.ownNode] = &node{process: m.process()}
 	m.updateView()
 	m.notifiedEpoch = m.view.Epoch
 	return m, nil
 }
 
-// check returns an OptionError for the first option that is not valid.
-func (o Options) check() error {
-	if len(o.Name) < 1 || len(o.Name) > MaxNameBytes {
-		return &OptionError{"name", fmt.Errorf("%q has not 1 to %d bytes", o.Name, MaxNameBytes)}
-	}
-	if _, _, err := splitAddress(o.Listen); err != nil {
-		return &OptionError{"listen", err}
-	}
-	if o.Advertise != "" {
-		if _, _, err := splitAddress(o.Advertise); err != nil {
-			return &OptionError{"advertise", err}
-		}
-	}
-	for _, address := range o.Join {
-		if _, _, err := net.SplitHostPort(address); err != nil {
-			return &OptionError{"join", err}
-		}
-	}
-	if o.Reach != "" && net.ParseIP(o.Reach) == nil {
-		return &OptionError{"reach", fmt.Errorf("%q is no IP address", o.Reach)}
-	}
-	if o.TTL < 0 {
-		return &OptionError{"bound", fmt.Errorf("%v is negative", o.TTL)}
-	}
-	return nil
-}
-
-// splitAddress is an IP address and port.
-func splitAddress(address string) (host string, port int, err error) {
-	host, service, err := net.SplitHostPort(address)
-	if err != nil {
-		return "", 0, err
-	}
-	n, err := strconv.ParseUint(service, 10, 16)
-	if err != nil || net.ParseIP(host) == nil {
-		return "", 0, fmt.Errorf("%q is no IP address and port", address)
-	}
-	return host, int(n), nil
-}
-
-// Start has the member listen and join until Close; once ctx is done it notifies and publishes nothing more. Where the address is in use, as by the process that this
-// one follows, it goes on trying; other errors are returned.
+// Start has the member listen and join the others until Close. Once ctx is done it calls neither OnUpdate nor OnView any more, and takes
+// no part in exchanges. Where the address is in use, as by the earlier process of an upgrade, Start returns nil and the member tries
+// again until it is free; other errors of listening are returned.
 func (m *Members) Start(ctx context.Context) error {
 	m.ctx, m.cancel = context.WithCancel(ctx)
 	err := m.listen()
@@ -233,7 +174,8 @@
 	return nil
 }
 
-// Close leaves and ends. The farewell takes half a second at most.
+// Close sends the farewell, which takes leaveTimeout at most, closes the sockets and waits for the member's own goroutines. Only the
+// first call has an effect, and none if it comes before Start. Goroutines of memberlist may end somewhat later.
 func (m *Members) Close() {
 	m.closing.Do(func() {
 		if m.cancel == nil {
@@ -247,7 +189,7 @@
 		if list == nil {
 			return
 		}
-		m.queue.QueueBroadcast(&broadcast{name: farewellPrefix + m.options.Name, encoded: process{m.options.Name, m.start}.encode()})
+		m.queue.QueueBroadcast(&broadcast{name: farewellPrefix + m.options.Name, encoded: m.process().encodeFarewell()})
 		if err := list.Leave(leaveTimeout); err != nil {
 			m.options.Log.Debug("members", "leave", err)
 		}
@@ -257,52 +199,27 @@
 	})
 }
 
-// Publish has the payload be this member's state of a kind, in place of the last one. The payload is not to be changed after.
-// A member that publishes more than its share (see originShare: 640 bytes a second at 300 members, headers included) sends its
-// newest state later, and a state that is replaced before its turn not at all. A kind or payload over its bound is a BoundsError.
-func (m *Members) Publish(kind uint8, payload []byte) error {
-	if kind >= MaxKinds || len(payload) > MaxPayloadBytes {
-		return &BoundsError{Kind: kind, Bytes: len(payload)}
-	}
-	m.mu.Lock()
-	f := frame{name: m.options.Name, kind: kind, start: m.start, madeAt: m.clock(), payload: payload}
-	if i := slices.IndexFunc(m.delayed, func(w frame) bool { return w.kind == kind }); i >= 0 {
-		m.delayed[i] = f
-	} else {
-		m.delayed = append(m.delayed, f)
-	}
-	now := m.releaseDelayedLocked()
-	if len(m.delayed) > 0 {
-		m.counts.Delayed++
-	}
-	m.mu.Unlock()
-	for _, f := range now {
-		m.queueFrame(f)
-	}
-	return nil
-}
-
-// View is who is a member now.
+// View returns the view as last computed. Its Names are shared and must not be changed.
 func (m *Members) View() View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view
 }
 
-// Counts are the figures as they stand.
+// Counts returns the counters as they stand.
 func (m *Members) Counts() Counts {
 	waiting := m.queue.NumQueued() // not under the lock, which the queue takes under its own
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := m.counts
-	if m.net != nil {
-		c.Traffic = m.net.traffic()
+	if m.transport != nil {
+		c.Traffic = m.transport.traffic()
 	}
 	c.Queued = waiting
 	return c
 }
 
-// Address is where this member listens; "" until it does.
+// Address returns the host and port at which the member listens; "" until it does.
 func (m *Members) Address() string {
 	select {
 	case <-m.listening:
@@ -310,61 +227,23 @@
 		return ""
 	}
 	host, _, _ := net.SplitHostPort(m.options.Listen)
-	return net.JoinHostPort(host, strconv.Itoa(m.net.port()))
+	return net.JoinHostPort(host, strconv.Itoa(m.transport.port()))
 }
 
-// clock is the time since this process's start, monotonic.
+// process returns the member's own process.
+func (m *Members) process() process { return process{m.options.Name, m.start} }
+
+// clock returns the monotonic time since this member was made, which is the clock of all durations that are points in time.
 func (m *Members) clock() time.Duration { return time.Since(m.startedAt) }
 
+// count returns how many members are there, for memberlist's queue among others.
 func (m *Members) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.members)
 }
 
-// updateView computes the members and the view from the processes that are there. m.mu is held.
-func (m *Members) updateView() {
-	now := time.Now()
-	clear(m.members)
-	for _, n := range m.nodes {
-		m.members[n.name] = max(m.members[n.name], n.start)
-	}
-	names := make([]string, 0, len(m.members))
-	for name := range m.members {
-		names = append(names, name)
-	}
-	// Without the leaving members, all indexes would change twice: at the farewell of an old process and at the arrival of the new one.
-	for name, p := range m.leaving {
-		if _, there := m.members[name]; now.Sub(p.at) >= handoverTime {
-			delete(m.leaving, name)
-		} else if !there {
-			names = append(names, name)
-		}
-	}
-	sortByHash(names)
-	if slices.Equal(names, m.view.Names) {
-		return
-	}
-	hash := xxhash.Sum64String(strings.Join(names, "\x00"))
-	if m.epochs.adoptSet(uint32(hash)) {
-		m.queueClaim(m.epochs.own)
-	}
-	m.view = View{Epoch: m.epochs.own.epoch(), Index: slices.Index(names, m.options.Name), Count: len(names), Names: names}
-}
-
-// sortByHash sorts names by their hash.
-func sortByHash(names []string) {
-	slices.SortFunc(names, func(x, y string) int {
-		if a, b := xxhash.Sum64String(x), xxhash.Sum64String(y); a != b {
-			if a < b {
-				return -1
-			}
-			return 1
-		}
-		return strings.Compare(x, y)
-	})
-}
-
+// wake wakes the goroutine that receives from a channel of capacity 1, now or the next time that it waits.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/sidecar/members/updates_benchmark_test.go
+++ b/internal/sidecar/members/updates_benchmark_test.go
@@ -5,25 +5,25 @@
 	"fmt"
 	"math/rand/v2"
 	"strconv"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"go.uber.org/goleak"
 )
 
 // BenchmarkUpdates has all of a fleet publish two states a second, of 300 bytes together, while 13 in 100 packets are lost and one
-// member is killed: go test -run '^$' -bench Updates -benchtime 1x ./internal/sidecar/members. It says how old updates are when they arrive,
-// how many of all (reader, origin, kind) hold nothing within the bound, and what a member sends and takes a second.
+// member is killed: go test -run '^$' -bench Updates -benchtime 1x ./internal/sidecar/members. It reports how old updates are when they
+// arrive, for how many of all (reader, origin, kind) there is no state within the TTL, and what a member sends and receives in a second.
 func BenchmarkUpdates(b *testing.B) {
 	for _, n := range []int{20, 100, 200, 300} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			for range b.N {
 				f := startFleet(b, n, 0.13)
 				f.measureUpdates(b, 20*time.Second, 100, 200)
-				f.close()
+				f.close(b)
 			}
 		})
 	}
@@ -32,6 +32,7 @@
 // updateFleet is many members in this process, and what they received.
 type updateFleet struct {
 	all    []*Members
+	before goleak.Option       // the goroutines that ran before the members started
 	latest [][][2]atomic.Int64 // Unix nanoseconds when the update that a reader received last was published, by origin and kind
 	ages   []*hdrhistogram.Histogram
 	under  []time.Duration // the most by which a reader took an update for younger than it was
@@ -40,19 +41,19 @@
 
 // startFleet starts members in waves, each of which is a quarter of those that are there, and waits until all know all.
 func startFleet(b testing.TB, count int, loss float64) *updateFleet {
-	fleet := &updateFleet{all: make([]*Members, count), latest: make([][][2]atomic.Int64, count), ages: make([]*hdrhistogram.Histogram, count), under: make([]time.Duration, count)}
-	late := time.Now().Add(time.Minute)
+	fleet := &updateFleet{all: make([]*Members, count), before: goleak.IgnoreCurrent(), latest: make([][][2]atomic.Int64, count), ages: make([]*hdrhistogram.Histogram, count), under: make([]time.Duration, count)}
+	deadline := time.Now().Add(time.Minute)
 	for index, wave := 0, 0; index < count; index++ {
 		fleet.latest[index], fleet.ages[index] = make([][2]atomic.Int64, count), hdrhistogram.New(1, 60_000, 3)
 		options := Options{Name: fmt.Sprintf("sidecar-%d", index), Listen: "127.0.0.1:0"}
-		options.dropPacket = func() bool { return rand.Uint64N(1000) < fleet.loss.Load() }
+		options.knobs.DropPacket = func() bool { return rand.Uint64N(1000) < fleet.loss.Load() }
 		options.OnUpdate = func(w Update) {
-			told := int64(binary.BigEndian.Uint64(w.Payload))
+			publishedAt := int64(binary.BigEndian.Uint64(w.Payload))
 			origin, _ := strconv.Atoi(w.Origin[len("sidecar-"):])
-			fleet.latest[index][origin][w.Kind].Store(told)
-			truly := time.Duration(time.Now().UnixNano() - told)
-			fleet.under[index] = max(fleet.under[index], truly-w.Age)
-			_ = fleet.ages[index].RecordValue(truly.Milliseconds())
+			fleet.latest[index][origin][w.Kind].Store(publishedAt)
+			age := time.Duration(time.Now().UnixNano() - publishedAt)
+			fleet.under[index] = max(fleet.under[index], age-w.Age)
+			_ = fleet.ages[index].RecordValue(age.Milliseconds())
 		}
 		for k := range min(3, wave) {
 			options.Join = append(options.Join, fleet.all[(index+k*wave/3)%wave].Address())
@@ -67,9 +68,9 @@
 		if wave > 0 && index+1 < count && index < wave+wave/4+4 {
 			continue
 		}
-		b.Logf("%d members after %v", index+1, time.Since(late.Add(-time.Minute)).Round(time.Millisecond))
+		b.Logf("%d members after %v", index+1, time.Since(deadline.Add(-time.Minute)).Round(time.Millisecond))
 		for wave = index + 1; !fleet.settled(wave); time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(late) {
+			if time.Now().After(deadline) {
 				b.Fatalf("%d members do not know each other", wave)
 			}
 		}
@@ -87,24 +88,22 @@
 	return true
 }
 
-func (f *updateFleet) close() {
+func (f *updateFleet) close(b *testing.B) {
+	b.Helper()
 	f.loss.Store(0)
-	var g sync.WaitGroup
-	for _, m := range f.all {
-		g.Go(m.Close)
-	}
-	g.Wait()
-	time.Sleep(2 * streamTimeout) // memberlist's last pings by stream end by their time alone
+	closeAll(b, f.all, f.before)
 }
 
-// kill closes a member's sockets without a word.
-func (m *Members) kill() {
+// kill closes a member's sockets without a farewell, and returns when it did.
+func (m *Members) kill() time.Time {
 	m.cancel()
 	m.goroutines.Wait()
+	killed := time.Now()
 	_ = m.list.Shutdown()
 	m.mu.Lock()
-	m.list = nil // it says no farewell
+	m.list = nil // Close sends no farewell
 	m.mu.Unlock()
+	return killed
 }
 
 // updateMeasurement is what measureUpdates counts while the members publish.
--- a/internal/sidecar/wire/lists.go
+++ b/internal/sidecar/wire/lists.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// listNumber is the number of one of the reader's lists.
+// listNumber returns the number of a list, which is field i.
 func (r *Reader) listNumber(i int) int {
 	n := r.integer(i)
 	if n >= len(r.lists) {
@@ -18,16 +18,15 @@
 	return n
 }
 
-// endpoints reads the event of a list that was defined.
+// endpoints decodes the event of a list, which DEFINE_LIST has defined unless discovery failed.
 func (r *Reader) endpoints() {
 	event := &r.event
 	event.Entries = nil
-	r.parts = append(r.parts, nil, nil)
-	if len(r.parts) < 5 {
+	if len(r.fields) < minListEventFields {
 		r.err = errTooFewParts
 		return
 	}
-	kind, known := listKinds[string(r.parts[2])]
+	kind, known := listKinds[string(r.fields[2])]
 	if !known {
 		r.fail(2, "a mode")
 		return
@@ -38,8 +37,12 @@
 	}
 }
 
+// minListEventFields is how many fields of a list event are needed: its name, the list's number and the kind of the list.
+const minListEventFields = 3
+
 var errTooFewParts = errors.New("too few parts")
 
+// listKinds are the kinds of lists by their words.
 var listKinds = map[string]balance.ListKind{
 	"all":        balance.ListFull,
 	"changes":    balance.ListChanges,
@@ -47,7 +50,7 @@
 	"refused":    balance.ListRefused,
 }
 
-// defineList reads a list's line and the entries that follow it.
+// defineList decodes a list: a line with its number and length, and a line for each entry.
 func (r *Reader) defineList() error {
 	number, rows := r.listNumber(1), r.integer(2)
 	if r.err != nil {
@@ -57,12 +60,12 @@
 	for range rows {
 		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			err = io.ErrUnexpectedEOF // no regular end of input
+			err = io.ErrUnexpectedEOF // io.EOF from Next is the regular end of input
 		}
 		if err != nil {
 			return fmt.Errorf("list of %d entries ends early: %w", rows, err)
 		}
-		entry, err := r.item(line)
+		entry, err := r.listEntry(line)
 		if err != nil {
 			return err
 		}
@@ -72,13 +75,13 @@
 	return nil
 }
 
-// item reads an entry of a list.
-func (r *Reader) item(line []byte) (balance.Endpoint, error) {
+// listEntry decodes an entry of a list. Its capacity is 1 and its start long ago where the line does not give them.
+func (r *Reader) listEntry(line []byte) (balance.Endpoint, error) {
 	r.split(line)
-	if string(r.parts[0]) != "ITEM" {
-		return balance.Endpoint{}, fmt.Errorf("%q where an entry is due", r.parts[0])
+	if string(r.fields[0]) != "ITEM" {
+		return balance.Endpoint{}, fmt.Errorf("%q where an entry is due", r.fields[0])
 	}
-	entry := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), Cell: int(r.optional64(4)), Size: 1}
+	entry := balance.Endpoint{ID: r.text(1), Zone: r.text(2), Kind: r.text(3), Cell: int(r.optionalUint(4)), Size: 1}
 	if entry.ID == "" {
 		r.fail(1, "a server")
 	}
@@ -94,16 +97,3 @@
 	}
 	return entry, nil
 }
-
-func (r *Reader) state(i int) balance.State {
-	switch r.text(i) {
-	case "healthy":
-		return balance.Ready
-	case "cordoned":
-		return balance.Draining
-	case "deregistered":
-		return balance.Removed
-	}
-	r.fail(i, "a state")
-	return balance.Ready
-}
--- a/internal/sidecar/wire/reader.go
+++ b/internal/sidecar/wire/reader.go
@@ -1,8 +1,21 @@
-// Package wire reads and writes the simulator's text wire, and reads the Balancer's settings from it or from JSON. It decides
-// nothing.
+// Package wire encodes and decodes the simulator's text protocol, and reads the settings of a balance.Balancer from it or from JSON.
+// It holds no policy. The operators' page on the simulator's wire defines the messages.
 //
-// The wire is lines of parts with tabs between them. A batch of events begins with the time (FRAME), goes on with events for one
-// instance after the other (SWITCH_TO), and ends with YOUR_TURN; the reply to it is the actions of all instances and END.
+// A process of the simulator runs many instances of a sidecar over one pair of pipes. The simulator sends batches of events, and the
+// process answers each batch with one reply:
+//
+//	FRAME 8.41225       the time of the batch, in seconds
+//	SWITCH_TO 3         the instance that the following events are for
+//	DUE 77              an event
+//	YOUR_TURN           the end of the batch
+//
+//	SPEAKING 3          the instance that does the following actions
+//	AFTER 0.5 77        an action
+//	END                 the end of the reply
+//
+// A line is a message: its name, and fields that are separated by single tabs. "-" stands for a value that is absent. Times are in
+// seconds, with a resolution of microseconds. Errors count the fields of a line from 0, which is the name, and call them parts, as the
+// operators' page does.
 package wire
 
 import (
@@ -11,68 +24,29 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
-	"strconv"
-	"time"
 
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Kind is the kind of an event line.
-type Kind int
-
-// The kinds of events. EndOfBatch closes a batch; a reply is due.
-const (
-	BatchStart Kind = iota
-	EndOfBatch
-	Instance
-	Open
-	Stop
-	Endpoints
-	Request
-	AnswerStarted
-	Result
-	ClientDisconnected
-	Timer
-)
-
-// Event is one event. The Reader reuses it; only the fields that its kind has are meaningful.
-type Event struct {
-	Kind     Kind
-	Now      balance.Time
-	Instance int
-	Settings balance.Settings
-	Names    *Names // of Open: how the instance's requests name classes and tenants
-	List     balance.ListKind
-	Entries  []balance.Endpoint
-	ID       balance.RequestID
-	Class    string
-	Tenant   string
-	TimeLeft time.Duration
-	Attempt  int
-	Result   balance.Result
-	Token    uint64
-}
-
-// Reader reads events.
+// Reader decodes events. It is not safe for concurrent use.
 type Reader struct {
-	in     *bufio.Reader
-	long   []byte
-	line   int
-	event  Event
-	parts  [][]byte
-	lists  [16][]balance.Endpoint
-	intern map[string]string
-	err    error // of the first malformed part of the line
+	in       *bufio.Reader
+	longLine []byte // holds a line that exceeds in's buffer
+	line     int    // lines read so far
+	event    Event
+	fields   [][]byte               // of the current line, the message's name first
+	lists    [16][]balance.Endpoint // as DEFINE_LIST last defined each
+	interned map[string]string      // see text
+	err      error                  // of the first malformed field of the current line
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that decodes what in holds.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<16), intern: map[string]string{}}
+	return &Reader{in: bufio.NewReaderSize(in, 1<<16), interned: map[string]string{}}
 }
 
-// Next returns the next event, which holds until the following call. At the end of input it returns io.EOF.
-// Other errors name the line.
+// Next returns the next event, which is valid until the following call. It returns io.EOF at the end of input. Other errors are of in,
+// or of a line that cannot be decoded, and name the line's number, from 1.
 func (r *Reader) Next() (*Event, error) {
 	for {
 		line, err := r.readLine()
@@ -85,25 +59,26 @@
 		if len(line) == 0 {
 			continue
 		}
-		ok, err := r.parse(line)
+		complete, err := r.parse(line)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", r.line, err)
 		}
-		if ok {
+		if complete {
 			return &r.event, nil
 		}
 	}
 }
 
+// readLine returns the next line without its end, valid until the following call. The last line may lack its end.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], line...)
+		r.longLine = append(r.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = r.in.ReadSlice('\n')
-			r.long = append(r.long, line...)
+			r.longLine = append(r.longLine, line...)
 		}
-		line = r.long
+		line = r.longLine
 	}
 	if err != nil && (!errors.Is(err, io.EOF) || len(line) == 0) {
 		return nil, err
@@ -112,27 +87,28 @@
 	return bytes.TrimSuffix(line, []byte{'\n'}), nil
 }
 
-// parse reads one line into r.event and tells whether an event is complete.
+// parse decodes one line into r.event, and reports whether the line is an event.
 func (r *Reader) parse(line []byte) (bool, error) {
 	r.split(line)
 	r.err = nil
-	name := string(r.parts[0])
+	name := string(r.fields[0])
 	switch name {
 	case "DEFINE_LIST":
 		return false, r.defineList()
-	case "STATUS_BACK", "PEER_DATA": // answers to what the module never asks, and what it does not listen to
+	case "STATUS_BACK", "PEER_DATA":
+		// The Balancer asks no server for its status, and does not use the messages of other instances.
 		return false, nil
 	}
 	if !r.parseInstanceEvent(name) && !r.parseRequestEvent(name) {
 		return false, fmt.Errorf("unknown message %q", name)
 	}
 	if r.err != nil {
-		return false, fmt.Errorf("%s: %w", r.parts[0], r.err)
+		return false, fmt.Errorf("%s: %w", r.fields[0], r.err)
 	}
 	return true, nil
 }
 
-// parseInstanceEvent reads the events of batches, instances and lists. It tells whether the line is one.
+// parseInstanceEvent decodes the events of batches, instances, lists and timers, and reports whether the line is one of these.
 func (r *Reader) parseInstanceEvent(name string) bool {
 	event := &r.event
 	switch name {
@@ -144,9 +120,9 @@
 		event.Kind, event.Instance = Instance, r.integer(1)
 	case "OPEN_INSTANCE":
 		event.Kind = Open
-		seed := r.number64(1)
+		seed := r.uint(1)
 		if r.err == nil {
-			event.Settings, event.Names, r.err = settings(seed, r.parts[2:])
+			event.Settings, event.Names, r.err = parseSettings(seed, r.fields[2:])
 		}
 	case "STOP":
 		event.Kind = Stop
@@ -154,14 +130,14 @@
 		event.Kind = Endpoints
 		r.endpoints()
 	case "DUE":
-		event.Kind, event.Token = Timer, r.number64(1)
+		event.Kind, event.Token = Timer, r.uint(1)
 	default:
 		return false
 	}
 	return true
 }
 
-// parseRequestEvent reads the events of requests. It tells whether the line is one.
+// parseRequestEvent decodes the events of requests, and reports whether the line is one of these.
 func (r *Reader) parseRequestEvent(name string) bool {
 	event := &r.event
 	switch name {
@@ -188,148 +164,3 @@
 	}
 	return true
 }
-
-// requestID is the first part of the events of requests.
-func (r *Reader) requestID() balance.RequestID { return balance.RequestID(r.number64(1)) }
-
-func (r *Reader) split(line []byte) {
-	r.parts = r.parts[:0]
-	for {
-		i := bytes.IndexByte(line, '\t')
-		if i < 0 {
-			r.parts = append(r.parts, line)
-			return
-		}
-		r.parts = append(r.parts, line[:i])
-		line = line[i+1:]
-	}
-}
-
-// absent tells whether part i is missing or "-".
-func (r *Reader) absent(i int) bool {
-	return i >= len(r.parts) || len(r.parts[i]) == 0 || len(r.parts[i]) == 1 && r.parts[i][0] == '-'
-}
-
-func (r *Reader) fail(i int, want string) {
-	if r.err != nil {
-		return
-	}
-	if i >= len(r.parts) {
-		r.err = fmt.Errorf("part %d is missing, want %s", i, want)
-		return
-	}
-	r.err = fmt.Errorf("part %d is %q, want %s", i, r.parts[i], want)
-}
-
-func (r *Reader) number64(i int) uint64 {
-	if i >= len(r.parts) {
-		r.fail(i, "a whole number")
-		return 0
-	}
-	n, ok := parseUint(r.parts[i])
-	if !ok {
-		r.fail(i, "a whole number")
-	}
-	return n
-}
-
-func (r *Reader) optional64(i int) uint64 {
-	if r.absent(i) {
-		return 0
-	}
-	return r.number64(i)
-}
-
-func (r *Reader) integer(i int) int {
-	n := r.number64(i)
-	if n > math.MaxInt32 {
-		r.fail(i, "a small whole number")
-		return 0
-	}
-	return int(n)
-}
-
-func (r *Reader) float(i int) float64 {
-	if i >= len(r.parts) {
-		r.fail(i, "a number")
-		return 0
-	}
-	f, err := strconv.ParseFloat(string(r.parts[i]), 64)
-	if err != nil || math.IsNaN(f) || math.Abs(f) > 1e12 {
-		r.fail(i, "a number")
-		return 0
-	}
-	return f
-}
-
-func (r *Reader) duration(i int) time.Duration { return seconds(r.float(i)) }
-
-// seconds rounds to the wire's microseconds. Clock readings beyond what fits are cut.
-func seconds(s float64) time.Duration {
-	if math.Abs(s) > 9e9 {
-		s = math.Copysign(9e9, s)
-	}
-	return time.Duration(math.Round(s*1e6)) * time.Microsecond
-}
-
-func (r *Reader) boolean(i int) bool {
-	if i < len(r.parts) && len(r.parts[i]) == 1 {
-		switch r.parts[i][0] {
-		case '1':
-			return true
-		case '0':
-			return false
-		}
-	}
-	r.fail(i, "1 or 0")
-	return false
-}
-
-// maxInterned bounds the strings kept for reuse.
-const maxInterned = 1 << 16
-
-// text returns part i as a string, "" where absent. Strings are kept, so that the same one costs nothing.
-func (r *Reader) text(i int) string {
-	if r.absent(i) {
-		return ""
-	}
-	if s, ok := r.intern[string(r.parts[i])]; ok {
-		return s
-	}
-	if len(r.intern) >= maxInterned {
-		clear(r.intern)
-	}
-	s := string(r.parts[i])
-	r.intern[s] = s
-	return s
-}
-
-var outcomes = map[string]balance.Outcome{
-	"completed": balance.Served, "errored": balance.Errored, "saturated": balance.Saturated,
-	"overdue": balance.TimedOut, "refused_conn": balance.ConnectFailed, "severed": balance.Reset,
-	"recalled": balance.Cancelled, "superseded": balance.NotSent,
-}
-
-func (r *Reader) outcome(i int) balance.Outcome {
-	if i < len(r.parts) {
-		if o, ok := outcomes[string(r.parts[i])]; ok {
-			return o
-		}
-	}
-	r.fail(i, "an outcome")
-	return 0
-}
-
-func parseUint(s []byte) (n uint64, ok bool) {
-	if len(s) == 0 || len(s) > 20 {
-		return 0, false
-	}
-	for _, c := range s {
-		d := uint64(c - '0')
-		if c < '0' || c > '9' || n > (math.MaxUint64-d)/10 {
-			return 0, false
-		}
-		n = n*10 + d
-	}
-	return n, true
-}
--- a/internal/sidecar/wire/settings.go
+++ b/internal/sidecar/wire/settings.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"math"
 	"strconv"
 	"strings"
 	"time"
@@ -12,106 +11,22 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Names maps the names that requests carry to indexes into the settings.
+// Names maps the names that requests carry to indexes into balance.Settings.
 type Names struct {
-	Class  map[string]int
-	Tenant map[string]int
+	Class  map[string]int // into Settings.Classes
+	Tenant map[string]int // into Settings.Tenants
 }
 
-// Limits are the settings that concern the host rather than the Balancer.
+// Limits are the settings that concern the host of a Balancer and not the Balancer itself. Zero values were not given.
 type Limits struct {
-	ConnectTimeout time.Duration // a connection not up within it has failed; 0: not given
-	IdleTimeout    time.Duration // servers close idle connections after it; 0: not given
-	MaxPending     int           // requests pending at once; 0: not given
-	MaxRetryAfter  time.Duration // the longest wait that a client honours; 0: not given
+	ConnectTimeout time.Duration // for opening a connection to a server
+	IdleTimeout    time.Duration // after which servers close idle connections
+	MaxPending     int           // requests that may be pending at once
+	MaxRetryAfter  time.Duration // the longest time to stay away that clients honour
 }
 
-// settingsReader is the settings as values by their paths. The first malformed value is kept in fault.
-type settingsReader struct {
-	values map[string]string
-	lists  map[string][]string // lists of plain values, where they come unjoined
-	err    error
-}
-
-func (c *settingsReader) fail(key, want string) {
-	if c.err == nil {
-		c.err = fmt.Errorf("setting %s is %q, want %s", key, c.values[key], want)
-	}
-}
-
-// required fails for a required key that is missing.
-func (c *settingsReader) required(key string) string {
-	v, ok := c.values[key]
-	if !ok && c.err == nil {
-		c.err = fmt.Errorf("setting %s is missing", key)
-	}
-	return v
-}
-
-func (c *settingsReader) float(key string) float64 {
-	v, ok := c.values[key]
-	if !ok || v == "-" {
-		return 0
-	}
-	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(f) || math.Abs(f) > 1e12 {
-		c.fail(key, "a number")
-		return 0
-	}
-	return f
-}
-
-func (c *settingsReader) integer(key string) int {
-	f := c.float(key)
-	if f != math.Trunc(f) || math.Abs(f) > math.MaxInt32 {
-		c.fail(key, "a whole number")
-	}
-	return int(f)
-}
-
-func (c *settingsReader) duration(key string) time.Duration { return seconds(c.float(key)) }
-
-func (c *settingsReader) boolean(key string) bool {
-	switch c.values[key] {
-	case "true", "1":
-		return true
-	case "", "-", "false", "0":
-	default:
-		c.fail(key, "true or false")
-	}
-	return false
-}
-
-func (c *settingsReader) list(key string) []string {
-	if v := c.values[key]; v != "" && v != "-" {
-		return strings.Split(v, ",")
-	}
-	return c.lists[key]
-}
-
-// chooseWord maps a word to its meaning.
-func chooseWord[T any](c *settingsReader, key string, words map[string]T) T {
-	v, ok := words[c.values[key]]
-	if !ok {
-		c.fail(key, "one of the known words")
-	}
-	return v
-}
-
-// maxListed bounds the length of a settings list that a line may claim.
-const maxListed = 4096
-
-func (c *settingsReader) count(key string) int {
-	n := c.integer(key)
-	if n < 0 || n > maxListed {
-		c.fail(key, "a small count")
-		return 0
-	}
-	return n
-}
-
-// settings reads an instance's settings line. Unknown ones are skipped.
-func settings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
+// parseSettings decodes the key=value pairs of an instance's settings. Unknown keys are ignored.
+func parseSettings(seed uint64, pairs [][]byte) (balance.Settings, *Names, error) {
 	reader := &settingsReader{values: make(map[string]string, len(pairs))}
 	for _, p := range pairs {
 		if key, value, ok := strings.Cut(string(p), "="); ok {
@@ -120,11 +35,12 @@
 			return balance.Settings{}, nil, fmt.Errorf("setting %q is no key=value pair", p)
 		}
 	}
-	set, names := reader.settings(seed)
-	return set, names, reader.err
+	settings, names := reader.balancerSettings(seed)
+	return settings, names, reader.err
 }
 
-// SettingsJSON reads the same settings from a nested JSON object, by the same paths and words.
+// SettingsJSON reads the same settings from a JSON object, in which the dots of a key of the text wire are levels of nesting and lists
+// are arrays. Values have the same units and words. Errors name the key.
 func SettingsJSON(seed uint64, object []byte) (balance.Settings, *Names, Limits, error) {
 	reader := &settingsReader{values: map[string]string{}, lists: map[string][]string{}}
 	decoder := json.NewDecoder(bytes.NewReader(object))
@@ -134,91 +50,74 @@
 		return balance.Settings{}, nil, Limits{}, fmt.Errorf("settings: %w", err)
 	}
 	reader.flatten("", tree)
-	set, names := reader.settings(seed)
-	limits := Limits{ConnectTimeout: reader.positiveDuration("limits.connect_timeout_s"), IdleTimeout: reader.positiveDuration("limits.idle_close_s"),
-		MaxPending: reader.integer("limits.most_held"), MaxRetryAfter: reader.positiveDuration("limits.max_retry_after_s")}
-	if limits.MaxPending < 0 {
-		reader.fail("limits.most_held", "a number from 0 up")
-	}
-	return set, names, limits, reader.err
+	settings, names := reader.balancerSettings(seed)
+	limits := reader.hostLimits()
+	return settings, names, limits, reader.err
 }
 
-// positiveDuration is a duration that cannot be negative.
-func (c *settingsReader) positiveDuration(key string) time.Duration {
-	d := c.duration(key)
-	if d < 0 {
-		c.fail(key, "a number from 0 up")
+// hostLimits returns the settings that concern the host.
+func (r *settingsReader) hostLimits() Limits {
+	limits := Limits{
+		ConnectTimeout: r.positiveDuration("limits.connect_timeout_s"),
+		IdleTimeout:    r.positiveDuration("limits.idle_close_s"),
+		MaxPending:     r.integer("limits.most_held"),
+		MaxRetryAfter:  r.positiveDuration("limits.max_retry_after_s"),
 	}
-	return d
-}
-
-// flatten stores a JSON value under its path, as the text wire spells it.
-func (c *settingsReader) flatten(path string, value any) {
-	switch typed := value.(type) {
-	case map[string]any:
-		for key, inner := range typed {
-			c.flatten(strings.TrimPrefix(path+"."+key, "."), inner)
-		}
-	case []any:
-		c.values[path+".count"] = strconv.Itoa(len(typed))
-		for i, inner := range typed {
-			c.flatten(path+"."+strconv.Itoa(i), inner)
-			// Kept apart rather than joined: a name may hold a comma.
-			c.lists[path] = append(c.lists[path], fmt.Sprint(inner))
-		}
-	case nil: // as if absent
-	default:
-		c.values[path] = fmt.Sprint(typed)
+	if limits.MaxPending < 0 {
+		r.fail("limits.most_held", "a number from 0 up")
 	}
+	return limits
 }
 
-// settings reads the Balancer's settings.
-func (c *settingsReader) settings(seed uint64) (balance.Settings, *Names) {
+// balancerSettings returns the Balancer's settings. They are valid only if r.err is nil.
+func (r *settingsReader) balancerSettings(seed uint64) (balance.Settings, *Names) {
 	for _, key := range []string{"peers_total", "ordinal", "request_classes.count", "limits.try_limit", "my_zone"} {
-		c.required(key)
+		r.required(key)
 	}
-	set := balance.Settings{
+	settings := balance.Settings{
 		Seed:                 seed,
-		Index:                c.integer("ordinal"),
-		PeerCount:            c.integer("peers_total"),
-		Zone:                 c.values["my_zone"],
-		Zones:                c.list("areas"),
-		Kinds:                c.list("models"),
-		MaxAttempts:          c.integer("limits.try_limit"),
-		CancelAllowed:        c.boolean("limits.cancelling"),
-		SubscribeToDiscovery: chooseWord(c, "discovery", map[string]bool{"pushed": false, "on_request": true}),
-		DiscoveryDeadline:    c.duration("rules.must_ask_in_s"),
-		WarmUpTime:           c.duration("rules.cold_s"),
-		StartCapacity:        c.float("rules.start_capacity"),
-		OverloadMultiple:     c.float("rules.fall_multiple"),
-		OverloadTime:         c.duration("rules.fall_s"),
-		ZoneCrossingCost:     c.float("charges.cross_zone"),
-	}
-	tier := c.integer("tier")
-	if tiers := c.list("tiers"); tier >= 0 && tier < len(tiers) {
-		set.Service = tiers[tier]
+		Index:                r.integer("ordinal"),
+		PeerCount:            r.integer("peers_total"),
+		Zone:                 r.values["my_zone"],
+		Zones:                r.list("areas"),
+		Kinds:                r.list("models"),
+		MaxAttempts:          r.integer("limits.try_limit"),
+		CancelAllowed:        r.boolean("limits.cancelling"),
+		SubscribeToDiscovery: enumValue(r, "discovery", map[string]bool{"pushed": false, "on_request": true}),
+		DiscoveryDeadline:    r.duration("rules.must_ask_in_s"),
+		WarmUpTime:           r.duration("rules.cold_s"),
+		StartCapacity:        r.float("rules.start_capacity"),
+		OverloadMultiple:     r.float("rules.fall_multiple"),
+		OverloadTime:         r.duration("rules.fall_s"),
+		ZoneCrossingCost:     r.float("charges.cross_zone"),
+	}
+	tier := r.integer("tier")
+	if tiers := r.list("tiers"); tier >= 0 && tier < len(tiers) {
+		settings.Service = tiers[tier]
 	}
 	names := &Names{Class: map[string]int{}, Tenant: map[string]int{}}
-	for i := range c.count("request_classes.count") {
-		class := c.class("request_classes." + strconv.Itoa(i) + ".")
-		set.Classes = append(set.Classes, class)
+	for i := range r.count("request_classes.count") {
+		class := r.class("request_classes." + strconv.Itoa(i) + ".")
+		settings.Classes = append(settings.Classes, class)
 		names.Class[class.Name] = i
 	}
-	for i := range c.count("tenants.count") {
+	for i := range r.count("tenants.count") {
 		path := "tenants." + strconv.Itoa(i) + "."
-		tenant := balance.Tenant{Name: c.required(path + "name"), Allowance: c.float(path + "allowance_per_s")}
-		set.Tenants = append(set.Tenants, tenant)
+		tenant := balance.Tenant{Name: r.required(path + "name"), Allowance: r.float(path + "allowance_per_s")}
+		settings.Tenants = append(settings.Tenants, tenant)
 		names.Tenant[tenant.Name] = i
 	}
-	return set, names
+	return settings, names
 }
 
+// effects are what a second execution of a request may do, by their words.
 var effects = map[string]balance.Effect{
 	"idempotent":   balance.Idempotent,
 	"deduplicated": balance.Deduplicated,
 	"at_most_once": balance.AtMostOnce,
 }
 
+// scopes are the sets of servers that drop each other's duplicates, by their words.
 var scopes = map[string]balance.Scope{
 	"":     balance.ScopeCell,
 	"-":    balance.ScopeCell,
@@ -227,16 +126,16 @@
 	"cell": balance.ScopeCell,
 }
 
-// class reads a class of requests below a path.
-func (c *settingsReader) class(path string) balance.Class {
+// class returns the class of requests whose keys begin with path.
+func (r *settingsReader) class(path string) balance.Class {
 	return balance.Class{
-		Name:          c.required(path + "name"),
-		Effect:        chooseWord(c, path+"effect", effects),
-		Scope:         chooseWord(c, path+"group", scopes),
-		DedupeWindow:  c.duration(path + "window_s"),
-		LatencyTarget: c.duration(path + "aim_s"),
-		Deadline:      c.duration(path + "deadline_s"),
-		Value:         c.float(path + "credit"),
-		LateValue:     c.float(path + "late_value"),
+		Name:          r.required(path + "name"),
+		Effect:        enumValue(r, path+"effect", effects),
+		Scope:         enumValue(r, path+"group", scopes),
+		DedupeWindow:  r.duration(path + "window_s"),
+		LatencyTarget: r.duration(path + "aim_s"),
+		Deadline:      r.duration(path + "deadline_s"),
+		Value:         r.float(path + "credit"),
+		LateValue:     r.float(path + "late_value"),
 	}
 }
