--- a/deploy/docs_test.go
+++ b/deploy/docs_test.go
@@ -22,9 +22,8 @@
 // TestDocsNameTestsThatExist reads the documents: each test that one names is there. A page may not say that a fault is kept away by a
 // test which nobody has written, or which has another name by now.
 func TestDocsNameTestsThatExist(t *testing.T) {
-	const root = ".."
 	known := map[string]bool{}
-	for _, text := range readAll(t, root, "_test.go") {
+	for _, text := range readAll(t, "_test.go") {
 		for _, m := range testFunc.FindAllStringSubmatch(text, -1) {
 			known[m[1]] = true
 		}
@@ -32,7 +31,7 @@
 	if len(known) == 0 {
 		t.Fatal("no tests were found")
 	}
-	for path, text := range readAll(t, root, ".md") {
+	for path, text := range readAll(t, ".md") {
 		for _, name := range testName.FindAllString(text, -1) {
 			if !known[name] {
 				t.Errorf("%s names %s, which is no test", path, name)
@@ -44,15 +43,14 @@
 // TestDocsNameFilesThatExist reads the documents but the history: each Go file, by its last element, and each folder that one names in
 // code quotes is there.
 func TestDocsNameFilesThatExist(t *testing.T) {
-	const root = ".."
 	known := map[string]bool{}
-	for path := range readAll(t, root, ".go") {
+	for path := range readAll(t, ".go") {
 		known[filepath.Base(path)] = true
 	}
 	if len(known) == 0 {
 		t.Fatal("no Go files were found")
 	}
-	for path, text := range readAll(t, root, ".md") {
+	for path, text := range readAll(t, ".md") {
 		if filepath.Base(path) == historyPage {
 			continue
 		}
@@ -69,8 +67,8 @@
 	}
 }
 
-// readAll reads the files below root whose names end so, by path.
-func readAll(t *testing.T, root, suffix string) map[string]string {
+// readAll reads the files of the project whose names end so, by path.
+func readAll(t *testing.T, suffix string) map[string]string {
 	t.Helper()
 	found := map[string]string{}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
