--- a/internal/sidecar/members/delegate.go
+++ b/internal/sidecar/members/delegate.go
@@ -25,7 +25,8 @@
 	return m.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns all stored claims and the states within the TTL, for a push-pull with a peer that may have missed some.
+// LocalState returns all stored claims, and as many of the states within the TTL as fit into maxStateBytes, in random order, for a push-pull with
+// a peer that may have missed some. Exchanges bring it the rest.
 func (m *Members) LocalState(bool) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/sidecar/members/digest.go
+++ b/internal/sidecar/members/digest.go
@@ -128,9 +128,10 @@
 		name := shortName(stored.key, question.salt)
 		theirs, known := question.seqs[name]
 		delete(question.seqs, name)
+		// Sequence numbers are compared as serial numbers (RFC 1982), of 15 bits above the bit that says enough.
 		ahead := int16(seqBits(stored.seq, false) - theirs&^1)
 		switch {
-		case known && theirs&1 == 1:
+		case known && theirs&1 == 1: // the asker wants nothing newer of this origin
 		case s.age(stored, now) > ttl:
 			if known && ahead < 0 {
 				want = append(want, name)
--- a/internal/sidecar/members/exchange.go
+++ b/internal/sidecar/members/exchange.go
@@ -27,9 +27,6 @@
 	maxDeltas             = 16                     // packets of updates in answer to one question
 )
 
-// peerNode is a process of another member: its name in memberlist, and its address.
-type peerNode struct{ name, address string }
-
 // runExchange asks other members and answers their questions, from when the member listens until it ends.
 func (m *Members) runExchange() {
 	defer m.goroutines.Done()
@@ -84,7 +81,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.peers == nil {
-		m.peers = m.peerNodes()
+		m.peers = m.peerAddresses()
 	}
 	if len(m.peers) == 0 {
 		return "", nil, false
@@ -97,15 +94,15 @@
 		}
 		return closed
 	})
-	return m.peers[rand.IntN(len(m.peers))].address, asks, now-m.lastUpdateAt < busyTime
+	return m.peers[rand.IntN(len(m.peers))], asks, now-m.lastUpdateAt < busyTime
 }
 
-// peerNodes returns the processes of the other members that are there. m.mu is held.
-func (m *Members) peerNodes() []peerNode {
-	var peers []peerNode
+// peerAddresses returns the addresses of the processes of other members that are there. m.mu is held.
+func (m *Members) peerAddresses() []string {
+	var peers []string
 	for name, n := range m.nodes {
 		if name != m.ownNode {
-			peers = append(peers, peerNode{name, n.address})
+			peers = append(peers, n.address)
 		}
 	}
 	return peers
--- a/internal/sidecar/members/members.go
+++ b/internal/sidecar/members/members.go
@@ -90,14 +90,16 @@
 	questions  chan question // of peers, which runExchange answers
 	queue      *memberlist.TransmitLimitedQueue
 
-	// mu guards what follows. It is not held while memberlist or queue is called: they call back under their own locks.
-	mu        sync.Mutex
+	// list and transport are set under mu before listening is closed. Whoever has waited for that reads them without it.
 	list      *memberlist.Memberlist
 	transport *transport
-	counts    Counts
+
+	// mu guards what follows. It is not held while memberlist or queue is called: they call back under their own locks.
+	mu     sync.Mutex
+	counts Counts
 
 	nodes     map[string]*node       // processes that are there, by memberlist's name
-	peers     []peerNode             // the nodes of other members; nil: to be taken from nodes
+	peers     []string               // addresses of the nodes of other members; nil: to be taken from nodes
 	members   map[string]int64       // the latest start of each member that is there
 	farewells map[string]farewell    // the last of each member whose index is reserved for a successor
 	lost      map[string]lostProcess // processes that died or fell out of touch, by memberlist's name
--- a/internal/sidecar/members/worker.go
+++ b/internal/sidecar/members/worker.go
@@ -86,8 +86,7 @@
 	if viewDue && m.viewStale || farewellsMayExpire {
 		m.updateView()
 		m.viewStale = false
-		m.states.retain(func(p process) bool { return p.name == m.options.Name || m.members[p.name] == p.start })
-		maps.DeleteFunc(m.budgets, func(name string, _ *byteBudget) bool { return m.members[name] == 0 })
+		m.dropGone()
 	}
 	r.view, r.viewChanged, r.viewStale = m.view, m.notifiedEpoch != m.view.Epoch, m.viewStale
 	m.notifiedEpoch = m.view.Epoch
@@ -96,6 +95,12 @@
 	return r
 }
 
+// dropGone drops what is stored of processes that are not in the view any more. m.mu is held.
+func (m *Members) dropGone() {
+	m.states.retain(func(p process) bool { return p.name == m.options.Name || m.members[p.name] == p.start })
+	maps.DeleteFunc(m.budgets, func(name string, _ *byteBudget) bool { return m.members[name] == 0 })
+}
+
 // takeUpdates returns the pending updates within the TTL, by origin and kind, and clears what is pending. m.mu is held.
 func (m *Members) takeUpdates() []Update {
 	var updates []Update
@@ -115,7 +120,7 @@
 
 // sweep does the periodic work. It drops the payloads of states older than the TTL, whose numbers are kept until their process is gone,
 // and the processes that were lost for lostTTL. It gossips the member's own claim again: a member that missed a claim would otherwise
-// have another epoch until its next push-pull with a peer, which takes a minute in a large fleet.
+// have another epoch until its next push-pull with a peer, which takes 25 s at 300 members (memberlist scales pushPullInterval with their number).
 func (m *Members) sweep() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
