--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -89,15 +89,9 @@
 	}
 }
 
-// separateOperator returns an operator that can make calls while the others do.
-func (p *player) separateOperator() *testcluster.Operator {
-	o := *p.Operator
-	return &o
-}
-
 // readConfig reads the configuration at an interval until ctx ends. The readings are evidence.
 func (p *player) readConfig(ctx context.Context) {
-	reader := p.separateOperator()
+	reader := p.Operator.Clone()
 	for clock.Sleep(ctx, readInterval) {
 		readCtx, cancel := context.WithTimeout(ctx, changeTimeout)
 		_, err := reader.Read(readCtx) // It fails while the control plane is down.
@@ -110,7 +104,7 @@
 
 // setEvacuated starts or ends the evacuation of a zone. It retries until there is a clear answer or ctx ends.
 func (p *player) setEvacuated(ctx context.Context, zone string, start bool) error {
-	operator := p.separateOperator()
+	operator := p.Operator.Clone()
 	for {
 		evacuateCtx, cancel := context.WithTimeout(ctx, changeTimeout)
 		err := operator.Evacuate(evacuateCtx, zone, start)
--- a/internal/lab/testcluster/operator.go
+++ b/internal/lab/testcluster/operator.go
@@ -28,7 +28,7 @@
 // ErrRefused marks a change that the control plane has refused.
 var ErrRefused = errors.New("order refused")
 
-// Operator is the stand-in operator: PROTOCOL.md "The operator's API". It makes one call at a time, apart from Status.
+// Operator is the stand-in operator: PROTOCOL.md "The operator's API". It makes one call at a time, apart from Status and the calls of its clones.
 type Operator struct {
 	ControlAddresses []string // of the control-plane nodes, in the order in which they are called
 	// LoseAnswer reports whether an answer that has come is to be treated as lost; nil: none is.
@@ -40,6 +40,11 @@
 	next     int // index into ControlAddresses of the node to call, modulo their number
 }
 
+// Clone returns an operator that makes calls, and records them, while o makes others. It begins at the first control-plane node.
+func (o *Operator) Clone() *Operator {
+	return &Operator{ControlAddresses: o.ControlAddresses, LoseAnswer: o.LoseAnswer, evidence: o.evidence, now: o.now, http: o.http}
+}
+
 // Replace sends a complete configuration that builds on version base until there is a clear answer or ctx ends. The error is marked with
 // ErrRefused if the answer is a refusal.
 func (o *Operator) Replace(ctx context.Context, c *rules.Config, base int64) error {
--- a/internal/lab/testcluster/operator_test.go
+++ b/internal/lab/testcluster/operator_test.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"slices"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -134,3 +135,34 @@
 		}
 	})
 }
+
+// TestOperatorClone checks, by the race detector, that clones are made and make calls while the operator makes its own: no call moves the node
+// of another operator.
+func TestOperatorClone(t *testing.T) {
+	bubble.Test(t, func(t *testing.T) {
+		start := time.Now()
+		original := &Operator{ControlAddresses: []string{"k1", "k2", "k3"}, evidence: &rules.Evidence{}, now: func() time.Duration { return time.Since(start) },
+			http: &http.Client{Transport: roundTrips(func(r *http.Request) (*http.Response, error) {
+				return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody, Header: http.Header{}, Request: r}, nil
+			})}}
+		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+		defer cancel()
+		var calls sync.WaitGroup
+		calls.Go(func() { _, _ = original.Read(ctx) })
+		for range 20 {
+			clone := original.Clone()
+			if clone.next != 0 {
+				t.Errorf("a clone begins at node %d", clone.next)
+			}
+			calls.Go(func() { _, _ = clone.Read(ctx) })
+			time.Sleep(time.Second)
+		}
+		calls.Wait()
+	})
+}
+
+// roundTrips is a function as http.RoundTripper.
+type roundTrips func(*http.Request) (*http.Response, error)
+
+// RoundTrip implements http.RoundTripper.
+func (f roundTrips) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
