--- a/cmd/gradeusher/system_soak_norace_test.go
+++ b/cmd/gradeusher/system_soak_norace_test.go
@@ -74,7 +74,7 @@
 		for _, b := range r.Broken {
 			t.Errorf("seed %d: %s", r.Seed, b)
 		}
-		if r.Cold == 0 || r.Orders == 0 || r.Reads == 0 || r.Statuses == 0 || r.Served < r.Requests/4 {
+		if r.WarmingServers == 0 || r.AcknowledgedChanges == 0 || r.Reads == 0 || r.Statuses == 0 || r.Served < r.Requests/4 {
 			t.Errorf("seed %d saw too little: %v", r.Seed, r)
 		}
 		for _, rule := range []string{"MIXED", "TWICE", "REFUSED", "CONFIG", "FAILBACK"} {
@@ -93,7 +93,7 @@
 func testSoakDetectsFloods(t *testing.T) {
 	t.Helper()
 	for _, r := range soakSeeds(t, []uint64{4}, func(s *testcluster.Scenario) { s.Config.Services[0].ColdPerSecond = 0 }, drawPlan) {
-		if r.Flooded == 0 || !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "FAILBACK: ") }) {
+		if r.OverloadedServers == 0 || !slices.ContainsFunc(r.Broken, func(b string) bool { return strings.HasPrefix(b, "FAILBACK: ") }) {
 			t.Errorf("no flood was seen: %v %q", r, r.Broken)
 		}
 	}
--- a/cmd/gradeusher/system_soak_wake_norace_test.go
+++ b/cmd/gradeusher/system_soak_wake_norace_test.go
@@ -39,8 +39,8 @@
 	for _, b := range r.Broken {
 		t.Error(b)
 	}
-	if r.Waited < minWaiting || r.Cold == 0 || r.Served < r.Requests/4 {
-		t.Errorf("too little was seen: %d waited at the proxy, %d servers were sent requests while cold, %d of %d requests were served", r.Waited,
-			r.Cold, r.Served, r.Requests)
+	if r.AnsweredAfterPause < minWaiting || r.WarmingServers == 0 || r.Served < r.Requests/4 {
+		t.Errorf("too little was seen: %d waited at the proxy, %d servers were sent requests while cold, %d of %d requests were served", r.AnsweredAfterPause,
+			r.WarmingServers, r.Served, r.Requests)
 	}
 }
--- a/internal/lab/soak/fault_answers.go
+++ b/internal/lab/soak/fault_answers.go
@@ -19,7 +19,7 @@
 
 func claimAcknowledgements(*drawer, Fault) []claim { return []claim{"answers to the operator"} }
 
-// loseAnswers has the servers of a zone run requests without answering them.
+// loseAnswers has the servers of a zone run requests without answering them. It records no fault, as servers record each request themselves.
 func (p *player) loseAnswers(ctx context.Context, fault Fault) error {
 	for _, s := range p.servers(fault.Target) {
 		s.LoseAnswers(fault.LossRate)
--- a/internal/lab/soak/fault_links.go
+++ b/internal/lab/soak/fault_links.go
@@ -66,7 +66,7 @@
 	})
 }
 
-// disturbOtherLinks partitions or slows links to the list or to servers.
+// disturbOtherLinks partitions or slows links to the list or to servers. It records no fault, as no rule excuses what these links lose.
 func (p *player) disturbOtherLinks(ctx context.Context, fault Fault) error {
 	p.injectIntoLinks(ctx, fault)
 	return nil
--- a/internal/lab/soak/inject.go
+++ b/internal/lab/soak/inject.go
@@ -14,7 +14,7 @@
 func (p *player) inject(ctx context.Context, fault Fault) error {
 	spec, ok := specOf(fault.Kind)
 	if !ok {
-		return errors.Newf("unknown trouble %q", fault.Kind)
+		return errors.Newf("unknown kind of fault %q", fault.Kind)
 	}
 	return spec.inject(p, ctx, fault)
 }
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -40,6 +40,9 @@
 	}
 }
 
+// changedRoutes are the routes whose time-outs are changed, in turn.
+var changedRoutes = [...]int{summaryRoute, questionRoute}
+
 // sendChange sends a change by its number: one in routeChangeEvery adds a route or removes it, and the others
 // change the time-out of a route.
 func (p *player) sendChange(ctx context.Context, number int, rng *rand.Rand) error {
@@ -50,7 +53,7 @@
 	if number%routeChangeEvery == 0 {
 		err = p.addOrRemoveRoute(ctx, revision)
 	} else {
-		err = p.changeTimeout(ctx, revision, number%2, rng)
+		err = p.changeRouteTimeout(ctx, revision, changedRoutes[number%len(changedRoutes)], rng)
 	}
 	if err == nil {
 		p.mu.Lock()
@@ -71,8 +74,8 @@
 	return p.AddRoute(ctx, revision, route)
 }
 
-// changeTimeout changes the time-out of a route, by its index, by at most a millisecond.
-func (p *player) changeTimeout(ctx context.Context, revision int64, route int, rng *rand.Rand) error {
+// changeRouteTimeout changes the time-out of a route, by its index, by at most a millisecond.
+func (p *player) changeRouteTimeout(ctx context.Context, revision int64, route int, rng *rand.Rand) error {
 	after := *p.Scenario.Config
 	after.Revision = revision
 	after.Routes = slices.Clone(after.Routes)
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -35,7 +35,7 @@
 	MaxDuration         = 10 * time.Minute
 	MaxConcurrentFaults = 3
 
-	warmUp        = time.Second            // before the first fault
+	initialCalm   = time.Second            // before the first fault
 	calmPeriod    = 2 * time.Second        // after the last one
 	meanGap       = 900 * time.Millisecond // between the starts of faults, before those that do not fit are left out
 	maxDraws      = 40                     // of a fault, for one time at which it is to start
@@ -52,9 +52,9 @@
 	plan := &Plan{Seed: seed, For: last, Delay: d.drawDuration(20*time.Millisecond, 55*time.Millisecond), Jitter: d.drawDuration(0, 5*time.Millisecond)}
 	first := Fault{Kind: RestartZoneDuringEvacuation}
 	d.drawRestartDuringEvacuation(&first)
-	first.Start = warmUp + d.drawDuration(0, min(3*time.Second, d.until-warmUp-first.Length))
+	first.Start = initialCalm + d.drawDuration(0, min(3*time.Second, d.until-initialCalm-first.Length))
 	plan.Faults = append(plan.Faults, first)
-	for at := warmUp; at < d.until; at += time.Duration(d.rng.ExpFloat64() * float64(meanGap)) {
+	for at := initialCalm; at < d.until; at += time.Duration(d.rng.ExpFloat64() * float64(meanGap)) {
 		if fault, ok := d.drawFitting(plan.Faults, at); ok {
 			plan.Faults = append(plan.Faults, fault)
 		}
--- a/internal/lab/soak/plan_test.go
+++ b/internal/lab/soak/plan_test.go
@@ -127,7 +127,7 @@
 		t.Errorf("seed %d: the incident is missing", plan.Seed)
 	}
 	for i, one := range plan.Faults {
-		if one.Start < warmUp || one.end() > plan.For-calmPeriod || one.Length <= 0 || overlapping(plan.Faults, one.Start) > MaxConcurrentFaults {
+		if one.Start < initialCalm || one.end() > plan.For-calmPeriod || one.Length <= 0 || overlapping(plan.Faults, one.Start) > MaxConcurrentFaults {
 			t.Errorf("seed %d: %v", plan.Seed, one)
 		}
 		for _, other := range plan.Faults[i+1:] {
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -11,26 +11,26 @@
 
 // Result is the outcome of a seed.
 type Result struct {
-	Seed          uint64   `json:"seed"`
-	Seconds       float64  `json:"seconds"`
-	DelayMS       float64  `json:"delay_ms"` // between regions, in each direction
-	Faults        int      `json:"troubles"`
-	MaxConcurrent int      `json:"at_once"` // most faults that were under way at one time
-	Requests      int      `json:"requests"`
-	Served        int      `json:"served"`
-	Refused       int      `json:"refused"`
-	Failed        int      `json:"failed"`   // including those without a final answer
-	Orders        int      `json:"orders"`   // changes of the configuration that were acknowledged
-	Reads         int      `json:"reads"`    // of the configuration, that were answered
-	Cold          int      `json:"cold"`     // servers that were sent requests while they warmed up
-	Peak          int      `json:"peak"`     // most requests that one of those got within a second
-	Bound         float64  `json:"bound"`    // of that peak
-	Flooded       int      `json:"flooded"`  // servers whose peak was above its bound
-	Waited        int      `json:"waited"`   // attempts of clients that began while their proxy was paused, and were answered after it continued
-	InTouch       int      `json:"in_touch"` // attempts of clients by which rules with a bound in time are judged
-	Statuses      int      `json:"statuses"` // that were read from processes
-	LateMS        int64    `json:"late_ms"`  // by which the lab itself was late, at most
-	Broken        []string `json:"broken"`   // violations and failures, each with its rule or name first
+	Seed                uint64   `json:"seed"`
+	Seconds             float64  `json:"seconds"`
+	DelayMS             float64  `json:"delay_ms"` // between regions, in each direction
+	Faults              int      `json:"troubles"`
+	MaxConcurrent       int      `json:"at_once"` // most faults that were under way at one time
+	Requests            int      `json:"requests"`
+	Served              int      `json:"served"`
+	Refused             int      `json:"refused"`
+	Failed              int      `json:"failed"`   // including those without a final answer
+	AcknowledgedChanges int      `json:"orders"`   // changes of the configuration that were acknowledged
+	Reads               int      `json:"reads"`    // of the configuration, that were answered
+	WarmingServers      int      `json:"cold"`     // servers that were sent requests while they warmed up
+	Peak                int      `json:"peak"`     // most requests that one of those got within a second
+	Bound               float64  `json:"bound"`    // of that peak
+	OverloadedServers   int      `json:"flooded"`  // servers whose peak was above its bound
+	AnsweredAfterPause  int      `json:"waited"`   // attempts of clients that began while their proxy was paused, and were answered after it continued
+	InContact           int      `json:"in_touch"` // attempts of clients by which rules with a bound in time are judged
+	Statuses            int      `json:"statuses"` // that were read from processes
+	MaxLatenessMS       int64    `json:"late_ms"`  // by which the lab itself was late, at most
+	Broken              []string `json:"broken"`   // violations and failures, each with its rule or name first
 	// Checked is by rule at how many requests, streams, windows or changes it was checked.
 	Checked map[string]int `json:"looked"`
 }
@@ -63,32 +63,32 @@
 	}
 	plan := fmt.Sprintf("%3.0f s  %2d troubles, %d at once  delay %2.0f ms", r.Seconds, r.Faults, r.MaxConcurrent, r.DelayMS)
 	requests := fmt.Sprintf("requests %5d served %5d refused %4d failed %3d", r.Requests, r.Served, r.Refused, r.Failed)
-	changes := fmt.Sprintf("orders %2d reads %2d", r.Orders, r.Reads)
-	warmUps := fmt.Sprintf("cold servers %2d, peak %2d of %.0f", r.Cold, r.Peak, r.Bound)
-	return fmt.Sprintf("seed %-4d %-8s %s  %s  %s  %s  statuses %d  lab late by %d ms", r.Seed, word, plan, requests, changes, warmUps, r.Statuses, r.LateMS)
+	changes := fmt.Sprintf("orders %2d reads %2d", r.AcknowledgedChanges, r.Reads)
+	warmUps := fmt.Sprintf("cold servers %2d, peak %2d of %.0f", r.WarmingServers, r.Peak, r.Bound)
+	return fmt.Sprintf("seed %-4d %-8s %s  %s  %s  %s  statuses %d  lab late by %d ms", r.Seed, word, plan, requests, changes, warmUps, r.Statuses, r.MaxLatenessMS)
 }
 
 // evaluate returns the result: what was seen from outside, and what processes counted.
 func (p *player) evaluate(report *testcluster.Report) *Result {
 	stats := report.Stats
 	r := &Result{
-		Seed:          p.plan.Seed,
-		Seconds:       p.plan.For.Seconds(),
-		DelayMS:       float64(p.plan.Delay) / float64(time.Millisecond),
-		Faults:        len(p.plan.Faults),
-		MaxConcurrent: p.plan.MaxConcurrent(),
-		Requests:      stats.Requests,
-		Served:        stats.Served,
-		Refused:       stats.Refused,
-		Failed:        stats.Failed + stats.Unanswered,
-		Orders:        p.acknowledgedChanges,
-		Reads:         len(p.Evidence.Reads),
-		Waited:        p.Evidence.CountWaiting(),
-		InTouch:       p.Evidence.CountInContact(),
-		Statuses:      p.monitor.polls,
-		LateMS:        p.lateness.milliseconds(),
-		Broken:        p.broken,
-		Checked:       map[string]int{},
+		Seed:                p.plan.Seed,
+		Seconds:             p.plan.For.Seconds(),
+		DelayMS:             float64(p.plan.Delay) / float64(time.Millisecond),
+		Faults:              len(p.plan.Faults),
+		MaxConcurrent:       p.plan.MaxConcurrent(),
+		Requests:            stats.Requests,
+		Served:              stats.Served,
+		Refused:             stats.Refused,
+		Failed:              stats.Failed + stats.Unanswered,
+		AcknowledgedChanges: p.acknowledgedChanges,
+		Reads:               len(p.Evidence.Reads),
+		AnsweredAfterPause:  p.Evidence.CountWaiting(),
+		InContact:           p.Evidence.CountInContact(),
+		Statuses:            p.monitor.polls,
+		MaxLatenessMS:       p.lateness.milliseconds(),
+		Broken:              p.broken,
+		Checked:             map[string]int{},
 	}
 	r.addWarmUpPeaks(p.Evidence.WarmUpPeaks())
 	r.addVerdicts(report.Verdicts)
@@ -99,12 +99,12 @@
 
 func (r *Result) addWarmUpPeaks(peaks []rules.WarmUpPeak) {
 	for _, peak := range peaks {
-		r.Cold++
+		r.WarmingServers++
 		if peak.Requests > r.Peak {
 			r.Peak, r.Bound = peak.Requests, peak.Limit
 		}
 		if float64(peak.Requests) > peak.Limit {
-			r.Flooded++
+			r.OverloadedServers++
 		}
 	}
 }
--- a/internal/lab/soak/result_test.go
+++ b/internal/lab/soak/result_test.go
@@ -61,7 +61,7 @@
 		p.Evidence.RecordArrival(&rules.Arrival{At: rules.Time(i + 1), Server: "i-1", WarmingUp: true, WarmUpLimit: 20, ExecutedAt: rules.Never})
 	}
 	p.Evidence.RecordArrival(&rules.Arrival{At: 1, Server: "i-2", WarmingUp: true, WarmUpLimit: 20, ExecutedAt: rules.Never})
-	if r := p.evaluate(&testcluster.Report{}); r.Cold != 2 || r.Flooded != 1 || r.Peak != flood || r.Bound != float64(flood-1) {
+	if r := p.evaluate(&testcluster.Report{}); r.WarmingServers != 2 || r.OverloadedServers != 1 || r.Peak != flood || r.Bound != float64(flood-1) {
 		t.Errorf("%+v", r)
 	}
 	if text := (floodReport{p.Evidence}).String(); strings.Count(text, "i-1 got ") != flood || strings.Contains(text, "i-2") {
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -26,6 +26,9 @@
 	Announce            func(string)          // is called for each fault as it begins; may be nil
 }
 
+// failureFile is the file in which a run that has not passed leaves its plan, what is broken and the details.
+const failureFile = "story.txt"
+
 const (
 	changeTimeout    = 5 * time.Second // for one change or reading of the operator
 	configInterval   = time.Second     // between changes of the configuration
@@ -73,7 +76,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, errors.Wrapf(err, "seed %d was broken off, and is not judged", options.Plan.Seed)
 	}
-	return result, result.saveFailure(options.Folder, options.Plan, floodReport{run.Evidence})
+	return result, result.saveIfFailed(options.Folder, options.Plan, floodReport{run.Evidence})
 }
 
 func newPlayer(run *testcluster.Run, options Options) *player {
@@ -125,7 +128,7 @@
 	p.broken = append(p.broken, kind.line(strings.ReplaceAll(text, "\n", "; ")))
 }
 
-// checkRecovery ends the evacuations that are pending, and checks that requests are served and that the control plane recovers.
+// checkRecovery checks that requests are served, ends the evacuations that are pending, and checks that the control plane recovers.
 func (p *player) checkRecovery(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -155,8 +158,8 @@
 	return all
 }
 
-// saveFailure writes the plan, what is broken and further details into the folder of a run that has not passed.
-func (r *Result) saveFailure(folder string, plan *Plan, details fmt.Stringer) error {
+// saveIfFailed writes the plan, what is broken and further details into the folder of a run that has not passed.
+func (r *Result) saveIfFailed(folder string, plan *Plan, details fmt.Stringer) error {
 	if r.Passed() {
 		return nil
 	}
@@ -165,5 +168,5 @@
 		fmt.Fprintln(&text, fault)
 	}
 	text.WriteString(strings.Join(r.Broken, "\n") + "\n" + details.String())
-	return os.WriteFile(filepath.Join(folder, "story.txt"), []byte(text.String()), 0o600)
+	return os.WriteFile(filepath.Join(folder, failureFile), []byte(text.String()), 0o600)
 }
