--- a/internal/lab/ctl/lines.go
+++ b/internal/lab/ctl/lines.go
@@ -55,7 +55,7 @@
 	return &Records{file: file}, nil
 }
 
-// Add writes one record. Close returns the error where that fails.
+// Add writes one record. Close returns the error of the first one that fails.
 func (r *Records) Add(value any) {
 	line, err := Marshal(value)
 	r.mu.Lock()
@@ -63,10 +63,12 @@
 	if err == nil {
 		_, err = r.file.Write(line)
 	}
-	r.err = errors.Join(r.err, err)
+	if r.err == nil {
+		r.err = err
+	}
 }
 
-// Close closes the file. It returns all errors of Add as well.
+// Close closes the file. It returns the first error of Add as well.
 func (r *Records) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/plan/parse.go
+++ b/internal/lab/plan/parse.go
@@ -69,7 +69,8 @@
 	return &file, nil
 }
 
-// lineOf is the line of a key in the index-th table of its path, or in any where index is negative; 0: it is not in the file.
+// lineOf is the line of a key in the index-th table of its path, or in any where index is negative. Where the table has no such key, it is the line of
+// the table's header; 0: there is no such table.
 func (f *File) lineOf(path []string, index int, key string) int {
 	table, seen, here := strings.Join(path, "."), -1, len(path) == 0
 	header := 0
--- a/internal/lab/standin/relayrecords.go
+++ b/internal/lab/standin/relayrecords.go
@@ -60,7 +60,7 @@
 const observedBufferBytes = 64 << 10
 
 // forwardObserved copies what a node writes, and hands each line of a response to observe with the time at which it had reached the
-// near end, in ns of the lab's clock.
+// near end, in ns of the lab's clock. A line may be observed with the time of the read after its own, as it is parsed meanwhile.
 func forwardObserved(near *link.Conn, far net.Conn, observe func(line []byte, at int64)) {
 	var arrivedAt atomic.Int64
 	copies, feed := io.Pipe()
--- a/internal/lab/testcluster/server_faults.go
+++ b/internal/lab/testcluster/server_faults.go
@@ -40,10 +40,3 @@
 	defer s.mu.Unlock()
 	s.answerLossRate = rate
 }
-
-// Reconfigure replaces the spec. The next incarnation is of the new kind; the address stays.
-func (s *Server) Reconfigure(spec ServerSpec) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.ServerSpec = spec
-}
--- a/internal/lab/testcluster/server_state.go
+++ b/internal/lab/testcluster/server_state.go
@@ -58,8 +58,8 @@
 
 	Stage    string        `json:"stage"`
 	Models   []listedModel `json:"models"`
-	Busy     bool          `json:"saturated"`
-	Orders   int           `json:"call_seq"`
+	Busy     bool          `json:"saturated"` // always false: stand-ins do not saturate
+	Orders   int           `json:"call_seq"`  // always 0: stand-ins take no orders
 	Queued   int           `json:"queued"`
 	Active   int           `json:"active"`
 	Used     int64         `json:"cache_used"`     // tokens
--- a/internal/lab/testcluster/server_test.go
+++ b/internal/lab/testcluster/server_test.go
@@ -260,7 +260,7 @@
 	}
 	spec := server.ServerSpec
 	spec.Service = "other"
-	server.Reconfigure(spec)
+	server.reconfigure(spec)
 	if err := server.Start(true); err != nil {
 		t.Fatal(err)
 	}
@@ -315,3 +315,10 @@
 		}
 	}
 }
+
+// reconfigure replaces the spec. The next incarnation is of the new kind; the address stays.
+func (s *Server) reconfigure(spec ServerSpec) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ServerSpec = spec
+}
--- a/internal/lab/truncate.go
+++ b/internal/lab/truncate.go
@@ -21,8 +21,11 @@
 		pattern = filepath.Join(folder, "snapshots", "*", snapshotFile)
 	}
 	paths, err := filepath.Glob(pattern)
-	if err != nil || len(paths) == 0 {
-		return fmt.Errorf("nothing to tear at %s: %w", pattern, err)
+	if err != nil {
+		return fmt.Errorf("truncate %s: %w", pattern, err)
+	}
+	if len(paths) == 0 {
+		return fmt.Errorf("nothing to truncate at %s", pattern)
 	}
 	slices.SortFunc(paths, func(a, b string) int { return cmp.Compare(modifiedAt(a), modifiedAt(b)) })
 	path := paths[len(paths)-1]
