--- a/internal/system/admin/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -7,7 +7,6 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
-	"sync"
 	"testing"
 	"time"
 
@@ -21,36 +20,13 @@
 	"gradeusher.example/gradeusher/internal/system/replication"
 	"gradeusher.example/gradeusher/internal/system/wal"
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
+	"gradeusher.example/gradeusher/internal/testsupport/memorynet"
 )
 
-// memoryNetwork takes requests straight to the handlers of the machine that they are for.
-type memoryNetwork struct {
-	mu    sync.Mutex
-	hosts map[string]http.Handler
-}
-
-func (n *memoryNetwork) set(host string, h http.Handler) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.hosts[host] = h
-}
-
-func (n *memoryNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
-	n.mu.Lock()
-	h := n.hosts[r.URL.Hostname()]
-	n.mu.Unlock()
-	if h == nil {
-		return nil, errors.New("connection refused")
-	}
-	w := httptest.NewRecorder()
-	h.ServeHTTP(w, r)
-	return w.Result(), nil
-}
-
 // testSystem is three nodes that talk in memory and write to real folders.
 type testSystem struct {
 	t       *testing.T
-	network *memoryNetwork
+	network *memorynet.Network
 	dirs    map[string]string
 	nodes   map[string]*replication.Node
 	apis    map[string]http.Handler
@@ -59,7 +35,7 @@
 var machines = []string{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 
 func newSystem(t *testing.T, root string) *testSystem {
-	s := &testSystem{t: t, network: &memoryNetwork{hosts: map[string]http.Handler{}}, dirs: map[string]string{},
+	s := &testSystem{t: t, network: &memorynet.Network{}, dirs: map[string]string{},
 		nodes: map[string]*replication.Node{}, apis: map[string]http.Handler{}}
 	for _, m := range machines {
 		s.dirs[m] = filepath.Join(root, m)
@@ -89,7 +65,7 @@
 		s.t.Fatal(err)
 	}
 	s.nodes[addr] = node
-	s.network.set(addr, node.Handler())
+	s.network.Set(addr, node.Handler())
 	mux := http.NewServeMux()
 	mux.Handle("/", operatorapi.Handler(operatorapi.Options{Chain: submitter{node}, Log: discardLog}))
 	mux.Handle("/backup", admin.BackupHandler(node.Read))
@@ -98,7 +74,7 @@
 
 func (s *testSystem) stop() {
 	for addr, node := range s.nodes {
-		s.network.set(addr, nil)
+		s.network.Set(addr, nil)
 		node.Stop()
 	}
 }
--- a/internal/system/admin/status_test.go
+++ b/internal/system/admin/status_test.go
@@ -15,21 +15,9 @@
 
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
+	"gradeusher.example/gradeusher/internal/testsupport/memorynet"
 )
 
-// network takes requests straight to the handlers of the machine that they are for.
-type network struct{ hosts map[string]http.Handler }
-
-func (n *network) RoundTrip(r *http.Request) (*http.Response, error) {
-	h := n.hosts[r.URL.Hostname()]
-	if h == nil {
-		return nil, errors.New("connection refused")
-	}
-	w := httptest.NewRecorder()
-	h.ServeHTTP(w, r)
-	return w.Result(), nil
-}
-
 // nodeHandler answers like a node.
 func nodeHandler(s NodeStatus) http.Handler {
 	return allowOnlyReads(func(w http.ResponseWriter, _ *http.Request) {
@@ -54,10 +42,10 @@
 	}
 }
 
-func networkOf(all map[string]NodeStatus) *network {
-	n := &network{hosts: map[string]http.Handler{}}
+func networkOf(all map[string]NodeStatus) *memorynet.Network {
+	n := &memorynet.Network{}
 	for host, s := range all {
-		n.hosts[host] = nodeHandler(s)
+		n.Set(host, nodeHandler(s))
 	}
 	return n
 }
@@ -127,14 +115,14 @@
 }
 
 func TestMalformedStatus(t *testing.T) {
-	n := &network{hosts: map[string]http.Handler{
+	n := memorynet.New(map[string]http.Handler{
 		"text":  http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }),
 		"503":   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "later", http.StatusServiceUnavailable) }),
 		"newer": nodeHandler(NodeStatus{Version: Version + 1}),
 		"long": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write(make([]byte, maxStatusBytes+1))
 		}),
-	}}
+	})
 	c := Client{Transport: n}
 	for address, want := range map[string]string{"text:1": "no status", "503:1": "later", "newer:1": "newer gradeusher", "long:1": "longer than",
 		"none:1": "does not answer", "10.0.0.1": "give IP:PORT"} {
@@ -202,10 +190,10 @@
 	bubble.Test(t, func(t *testing.T) {
 		var acknowledged, number atomic.Uint64
 		number.Store(5)
-		n := &network{hosts: map[string]http.Handler{"10.0.0.1": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		n := memorynet.New(map[string]http.Handler{"10.0.0.1": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			nodeHandler(NodeStatus{Node: "one", Current: true, Number: number.Load(), Revision: 7,
 				Proxies: []ProxyProgress{{Node: "a", Acknowledged: acknowledged.Load()}}}).ServeHTTP(w, r)
-		})}}
+		})})
 		client := Client{Transport: n}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
@@ -268,13 +256,13 @@
 
 func TestBackupNeedsALinearizableRead(t *testing.T) {
 	h := BackupHandler(func(context.Context) (*controlstate.State, error) { return nil, errors.New("no majority") })
-	c := Client{Transport: &network{hosts: map[string]http.Handler{"k": h}}}
+	c := Client{Transport: memorynet.New(map[string]http.Handler{"k": h})}
 	if _, err := c.Backup(context.Background(), "k:1"); !errors.Is(err, ErrUnreachable) || !strings.Contains(err.Error(), "503") {
 		t.Error(err)
 	}
-	c.Transport = &network{hosts: map[string]http.Handler{"k": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	c.Transport = memorynet.New(map[string]http.Handler{"k": http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("half"))
-	})}}
+	})})
 	if _, err := c.Backup(context.Background(), "k:1"); !errors.Is(err, ErrFormat) {
 		t.Error(err)
 	}
@@ -283,7 +271,7 @@
 // TestClientFollowsNoRedirect has the asked address name another: its answer is not taken for that of the address asked.
 func TestClientFollowsNoRedirect(t *testing.T) {
 	all := networkOf(fleetOf())
-	all.hosts["10.0.0.9"] = http.RedirectHandler("http://10.0.0.1:1"+statusPath, http.StatusTemporaryRedirect)
+	all.Set("10.0.0.9", http.RedirectHandler("http://10.0.0.1:1"+statusPath, http.StatusTemporaryRedirect))
 	c := Client{Transport: all}
 	if s, err := c.NodeStatus(context.Background(), "10.0.0.9:1"); !errors.Is(err, ErrUnreachable) || s.Node != "" {
 		t.Errorf("node %q, error %v", s.Node, err)
--- a/internal/system/replication/client_calls_abandon_test.go
+++ b/internal/system/replication/client_calls_abandon_test.go
@@ -28,7 +28,7 @@
 		}
 		k := nodes[at]
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		group.net.set(head.Addr, nil)
+		group.net.Set(head.Addr, nil)
 		go func() {
 			time.Sleep(100 * time.Millisecond)
 			cancel()
--- a/internal/system/replication/node_observer_test.go
+++ b/internal/system/replication/node_observer_test.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		group.net.set(opt.Addr, observer.Handler())
+		group.net.Set(opt.Addr, observer.Handler())
 		time.Sleep(3 * time.Second) // of the bubble's clock
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -3,9 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"net/http"
-	"net/http/httptest"
 	"sync"
 	"testing"
 	"time"
@@ -17,6 +14,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 	"gradeusher.example/gradeusher/internal/system/wal"
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
+	"gradeusher.example/gradeusher/internal/testsupport/memorynet"
 )
 
 // memDisk is a wal.Disk in memory.
@@ -55,45 +53,16 @@
 	return d.do(DiskOp{Kind: DiskSaveMeta, Name: name, Data: data})
 }
 
-// net is a network in memory: requests go straight to the handlers.
-type memNetwork struct {
-	mu    sync.Mutex
-	hosts map[string]http.Handler
-}
-
-func (n *memNetwork) set(addr string, h http.Handler) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.hosts[addr] = h
-}
-
-func (n *memNetwork) RoundTrip(r *http.Request) (*http.Response, error) {
-	n.mu.Lock()
-	h := n.hosts[r.URL.Hostname()]
-	n.mu.Unlock()
-	if h == nil {
-		return nil, errors.New("connection refused")
-	}
-	time.Sleep(time.Millisecond) // of the bubble's clock
-	w := httptest.NewRecorder()
-	h.ServeHTTP(w, r)
-	resp := w.Result()
-	if r.Body != nil {
-		_, _ = io.Copy(io.Discard, r.Body)
-	}
-	return resp, nil
-}
-
 type fleet struct {
 	t     *testing.T
-	net   *memNetwork
+	net   *memorynet.Network
 	disks map[string]*memDisk
 	seeds []string
 }
 
 // newFleet is three nodes that have yet to be started.
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, net: &memNetwork{hosts: map[string]http.Handler{}}, disks: map[string]*memDisk{}}
+	f := &fleet{t: t, net: &memorynet.Network{Delay: time.Millisecond}, disks: map[string]*memDisk{}}
 	for i := range 3 {
 		f.seeds = append(f.seeds, fmt.Sprintf("10.0.0.%d", i+1))
 	}
@@ -112,12 +81,12 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.net.set(addr, k.Handler())
+	f.net.Set(addr, k.Handler())
 	return k
 }
 
 func (f *fleet) stop(addr string, k *Node) {
-	f.net.set(addr, nil)
+	f.net.Set(addr, nil)
 	k.Stop()
 }
 
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.net.set(addr, node.Handler())
+	f.net.Set(addr, node.Handler())
 	return node
 }
 
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.net.set(addr, k.Handler())
+	f.net.Set(addr, k.Handler())
 	f.nodes[addr] = k
 }
 
