--- a/internal/lab/testcluster/engine/engine.go
+++ b/internal/lab/testcluster/engine/engine.go
@@ -233,8 +233,11 @@
 	return true
 }
 
-// release frees the memory of a job.
+// release frees the memory of a job, and takes it out of the step under way: when it is admitted again, it lacks other tokens than those that
+// the step was planned for.
 func (e *Engine) release(j *job) {
+	delete(e.prefilling, j)
+	e.decoding = slices.DeleteFunc(e.decoding, func(d *job) bool { return d == j })
 	e.cache.unpin(j.pinned)
 	e.ownTokens -= j.ownTokens
 	j.pinned, j.ownTokens, j.running = nil, 0, false
--- a/internal/lab/testcluster/engine/engine_test.go
+++ b/internal/lab/testcluster/engine/engine_test.go
@@ -240,3 +240,20 @@
 		h.Fatalf("own %d counted as %d, kept %d as %d, idle %d as %d", own, engine.ownTokens, held, engine.cache.cachedTokens, idle, engine.cache.idleTokens)
 	}
 }
+
+// TestReadmittedJobIsNotInTheStep: a job that is preempted and admitted again while a step is under way has no part in that step, which was planned
+// for what it lacked before. Otherwise its prompt counts as prefilled too early, or by more than it lacks, and the job never ends.
+func TestReadmittedJobIsNotInTheStep(t *testing.T) {
+	const preempted, urgent = 1, 2
+	engine := New(Spec{Slots: 1, Queue: 1, MemoryTokens: 100, Stride: 1, Step: time.Millisecond, PrefillRate: 10, Chunk: 60}, 0)
+	engine.Submit(0, Request{Key: preempted, AnswerTokens: 1, Priority: 1, Parts: []PromptPart{{ID: 1, Tokens: 50}}})
+	stepEnds, _ := engine.Next()
+	engine.Submit(time.Millisecond, Request{Key: urgent, AnswerTokens: 1, Parts: []PromptPart{{ID: 2, Tokens: 50}}})
+	engine.Cancel(2*time.Millisecond, urgent)
+	if outputs := engine.Advance(stepEnds); len(outputs) > 0 || engine.Figures().Prefilled != 0 {
+		t.Errorf("at the end of the step in which it was preempted: %+v, %d tokens prefilled", outputs, engine.Figures().Prefilled)
+	}
+	if got := runUntil(engine, time.Second); !strings.Contains(got, "1 done") {
+		t.Errorf("it does not end: %q", got)
+	}
+}
