--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestCommitLog: what was certainly committed at a moment, by marks that come from time to time.
+// TestCommitLog checks which record was certainly committed at a moment, with marks that arrive at intervals.
 func TestCommitLog(t *testing.T) {
 	var commits commitLog
 	begin := time.Now()
@@ -36,7 +36,8 @@
 	}
 }
 
-// TestReadingReportsCoveredRecord: a node's reading covers the records that it knew lag before it asked, and proxies learn which.
+// TestReadingReportsCoveredRecord: a node's reading covers the records that it knew at least lag before the request, and proxies learn
+// which.
 func TestReadingReportsCoveredRecord(t *testing.T) {
 	const lag = 800 * time.Millisecond
 	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"k"}}, Self: "k", Log: discardLogger(), ListLag: lag})
@@ -63,8 +64,8 @@
 	}
 }
 
-// TestRefreshNotifiesOfNextContact: the owner is notified of a current node's reply to a call from after Refresh, also if it has
-// nothing new, and of none before.
+// TestRefreshNotifiesOfNextContact: the owner is notified of a current node's reply to a call made after Refresh, even if it has nothing
+// new, and of no reply to an earlier call.
 func TestRefreshNotifiesOfNextContact(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
 	wasNotified := func() bool {
@@ -79,7 +80,7 @@
 		subscriber.handleReply(asked, time.Now(), &distributionpb.FollowRequest{}, &distributionpb.FollowReply{Current: current, Soft: &distributionpb.Cursor{}})
 	}
 	reply(time.Now(), true)
-	wasNotified() // what is stored may be served from now on
+	wasNotified() // the state may be served from now on
 	reply(time.Now(), true)
 	if wasNotified() {
 		t.Error("notified of a reply that brings nothing new and is not awaited")
--- a/internal/system/distribution/compression_test.go
+++ b/internal/system/distribution/compression_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
-// TestCompression: 1,800 routes that are much alike go out in under a tenth of their bytes, compressed once for all subscribers.
-// Danger: on links of 10 Mbit/s a large configuration reached proxies over 3 s after it was acknowledged.
+// TestCompression: 1,800 similar routes are sent in less than a tenth of their bytes, and are compressed once for all subscribers.
+// Without compression, a large configuration reached proxies over links of 10 Mbit/s more than 3 s after it was acknowledged.
 func TestCompression(t *testing.T) {
 	var body bytes.Buffer
 	for i := range 1800 {
@@ -41,7 +41,7 @@
 	for i := range uint64(2 * cachedRecords) {
 		size := 5 << 10
 		if i%4 == 0 {
-			size = len(random) // such bodies reach the bound of bytes first
+			size = len(random) // such bodies reach the limit of bytes first
 		}
 		cache.encode(controlstate.Record{Seq: 10 + i, Body: random[:size]})
 	}
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// zoneChangeRecord is the n-th of small changes that each fit the state before.
+// zoneChangeRecord returns the n-th of a sequence of small changes, each of which applies to the state after the former one.
 func zoneChangeRecord(n int) controlstate.Record {
 	if n%2 == 0 {
 		return controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"}
@@ -18,9 +18,9 @@
 	return controlstate.Record{Op: controlstate.OpReadmit, Zone: "z"}
 }
 
-// runAbsence starts a proxy on a configuration of some bytes, isolates it while n changes are acknowledged, brings the one
-// node that is current back without its older records, and goes on with 20 changes a second. It returns how long after
-// the end of the partition the proxy was up to date, and the bytes that were transmitted until then.
+// runAbsence starts a proxy on a configuration of size bytes and isolates it while the given number of changes are acknowledged. Then it
+// brings the only current node back without its older records, and continues with 20 changes per second. It returns how long after the
+// end of the partition the proxy was up to date, and the bytes that were transmitted until then.
 func runAbsence(t *testing.T, changes, size int, lose bool) (took time.Duration, bytes int64) {
 	t.Helper()
 	fleet := newFleet("k1:1", "k2:1", "k3:1")
@@ -36,7 +36,7 @@
 	fleet.sources["k2:1"].setStale(true)
 	fleet.killServer("k1:1")
 	fleet.chain.mu.Lock()
-	fleet.chain.compactedTo = uint64(len(fleet.chain.records)) // it came back by a snapshot
+	fleet.chain.compactedTo = uint64(len(fleet.chain.records)) // the node came back by a snapshot
 	fleet.chain.mu.Unlock()
 	fleet.startServer("k1:1")
 	fleet.sources["k3:1"].setStale(!lose)
@@ -67,9 +67,9 @@
 	return time.Since(start), fleet.mesh.bytes
 }
 
-// TestProxyAwayForHundredsOfChanges: a proxy that was away for 400 and for 2,000 changes comes up to date within 3 s through a
-// node that has just come back and knows no older records, while changes go on at 20 a second, by one snapshot; also
-// where the node that serves it is lost midway.
+// TestProxyAwayForHundredsOfChanges: a proxy that was isolated for 400 and for 2,000 changes catches up within 3 s by one snapshot, from
+// a node that has just restarted and has no older records, while 20 changes per second continue. This also holds if the node that serves
+// the proxy is lost midway.
 func TestProxyAwayForHundredsOfChanges(t *testing.T) {
 	for _, n := range []int{400, 2000} {
 		for _, size := range []int{1 << 10, 600 << 10} {
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestWholeFleetStartsAtOnce: 410 proxies that start at one node are all served within 5 s, and its state is encoded and
+// TestWholeFleetStartsAtOnce: 410 proxies that start at one node at the same time are all served within 5 s, and the state is encoded and
 // compressed once for all of them.
 func TestWholeFleetStartsAtOnce(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// eventually fails the test unless ok comes true before d is over.
+// eventually fails the test unless ok returns true within d.
 func eventually(t *testing.T, d time.Duration, what string, ok func() bool) {
 	t.Helper()
 	start := time.Now()
@@ -196,7 +196,7 @@
 			}
 			return true
 		})
-		// Without any that is current the soft state still flows.
+		// Even if no node is current, soft state is still distributed.
 		fleet.sources["k3:1"].setStale(true)
 		fleet.chain.add(noOpRecord())
 		time.Sleep(4 * time.Second)
@@ -234,7 +234,7 @@
 				t.Fatal("a server was forgotten")
 			}
 		}
-		// The poller counts from the start again; s is gone.
+		// The poller restarts its versions; s is gone.
 		putList(t, fleet.servers["k1:1"], 1, 1, list[1:], softstate.Age{})
 		eventually(t, 5*time.Second, "one server", func() bool { return len(proxy.update().Servers) == 1 })
 	})
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -25,7 +25,7 @@
 		fleet.chain.add(noOpRecord())
 		putList(t, fleet.servers["k1:1"], 1, 1, []pick.Server{{ID: "s1", Service: "a", WarmUpMax: 3 * time.Second}}, softstate.Age{})
 		time.Sleep(200 * time.Millisecond)
-		fleet.mesh.host("k2:1", nil) // a dead seed does not hold it up
+		fleet.mesh.host("k2:1", nil) // a dead seed must not delay the start
 		proxy := fleet.startProxy("p1", nil)
 		time.Sleep(400 * time.Millisecond)
 		update := proxy.update()
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -22,10 +22,10 @@
 	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
-// goldenFile has a line for each scenario: its name, seed, number of steps and digest.
+// goldenFile has one line per scenario: its name, seed, number of steps and digest.
 const goldenFile = "testdata/golden_trace.txt"
 
-// transferred takes in a message as it goes out, and returns the message that arrives.
+// transferred adds an outgoing message to the digest, and returns the message as it is received.
 func transferred[M proto.Message](tr *golden.Digest, tag byte, m, into M) M {
 	b := softstate.Marshal(m)
 	tr.Step(tag)
@@ -36,15 +36,15 @@
 	return into
 }
 
-// exchange is servers and subscribers whose calls the test makes itself, one after the other and in the order of the seed: with the
-// goroutines of Run, the order within one moment of the bubble's clock is the scheduler's.
+// exchange is a set of servers and subscribers whose calls are made by the test itself, one after another and in an order drawn from the
+// seed. With the goroutines of Run, the order of events at one moment of the bubble's clock would depend on the scheduler.
 type exchange struct {
 	tr          *golden.Digest
 	rng         *rand.Rand
 	chain       *fakeChain
 	sources     []*fakeSource
 	servers     []*Server
-	bootIDs     []uint64 // of servers, as the test gave them
+	bootIDs     []uint64 // of the servers, as set by the test
 	progress    map[[2]int]*syncProgress
 	subscribers []*Subscriber
 	loads       []map[string]pick.Load
@@ -52,7 +52,7 @@
 	lists       uint64
 }
 
-// pendingReply is a reply that is in transit.
+// pendingReply is a reply in transit.
 type pendingReply struct {
 	subscriber int
 	sentAt     time.Time
@@ -83,7 +83,7 @@
 	return created
 }
 
-// startSubscriber starts a process again in the place of a subscriber.
+// startSubscriber replaces a subscriber by a restarted process.
 func (x *exchange) startSubscriber(i int) {
 	node := fmt.Sprint("p", i)
 	subscriber := NewSubscriber(SubscriberOptions{Seeds: exchangeNodes, ControlPlanePort: 1, ProxyPort: 2, Log: discardLogger(),
@@ -92,8 +92,8 @@
 	x.subscribers[i], x.loads[i] = subscriber, map[string]pick.Load{}
 }
 
-// assignIndexes draws a vector's boot from the seed and has it number the servers in their order: of several that come at once the
-// order is the map's.
+// assignIndexes draws a vector's boot id from the seed and makes the vector assign the servers' indexes in order. Servers that are added
+// together would otherwise get their indexes in the random order of a map.
 func (x *exchange) assignIndexes(v *loadreport.Vector) {
 	v.BootID = x.rng.Uint64() | 1
 	all := map[string]pick.Load{}
@@ -103,7 +103,7 @@
 	}
 }
 
-// redrawBootID gives a server a boot of the seed where it has drawn one itself.
+// redrawBootID replaces a boot id that a server has drawn itself by one drawn from the seed.
 func (x *exchange) redrawBootID(i int) {
 	if server := x.servers[i]; server.bootID != x.bootIDs[i] {
 		server.bootID = x.rng.Uint64() | 1
@@ -152,7 +152,7 @@
 	x.replies = append(x.replies, pendingReply{which, asked, req, transferred(x.tr, 'A', reply, &distributionpb.FollowReply{})})
 }
 
-// deliver has one of the replies in transit arrive, or loses it.
+// deliver delivers or loses one of the replies in transit.
 func (x *exchange) deliver() {
 	if len(x.replies) == 0 {
 		return
@@ -171,7 +171,7 @@
 	x.traceUpdate(subscriber)
 }
 
-// traceUpdate takes in what a subscriber has.
+// traceUpdate adds a subscriber's update to the digest.
 func (x *exchange) traceUpdate(subscriber *Subscriber) {
 	update := subscriber.Current()
 	x.tr.Ints(int64(update.State.Seq), int64(update.ListAge), int64(update.ListCoversSeq), int64(update.ContactAge), int64(update.DownCount))
@@ -191,7 +191,7 @@
 	}
 }
 
-// synchronise has a server synchronise with another.
+// synchronise makes one server synchronise with another.
 func (x *exchange) synchronise(from, to int) {
 	if from == to {
 		return
@@ -200,7 +200,7 @@
 	if x.progress[way] == nil {
 		x.progress[way] = &syncProgress{}
 	}
-	for range 2 { // once more where the first stated nothing but the clock
+	for range 2 { // the first call may only return the clock, so it is repeated
 		req, number := x.servers[from].buildShareRequest(x.progress[way])
 		req.Call = x.servers[from].callIDs.Next()
 		got := transferred(x.tr, 'S', req, &distributionpb.ShareRequest{})
@@ -219,7 +219,7 @@
 	}
 }
 
-// readList reads the platform's readList: some servers, some of them cold, draining or withdrawn.
+// readList makes a server read the platform's list: some servers, some of them cold, draining or withdrawn.
 func (x *exchange) readList() {
 	x.lists++
 	var servers []pick.Server
@@ -243,7 +243,7 @@
 	x.tr.Bools(err != nil)
 }
 
-// changeLoad changes what a subscriber has outstanding.
+// changeLoad changes a subscriber's outstanding load.
 func (x *exchange) changeLoad(i int) {
 	x.loads[i] = maps.Clone(x.loads[i])
 	id := exchangeServers[x.rng.IntN(len(exchangeServers))]
@@ -254,7 +254,7 @@
 	x.loads[i][id] = pick.Load{Requests: x.rng.IntN(20), Prefill: int64(x.rng.IntN(9000)), Tokens: int64(x.rng.IntN(30_000))}
 }
 
-// rareEvent is one that is rare.
+// rareEvent triggers one of the less frequent events.
 func (x *exchange) rareEvent() {
 	subscriber := x.subscribers[x.rng.IntN(len(x.subscribers))]
 	zone := []string{"za", "zb"}[x.rng.IntN(2)]
@@ -282,7 +282,7 @@
 	}
 }
 
-// writeHint writes or deletes a writeHint at a server.
+// writeHint writes or deletes a hint at a server.
 func (x *exchange) writeHint() {
 	server := x.servers[x.rng.IntN(len(x.servers))]
 	key, version := softstate.HintPrefix+fmt.Sprint(x.rng.IntN(3)), uint64(x.rng.IntN(50))
@@ -296,7 +296,7 @@
 	x.tr.Bools(err != nil)
 }
 
-// traceTables takes in what the servers have in the end.
+// traceTables adds the servers' final tables to the digest.
 func (x *exchange) traceTables() {
 	for _, server := range x.servers {
 		x.tr.Step('F')
@@ -308,7 +308,7 @@
 	}
 }
 
-// tracePlans takes in how servers reply, and what subscribers take, over numbers drawn from the seed.
+// tracePlans adds the servers' plans and the subscribers' steps, for numbers drawn from the seed, to the digest.
 func tracePlans(tr *golden.Digest, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	tags := map[catchup.Method]byte{catchup.None: 'N', catchup.Records: 'R', catchup.CachedSnapshot: 'K', catchup.NewSnapshot: 'S'}
@@ -331,8 +331,8 @@
 	x.traceTables()
 }
 
-// TestGoldenTrace compares every message, and what subscribers have after each, with what they were, step by step. A change that is meant
-// to change them writes the file again with GRADEUSHER_WRITE_GOLDEN=1 and says so.
+// TestGoldenTrace compares every message, and each subscriber's update after it, with the recorded digests. For a change that is meant to
+// change them, write the file again with GRADEUSHER_WRITE_GOLDEN=1 and say so in the commit.
 func TestGoldenTrace(t *testing.T) {
 	var scenarios []golden.Scenario
 	add := func(name string, seed uint64, play func(*golden.Digest, uint64)) {
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -7,7 +7,7 @@
 	"gradeusher.example/gradeusher/internal/system/invariant/invarianttest"
 )
 
-// TestStateNeverGoesBackControl: a state that is older than the one stored is noticed.
+// TestStateNeverGoesBackControl: the invariant detects a state that is older than the stored one.
 func TestStateNeverGoesBackControl(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
 	newer := controlstate.Empty()
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -15,26 +15,26 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// lateFleet is a fleet whose machines are isolated for 20 s, so that what they sent comes afterwards, with what must hold of
-// it at every moment.
+// lateFleet is a fleet whose machines are isolated for 20 s, so that the messages that they sent arrive late, with a record of the
+// conditions that must hold at every moment.
 type lateFleet struct {
 	*testFleet
 	t             *testing.T
 	rng           *rand.Rand
-	ackedAt       []time.Time          // when each change was acknowledged, by number less one
+	ackedAt       []time.Time          // when each change was acknowledged, by number minus one
 	readAt        map[uint64]time.Time // when each version of the list was read
 	version       uint64               // of the list
 	isolatedUntil map[string]time.Time // ends of partitions, by machine
-	faults        map[string]int       // what came about
-	violations    map[string]int       // what did not hold
-	shownReadAt   map[string]time.Time // when the newest list that a proxy stored was read
+	faults        map[string]int       // number of events, by kind
+	violations    map[string]int       // number of violated conditions, by kind
+	shownReadAt   map[string]time.Time // when the newest list that a proxy has stored was read
 }
 
-// Bounds of what must hold: a contact of a current node counts for FreshnessTTL; sources here are never current beyond that; and
-// two clocks are read a moment apart.
+// freshnessMargin is the tolerance of the conditions: a contact to a current node is valid for FreshnessTTL; sources here are never
+// current beyond that; and two clocks are read at slightly different times.
 const freshnessMargin = 50 * time.Millisecond
 
-// lateFleetSteps is how many steps a run has: at about 200 ms each, room for some partitions one after the other.
+// lateFleetSteps is the number of steps of a run: at about 200 ms each, this covers several consecutive partitions.
 const lateFleetSteps = 300
 
 func newLateFleet(t *testing.T, rng *rand.Rand, servers TestingKnobs, proxies TestingKnobs) *lateFleet {
@@ -47,7 +47,7 @@
 	return w
 }
 
-// others returns all machines but one.
+// others returns all machines except host.
 func (w *lateFleet) others(host string) []string {
 	out := []string{}
 	for _, k := range w.names {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// isolateFor holds back all that a machine sends and gets for 20 s, or only what comes from or goes to the nodes.
+// isolateFor holds back everything that a machine sends and receives for 20 s, or only its messages to and from the nodes.
 func (w *lateFleet) isolateFor(host string, nodesOnly bool) {
 	w.isolatedUntil[host] = time.Now().Add(20 * time.Second)
 	for _, o := range w.others(host) {
@@ -93,7 +93,7 @@
 	w.faults["healed"]++
 }
 
-// step does what time and chance bring.
+// step lets time pass and triggers random events.
 func (w *lateFleet) step() {
 	for host, end := range w.isolatedUntil {
 		if time.Now().After(end) {
@@ -115,7 +115,7 @@
 	case 5, 6:
 		w.version++
 		w.readAt[w.version] = time.Now()
-		// A node that is isolated goes on to read the list.
+		// An isolated node continues to read the list.
 		if w.servers[w.names[w.rng.IntN(3)]].PutList(1, w.version, []pick.Server{{ID: fmt.Sprint("s", w.version)}}, boundsOf(softstate.Age{})) != nil {
 			w.faults["refused list"]++
 		}
@@ -123,7 +123,7 @@
 	time.Sleep(time.Duration(w.rng.IntN(400)) * time.Millisecond)
 }
 
-// check looks at what every proxy has.
+// check checks the conditions for every proxy.
 func (w *lateFleet) check() {
 	now := time.Now()
 	for proxyNode, proxy := range w.proxies {
@@ -151,7 +151,7 @@
 	}
 }
 
-// runLateFleet plays a seed and returns what came about and what did not hold.
+// runLateFleet runs a seed and returns the events and the violated conditions.
 func runLateFleet(t *testing.T, seed uint64, servers TestingKnobs, proxies TestingKnobs) (faults, broken map[string]int) {
 	t.Helper()
 	w := newLateFleet(t, rand.New(rand.NewPCG(seed, 11)), servers, proxies)
@@ -175,10 +175,10 @@
 	return w.faults, w.violations
 }
 
-// TestSeededPartitionsWithLateDelivery: nodes and proxies are isolated for 20 s, wholly or from the nodes alone, and what was
-// in transit comes afterwards. At no moment does a proxy go back, count as fresh on a state that was overtaken over 1.6 s
-// ago, go back to a list that was read over 2 s before, or take one for younger than it is; 6 s after the last fault all are up to date. DISTRIBUTION_SEEDS sets how many seeds
-// run.
+// TestSeededPartitionsWithLateDelivery: nodes and proxies are isolated for 20 s, completely or only from the nodes, and the messages in
+// transit arrive afterwards. A proxy must never go back, be fresh with a state that was superseded more than 1.6 s ago, go back to a list
+// that was read over 2 s earlier, or understate the age of a list. 6 s after the last fault all proxies are up to date.
+// DISTRIBUTION_SEEDS sets the number of seeds.
 func TestSeededPartitionsWithLateDelivery(t *testing.T) {
 	seeds, err := strconv.ParseUint(cmp.Or(os.Getenv("DISTRIBUTION_SEEDS"), "5"), 10, 64)
 	if err != nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-// TestSeededPartitionsControls: with a protection taken out some seed breaks what must hold.
+// TestSeededPartitionsControls: with one protection disabled, some seed violates the conditions.
 func TestSeededPartitionsControls(t *testing.T) {
 	for name, c := range map[string]struct {
 		servers TestingKnobs
--- a/internal/system/distribution/loadreport/compat_test.go
+++ b/internal/system/distribution/loadreport/compat_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestLoadBytes: proxies and keepers of several versions read each other's load vectors during an upgrade.
+// TestLoadBytes: proxies and control-plane nodes of several versions read each other's load vectors during an upgrade.
 func TestLoadBytes(t *testing.T) {
 	v := NewVector(true)
 	v.Publish(time.Now(), map[string]pick.Load{"s-1": {Requests: 300, Prefill: 128, Tokens: 1000}})
--- a/internal/system/distribution/loadreport/received.go
+++ b/internal/system/distribution/loadreport/received.go
@@ -9,13 +9,13 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// maxUnits bounds what one number of a message may be, so that no sum overflows.
+// maxUnits bounds a single number of a message, so that no sum overflows.
 const maxUnits = 1 << 32
 
-// Received is what a reader has of another process's vector. The zero value has received nothing. It is not safe for concurrent use;
-// its owner locks.
+// Received is a reader's copy of another process's vector. The zero value has received nothing. It is not safe for concurrent use; the
+// owner must lock it.
 type Received struct {
-	softstate.Cursor // up to which changes have been applied
+	softstate.Cursor // position up to which changes have been applied
 
 	ReceivedAt time.Time // when the vector was last confirmed or changed by a message
 
@@ -23,8 +23,8 @@
 	loads []pick.Load
 }
 
-// Apply applies changes. It returns false for ones that do not continue what is held, or cannot be read: the next call must then name
-// the cursor that is held now.
+// Apply applies changes. It returns false for changes that do not continue the copy or cannot be decoded: the next call must then state
+// the cursor of the copy.
 func (r *Received) Apply(now time.Time, changes *distributionpb.Loads) bool {
 	if changes == nil {
 		return false
@@ -39,7 +39,7 @@
 	if changes.GetNumber() == r.Number {
 		return true
 	}
-	// Values are absolute and indexes stay, so a reader that is ahead of From may apply them as well.
+	// Values are absolute and indexes are stable, so a reader that is ahead of From may apply the changes as well.
 	if !r.decode(changes.GetBody()) {
 		*r = Received{}
 		return false
@@ -48,7 +48,7 @@
 	return true
 }
 
-// replace takes a complete vector in place of what is held.
+// replace replaces the copy by a complete vector.
 func (r *Received) replace(now time.Time, complete *distributionpb.Loads) bool {
 	if complete.GetBoot() == r.BootID && complete.GetNumber() < r.Number {
 		return false
@@ -61,7 +61,7 @@
 	return true
 }
 
-// decode applies coded changes. Where it returns false, some of them may have been applied.
+// decode applies encoded changes. If it returns false, some of them may have been applied.
 func (r *Received) decode(body []byte) bool {
 	reader := fields.NewReader(body)
 	index := -1
@@ -97,7 +97,6 @@
 	return true
 }
 
-// readID reads the id of a server.
 func readID(in *fields.Reader) string {
 	id := in.Bytes()
 	if len(id) > softstate.MaxIDBytes {
@@ -121,7 +120,7 @@
 	}
 }
 
-// Without returns the loads less own, at least 0, and leaves out what becomes 0.
+// Without returns the loads minus own, at least 0, and omits those that become 0.
 func (r *Received) Without(own map[string]pick.Load) map[string]pick.Load {
 	out := make(map[string]pick.Load, len(r.loads))
 	for i, load := range r.loads {
--- a/internal/system/distribution/loadreport/vector_test.go
+++ b/internal/system/distribution/loadreport/vector_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-// published returns loads as they are published.
+// published returns the loads as they are published.
 func published(loads map[string]pick.Load) map[string]pick.Load {
 	out := map[string]pick.Load{}
 	for id, load := range loads {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// TestReaderFollowsAVector: a reader follows a vector through lost, repeated and late messages, and incarnations of the writer.
+// TestReaderFollowsAVector: a reader follows a vector through lost, duplicated and late messages, and restarts of the writer.
 func TestReaderFollowsAVector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		link := &lossyLink{exact: rapid.Bool().Draw(t, "exact"), loads: map[string]pick.Load{}}
@@ -51,7 +51,7 @@
 	})
 }
 
-// lossyLink is a vector and a reader, with messages between them that are lost, late or repeated.
+// lossyLink is a vector and a reader, with messages between them that are lost, late or duplicated.
 type lossyLink struct {
 	exact  bool
 	vector *Vector
@@ -60,7 +60,7 @@
 	late   []*distributionpb.Loads
 }
 
-// step changes a load and has a message sent.
+// step changes a load and sends a message.
 func (l *lossyLink) step(t *rapid.T, now time.Time) {
 	id := fmt.Sprint("s", rapid.IntRange(0, 9).Draw(t, "server"))
 	l.loads[id] = pick.Load{Requests: rapid.IntRange(0, 300).Draw(t, "requests"), Prefill: rapid.Int64Range(0, 1e6).Draw(t, "prefill")}
@@ -72,11 +72,11 @@
 	case 1:
 		l.late = append(l.late, changes)
 		return
-	case 2: // the writer starts again
+	case 2: // the writer restarts
 		l.vector = NewVector(l.exact)
 		l.vector.Publish(now, l.loads)
 		changes = l.vector.ChangesSince(l.reader.Cursor)
-		l.late = nil // those of a former incarnation could not be told from new ones
+		l.late = nil // messages of a former incarnation could not be distinguished from new ones
 	case 3:
 		if len(l.late) > 0 {
 			l.reader.Apply(now, l.late[rapid.IntRange(0, len(l.late)-1).Draw(t, "which")])
@@ -89,7 +89,7 @@
 	l.check(t, now)
 }
 
-// check compares what the reader has with the writer's loads.
+// check compares the reader's loads with the writer's.
 func (l *lossyLink) check(t *rapid.T, now time.Time) {
 	received := sumOf(&l.reader, now)
 	for id, load := range l.loads {
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -36,7 +36,7 @@
 	return ln.Addr().String(), seen
 }
 
-// counting counts the bytes both ways of the connections accepted.
+// counting counts the bytes of accepted connections in both directions.
 type counting struct {
 	net.Listener
 	n *atomic.Int64
@@ -116,9 +116,9 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// BenchmarkServerWithSubscribers runs a node and 100 subscribers in one process over loopback, each with load on 40 of
-// 400 servers that changes all the time, and a changed server each 100 ms. It reports what both ends together spend a
-// subscriber, and the bytes of their connections without TCP's own.
+// BenchmarkServerWithSubscribers runs a node and 100 subscribers in one process over loopback. Each subscriber has load on 40 of 400
+// servers that changes constantly, and one server changes every 100 ms. It reports the CPU time of both ends together per subscriber, and
+// the bytes of their connections without TCP's overhead.
 func BenchmarkServerWithSubscribers(b *testing.B) {
 	for _, pace := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond} {
 		for _, busy := range []bool{false, true} {
@@ -127,7 +127,7 @@
 	}
 }
 
-// benchmarkFleet is a server and subscribers over loopback.
+// benchmarkFleet is a server and its subscribers over loopback.
 type benchmarkFleet struct {
 	server      *Server
 	list        []pick.Server
@@ -151,7 +151,7 @@
 	return out
 }
 
-// caughtUp says whether all subscribers are fresh and know each other.
+// caughtUp reports whether all subscribers are fresh and know each other.
 func (f *benchmarkFleet) caughtUp() bool {
 	for _, subscriber := range f.subscribers {
 		if update := subscriber.Current(); !update.Fresh || len(update.Members) != benchmarkSubscribers {
@@ -161,7 +161,7 @@
 	return true
 }
 
-// putList has the server read the list.
+// putList makes the server read the list.
 func (f *benchmarkFleet) putList(b *testing.B, version uint64) {
 	b.Helper()
 	putList(b, f.server, 1, version, f.list, softstate.Age{})
@@ -204,14 +204,14 @@
 	transport.CloseIdleConnections()
 }
 
-// measure lets the fleet work, and reports what that takes.
+// measure lets the fleet run, and reports its CPU time and bytes.
 func (f *benchmarkFleet) measure(ctx context.Context, b *testing.B, busy bool, bytes *atomic.Int64) {
 	b.Helper()
 	b.ResetTimer()
 	startCPU, startBytes, start := cpu(), bytes.Load(), time.Now()
 	version := uint64(1)
 	for b.Loop() {
-		// One operation is a tenth of a second of work.
+		// One operation is a tenth of a second of running time.
 		f.tick.Add(1)
 		if busy {
 			version++
--- a/internal/system/distribution/membership_incomplete_test.go
+++ b/internal/system/distribution/membership_incomplete_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// TestUpdateReportsIncompleteMembership: a proxy is notified that its members may be part of all until a table that misses none has
-// come, and that others may have given it up where they call it down.
+// TestUpdateReportsIncompleteMembership: an update is marked as having incomplete membership until a complete table has arrived, and as
+// stale if the table marks this proxy down.
 func TestUpdateReportsIncompleteMembership(t *testing.T) {
 	now := time.Now()
 	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger(), Self: softstate.Member{Node: "p", Incarnation: 4}})
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// census records the fewest members that any of some subscribers was notified of.
+// census records the lowest number of members that any of a set of subscribers was notified of.
 type census struct {
 	mu         sync.Mutex
 	minMembers int
@@ -51,8 +51,8 @@
 	return fleet, memberCensus
 }
 
-// fewestAfterPartition isolates a node from the others for 20 s, and returns the fewest members that a proxy was notified of in the
-// 10 s after that.
+// fewestAfterPartition isolates a node from the others for 20 s, and returns the lowest number of members that a proxy was notified of in
+// the following 10 s.
 func fewestAfterPartition(t *testing.T, knobs TestingKnobs) int {
 	t.Helper()
 	fleet, memberCensus := newCensusFleet(knobs)
@@ -79,8 +79,8 @@
 	return memberCensus.fewest()
 }
 
-// TestNodeBackFromPartitionMarksNobodyDown: a node that was isolated from the others for 20 s has marked down what it no longer
-// had contact to. Danger: back again, it spreads that, and for a moment every proxy counts itself the only one.
+// TestNodeBackFromPartitionMarksNobodyDown: a node that was isolated from the others for 20 s has marked the proxies down that it had no
+// contact to. After it rejoins, it must not spread that: for a moment every proxy would see itself as the only one.
 func TestNodeBackFromPartitionMarksNobodyDown(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		if n := fewestAfterPartition(t, TestingKnobs{}); n != censusMembers {
@@ -94,8 +94,8 @@
 	})
 }
 
-// TestNodesWithoutContactToEachOther: two nodes that both have contact to the third, but not to each other, leave each other's proxies
-// alone. Danger: they mark them down again and again.
+// TestNodesWithoutContactToEachOther: two nodes that are both in contact with the third, but not with each other, must not mark down each
+// other's proxies, which would happen again and again.
 func TestNodesWithoutContactToEachOther(t *testing.T) {
 	run := func(t *testing.T, knobs TestingKnobs) int {
 		t.Helper()
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -20,14 +20,14 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// A scriptedPeer takes polls and replies to each as its script says, on as many connections as come.
+// scriptedPeer receives polls and replies to each as its script says, on any number of connections.
 type scriptedPeer struct {
 	mu     sync.Mutex
-	seen   map[uint32]int // how often each call came
+	seen   map[uint32]int // how often each call was received
 	script func(call uint32) string
 }
 
-// What a peer may do with a request. All but the first four end the connection.
+// peerActs are the actions of a peer on a request. All but the first four end the connection.
 var peerActs = []string{"answer", "twice in one packet", "informational, then answer", "another's answer", "silence", "reset at once",
 	"end before the head", "end in the head", "end in the body", "answer, then end", "half-closed"}
 
@@ -36,7 +36,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/protobuf\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// serve replies to the requests of a connection until an act ends it.
+// serve replies to the requests on a connection until an action ends it.
 func (p *scriptedPeer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -60,7 +60,7 @@
 	}
 }
 
-// perform does one act with the reply to the request and to another one, and says whether the connection goes on.
+// perform performs one action with the reply to the request and the reply to another one, and reports whether the connection stays open.
 func perform(conn net.Conn, reader io.Reader, act string, answer, other []byte) bool {
 	tcp, _ := conn.(*net.TCPConn)
 	switch act {
@@ -93,7 +93,7 @@
 	return false
 }
 
-// newScriptedSubscriber is a subscriber of a scripted peer on loopback.
+// newScriptedSubscriber returns a subscriber of a scripted peer on loopback.
 func newScriptedSubscriber(t *testing.T, script func(uint32) string) (subscriber *Subscriber, scripted *scriptedPeer, address string) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -120,8 +120,8 @@
 	return NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), Transport: transport}), scripted, listener.Addr().String()
 }
 
-// TestReplyReachesItsCallAlone: whatever a peer does, on fresh connections and on ones that are used again, in any order: a
-// poll that succeeds brings the reply to that very poll, and none is sent a second time.
+// TestReplyReachesItsCallAlone: whatever a peer does, in any order, on new and on reused connections, a successful poll returns the reply
+// to that very poll, and no poll is sent twice.
 func TestReplyReachesItsCallAlone(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 5))
 	counts := map[string]int{}
@@ -160,7 +160,7 @@
 	}
 }
 
-// TestMismatchedReplyControl: without the names of calls, the reply to another call is taken.
+// TestMismatchedReplyControl: without call ids, the reply to another call is accepted.
 func TestMismatchedReplyControl(t *testing.T) {
 	subscriber, _, address := newScriptedSubscriber(t, func(uint32) string { return "another's answer" })
 	for _, knob := range []bool{false, true} {
@@ -173,7 +173,7 @@
 	}
 }
 
-// TestSurplusReplyShiftsNothing: after a peer that answered twice, the next poll does not take the surplus reply.
+// TestSurplusReplyShiftsNothing: after a peer replied twice, the next poll does not accept the surplus reply.
 func TestSurplusReplyShiftsNothing(t *testing.T) {
 	subscriber, _, address := newScriptedSubscriber(t, func(uint32) string { return "twice in one packet" })
 	for range 200 {
@@ -186,7 +186,7 @@
 	}
 }
 
-// TestRetriedCallsChangeNothing: a poll or a share that comes twice leaves a node as it was after the first.
+// TestRetriedCallsChangeNothing: a poll or a share that arrives twice leaves a node in the state after the first.
 func TestRetriedCallsChangeNothing(t *testing.T) {
 	server := newIdleServer()
 	server.markComplete()
@@ -218,7 +218,7 @@
 	}
 }
 
-// tableContents returns all that a table has, deletions included.
+// tableContents returns all entries of a table, including deletions.
 func tableContents(table *softstate.Table) map[string]string {
 	out := map[string]string{}
 	for key, entry := range table.All() {
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// pollManually has a subscriber take in what a server would send it now.
+// pollManually makes a subscriber handle the reply that a server would send it now.
 func pollManually(subscriber *Subscriber, server *Server) {
 	req := subscriber.buildRequest(nil, false)
 	server.mu.Lock()
@@ -25,9 +25,10 @@
 	subscriber.handleReply(time.Now(), time.Now(), req, reply)
 }
 
-// TestSkippedListIsSentAgain: a proxy moves to a node whose newest reading came by a slow share, so that its age lies between 0 and 2.6 s. It
-// is newer than the one that is stored, but looks older by more than the tolerance, and is not taken. The node's next readings change
-// nothing there. Danger: what the first one said (a server drains, or is cold) is never stated.
+// TestSkippedListIsSentAgain: a proxy moves to a node whose newest reading came by a slow share, so that its age is between 0 and 2.6 s.
+// The reading is newer than the stored one, but looks older by more than the tolerance, so the proxy skips it. The node's next readings
+// change none of its entries. Without a resync, the proxy would never learn the contents of the skipped reading (a server drains, or is
+// cold).
 func TestSkippedListIsSentAgain(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		serverA, serverB := newIdleServer(), newIdleServer()
@@ -55,10 +56,11 @@
 	})
 }
 
-// TestNewerReadingOfLowerVersionIsApplied: a proxy has the list as the holder of the lease read it last, in version 100. It moves to a node that
-// has not learned of the last 2.4 s of that, and goes on with its own list. That node steps in and reads the list under the same fence, in
-// version 97; then the chain is repaired, and it reads under the next fence. Danger: what the first reading said is of a lower version than
-// what the proxy has, and is not written again, as the node has it.
+// TestNewerReadingOfLowerVersionIsApplied: a proxy has version 100 of the list, the last reading of the lease holder. It moves to a node
+// that has not received the last 2.4 s of the holder's readings, and keeps its own list. That node takes over, and reads the list under
+// the same fence as version 97; then the chain is repaired, and it reads under the next fence. The entry of the first reading has a lower
+// version than the proxy's, and without a new write under the next fence, which the node would skip as it has the entry, the proxy would
+// never apply it.
 func TestNewerReadingOfLowerVersionIsApplied(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		serverA, serverB := newIdleServer(), newIdleServer()
@@ -71,10 +73,10 @@
 		}
 		put(serverB, 1, 95, pick.Server{ID: "x"})
 		time.Sleep(2400 * time.Millisecond)
-		put(serverA, 1, 100, pick.Server{ID: "x", WarmUpMax: 3 * time.Second}) // it has turned cold anew
+		put(serverA, 1, 100, pick.Server{ID: "x", WarmUpMax: 3 * time.Second}) // it has become cold again
 		pollManually(subscriber, serverA)
 		time.Sleep(100 * time.Millisecond)
-		pollManually(subscriber, serverB) // an older list: not taken
+		pollManually(subscriber, serverB) // an older list, which is not applied
 		time.Sleep(400 * time.Millisecond)
 		put(serverB, 1, 96, pick.Server{ID: "x", Draining: true})
 		pollManually(subscriber, serverB)
@@ -90,9 +92,9 @@
 	})
 }
 
-// TestDelayedReadingEndsNoWarmUp: a poller is paused for 2.3 s while the platform's reply lies in its socket; meanwhile another
-// one steps in under the same fence, and reads that a server has turned cold. Which of the two was made later can't be told by their
-// ages. Danger: the server is called warm, and what has been listed since vanishes.
+// TestDelayedReadingEndsNoWarmUp: a poller is paused for 2.3 s while the platform's reply is in its socket buffer. Meanwhile another
+// poller takes over under the same fence, and reads that a server has become cold. The ages of the two readings do not show which was
+// made later. The delayed reading must not mark the server as warm, nor delete servers that have been listed since.
 func TestDelayedReadingEndsNoWarmUp(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		server := newIdleServer()
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// reading is a node's complete table after it read the list.
+// completeTable returns a node's complete table after it read the list.
 func completeTable(tb testing.TB, age time.Duration, version uint64, servers ...pick.Server) *distributionpb.FollowReply {
 	tb.Helper()
 	server := newIdleServer()
@@ -22,8 +22,8 @@
 		Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}}
 }
 
-// moveToRejoinedNode has a subscriber that knows a server as draining move to a node whose table is 20 s old, and
-// returns what it has then.
+// moveToRejoinedNode makes a subscriber that knows that a server is draining move to a node whose table is 20 s old, and returns its
+// servers afterwards.
 func moveToRejoinedNode(tb testing.TB, knobs TestingKnobs) []pick.Server {
 	tb.Helper()
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger(), knobs: knobs})
@@ -32,8 +32,8 @@
 	return subscriber.Current().Servers
 }
 
-// TestRejoinedNodeBringsNoOldList: a node that was isolated or stopped for 20 s may be current again before the
-// others have sent it what the list has become. Danger: requests go to servers that have been draining for 20 s.
+// TestRejoinedNodeBringsNoOldList: a node that was isolated or stopped for 20 s may be current again before the other nodes have sent it
+// the present list. The proxy must not send requests to servers that have been draining for 20 s.
 func TestRejoinedNodeBringsNoOldList(t *testing.T) {
 	got := moveToRejoinedNode(t, TestingKnobs{})
 	if len(got) != 2 || got[0].ID != "a" || !got[0].Draining || got[1].ID != "new" {
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestNodesThatRestartVersionsAreAccepted: after a restart of all nodes versions begin again, so the younger reading counts.
+// TestNodesThatRestartVersionsAreAccepted: after a restart of all nodes, versions start again, so the younger reading is accepted.
 func TestNodesThatRestartVersionsAreAccepted(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestEarlierReadingOfTheList: of two pollers under one fence the one that is slow, or was paused, ends last. Danger: what
-// it read before brings back servers that have gone and calls cold ones warm.
+// TestEarlierReadingOfTheList: of two pollers under one fence, the one that is slow or was paused finishes last. Its earlier reading must
+// not bring back servers that are gone, or mark cold ones as warm.
 func TestEarlierReadingOfTheList(t *testing.T) {
 	server := newIdleServer()
 	cold := []pick.Server{{ID: "a", Service: "x", WarmUpMax: 3 * time.Second}}
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestMoveToNodeWithOlderList: a proxy that moves to a node whose list is certainly older, if only by a second, goes on
-// with its own until that node has learned of it.
+// TestMoveToNodeWithOlderList: a proxy that moves to a node whose list is certainly older, even by only a second, keeps its own list
+// until that node has received it.
 func TestMoveToNodeWithOlderList(t *testing.T) {
 	now := time.Now()
 	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -15,7 +15,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// DISTRIBUTION_SEEDS sets how many seeds run.
+// TestRandomFaultsEndInAgreement: after random faults have ended, all proxies agree. DISTRIBUTION_SEEDS sets the number of seeds.
 func TestRandomFaultsEndInAgreement(t *testing.T) {
 	seeds, err := strconv.ParseUint(cmp.Or(os.Getenv("DISTRIBUTION_SEEDS"), "10"), 10, 64)
 	if err != nil {
@@ -28,12 +28,12 @@
 	}
 }
 
-// faultRun is a fleet in which faults are drawn from a seed.
+// faultRun is a fleet with faults drawn from a seed.
 type faultRun struct {
 	*testFleet
 	t        *testing.T
 	rng      *rand.Rand
-	started  int // proxies so far
+	started  int // number of proxies started so far
 	version  uint64
 	list     []pick.Server
 	wentBack bool
@@ -69,7 +69,7 @@
 	return out
 }
 
-// fault brings one fault or change about.
+// fault triggers one fault or change.
 func (f *faultRun) fault() {
 	switch node := f.names[f.rng.IntN(3)]; f.rng.IntN(9) {
 	case 0, 1:
@@ -96,7 +96,7 @@
 	}
 }
 
-// change adds a record, and lets the older ones be compacted now and then.
+// change adds a record, and sometimes compacts the older ones.
 func (f *faultRun) change() {
 	f.chain.add(noOpRecord())
 	if f.rng.IntN(4) == 0 {
@@ -124,14 +124,14 @@
 	}
 }
 
-// recordRegress records whether a proxy has gone back.
+// recordRegress records whether a proxy's state has gone back.
 func (f *faultRun) recordRegress(proxy *testProxy) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
 	f.wentBack = f.wentBack || proxy.wentBack
 }
 
-// readList has a node read a list with one server more.
+// readList makes a node read a list with one more server.
 func (f *faultRun) readList(node string) {
 	f.version++
 	f.list = append(f.list, pick.Server{ID: fmt.Sprint("s", f.version), Service: "a"})
@@ -143,7 +143,7 @@
 	}
 }
 
-// endFaults ends all faults and has all nodes run.
+// endFaults ends all faults and starts all nodes.
 func (f *faultRun) endFaults() {
 	f.endPartitions()
 	for _, node := range f.names {
@@ -154,7 +154,7 @@
 	}
 }
 
-// checkAgreement has a last change and a last list go out, and checks that all proxies get both.
+// checkAgreement makes a last change and a last list, and checks that all proxies receive both.
 func (f *faultRun) checkAgreement() {
 	t := f.t
 	seq := f.chain.add(noOpRecord())
--- a/internal/system/distribution/referral.go
+++ b/internal/system/distribution/referral.go
@@ -10,14 +10,14 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
-// ServerLocation is a control-plane node that serves proxies, and where it is.
+// ServerLocation is the address and location of a control-plane node that serves proxies.
 type ServerLocation struct {
 	Address      string // IP or IP:port
 	Zone, Region string
 }
 
-// Referral serves proxies at a node that serves them no state, an observer: it names the nodes that do, in the chain's order.
-// Without it a proxy whose seeds are all observers would find no node.
+// Referral answers proxies on a node that serves no state, an observer: it returns the addresses of the nodes that do, in the chain's
+// order. Without it a proxy whose seeds are all observers would find no node.
 type Referral struct {
 	Servers func() []ServerLocation
 }
@@ -27,7 +27,8 @@
 	return rpc.BoundedHandler(distributionpb.NewDistributionServer(r))
 }
 
-// Follow names the nodes. The reply has no soft state, by which a subscriber knows that it is not served here.
+// Follow returns the nodes that serve state. The reply has no soft state, by which a subscriber recognises that this node does not serve
+// it.
 func (r Referral) Follow(_ context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	return &distributionpb.FollowReply{Call: req.GetCall(), Keepers: encodeLocations(r.Servers()...)}, nil
 }
@@ -40,7 +41,7 @@
 	return out
 }
 
-// Share refuses: an observer has no soft state.
+// Share returns an error: an observer has no soft state.
 func (Referral) Share(context.Context, *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
 	return nil, twirp.NewError(twirp.FailedPrecondition,
 		"this node is an observer and has no soft state: synchronise with the control-plane nodes of the view")
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestProxyWhoseSeedsAreAllObservers starts a subscriber that is notified of observers only. Danger: they reply that they serve
-// nothing, and it never learns of a node.
+// TestProxyWhoseSeedsAreAllObservers starts a subscriber that knows only observers. They reply that they serve no proxies, and must refer
+// it to the nodes that do, or it would never learn of one.
 func TestProxyWhoseSeedsAreAllObservers(t *testing.T) {
 	chain := newChain()
 	src := &fakeSource{fakeChain: chain}
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestReferralKeepsKnownNodes: an observer may be behind. Danger: a node that has gone is taken for one of the
-// view, or one that is of the view is forgotten.
+// TestReferralKeepsKnownNodes: an observer may be behind, so its referral must not overwrite nodes in the view with outdated ones, nor
+// remove nodes from the view.
 func TestReferralKeepsKnownNodes(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Seeds: []string{"10.0.0.1", "10.0.0.9"}, Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	subscriber.mu.Lock()
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -15,8 +15,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestPendingRepliesAreBounded: callers that take nothing of a large reply have so many of them in a node's memory as its
-// bound allows, and others are asked to call again instead; small replies go out all the same.
+// TestPendingRepliesAreBounded: callers that do not read their large replies occupy a node's memory only up to its bound, and other
+// callers are asked to call again; small replies are sent regardless.
 func TestPendingRepliesAreBounded(t *testing.T) {
 	chain := newChain()
 	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: discardLogger(), Limits: ServerLimits{MaxPendingReplyBytes: 1500 << 10}})
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestCallerThatDoesNotReadBlocksNobody: a proxy that takes no byte of a large reply is given up after a bound, and what
-// it took of the node's memory is free again; other proxies are served meanwhile.
+// TestCallerThatDoesNotReadBlocksNobody: a call of a proxy that reads no byte of a large reply ends after a timeout, and the memory that
+// its reply occupied in the node is released; other proxies are served meanwhile.
 func TestCallerThatDoesNotReadBlocksNobody(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		chain := newChain()
@@ -99,7 +99,7 @@
 	})
 }
 
-// pipes listens to connections that are handed to it.
+// pipes is a listener for connections that are passed to it.
 type pipes struct{ ends chan net.Conn }
 
 func (p pipes) Accept() (net.Conn, error) {
--- a/internal/system/distribution/rpc/call_id.go
+++ b/internal/system/distribution/rpc/call_id.go
@@ -6,20 +6,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrMismatchedReply marks a reply that belongs to another call. Close the connection and call again.
+// ErrMismatchedReply marks a reply that belongs to another call. The caller should close the connection and retry.
 var ErrMismatchedReply = errors.New("distribution: a reply that belongs to another call")
 
-// MaxCallIDs is how many call ids there are: more than calls are in flight, and few enough to be short on the wire.
+// MaxCallIDs is the number of call ids: more than there are calls in flight, and few enough to be short on the wire.
 const MaxCallIDs = 1 << 14
 
-// CallIDs numbers the calls of a process to others. On a connection that is used again, HTTP/1.1 tells a reply from another by its
-// place alone: a peer that replies once too often would shift all that follow. The zero value is ready, and safe for concurrent use.
+// CallIDs numbers a process's calls to other processes. On a reused connection, HTTP/1.1 matches replies to requests by their order
+// alone: one surplus reply of a peer would shift all that follow. The zero value is ready to use, and safe for concurrent use.
 type CallIDs struct{ last atomic.Uint32 }
 
-// Next returns the id of a call; never 0.
+// Next returns the id of the next call; never 0.
 func (c *CallIDs) Next() uint32 { return c.last.Add(1)%(MaxCallIDs-1) + 1 }
 
-// CheckReply fails with ErrMismatchedReply unless the reply's id is that of the call.
+// CheckReply returns ErrMismatchedReply unless the reply's id is that of the call.
 func CheckReply(callID, replyID uint32) error {
 	if callID == replyID {
 		return nil
--- a/internal/system/distribution/rpc/compression.go
+++ b/internal/system/distribution/rpc/compression.go
@@ -8,19 +8,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrExpand marks bytes that cannot be expanded: they are damaged or too large.
+// ErrExpand marks bytes that cannot be expanded because they are damaged or too large.
 var ErrExpand = errors.New("distribution: bytes cannot be expanded")
 
-// A configuration of thousands of routes is much the same line again and again, and the link from one control-plane node to its
-// subscribers is narrow: what is large is sent compressed, and compressed once for all of them.
+// A configuration of thousands of routes is highly repetitive, and the link from one control-plane node to its subscribers is narrow:
+// large bodies are sent compressed, and are compressed once for all subscribers.
 
-// MinCompressBytes is the size from which bytes are compressed; less is not worth the time.
+// MinCompressBytes is the size from which bytes are compressed; compressing less is not worth the time.
 const MinCompressBytes = 4 << 10
 
-// maxExpandedBytes bounds what compressed bytes may come to.
+// maxExpandedBytes bounds the size of expanded bytes.
 const maxExpandedBytes = 64 << 20
 
-// Compress compresses what is large by DEFLATE, and reports whether it did.
+// Compress compresses large bodies with DEFLATE, and reports whether it did.
 func Compress(b []byte) (out []byte, deflated bool) {
 	if len(b) < MinCompressBytes {
 		return b, false
@@ -39,7 +39,7 @@
 	return bytes.Clone(buffer.Bytes()), true
 }
 
-// Expand undoes Compress. It fails with ErrExpand where the bytes are damaged or come to more than 64 MiB.
+// Expand reverses Compress. It fails with ErrExpand if the bytes are damaged or expand to more than 64 MiB.
 func Expand(b []byte, deflated bool) ([]byte, error) {
 	if !deflated {
 		return b, nil
--- a/internal/system/distribution/rpc/transport.go
+++ b/internal/system/distribution/rpc/transport.go
@@ -14,16 +14,16 @@
 
 const (
 	maxRequestBytes   = 8 << 20
-	maxReplyBodyBytes = 40 << 20 // the largest configuration that the operator may send, its change and a table beside it
+	maxReplyBodyBytes = 40 << 20 // the largest configuration that an operator may send, its change and a table
 )
 
 const (
 	dialTimeout        = 500 * time.Millisecond
-	tcpUserTimeout     = 1500 * time.Millisecond // for which bytes may stay unacknowledged
+	tcpUserTimeout     = 1500 * time.Millisecond // how long sent bytes may stay unacknowledged
 	keepAliveInterval  = 5 * time.Second
 	idleConnTimeout    = 5 * time.Second
-	requestReadTimeout = 5 * time.Second  // until a request has been read
-	maxReplyDuration   = 20 * time.Second // until a reply that comes slowly is complete
+	requestReadTimeout = 5 * time.Second  // for reading a request completely
+	maxReplyDuration   = 20 * time.Second // for a slow reply to arrive completely
 )
 
 const (
@@ -32,11 +32,11 @@
 	bufferBytes         = 4 << 10
 )
 
-// ReplyWriteTimeout is how long a reply may take from when its request has been read until the caller has read it.
+// ReplyWriteTimeout bounds the time from when a request has been read until the caller has read the reply.
 const ReplyWriteTimeout = 30 * time.Second
 
-// NewTransport makes the transport of calls between the system's own processes: few idle connections, and ones whose
-// bytes stay unacknowledged for 1500 ms are dropped.
+// NewTransport returns the transport for calls between the system's own processes. It keeps few idle connections, and drops connections
+// whose bytes stay unacknowledged for 1500 ms.
 func NewTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval, Control: setUserTimeout}
 	return &http.Transport{
@@ -62,35 +62,35 @@
 	return optionErr
 }
 
-// BoundedHandler limits what a call may take of a server: the bytes and the time of its request, and the time until its reply has
-// been read. A caller that does not read delays only itself, and that not for ever.
+// BoundedHandler limits the server resources that a call may use: the bytes and the time of its request, and the time until its reply has
+// been read. A caller that does not read delays only itself, and only for a limited time.
 func BoundedHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		controller := http.NewResponseController(w) // where there are no deadlines, as in tests, its errors say so
+		controller := http.NewResponseController(w) // returns errors where deadlines are not supported, as in tests
 		_ = controller.SetReadDeadline(time.Now().Add(requestReadTimeout))
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 		if err != nil {
 			http.Error(w, "the request came too slowly or is too large: send less", http.StatusRequestEntityTooLarge)
 			return
 		}
-		_ = controller.SetReadDeadline(time.Time{}) // an end of the connection now means that the caller is gone
+		_ = controller.SetReadDeadline(time.Time{}) // from now on, a closed connection means that the caller is gone
 		_ = controller.SetWriteDeadline(time.Now().Add(ReplyWriteTimeout))
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		next.ServeHTTP(w, r)
 	})
 }
 
-// idleDeadline bounds a call by how long nothing arrives, and not by how long its reply takes to arrive.
+// idleDeadline bounds how long nothing of a reply arrives, rather than how long the reply takes in total.
 type idleDeadline struct {
 	timer    *time.Timer
-	maxPause time.Duration // once the reply has begun
-	deadline time.Time     // whatever arrives
+	maxPause time.Duration // between parts of the reply, once it has begun
+	deadline time.Time     // for the complete reply
 }
 
 type idleDeadlineKey struct{}
 
-// WithIdleTimeout returns a context for a call through a BoundedTransport. It ends when the reply has not begun after first, or then
-// pauses for maxPause, or is not complete 20 s after first.
+// WithIdleTimeout returns a context for a call through a BoundedTransport. The context ends when the reply has not begun after first, or
+// pauses for maxPause after that, or is not complete 20 s after first.
 func WithIdleTimeout(ctx context.Context, first, maxPause time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	idle := &idleDeadline{maxPause: maxPause, deadline: time.Now().Add(first + maxReplyDuration)}
@@ -101,14 +101,15 @@
 	}
 }
 
-// extend is called where some of the reply has arrived.
+// extend is called when a part of the reply has arrived.
 func (d *idleDeadline) extend() {
 	if left := time.Until(d.deadline); left > 0 && d.timer.Stop() {
 		d.timer.Reset(min(left, d.maxPause))
 	}
 }
 
-// BoundedTransport limits the bodies that a client reads, and extends the idle deadline in a request's context as they arrive.
+// BoundedTransport limits the size of the reply bodies that a client reads, and extends the idle deadline in a request's context as data
+// arrives.
 type BoundedTransport struct{ Next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
@@ -123,7 +124,7 @@
 
 type replyBody struct {
 	io.ReadCloser
-	idle *idleDeadline // nil: the context alone bounds the call
+	idle *idleDeadline // nil: only the context bounds the call
 }
 
 func (b replyBody) Read(p []byte) (int, error) {
--- a/internal/system/distribution/rpc/transport_test.go
+++ b/internal/system/distribution/rpc/transport_test.go
@@ -12,9 +12,9 @@
 	"gradeusher.example/gradeusher/internal/testsupport/resetserver"
 )
 
-// TestCallsAreSentOnce has a peer break every second call on its connections once it has read it: the transport sends none a
-// second time by itself, so that a late copy cannot overtake what the caller sends next. The control is a header for which
-// net/http does: all calls that were broken come twice then.
+// TestCallsAreSentOnce uses a peer that resets its connections after it has read every second call: the transport retries none of the
+// calls by itself, so a late copy cannot overtake what the caller sends next. The control sets a header for which net/http does retry:
+// all calls on reset connections then arrive twice.
 func TestCallsAreSentOnce(t *testing.T) {
 	key, err := twirp.WithHTTPRequestHeaders(context.Background(), http.Header{"X-Idempotency-Key": {"1"}})
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-// breakEverySecond makes calls, and returns how many came to a peer that breaks every second one of a connection, and how many
+// breakEverySecond makes calls to a peer that resets the connection on every second one, and returns how many arrived and how many
 // failed.
 func breakEverySecond(ctx context.Context, t *testing.T, calls int) (came, failed int) {
 	t.Helper()
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -17,33 +17,34 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// ErrStale marks the refusal of an entry that does not supersede the one that is stored.
+// ErrStale marks an error caused by an entry that does not supersede the stored one.
 var ErrStale = errors.New("distribution: a newer entry is stored; read the table and write with a higher fence or version")
 
-// Source is where a Server takes the control state from.
+// Source provides a Server with the control state.
 type Source interface {
-	// Committed returns the newest state that the chain's tail has acknowledged, and a channel that is closed at the next; nil: there is
-	// none yet.
+	// Committed returns the newest state that the chain's tail has acknowledged, or nil if there is none yet, and a channel that is
+	// closed at the next one.
 	Committed() (*controlstate.State, <-chan struct{})
-	// RecordsAfter returns up to maxRecords records after seq, and false where they are gone or seq is beyond.
+	// RecordsAfter returns up to maxRecords records after seq. It returns false if they are no longer available or seq is beyond the
+	// newest.
 	RecordsAfter(seq uint64, maxRecords int) ([]controlstate.Record, bool)
-	// Current reports whether the state may be given to proxies as the newest.
+	// Current reports whether the state may be served to proxies as the newest.
 	Current() bool
 	// Addresses returns the control-plane nodes in the chain's order, as IP or IP:port.
 	Addresses() []string
 }
 
-// ServerLimits bound a Server's work. Zero values take the defaults.
+// ServerLimits bound a Server's work. Zero values take the defaults, which are given after the semicolons.
 type ServerLimits struct {
 	LongPollTimeout      time.Duration // longest wait of a poll; 1 s
-	LoadReportInterval   time.Duration // between load reports to one subscriber in a fleet of up to 128; 100 ms, longer in larger ones
-	SubscriberTimeout    time.Duration // without a call until a subscriber is marked down; 1300 ms
-	MinSyncInterval      time.Duration // between synchronisations with one peer at the least; 50 ms
-	MaxSyncInterval      time.Duration // between synchronisations with one peer at the most; 300 ms
+	LoadReportInterval   time.Duration // between load reports to one subscriber in a fleet of up to 128, longer in larger ones; 100 ms
+	SubscriberTimeout    time.Duration // a subscriber without a call for so long is marked down; 1300 ms
+	MinSyncInterval      time.Duration // minimum time between synchronisations with one peer; 50 ms
+	MaxSyncInterval      time.Duration // maximum time between synchronisations with one peer; 300 ms
 	TombstoneTTL         time.Duration // after which a member that is down is deleted; 60 s
 	MaxRecordsPerReply   int           // in one reply; 256
-	MaxPendingReplyBytes int           // of large replies that have not been read yet, together; 32 MiB
-	TableCompleteAfter   time.Duration // after the start, until the table counts as complete without a peer's; 3 s
+	MaxPendingReplyBytes int           // of large replies that have not been read yet, in total; 32 MiB
+	TableCompleteAfter   time.Duration // after the start, the table counts as complete even without a peer's complete table; 3 s
 }
 
 func (l ServerLimits) withDefaults() ServerLimits {
@@ -59,20 +60,20 @@
 	return l
 }
 
-// ServerOptions are what a Server needs. Source, Self and Log must be given.
+// ServerOptions configure a Server. Source, Self and Log are required.
 type ServerOptions struct {
 	Source       Source
 	Self         string          // this node's address, as its peers know it
-	Zone, Region string          // where it is
+	Zone, Region string          // location of this node
 	Peers        func() []string // base URLs of the other control-plane nodes; nil: none
-	ListLag      time.Duration   // a reading of the platform's list may show what was so long before
+	ListLag      time.Duration   // a reading of the platform's list may be this old when the platform returns it
 	Transport    http.RoundTripper
 	Log          log.Interface
 	Limits       ServerLimits
 	knobs        TestingKnobs
 }
 
-// Server is the control plane's end: it serves the proxies that follow this node and synchronises soft state with its peers.
+// Server serves the proxies that follow this node and synchronises soft state with its peers.
 type Server struct {
 	options ServerOptions
 	limits  ServerLimits
@@ -82,9 +83,9 @@
 	records     recordCache
 	callIDs     rpc.CallIDs
 
-	mu               sync.Mutex // guards what follows
+	mu               sync.Mutex // guards the fields below
 	table            *softstate.Table
-	bootID           uint64 // drawn anew once the table is complete, so that subscribers then take all of it
+	bootID           uint64 // changes once the table is complete, so that subscribers then fetch all of it
 	tableComplete    bool   // the table lacks no live proxy
 	startedAt        time.Time
 	lastTick         time.Time
@@ -94,14 +95,14 @@
 	loads            loadAggregator
 	isolation        isolationTracker
 	commits          commitLog
-	softStateChanged chan struct{} // closed when subscribers are to look again
+	softStateChanged chan struct{} // closed when subscribers have to check for changes again
 
 	stopped       chan struct{} // closed when Run ends
 	wakeRequested chan struct{} // the table or a vector changed
 	syncRequested chan struct{}
 }
 
-// NewServer makes a Server; Run makes it work.
+// NewServer returns a Server; call Run to start it.
 func NewServer(options ServerOptions) *Server {
 	if options.Transport == nil {
 		options.Transport = rpc.NewTransport()
@@ -118,7 +119,7 @@
 	}
 }
 
-// newBootID draws a boot id; never 0.
+// newBootID returns a random boot id; never 0.
 func newBootID() uint64 { return rand.Uint64() | 1 }
 
 // Handler serves the calls of subscribers and of peers, under /twirp/gradeusher.distribution.Distribution/.
@@ -129,7 +130,7 @@
 // coalesceDelay is how long the first change waits for others before subscribers are woken.
 const coalesceDelay = 5 * time.Millisecond
 
-// Run works until ctx ends, and then ends the polls that are waiting. It is called once.
+// Run runs the server until ctx ends, and then ends the polls that are waiting. It is called once.
 func (s *Server) Run(ctx context.Context) {
 	defer close(s.stopped)
 	var wg sync.WaitGroup
@@ -155,13 +156,13 @@
 	}
 }
 
-// wakeSubscribers makes waiting polls look again. The caller holds mu.
+// wakeSubscribers makes waiting polls check for changes again. The caller holds mu.
 func (s *Server) wakeSubscribers() {
 	close(s.softStateChanged)
 	s.softStateChanged = make(chan struct{})
 }
 
-// signal sends to a channel with room for one, unless a signal is waiting there already.
+// signal sends to a channel with a buffer of one, unless a signal is pending there already.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -169,7 +170,7 @@
 	}
 }
 
-// sleep waits for d; false: ctx ended before.
+// sleep waits for d. It returns false if ctx ended before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -181,7 +182,7 @@
 	}
 }
 
-// tick evaluates the liveness of subscribers, adds up loads and forgets what has expired.
+// tick evaluates the liveness of subscribers, adds up loads and removes expired entries.
 func (s *Server) tick(now time.Time) {
 	current := s.options.Source.Current()
 	state, _ := s.options.Source.Committed()
@@ -201,10 +202,10 @@
 	s.publishLoads(now)
 }
 
-// observeContacts notices that this process was paused, or has contact to less than half of its peers. The caller holds mu.
+// observeContacts detects that this process was paused, or has contact to less than half of its peers. The caller holds mu.
 func (s *Server) observeContacts(now time.Time) {
 	if pause := now.Sub(s.lastTick); pause > s.limits.SubscriberTimeout/2 {
-		// The silence of others during a pause of this process says nothing about them.
+		// While this process was paused it could receive no calls, so the silence of others does not mean that they are down.
 		s.sessions.extendBy(pause)
 		s.peers.extendBy(pause)
 		s.isolation.observeIsolation(now)
@@ -215,7 +216,7 @@
 	s.lastTick = now
 }
 
-// publishLoads adds the loads up, and has subscribers and peers notified where they changed. The caller holds mu.
+// publishLoads adds up the loads, and notifies subscribers and peers if the sums changed. The caller holds mu.
 func (s *Server) publishLoads(now time.Time) {
 	localChanged, totalChanged := s.loads.publish(now, &s.sessions, &s.peers)
 	if totalChanged {
@@ -226,7 +227,7 @@
 	}
 }
 
-// completeAfterStart declares the table complete once it has had the time to fill. The caller holds mu.
+// completeAfterStart marks the table complete once it has had time to fill. The caller holds mu.
 func (s *Server) completeAfterStart(now time.Time) {
 	if !s.tableComplete && now.Sub(s.startedAt) > s.limits.TableCompleteAfter {
 		s.markComplete()
@@ -238,11 +239,11 @@
 	s.wakeSubscribers()
 }
 
-// SubscriberInfo is what an operator may want to know of a subscriber.
+// SubscriberInfo describes a subscriber to an operator.
 type SubscriberInfo struct {
 	Node          string
-	Seq           uint64        // number of the newest record that it has acknowledged
-	SinceLastCall time.Duration // since its last call began or ended; 0: one is waiting
+	Seq           uint64        // newest record that it has acknowledged
+	SinceLastCall time.Duration // since its last call began or ended; 0: a call is open
 }
 
 // Subscribers returns the proxies that follow this node, by name.
@@ -252,8 +253,8 @@
 	return s.sessions.infos(time.Now())
 }
 
-// WaitAcknowledged waits until every connected subscriber, of this node and of the peers that it has contact to, has the control
-// state numbered seq, or until ctx ends.
+// WaitAcknowledged waits until every connected subscriber, of this node and of the peers in contact, has the control state numbered seq,
+// or until ctx ends.
 func (s *Server) WaitAcknowledged(ctx context.Context, seq uint64) error {
 	for {
 		s.mu.Lock()
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// currentRecheckInterval is how often a node that is not current looks whether it has become so, while a proxy waits for that.
+	// currentRecheckInterval is how often a node that is not current checks whether it has become current while a proxy waits for that.
 	currentRecheckInterval = 40 * time.Millisecond
-	// maxRequestedWait bounds the wait that a poll may ask for.
+	// maxRequestedWait bounds the wait that a poll may request.
 	maxRequestedWait = time.Minute
 )
 
-// Follow serves a poll of a proxy: see the service's definition.
+// Follow serves a poll of a proxy; see the service's definition.
 func (s *Server) Follow(ctx context.Context, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	reply, err := s.serveFollow(ctx, req)
 	if reply != nil {
@@ -47,21 +47,21 @@
 	return s.longPoll(ctx, &poll{caller: caller, req: req, start: start})
 }
 
-// poll is a request of a subscriber that waits for what it does not have.
+// poll is a subscriber's request that waits for changes the subscriber does not have yet.
 type poll struct {
 	caller *session
 	req    *distributionpb.FollowRequest
 	start  time.Time // when it arrived
 }
 
-// pollWait is what a poll waits for.
+// pollWait holds what a poll waits for.
 type pollWait struct {
 	changed   <-chan struct{} // soft state
 	committed <-chan struct{} // control state
-	dueIn     time.Duration   // until something is due; 0: nothing is
+	dueIn     time.Duration   // until the next scheduled reply; 0: none is scheduled
 }
 
-// longPoll waits until there is something that the request does not have, or its wait is over.
+// longPoll waits until there is something that the request does not have, or until its wait time is over.
 func (s *Server) longPoll(ctx context.Context, waiting *poll) (*distributionpb.FollowReply, error) {
 	maxWait := min(softstate.BoundedMilliseconds(waiting.req.GetWaitMs(), maxRequestedWait), s.limits.LongPollTimeout)
 	for {
@@ -82,7 +82,7 @@
 	}
 }
 
-// awaitChange waits for a change, at most for the time given. It fails where the caller or this server is gone.
+// awaitChange waits for a change, at most for the time given. It fails if the caller has gone away or this server stops.
 func (s *Server) awaitChange(ctx context.Context, waiting *poll, wait pollWait, atMost time.Duration) error {
 	timer := time.NewTimer(atMost)
 	defer timer.Stop()
@@ -99,13 +99,13 @@
 	return nil
 }
 
-// schedule says whether something is due now, or else in how long the first thing is.
+// schedule states whether a reply is due now, and otherwise how long until the first one is due.
 type schedule struct {
 	ready bool
-	dueIn time.Duration // 0: nothing is due
+	dueIn time.Duration // 0: none is scheduled
 }
 
-// add schedules what is to be done at an interval and was done last at a moment.
+// add schedules a reply that is due at an interval after last.
 func (s *schedule) add(last time.Time, interval time.Duration) {
 	left := interval - time.Since(last)
 	if left <= 0 {
@@ -115,26 +115,26 @@
 	}
 }
 
-// addIn schedules what is due after a time.
+// addIn schedules a reply that is due after a duration.
 func (s *schedule) addIn(left time.Duration) {
 	if s.dueIn == 0 || left < s.dueIn {
 		s.dueIn = left
 	}
 }
 
-// tryReply returns a reply if there is something that the request does not have. Otherwise it returns what to wait for.
+// tryReply returns a reply if there is something that the request does not have, and otherwise what to wait for.
 func (s *Server) tryReply(ctx context.Context, waiting *poll) (*distributionpb.FollowReply, pollWait) {
 	state, committed := s.options.Source.Committed()
 	current := s.isCurrent()
 	digest := addressDigest(s.options.Source.Addresses())
-	mustReject := !current && !waiting.req.GetAcceptStale() // the reply says that this node is not current, so that the proxy leaves it
+	mustReject := !current && !waiting.req.GetAcceptStale() // the reply states that this node is not current, so that the proxy leaves it
 	hasNewerState := current && state != nil && state.Seq > waiting.req.GetSeq()
 	s.mu.Lock()
 	changed := s.softStateChanged
 	plan := s.scheduleSoftState(waiting, digest)
 	s.mu.Unlock()
 	if !current {
-		plan.addIn(currentRecheckInterval) // nothing notifies that this node has become current
+		plan.addIn(currentRecheckInterval) // there is no notification when this node becomes current
 	}
 	if mustReject || hasNewerState || plan.ready {
 		return s.buildReply(ctx, waiting), pollWait{}
@@ -142,12 +142,12 @@
 	return nil, pollWait{changed: changed, committed: committed, dueIn: plan.dueIn}
 }
 
-// scheduleSoftState decides when soft state is to be sent. The caller holds mu.
+// scheduleSoftState decides when soft state is due. The caller holds mu.
 func (s *Server) scheduleSoftState(waiting *poll, digest uint64) schedule {
 	cursor := softstate.CursorFromProto(waiting.req.GetSoft())
 	plan := schedule{ready: cursor.BootID != s.bootID || s.nodesDigest(digest) != waiting.req.GetKeepers()}
 	if cursor.Number < s.table.LastUrgent {
-		// A change that comes alone is sent at once, one close upon another waits for more.
+		// An isolated change is sent immediately; one that closely follows another is delayed, so that more are sent together.
 		plan.add(waiting.caller.entriesSentAt, s.loadReportInterval()/2)
 	}
 	if softstate.CursorFromProto(waiting.req.GetTotals()) != s.loads.total.Cursor {
@@ -156,10 +156,10 @@
 	return plan
 }
 
-// buildReply makes the reply to a request, with all that it does not have.
+// buildReply builds the reply to a request, with everything that the request does not have.
 func (s *Server) buildReply(ctx context.Context, waiting *poll) *distributionpb.FollowReply {
 	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(waiting.start) / time.Millisecond)}
-	// First whether this node is current, then what it has: what is acknowledged between is then in the reply.
+	// Check first whether this node is current and read the state afterwards, so that changes acknowledged in between are in the reply.
 	reply.Current = s.isCurrent()
 	addresses := s.options.Source.Addresses()
 	if reply.Current {
@@ -178,7 +178,7 @@
 	return reply
 }
 
-// addEntries adds the entries that the caller lacks. The caller holds mu.
+// addEntries adds the entries that the caller of the poll lacks. The caller holds mu.
 func (s *Server) addEntries(now time.Time, reply *distributionpb.FollowReply, waiting *poll) {
 	entries, full := s.table.ChangesSince(s.numberAt(softstate.CursorFromProto(waiting.req.GetSoft())))
 	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, entries), full, s.tableComplete
@@ -188,12 +188,13 @@
 	reply.Soft = s.tableCursor().ToProto()
 }
 
-// tableCursor is the position of the table's last change. The caller holds mu.
+// tableCursor returns the position of the table's last change. The caller holds mu.
 func (s *Server) tableCursor() softstate.Cursor {
 	return softstate.Cursor{BootID: s.bootID, Number: s.table.LastNumber}
 }
 
-// numberAt is the number of the change up to which a reader has this table; 0 for a cursor of another. The caller holds mu.
+// numberAt returns the number of the last change that a reader with this cursor has; 0 if the cursor is for another table. The caller
+// holds mu.
 func (s *Server) numberAt(cursor softstate.Cursor) uint64 {
 	if cursor.BootID != s.bootID {
 		return 0
@@ -201,7 +202,7 @@
 	return cursor.Number
 }
 
-// addLoads adds the changes of the total loads, and how far the caller's own have come. The caller holds mu.
+// addLoads adds the changes of the total loads, and acknowledges the subscriber's own loads. The caller holds mu.
 func (s *Server) addLoads(now time.Time, reply *distributionpb.FollowReply, waiting *poll) {
 	totals := s.loads.total.ChangesSince(softstate.CursorFromProto(waiting.req.GetTotals()))
 	if totals.GetFrom() != totals.GetNumber() || waiting.req.GetTotals().GetBoot() != totals.GetBoot() {
@@ -212,7 +213,7 @@
 	reply.Told = waiting.caller.loads.ToProto()
 }
 
-// controlPlaneNodes returns the nodes in the chain's order, with where they are as far as that is known. The caller holds mu.
+// controlPlaneNodes returns the nodes in the chain's order, with their locations if known. The caller holds mu.
 func (s *Server) controlPlaneNodes(addresses []string) []*distributionpb.Keeper {
 	out := make([]*distributionpb.Keeper, 0, len(addresses))
 	for _, address := range addresses {
@@ -228,7 +229,7 @@
 	return out
 }
 
-// location is this node's address, and where it is.
+// location returns this node's address and location.
 func (s *Server) location() *distributionpb.Keeper {
 	return &distributionpb.Keeper{Address: s.options.Self, Zone: s.options.Zone, Region: s.options.Region}
 }
@@ -243,5 +244,5 @@
 	return digest.Sum64()
 }
 
-// nodesDigest mixes into the digest of the addresses how many nodes are known by location. The caller holds mu.
+// nodesDigest adds the number of nodes with a known location to the digest of the addresses. The caller holds mu.
 func (s *Server) nodesDigest(digest uint64) uint64 { return digest + uint64(s.peers.len()) }
--- a/internal/system/distribution/server_isolation.go
+++ b/internal/system/distribution/server_isolation.go
@@ -3,27 +3,28 @@
 import "time"
 
 const (
-	// isolationThreshold is how long a node is not current until its table counts as behind: its peers' messages have expired.
+	// isolationThreshold is how long a node may be not current before its table counts as outdated: its peers' messages have expired by
+	// then.
 	isolationThreshold = peerTTL
-	// rejoinDelay is what synchronisation gets after that to bring the table up to date: a call that waits for its time-out and the
-	// one after it, and the reply of those that know better.
+	// rejoinDelay is the time that synchronisation then gets to bring the table up to date: one call that waits for its timeout, the call
+	// after it, and the reply of the peers that have newer entries.
 	rejoinDelay = 2 * time.Second
 )
 
 // isolationTracker decides when a node that was isolated or paused may serve proxies again. The server's mu guards it.
 type isolationTracker struct {
-	lastCurrent     time.Time // when this node was last seen to be current; zero: never yet
-	rejoinedAt      time.Time // when it was so again after isolationThreshold
+	lastCurrent     time.Time // when this node was last seen to be current; zero: never
+	rejoinedAt      time.Time // when it became current again after isolationThreshold
 	isolatedAt      time.Time // when it last had contact to less than half of its peers, or was paused
 	skipRejoinDelay bool      // see TestingKnobs
 }
 
-// observeIsolation records that this node was paused or isolated until now.
+// observeIsolation records that this node was isolated or paused until now.
 func (t *isolationTracker) observeIsolation(now time.Time) { t.isolatedAt = now }
 
-// mayServe reports whether a node whose chain calls it current is so with its soft state too: one that was isolated or paused gets
-// time to receive what it has missed. One that had contact to its peers all the while, as in a repair of the chain, does not
-// wait, nor does one at its start.
+// mayServe reports whether a node whose chain is current may serve its soft state as current too. A node that was isolated or paused
+// first waits until it could receive what it missed. A node that stayed in contact with its peers throughout, as in a repair of the
+// chain, does not wait, nor does a node that has just started.
 func (t *isolationTracker) mayServe(now time.Time, current bool) bool {
 	if !current {
 		return false
@@ -36,7 +37,7 @@
 	return t.rejoinedAt.IsZero() || now.Sub(t.rejoinedAt) >= rejoinDelay || t.skipRejoinDelay
 }
 
-// isCurrent reports whether proxies may take what this node has for the newest.
+// isCurrent reports whether proxies may treat this node's state as the newest.
 func (s *Server) isCurrent() bool {
 	current := s.options.Source.Current()
 	s.mu.Lock()
--- a/internal/system/distribution/server_list.go
+++ b/internal/system/distribution/server_list.go
@@ -16,14 +16,13 @@
 	fence, version uint64
 	now            time.Time
 	age            softstate.Age
-	firstOfFence   bool // no reading of this fence has been written
+	firstOfFence   bool // no reading under this fence has been written yet
 }
 
-// PutList takes in a complete reading of the platform's list: servers that it does not name are gone. read is between when the
-// platform was asked and when it had answered.
-// Only what differs from the table is sent. version rises from reading to reading of one fence. The error is ErrStale
-// where a reading under a higher fence, or one that was asked for later, has been taken in: a reading that was delayed on its way
-// may be older than one that was asked for after it.
+// PutList merges a complete reading of the platform's list; servers that it does not contain are deleted. read bounds the time between
+// the request to the platform and its response. Only differences from the table are sent. version rises with each reading under one
+// fence. The error is ErrStale if a reading under a higher fence, or one that was requested later, has been merged: a reading that was
+// delayed in transit may be older than one that was requested after it.
 func (s *Server) PutList(fence, version uint64, servers []pick.Server, read softstate.TimeBounds) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +32,7 @@
 		return errors.Mark(errors.Newf("distribution: a list that was asked for %v later is stored: this one counts for nothing",
 			reading.age.Max-stored.AgeAt(now).Max), ErrStale)
 	}
-	// The reading shows at least what was so long before the platform was asked: see commitLog.
+	// The reading shows at least everything up to ListLag before the platform was asked; see commitLog.
 	covers := s.commits.committedBefore(read.Earliest.Add(-s.options.ListLag))
 	if !s.writeReading(reading, softstate.Entry{Key: softstate.ListKey, Value: softstate.EncodeListCovers(covers)}) {
 		return errors.Mark(errors.Newf("distribution: the list is written under a higher fence than %d: acquire the lease again before polling",
@@ -48,7 +47,7 @@
 	return nil
 }
 
-// writeServers writes the servers that differ from the table, and returns the keys of all. The caller holds mu.
+// writeServers writes the servers that differ from the table, and returns the keys of all of them. The caller holds mu.
 func (s *Server) writeServers(reading listReading, servers []pick.Server) (named map[string]bool) {
 	named = make(map[string]bool, len(servers))
 	for _, server := range servers {
@@ -64,8 +63,8 @@
 	return named
 }
 
-// readingAgrees reports whether the table has a server as a reading shows it. Under a new fence everything is written once: peers may
-// have more of what the reader of the former fence wrote. The caller holds mu.
+// readingAgrees reports whether the table has the server as the reading shows it. Under a new fence every server is written once, because
+// peers may have entries of the former fence's reader that are missing here. The caller holds mu.
 func (s *Server) readingAgrees(reading listReading, key string, server pick.Server) bool {
 	stored := s.table.Get(key)
 	if stored == nil || stored.Deleted || reading.firstOfFence {
@@ -75,8 +74,8 @@
 	return ok && softstate.AgreesWithReading(storedServer, softstate.CountDown(server, reading.age))
 }
 
-// writeReading writes an entry under a reading's fence and version. A poller that starts anew under its old fence counts versions from
-// the start, so versions continue from the table's. The caller holds mu.
+// writeReading writes an entry under a reading's fence and version. A poller that restarts under its old fence counts versions from the
+// beginning, so versions continue from the table's. The caller holds mu.
 func (s *Server) writeReading(reading listReading, entry softstate.Entry) bool {
 	entry.Fence, entry.Version = reading.fence, reading.version
 	if stored := s.table.Get(entry.Key); stored != nil && stored.Fence == entry.Fence {
@@ -85,7 +84,7 @@
 	return s.mergeEntry(reading.now, entry, reading.age)
 }
 
-// listFence is the fence of the newest complete reading of the platform's list; 0: none has come. The caller holds mu.
+// listFence returns the fence of the newest complete reading of the platform's list, or 0 before the first one. The caller holds mu.
 func (s *Server) listFence() uint64 {
 	if stored := s.table.Get(softstate.ListKey); stored != nil {
 		return stored.Fence
@@ -93,8 +92,8 @@
 	return 0
 }
 
-// deleteServersOfOldFences deletes the servers that were written under fences below that of the list, which has just come with all of its
-// servers: whoever read it may not know of all that the former reader wrote. The caller holds mu.
+// deleteServersOfOldFences deletes the servers that were written under a fence below that of the list, which has just been received
+// together with all of its servers: its reader may not know of every server that the former reader wrote. The caller holds mu.
 func (s *Server) deleteServersOfOldFences(now time.Time, fence uint64) {
 	version := s.table.Get(softstate.ListKey).Version
 	for _, stored := range slices.Clone(s.table.Live(softstate.ServerPrefix)) {
@@ -104,21 +103,21 @@
 	}
 }
 
-// List returns the servers as last read, with their times as of now, and the greatest possible age of that reading; false: none yet.
+// List returns the servers as last read, with their times as of now, and the maximum age of that reading; false before the first one.
 func (s *Server) List() ([]pick.Server, time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Servers(time.Now())
 }
 
-// ListVersion is how new a complete reading of the platform's list is. One with a higher (Fence, Version) replaces one with a lower.
+// ListVersion identifies a complete reading of the platform's list. A reading with a higher (Fence, Version) replaces one with a lower.
 type ListVersion struct {
-	Fence   uint64 // the fencing token under which it was read
+	Fence   uint64 // the fencing token of the lease under which it was read
 	Version uint64
-	Age     time.Duration // at most
+	Age     time.Duration // upper bound
 }
 
-// ListVersion returns the version of the newest complete reading that has come here; before any has, zeros and the longest duration.
+// ListVersion returns the version of the newest complete reading received; before the first one, zeros and the longest duration.
 func (s *Server) ListVersion() ListVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/server_list_fence_test.go
+++ b/internal/system/distribution/server_list_fence_test.go
@@ -9,9 +9,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestHigherFenceWithAnOlderReading: the lease has moved on, and the first reading under the new fence was made a little before the
-// last one under the former. Nodes take it in; then the second reading under the new fence says the same. Danger: a proxy skips
-// the first, moves its cursor past it, and never learns of what it said.
+// TestHigherFenceWithAnOlderReading: the lease has moved, and the first reading under the new fence was made shortly before the last
+// reading under the old one. Servers merge it; the second reading under the new fence has the same contents. A proxy that skipped the
+// first one but moved its cursor past it would never learn of its contents.
 func TestHigherFenceWithAnOlderReading(t *testing.T) {
 	server := newIdleServer()
 	server.markComplete()
@@ -32,9 +32,9 @@
 		t.Helper()
 		putList(t, server, fence, version, []pick.Server{{ID: "a", Service: "x", Draining: draining}}, exactAge(ago))
 	}
-	put(1, 7, false, 0) // it shows what was up to lag_ms before
+	put(1, 7, false, 0) // shows the state of up to lag_ms earlier
 	poll()
-	put(2, 1, true, 150*time.Millisecond) // read earlier, but of a later snapshot
+	put(2, 1, true, 150*time.Millisecond) // read earlier, but from a later snapshot of the list
 	poll()
 	for v := uint64(2); v < 5; v++ {
 		put(2, v, true, 0)
--- a/internal/system/distribution/server_members.go
+++ b/internal/system/distribution/server_members.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// Why a proxy is marked down, as logged.
+// Reasons why a proxy is marked down, as logged.
 const (
 	downByReport     = "other proxies have no contact to it"
 	downDisconnected = "its connection ended"
@@ -16,7 +16,7 @@
 	downOrphaned     = "the control-plane node that it followed timed out too"
 )
 
-// assertAlive writes that a process lives and follows this node. The caller holds mu.
+// assertAlive writes that a process is alive and follows this node. The caller holds mu.
 func (s *Server) assertAlive(now time.Time, m softstate.Member) {
 	m.Owner, m.Down = s.options.Self, false
 	key := softstate.MemberPrefix + m.Node
@@ -30,22 +30,22 @@
 			}
 			entry.Fence, entry.Version = stored.Fence, stored.Version+1
 		default:
-			// Another incarnation of the node: whatever is still said of the former one is below.
+			// Another incarnation of the node: a higher fence supersedes every entry about the former one.
 			entry.Fence = stored.Fence + 1
 		}
 	}
 	s.mergeEntry(now, entry, softstate.Age{})
 }
 
-// markDown writes that the process that the entry is about timed out. The caller holds mu.
+// markDown writes that the process described by the entry timed out. The caller holds mu.
 func (s *Server) markDown(now time.Time, stored *softstate.StoredEntry, m softstate.Member, reason string) {
 	m.Down = true
 	s.options.Log.WithFields(log.Fields{"node": m.Node, "reason": reason}).Info("distribution: a proxy is marked down")
 	s.mergeEntry(now, softstate.Entry{Key: stored.Key, Fence: stored.Fence, Version: stored.Version + 1, Value: m.Encode()}, softstate.Age{})
 }
 
-// applyDownReport takes in that another proxy reports one down: the node that this one follows knows better, while that one is in contact. The
-// caller holds mu.
+// applyDownReport handles another proxy's report that node is down. The report is ignored while the control-plane node that the reported
+// proxy follows is in contact with it, because that node knows better. The caller holds mu.
 func (s *Server) applyDownReport(now time.Time, node string, incarnation uint64) {
 	stored := s.table.Get(softstate.MemberPrefix + node)
 	if stored == nil || stored.Deleted {
@@ -64,13 +64,13 @@
 	s.markDown(now, stored, m, downByReport)
 }
 
-// hasLiveSession reports whether an incarnation of a proxy has called this node lately. The caller holds mu.
+// hasLiveSession reports whether an incarnation of a proxy has called this node recently. The caller holds mu.
 func (s *Server) hasLiveSession(now time.Time, node string, incarnation uint64) bool {
 	caller := s.sessions.of(softstate.Member{Node: node, Incarnation: incarnation})
 	return caller != nil && caller.recentlyCalled(now, s.limits.SubscriberTimeout/2)
 }
 
-// memberDecision is what is to be done about a member.
+// memberDecision is the action to take for a member.
 type memberDecision int
 
 const (
@@ -80,8 +80,8 @@
 	deleteMember
 )
 
-// evaluateLiveness drops subscribers that stopped calling, marks them down, deletes those that have been down for long, and takes over
-// the evaluation of those that followed a node without contact. The caller holds mu.
+// evaluateLiveness drops subscribers that stopped calling and marks them down, deletes members that have been down for long, and
+// evaluates the members whose node has lost contact. The caller holds mu.
 func (s *Server) evaluateLiveness(now time.Time) {
 	dropped, disconnected := s.sessions.dropTimedOut(now, s.limits.SubscriberTimeout)
 	type downMember struct {
@@ -97,7 +97,7 @@
 		switch decision {
 		case keepMember:
 		case dropSession:
-			// Its loads and acknowledgements are reported there.
+			// The other node reports its loads and acknowledgements.
 			delete(s.sessions.byNode, m.Node)
 			dropped = true
 		case markMemberDown:
@@ -117,8 +117,8 @@
 	}
 }
 
-// decideMember decides what is to be done about a member, and why it is down. disconnected are the incarnations, by node, that lost
-// their connection to this node. The caller holds mu.
+// decideMember decides the action to take for a member, and the reason if it is to be marked down. disconnected has the incarnations, by
+// node, that lost their connection to this node. The caller holds mu.
 func (s *Server) decideMember(now time.Time, stored *softstate.StoredEntry, disconnected map[string]uint64) (memberDecision, string) {
 	member, ok := stored.Member()
 	age := stored.AgeAt(now).Max
@@ -146,8 +146,8 @@
 	return keepMember, ""
 }
 
-// ownerIsLost reports whether the node that a proxy followed has been lost for so long that the proxy must have moved on. The caller
-// holds mu.
+// ownerIsLost reports whether the node that a proxy followed has been without contact for so long that the proxy must have switched to
+// another node. The caller holds mu.
 func (s *Server) ownerIsLost(now time.Time, owner string) bool {
 	hadTimeToMove := now.Sub(s.startedAt) > orphanTimeout
 	return hadTimeToMove && !s.peers.hasContact(now, owner) && s.peers.isLost(now, owner)
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -10,9 +10,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestNewFenceWritesAllEntriesOnce: a node that is lost had sent only one of the others of its last reading. The node that reads the list under the
-// next fence has another state of a server, and none of a server that came with that reading. Danger: what it reads does not
-// differ from what it has, so it writes nothing, and the other one keeps the lost node's statement for good.
+// TestNewFenceWritesAllEntriesOnce: a lost node had sent its last reading to only one of the others. The node that reads the list under
+// the next fence has another state of one server, and lacks a server of that reading. If it wrote only what differs from its own table,
+// it would write nothing, and the other node would keep the lost node's entries forever.
 func TestNewFenceWritesAllEntriesOnce(t *testing.T) {
 	reader, other := newIdleServer(), NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "c"}}, Self: "c", Log: discardLogger()})
 	reader.markComplete()
@@ -21,7 +21,7 @@
 		t.Helper()
 		putList(t, server, fence, version, servers, softstate.Age{Max: 20 * time.Millisecond})
 	}
-	put(other, 1, 100, pick.Server{ID: "x"}, pick.Server{ID: "gone"}) // as the lost keeper told it
+	put(other, 1, 100, pick.Server{ID: "x"}, pick.Server{ID: "gone"}) // as received from the lost node
 	put(reader, 1, 96, pick.Server{ID: "x", Draining: true})
 	put(reader, 2, 1, pick.Server{ID: "x", Draining: true})
 	req, _ := reader.buildShareRequest(&syncProgress{cursor: softstate.Cursor{BootID: reader.bootID, Number: 2}})
--- a/internal/system/distribution/server_peers.go
+++ b/internal/system/distribution/server_peers.go
@@ -11,11 +11,11 @@
 const (
 	// peerTTL is how long a peer counts as in contact after its last message was sent.
 	peerTTL = 1500 * time.Millisecond
-	// orphanTimeout is what the subscribers of a node that timed out get to move on before they are marked down.
+	// orphanTimeout is how long the subscribers of a node that timed out may take to switch to another node before they are marked down.
 	orphanTimeout = 2500 * time.Millisecond
-	// maxPeers bounds the control-plane nodes remembered.
+	// maxPeers bounds the control-plane nodes that are remembered.
 	maxPeers = 64
-	// maxPeerSubscribers bounds how many subscribers a peer may state.
+	// maxPeerSubscribers bounds the subscriber count accepted from a peer.
 	maxPeerSubscribers = 1 << 16
 )
 
@@ -25,20 +25,20 @@
 	lastContact     time.Time
 	minAckedSeq     uint64
 	subscriberCount uint64
-	reachablePeers  []string // addresses of nodes that have synchronised with it lately, as it says
+	reachablePeers  []string // addresses of the nodes that have synchronised with it recently, as it reports
 	loads           loadreport.Received
 }
 
 func (p *peer) inContact(now time.Time) bool { return now.Sub(p.lastContact) <= peerTTL }
 
-// observe takes in what a message that was sent at a moment says of its sender.
+// observe updates the peer from a message that it sent at sentAt.
 func (p *peer) observe(sentAt time.Time, req *distributionpb.ShareRequest) {
 	p.location, p.minAckedSeq, p.subscriberCount = req.GetFrom(), req.GetLowest(), req.GetFollowers()
 	p.lastContact = laterOf(p.lastContact, sentAt)
 	p.reachablePeers = req.GetHears()[:min(len(req.GetHears()), maxPeers)]
 }
 
-// peerSet is the other control-plane nodes that have synchronised with this one. The server's mu guards it.
+// peerSet holds the other control-plane nodes that have synchronised with this one. The server's mu guards it.
 type peerSet struct {
 	byAddress       map[string]*peer
 	ownContactsOnly bool // see TestingKnobs
@@ -50,7 +50,7 @@
 
 func (s *peerSet) len() int { return len(s.byAddress) }
 
-// recent returns the addresses of the peers in contact, in order.
+// recent returns the addresses of the peers in contact, sorted.
 func (s *peerSet) recent(now time.Time) []string {
 	var out []string
 	for address, p := range s.byAddress {
@@ -62,8 +62,8 @@
 	return out
 }
 
-// hasContact reports whether a node has synchronised lately, with this one or with another that is in contact: a node that only this
-// one has no contact to still evaluates its own subscribers.
+// hasContact reports whether a node has synchronised recently with this one, or with another that is in contact: a node that lost contact
+// to this one only still evaluates its own subscribers.
 func (s *peerSet) hasContact(now time.Time, node string) bool {
 	for address, p := range s.byAddress {
 		if p.inContact(now) && (address == node || s.reports(p, node)) {
@@ -73,18 +73,18 @@
 	return false
 }
 
-// reports reports whether a peer says that it has contact to a node.
+// reports reports whether p says that it is in contact with a node.
 func (s *peerSet) reports(p *peer, node string) bool {
 	return slices.Contains(p.reachablePeers, node) && !s.ownContactsOnly
 }
 
-// isLost reports whether a node has been without contact for so long that its subscribers must have moved on.
+// isLost reports whether a node has been without contact for so long that its subscribers must have switched to another.
 func (s *peerSet) isLost(now time.Time, node string) bool {
 	p := s.byAddress[node]
 	return p == nil || now.Sub(p.lastContact) > peerTTL+orphanTimeout
 }
 
-// add remembers one more peer; nil: there are too many.
+// add adds a peer. It returns nil if there are too many.
 func (s *peerSet) add(now time.Time, address string) *peer {
 	if len(s.byAddress) >= maxPeers {
 		s.removeExpired(now)
@@ -97,7 +97,7 @@
 	return added
 }
 
-// removeExpired forgets peers of which nothing is left to decide.
+// removeExpired removes the peers whose orphaned subscribers have all been evaluated.
 func (s *peerSet) removeExpired(now time.Time) {
 	for address, p := range s.byAddress {
 		if now.Sub(p.lastContact) > peerTTL+2*orphanTimeout {
@@ -106,7 +106,7 @@
 	}
 }
 
-// extendBy gives all peers more time, since this process was paused for so long.
+// extendBy extends the contact of all peers by the time that this process was paused.
 func (s *peerSet) extendBy(pause time.Duration) {
 	for _, p := range s.byAddress {
 		p.lastContact = p.lastContact.Add(pause)
@@ -123,7 +123,7 @@
 	return true
 }
 
-// subscribers is how many proxies follow the peers, as they say.
+// subscribers returns how many proxies follow the peers, as the peers report.
 func (s *peerSet) subscribers() int {
 	count := 0
 	for _, p := range s.byAddress {
--- a/internal/system/distribution/server_record_cache.go
+++ b/internal/system/distribution/server_record_cache.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	cachedRecords = 256     // records whose compressed bodies are cached, at most
-	cachedBytes   = 4 << 20 // bytes of these bodies, unless a single one has more
+	cachedRecords = 256     // maximum number of records whose compressed bodies are cached
+	cachedBytes   = 4 << 20 // maximum bytes of these bodies, unless a single one is larger
 )
 
-// recordCache has the newest large records as they are sent, so that each is compressed once for all subscribers. The zero value is ready.
+// recordCache holds the newest large records in encoded form, so that each is compressed once for all subscribers. The zero value is
+// ready to use.
 type recordCache struct {
-	mu      sync.Mutex // held while one is compressed: the others wait for it
+	mu      sync.Mutex // held while a record is compressed: concurrent callers wait for the result
 	records []*distributionpb.Record
 	bytes   int
 }
 
-// encode returns a record as it is sent. The message is shared: do not change it.
+// encode returns a record in wire format. The message is shared and must not be modified.
 func (c *recordCache) encode(record controlstate.Record) *distributionpb.Record {
 	encoded := &distributionpb.Record{Seq: record.Seq, Op: uint32(record.Op), Base: record.Base, Body: record.Body, Zone: record.Zone}
 	if len(record.Body) < rpc.MinCompressBytes {
@@ -39,7 +40,7 @@
 	return encoded
 }
 
-// evict drops the oldest records beyond the bounds. The caller holds mu.
+// evict removes the oldest records beyond the bounds. The caller holds mu.
 func (c *recordCache) evict() {
 	for len(c.records) > 1 && (len(c.records) > cachedRecords || c.bytes > cachedBytes) {
 		c.bytes -= len(c.records[0].GetBody())
--- a/internal/system/distribution/server_rejoin_test.go
+++ b/internal/system/distribution/server_rejoin_test.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestNodeBackFromPartitionSynchronisesFirst: for 2 s after it is current again, a node that was isolated or was paused leaves
-// subscribers to others. One that had contact to the others all the while serves at once, and so does one that starts.
+// TestNodeBackFromPartitionSynchronisesFirst: a node that was isolated or paused does not serve subscribers for 2 s after it is current
+// again. One that stayed in contact with the others serves immediately, and so does one that has just started.
 func TestNodeBackFromPartitionSynchronisesFirst(t *testing.T) {
 	for _, test := range []struct {
 		name            string
--- a/internal/system/distribution/server_reply_budget.go
+++ b/internal/system/distribution/server_reply_budget.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// uncountedReplyBytes is the size up to which replies are not counted: what a change is on most days.
+// uncountedReplyBytes is the size up to which replies are not counted. It covers a typical change.
 const uncountedReplyBytes = 64 << 10
 
-// replyBudget bounds the bytes of large replies that their callers have not read yet. Each is a copy of its own: proxies that do
-// not read would otherwise take as much of a node's memory as there are proxies.
+// replyBudget bounds the bytes of large replies that their callers have not read yet. Each reply has its own copy of the data, so proxies
+// that do not read would otherwise use up a node's memory in proportion to their number.
 type replyBudget struct {
 	maxBytes int
 
@@ -20,19 +20,19 @@
 
 type reservationKey struct{}
 
-// reservation is what one call has reserved of a budget. One goroutine uses it.
+// reservation is the part of a budget that one call has reserved. It is used by one goroutine.
 type reservation struct {
 	budget    *replyBudget // nil: nothing is reserved
 	sizeBytes int
 }
 
-// withReservation returns the context of a call that may reserve, and a function that gives back what it reserved.
+// withReservation returns a call's context with an empty reservation, and a function that releases it.
 func withReservation(ctx context.Context) (context.Context, func()) {
 	reserved := &reservation{}
 	return context.WithValue(ctx, reservationKey{}, reserved), reserved.release
 }
 
-// withReplyBudget attaches to each call a reservation that ends when its reply has been read, or the call is abandoned.
+// withReplyBudget attaches a reservation to each call. It is released when the reply has been read or the call is abandoned.
 func withReplyBudget(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, release := withReservation(r.Context())
@@ -41,8 +41,8 @@
 	})
 }
 
-// reserve reserves the bytes of a reply until the call ends, and reports whether the budget had room for them. A reply that is
-// larger than the budget takes all of it. A call that did not come over the network needs none.
+// reserve reserves the bytes of a reply until the call ends, and reports whether the budget had capacity for them. A reply that is larger
+// than the budget takes all of it. A call that did not come over the network needs no reservation.
 func (b *replyBudget) reserve(ctx context.Context, sizeBytes int) bool {
 	reserved, ok := ctx.Value(reservationKey{}).(*reservation)
 	if !ok {
--- a/internal/system/distribution/server_sessions.go
+++ b/internal/system/distribution/server_sessions.go
@@ -13,28 +13,28 @@
 // maxSubscribers bounds the proxies that follow one node.
 const maxSubscribers = 4096
 
-// reconnectTimeout is how long a proxy whose waiting call lost its connection may take to call again, here or at another node.
+// reconnectTimeout is how long a proxy whose waiting call lost its connection may take to call again, this node or another.
 const reconnectTimeout = 350 * time.Millisecond
 
-// session is what a server knows of a proxy that calls it.
+// session is a server's state for a proxy that calls it.
 type session struct {
 	member           softstate.Member
 	lastCall         time.Time // start or end of its last call
 	openCalls        int
-	connectionLostAt time.Time // when a waiting call's connection ended, and no call has come since; zero: it has not
+	connectionLostAt time.Time // when a waiting call's connection ended; zero: it has not, or a call has come since
 	ackedSeq         uint64
 	totalsSentAt     time.Time // last reply with totals
 	entriesSentAt    time.Time // last reply with entries
 	loads            loadreport.Received
-	loadsInTotals    uint64 // number of its loads in the totals
+	loadsInTotals    uint64 // number of the report of its loads that is in the totals
 }
 
-// recentlyCalled reports whether the proxy is certainly alive, by a call that is open or ended within the duration given.
+// recentlyCalled reports whether the proxy is certainly alive: a call is open, or one ended within the given duration.
 func (c *session) recentlyCalled(now time.Time, within time.Duration) bool {
 	return c.openCalls > 0 || now.Sub(c.lastCall) < within
 }
 
-// timedOut reports whether the proxy is taken for lost, and whether that is as its connection ended.
+// timedOut reports whether the proxy is considered lost, and whether that is because its connection ended.
 func (c *session) timedOut(now time.Time, timeout time.Duration) (timedOut, connectionLost bool) {
 	switch {
 	case c.openCalls > 0:
@@ -45,7 +45,7 @@
 	return now.Sub(c.lastCall) > timeout, false
 }
 
-// sessionSet is the proxies that follow this node, with what they have acknowledged. The server's mu guards it.
+// sessionSet holds the proxies that follow this node, with what they have acknowledged. The server's mu guards it.
 type sessionSet struct {
 	byNode      map[string]*session
 	minAckedSeq uint64        // math.MaxUint64: there is no session
@@ -56,7 +56,8 @@
 	return sessionSet{byNode: map[string]*session{}, minAckedSeq: math.MaxUint64, ackChanged: make(chan struct{})}
 }
 
-// open finds or makes the session of a process; isNew: of one that has not called before. nil: there are too many.
+// open finds or creates the session of a process. isNew reports whether this incarnation has not called before. It returns nil if there
+// are too many sessions.
 func (c *sessionSet) open(m softstate.Member) (found *session, isNew bool) {
 	found = c.byNode[m.Node]
 	isNew = found == nil || found.member.Incarnation != m.Incarnation
@@ -70,7 +71,7 @@
 	return found, isNew
 }
 
-// of returns the session of exactly this incarnation of a node; nil: there is none.
+// of returns the session of exactly this incarnation of a node, or nil if there is none.
 func (c *sessionSet) of(m softstate.Member) *session {
 	if found := c.byNode[m.Node]; found != nil && found.member.Incarnation == m.Incarnation {
 		return found
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// dropTimedOut drops the sessions of proxies that are taken for lost. It reports whether there were any, and returns the incarnations, by
-// node, that lost their connection and have not come back.
+// dropTimedOut drops the sessions of proxies that are considered lost. It reports whether there were any, and returns the incarnations,
+// by node, that lost their connection and have not reconnected.
 func (c *sessionSet) dropTimedOut(now time.Time, timeout time.Duration) (dropped bool, disconnected map[string]uint64) {
 	disconnected = map[string]uint64{}
 	for node, found := range c.byNode {
@@ -96,7 +97,7 @@
 	return dropped, disconnected
 }
 
-// updateMinAcked brings minAckedSeq up to date, notifies of it, and reports whether it changed.
+// updateMinAcked recomputes minAckedSeq, wakes those who wait for acknowledgements, and reports whether it changed.
 func (c *sessionSet) updateMinAcked() (changed bool) {
 	lowest := uint64(math.MaxUint64)
 	for _, each := range c.byNode {
@@ -123,7 +124,7 @@
 	return true
 }
 
-// extendBy gives all sessions more time, since this process was paused for so long.
+// extendBy extends the timeouts of all sessions by the time that this process was paused.
 func (c *sessionSet) extendBy(pause time.Duration) {
 	for _, each := range c.byNode {
 		each.lastCall, each.connectionLostAt = each.lastCall.Add(pause), time.Time{}
@@ -143,8 +144,8 @@
 	return out
 }
 
-// beginCall takes in what a call says: the member, its acknowledgement, its loads, its down reports. It returns nil where there are too many
-// subscribers.
+// beginCall records the contents of a call: the member, its acknowledgement, its loads, its down reports. It returns nil if there are too
+// many subscribers.
 func (s *Server) beginCall(member softstate.Member, req *distributionpb.FollowRequest) *session {
 	now := time.Now()
 	s.mu.Lock()
@@ -170,7 +171,7 @@
 	return caller
 }
 
-// recordLostConnection records that a waiting call's connection ended: a process that ends takes its connections with it.
+// recordLostConnection records that a waiting call's connection ended, as happens when the proxy's process exits.
 func (s *Server) recordLostConnection(caller *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,7 +185,7 @@
 	caller.lastCall = time.Now()
 }
 
-// updateMinAcked brings the lowest acknowledgement up to date, and has peers notified where it changed. The caller holds mu.
+// updateMinAcked updates the lowest acknowledgement, and notifies peers if it changed. The caller holds mu.
 func (s *Server) updateMinAcked() {
 	if s.sessions.updateMinAcked() {
 		signal(s.syncRequested)
--- a/internal/system/distribution/server_state.go
+++ b/internal/system/distribution/server_state.go
@@ -11,27 +11,27 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/rpc"
 )
 
-// snapshotTTL is how long a snapshot is sent to subscribers that need one though there is a newer state: encoding a large
-// configuration for each of many changes a second would take the node's time from the chain.
+// snapshotTTL is how long a snapshot is sent to subscribers that need one although there is a newer state: encoding a large configuration
+// for each of many changes per second would take processing time away from the chain.
 const snapshotTTL = 250 * time.Millisecond
 
-// snapshotCache is the newest encoded snapshot, which all subscribers share. The zero value is ready.
+// snapshotCache holds the newest encoded snapshot, which all subscribers share. The zero value is ready to use.
 type snapshotCache struct {
-	mu       sync.Mutex // held while one is made: whoever needs one waits for it
+	mu       sync.Mutex // held while a snapshot is encoded: concurrent callers wait for the result
 	seq      uint64     // 0: there is none
-	count    int        // made so far
+	count    int        // number of snapshots encoded so far
 	madeAt   time.Time
 	encoded  []byte
 	deflated bool
 }
 
-// replace replaces the snapshot by one of the state. The caller holds mu.
+// replace encodes a snapshot of the state and caches it in place of the former one. The caller holds mu.
 func (c *snapshotCache) replace(state *controlstate.State) {
-	c.encoded, c.deflated = rpc.Compress(state.WithoutHistory().Encode()) // subscribers evaluate no changes
+	c.encoded, c.deflated = rpc.Compress(state.WithoutHistory().Encode()) // subscribers do not use the history of changes
 	c.seq, c.madeAt, c.count = state.Seq, time.Now(), c.count+1
 }
 
-// probeReply says how this node stands, to a proxy that looks for one.
+// probeReply replies to a proxy that is searching for a node: it states whether this node is current, and its newest record.
 func (s *Server) probeReply(start time.Time) *distributionpb.FollowReply {
 	reply := &distributionpb.FollowReply{CheckedMs: uint64(time.Since(start) / time.Millisecond), Current: s.isCurrent()}
 	if state, _ := s.options.Source.Committed(); state != nil {
@@ -40,10 +40,9 @@
 	return reply
 }
 
-// addControlState adds what comes after a number of the control state. It must not be called with mu held: a large state
-// takes long to encode.
+// addControlState adds the control state after the given number. It must not be called with mu held: a large state takes long to encode.
 //
-// Where too many bytes wait to be read by others, it adds nothing but the newest number: the proxy asks again.
+// If too many bytes of other replies have not been read yet, it adds nothing but the newest number, and the proxy asks again.
 func (s *Server) addControlState(ctx context.Context, reply *distributionpb.FollowReply, after uint64) {
 	state, _ := s.options.Source.Committed()
 	if state == nil {
@@ -55,7 +54,7 @@
 	case catchup.None:
 	case catchup.Records:
 		s.addRecords(reply, records)
-	case catchup.CachedSnapshot, catchup.NewSnapshot: // addSnapshot looks which of the two
+	case catchup.CachedSnapshot, catchup.NewSnapshot: // addSnapshot decides which of the two
 		s.addSnapshot(reply, after, state)
 	}
 	if size := stateBytes(reply); size > uncountedReplyBytes && !s.replyBudget.reserve(ctx, size) {
@@ -63,7 +62,7 @@
 	}
 }
 
-// stateBytes is the size of a reply's snapshot and of the bodies of its records.
+// stateBytes returns the size of a reply's snapshot and of the bodies of its records.
 func stateBytes(reply *distributionpb.FollowReply) int {
 	size := len(reply.GetSnapshot())
 	for _, r := range reply.GetRecords() {
@@ -72,7 +71,7 @@
 	return size
 }
 
-// availability returns the records between two numbers, and what they come to. It says nothing of the cached snapshot.
+// availability returns the records between two numbers, and a summary of them. It does not fill in the cached snapshot.
 func (s *Server) availability(after, committed uint64) ([]controlstate.Record, catchup.Availability) {
 	available := catchup.Availability{Committed: committed}
 	if after >= committed {
@@ -93,7 +92,7 @@
 	}
 }
 
-// addSnapshot adds the cached snapshot if that helps, or a new one, and the records after it as far as they fit.
+// addSnapshot adds the cached snapshot if it is useful, or else a new one, and the records after it as far as they fit.
 func (s *Server) addSnapshot(reply *distributionpb.FollowReply, after uint64, state *controlstate.State) {
 	cache := &s.snapshot
 	cache.mu.Lock()
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxClockDriftMS is by how many milliseconds the clocks of two processes may drift apart between two calls. A time further
-	// ahead is of a former incarnation.
+	// maxClockDriftMS is by how many milliseconds the clocks of two processes may drift apart between two calls. A time that is further
+	// ahead belongs to a former incarnation.
 	maxClockDriftMS = 100
 	// syncTimeout bounds a call between peers.
 	syncTimeout = time.Second
@@ -31,7 +31,7 @@
 	changed chan struct{}
 }
 
-// syncPeers runs a loop for each of the peers until ctx ends.
+// syncPeers runs one synchronisation loop per peer until ctx ends.
 func (s *Server) syncPeers(ctx context.Context) {
 	if s.options.Peers == nil {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// updateSyncLoops starts the loops of new peers, and stops those of peers that are gone.
+// updateSyncLoops starts loops for new peers, and stops those of removed peers.
 func (s *Server) updateSyncLoops(ctx context.Context, wg *sync.WaitGroup, loops map[string]syncLoop) {
 	peers := map[string]bool{}
 	for _, url := range s.options.Peers() {
@@ -79,7 +79,7 @@
 	}
 }
 
-// syncWith passes changes to one peer: on change, at most every MinSyncInterval, at least every MaxSyncInterval.
+// syncWith sends changes to one peer: when there are changes at most every MinSyncInterval, otherwise at least every MaxSyncInterval.
 func (s *Server) syncWith(ctx context.Context, url string, changed <-chan struct{}) {
 	caller := &http.Client{Transport: rpc.BoundedTransport{Next: s.options.Transport}}
 	client := distributionpb.NewDistributionProtobufClient(url, caller)
@@ -99,7 +99,7 @@
 			s.logReached(url, err)
 		}
 		if err == nil && !progress.handleReply(time.Now(), req, number, reply) {
-			continue // send it anew at once
+			continue // send it again immediately
 		}
 		if !s.awaitSync(ctx, changed) {
 			return
@@ -119,7 +119,7 @@
 	return reply, rpc.CheckReply(req.GetCall(), reply.GetCall())
 }
 
-// logReached logs that a peer is reached again, or why it is not any more.
+// logReached logs that a peer is reached again, or why it is no longer reached.
 func (s *Server) logReached(url string, err error) {
 	if err == nil {
 		s.options.Log.WithField("peer", url).Info("distribution: synchronisation with a peer resumed")
@@ -128,7 +128,7 @@
 	}
 }
 
-// awaitSync waits until the next call to a peer is due; false: ctx ended.
+// awaitSync waits until the next call to a peer is due. It returns false if ctx ended.
 func (s *Server) awaitSync(ctx context.Context, changed <-chan struct{}) bool {
 	if !sleep(ctx, s.limits.MinSyncInterval) {
 		return false
@@ -144,24 +144,24 @@
 	return true
 }
 
-// syncProgress is how far a node has brought a peer.
+// syncProgress tracks how far a peer has been brought up to date.
 type syncProgress struct {
 	cursor     softstate.Cursor // in this node's table
 	ackedLoads softstate.Cursor // in this node's loads
 	peerBootID uint64
-	peerClock  time.Duration // the peer's, as it replied last; 0: it has not yet
-	repliedAt  time.Time     // when that came
+	peerClock  time.Duration // the peer's clock in its last reply; 0: it has not replied yet
+	repliedAt  time.Time     // when that reply was received
 }
 
-// handleReply takes in the reply to a request that brought the table up to a number. It returns false where the request is to be sent
-// anew.
+// handleReply processes the reply to a request that brought the peer up to the change number. It returns false if the request has to be
+// sent again.
 func (p *syncProgress) handleReply(now time.Time, req *distributionpb.ShareRequest, number uint64, reply *distributionpb.ShareReply) bool {
 	p.peerClock, p.repliedAt = time.Duration(reply.GetClockMs())*time.Millisecond, now
 	if reply.GetLate() {
 		return false
 	}
 	if reply.GetBoot() != p.peerBootID {
-		// Another incarnation: what was sent to the former one is lost, unless this very request was complete.
+		// Another incarnation of the peer: what was sent to the former one is lost, unless this request carried the complete table.
 		p.peerBootID = reply.GetBoot()
 		if !req.GetFull() {
 			p.cursor = softstate.Cursor{}
@@ -173,7 +173,7 @@
 	return true
 }
 
-// estimatedPeerClockMS is the least that the peer's clock shows at a moment, in milliseconds; 0: it is not known.
+// estimatedPeerClockMS returns a lower bound of the peer's clock at now, in milliseconds; 0: it is not known.
 func (p *syncProgress) estimatedPeerClockMS(now time.Time) uint64 {
 	if p.peerClock == 0 {
 		return 0
@@ -181,12 +181,12 @@
 	return uint64((p.peerClock + now.Sub(p.repliedAt)) / time.Millisecond)
 }
 
-// clockMS is this process's time as peers get it: milliseconds from its start, and never 0.
+// clockMS returns this process's clock as sent to peers: milliseconds since its start, and never 0.
 func (s *Server) clockMS(now time.Time) uint64 {
 	return uint64(now.Sub(s.startedAt)/time.Millisecond) + 1
 }
 
-// buildShareRequest makes the request that brings a peer up to date, and returns the number of the change up to which it does.
+// buildShareRequest builds the request that brings a peer up to date, and returns the number of the last change that it includes.
 func (s *Server) buildShareRequest(p *syncProgress) (*distributionpb.ShareRequest, uint64) {
 	now := time.Now()
 	s.mu.Lock()
@@ -199,7 +199,7 @@
 	}, s.table.LastNumber
 }
 
-// Share serves a peer's synchronisation.
+// Share handles a peer's synchronisation request.
 func (s *Server) Share(_ context.Context, req *distributionpb.ShareRequest) (*distributionpb.ShareReply, error) {
 	from := req.GetFrom().GetAddress()
 	if from == "" || from == s.options.Self {
@@ -227,8 +227,8 @@
 	return &distributionpb.ShareReply{Boot: s.bootID, ClockMs: clock, Call: req.GetCall(), Told: sender.loads.ToProto()}, nil
 }
 
-// transitTime bounds how long a message was in transit, by this process's clock alone: its sender states what that clock showed at the
-// least when it was sent. It returns false where that is not known, is of a former incarnation, or is too long ago.
+// transitTime bounds how long a message was in transit, by this process's clock alone: the sender states a lower bound of that clock at
+// the moment of sending. It returns false if the bound is missing, belongs to a former incarnation, or is too old.
 func (s *Server) transitTime(clock, sentMS uint64) (delay time.Duration, dated bool) {
 	if s.options.knobs.DateByArrival {
 		return 0, true
@@ -254,8 +254,8 @@
 	}
 }
 
-// mergePeerEntry merges an entry of a peer. One that was isolated has marked down what it had no contact to any more, so whoever
-// has contact to the proxy knows better: this node, or the one that the proxy follows. The caller holds mu.
+// mergePeerEntry merges an entry of a peer. A peer that was isolated may have marked down proxies that only it had no contact to, so a
+// node that is in contact with the proxy overrules it: this node, or the one that the proxy follows. The caller holds mu.
 func (s *Server) mergePeerEntry(now time.Time, from string, entry softstate.Entry, age softstate.Age) {
 	live, marksDown := s.marksLiveMemberDown(entry)
 	if !marksDown || s.options.knobs.AcceptDownEntries {
@@ -272,7 +272,7 @@
 	}
 }
 
-// marksLiveMemberDown reports whether an entry marks down a process that counts as up here, and what is stored of it. The caller
+// marksLiveMemberDown reports whether an entry marks down a process that is up in this table, and returns the stored member. The caller
 // holds mu.
 func (s *Server) marksLiveMemberDown(entry softstate.Entry) (live softstate.Member, marksDown bool) {
 	stored := s.table.Get(entry.Key)
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -10,18 +10,18 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// newNamedServer is a server that synchronises with nobody by itself.
+// newNamedServer returns a server that does not synchronise on its own.
 func newNamedServer(name string) *Server {
 	return NewServer(ServerOptions{Source: &fakeSource{fakeChain: newChain(), addresses: []string{"a", "b"}}, Self: name, Log: discardLogger()})
 }
 
-// manualSync passes synchronisations from one server to another by hand.
+// manualSync makes synchronisation calls from one server to another explicitly.
 type manualSync struct {
 	from, to *Server
 	progress syncProgress
 }
 
-// send composes a share, waits as if it lay in a buffer, hands it over, and takes the reply in.
+// send builds a share request, waits as if it were in a buffer, delivers it, and handles the reply.
 func (s *manualSync) send(tb testing.TB, held time.Duration) *distributionpb.ShareReply {
 	tb.Helper()
 	return s.sendOver(tb, transit{out: held})
@@ -46,8 +46,8 @@
 	return age.Round(100 * time.Millisecond)
 }
 
-// TestTimeInBuffersCountsAsAge: what a message states is as old as it was when it was sent, and the time in transit. A message that
-// was delayed for long, or whose sending cannot be dated, is sent again.
+// TestTimeInBuffersCountsAsAge: an entry's age is its age when the message was sent plus the time in transit. A message that was delayed
+// for long, or whose time of sending is unknown, is sent again.
 func TestTimeInBuffersCountsAsAge(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
@@ -68,13 +68,13 @@
 	})
 }
 
-// putList has the sender read a list.
+// putList makes the sender read a list.
 func (s *manualSync) putList(tb testing.TB, version uint64, age softstate.Age, servers ...pick.Server) {
 	tb.Helper()
 	putList(tb, s.from, 1, version, servers, age)
 }
 
-// checkSend sends a message that is delayed, and checks whether it is refused as late and how old the receiver's list is then.
+// checkSend sends a message with a delay, and checks whether it is rejected as late and how old the receiver's list is afterwards.
 func (s *manualSync) checkSend(tb testing.TB, name string, delay time.Duration, wantLate bool, wantAge time.Duration) {
 	tb.Helper()
 	if s.send(tb, delay).GetLate() != wantLate || listAge(s.to) != wantAge {
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestTimeInBuffersControl: judged by its arrival, a share that lay in a buffer for 20 s makes an old list a new one.
+// TestTimeInBuffersControl: dated by its arrival, a share that was in a buffer for 20 s makes an old list look new.
 func TestTimeInBuffersControl(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
@@ -94,7 +94,7 @@
 	})
 }
 
-// TestShareToAnotherIncarnation: a node that was started again does not take what was dated by its former incarnation's clock.
+// TestShareToAnotherIncarnation: a restarted node does not accept messages dated by its former incarnation's clock.
 func TestShareToAnotherIncarnation(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		manual := &manualSync{from: newNamedServer("a"), to: newNamedServer("b")}
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestListOfOldFenceIsSuperseded: a node that was isolated for 20 s and went on to read the list under the fence of its view
-// does not bring that back over the list of the view that followed, however high its versions are.
+// TestListOfOldFenceIsSuperseded: a node that was isolated for 20 s and continued to read the list under the fence of its view does not
+// overwrite the list of the following view, however high its versions are.
 func TestListOfOldFenceIsSuperseded(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		cutOff, next := newNamedServer("a"), newNamedServer("b")
--- a/internal/system/distribution/server_table.go
+++ b/internal/system/distribution/server_table.go
@@ -9,12 +9,12 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// Put writes an entry of the soft state. The error is ErrStale where a newer one is stored.
+// Put writes an entry of the soft state. The error is ErrStale if a newer one is stored.
 func (s *Server) Put(key string, fence, version uint64, value []byte) error {
 	return s.putEntry(softstate.Entry{Key: key, Fence: fence, Version: version, Value: value})
 }
 
-// Remove deletes an entry of the soft state. The error is ErrStale where a newer one is stored.
+// Remove deletes an entry of the soft state. The error is ErrStale if a newer one is stored.
 func (s *Server) Remove(key string, fence, version uint64) error {
 	return s.putEntry(softstate.Entry{Key: key, Fence: fence, Version: version, Deleted: true})
 }
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// mergeEntry merges an entry and has subscribers woken. The caller holds mu.
+// mergeEntry merges an entry and requests that subscribers are woken. It reports whether the entry was stored. The caller holds mu.
 func (s *Server) mergeEntry(now time.Time, entry softstate.Entry, age softstate.Age) bool {
 	if !s.table.Merge(now, entry, age) {
 		return false
@@ -40,7 +40,7 @@
 	return true
 }
 
-// Table returns the entries that are not deleted, by key.
+// Table returns the entries that are not deleted, sorted by key.
 func (s *Server) Table() []softstate.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +54,7 @@
 	return out
 }
 
-// Members returns the proxies known, by name, those that are down or draining included.
+// Members returns all known proxies, sorted by name, including those that are down or draining.
 func (s *Server) Members() []softstate.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -34,7 +34,7 @@
 	put(1, 4, 0, 1)
 	list[1].Draining = true
 	put(1, 5, 0, 1)
-	put(2, 1, 0, 1) // another poller takes over: others may have more of what the former one stated than it knows of
+	put(2, 1, 0, 1) // another poller takes over: other nodes may have entries of the former poller that it does not know of
 	put(2, 2, 0, 0)
 	list = list[1:]
 	put(2, 3, 0, 1)
@@ -46,7 +46,7 @@
 		t.Errorf("has %+v, %v, %v", got, age, ok)
 	}
 	list = nil
-	put(2, 0, 0, 1) // it started again
+	put(2, 0, 0, 1) // the poller restarted
 	list = []pick.Server{{ID: "a"}}
 	put(2, 1, 0, 1) // the same server is back
 	if got, _, _ := server.List(); len(got) != 1 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// A node that was paused must not take its own pause for a time-out of all others.
+// TestPausedNodeMarksNobodyDown: a node that was paused must not mistake its own pause for a timeout of all others.
 func TestPausedNodeMarksNobodyDown(t *testing.T) {
 	server := newIdleServer()
 	now := time.Now()
@@ -115,8 +115,9 @@
 	}
 }
 
-// TestEndedConnectionMarksDown: a process that ends takes its waiting call with it, and is down soon; one that calls again, as
-// after a reset, stays. Danger: clients are sent to proxies that are gone for as long as a time-out takes to tell.
+// TestEndedConnectionMarksDown: a process that ends closes the connection of its waiting call, and is soon marked down; one that calls
+// again, as after a reset, stays up. Otherwise clients would be sent to proxies that are gone for as long as a timeout takes to detect
+// them.
 func TestEndedConnectionMarksDown(t *testing.T) {
 	server := newIdleServer()
 	now := time.Now()
@@ -151,7 +152,7 @@
 	}
 }
 
-// putList has a server take in a reading of the list that has an age now.
+// putList makes a server merge a reading of the list that has the given age now.
 func putList(tb testing.TB, server *Server, fence, version uint64, servers []pick.Server, age softstate.Age) {
 	tb.Helper()
 	if err := server.PutList(fence, version, servers, boundsOf(age)); err != nil {
@@ -159,8 +160,8 @@
 	}
 }
 
-// boundsOf is when something was made that is so old now.
+// boundsOf returns the time bounds of something that has the given age now.
 func boundsOf(age softstate.Age) softstate.TimeBounds { return age.MadeBetween(time.Now()) }
 
-// exactAge is the age of what is known to be d old.
+// exactAge returns the age of something that is known to be exactly d old.
 func exactAge(d time.Duration) softstate.Age { return softstate.Age{Min: d, Max: d} }
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -15,7 +15,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// largeConfigRecord is a change to a whole configuration with a service's worth of routes, of about the given number of bytes.
+// largeConfigRecord returns a change to a complete configuration with one service and its routes, of about size bytes.
 func largeConfigRecord(tb testing.TB, size int, random *rand.ChaCha8) controlstate.Record {
 	tb.Helper()
 	var b bytes.Buffer
@@ -34,7 +34,7 @@
 	return controlstate.Record{Op: controlstate.OpReplace, Base: 0, Body: b.Bytes()}
 }
 
-// slowTransport is a network whose replies come at some bytes each 100 ms.
+// slowTransport is a network in which replies arrive at a fixed number of bytes per 100 ms.
 type slowTransport struct {
 	next           http.RoundTripper
 	bytesPerSecond int
@@ -61,9 +61,9 @@
 	return b.ReadCloser.Read(p[:min(len(p), b.rate)])
 }
 
-// TestLargeStateOverANarrowLink: a state of 2 MB that hardly compresses reaches a proxy whose link carries 640 KB a second, and
-// one of 16 MB, the largest that the operator may send, at 4 MB a second. Danger: a call that is given up after a second or
-// two takes as long the next time, and the proxy never starts.
+// TestLargeStateOverANarrowLink: a state of 2 MB that hardly compresses reaches a proxy over a link of 640 KB per second, and one of
+// 16 MB, the largest that an operator may send, over a link of 4 MB per second. If the call were ended after a second or two, it would take
+// as long the next time, and the proxy would never start.
 func TestLargeStateOverANarrowLink(t *testing.T) {
 	for _, c := range []struct{ size, rate int }{{2 << 20, 64 << 10}, {15 << 20, 400 << 10}} {
 		bubble.Test(t, func(t *testing.T) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestNodeThatStallsMidReplyIsLeft: a reply whose bytes stop is given up as soon as one that does not begin.
+// TestNodeThatStallsMidReplyIsLeft: a reply that stops midway times out as soon as one that does not begin.
 func TestNodeThatStallsMidReplyIsLeft(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1")
@@ -122,7 +122,7 @@
 	return n, err
 }
 
-// TestOneNodeAloneSendsItsState: a proxy that starts looks at several nodes, and takes the state from one.
+// TestOneNodeAloneSendsItsState: a starting proxy probes several nodes, and gets the state from only one.
 func TestOneNodeAloneSendsItsState(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1", "k3:1")
@@ -143,8 +143,8 @@
 	})
 }
 
-// TestNodeThatFailsPollsIsRetriedWithBackoff: one that says that it is current, but whose replies cannot be had, is left
-// in peace between the tries.
+// TestNodeThatFailsPollsIsRetriedWithBackoff: a node that replies to probes that it is current, but whose replies to polls do not arrive,
+// is retried with a backoff.
 func TestNodeThatFailsPollsIsRetriedWithBackoff(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1")
@@ -160,7 +160,7 @@
 	})
 }
 
-// refusingTransport is a network through which no reply of more than 4 KB comes.
+// refusingTransport is a network that loses replies of more than 4 KB.
 type refusingTransport struct{ next http.RoundTripper }
 
 func (r refusingTransport) RoundTrip(req *http.Request) (*http.Response, error) {
--- a/internal/system/distribution/softstate/compat_test.go
+++ b/internal/system/distribution/softstate/compat_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestKeyBytes: the keys of entries are on the wire between processes of several versions.
+// TestKeyBytes: the keys of entries are part of the wire format between processes of several versions.
 func TestKeyBytes(t *testing.T) {
 	if ServerPrefix != "server/" || MemberPrefix != "member/" || ListKey != "list" {
 		t.Errorf("keys %q, %q and %q", ServerPrefix, MemberPrefix, ListKey)
--- a/internal/system/distribution/softstate/cursor.go
+++ b/internal/system/distribution/softstate/cursor.go
@@ -9,18 +9,18 @@
 	MaxIDBytes = 256
 )
 
-// Cursor is a position in the changes of something that its process numbers anew at each start.
+// Cursor is a position in a sequence of changes whose numbers restart with each start of its process.
 type Cursor struct {
-	BootID uint64 // drawn at random by the process; 0: of none
-	Number uint64 // of the last change that is known
+	BootID uint64 // random per process; 0: no process
+	Number uint64 // of the last known change
 }
 
-// CursorFromProto reads a cursor of a message; the zero cursor for nil.
+// CursorFromProto decodes a cursor; the zero cursor for nil.
 func CursorFromProto(message *distributionpb.Cursor) Cursor {
 	return Cursor{BootID: message.GetBoot(), Number: message.GetNumber()}
 }
 
-// ToProto returns the cursor as a message.
+// ToProto returns the cursor as a wire message.
 func (c Cursor) ToProto() *distributionpb.Cursor {
 	return &distributionpb.Cursor{Boot: c.BootID, Number: c.Number}
 }
--- a/internal/system/distribution/softstate/entry.go
+++ b/internal/system/distribution/softstate/entry.go
@@ -11,15 +11,15 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// Prefixes and names of keys. They are on the wire.
+// Prefixes and names of keys. They are part of the wire format.
 const (
-	MemberPrefix = "member/" // then the name of a node: a Member
-	ServerPrefix = "server/" // then the id of a server of the platform's list
+	MemberPrefix = "member/" // followed by the name of a node: a Member
+	ServerPrefix = "server/" // followed by the id of a server of the platform's list
 	HintPrefix   = "hint/"
-	ListKey      = "list" // changes with each complete reading of the platform's list, also one that changed nothing
+	ListKey      = "list" // changes with each complete reading of the platform's list, even if the servers did not change
 )
 
-// Entry is one entry of the soft state. Of two with the same key the one that supersedes the other counts.
+// Entry is one entry of the soft state. Of two entries with the same key, the one that supersedes the other is kept.
 type Entry struct {
 	Key            string
 	Fence, Version uint64
@@ -27,7 +27,7 @@
 	Deleted        bool
 }
 
-// supersedes is a total order over entries of one key, so that merging commutes even where two writers drew the same version.
+// supersedes is a total order over the entries of one key, so that merging commutes even if two writers used the same version.
 func (e Entry) supersedes(other Entry) bool {
 	switch {
 	case e.Fence != other.Fence:
@@ -40,18 +40,18 @@
 	return bytes.Compare(e.Value, other.Value) > 0
 }
 
-// IsLazy reports whether a change of the key may wait for the next reply that is sent anyway.
+// IsLazy reports whether a change of the key may wait for the next reply that is sent for another reason.
 func IsLazy(key string) bool { return key == ListKey }
 
-// BelongsToList reports whether the entry of a key comes with the platform's list.
+// BelongsToList reports whether the entry of a key is part of the platform's list.
 func BelongsToList(key string) bool { return key == ListKey || strings.HasPrefix(key, ServerPrefix) }
 
-// StoredEntry is an entry of a table. It does not change, except that its value is decoded once.
+// StoredEntry is an entry of a table. It is immutable, except that its value is decoded lazily.
 type StoredEntry struct {
 	Entry
 	MadeBetween TimeBounds
 
-	number uint64 // of the change that brought it
+	number uint64 // number of the change that stored it
 
 	decoded       bool
 	valid         bool
@@ -59,10 +59,10 @@
 	decodedServer pick.Server
 }
 
-// AgeAt is how long before now the entry was made.
+// AgeAt returns how long before now the entry was made.
 func (e *StoredEntry) AgeAt(now time.Time) Age { return e.MadeBetween.AgeAt(now) }
 
-// decode reads the value once.
+// decode decodes the value on the first call.
 func (e *StoredEntry) decode() {
 	if e.decoded {
 		return
@@ -76,19 +76,19 @@
 	}
 }
 
-// Member returns the member that an entry is about; false: its value cannot be read.
+// Member returns the member that the entry describes; false if its value cannot be decoded.
 func (e *StoredEntry) Member() (Member, bool) {
 	e.decode()
 	return e.decodedMember, e.valid
 }
 
-// ServerAt returns the server that an entry is about, with its times as of now; false: its value cannot be read.
+// ServerAt returns the server that the entry describes, with its times as of now; false if its value cannot be decoded.
 func (e *StoredEntry) ServerAt(now time.Time) (pick.Server, bool) {
 	e.decode()
 	return CountDown(e.decodedServer, e.AgeAt(now)), e.valid
 }
 
-// EncodeEntries returns entries as messages, with their ages as of now.
+// EncodeEntries returns entries as wire messages, with their ages as of now.
 func EncodeEntries(now time.Time, entries []*StoredEntry) []*distributionpb.Entry {
 	out := make([]*distributionpb.Entry, len(entries))
 	for i, e := range entries {
@@ -99,13 +99,13 @@
 	return out
 }
 
-// DecodeEntry reads an entry and its age from a message.
+// DecodeEntry decodes an entry and its age from a wire message.
 func DecodeEntry(message *distributionpb.Entry) (Entry, Age) {
 	return Entry{Key: message.GetKey(), Fence: message.GetFence(), Version: message.GetVersion(), Value: message.GetValue(),
 		Deleted: message.GetDeleted()}, ageFromProto(message)
 }
 
-// Marshal encodes a message, equal ones to equal bytes. The system's own messages hold valid strings, so no error is possible.
+// Marshal encodes a message deterministically. The system's own messages hold valid strings, so no error is possible.
 func Marshal(message proto.Message) []byte {
 	b, _ := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	return b
--- a/internal/system/distribution/softstate/list_entry.go
+++ b/internal/system/distribution/softstate/list_entry.go
@@ -5,7 +5,8 @@
 // EncodeListCovers returns the value of the list's entry: the newest record of the control state that the reading covers.
 func EncodeListCovers(seq uint64) []byte { return binary.AppendUvarint(nil, seq) }
 
-// ListCoversSeq is the number of the newest record of the control state that the stored reading of the list covers; 0: none for certain.
+// ListCoversSeq returns the number of the newest record of the control state that the stored reading of the list certainly covers; 0:
+// none.
 func (t *Table) ListCoversSeq() uint64 {
 	list := t.entries[ListKey]
 	if list == nil {
--- a/internal/system/distribution/softstate/server_entry.go
+++ b/internal/system/distribution/softstate/server_entry.go
@@ -14,15 +14,15 @@
 	maxServerDuration = 24 * time.Hour
 	// maxSlots bounds the slots of a server.
 	maxSlots = 1 << 30
-	// remainingTolerance is how far a notice read anew may be from the one that counts down before the entry is written again.
-	// The list rounds and lags by about as much.
+	// remainingTolerance is how far the remaining time in a new reading may differ from the stored time, which is counted down, before
+	// the entry is written again. The platform's list rounds and lags by about as much.
 	remainingTolerance = 400 * time.Millisecond
-	// warmUpTolerance is how much longer than by a new reading an entry may call a server cold before it is written again.
+	// warmUpTolerance is how much longer an entry's warm-up may last than that in a new reading before the entry is written again.
 	warmUpTolerance = 250 * time.Millisecond
-	// warmUpMargin is added to an end of a warm-up that is written, so that readings of one warm-up, which differ by what their ways
-	// take, are not written one after the other.
+	// warmUpMargin is added to the end of a warm-up when it is written, so that readings of the same warm-up, which differ by their
+	// transit times, are not written one after another.
 	warmUpMargin = 20 * time.Millisecond
-	// warmUpRounding is by how much an end is rounded up on the way, at most.
+	// warmUpRounding is the maximum amount by which the end of a warm-up is rounded up in transit.
 	warmUpRounding = 2 * time.Millisecond
 )
 
@@ -33,7 +33,7 @@
 		ColdMs: millisecondsCeil(s.WarmUpMax)})
 }
 
-// decodeServer reads the entry of a server, with its times as they were when the entry was made.
+// decodeServer decodes the entry of a server, with its times as of when the entry was made.
 func decodeServer(id string, value []byte) (pick.Server, bool) {
 	var message distributionpb.Server
 	if proto.Unmarshal(value, &message) != nil {
@@ -50,25 +50,25 @@
 	return uint64((max(0, min(d, maxServerDuration)) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// CountDown returns a server with its times as they are, age after they were stated. A warm-up forbids, so it errs late; the remaining
-// time permits, so it errs early.
+// CountDown returns a server with its times counted down by age, the time since they were stated. A warm-up forbids, so its end errs on
+// the late side; the remaining time permits, so its end errs on the early side.
 func CountDown(s pick.Server, age Age) pick.Server {
 	s.WarmUpMin = max(0, s.WarmUpMax-warmUpMargin-warmUpRounding-age.Max)
 	s.WarmUpMax = max(0, s.WarmUpMax-age.Min)
 	if s.Remaining > 0 {
-		s.Remaining = max(time.Millisecond, s.Remaining-age.Max) // 0 would mean that there is no notice
+		s.Remaining = max(time.Millisecond, s.Remaining-age.Max) // 0 would mean that there is no termination notice
 	}
 	return s
 }
 
-// AgreesWithReading reports whether what is stored of a server agrees with a new reading of it, both with their times as of now, so that
-// the entry need not be written again.
+// AgreesWithReading reports whether the stored server agrees with a new reading of it, both with their times as of now, so that the entry
+// need not be written again.
 func AgreesWithReading(stored, read pick.Server) bool {
 	return warmUpAgrees(stored, read) && remainingAgrees(stored, read) && withoutTimes(stored) == withoutTimes(read)
 }
 
-// warmUpAgrees reports whether a server is stored as cold for about as long as a new reading says, and never for less than it may
-// be. A later end counts even where both may be of one warm-up, as that may have been extended in between.
+// warmUpAgrees reports whether the stored warm-up lasts about as long as that in a new reading, and never shorter. A later end in the
+// reading never agrees, even if both may describe the same warm-up, as it may have been extended in between.
 func warmUpAgrees(stored, read pick.Server) bool {
 	return read.WarmUpMax <= stored.WarmUpMax && stored.WarmUpMax-read.WarmUpMax <= warmUpTolerance
 }
@@ -82,7 +82,7 @@
 	return s
 }
 
-// WithWarmUpMargin is a server whose warm-up, if it has one, ends a little later: what is written of a reading.
+// WithWarmUpMargin returns a server whose warm-up, if it has one, ends later by warmUpMargin. This is what is written for a reading.
 func WithWarmUpMargin(s pick.Server) pick.Server {
 	if s.WarmUpMax > 0 {
 		s.WarmUpMax += warmUpMargin
--- a/internal/system/distribution/softstate/server_entry_test.go
+++ b/internal/system/distribution/softstate/server_entry_test.go
@@ -14,8 +14,8 @@
 	if !ok || told != in {
 		t.Errorf("told %+v", told)
 	}
-	// What forbids ends late and what permits ends early, as far as the age is known. What is least left lacks the margin that
-	// was added to the end, and what was rounded up.
+	// Durations that forbid end late, and durations that permit end early, as far as the age is known. WarmUpMin is without the margin
+	// that was added to the end, and without the rounding.
 	got := CountDown(told, Age{Min: 300 * time.Millisecond, Max: 500 * time.Millisecond})
 	in.Remaining, in.WarmUpMax, in.WarmUpMin = 1500*time.Millisecond, 2700*time.Millisecond, 2478*time.Millisecond
 	if got != in {
--- a/internal/system/distribution/softstate/sorted_entries.go
+++ b/internal/system/distribution/softstate/sorted_entries.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// Live returns the entries under the prefix of members or servers that are not deleted, by key. The slice is the table's own: clone it
-// before writing to the table.
+// Live returns the entries under the prefix of members or servers that are not deleted, sorted by key. The slice belongs to the table:
+// clone it before writing to the table.
 func (t *Table) Live(prefix string) []*StoredEntry {
 	if out, ok := t.sorted[prefix]; ok {
 		return out
@@ -25,7 +25,7 @@
 	return out
 }
 
-// updateSorted updates the sorted entries where next takes the place of former; either may be nil.
+// updateSorted updates the sorted entries when next replaces former; either may be nil.
 func (t *Table) updateSorted(key string, former, next *StoredEntry) {
 	wasLive, isLive := former != nil && !former.Deleted, next != nil && !next.Deleted
 	for prefix, list := range t.sorted {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Members returns the members, by name.
+// Members returns the members, sorted by name.
 func (t *Table) Members() []Member {
 	entries := t.Live(MemberPrefix)
 	out := make([]Member, 0, len(entries))
@@ -54,8 +54,8 @@
 	return out
 }
 
-// Servers returns the servers with their times as of now, by id, and the greatest possible age of the newest complete reading of the list;
-// false: there is none yet.
+// Servers returns the servers, sorted by id, with their times as of now, and the maximum age of the newest complete reading of the list;
+// false if there is none yet.
 func (t *Table) Servers(now time.Time) ([]pick.Server, time.Duration, bool) {
 	entries := t.Live(ServerPrefix)
 	out := make([]pick.Server, 0, len(entries))
--- a/internal/system/distribution/softstate/table.go
+++ b/internal/system/distribution/softstate/table.go
@@ -9,54 +9,53 @@
 )
 
 const (
-	// tombstoneTTL is how long deletions are remembered: much longer than any node goes without contact to another while both serve
-	// proxies.
+	// tombstoneTTL is how long tombstones are kept: much longer than any node stays without contact to another while both serve proxies.
 	tombstoneTTL = 60 * time.Second
-	// compactionSlack is how many changes beyond two for each entry the log may have until it is compacted.
+	// compactionSlack is how many changes beyond two per entry the log may have before it is compacted.
 	compactionSlack = 1024
-	// hintTTL is how long a hint counts.
+	// hintTTL is how long a hint is valid.
 	hintTTL = 30 * time.Second
 )
 
-// change is an element of a table's log.
+// change is one element of a table's log.
 type change struct {
 	number uint64
 	key    string
 }
 
-// Table is a join semilattice of entries with a log of the changes that it has merged. It reads no clock and is not safe for
-// concurrent use; its owner locks.
+// Table is a join semilattice of entries with a log of the changes that it has merged. It reads no clock and is not safe for concurrent
+// use; the owner must lock it.
 type Table struct {
 	LastNumber uint64 // of the last change
 	LastUrgent uint64 // of the last change that is not lazy
 
 	entries         map[string]*StoredEntry
-	log             []change                  // rising numbers; may name a key more than once
-	forgottenNumber uint64                    // the highest number of a deletion that has been forgotten
-	sorted          map[string][]*StoredEntry // the live entries under a prefix, by key, where they have been asked for
+	log             []change                  // in the order of numbers; may contain a key more than once
+	forgottenNumber uint64                    // the highest number of a tombstone that has been removed
+	sorted          map[string][]*StoredEntry // cache of the live entries under a prefix, sorted by key
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{entries: map[string]*StoredEntry{}, sorted: map[string][]*StoredEntry{}}
 }
 
-// Get returns the entry of a key, deleted or not; nil: there is none.
+// Get returns the entry of a key, even a deleted one, or nil if there is none.
 func (t *Table) Get(key string) *StoredEntry { return t.entries[key] }
 
-// All returns the entries with their keys, those that are deleted included, in no order.
+// All returns the entries with their keys, including deleted ones, in no particular order.
 func (t *Table) All() iter.Seq2[string, *StoredEntry] { return maps.All(t.entries) }
 
-// Len is how many entries there are, those that are deleted included.
+// Len returns the number of entries, including deleted ones.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Merge stores e if it supersedes what is stored, and reports whether it did. age is how long before now e was made.
+// Merge stores e if it supersedes the stored entry, and reports whether it did. age bounds how long before now e was made.
 func (t *Table) Merge(now time.Time, e Entry, age Age) bool {
 	return t.Put(e, age.normalized().MadeBetween(now))
 }
 
-// Put stores e if it supersedes what is stored, and reports whether it did. made is when e was made, which may be later than a clock
-// that was read before.
+// Put stores e if it supersedes the stored entry, and reports whether it did. made bounds when e was made, which may be later than an
+// earlier clock reading.
 func (t *Table) Put(e Entry, made TimeBounds) bool {
 	former := t.entries[e.Key]
 	if former != nil && !e.supersedes(former.Entry) {
@@ -76,7 +75,7 @@
 	return true
 }
 
-// compact drops changes that later ones hide.
+// compact removes changes that later changes of the same key supersede.
 func (t *Table) compact() {
 	newest := t.log[:0]
 	for _, c := range t.log {
@@ -87,7 +86,7 @@
 	t.log = newest
 }
 
-// ChangesSince returns the entries changed after a number, in the order of their changes, and whether these are the complete table.
+// ChangesSince returns the entries changed after a number, in the order of their changes, and whether they are the complete table.
 func (t *Table) ChangesSince(number uint64) (entries []*StoredEntry, complete bool) {
 	if number < t.forgottenNumber || number > t.LastNumber {
 		number = 0
@@ -101,8 +100,7 @@
 	return entries, number == 0
 }
 
-// Expire forgets tombstones and hints whose time is over. A reader whose number is not past a tombstone that was forgotten has to take
-// the complete table.
+// Expire removes expired tombstones and hints. A reader whose number is below that of a removed tombstone has to get the complete table.
 func (t *Table) Expire(now time.Time) {
 	for key, e := range t.entries {
 		switch age := e.AgeAt(now).Max; {
@@ -115,7 +113,7 @@
 	}
 }
 
-// Drop forgets an entry as if it had never come.
+// Drop removes an entry without a tombstone.
 func (t *Table) Drop(key string) {
 	if e := t.entries[key]; e != nil {
 		delete(t.entries, key)
--- a/internal/system/distribution/softstate/table_test.go
+++ b/internal/system/distribution/softstate/table_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-// Merging is commutative, associative and idempotent: any order, with repeats, ends in the same.
+// TestMergeIsAJoin: merging is commutative, associative and idempotent, so any order, with repetitions, ends in the same table.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) Entry {
@@ -41,7 +41,8 @@
 	})
 }
 
-// A reader that merges what came since its number holds what the table holds, whatever was forgotten in between.
+// TestDeltasAddUpToTheTable: a reader that merges the changes since its number has the same entries as the table, whatever has been
+// dropped in between.
 func TestDeltasAddUpToTheTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -17,20 +17,20 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// ErrNoControlPlane marks the failure to reach any control-plane node.
+// ErrNoControlPlane marks an error of a call that reached no control-plane node.
 var ErrNoControlPlane = errors.New("distribution: no control-plane node is reached; check the seeds and the inner port")
 
-// SubscriberOptions are what a Subscriber needs. Seeds, the ports, Self and Log must be given.
+// SubscriberOptions configure a Subscriber. Seeds, the ports, Self and Log are required.
 type SubscriberOptions struct {
-	Seeds                       []string                    // machines that may be control-plane nodes or proxies, as IP or IP:port; never forgotten
+	Seeds                       []string                    // possible control-plane nodes or proxies, as IP or IP:port; never removed
 	ControlPlanePort, ProxyPort int                         // inner ports
-	Self                        softstate.Member            // Incarnation 0: one is drawn
+	Self                        softstate.Member            // Incarnation 0: a random one is chosen
 	Loads                       func() map[string]pick.Load // this proxy's own, by server id; called from several goroutines
-	OnUpdate                    func(Update)                // called from one goroutine, with the newest only
-	OnLoads                     func(map[string]pick.Load)  // what all other proxies have outstanding, by server id; called as OnUpdate
+	OnUpdate                    func(Update)                // called from one goroutine, with the newest update only
+	OnLoads                     func(map[string]pick.Load)  // outstanding loads of all other proxies, by server id; called like OnUpdate
 	Transport                   http.RoundTripper
 	Log                         log.Interface
-	LongPollTimeout             time.Duration // longest wait of a poll; 1 s
+	LongPollTimeout             time.Duration // longest wait of a poll; default 1 s
 	knobs                       TestingKnobs
 }
 
@@ -46,29 +46,29 @@
 	return o
 }
 
-// Update is what a proxy has. Nothing in it is changed later.
+// Update is a snapshot of what a proxy has. It is not modified later.
 type Update struct {
-	State                *controlstate.State // Seq 0 and no Config until one has come that was the newest a moment ago, or a neighbour's
-	Members              []softstate.Member  // the live proxies, this one and those draining included, by name
+	State                *controlstate.State // empty (Seq 0, no Config) until a state arrives that is proved newest or is a neighbour's
+	Members              []softstate.Member  // the live proxies, including this one and draining ones, by name
 	Servers              []pick.Server       // by id; times as of AsOf
-	HasList              bool                // a complete reading of the platform's list has come
-	ListAge              time.Duration       // of the newest complete reading, at most
-	ListCoversSeq        uint64              // number of the newest record up to whose commit Servers shows all that happened to servers; see commitLog
-	ContactAge           time.Duration       // since the last contact to a node that was current, at most
-	AsOf                 time.Time           // when the durations here were right
-	Fresh                bool                // a node that is current has just confirmed that there is nothing newer
-	MembershipIncomplete bool                // no node that knows all live proxies has sent them in this incarnation of the process
-	DownCount            int                 // proxies that are marked down, and may live on
-	Stale                bool                // others may take this proxy for lost: it had no contact to a current node lately, or it is marked down
+	HasList              bool                // a complete reading of the platform's list has been received
+	ListAge              time.Duration       // maximum age of the newest complete reading
+	ListCoversSeq        uint64              // Servers shows everything that happened up to the commit of this record; see commitLog
+	ContactAge           time.Duration       // maximum time since the last contact to a current node
+	AsOf                 time.Time           // time to which the durations here refer
+	Fresh                bool                // a current node has recently confirmed that there is nothing newer
+	MembershipIncomplete bool                // no node that knows all live proxies has sent them yet to this incarnation of the process
+	DownCount            int                 // proxies that are marked down, and may still be alive
+	Stale                bool                // others may consider this proxy lost: no recent contact to a current node, or marked down
 }
 
-// Subscriber is a proxy's end: it polls one control-plane node, and finds another where that one fails.
+// Subscriber runs on a proxy: it polls one control-plane node, and switches to another if that one fails.
 type Subscriber struct {
 	options SubscriberOptions
 	client  *http.Client
 	callIDs rpc.CallIDs
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	announced announcement
 	control   stateReplica
 	soft      softReplica
@@ -78,10 +78,10 @@
 
 	updatePending chan struct{} // something in Update changed
 	loadsPending  chan struct{} // the loads of others changed
-	callRequested chan struct{} // a node is to be called at once
+	callRequested chan struct{} // a node is to be called immediately
 }
 
-// NewSubscriber makes a Subscriber; Run makes it work.
+// NewSubscriber returns a Subscriber; call Run to start it.
 func NewSubscriber(options SubscriberOptions) *Subscriber {
 	options = options.withDefaults()
 	return &Subscriber{
@@ -92,7 +92,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run runs the subscriber until ctx ends.
 func (s *Subscriber) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -102,18 +102,18 @@
 	wg.Go(func() { s.neighbourLoop(ctx) })
 }
 
-// Incarnation is the number of this process's incarnation.
+// Incarnation returns the number of this process's incarnation.
 func (s *Subscriber) Incarnation() uint64 { return s.options.Self.Incarnation }
 
-// NotifyListUpdates says whether OnUpdate is to be called for each newer reading of the platform's list, also for one that changed nothing.
+// NotifyListUpdates sets whether OnUpdate is called for each newer reading of the platform's list, even if it changed nothing.
 func (s *Subscriber) NotifyListUpdates(notify bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.soft.notifyListUpdates = notify
 }
 
-// Refresh calls the node that is followed at once, and has OnUpdate called when a current node has replied to a call from
-// after now, also if that brings nothing new.
+// Refresh immediately calls the node that is followed, and causes a call of OnUpdate when a current node has replied to a call made after
+// now, even if the reply brings nothing new.
 func (s *Subscriber) Refresh() {
 	s.mu.Lock()
 	s.freshness.refreshAfter = time.Now()
@@ -121,22 +121,22 @@
 	signal(s.callRequested)
 }
 
-// Current returns what the proxy has now.
+// Current returns the proxy's present Update.
 func (s *Subscriber) Current() Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.currentUpdate(time.Now())
 }
 
-// StateAge returns how long ago, at most, nothing newer than the state had been acknowledged; an hour where that was never proved or is
-// longer ago.
+// StateAge returns how long ago, at most, nothing newer than the state had been acknowledged. It returns one hour if that was never
+// proved or is longer ago.
 func (s *Subscriber) StateAge() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.freshness.stateAge(time.Now())
 }
 
-// currentUpdate returns what the proxy has now. The caller holds mu.
+// currentUpdate returns the present Update. The caller holds mu.
 func (s *Subscriber) currentUpdate(now time.Time) Update {
 	update := Update{
 		State: s.servableState(), Fresh: s.freshness.isFresh(now), MembershipIncomplete: !s.soft.membershipComplete, AsOf: now,
@@ -147,7 +147,8 @@
 	return update
 }
 
-// servableState is the state, or an empty one where that came late and so may be old: the next reply will tell. The caller holds mu.
+// servableState returns the state, or an empty one while no reply has proved the state fresh since the start: it may be old, and the next
+// reply will show whether it is. The caller holds mu.
 func (s *Subscriber) servableState() *controlstate.State {
 	if s.freshness.neverFresh() && !s.control.fromNeighbour && !s.options.knobs.ServeLateState {
 		return controlstate.Empty()
@@ -155,7 +156,8 @@
 	return s.control.state
 }
 
-// liveMembers returns the members that are not down, this proxy included, by name, and how many are down. The caller holds mu.
+// liveMembers returns the members that are not down, including this proxy, by name, and the number of those that are down. The caller
+// holds mu.
 func (s *Subscriber) liveMembers() (live []softstate.Member, down int) {
 	self, hasSelf := s.announced.self, false
 	for _, member := range s.soft.table.Members() {
@@ -178,7 +180,7 @@
 	return live, down
 }
 
-// mayBeMarkedDown reports whether others may take this proxy for lost. The caller holds mu.
+// mayBeMarkedDown reports whether others may consider this proxy lost. The caller holds mu.
 func (s *Subscriber) mayBeMarkedDown(now time.Time) bool {
 	if s.freshness.outOfContact(now) {
 		return true
--- a/internal/system/distribution/subscriber_announcement.go
+++ b/internal/system/distribution/subscriber_announcement.go
@@ -13,23 +13,23 @@
 const (
 	// leaveTimeout bounds Leave.
 	leaveTimeout = 300 * time.Millisecond
-	// maxPendingDownReports bounds the down reports that wait for a node.
+	// maxPendingDownReports bounds the down reports that wait to be sent to a node.
 	maxPendingDownReports = 256
 )
 
-// announcement is what a proxy says of itself and of other proxies. The subscriber's mu guards it.
+// announcement is what a proxy announces about itself and other proxies. The subscriber's mu guards it.
 type announcement struct {
 	self               softstate.Member
 	ackedRevision      uint64            // revision of self that a node has acknowledged
 	revisionAcked      chan struct{}     // closed when ackedRevision rises
-	pendingDownReports map[string]uint64 // proxies without contact: node to incarnation
+	pendingDownReports map[string]uint64 // proxies without contact, node to incarnation
 }
 
 func newAnnouncement(self softstate.Member) announcement {
 	return announcement{self: self, revisionAcked: make(chan struct{}), pendingDownReports: map[string]uint64{}}
 }
 
-// addTo adds what is to be announced to a request.
+// addTo adds the announcement to a request.
 func (a *announcement) addTo(req *distributionpb.FollowRequest) {
 	req.Member = a.self.ToProto()
 	for node, incarnation := range a.pendingDownReports {
@@ -37,7 +37,7 @@
 	}
 }
 
-// acknowledge records that a node has replied to a request.
+// acknowledge records that a node has replied to a request, and so has received its announcement.
 func (a *announcement) acknowledge(req *distributionpb.FollowRequest) {
 	if revision := req.GetMember().GetRevision(); revision > a.ackedRevision {
 		a.ackedRevision = revision
@@ -51,7 +51,7 @@
 	}
 }
 
-// SetReady says whether this proxy serves clients.
+// SetReady sets whether this proxy serves clients, and announces it.
 func (s *Subscriber) SetReady(ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// Leave says that this proxy is about to stop, and waits up to 300 ms until a node has acknowledged that. The error is
-// ErrNoControlPlane where none has.
+// Leave announces that this proxy is about to stop, and waits up to 300 ms until a node has acknowledged that. The error is
+// ErrNoControlPlane if none has.
 func (s *Subscriber) Leave(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -86,7 +86,7 @@
 	}
 }
 
-// startDraining announces that this proxy stops, and returns the revision that says so.
+// startDraining announces that this proxy stops, and returns the revision of that announcement.
 func (s *Subscriber) startDraining() (revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	return s.announced.self.Revision
 }
 
-// Report passes on the failure detector's report that there is no contact to an incarnation of a proxy.
+// Report forwards the failure detector's report that there is no contact to an incarnation of a proxy.
 func (s *Subscriber) Report(node string, incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// replyIdleTimeout is how long beyond the wait of a poll nothing may arrive, until another node is followed.
+	// replyIdleTimeout is how long, beyond the wait of a poll, nothing may arrive before another node is followed.
 	replyIdleTimeout = 400 * time.Millisecond
-	// probeTimeout bounds one probe while several are made at once.
+	// probeTimeout bounds each probe; several run concurrently.
 	probeTimeout = 1200 * time.Millisecond
-	// maxCheckedDelay bounds how long a node may say that it waited before it looked whether it is current.
+	// maxCheckedDelay bounds the reported delay between the arrival of a request and the node's check whether it is current.
 	maxCheckedDelay = time.Minute
 )
 
-// pollOptions say how long a poll may take, and what it asks for.
+// pollOptions set how long a poll may take, and what it asks for.
 type pollOptions struct {
-	wait        time.Duration // how long the node may wait for something new
-	maxPause    time.Duration // beyond that until the reply begins, and then between parts of it
-	acceptStale bool          // soft state of a node that is not current is wanted as well
+	wait        time.Duration // how long the node may wait for changes
+	maxPause    time.Duration // beyond that until the reply begins, and then between parts of the reply
+	acceptStale bool          // soft state is accepted from a node that is not current
 }
 
-// pollResult is what a reply says of a node.
+// pollResult is the outcome of a poll that was replied to.
 type pollResult struct {
-	current       bool // it is current, so it serves the control state
-	serves        bool // it serves anything
-	stateAdvanced bool // the reply brought something new of the control state
-	stillBehind   bool // though the node has something newer, the reply did not bring this proxy further
+	current       bool // the node is current, so it serves the control state
+	serves        bool // the node serves any state at all
+	stateAdvanced bool // the reply advanced the control state
+	stillBehind   bool // the node has a newer control state, but the reply did not advance this proxy
 }
 
-// poll polls a node once and takes in what it replies.
+// poll polls a node once and applies the reply.
 func (s *Subscriber) poll(ctx context.Context, node string, options pollOptions) (pollResult, error) {
 	var loads map[string]pick.Load
 	if s.options.Loads != nil {
@@ -44,7 +44,7 @@
 	req := s.buildRequest(loads, options.acceptStale)
 	wait := options.wait
 	if len(loads) > 0 {
-		// Without changes of others, its own load is to be reported at the node's interval.
+		// Even if others change nothing, this proxy's load has to be reported at the node's interval.
 		wait = min(wait, s.loadReportWait())
 	}
 	req.WaitMs = uint64(wait / time.Millisecond)
@@ -61,12 +61,12 @@
 		s.learnNodes(reply.GetKeepers())
 		return pollResult{}, errReferred
 	default:
-		return pollResult{}, nil // a node that is not current and says nothing else
+		return pollResult{}, nil // the node is not current and sent no state
 	}
 	return s.handleReply(sentAt, time.Now(), req, reply), nil
 }
 
-// sendPoll sends a request to a node, and returns the reply to this very one.
+// sendPoll sends a request to a node, and returns the reply if it belongs to that request.
 func (s *Subscriber) sendPoll(ctx context.Context, node string, req *distributionpb.FollowRequest) (*distributionpb.FollowReply, error) {
 	req.Call = s.callIDs.Next()
 	client := distributionpb.NewDistributionProtobufClient(baseURL(node, s.options.ControlPlanePort), s.client)
@@ -81,7 +81,7 @@
 	return reply, nil
 }
 
-// probeNode asks a node whether it is current, and nothing else: several are asked at once, and one only is to send its state.
+// probeNode asks a node only whether it is current: several nodes are probed concurrently, and only one of them should send its state.
 func (s *Subscriber) probeNode(ctx context.Context, node string) (current bool, err error) {
 	ctx, cancel := rpc.WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
 	defer cancel()
@@ -101,8 +101,8 @@
 	return offer.Current && !offer.Expired(), nil
 }
 
-// checkedAt is when a node looked whether it is current, at the earliest: it waited so long after the request came, and that came
-// after it was sent.
+// checkedAt returns a lower bound of when a node checked whether it is current: the node made the check CheckedMs after it received the
+// request, and it received the request after it was sent.
 func checkedAt(sentAt time.Time, reply *distributionpb.FollowReply) time.Time {
 	return sentAt.Add(softstate.BoundedMilliseconds(reply.GetCheckedMs(), maxCheckedDelay))
 }
@@ -113,7 +113,7 @@
 	return s.loads.maxWait()
 }
 
-// buildRequest says what this proxy has.
+// buildRequest builds a request that states what this proxy has.
 func (s *Subscriber) buildRequest(loads map[string]pick.Load, acceptStale bool) *distributionpb.FollowRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 	return req
 }
 
-// handleReply takes in a node's reply to a request that was sent at a moment.
+// handleReply applies a node's reply to a request that was sent at sentAt.
 func (s *Subscriber) handleReply(sentAt, now time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) pollResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,18 +149,18 @@
 	}
 	s.applySoftState(now, checked, req, reply)
 	if s.control.position().ProvesFreshness(offer) && s.freshness.observeFresh(checked) {
-		signal(s.updatePending) // what this proxy has may be served from now on
+		signal(s.updatePending) // from now on this proxy's state may be served
 	}
 	return pollResult{current: offer.Current, serves: true, stateAdvanced: advanced, stillBehind: isBehind(s.control.position(), offer) && !advanced}
 }
 
-// isBehind reports whether a node has something newer.
+// isBehind reports whether a node has a newer control state.
 func isBehind(position catchup.Position, offer catchup.Offer) bool {
 	return offer.Newest > position.Seq
 }
 
-// applySoftState takes in all of a reply but the control state. The reply was made between a moment and now, so ages add up over all
-// hops. The caller holds mu.
+// applySoftState applies everything in a reply but the control state. The reply was made between earliest and now, so ages add up over
+// all hops. The caller holds mu.
 func (s *Subscriber) applySoftState(now, earliest time.Time, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) {
 	delay := softstate.AgeUpTo(now.Sub(earliest))
 	changed := s.soft.merge(now, delay, req, reply)
@@ -175,7 +175,7 @@
 	}
 }
 
-// learnNodes adds the nodes that an observer names. Those known already stay as they are: one that serves knows better.
+// learnNodes adds the nodes that an observer names. Nodes in the view are not changed: a node that serves this proxy knows better.
 func (s *Subscriber) learnNodes(named []*distributionpb.Keeper) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -9,9 +9,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestDeltaOfAnotherTableBringsNoList: while a proxy awaits a node's reply it takes another one's complete table, in which a server is not yet
-// called cold. The first node's reply then brings its newest reading, but not the server, which the proxy had received before.
-// Danger: the server looks warm by the newest reading.
+// TestDeltaOfAnotherTableBringsNoList: while a proxy awaits a node's reply, it applies another node's complete table, in which a server
+// is not yet cold. The first node's reply then has its newest list entry, but not the server, which the proxy had received before. If the
+// list entry were stored, the server would look warm as of the newest reading.
 func TestDeltaOfAnotherTableBringsNoList(t *testing.T) {
 	first, second := newIdleServer(), newIdleServer()
 	first.markComplete()
@@ -25,7 +25,7 @@
 	pollManually(subscriber, first)
 	asked := time.Now()
 	req := subscriber.buildRequest(nil, false)
-	put(second, 4, softstate.Age{Max: time.Second}, 0) // it is not known which of both readings is the later one
+	put(second, 4, softstate.Age{Max: time.Second}, 0) // it is unknown which of the two readings is later
 	pollManually(subscriber, second)
 	put(first, 6, exactAge(0), 2700*time.Millisecond)
 	first.mu.Lock()
--- a/internal/system/distribution/subscriber_freshness_test.go
+++ b/internal/system/distribution/subscriber_freshness_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestStateAgeIsThatOfTheProof: contact to a current node, from which not all has come yet, does not make the state newer.
+// TestStateAgeIsThatOfTheProof: contact to a current node that has newer state than the proxy does not reset the state's age.
 func TestStateAgeIsThatOfTheProof(t *testing.T) {
 	start := time.Now()
 	after := start.Add
@@ -23,7 +23,7 @@
 	expect(after(time.Second), time.Second)
 	tracker.observeCurrent(after(2 * time.Second))
 	expect(after(3*time.Second), 3*time.Second)
-	tracker.observeFresh(after(-time.Second)) // a late reply proves less
+	tracker.observeFresh(after(-time.Second)) // proves freshness only for an earlier time
 	expect(after(3*time.Second), 3*time.Second)
 	expect(after(2*unknownAge), unknownAge)
 }
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// Nodes remember thousands of changes to know them again. Proxies judge no changes: neither the snapshots that they are
-// sent nor what they make of records grows with the number of changes.
+// TestSubscribersKeepNoHistory: nodes remember thousands of changes to recognise retries. Proxies do not evaluate changes, so neither the
+// snapshots that they receive nor the state that they build from records grows with the number of changes.
 func TestSubscribersKeepNoHistory(t *testing.T) {
 	chain := newChain()
 	server := NewServer(ServerOptions{Source: &fakeSource{fakeChain: chain, addresses: []string{"k"}}, Self: "k", Log: discardLogger()})
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// lateReply has a subscriber ask a current node that reads the list as empty, hands it the reply after a wait, and returns
-// what it has then.
+// lateReply makes a subscriber poll a current node that has read a list, delivers the reply after a wait, and returns the subscriber's
+// update and record number afterwards.
 func lateReply(tb testing.TB, wait time.Duration, knobs TestingKnobs) (update Update, seq uint64) {
 	tb.Helper()
 	chain := newChain()
@@ -33,8 +33,8 @@
 	return subscriber.Current(), subscriber.control.state.Seq
 }
 
-// TestLateReplyProvesNoFreshness: a reply that lay in a buffer for 20 s, or whose reader was stopped, brings records, which
-// are numbered, but neither the proof that nothing is newer, nor servers. Danger: a proxy that was isolated counts as fresh.
+// TestLateReplyProvesNoFreshness: a reply that was in a buffer for 20 s, or whose reader was stopped, delivers records, which are
+// numbered, but neither proves freshness nor delivers servers. Otherwise a proxy that was isolated would be fresh with an old state.
 func TestLateReplyProvesNoFreshness(t *testing.T) {
 	if update, _ := lateReply(t, 0, TestingKnobs{}); !update.Fresh || update.State.Seq != 1 || len(update.Servers) != 1 {
 		t.Errorf("in time: fresh %v, %d, %d servers", update.Fresh, update.State.Seq, len(update.Servers))
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestStartWaitsForFreshReply: a proxy that starts has what a late reply brought, and serves it once a prompt one has said
+// TestStartWaitsForFreshReply: a starting proxy stores the state of a late reply, but serves it only when a prompt reply has confirmed
 // that there is nothing newer.
 func TestStartWaitsForFreshReply(t *testing.T) {
 	if update, seq := lateReply(t, 20*time.Second, TestingKnobs{}); update.State.Seq != 0 || seq != 1 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestWaitAtTheServerIsNoAge: a poll that waited at a node for long is replied to with a proof of now.
+// TestWaitAtTheServerIsNoAge: the reply to a poll that waited at a node for long still proves freshness.
 func TestWaitAtTheServerIsNoAge(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	asked := time.Now().Add(-3 * time.Second)
--- a/internal/system/distribution/subscriber_list_updates_test.go
+++ b/internal/system/distribution/subscriber_list_updates_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// TestListUpdateNotifiesOwner: a reading of the list that changes nothing is notified at once where it is awaited, and only there.
+// TestListUpdateNotifiesOwner: the owner is notified of a list reading that changes nothing only while NotifyListUpdates is set.
 func TestListUpdateNotifiesOwner(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Log: discardLogger()})
 	read := func(version uint64) bool {
--- a/internal/system/distribution/subscriber_loads.go
+++ b/internal/system/distribution/subscriber_loads.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// initialReportInterval is the interval of load reports until a node states one.
+	// initialReportInterval is the interval of load reports until a node specifies one.
 	initialReportInterval = 100 * time.Millisecond
-	// maxReportInterval bounds the interval that a node states.
+	// maxReportInterval bounds the interval that a node may specify.
 	maxReportInterval = 2 * time.Second
-	// maxSentLoads bounds the reports of own loads that are remembered, to be taken out of totals.
+	// maxSentLoads bounds the remembered reports of own loads, which are subtracted from the totals.
 	maxSentLoads = 16
 )
 
@@ -27,7 +27,7 @@
 	loads  map[string]pick.Load
 }
 
-// loadExchange reports this proxy's loads and works out those of all others. The subscriber's mu guards it.
+// loadExchange reports this proxy's loads and computes those of all other proxies. The subscriber's mu guards it.
 type loadExchange struct {
 	own      *loadreport.Vector
 	sent     []sentLoads // newest last
@@ -41,15 +41,15 @@
 	return loadExchange{own: loadreport.NewVector(true), interval: initialReportInterval}
 }
 
-// sentNone reports whether the last report had no load.
+// sentNone reports whether the last report contained no load.
 func (e *loadExchange) sentNone() bool {
 	return len(e.sent) == 0 || len(e.sent[len(e.sent)-1].loads) == 0
 }
 
-// maxWait is how long a poll may wait while this proxy has load.
+// maxWait returns how long a poll may wait while this proxy has load.
 func (e *loadExchange) maxWait() time.Duration { return e.interval + e.interval/4 }
 
-// addTo publishes the loads, and adds what the node lacks of them to a request.
+// addTo publishes the loads, and adds to a request the changes that the node lacks.
 func (e *loadExchange) addTo(now time.Time, req *distributionpb.FollowRequest, loads map[string]pick.Load) {
 	changed := e.own.Publish(now, loads)
 	if changed || len(e.sent) == 0 || e.sent[len(e.sent)-1].number != e.own.Number {
@@ -62,7 +62,7 @@
 	req.Loads = e.own.ChangesSince(e.acked)
 }
 
-// handleReply takes in what a reply that was made at a moment says of loads, and reports whether those of others changed.
+// handleReply applies the loads in a reply that was made at madeAt, and reports whether those of other proxies changed.
 func (e *loadExchange) handleReply(madeAt time.Time, reply *distributionpb.FollowReply) (changed bool) {
 	e.acked = softstate.CursorFromProto(reply.GetTold())
 	if interval := softstate.BoundedMilliseconds(reply.GetPaceMs(), maxReportInterval); interval > 0 {
@@ -71,7 +71,7 @@
 	return e.applyTotals(madeAt, reply)
 }
 
-// applyTotals takes total loads in and works out what is of others.
+// applyTotals applies the total loads in a reply and computes the part of other proxies.
 func (e *loadExchange) applyTotals(madeAt time.Time, reply *distributionpb.FollowReply) (changed bool) {
 	if encoded := reply.GetTotals(); len(encoded) > 0 {
 		var changes distributionpb.Loads
@@ -88,7 +88,7 @@
 	return true
 }
 
-// sentAs returns the loads that were reported under a number; nil: they are not remembered.
+// sentAs returns the loads that were reported under a number, or nil if they are no longer remembered.
 func (e *loadExchange) sentAs(number uint64) (loads map[string]pick.Load) {
 	for _, report := range e.sent {
 		if report.number == number {
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// neighbourQueryDelay is how long without contact to a control-plane node neighbours are queried.
+	// neighbourQueryDelay is how long there must be no contact to a control-plane node before neighbours are queried.
 	neighbourQueryDelay = 1500 * time.Millisecond
-	// maxStartNeighbours is how many neighbours a proxy that starts queries in a round, until so many have replied with a state.
+	// maxStartNeighbours is how many replies with a state a starting proxy collects in one round of neighbour queries.
 	maxStartNeighbours = 3
-	// maxStaleNeighbours is how many neighbours a proxy queries that has no contact to a control-plane node any more.
+	// maxStaleNeighbours is how many neighbours a proxy queries per round after it has lost contact to the control plane.
 	maxStaleNeighbours = 2
 )
 
-// Handler serves neighbours, under /twirp/gradeusher.distribution.Neighbours/.
+// Handler serves neighbours' queries, under /twirp/gradeusher.distribution.Neighbours/.
 func (s *Subscriber) Handler() http.Handler {
 	return rpc.BoundedHandler(distributionpb.NewNeighboursServer(s))
 }
 
-// Neighbour replies with all that this proxy has; to a proxy that has a state of its own, with the list of servers and a newer state.
+// Neighbour replies with everything that this proxy has. A proxy that has a state of its own gets only the list of servers, and the state
+// if it is newer.
 func (s *Subscriber) Neighbour(_ context.Context, req *distributionpb.NeighbourRequest) (*distributionpb.FollowReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,8 +42,8 @@
 	return reply, nil
 }
 
-// neighbourLoop takes what neighbours have while no control-plane node has been reached since the start, and while there is no contact
-// to any: others may still learn of evacuations and cold servers. It runs until ctx ends.
+// neighbourLoop queries neighbours while no control-plane node has been reached since the start, and whenever there is no contact to any:
+// other proxies may still learn of evacuations and cold servers. It runs until ctx ends.
 func (s *Subscriber) neighbourLoop(ctx context.Context) {
 	for wait := neighbourQueryDelay; sleep(ctx, wait); wait = neighbourQueryDelay / 2 {
 		s.mu.Lock()
@@ -57,8 +58,8 @@
 	}
 }
 
-// neighbourAddresses are the machines where other proxies are to be found, in the order of trying them: at random, where seeds are not
-// wanted those of this region first.
+// neighbourAddresses returns the addresses of other proxies in the order in which to query them. The order is random; without seeds, the
+// proxies of this region come first.
 func (s *Subscriber) neighbourAddresses(withSeeds bool) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +83,7 @@
 	return append(near, far...)
 }
 
-// queryNeighbours queries one address after the other until enough have replied.
+// queryNeighbours queries one address after another until enough have replied.
 func (s *Subscriber) queryNeighbours(ctx context.Context, addresses []string, enough int) {
 	replied := 0
 	for _, address := range addresses {
@@ -95,7 +96,7 @@
 	}
 }
 
-// queryNeighbour takes in what a neighbour has, and reports whether that was of use.
+// queryNeighbour queries one neighbour and applies its reply. It reports whether the reply was useful.
 func (s *Subscriber) queryNeighbour(ctx context.Context, address string) bool {
 	ctx, cancel := rpc.WithIdleTimeout(ctx, probeTimeout, replyIdleTimeout)
 	defer cancel()
@@ -115,7 +116,7 @@
 	return s.handleNeighbourReply(sentAt, address, starting, reply)
 }
 
-// handleNeighbourReply takes in a neighbour's reply to a request that was sent at a moment, and reports whether that was of use.
+// handleNeighbourReply applies a neighbour's reply to a request that was sent at sentAt, and reports whether it was useful.
 func (s *Subscriber) handleNeighbourReply(sentAt time.Time, address string, starting bool, reply *distributionpb.FollowReply) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +124,7 @@
 		s.nodes.add(reply.GetKeepers())
 	}
 	if starting && !s.nodes.allTried() && !s.options.knobs.NeighbourAtOnce {
-		return false // a node that can be reached knows better: query again once they have been tried
+		return false // a reachable control-plane node knows better: query again once all have been tried
 	}
 	advanced := s.control.apply(s.options.Log, offerFromReply(reply, 0), reply)
 	now := time.Now()
--- a/internal/system/distribution/subscriber_neighbours_test.go
+++ b/internal/system/distribution/subscriber_neighbours_test.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestStaleProxyLearnsOfEvacuationsFromNeighbours: a proxy loses all nodes, though not the other proxies. A zone is evacuated, and one of its
-// servers turns cold. Danger: it goes on to send there.
+// TestStaleProxyLearnsOfEvacuationsFromNeighbours: a proxy loses contact to all nodes, but not to the other proxies. A zone is evacuated,
+// and one of its servers becomes cold. The proxy must learn of that, or it would continue to send requests there.
 func TestStaleProxyLearnsOfEvacuationsFromNeighbours(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		fleet := newFleet("k1:1", "k2:1")
