--- a/internal/system/distribution/subscriber_nodes.go
+++ b/internal/system/distribution/subscriber_nodes.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	// failurePenalty is how long a node that just failed comes last.
+	// failurePenalty is how long a node that has just failed is ranked last.
 	failurePenalty = 2 * time.Second
-	// returnInterval is how long after a failure a nearer node is tried again.
+	// returnInterval is how long after a nearer node's failure it is tried again.
 	returnInterval = 5 * time.Second
 )
 
-// errReferred marks a call to a node that serves no proxies and has named those that do.
+// errReferred marks the error of a call to a node that serves no proxies and has named nodes that do.
 var errReferred = errors.New("distribution: this node serves no proxies; the ones that it names are tried")
 
-// distance ranks control-plane nodes by how near they are.
+// distance ranks control-plane nodes by proximity.
 type distance int
 
 const (
 	sameZone distance = iota
 	sameRegion
 	otherRegion
-	onlySeed // a machine that may be no control-plane node
+	onlySeed // a seed that may not be a control-plane node
 )
 
-// controlPlaneNode is a control-plane node known, or a seed that may be one.
+// controlPlaneNode is a known control-plane node, or a seed that may be one.
 type controlPlaneNode struct {
 	address, zone, region string
-	seed, inView          bool // named in the settings; named by a node or a neighbour
-	tried                 bool // a call has ended since the start, whatever came of it
+	seed, inView          bool // listed in the settings; named by a node or a neighbour
+	tried                 bool // a call to it has ended since the start, with any outcome
 	failedAt              time.Time
 }
 
-// failedWithin reports whether the node has failed within the duration before now.
+// failedWithin reports whether the node has failed within the last d.
 func (n *controlPlaneNode) failedWithin(now time.Time, d time.Duration) bool {
 	return !n.failedAt.IsZero() && now.Sub(n.failedAt) < d
 }
 
-// nodeSet is the control-plane nodes that a subscriber knows, and the one that it follows. The subscriber's mu guards it.
+// nodeSet holds the control-plane nodes that a subscriber knows, and the one that it follows. The subscriber's mu guards it.
 type nodeSet struct {
 	self      softstate.Member
 	byAddress map[string]*controlPlaneNode
-	digest    uint64 // of the nodes, as the node followed computes it; 0: none has named them yet
-	serving   string // the node that is followed; empty: none
+	digest    uint64 // of the nodes, as computed by the followed node; 0: no node has sent its list yet
+	serving   string // the followed node; empty: none
 }
 
 func newNodeSet(self softstate.Member, seeds []string) nodeSet {
@@ -62,7 +62,7 @@
 	return set
 }
 
-// replace makes the nodes named the ones known, beside the seeds.
+// replace replaces the known nodes by the named ones; seeds are kept.
 func (s *nodeSet) replace(named []*distributionpb.Keeper, digest uint64) {
 	for address, node := range s.byAddress {
 		if node.inView = false; !node.seed {
@@ -80,7 +80,7 @@
 	s.digest = digest
 }
 
-// add adds the nodes that an observer or a neighbour names. Those of the view stay as they are.
+// add adds the nodes that an observer or a neighbour names. Nodes that are in the view already are not changed.
 func (s *nodeSet) add(named []*distributionpb.Keeper) {
 	for _, each := range named[:min(len(named), maxPeers)] {
 		known := s.byAddress[each.GetAddress()]
@@ -95,7 +95,7 @@
 	}
 }
 
-// view returns the nodes that were named, as messages.
+// view returns the nodes that were named, in wire format.
 func (s *nodeSet) view() []*distributionpb.Keeper {
 	var out []*distributionpb.Keeper
 	for _, node := range s.byAddress {
@@ -106,7 +106,7 @@
 	return out
 }
 
-// distance ranks a node: those of the view before mere seeds, then the nearer.
+// distance returns the rank of a node: nodes in the view come before seeds that are not, and nearer nodes before more distant ones.
 func (s *nodeSet) distance(node *controlPlaneNode) distance {
 	switch {
 	case !node.inView:
@@ -119,7 +119,7 @@
 	return otherRegion
 }
 
-// candidate is a node with what ranks it.
+// candidate is a node with its ranking criteria.
 type candidate struct {
 	address  string
 	failed   bool
@@ -127,7 +127,7 @@
 	weight   uint64 // by rendezvous hashing
 }
 
-// before reports whether a node is to be tried before another.
+// before reports whether c is to be tried before other.
 func (c candidate) before(other candidate) bool {
 	switch {
 	case c.failed != other.failed:
@@ -140,8 +140,8 @@
 	return c.address < other.address
 }
 
-// ranked returns the nodes to try, best first: near before far, and among equals by rendezvous hashing (Thaler, Ravishankar 1998), so
-// that the proxies spread evenly. Those that just failed come last.
+// ranked returns the nodes to try, best first: nearer nodes first, and nodes at the same distance by rendezvous hashing (Thaler,
+// Ravishankar 1998), so that the proxies are spread evenly. Nodes that have just failed come last.
 func (s *nodeSet) ranked(now time.Time) []string {
 	candidates := make([]candidate, 0, len(s.byAddress))
 	for _, node := range s.byAddress {
@@ -156,7 +156,7 @@
 	return out
 }
 
-// nearer returns a node that is nearer than the one followed and has not failed lately; "": there is none.
+// nearer returns a node that is nearer than the followed one and has not failed recently, or "" if there is none.
 func (s *nodeSet) nearer(now time.Time, current string) string {
 	ranked := s.ranked(now)
 	if len(ranked) == 0 || ranked[0] == current {
@@ -169,7 +169,7 @@
 	return ranked[0]
 }
 
-// allTried reports whether every node that is known has had its chance since the start.
+// allTried reports whether every known node has been tried since the start.
 func (s *nodeSet) allTried() bool {
 	for _, node := range s.byAddress {
 		if !node.tried {
@@ -179,7 +179,7 @@
 	return true
 }
 
-// baseURL is where a process is called: at its own port where the address has one.
+// baseURL returns the base URL of a process; the port applies only to an address without one.
 func baseURL(address string, port int) string {
 	if _, _, err := net.SplitHostPort(address); err == nil {
 		return "http://" + address
@@ -202,7 +202,7 @@
 	}
 }
 
-// recordAttempt records that a node has had its chance since the start.
+// recordAttempt records that a node has been tried since the start.
 func (s *Subscriber) recordAttempt(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// FollowedNode returns the address of the control-plane node that is followed, as IP or IP:port; empty: none is at the moment.
+// FollowedNode returns the address of the followed control-plane node, as IP or IP:port; empty if there is none at the moment.
 func (s *Subscriber) FollowedNode() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/subscriber_notify.go
+++ b/internal/system/distribution/subscriber_notify.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// minNotifyInterval is the least time between two calls of the owner. Changes that come together are to be notified together: what
-	// an owner makes of an update costs more than the update.
+	// minNotifyInterval is the minimum time between two calls of the owner. It coalesces changes that arrive close together: processing
+	// an update costs the owner more than the update itself.
 	minNotifyInterval = 15 * time.Millisecond
-	// timeCheckInterval is how often a subscriber looks for what only time brings about.
+	// timeCheckInterval is how often a subscriber checks for changes that are caused by the passing of time alone.
 	timeCheckInterval = 100 * time.Millisecond
-	// minImmediateCallInterval is the least time between two immediate calls.
+	// minImmediateCallInterval is the minimum time between two immediate calls.
 	minImmediateCallInterval = 20 * time.Millisecond
 )
 
-// notification is what the owner is to be notified of.
+// notification states what the owner is to be notified of.
 type notification struct {
 	update, loads bool
 }
 
-// notified is what the owner was last notified of, as far as time alone changes it.
+// notified is the time-dependent part of what the owner was last notified of.
 type notified struct {
 	fresh, stale bool
 	lastExpiry   time.Time
 }
 
-// notifyLoop calls the owner back, and notices what only time brings about. It runs until ctx ends.
+// notifyLoop calls the owner's callbacks, also for changes caused by the passing of time. It runs until ctx ends.
 func (s *Subscriber) notifyLoop(ctx context.Context) {
 	tick := time.NewTicker(timeCheckInterval)
 	defer tick.Stop()
@@ -59,7 +59,7 @@
 	}
 }
 
-// collect adds to a notification what time has brought about, and returns what the owner is to get.
+// collect adds to a notification the changes caused by the passing of time, and returns the values to pass to the owner.
 func (s *Subscriber) collect(now time.Time, due *notification, last *notified) (update Update, others map[string]pick.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	return update, s.loads.others
 }
 
-// reportFirstLoad has a node called at once where load begins during a long wait.
+// reportFirstLoad requests an immediate call of the followed node if this proxy's load begins during a long wait.
 func (s *Subscriber) reportFirstLoad() {
 	if s.options.Loads == nil {
 		return
@@ -95,7 +95,8 @@
 	}
 }
 
-// immediateCallLoop makes short calls at once, beside the poll that waits, for what is not to wait. It runs until ctx ends.
+// immediateCallLoop makes short calls concurrently to the waiting poll, for announcements and reports that must not wait. It runs until
+// ctx ends.
 func (s *Subscriber) immediateCallLoop(ctx context.Context) {
 	for {
 		select {
--- a/internal/system/distribution/subscriber_poll.go
+++ b/internal/system/distribution/subscriber_poll.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	minSearchBackoff    = 20 * time.Millisecond  // after all nodes were tried in vain, for the first time
-	maxSearchBackoff    = 200 * time.Millisecond // and for as long as that lasts
-	behindRetryInterval = 100 * time.Millisecond // until a node is asked again whose reply did not help
-	maxStaleDuration    = time.Second            // with a node that is not current, until a current one is sought again
-	// firstNearerCheck is after how long, and with up to how much jitter, a nearer node is looked for first: at the start only seeds
-	// were known.
+	minSearchBackoff    = 20 * time.Millisecond  // after the first round in which no node could be followed
+	maxSearchBackoff    = 200 * time.Millisecond // upper bound while that continues
+	behindRetryInterval = 100 * time.Millisecond // before polling a node again whose reply did not advance this proxy
+	maxStaleDuration    = time.Second            // followed without being current, before a current node is searched for again
+	// firstNearerCheck and firstNearerCheckJitter are the minimum delay before the first check for a nearer node, and the maximum jitter
+	// added to it: at the start only the seeds were known.
 	firstNearerCheck       = 300 * time.Millisecond
 	firstNearerCheckJitter = 200 * time.Millisecond
 )
 
-// pollLoop polls one node, and finds another where that one fails. It runs until ctx ends.
+// pollLoop polls one node, and finds another if that one fails. It runs until ctx ends.
 func (s *Subscriber) pollLoop(ctx context.Context) {
 	backoff := minSearchBackoff
 	for ctx.Err() == nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// followOneNode finds a node and polls it until it fails. It reports whether that one replied to any poll.
+// followOneNode finds a node and polls it until it fails. It reports whether that node replied to any poll.
 func (s *Subscriber) followOneNode(ctx context.Context) (served bool) {
 	node, current := s.findNode(ctx)
 	if node == "" {
@@ -44,27 +44,27 @@
 	return s.pollNode(ctx, node, current)
 }
 
-// followedNode is the node that is polled, and how it stands.
+// followedNode is the polled node and its status.
 type followedNode struct {
 	address   string
 	current   bool
 	since     time.Time
-	nextCheck time.Time // for a nearer one
+	nextCheck time.Time // when to check next for a nearer node
 }
 
-// stillServes reports whether a node that replied with a result may be polled again: it serves, and if it was current, it is still so.
+// stillServes reports whether the node may be polled again after a result: it serves state, and if it was current, it still is.
 func (n followedNode) stillServes(result pollResult) bool {
 	lostCurrent := n.current && !result.current
 	return result.serves && !lostCurrent
 }
 
-// longPollOptions are those of a poll that waits for something new.
+// longPollOptions returns the options of a poll that waits for changes.
 func (s *Subscriber) longPollOptions(node followedNode) pollOptions {
 	return pollOptions{wait: s.options.LongPollTimeout, maxPause: replyIdleTimeout, acceptStale: !node.current}
 }
 
-// pollNode polls a node until it fails or is not current any more, or, one that never was, for a while. It reports whether any
-// poll was replied to.
+// pollNode polls a node until it fails or is no longer current; a node that never was current is polled only for maxStaleDuration. It
+// reports whether any poll was replied to.
 func (s *Subscriber) pollNode(ctx context.Context, address string, current bool) (served bool) {
 	now := time.Now()
 	node := followedNode{address: address, current: current, since: now,
@@ -93,7 +93,7 @@
 	}
 }
 
-// moveNearer looks for a nearer node, and reports whether one is followed from now on.
+// moveNearer checks for a nearer node, and reports whether that one is followed from now on.
 func (s *Subscriber) moveNearer(ctx context.Context, now time.Time, node *followedNode) (moved bool) {
 	node.nextCheck = now.Add(returnInterval/2 + rand.N(returnInterval/2))
 	nearer := s.nearerNode(now, node.address)
@@ -109,7 +109,7 @@
 	return true
 }
 
-// pauseAfterPoll waits until a node is to be polled again; false: ctx ended.
+// pauseAfterPoll waits until the node is to be polled again. It returns false if ctx ended.
 func (s *Subscriber) pauseAfterPoll(ctx context.Context, start time.Time, result pollResult) bool {
 	if result.stillBehind && !sleep(ctx, behindRetryInterval) {
 		return false
--- a/internal/system/distribution/subscriber_search.go
+++ b/internal/system/distribution/subscriber_search.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// probeInterval is the time between probes of one search.
+	// probeInterval is the time between starting probes of one search.
 	probeInterval = 50 * time.Millisecond
-	// maxConcurrentProbes bounds the probes in flight: as many as there may be control-plane nodes, and some seeds that are none.
+	// maxConcurrentProbes bounds the probes in flight. It leaves capacity for all control-plane nodes and for some seeds that are none.
 	maxConcurrentProbes = 16
 )
 
-// probeResult is how a probe ended.
+// probeResult is the outcome of a probe.
 type probeResult struct {
 	address string
 	current bool
 	err     error
 }
 
-// nodeSearch probes nodes, several at once. One goroutine drives it.
+// nodeSearch probes nodes, several concurrently. It is driven by one goroutine.
 type nodeSearch struct {
 	probe      func(address string) probeResult
-	candidates []string // not probed yet, best first
+	candidates []string // not probed yet, in order of preference
 	inFlight   int
 	results    chan probeResult
 }
@@ -31,7 +31,7 @@
 	return &nodeSearch{probe: probe, candidates: candidates, results: make(chan probeResult, len(candidates))}
 }
 
-// probeNext begins to probe the next candidate, if there is one.
+// probeNext starts a probe of the next candidate, if there is one.
 func (n *nodeSearch) probeNext() {
 	if len(n.candidates) == 0 {
 		return
@@ -42,7 +42,7 @@
 	go func() { n.results <- n.probe(address) }()
 }
 
-// await waits for a result; false: none came within probeInterval.
+// await waits for a result. It returns false if none arrived within probeInterval.
 func (n *nodeSearch) await() (probeResult, bool) {
 	timer := time.NewTimer(probeInterval)
 	defer timer.Stop()
@@ -55,15 +55,15 @@
 	}
 }
 
-// drain waits for the probes in flight.
+// drain waits for the probes in flight to end.
 func (n *nodeSearch) drain() {
 	for ; n.inFlight > 0; n.inFlight-- {
 		<-n.results
 	}
 }
 
-// findNode probes the nodes, best first and one each probeInterval, until one that is current has replied. Where none is, it returns
-// one that replied at all.
+// findNode probes the nodes in order of preference, starting one probe per probeInterval, until a current node has replied. If no node is
+// current, it returns the first one that replied.
 func (s *Subscriber) findNode(ctx context.Context) (address string, current bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	candidates, starting := s.searchCandidates()
@@ -75,7 +75,7 @@
 	defer cancel()
 	search.probeNext()
 	if starting {
-		search.probeNext() // a start is not to wait for a dead seed
+		search.probeNext() // a starting proxy must not wait for a dead seed
 	}
 	stale := ""
 	for search.inFlight > 0 {
@@ -100,7 +100,7 @@
 	return stale, false
 }
 
-// searchCandidates returns the nodes to probe, best first, and whether there was no contact to any since the start.
+// searchCandidates returns the nodes to probe, best first, and whether no node has been contacted since the start.
 func (s *Subscriber) searchCandidates() (candidates []string, starting bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/system/distribution/subscriber_soft_state.go
+++ b/internal/system/distribution/subscriber_soft_state.go
@@ -8,17 +8,17 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/softstate"
 )
 
-// maxListAgeSkew is by how much a list may look older than the one that is stored and still be merged, where neither is certainly
-// the older one.
+// maxListAgeSkew is by how much the maximum age of a list may exceed that of the stored one for the list still to be merged, if neither
+// is certainly older.
 const maxListAgeSkew = 2 * time.Second
 
 // softReplica is a proxy's replica of the soft state. The subscriber's mu guards it.
 type softReplica struct {
 	table              *softstate.Table
-	cursor             softstate.Cursor // in the table of the node that replied last
-	unconfirmed        map[string]bool  // keys of the list that no node has sent since all lost their tables
+	cursor             softstate.Cursor // position in the table of the node that replied last
+	unconfirmed        map[string]bool  // keys of list entries that no node has sent since all nodes lost their tables
 	membershipComplete bool             // a table that lacks no live proxy has been merged
-	skippedOldList     bool             // a list was not merged, as it looked older than the stored one: a complete table is to be sent again
+	skippedOldList     bool             // a list was not merged because it looked older than the stored one: request a complete table
 	notifyListUpdates  bool             // see Subscriber.NotifyListUpdates
 	replaceAlways      bool             // see TestingKnobs
 }
@@ -27,7 +27,7 @@
 	return softReplica{table: softstate.NewTable(), replaceAlways: replaceAlways}
 }
 
-// listEntry finds the entry that says when the list was read; nil where a reply brings none.
+// listEntry returns the entry that states when the list was read, or nil if the reply has none.
 func listEntry(reply *distributionpb.FollowReply) *distributionpb.Entry {
 	isList := func(entry *distributionpb.Entry) bool { return entry.GetKey() == softstate.ListKey }
 	i := slices.IndexFunc(reply.GetEntries(), isList)
@@ -37,19 +37,19 @@
 	return reply.GetEntries()[i]
 }
 
-// withoutListEntry leaves out the entry that says when the platform's list was read: without the servers that the reading showed, and
-// that the delta takes for known, it would make older ones look as if they came from that reading.
+// withoutListEntry removes the entry that states when the platform's list was read. The delta leaves out servers of that reading that it
+// assumes to be known; with the entry but without them, older servers would seem to come from that reading.
 func withoutListEntry(entries []*distributionpb.Entry) []*distributionpb.Entry {
 	return slices.DeleteFunc(entries, func(entry *distributionpb.Entry) bool { return entry.GetKey() == softstate.ListKey })
 }
 
-// isCompleteTable reports whether a reply brings all entries of a node that misses no live proxy.
+// isCompleteTable reports whether a reply contains all entries of a node whose table lacks no live proxy.
 func isCompleteTable(reply *distributionpb.FollowReply) bool {
 	return reply.GetFull() && reply.GetComplete()
 }
 
-// merge takes in all of a reply but the control state and the loads, and reports whether anything changed that matters to the owner. The
-// reply was made at some moment of the delay before now.
+// merge applies everything in a reply but the control state and the loads, and reports whether anything relevant to the owner changed.
+// The reply was made at most delay before now.
 func (r *softReplica) merge(now time.Time, delay softstate.Age, req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) (changed bool) {
 	continues := r.continuesTable(req, reply)
 	if !continues {
@@ -66,8 +66,8 @@
 	return changed
 }
 
-// continuesTable reports whether a reply is a complete table, or a delta that continues what is stored: another call may have brought the
-// table of another node in the meantime.
+// continuesTable reports whether a reply is a complete table, or a delta that continues the stored table: a concurrent call may have
+// brought another node's table in the meantime.
 func (r *softReplica) continuesTable(req *distributionpb.FollowRequest, reply *distributionpb.FollowReply) bool {
 	if reply.GetFull() {
 		return true
@@ -77,24 +77,24 @@
 	return sameTable && from.Number <= r.cursor.Number && to.Number >= r.cursor.Number
 }
 
-// bringsOlderList reports whether the list in a reply was read before the one that is stored. A node that was isolated or paused
-// may be current again before its peers have sent it their list.
+// bringsOlderList reports whether the list in a reply was read before the stored one. A node that was isolated or paused may be current
+// again before its peers have sent it their list.
 func (r *softReplica) bringsOlderList(now time.Time, delay softstate.Age, reply *distributionpb.FollowReply) bool {
 	stored, sent := r.table.Get(softstate.ListKey), listEntry(reply)
 	if stored == nil || sent == nil || r.replaceAlways {
 		return false
 	}
 	if sent.GetFence() > stored.Fence {
-		return false // servers merge it as well, whatever its age
+		return false // servers merge it too, whatever its age
 	}
 	_, age := softstate.DecodeEntry(sent)
 	sentAge, storedAge := age.Plus(delay), stored.AgeAt(now)
 	return sentAge.Min > storedAge.Max || sentAge.Max-storedAge.Max > maxListAgeSkew
 }
 
-// applyEntries merges the entries of a reply and reports whether anything that matters changed. A complete table of a node that misses
-// nothing takes the place of what is stored, even of higher versions: nodes that all lost their tables count versions anew. But of a
-// list that was read before the stored one nothing is merged. delay is how long ago the reply was made.
+// applyEntries merges the entries of a reply and reports whether anything relevant changed. A complete table of a node whose table lacks
+// no live proxy replaces the stored table, even entries with higher versions: nodes that have all lost their tables restart their version
+// numbers. If the list was read before the stored one, its entries are not merged. delay bounds how long ago the reply was made.
 func (r *softReplica) applyEntries(now time.Time, delay softstate.Age, reply *distributionpb.FollowReply) (changed bool) {
 	into := r.table
 	isOld := r.bringsOlderList(now, delay, reply)
@@ -124,7 +124,7 @@
 	return true
 }
 
-// applyEntry merges one entry and reports whether that matters.
+// applyEntry merges one entry and reports whether the change is relevant to the owner.
 func (r *softReplica) applyEntry(now time.Time, into *softstate.Table, entry softstate.Entry, age softstate.Age) bool {
 	if entry.Key == "" || len(entry.Key) > maxKeyBytes {
 		return false
@@ -137,7 +137,7 @@
 	return into.Merge(now, entry, age) && matters
 }
 
-// dropUnconfirmed drops the servers that no node has sent, now that the list has been read again. It reports whether there were any.
+// dropUnconfirmed drops the unconfirmed entries, now that the list has been read again. It reports whether there were any.
 func (r *softReplica) dropUnconfirmed(into *softstate.Table) (dropped bool) {
 	for key := range r.unconfirmed {
 		into.Drop(key)
@@ -147,8 +147,8 @@
 	return dropped
 }
 
-// carryList carries the list over into the table that is to take the place of the stored one, where the list has not been read since:
-// until then old servers are better than none.
+// carryList copies the list's entries into the table that replaces the stored one, if the list has not been read since: until then old
+// servers are better than none.
 func (r *softReplica) carryList(into *softstate.Table) {
 	if into.Get(softstate.ListKey) != nil {
 		return
@@ -161,8 +161,8 @@
 	}
 }
 
-// trackSkippedList remembers that a list is skipped, as it is old: the node counts it as sent. It reports whether the complete table is to be
-// asked for again, as a list has come since that is not old.
+// trackSkippedList remembers that a list is skipped because it is old, since the node considers it delivered. It reports whether the
+// complete table has to be requested again because a list that is not old has arrived since.
 func (r *softReplica) trackSkippedList(isOld bool, reply *distributionpb.FollowReply) (resync bool) {
 	switch {
 	case isOld:
--- a/internal/system/distribution/subscriber_stale_test.go
+++ b/internal/system/distribution/subscriber_stale_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestBehindIsNotStale: a proxy that has contact to a current node, but does not yet have all of the control state (a large configuration on
-// a thin link), has not been given up by anybody.
+// TestBehindIsNotStale: a proxy that is in contact with a current node, but has not yet received all of the control state (a large
+// configuration over a slow link), is not considered lost by others.
 func TestBehindIsNotStale(t *testing.T) {
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	now := time.Now()
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// firstState records the first state with a record that a subscriber's owner is given.
+// firstState records the first state with a record that a subscriber's owner receives.
 type firstState struct {
 	mu  sync.Mutex
 	seq uint64
@@ -31,7 +31,7 @@
 	return f.seq, f.at
 }
 
-// newOldNeighbour makes a fleet of one node, and a proxy that has change 1 and is isolated before change 2 is acknowledged.
+// newOldNeighbour creates a fleet of one node, and a proxy that has change 1 and is isolated before change 2 is acknowledged.
 func newOldNeighbour() *testFleet {
 	fleet := newFleet("k1:1")
 	fleet.startProxy("old", nil)
@@ -42,14 +42,14 @@
 	return fleet
 }
 
-// startBesideNeighbour starts a proxy with some seeds beside the old neighbour, and returns the first state that it serves.
+// startBesideNeighbour starts a proxy next to the old neighbour with some seeds, and returns the first state that it serves.
 func startBesideNeighbour(t *testing.T, node string, knobs TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
 	t.Helper()
 	fleet := newOldNeighbour()
 	defer fleet.stop()
 	for _, s := range seeds {
 		if s != "k1:1" && s != "old:2" {
-			fleet.mesh.setPartitioned(node, s, true) // no reply comes, as from a machine that is isolated
+			fleet.mesh.setPartitioned(node, s, true) // no reply arrives, as from an isolated machine
 		}
 	}
 	var first firstState
@@ -62,8 +62,8 @@
 	return seq, at.Sub(start)
 }
 
-// TestStartPrefersAnyNodeToNeighbour: a proxy that starts with eight seeds that are isolated, one node, and a neighbour
-// that has an old state serves what the node has, whichever it tries last.
+// TestStartPrefersAnyNodeToNeighbour: a proxy that starts with eight isolated seeds, one node, and a neighbour with an old state serves
+// the node's state, whichever it tries last.
 func TestStartPrefersAnyNodeToNeighbour(t *testing.T) {
 	seeds := []string{"old:2", "k1:1"}
 	for i := range 8 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestStartProbesNodesThatNeighbourNames: a proxy whose seeds name no node learns of one from an old neighbour, and asks it
-// before it serves what that neighbour has.
+// TestStartProbesNodesThatNeighbourNames: a proxy whose seeds include no node learns of one from an old neighbour, and probes it before
+// it serves the neighbour's state.
 func TestStartProbesNodesThatNeighbourNames(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		if seq, took := startBesideNeighbour(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
@@ -93,7 +93,7 @@
 	})
 }
 
-// TestStartWithoutNodeServesNeighboursState: where no node can be reached at all, an old state is better than none.
+// TestStartWithoutNodeServesNeighboursState: if no node can be reached at all, an old state is better than none.
 func TestStartWithoutNodeServesNeighboursState(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		fleet := newOldNeighbour()
--- a/internal/system/distribution/subscriber_state.go
+++ b/internal/system/distribution/subscriber_state.go
@@ -15,26 +15,26 @@
 // stateReplica is a proxy's replica of the control state. The subscriber's mu guards it.
 type stateReplica struct {
 	state         *controlstate.State
-	resync        bool // a record did not apply: ask for a snapshot
-	fromNeighbour bool // the state is a neighbour's, since no node could be reached
+	resync        bool // a record did not apply: request a snapshot
+	fromNeighbour bool // the state came from a neighbour while no control-plane node could be reached
 }
 
 func newStateReplica() stateReplica {
 	return stateReplica{state: controlstate.Empty().WithoutHistory()}
 }
 
-// position is how far this replica is.
+// position returns this replica's position in the control state.
 func (r *stateReplica) position() catchup.Position {
 	return catchup.Position{Seq: r.state.Seq, Resync: r.resync}
 }
 
-// set replaces the state. It never goes back.
+// set replaces the state. The sequence number never decreases.
 func (r *stateReplica) set(next *controlstate.State) {
 	stateNeverGoesBack.Check(next.Seq >= r.state.Seq)
 	r.state = next
 }
 
-// offerFromReply reads what a reply says of the control state; the snapshot's number is known once that has been decoded.
+// offerFromReply returns the offer of control state in a reply. The snapshot's number is filled in when the snapshot has been decoded.
 func offerFromReply(reply *distributionpb.FollowReply, age time.Duration) catchup.Offer {
 	offer := catchup.Offer{Current: reply.GetCurrent(), Newest: reply.GetNewest(), Age: age}
 	if records := reply.GetRecords(); len(records) > 0 {
@@ -43,7 +43,8 @@
 	return offer
 }
 
-// apply takes what is newer of a snapshot and of records, so that a proxy never goes back, and reports whether that brought it further.
+// apply applies the newer part of a reply's snapshot and records, so that a proxy never goes back, and reports whether the state
+// advanced.
 func (r *stateReplica) apply(logger log.Interface, offer catchup.Offer, reply *distributionpb.FollowReply) (advanced bool) {
 	before := r.state.Seq
 	var snapshot *controlstate.State
@@ -68,7 +69,7 @@
 	return r.state.Seq != before
 }
 
-// applyRecords applies the records from a number on, up to the first that does not apply.
+// applyRecords applies the records from first on, up to the first one that does not apply.
 func (r *stateReplica) applyRecords(logger log.Interface, first uint64, records []*distributionpb.Record) {
 	for _, record := range records {
 		if record.GetSeq() < first {
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -19,12 +19,12 @@
 
 func discardLogger() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.DebugLevel} }
 
-// mesh is an in-process network of hosts, with delay, partitions of one direction that lose messages without notice, and hosts that are gone.
+// mesh is an in-process network of hosts, with delays, one-way partitions that silently lose messages, and hosts that are down.
 type mesh struct {
 	mu          sync.Mutex
 	hosts       map[string]http.Handler
 	partitioned map[[2]string]bool
-	delayed     map[[2]string]chan struct{} // messages wait until it is closed, also where their sender has given up
+	delayed     map[[2]string]chan struct{} // messages wait until it is closed, even if their sender has given up
 	delay       func(from, to string) time.Duration
 	calls       int
 	wg          sync.WaitGroup // of handlers
@@ -52,7 +52,7 @@
 	m.partitioned[[2]string{from, to}] = cut
 }
 
-// holdBack keeps back the messages of one direction, as a partition does over which a connection lives on, or hands them over.
+// holdBack holds back the messages in one direction, as in a partition that a connection survives, or delivers them.
 func (m *mesh) holdBack(from, to string, on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// release hands over all that is held back.
+// release delivers all messages that are held back.
 func (m *mesh) release() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,7 +75,7 @@
 	clear(m.delayed)
 }
 
-// awaitDelivery waits while the messages of a direction are held back.
+// awaitDelivery waits while the messages in a direction are held back.
 func (m *mesh) awaitDelivery(from, to string) {
 	m.mu.Lock()
 	c := m.delayed[[2]string{from, to}]
@@ -85,7 +85,7 @@
 	}
 }
 
-// transmit waits for a message's passage, and blocks until ctx ends where it is lost.
+// transmit waits for the time that a message takes, and blocks until ctx ends if it is lost.
 func (m *mesh) transmit(ctx context.Context, from, to string, size int64) error {
 	m.mu.Lock()
 	d := m.delay(from, to)
@@ -152,13 +152,13 @@
 	}
 }
 
-// fakeChain is what the fake sources have in common: the records that were acknowledged.
+// fakeChain is the state that the fake sources share: the acknowledged records.
 type fakeChain struct {
 	mu          sync.Mutex
 	records     []controlstate.Record
 	states      []*controlstate.State
 	changed     chan struct{}
-	compactedTo uint64 // records up to this number are compacted away
+	compactedTo uint64 // records up to this number have been compacted
 }
 
 func newChain() *fakeChain {
@@ -186,13 +186,13 @@
 	return uint64(len(c.records))
 }
 
-// fakeSource is one node's sight of the chain.
+// fakeSource is one node's view of the chain.
 type fakeSource struct {
 	*fakeChain
 	addresses []string
 	mu        sync.Mutex
 	stale     bool
-	staleSeq  uint64 // where it stands while stale
+	staleSeq  uint64 // its record number while stale
 }
 
 func (s *fakeSource) setStale(stale bool) {
@@ -230,12 +230,12 @@
 
 func (s *fakeSource) Addresses() []string { return s.addresses }
 
-// testFleet is some servers and subscribers on a mesh.
+// testFleet is a set of servers and subscribers on a mesh.
 type testFleet struct {
 	knobs      TestingKnobs
 	mesh       *mesh
 	chain      *fakeChain
-	names      []string // of nodes
+	names      []string // of the nodes
 	sources    map[string]*fakeSource
 	servers    map[string]*Server
 	stopServer map[string]context.CancelFunc
@@ -249,12 +249,12 @@
 
 	mu         sync.Mutex
 	lastUpdate Update
-	wentBack   bool // it went back
+	wentBack   bool // its state went back
 }
 
 func newFleet(nodes ...string) *testFleet { return newFleetWithKnobs(TestingKnobs{}, nodes...) }
 
-// newFleetWithKnobs is a fleet whose servers lack a protection.
+// newFleetWithKnobs returns a fleet whose servers lack a protection.
 func newFleetWithKnobs(knobs TestingKnobs, nodes ...string) *testFleet {
 	fleet := &testFleet{knobs: knobs, mesh: newMesh(), chain: newChain(), names: nodes, sources: map[string]*fakeSource{}, servers: map[string]*Server{},
 		stopServer: map[string]context.CancelFunc{}, proxies: map[string]*testProxy{}}
--- a/internal/system/distribution/testing_knobs.go
+++ b/internal/system/distribution/testing_knobs.go
@@ -1,22 +1,22 @@
 package distribution
 
-// TestingKnobs take protections out, one each, so that a test can show what the protection is for. All are false outside tests.
+// TestingKnobs disable one protection each, so that a test can show what the protection is for. All are false outside tests.
 type TestingKnobs struct {
-	// AcceptDownEntries has a server merge every entry of a peer that marks a proxy down, also where the server or the owner of
-	// the proxy is still in contact with it (D7).
+	// AcceptDownEntries makes a server merge every peer entry that marks a proxy down, even while the server or the proxy's owner is
+	// still in contact with the proxy (D7).
 	AcceptDownEntries bool
-	// OwnContactsOnly has a server take a peer for lost that does not synchronise with it, whatever other peers report (D7).
+	// OwnContactsOnly makes a server consider a peer lost that does not synchronise with it, whatever other peers report (D7).
 	OwnContactsOnly bool
-	// SkipRejoinDelay has a server that was isolated serve proxies as soon as its chain is current (D8).
+	// SkipRejoinDelay makes a server that was isolated serve proxies as soon as its chain is current (D8).
 	SkipRejoinDelay bool
-	// DateByArrival has servers and subscribers date what a message says by its arrival in place of its origin (D2, D5).
+	// DateByArrival makes servers and subscribers date the contents of a message by its arrival instead of its origin (D2, D5).
 	DateByArrival bool
-	// ReplaceAlways has a subscriber replace its table by any complete one, however old the server list in it is (D4).
+	// ReplaceAlways makes a subscriber replace its table by any complete one, however old the server list in it is (D4).
 	ReplaceAlways bool
-	// AcceptAnyReply has a subscriber take a reply for the call whose place it has on the connection (D15).
+	// AcceptAnyReply makes a subscriber accept any reply that arrives on the connection in place of the expected one (D15).
 	AcceptAnyReply bool
-	// ServeLateState has a starting proxy serve a state that came too late to prove freshness (D3).
+	// ServeLateState makes a starting proxy serve a state that arrived too late to prove freshness (D3).
 	ServeLateState bool
-	// NeighbourAtOnce has a starting proxy serve a neighbour's state before the control-plane nodes known have been tried (D3).
+	// NeighbourAtOnce makes a starting proxy serve a neighbour's state before the known control-plane nodes have been tried (D3).
 	NeighbourAtOnce bool
 }
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -10,9 +10,9 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestExtendedWarmUpEndsLate: a server that is cold becomes cold again ("at any moment"), so that its warm-up ends a
-// little later. Each reading is right by itself. Danger: coversCold takes the second for another reading of the first state, as
-// their spans overlap, and the stored end stays before the true one.
+// TestExtendedWarmUpEndsLate: a server that is cold becomes cold again ("at any moment"), so that its warm-up ends a little later. Each
+// reading is correct by itself. warmUpAgrees must not take the second for another reading of the first warm-up because their spans
+// overlap, or the stored end would stay before the true one.
 func TestExtendedWarmUpEndsLate(t *testing.T) {
 	const ms = time.Millisecond //nolint:varnamelen // the unit of the table below
 	for name, test := range map[string]struct {
@@ -46,18 +46,18 @@
 	}
 }
 
-// TestCarriedEntriesKeepTheirTimes: a reply is taken in with a clock that was read before the process froze, or waited for the
-// lock, while another reply came. Danger: what is kept of the newer table is dated back to the older clock.
+// TestCarriedEntriesKeepTheirTimes: a reply is handled with a clock reading from before the process was paused, or waited for the lock,
+// while another reply arrived. The entries that are kept from the newer table must not be dated by the older clock reading.
 func TestCarriedEntriesKeepTheirTimes(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
-		empty := newIdleServer() // a node that has started again, warm, with no list yet
+		empty := newIdleServer() // a restarted node whose table is complete, but has no list yet
 		empty.markComplete()
 		items, full := empty.table.ChangesSince(0)
 		reply := &distributionpb.FollowReply{Full: full, Complete: true, Current: true, Entries: softstate.EncodeEntries(time.Now(), items),
 			Soft: &distributionpb.Cursor{Boot: empty.bootID, Number: empty.table.LastNumber}}
 		req := subscriber.buildRequest(nil, false)
-		read := time.Now() // call(): f.take(asked, time.Now(), req, reply), before the lock
+		read := time.Now() // handleReply gets the time that was read before the lock
 		time.Sleep(1500 * time.Millisecond)
 		end := time.Now().Add(3 * time.Second)
 		subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 0, 5, pick.Server{ID: "s", WarmUpMax: 3 * time.Second}))
@@ -72,9 +72,9 @@
 	})
 }
 
-// TestOldWarmUpIsOver: a process from before least_age_ms passes on an entry that was made 20 s ago, when the server was
-// cold for 3 s more. Danger: whoever merges it takes a server for cold that has been warm for 17 s: after each change of
-// nodes, all servers that have ever been cold.
+// TestOldWarmUpIsOver: a process of a version without least_age_ms forwards an entry that was made 20 s ago, when the server was cold for
+// another 3 s. Whoever merges it must not consider the server cold, which has been warm for 17 s: otherwise, after each change of nodes,
+// all servers that have ever been cold would be cold again.
 func TestOldWarmUpIsOver(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		server := newIdleServer()
@@ -97,14 +97,14 @@
 	})
 }
 
-// TestSecondReplicaNarrowsTheAge: the first replica of an entry came by a slow way, the second by a fast one. Both bounds of both hold,
-// so the warm-up need not end later than by the better of the two.
+// TestSecondReplicaNarrowsTheAge: the first replica of an entry arrived over a slow path, the second over a fast one. The bounds of both
+// are valid, so the warm-up need not end later than by the better of the two.
 func TestSecondReplicaNarrowsTheAge(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		p := newWarmUpPath(t, transit{})
 		p.server.warmUpEnd = time.Now().Add(4 * time.Second)
 		p.read(transit{})
-		p.synchronise(transit{out: 1400 * time.Millisecond}) // a slow share to the other node
+		p.synchronise(transit{out: 1400 * time.Millisecond}) // a slow share request to the other node
 		p.poll("other:1", transit{})
 		p.poll("reader:1", transit{})
 		p.poll("reader:1", transit{})
@@ -117,8 +117,8 @@
 	})
 }
 
-// TestListAgeHoldsOverAPause: the process stops between the platform's reply and taking it in. Danger: the list and a notice of
-// withdrawal count as younger than they are by the time of the stop.
+// TestListAgeHoldsOverAPause: the process is paused between the platform's reply and merging it. The ages of the list and of a withdrawal
+// notice must not be understated by the time of the pause.
 func TestListAgeHoldsOverAPause(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		const stop = 300 * time.Millisecond
@@ -136,7 +136,7 @@
 	})
 }
 
-// TestWarmUpEndDoesNotFlap: readings of one warm-up, near its end, over a slow way.
+// TestWarmUpEndDoesNotFlap covers readings of one warm-up, near its end, over a slow path.
 func TestWarmUpEndDoesNotFlap(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		var worst time.Duration
@@ -160,8 +160,8 @@
 	})
 }
 
-// readWarmUp has a server read a warm-up that ends at a moment, over a way that is slow each second time, and waits until the next reading
-// is due. It says whether the server was taken for warm before and for cold then, and by how much its warm-up ends late.
+// readWarmUp makes a server read a warm-up that ends at end, over a path that is slow every second time, and waits until the next reading
+// is due. It reports whether the server was considered warm before and cold afterwards, and by how much its warm-up ends late.
 func readWarmUp(t *testing.T, server *Server, version uint64, end time.Time) (flapped bool, late time.Duration) {
 	t.Helper()
 	asked := time.Now()
@@ -172,7 +172,7 @@
 	time.Sleep(55 * time.Millisecond)
 	stated := (trueServer{warmUpEnd: end}).statedAt(time.Now())
 	time.Sleep(back)
-	// as feed does, rounding up
+	// rounding up, as the poller does
 	if stated.WarmUpMax > 0 {
 		stated.WarmUpMax += time.Millisecond
 	}
--- a/internal/system/distribution/warmup_fleet_faults_test.go
+++ b/internal/system/distribution/warmup_fleet_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// isolateFor partitions a machine off the others for a while; what was in transit is lost.
+// isolateFor partitions a machine from the others for a while; messages in transit are lost.
 func (w *warmUpFleet) isolateFor(host string, d time.Duration) {
 	w.isolatedUntil[host] = time.Now().Add(d)
 	w.log("cut ", host, " for ", d)
@@ -31,7 +31,7 @@
 	}
 }
 
-// recordFault remembers a fault.
+// recordFault records the time of a fault.
 func (w *warmUpFleet) recordFault(host string) {
 	if w.sources[host] != nil {
 		host = ""
@@ -41,7 +41,7 @@
 	w.lastFault[host] = time.Now()
 }
 
-// fault brings some fault about.
+// fault triggers a random fault.
 func (w *warmUpFleet) fault() {
 	w.endIsolations()
 	isolatedNodes := 0
@@ -77,7 +77,7 @@
 	}
 }
 
-// endIsolations ends those whose time is over.
+// endIsolations ends the isolations whose time is over.
 func (w *warmUpFleet) endIsolations() {
 	for host, end := range w.isolatedUntil {
 		if !time.Now().After(end) {
@@ -115,7 +115,7 @@
 	w.log("anew ", node)
 }
 
-// notCurrentFor has a node not be current for a while, though it reaches the others.
+// notCurrentFor makes a node not current for a while although it reaches the others.
 func (w *warmUpFleet) notCurrentFor(name string, span time.Duration) {
 	w.sources[name].setStale(true)
 	w.wg.Go(func() {
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -14,12 +14,13 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// publishList adds what the list shows from now on, lag later. The caller holds mu or is alone.
+// publishList adds the present servers to the list's history, which the platform shows with a lag. The caller holds mu or has exclusive
+// access.
 func (w *warmUpFleet) publishList() {
 	w.listHistory = append(w.listHistory, shownList{time.Now(), maps.Clone(w.trueServers)})
 }
 
-// List implements platform.Lister, for one node.
+// fleetLister implements platform.Lister for one node.
 type fleetLister struct {
 	fleet *warmUpFleet
 	calls uint64
@@ -59,7 +60,7 @@
 	return list, nil
 }
 
-// poll has a node poll the platform.
+// poll makes a node poll the platform.
 func (w *warmUpFleet) poll(node string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.polls[node] = cancel
@@ -84,7 +85,7 @@
 	w.wg.Go(func() { poller.Run(ctx) })
 }
 
-// serve has every proxy choose a server twice, and records what reaches cold and draining ones.
+// serve makes every proxy pick a server twice, and records the requests to cold and draining ones.
 func (w *warmUpFleet) serve() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// serveOnce has a proxy choose a server. The caller holds mu, and that of the picker.
+// serveOnce makes a proxy pick a server. The caller holds mu, and that of the picker.
 func (w *warmUpFleet) serveOnce(node string, picker *fleetPicker) {
 	now := time.Since(picker.start)
 	sendsBefore := picker.picker.Stats().WarmUpSends
@@ -115,7 +116,7 @@
 	}
 	if time.Now().Before(server.coldUntil) {
 		if picker.changes[server.zone] < w.evacuated[server.zone] {
-			// Such a proxy goes on at its part of the load: see the postmortem of FAILBACK, what is left.
+			// Such a proxy continues at its share of the load: see the postmortem of FAILBACK, section "what is left".
 			w.faultCounts["cold sends by proxies that have not learned of the evacuation"]++
 			return
 		}
@@ -141,7 +142,7 @@
 	w.faultCounts["cold sends"]++
 }
 
-// describeSecond says what the last second at a server was made of.
+// describeSecond describes the requests of the last second at a server.
 func (w *warmUpFleet) describeSecond(id string, s warmingServer) string {
 	byProxy := map[string][2]int{}
 	for _, v := range w.sent[id] {
@@ -166,7 +167,7 @@
 	return out + "\n" + fmt.Sprint(w.eventLog[max(0, len(w.eventLog)-45):])
 }
 
-// log records what happens.
+// log adds an event to the log.
 func (w *warmUpFleet) log(what ...any) {
 	w.eventLog = append(w.eventLog, fmt.Sprint(time.Since(w.begin).Round(time.Millisecond), " ", fmt.Sprint(what...)))
 }
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -25,24 +25,24 @@
 	warmUpRate       = 31.0
 	warmUpBound      = warmUpRate*1.5 + 5
 	drainTimeout     = 4 * time.Second
-	faultPeriodSteps = 150 // one in so many steps of 25 ms brings each kind of fault
+	faultPeriodSteps = 150 // each kind of fault occurs in one of so many steps of 25 ms
 )
 
-// warmingServer is a server as it truly is.
+// warmingServer is the true state of a server.
 type warmingServer struct {
 	zone      string
 	coldUntil time.Time
-	draining  time.Time // since; zero: serves
+	draining  time.Time // start of draining; zero: it serves
 }
 
-// shownList is the list from a moment on.
+// shownList is the list that the platform shows from a moment on.
 type shownList struct {
 	at      time.Time
 	servers map[string]warmingServer
 }
 
-// warmUpFleet is nodes that poll the platform, proxies with pickers, and servers that turn cold: with a new id, or under theirs 2.4 s before their
-// zone is taken back. Machines are isolated, killed and started meanwhile.
+// warmUpFleet has nodes that poll the platform, proxies with pickers, and servers that become cold: with a new id, or under their old one
+// up to 2.4 s before their zone is readmitted. Machines are isolated, killed and started meanwhile.
 type warmUpFleet struct {
 	*testFleet
 	t             *testing.T
@@ -52,35 +52,35 @@
 	pickers       map[string]*fleetPicker
 	polls         map[string]context.CancelFunc
 	isolatedUntil map[string]time.Time
-	evacuated     map[string]uint64 // the record that evacuated a zone last
+	evacuated     map[string]uint64 // the last record that evacuated a zone
 	begin         time.Time
-	hideWarmUps   bool // pickers learn nothing of cold servers: a control
-	missing       int  // of 100 entries are not in a reading
+	hideWarmUps   bool // control: pickers do not learn of cold servers
+	missing       int  // so many of 100 entries are missing from a reading
 	worst         int
 	lastFault     map[string]time.Time // when a proxy, or a node (""), was last isolated, joined, killed or started
-	maxLateness   time.Duration        // by which requests came at most after a server was shown as draining, and after faults of their way
+	maxLateness   time.Duration        // maximum delay of requests after a server was shown as draining and after faults on their path
 	faultCounts   map[string]int
 
 	mu          sync.Mutex
 	epoch       uint64
 	owner       string
-	seen        map[string]uint64 // epochs that nodes know
+	seen        map[string]uint64 // epochs known to the nodes
 	trueServers map[string]warmingServer
 	listHistory []shownList
 	ids         int
-	sent        map[string][]sentToCold // to cold servers, within the last second
+	sent        map[string][]sentToCold // requests to cold servers within the last second
 	eventLog    []string
-	worstSecond string // what the worst second was made of
+	worstSecond string // description of the worst second
 }
 
-// sentToCold is a request to a server that was cold, and whether its proxy took that for cold.
+// sentToCold is a request to a server that was cold, and whether its proxy considered the server cold.
 type sentToCold struct {
 	at   time.Time
 	node string
 	cold bool
 }
 
-// fleetPicker is a proxy's picker, notified as cmd/proxy does it.
+// fleetPicker is a proxy's picker, updated as cmd/proxy does it.
 type fleetPicker struct {
 	mu         sync.Mutex
 	start      time.Time
@@ -88,7 +88,7 @@
 	serves     bool
 	subscriber *Subscriber
 
-	changes map[string]uint64 // the records that changed zones last, as far as it knows
+	changes map[string]uint64 // the last records that changed zones, as far as the proxy knows
 }
 
 func (p *fleetPicker) update(w *warmUpFleet, node string, update Update) {
@@ -157,7 +157,7 @@
 	p.mu.Unlock()
 }
 
-// elect moves the lease to a node that is current, in the next epoch.
+// elect moves the lease to a current node, in the next epoch.
 func (w *warmUpFleet) elect() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -174,7 +174,7 @@
 	}
 }
 
-// change changes the servers of a zone. The caller is alone.
+// change changes the servers of a zone. The caller has exclusive access.
 func (w *warmUpFleet) change(zone string, f func(id string, s warmingServer) (string, warmingServer)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,14 +197,14 @@
 	return fmt.Sprint("s", w.ids), warmingServer{zone: s.zone, coldUntil: time.Now().Add(warmUpDuration)}
 }
 
-// evacuation is how far the evacuation of a zone, and what goes with it, has come.
+// evacuation is the progress of a zone's evacuation, and of the events that go with it.
 type evacuation struct {
 	zone  string
 	phase int
-	next  time.Duration // when the next phase begins, since the run began
+	next  time.Duration // when the next phase begins, from the start of the run
 }
 
-// run plays a day of some seconds.
+// run runs the fleet for a number of seconds.
 func (w *warmUpFleet) run(seconds int) {
 	const step = 25 * time.Millisecond
 	w.begin = time.Now()
@@ -226,7 +226,7 @@
 	}
 }
 
-// advance plays the next phase of an evacuation.
+// advance performs the next phase of an evacuation.
 func (w *warmUpFleet) advance(current *evacuation, at time.Duration) {
 	other := map[string]string{"za": "zb", "zb": "za"}[current.zone]
 	pause := func(n int) time.Duration { return time.Duration(w.rng.IntN(n)) * time.Millisecond }
@@ -250,7 +250,7 @@
 		w.faultCounts["taken back"]++
 		w.log("taken back ", current.zone)
 		current.next, current.phase = at+4*time.Second, 4
-	case 4: // draining ones have ended
+	case 4: // servers that were draining have ended
 		w.change(other, func(id string, server warmingServer) (string, warmingServer) {
 			if !server.draining.IsZero() {
 				return w.replaceServer(id, server)
@@ -262,7 +262,7 @@
 	}
 }
 
-// disturb has a zone come back cold with new ids, or one of its servers drain.
+// disturb makes a zone come back cold with new ids, or one of its servers drain.
 func (w *warmUpFleet) disturb(zone string) {
 	if w.rng.IntN(2) == 0 {
 		w.change(zone, w.replaceServer)
@@ -281,7 +281,7 @@
 	})
 }
 
-// disagreements ends all faults, and names proxies that then have other servers than the node that has the lease of the list.
+// disagreements ends all faults, and names the proxies that then have other servers than the node that holds the lease of the list.
 func (w *warmUpFleet) disagreements() (differ []string) {
 	for host := range w.isolatedUntil {
 		delete(w.isolatedUntil, host)
@@ -310,7 +310,7 @@
 	return differ
 }
 
-// stopAll stops all.
+// stopAll stops the pollers and the fleet.
 func (w *warmUpFleet) stopAll() {
 	for _, stop := range w.polls {
 		stop()
@@ -319,7 +319,7 @@
 	w.stop()
 }
 
-// runWarmUpFleet plays 60 s of a seed, and names proxies that have other servers than their node some seconds after the last fault.
+// runWarmUpFleet runs a seed for 60 s, and names the proxies that have other servers than their node 10 s after the last fault.
 func runWarmUpFleet(t *testing.T, seed uint64, proxies int, change func(*warmUpFleet)) (w *warmUpFleet, differ []string) {
 	t.Helper()
 	bubble.Test(t, func(t *testing.T) {
@@ -334,9 +334,9 @@
 	return w, differ
 }
 
-// TestWarmUpFleet: nodes and proxies are isolated, killed and started again while zones are evacuated and taken back cold, go down and come
-// back cold, and servers drain; in half of the plays one in ten entries is missing from each reading of the list. No cold server
-// gets more in a second than its bound. COLD_WORLD_SEEDS sets how many seeds run.
+// TestWarmUpFleet: nodes and proxies are isolated, killed and restarted while zones are evacuated and readmitted cold, go down and come
+// back cold, and servers drain; in half of the runs one in ten entries is missing from each reading of the list. No cold server may
+// receive more requests per second than its bound. COLD_WORLD_SEEDS sets the number of seeds.
 func TestWarmUpFleet(t *testing.T) {
 	seeds, err := strconv.Atoi(cmp.Or(os.Getenv("COLD_WORLD_SEEDS"), "1"))
 	if err != nil {
@@ -364,7 +364,7 @@
 	t.Logf("%d seeds: at most %d in a second; brought about %v", seeds, worst, came)
 }
 
-// TestWarmUpFleetControl: pickers that learn nothing of cold servers flood them, and that is seen.
+// TestWarmUpFleetControl: pickers that do not learn of cold servers overload them, and the test detects it.
 func TestWarmUpFleetControl(t *testing.T) {
 	if w, _ := runWarmUpFleet(t, 1, 12, func(w *warmUpFleet) { w.hideWarmUps = true }); float64(w.worst) <= warmUpBound {
 		t.Errorf("%d requests in a second at a cold server, of %v", w.worst, warmUpBound)
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -8,16 +8,16 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// transit is how long a message is in transit to another process, and the reply to it.
+// transit is how long a message to another process and the reply to it are in transit.
 type transit struct{ out, back time.Duration }
 
-// trueServer is when the times of a server really end.
+// trueServer has the true ends of a server's times.
 type trueServer struct {
 	warmUpEnd   time.Time
-	withdrawnAt time.Time // zero: no notice was given
+	withdrawnAt time.Time // zero: there is no notice
 }
 
-// statedAt is what the platform replies at a moment.
+// statedAt returns the platform's reply at a moment.
 func (s trueServer) statedAt(now time.Time) pick.Server {
 	server := pick.Server{ID: "s", Service: "a", WarmUpMax: max(0, s.warmUpEnd.Sub(now))}
 	if !s.withdrawnAt.IsZero() {
@@ -26,8 +26,8 @@
 	return server
 }
 
-// warmUpPath is the way of the platform's list to proxies: one node reads it, another has it by synchronisations, a proxy polls
-// either, and a neighbour of that proxy asks it. Each step is made by hand, with a delay there and back.
+// warmUpPath is the path of the platform's list to proxies: one node reads it, another receives it by synchronisation, a proxy polls
+// either of them, and a neighbour queries that proxy. The test triggers each step explicitly, with a delay in each direction.
 type warmUpPath struct {
 	t           *testing.T
 	server      trueServer
@@ -37,11 +37,11 @@
 	version     uint64
 	sync        manualSync
 	subscribers map[string]*Subscriber
-	early       map[string]time.Duration // by how much at the most a subscriber's cold end came before the true one
+	early       map[string]time.Duration // maximum by which the warm-up of a subscriber's entry ended before the true end
 }
 
-// newWarmUpPath makes the processes. The reader has last shared over a link with these delays, so it knows the other's clock
-// as well as that allows.
+// newWarmUpPath creates the processes. The reader has last synchronised over a link with the delays of shared, so it knows the other
+// node's clock as well as these delays allow.
 func newWarmUpPath(t *testing.T, shared transit) *warmUpPath {
 	t.Helper()
 	path := &warmUpPath{t: t, mesh: newMesh(), transits: map[[2]string]time.Duration{}, reader: newNamedServer("reader:1"),
@@ -52,23 +52,23 @@
 	path.mesh.host("other:1", path.sync.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
 		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: discardLogger(), Transport: meshTransport{path.mesh, node},
-			knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour learns of nodes, and isn't to try them first
+			knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour learns of nodes, and must not try them first
 		path.subscribers[node] = subscriber
 		path.mesh.host(node+":2", subscriber.Handler())
 	}
 	path.reader.markComplete()
-	path.synchronise(shared) // refused: the other's clock is not known yet
+	path.synchronise(shared) // rejected: the other node's clock is not known yet
 	path.synchronise(shared)
 	return path
 }
 
-// putReading has a server take in a reading of the list that was asked for at asked, and came just now.
+// putReading makes a server merge a reading of the list that was requested at asked and has just been received.
 func putReading(tb testing.TB, server *Server, version uint64, asked time.Time, servers ...pick.Server) {
 	tb.Helper()
 	putList(tb, server, 1, version, servers, softstate.AgeUpTo(time.Since(asked)))
 }
 
-// read has the reader ask the platform.
+// read makes the reader poll the platform.
 func (p *warmUpPath) read(l transit) {
 	p.t.Helper()
 	asked := time.Now()
@@ -79,13 +79,13 @@
 	putReading(p.t, p.reader, p.version, asked, stated)
 }
 
-// synchronise has the reader synchronise with the other node.
+// synchronise makes the reader synchronise with the other node.
 func (p *warmUpPath) synchronise(l transit) {
 	p.t.Helper()
 	p.sync.sendOver(p.t, l)
 }
 
-// poll has the proxy poll a node.
+// poll makes the proxy poll a node.
 func (p *warmUpPath) poll(node string, l transit) {
 	p.t.Helper()
 	p.connect("proxy", node, l)
@@ -94,7 +94,7 @@
 	}
 }
 
-// queryNeighbour has the neighbour queryNeighbour the proxy.
+// queryNeighbour makes the neighbour query the proxy.
 func (p *warmUpPath) queryNeighbour(l transit) {
 	p.connect("neighbour", "proxy:2", l)
 	p.subscribers["neighbour"].queryNeighbour(p.t.Context(), "proxy:2")
@@ -104,7 +104,7 @@
 	p.transits[[2]string{from, to}], p.transits[[2]string{to, from}] = l.out, l.back
 }
 
-// stored returns the server as each subscriber that has learned of it has it.
+// stored returns the server as stored by each subscriber that knows it.
 func (p *warmUpPath) stored() map[string]pick.Server {
 	out := map[string]pick.Server{}
 	for node, subscriber := range p.subscribers {
@@ -115,7 +115,7 @@
 	return out
 }
 
-// check records the subscribers whose statement of the warm-up ends before that state does.
+// check records the subscribers in whose entry the warm-up ends before the true end.
 func (p *warmUpPath) check() {
 	left := time.Until(p.server.warmUpEnd)
 	for node, s := range p.stored() {
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -10,12 +10,12 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// maxListLag is how long after the true end proxies may take a server for cold here: more than all legs of a case together.
+// maxListLag is how long after the true end proxies may consider a server cold here: more than all delays of a case together.
 const maxListLag = time.Second
 
-// TestWarmUpNeverEndsEarly: however long the list was in transit, and on whichever part of the way, no proxy takes a server for
-// warm before it is. Danger: all proxies flood it with what waited for it, and it falls over (FAILBACK). Nor does one take
-// it for cold much longer.
+// TestWarmUpNeverEndsEarly: however long the list was in transit, and on whichever part of the path, no proxy considers a server warm
+// before it is. Otherwise all proxies would send it their waiting requests, and overload it (FAILBACK). Nor does a proxy consider it cold
+// for much longer.
 func TestWarmUpNeverEndsEarly(t *testing.T) {
 	const ms = time.Millisecond //nolint:varnamelen // the unit of the table below
 	none, near, far := transit{}, transit{35 * ms, 35 * ms}, transit{110 * ms, 110 * ms}
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestLaterReadingCorrectsWarmUpEnd: a reading by which a server stays cold for a little longer than was stored counts, however
-// small the difference is.
+// TestLaterReadingCorrectsWarmUpEnd: a reading by which a server stays cold for longer than stored is merged, however small the
+// difference is.
 func TestLaterReadingCorrectsWarmUpEnd(t *testing.T) {
 	for _, more := range []time.Duration{time.Millisecond, 35 * time.Millisecond, 80 * time.Millisecond, 399 * time.Millisecond, 401 * time.Millisecond} {
 		t.Run(fmt.Sprint(more), func(t *testing.T) {
@@ -85,13 +85,13 @@
 	}
 }
 
-// pathStep is one step on a list's way.
+// pathStep is one step on the path of a list.
 type pathStep struct {
 	what, node string
 	transit    transit
 }
 
-// drawPathStep draws a step, with delays that the slowest links have.
+// drawPathStep draws a step, with delays up to those of the slowest links.
 func drawPathStep(t *rapid.T) pathStep {
 	way := func(name string) time.Duration {
 		return time.Duration(rapid.IntRange(0, 200).Draw(t, name)) * time.Millisecond
@@ -100,11 +100,11 @@
 		node: rapid.SampledFrom([]string{"reader:1", "other:1"}).Draw(t, "keeper"), transit: transit{out: way("out"), back: way("back")}}
 }
 
-// TestTimesErrOnTheSafeSide: in any order of readings, synchronisations, polls and questions, with any delays, no proxy takes a server
-// for warm before it is, and none counts on a server that is withdrawn for longer than it has left.
+// TestTimesErrOnTheSafeSide: in any order of readings, synchronisations, polls and queries, with any delays, no proxy considers a server
+// warm before it is, and none counts on a withdrawn server for longer than its remaining time.
 func TestTimesErrOnTheSafeSide(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// Shrinking lets the warm-up be short, and no notice come.
+		// Shrinking makes the warm-up short, and removes the notice.
 		cold := time.Duration(rapid.IntRange(1, 4000).Draw(rt, "cold")) * time.Millisecond
 		notice := time.Duration(rapid.IntRange(0, 4000).Draw(rt, "notice")) * time.Millisecond
 		steps := rapid.SliceOfN(rapid.Custom(drawPathStep), 1, 30).Draw(rt, "steps")
@@ -116,8 +116,8 @@
 	})
 }
 
-// playSteps makes steps on a list's way, of a server that is cold for a time and, unless notice is 0, withdrawn after it. It
-// says what a proxy then has that it must not.
+// playSteps performs steps on the path of a list, with a server that is cold for a time and, unless notice is 0, withdrawn after notice.
+// It returns a description of the first wrong time that a proxy has.
 func playSteps(t *testing.T, cold, notice time.Duration, steps []pathStep) (wrong string) {
 	t.Helper()
 	p := newWarmUpPath(t, steps[0].transit)
@@ -134,7 +134,7 @@
 	return ""
 }
 
-// step has one of the processes do something.
+// step performs a step.
 func (p *warmUpPath) step(s pathStep) {
 	switch s.what {
 	case "read":
@@ -150,8 +150,8 @@
 	}
 }
 
-// wrong says which of the times that subscribers have errs on the wrong side. A notice counts down to a millisecond, as 0
-// means that none came.
+// wrong describes a time stored by a subscriber that errs on the wrong side. A notice counts down to a millisecond, as 0 means that there
+// is no notice.
 func (p *warmUpPath) wrong() string {
 	if p.check(); len(p.early) > 0 {
 		return fmt.Sprintf("the cold state ends early by %v", p.early)
