--- a/internal/system/distribution/catchup/catchup_test.go
+++ b/internal/system/distribution/catchup/catchup_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := PlanReply(test.after, test.available, maxRecords); got != test.want {
-				t.Errorf("%v for %v", got, test.want)
+				t.Errorf("got method %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			got, withRecords := PlanSnapshot(after, test.afterCached, test.madeLately, maxRecords)
 			if got != test.want || withRecords != test.withRecords {
-				t.Errorf("%v with records %v, want %v with %v", got, withRecords, test.want, test.withRecords)
+				t.Errorf("got method %v with records %v, want %v with records %v", got, withRecords, test.want, test.withRecords)
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.at.Plan(test.offer); got != test.want {
-				t.Errorf("%+v for %+v", got, test.want)
+				t.Errorf("got step %+v, want %+v", got, test.want)
 			}
 		})
 	}
@@ -109,11 +109,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.at.ProvesFreshness(test.offer); got != test.want {
-				t.Errorf("%v", got)
+				t.Errorf("ProvesFreshness returned %v", got)
 			}
 		})
 	}
 	if (Position{Seq: 5, Resync: true}).Ask() != 0 || (Position{Seq: 5}).Ask() != 5 {
-		t.Error("asks from the wrong number")
+		t.Error("Ask returned the wrong number")
 	}
 }
--- a/internal/system/distribution/commit_log_test.go
+++ b/internal/system/distribution/commit_log_test.go
@@ -15,24 +15,24 @@
 	begin := time.Now()
 	at := begin.Add
 	if got := commits.committedBefore(begin); got != 0 {
-		t.Errorf("%d before any", got)
+		t.Errorf("got record %d before the first mark", got)
 	}
 	commits.observe(at(time.Second), 3)
 	commits.observe(at(2*time.Second), 3)
 	commits.observe(at(3*time.Second), 5)
 	for when, want := range map[time.Duration]uint64{0: 0, time.Second: 3, 2500 * time.Millisecond: 3, 3 * time.Second: 5, time.Hour: 5} {
 		if got := commits.committedBefore(at(when)); got != want {
-			t.Errorf("at %v: %d, want %d", when, got, want)
+			t.Errorf("at %v: got record %d, want %d", when, got, want)
 		}
 	}
 	for i := range 10 * maxCommitMarks {
 		commits.observe(at(time.Duration(4+i)*time.Second), uint64(6+i))
 	}
 	if len(commits.marks) != maxCommitMarks || commits.committedBefore(at(3*time.Second)) != 0 {
-		t.Errorf("%d marks; at 3 s %d", len(commits.marks), commits.committedBefore(at(3*time.Second)))
+		t.Errorf("got %d marks, and record %d at 3 s", len(commits.marks), commits.committedBefore(at(3*time.Second)))
 	}
 	if got := commits.committedBefore(at(time.Hour)); got != uint64(5+10*maxCommitMarks) {
-		t.Errorf("at last %d", got)
+		t.Errorf("got record %d at the end", got)
 	}
 }
 
@@ -54,12 +54,12 @@
 			t.Fatal(err)
 		}
 		if got := server.table.ListCoversSeq(); got != read.covers {
-			t.Errorf("asked at %v: covers %d, want %d", read.asked, got, read.covers)
+			t.Errorf("reading requested at %v: covers record %d, want %d", read.asked, got, read.covers)
 		}
 		entries := softstate.EncodeEntries(time.Now(), []*softstate.StoredEntry{server.table.Get(softstate.ListKey)})
 		subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: entries})
 		if got := subscriber.Current().ListCoversSeq; got != read.covers {
-			t.Errorf("asked at %v: a proxy gets %d, want %d", read.asked, got, read.covers)
+			t.Errorf("reading requested at %v: a proxy gets record %d, want %d", read.asked, got, read.covers)
 		}
 	}
 }
@@ -83,26 +83,26 @@
 	wasNotified() // the state may be served from now on
 	reply(time.Now(), true)
 	if wasNotified() {
-		t.Error("notified of a reply that brings nothing new and is not awaited")
+		t.Error("the owner was notified of a reply that brings nothing new and is not awaited")
 	}
 	before := time.Now()
 	subscriber.Refresh()
 	select {
 	case <-subscriber.callRequested:
 	default:
-		t.Error("no node is asked at once")
+		t.Error("no immediate call was requested")
 	}
 	reply(before, true)
 	reply(time.Now(), false)
 	if wasNotified() {
-		t.Error("notified of a contact from before, or of a node that is not current")
+		t.Error("the owner was notified of an earlier contact, or of a node that is not current")
 	}
 	reply(time.Now(), true)
 	if !wasNotified() {
-		t.Error("not notified of the contact that is awaited")
+		t.Error("the owner was not notified of the awaited contact")
 	}
 	reply(time.Now(), true)
 	if wasNotified() {
-		t.Error("notified again")
+		t.Error("the owner was notified twice")
 	}
 }
--- a/internal/system/distribution/compression_test.go
+++ b/internal/system/distribution/compression_test.go
@@ -21,20 +21,20 @@
 	r := controlstate.Record{Seq: 3, Op: controlstate.OpAmend, Body: body.Bytes()}
 	w := cache.encode(r)
 	if again := cache.encode(r); again != w {
-		t.Error("compressed for each subscriber again")
+		t.Error("the record was compressed again for another subscriber")
 	}
 	if len(w.GetBody())*10 > body.Len() {
-		t.Errorf("%d bytes of %d", len(w.GetBody()), body.Len())
+		t.Errorf("compressed to %d bytes from %d", len(w.GetBody()), body.Len())
 	}
 	out, err := rpc.Expand(w.GetBody(), w.GetDeflated())
 	if err != nil || !bytes.Equal(out, body.Bytes()) {
-		t.Errorf("%d bytes back, %v", len(out), err)
+		t.Errorf("expanded to %d bytes, error %v", len(out), err)
 	}
 	if small := cache.encode(controlstate.Record{Seq: 4, Body: []byte("{}")}); small.GetDeflated() || string(small.GetBody()) != "{}" {
 		t.Error("a small body was changed")
 	}
 	if _, err := rpc.Expand(w.GetBody()[:len(w.GetBody())/2], true); err == nil {
-		t.Error("half of it counts as whole")
+		t.Error("truncated bytes were expanded without an error")
 	}
 	random := make([]byte, 64<<10)
 	_, _ = rand.NewChaCha8([32]byte{}).Read(random)
@@ -46,6 +46,6 @@
 		cache.encode(controlstate.Record{Seq: 10 + i, Body: random[:size]})
 	}
 	if len(cache.records) > cachedRecords || cache.bytes > cachedBytes || len(cache.records) < 10 {
-		t.Errorf("%d records with %d bytes are kept", len(cache.records), cache.bytes)
+		t.Errorf("the cache holds %d records with %d bytes", len(cache.records), cache.bytes)
 	}
 }
--- a/internal/system/distribution/fleet_catchup_test.go
+++ b/internal/system/distribution/fleet_catchup_test.go
@@ -59,7 +59,7 @@
 			break
 		}
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("has %d of %d after %v", proxy.subscriber.Current().State.Seq, fleet.chain.seq(), time.Since(start))
+			t.Fatalf("the proxy has record %d of %d after %v", proxy.subscriber.Current().State.Seq, fleet.chain.seq(), time.Since(start))
 		}
 	}
 	fleet.mesh.mu.Lock()
@@ -110,7 +110,7 @@
 			return true
 		})
 		if n := fleet.servers["k1:1"].snapshot.count; n != 1 {
-			t.Errorf("%d snapshots were made", n)
+			t.Errorf("%d snapshots were encoded, want 1", n)
 		}
 	})
 }
--- a/internal/system/distribution/fleet_faults_test.go
+++ b/internal/system/distribution/fleet_faults_test.go
@@ -18,7 +18,7 @@
 	start := time.Now()
 	for !ok() {
 		if time.Since(start) > d {
-			t.Fatalf("not within %v: %s", d, what)
+			t.Fatalf("condition not met within %v: %s", d, what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -53,7 +53,7 @@
 			time.Sleep(10 * time.Millisecond)
 			for n, proxy := range fleet.proxies {
 				if got := len(proxy.update().Members); got != 9 {
-					t.Fatalf("%s knows %d members", n, got)
+					t.Fatalf("proxy %s knows %d members", n, got)
 				}
 			}
 		}
@@ -70,7 +70,7 @@
 		fleet.isolate("b", true)
 		eventually(t, 3*time.Second, "b is down", func() bool { return !proxyA.sees("b") })
 		if proxyB.subscriber.Current().Fresh {
-			t.Error("b takes itself for fresh")
+			t.Error("b, which is isolated, is fresh")
 		}
 		fleet.isolate("b", false)
 		eventually(t, 2*time.Second, "b is back", func() bool { return proxyA.sees("b") && proxyB.subscriber.Current().Fresh })
@@ -78,7 +78,7 @@
 		eventually(t, 3*time.Second, "b is down again", func() bool { return !proxyA.sees("b") })
 		time.Sleep(65 * time.Second)
 		if got := len(fleet.servers["k1:1"].Members()); got != 1 {
-			t.Errorf("%d members are kept", got)
+			t.Errorf("the table has %d members, want 1", got)
 		}
 		fleet.startProxy("b", nil)
 		eventually(t, time.Second, "b is back in another incarnation", func() bool { return proxyA.sees("b") })
@@ -99,7 +99,7 @@
 		fleet.isolate("a", true)
 		start = time.Now()
 		if err := proxyA.subscriber.Leave(t.Context()); err == nil || time.Since(start) > leaveTimeout {
-			t.Errorf("isolated: %v after %v", err, time.Since(start))
+			t.Errorf("isolated proxy: Leave returned %v after %v", err, time.Since(start))
 		}
 	})
 }
@@ -117,7 +117,7 @@
 		for name, server := range fleet.servers {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 			if server.WaitAcknowledged(ctx, seq) == nil {
-				t.Errorf("%s: acknowledged while p3, not yet known to be isolated, may have the former", name)
+				t.Errorf("%s: acknowledged before p3 was known to be isolated, so p3 may have the former state", name)
 			}
 			cancel()
 		}
@@ -165,7 +165,7 @@
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
 			if others("a", "s").Requests != 5 || others("c", "s").Requests != 8 {
-				t.Fatalf("got %+v and %+v", others("a", "s"), others("c", "s"))
+				t.Fatalf("got load %+v at a and %+v at c", others("a", "s"), others("c", "s"))
 			}
 		}
 		set("a", map[string]pick.Load{"s": {Requests: 1}})
@@ -231,7 +231,7 @@
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
 			if len(proxy.subscriber.Current().Servers) != 2 {
-				t.Fatal("a server was forgotten")
+				t.Fatal("a server was dropped")
 			}
 		}
 		// The poller restarts its versions; s is gone.
--- a/internal/system/distribution/fleet_test.go
+++ b/internal/system/distribution/fleet_test.go
@@ -30,10 +30,10 @@
 		time.Sleep(400 * time.Millisecond)
 		update := proxy.update()
 		if update.State == nil || update.State.Seq != 1 || !update.Fresh || !update.HasList || len(update.Servers) != 1 || len(update.Members) != 1 {
-			t.Fatalf("has %+v", update)
+			t.Fatalf("the proxy has %+v", update)
 		}
 		if c := update.Servers[0].WarmUpMax; c > 2900*time.Millisecond || c < 2000*time.Millisecond {
-			t.Errorf("cold for %v more", c)
+			t.Errorf("the server is cold for another %v", c)
 		}
 	})
 }
@@ -54,14 +54,14 @@
 			t.Fatal(err)
 		}
 		if d := time.Since(start); d > 150*time.Millisecond {
-			t.Errorf("took %v", d)
+			t.Errorf("the acknowledgement took %v", d)
 		}
 		for n, proxy := range fleet.proxies {
 			if got := proxy.subscriber.Current().State.Seq; got != seq {
-				t.Errorf("%s has %d", n, got)
+				t.Errorf("proxy %s has record %d", n, got)
 			}
 			if got := len(proxy.subscriber.Current().Members); got != 12 {
-				t.Errorf("%s knows %d members", n, got)
+				t.Errorf("proxy %s knows %d members", n, got)
 			}
 		}
 	})
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -117,7 +117,7 @@
 		w.readAt[w.version] = time.Now()
 		// An isolated node continues to read the list.
 		if w.servers[w.names[w.rng.IntN(3)]].PutList(1, w.version, []pick.Server{{ID: fmt.Sprint("s", w.version)}}, boundsOf(softstate.Age{})) != nil {
-			w.faults["refused list"]++
+			w.faults["rejected list"]++
 		}
 	}
 	time.Sleep(time.Duration(w.rng.IntN(400)) * time.Millisecond)
@@ -129,22 +129,22 @@
 	for proxyNode, proxy := range w.proxies {
 		update := proxy.subscriber.Current()
 		if update.Fresh && int(update.State.Seq) < len(w.ackedAt) && now.Sub(w.ackedAt[update.State.Seq]) > catchup.FreshnessTTL+freshnessMargin {
-			w.violations["fresh though a change is older than that"]++
+			w.violations["fresh without a change that was acknowledged earlier"]++
 		}
 		proxy.mu.Lock()
 		if proxy.wentBack {
-			w.violations["went back"]++
+			w.violations["the state went back"]++
 		}
 		proxy.mu.Unlock()
 		proxy.subscriber.mu.Lock()
 		if held := proxy.subscriber.soft.table.Get(softstate.ListKey); held != nil {
 			if was := w.shownReadAt[proxyNode]; was.Sub(w.readAt[held.Version]) > maxListAgeSkew+freshnessMargin && !w.readAt[held.Version].IsZero() {
-				w.violations["a list went back"]++
+				w.violations["the list went back"]++
 			} else if w.readAt[held.Version].After(was) {
 				w.shownReadAt[proxyNode] = w.readAt[held.Version]
 			}
 			if age := now.Sub(w.readAt[held.Version]); held.AgeAt(now).Max < age-freshnessMargin && !w.readAt[held.Version].IsZero() {
-				w.violations["a list counts as younger than it is"]++
+				w.violations["the list's age is understated"]++
 			}
 		}
 		proxy.subscriber.mu.Unlock()
@@ -169,7 +169,7 @@
 	w.check()
 	for n, proxy := range w.proxies {
 		if update := proxy.subscriber.Current(); !update.Fresh || int(update.State.Seq) != len(w.ackedAt) || len(update.Members) != len(w.proxies) {
-			t.Errorf("%s, 6 s after the last fault: fresh %v, %d of %d, %d members", n, update.Fresh, update.State.Seq, len(w.ackedAt), len(update.Members))
+			t.Errorf("proxy %s, 6 s after the last fault: fresh %v, record %d of %d, %d members", n, update.Fresh, update.State.Seq, len(w.ackedAt), len(update.Members))
 		}
 	}
 	return w.faults, w.violations
@@ -192,13 +192,13 @@
 				came[what] += n
 			}
 			if len(violations) > 0 {
-				t.Errorf("seed %d: %v", seed, violations)
+				t.Errorf("seed %d: violations %v", seed, violations)
 			}
 		})
 	}
-	t.Logf("%d seeds brought about %v", seeds, came)
+	t.Logf("%d seeds, events: %v", seeds, came)
 	if came["isolated"] < int(seeds) || came["healed"] < int(seeds) {
-		t.Errorf("the runs bring little about: %v", came)
+		t.Errorf("the runs trigger too few events: %v", came)
 	}
 }
 
@@ -221,7 +221,7 @@
 			})
 		}
 		if !found {
-			t.Errorf("%s: nothing was broken in 20 seeds", name)
+			t.Errorf("%s: no violation in 20 seeds", name)
 		}
 	}
 }
--- a/internal/system/distribution/loadreport/vector_test.go
+++ b/internal/system/distribution/loadreport/vector_test.go
@@ -43,10 +43,10 @@
 		link.vector.Publish(now.Add(minorChangeDelay), link.loads)
 		reader := &link.reader
 		if reader.Apply(now, link.vector.ChangesSince(reader.Cursor)); !maps.Equal(sumOf(reader, now), published(link.loads)) {
-			t.Fatalf("in the end %+v for %+v", sumOf(reader, now), link.loads)
+			t.Fatalf("the reader ends with %+v for loads %+v", sumOf(reader, now), link.loads)
 		}
 		if got := sumOf(reader, now.Add(TTL+1)); len(got) > 0 {
-			t.Fatalf("counts after its TTL: %v", got)
+			t.Fatalf("loads are still counted after their TTL: %v", got)
 		}
 	})
 }
@@ -84,7 +84,7 @@
 		changes = l.vector.ChangesSince(l.reader.Cursor)
 	}
 	if !l.reader.Apply(now, changes) {
-		t.Fatalf("refused %+v at %d", changes, l.reader.Number)
+		t.Fatalf("the reader rejected %+v at number %d", changes, l.reader.Number)
 	}
 	l.check(t, now)
 }
@@ -95,7 +95,7 @@
 	for id, load := range l.loads {
 		got, want := received[id], roundUpToUnits(load)
 		if got != want && (l.exact || isMaterial(got, want)) {
-			t.Fatalf("%s: %+v for %+v", id, got, load)
+			t.Fatalf("server %s: the reader has %+v, the writer %+v", id, got, load)
 		}
 	}
 }
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -103,7 +103,7 @@
 				return
 			}
 		case <-limit:
-			t.Fatal("no state came")
+			t.Fatal("no state was received")
 		}
 	}
 }
--- a/internal/system/distribution/membership_partition_test.go
+++ b/internal/system/distribution/membership_partition_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("during the partition a proxy was notified of %d members", memberCensus.fewest())
 	}
 	if !slices.ContainsFunc(fleet.servers["k1:1"].Members(), func(member softstate.Member) bool { return member.Down }) {
-		t.Error("the run brought nothing about: the node that is isolated marked nobody down")
+		t.Error("the run had no effect: the isolated node marked no proxy down")
 	}
 	fleet.mesh.mu.Lock()
 	clear(fleet.mesh.partitioned)
@@ -89,7 +89,7 @@
 	})
 	bubble.Test(t, func(t *testing.T) {
 		if fewestAfterPartition(t, TestingKnobs{AcceptDownEntries: true}) == censusMembers {
-			t.Error("control: nothing was lost where every mark is believed")
+			t.Error("control: no members were lost although every down entry is accepted")
 		}
 	})
 }
@@ -115,7 +115,7 @@
 	})
 	bubble.Test(t, func(t *testing.T) {
 		if run(t, TestingKnobs{OwnContactsOnly: true}) == censusMembers {
-			t.Error("control: nothing was lost where a node goes by its own contacts")
+			t.Error("control: no members were lost although a node uses only its own contacts")
 		}
 	})
 }
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -139,7 +139,7 @@
 		if err == nil {
 			good++
 			if reply.GetNewest() != uint64(req.GetCall()) {
-				t.Errorf("call %d got the reply of %d", req.GetCall(), reply.GetNewest())
+				t.Errorf("call %d got the reply to call %d", req.GetCall(), reply.GetNewest())
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 	}
 	for _, act := range peerActs {
 		if counts[act] < 5 {
-			t.Errorf("%q came about %d times", act, counts[act])
+			t.Errorf("action %q was performed %d times", act, counts[act])
 		}
 	}
 }
@@ -167,7 +167,7 @@
 		subscriber.options.knobs.AcceptAnyReply = knob
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
 		if _, err := subscriber.sendPoll(ctx, address, &distributionpb.FollowRequest{}); (err == nil) != knob {
-			t.Errorf("control %v: %v", knob, err)
+			t.Errorf("control with AcceptAnyReply %v: error %v", knob, err)
 		}
 		cancel()
 	}
@@ -180,7 +180,7 @@
 		req := &distributionpb.FollowRequest{}
 		ctx, cancel := rpc.WithIdleTimeout(t.Context(), time.Second, time.Second)
 		if reply, err := subscriber.sendPoll(ctx, address, req); err == nil && reply.GetNewest() != uint64(req.GetCall()) {
-			t.Fatalf("call %d got the reply of %d", req.GetCall(), reply.GetNewest())
+			t.Fatalf("call %d got the reply to call %d", req.GetCall(), reply.GetNewest())
 		}
 		cancel()
 	}
@@ -214,7 +214,7 @@
 		}
 	}
 	if caller := server.sessions.byNode["p"]; caller.ackedSeq != 7 || caller.openCalls != 0 {
-		t.Errorf("acknowledged %d, %d calls open", caller.ackedSeq, caller.openCalls)
+		t.Errorf("acknowledged record %d, %d open calls", caller.ackedSeq, caller.openCalls)
 	}
 }
 
--- a/internal/system/distribution/older_list_resync_test.go
+++ b/internal/system/distribution/older_list_resync_test.go
@@ -104,7 +104,7 @@
 		time.Sleep(100 * time.Millisecond)
 		_ = server.PutList(1, 7, []pick.Server{{ID: "a"}}, softstate.TimeBounds{Earliest: asked, Latest: time.Now()})
 		if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
-			t.Errorf("has %+v", got)
+			t.Errorf("the server has list %+v", got)
 		}
 	})
 }
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -37,10 +37,10 @@
 func TestRejoinedNodeBringsNoOldList(t *testing.T) {
 	got := moveToRejoinedNode(t, TestingKnobs{})
 	if len(got) != 2 || got[0].ID != "a" || !got[0].Draining || got[1].ID != "new" {
-		t.Errorf("has %+v", got)
+		t.Errorf("the proxy has servers %+v", got)
 	}
 	if got := moveToRejoinedNode(t, TestingKnobs{ReplaceAlways: true}); len(got) == 2 && got[0].Draining {
-		t.Error("control: nothing was lost where each complete table takes the place of what is stored")
+		t.Error("control: the list did not change although each complete table replaces the stored one")
 	}
 }
 
@@ -50,7 +50,7 @@
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 20*time.Second, 990, pick.Server{ID: "a"}))
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), completeTable(t, 0, 1, pick.Server{ID: "b"}))
 	if got := subscriber.Current().Servers; len(got) != 1 || got[0].ID != "b" {
-		t.Errorf("has %+v", got)
+		t.Errorf("the proxy has servers %+v", got)
 	}
 }
 
@@ -64,7 +64,7 @@
 		t.Errorf("a reading 900 ms older: %v", err)
 	}
 	if got, _, _ := server.List(); len(got) != 1 || got[0].WarmUpMax < 2900*time.Millisecond {
-		t.Errorf("has %+v", got)
+		t.Errorf("the server has list %+v", got)
 	}
 	if err := server.PutList(2, 1, []pick.Server{{ID: "a", Service: "x"}}, boundsOf(softstate.Age{Min: 900 * time.Millisecond, Max: time.Second})); err != nil {
 		t.Errorf("under a higher fence: %v", err)
@@ -85,10 +85,10 @@
 	subscriber.soft.applyEntries(now, softstate.Age{}, reply(3*time.Second, 9, 0, 100))
 	subscriber.soft.applyEntries(now, softstate.Age{}, reply(0, 5, 900, 1900))
 	if s, _, _ := subscriber.soft.table.Servers(now); s[0].WarmUpMax < 2900*time.Millisecond {
-		t.Errorf("cold for %v more after an older list", s[0].WarmUpMax)
+		t.Errorf("the server is cold for another %v after an older list", s[0].WarmUpMax)
 	}
 	subscriber.soft.applyEntries(now, softstate.Age{}, reply(time.Second, 6, 0, 50))
 	if s, _, _ := subscriber.soft.table.Servers(now); s[0].WarmUpMax != time.Second {
-		t.Errorf("cold for %v more after a newer list", s[0].WarmUpMax)
+		t.Errorf("the server is cold for another %v after a newer list", s[0].WarmUpMax)
 	}
 }
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -179,7 +179,7 @@
 		f.checkProxy(name, proxy, seq)
 	}
 	if f.wentBack {
-		t.Error("a proxy went back")
+		t.Error("the state of a proxy went back")
 	}
 }
 
@@ -188,7 +188,7 @@
 	f.t.Helper()
 	update := proxy.subscriber.Current()
 	if update.State.Seq != seq || !update.Fresh || len(update.Members) != len(f.proxies) || len(update.Servers) != len(f.list) {
-		f.t.Errorf("%s: seq %d of %d, fresh %v, members %d of %d, servers %d of %d", name, update.State.Seq, seq, update.Fresh,
+		f.t.Errorf("proxy %s: seq %d of %d, fresh %v, members %d of %d, servers %d of %d", name, update.State.Seq, seq, update.Fresh,
 			len(update.Members), len(f.proxies), len(update.Servers), len(f.list))
 	}
 	for i := range min(len(update.Servers), len(f.list)) {
--- a/internal/system/distribution/referral_test.go
+++ b/internal/system/distribution/referral_test.go
@@ -39,7 +39,7 @@
 	select {
 	case <-fresh:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the proxy has nothing")
+		t.Fatal("the proxy received no state")
 	}
 }
 
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -33,23 +33,23 @@
 	_, two := ask("b", 0)
 	third, three := ask("c", 0)
 	if len(third.GetSnapshot()) > 0 || third.GetNewest() != 1 || !third.GetCurrent() {
-		t.Errorf("beyond the bound: %d bytes, newest %d", len(third.GetSnapshot()), third.GetNewest())
+		t.Errorf("reply beyond the bound: %d bytes, newest record %d", len(third.GetSnapshot()), third.GetNewest())
 	}
 	three()
 	if level, four := ask("d", 1); level.GetSoft() == nil {
-		t.Error("a small reply waits")
+		t.Error("a small reply was held back")
 	} else {
 		four()
 	}
 	one()
 	again, five := ask("c", 0)
 	if len(again.GetSnapshot()) == 0 {
-		t.Error("nothing though there is room again")
+		t.Error("no snapshot in the reply though the budget has capacity again")
 	}
 	five()
 	two()
 	if server.replyBudget.reservedBytes != 0 {
-		t.Errorf("%d bytes are never given back", server.replyBudget.reservedBytes)
+		t.Errorf("%d bytes were not released", server.replyBudget.reservedBytes)
 	}
 }
 
@@ -81,13 +81,13 @@
 		held := server.replyBudget.reservedBytes
 		server.replyBudget.mu.Unlock()
 		if held < 2<<20 {
-			t.Errorf("the run brought nothing about: %d bytes are reserved", held)
+			t.Errorf("the run had no effect: %d bytes are reserved", held)
 		}
 		other := call("other")
 		defer func() { _ = other.Close() }()
 		head := make([]byte, 15)
 		if _, err := other.Read(head); err != nil || !strings.HasPrefix(string(head), "HTTP/1.1 200") {
-			t.Errorf("%q, %v", head, err)
+			t.Errorf("reply to another proxy: %q, error %v", head, err)
 		}
 		_ = other.Close()
 		time.Sleep(rpc.ReplyWriteTimeout)
--- a/internal/system/distribution/rpc/call_id.go
+++ b/internal/system/distribution/rpc/call_id.go
@@ -24,6 +24,6 @@
 	if callID == replyID {
 		return nil
 	}
-	return errors.Mark(errors.Newf("distribution: call %d got the reply to call %d: ask again on another connection", callID, replyID),
+	return errors.Mark(errors.Newf("distribution: call %d got the reply to call %d: retry on another connection", callID, replyID),
 		ErrMismatchedReply)
 }
--- a/internal/system/distribution/rpc/compression.go
+++ b/internal/system/distribution/rpc/compression.go
@@ -49,7 +49,7 @@
 		return nil, errors.Mark(errors.Wrap(err, "distribution: compressed bytes cannot be read: ask for a snapshot"), ErrExpand)
 	}
 	if len(out) > maxExpandedBytes {
-		return nil, errors.Mark(errors.Newf("distribution: compressed bytes come to more than %d: make the configuration smaller",
+		return nil, errors.Mark(errors.Newf("distribution: compressed bytes expand to more than %d: reduce the size of the configuration",
 			maxExpandedBytes), ErrExpand)
 	}
 	return out, nil
--- a/internal/system/distribution/rpc/transport_test.go
+++ b/internal/system/distribution/rpc/transport_test.go
@@ -21,10 +21,10 @@
 		t.Fatal(err)
 	}
 	if came, failed := breakEverySecond(context.Background(), t, 40); came != 40 || failed != 20 {
-		t.Errorf("of 40 calls %d came and %d failed, want 40 and 20", came, failed)
+		t.Errorf("of 40 calls %d arrived and %d failed, want 40 and 20", came, failed)
 	}
 	if came, failed := breakEverySecond(key, t, 40); came <= 40 || failed >= 20 {
-		t.Errorf("control: of 40 calls %d came and %d failed", came, failed)
+		t.Errorf("control: of 40 calls %d arrived and %d failed", came, failed)
 	}
 }
 
@@ -36,7 +36,7 @@
 	peer, err := resetserver.Listen(func(body []byte) { //nolint:contextcheck // it takes none: Close below ends it
 		var req distributionpb.ShareRequest
 		if err := proto.Unmarshal(body, &req); err != nil {
-			t.Errorf("a body that is no call: %v", err)
+			t.Errorf("the body is not a call: %v", err)
 		}
 		arrived <- req.GetBoot()
 	})
--- a/internal/system/distribution/server_list.go
+++ b/internal/system/distribution/server_list.go
@@ -29,7 +29,7 @@
 	now := time.Now()
 	reading := listReading{fence: fence, version: version, now: now, age: read.AgeAt(now), firstOfFence: s.listFence() < fence}
 	if stored := s.table.Get(softstate.ListKey); stored != nil && stored.Fence == fence && reading.age.Max > stored.AgeAt(now).Max {
-		return errors.Mark(errors.Newf("distribution: a list that was asked for %v later is stored: this one counts for nothing",
+		return errors.Mark(errors.Newf("distribution: a list reading that was requested %v later is stored, so this reading is discarded",
 			reading.age.Max-stored.AgeAt(now).Max), ErrStale)
 	}
 	// The reading shows at least everything up to ListLag before the platform was asked; see commitLog.
--- a/internal/system/distribution/server_list_fence_test.go
+++ b/internal/system/distribution/server_list_fence_test.go
@@ -42,6 +42,6 @@
 	}
 	held, _, _ := server.List()
 	if got := subscriber.Current().Servers; len(got) != 1 || got[0].Draining != held[0].Draining {
-		t.Errorf("the proxy has %+v, the node %+v", got, held)
+		t.Errorf("the proxy has servers %+v, the node has %+v", got, held)
 	}
 }
--- a/internal/system/distribution/server_new_fence_test.go
+++ b/internal/system/distribution/server_new_fence_test.go
@@ -32,11 +32,11 @@
 	}
 	got, _, _ := other.List()
 	if len(got) != 1 || got[0].ID != "x" || !got[0].Draining {
-		t.Errorf("under the new fence it has %+v", got)
+		t.Errorf("under the new fence the other node has servers %+v", got)
 	}
 	before := reader.table.LastNumber
 	put(reader, 2, 2, pick.Server{ID: "x", Draining: true})
 	if written := reader.table.LastNumber - before; written != 1 {
-		t.Errorf("a reading that changes nothing writes %d entries, want that of the list alone", written)
+		t.Errorf("a reading that changes nothing wrote %d entries, want only the list entry", written)
 	}
 }
--- a/internal/system/distribution/server_rejoin_test.go
+++ b/internal/system/distribution/server_rejoin_test.go
@@ -20,7 +20,7 @@
 			time.Sleep(4 * time.Second)
 			returning := fleet.servers["k1:1"]
 			if !returning.isCurrent() {
-				t.Errorf("%s: waits at its start", test.name)
+				t.Errorf("%s: the node does not serve immediately after its start", test.name)
 			}
 			for _, other := range []string{"k2:1", "k3:1"} {
 				fleet.mesh.setPartitioned("k1:1", other, test.cut)
@@ -33,15 +33,15 @@
 			fleet.mesh.mu.Unlock()
 			fleet.sources["k1:1"].setStale(false)
 			if got := returning.isCurrent(); got != test.want {
-				t.Errorf("%s: at once: %v", test.name, got)
+				t.Errorf("%s: immediately after it is current again: current %v", test.name, got)
 			}
 			time.Sleep(rejoinDelay - 100*time.Millisecond)
 			if got := returning.isCurrent(); got != test.want {
-				t.Errorf("%s: a moment before: %v", test.name, got)
+				t.Errorf("%s: just before rejoinDelay ends: current %v", test.name, got)
 			}
 			time.Sleep(200 * time.Millisecond)
 			if !returning.isCurrent() {
-				t.Errorf("%s: not in force %v after it is current", test.name, rejoinDelay)
+				t.Errorf("%s: does not serve %v after it is current again", test.name, rejoinDelay)
 			}
 		})
 	}
--- a/internal/system/distribution/server_sync_test.go
+++ b/internal/system/distribution/server_sync_test.go
@@ -54,7 +54,7 @@
 		manual.putList(t, 1, exactAge(time.Second), pick.Server{ID: "s"})
 		time.Sleep(time.Second) // the list is 2 s old
 		if !manual.send(t, 0).GetLate() || listAge(manual.to) < time.Hour {
-			t.Error("taken though nothing says when it was sent")
+			t.Error("a request without its time of sending was accepted")
 		}
 		manual.checkSend(t, "at once", 0, false, 2*time.Second)
 		manual.putList(t, 2, softstate.Age{}, pick.Server{ID: "s"}, pick.Server{ID: "r"})
@@ -63,7 +63,7 @@
 		manual.checkSend(t, "after 20 s in transit", 20*time.Second, true, 21*time.Second)
 		manual.checkSend(t, "sent anew", 0, false, 20*time.Second)
 		if servers, _, _ := manual.to.List(); len(servers) != 0 {
-			t.Errorf("has %d servers", len(servers))
+			t.Errorf("the receiver has %d servers", len(servers))
 		}
 	})
 }
@@ -103,10 +103,10 @@
 		manual.send(t, 0)
 		manual.to = newNamedServer("b")
 		if !manual.send(t, 0).GetLate() {
-			t.Error("taken though its time is of a former incarnation")
+			t.Error("a request dated by a former incarnation's clock was accepted")
 		}
 		if manual.send(t, 0).GetLate() {
-			t.Error("not taken though its time is of this incarnation")
+			t.Error("a request dated by this incarnation's clock was rejected")
 		}
 	})
 }
@@ -125,11 +125,11 @@
 			manual.send(t, 0)
 			manual.send(t, 0)
 			if got, _, _ := manual.to.List(); len(got) != 2 || !got[1].Draining {
-				t.Errorf("%s has %+v", manual.to.options.Self, got)
+				t.Errorf("node %s has servers %+v", manual.to.options.Self, got)
 			}
 		}
 		if cutOff.PutList(3, 2000, nil, boundsOf(softstate.Age{})) == nil {
-			t.Error("a reading under the old fence is taken still")
+			t.Error("a reading under the old fence is still accepted")
 		}
 	})
 }
--- a/internal/system/distribution/server_table.go
+++ b/internal/system/distribution/server_table.go
@@ -23,7 +23,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.mergeEntry(time.Now(), entry, softstate.Age{}) {
-		return errors.Mark(errors.Newf("distribution: %s is stored with a higher fence or version than %d, %d: read it and write above",
+		return errors.Mark(errors.Newf("distribution: %s is stored with a higher fence or version than (%d, %d): read it and write with a higher one",
 			entry.Key, entry.Fence, entry.Version), ErrStale)
 	}
 	return nil
--- a/internal/system/distribution/server_test.go
+++ b/internal/system/distribution/server_test.go
@@ -39,18 +39,18 @@
 	list = list[1:]
 	put(2, 3, 0, 1)
 	if err := server.PutList(1, 99, nil, boundsOf(softstate.Age{})); !errors.Is(err, ErrStale) {
-		t.Errorf("a poller that lost its lease: %v", err)
+		t.Errorf("reading by a poller that lost its lease: %v", err)
 	}
 	got, age, ok := server.List()
 	if !ok || age > time.Minute || len(got) != 1 || !got[0].Draining {
-		t.Errorf("has %+v, %v, %v", got, age, ok)
+		t.Errorf("the server has list %+v, age %v, ok %v", got, age, ok)
 	}
 	list = nil
 	put(2, 0, 0, 1) // the poller restarted
 	list = []pick.Server{{ID: "a"}}
 	put(2, 1, 0, 1) // the same server is back
 	if got, _, _ := server.List(); len(got) != 1 {
-		t.Errorf("has %+v", got)
+		t.Errorf("the server has list %+v", got)
 	}
 }
 
@@ -61,11 +61,11 @@
 	}
 	for _, e := range [][2]uint64{{1, 9}, {2, 0}, {2, 1}} {
 		if err := server.Put("hint/x", e[0], e[1], []byte("1")); !errors.Is(err, ErrStale) {
-			t.Errorf("%v: %v", e, err)
+			t.Errorf("fence and version %v: %v", e, err)
 		}
 	}
 	if err := server.Remove("hint/x", 2, 2); err != nil || len(server.Table()) != 0 {
-		t.Errorf("%v, %v", err, server.Table())
+		t.Errorf("Remove returned %v, table %v", err, server.Table())
 	}
 }
 
@@ -79,17 +79,17 @@
 	server.tick(now.Add(100 * time.Millisecond))
 	server.tick(now.Add(20 * time.Second))
 	if down() {
-		t.Error("down after a freeze")
+		t.Error("the member is down after a pause of the node")
 	}
 	for i := range 30 {
 		server.tick(now.Add(20*time.Second + time.Duration(i)*100*time.Millisecond))
 	}
 	if !down() {
-		t.Error("not down though timed out")
+		t.Error("the member timed out but is not down")
 	}
 	server.endCall(server.beginCall(member, &distributionpb.FollowRequest{Member: member.ToProto()}))
 	if down() {
-		t.Error("its call does not refute")
+		t.Error("the member's call does not refute its down mark")
 	}
 }
 
@@ -108,10 +108,10 @@
 	}
 	server.sessions.byNode["p"].lastCall = now.Add(-time.Second)
 	if say(4) {
-		t.Error("a report on another incarnation counts")
+		t.Error("a report about another incarnation was applied")
 	}
 	if !say(5) {
-		t.Error("a report on a timed out proxy does not count")
+		t.Error("a report about a timed out proxy was ignored")
 	}
 }
 
@@ -129,7 +129,7 @@
 				return member.Down
 			}
 		}
-		t.Fatalf("%s is no member", node)
+		t.Fatalf("%s is not a member", node)
 		return false
 	}
 	for _, node := range []string{"ended", "reset", "held"} {
--- a/internal/system/distribution/slow_link_test.go
+++ b/internal/system/distribution/slow_link_test.go
@@ -56,7 +56,7 @@
 
 func (b slowBody) Read(p []byte) (int, error) {
 	if !sleep(b.ctx, 100*time.Millisecond) {
-		return 0, errors.New("the call was given up")
+		return 0, errors.New("the call timed out")
 	}
 	return b.ReadCloser.Read(p[:min(len(p), b.rate)])
 }
@@ -138,7 +138,7 @@
 		fleet.mesh.mu.Lock()
 		defer fleet.mesh.mu.Unlock()
 		if got := fleet.mesh.bytes - before; got > 700<<10 {
-			t.Errorf("%d bytes on the wires", got)
+			t.Errorf("%d bytes were transmitted", got)
 		}
 	})
 }
@@ -155,7 +155,7 @@
 		fleet.mesh.mu.Lock()
 		defer fleet.mesh.mu.Unlock()
 		if fleet.mesh.calls > 300 {
-			t.Errorf("%d messages in 10 s", fleet.mesh.calls)
+			t.Errorf("%d messages were sent in 10 s", fleet.mesh.calls)
 		}
 	})
 }
--- a/internal/system/distribution/softstate/table_test.go
+++ b/internal/system/distribution/softstate/table_test.go
@@ -36,7 +36,7 @@
 			two.Merge(now, e, Age{})
 		}
 		if !maps.Equal(contents(one), contents(two)) {
-			t.Fatalf("%v, then %v", contents(one), contents(two))
+			t.Fatalf("tables differ by the order of merging: %v and %v", contents(one), contents(two))
 		}
 	})
 }
@@ -70,7 +70,7 @@
 				tb.Expire(now)
 				reader.Expire(now)
 				if !maps.Equal(contents(tb), contents(reader)) {
-					t.Fatalf("%v, the reader %v", contents(tb), contents(reader))
+					t.Fatalf("the table has %v, the reader %v", contents(tb), contents(reader))
 				}
 			}
 		}
--- a/internal/system/distribution/subscriber_delta_test.go
+++ b/internal/system/distribution/subscriber_delta_test.go
@@ -35,7 +35,7 @@
 	subscriber.handleReply(asked, time.Now(), req, late)
 	update := subscriber.Current()
 	if len(update.Servers) != 1 {
-		t.Fatalf("has %+v", update.Servers)
+		t.Fatalf("the proxy has servers %+v", update.Servers)
 	}
 	if warm := update.Servers[0].WarmUpMax == 0; warm && update.ListAge < 500*time.Millisecond {
 		t.Errorf("the server is warm by a list that is %v old", update.ListAge)
--- a/internal/system/distribution/subscriber_freshness_test.go
+++ b/internal/system/distribution/subscriber_freshness_test.go
@@ -13,7 +13,7 @@
 	expect := func(now time.Time, want time.Duration) {
 		t.Helper()
 		if age := tracker.stateAge(now); age != want {
-			t.Errorf("age %v, want %v", age, want)
+			t.Errorf("state age %v, want %v", age, want)
 		}
 	}
 	expect(start, unknownAge)
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -34,10 +34,10 @@
 	const most = 128 // bytes
 	for what, s := range map[string]*controlstate.State{"a snapshot": snapshot, "records": subscriber.control.state} {
 		if s.Seq != 200 || s.Revision() != 200 || len(s.Encode()) > most {
-			t.Errorf("from %s: record %d, version %d, %d bytes", what, s.Seq, s.Revision(), len(s.Encode()))
+			t.Errorf("state from %s: record %d, revision %d, %d bytes", what, s.Seq, s.Revision(), len(s.Encode()))
 		}
 	}
 	if len(state.Encode()) < 16*200 {
-		t.Errorf("the node's state has %d bytes: it remembers nothing", len(state.Encode()))
+		t.Errorf("the node's state has only %d bytes, so it has no history", len(state.Encode()))
 	}
 }
--- a/internal/system/distribution/subscriber_late_reply_test.go
+++ b/internal/system/distribution/subscriber_late_reply_test.go
@@ -28,7 +28,7 @@
 	}
 	got := subscriber.handleReply(asked.Add(-wait), time.Now(), req, reply)
 	if got.current != subscriber.Current().Fresh {
-		tb.Errorf("the node counts as current: %v, the state as fresh: %v", got.current, subscriber.Current().Fresh)
+		tb.Errorf("the node is considered current: %v, but the state is fresh: %v", got.current, subscriber.Current().Fresh)
 	}
 	return subscriber.Current(), subscriber.control.state.Seq
 }
@@ -37,13 +37,13 @@
 // numbered, but neither proves freshness nor delivers servers. Otherwise a proxy that was isolated would be fresh with an old state.
 func TestLateReplyProvesNoFreshness(t *testing.T) {
 	if update, _ := lateReply(t, 0, TestingKnobs{}); !update.Fresh || update.State.Seq != 1 || len(update.Servers) != 1 {
-		t.Errorf("in time: fresh %v, %d, %d servers", update.Fresh, update.State.Seq, len(update.Servers))
+		t.Errorf("prompt reply: fresh %v, record %d, %d servers", update.Fresh, update.State.Seq, len(update.Servers))
 	}
 	if update, seq := lateReply(t, 20*time.Second, TestingKnobs{}); update.Fresh || seq != 1 || len(update.Servers) != 0 {
-		t.Errorf("late: fresh %v, %d, %d servers", update.Fresh, seq, len(update.Servers))
+		t.Errorf("late reply: fresh %v, record %d, %d servers", update.Fresh, seq, len(update.Servers))
 	}
 	if update, _ := lateReply(t, 20*time.Second, TestingKnobs{DateByArrival: true}); !update.Fresh {
-		t.Error("control: judged by its arrival it is not taken for new either")
+		t.Error("control: dated by its arrival, the late reply does not prove freshness either")
 	}
 }
 
@@ -51,16 +51,16 @@
 // that there is nothing newer.
 func TestStartWaitsForFreshReply(t *testing.T) {
 	if update, seq := lateReply(t, 20*time.Second, TestingKnobs{}); update.State.Seq != 0 || seq != 1 {
-		t.Errorf("serves %d, has %d", update.State.Seq, seq)
+		t.Errorf("the proxy serves record %d and has record %d", update.State.Seq, seq)
 	}
 	if update, _ := lateReply(t, 20*time.Second, TestingKnobs{ServeLateState: true}); update.State.Seq != 1 {
-		t.Error("control: a late state is not served either")
+		t.Error("control: the state of a late reply is not served either")
 	}
 	subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: "p"}, Log: discardLogger()})
 	subscriber.control.state = &controlstate.State{Seq: 7}
 	subscriber.handleReply(time.Now(), time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, Newest: 7})
 	if got := subscriber.Current().State.Seq; got != 7 {
-		t.Errorf("serves %d after a prompt reply", got)
+		t.Errorf("the proxy serves record %d after a prompt reply", got)
 	}
 }
 
@@ -70,6 +70,6 @@
 	asked := time.Now().Add(-3 * time.Second)
 	subscriber.handleReply(asked, time.Now(), subscriber.buildRequest(nil, false), &distributionpb.FollowReply{Current: true, CheckedMs: 2900})
 	if !subscriber.Current().Fresh {
-		t.Error("waited for 2.9 s, and 100 ms in transit: not fresh")
+		t.Error("a reply that waited for 2.9 s at the node and 100 ms in transit did not prove freshness")
 	}
 }
--- a/internal/system/distribution/subscriber_list_updates_test.go
+++ b/internal/system/distribution/subscriber_list_updates_test.go
@@ -15,14 +15,14 @@
 		return subscriber.soft.applyEntries(time.Now(), softstate.Age{}, &distributionpb.FollowReply{Entries: []*distributionpb.Entry{{Key: softstate.ListKey, Fence: 1, Version: version}}})
 	}
 	if read(1) {
-		t.Error("notified though nothing changed")
+		t.Error("the owner was notified though nothing changed")
 	}
 	subscriber.NotifyListUpdates(true)
 	if !read(2) {
-		t.Error("not notified though it is awaited")
+		t.Error("the owner was not notified though it awaits list updates")
 	}
 	subscriber.NotifyListUpdates(false)
 	if read(3) {
-		t.Error("notified though it is awaited no more")
+		t.Error("the owner was notified though it no longer awaits list updates")
 	}
 }
--- a/internal/system/distribution/subscriber_neighbours_test.go
+++ b/internal/system/distribution/subscriber_neighbours_test.go
@@ -32,14 +32,14 @@
 		put(2, pick.Server{ID: "s", Zone: "z", WarmUpMax: 20 * time.Second})
 		time.Sleep(2 * time.Second)
 		if update := other.update(); !update.State.Evacuated["z"] || update.Stale {
-			t.Fatalf("the other one has %+v", update.State.Evacuated)
+			t.Fatalf("the other proxy has evacuated zones %+v", update.State.Evacuated)
 		}
 		update := cut.update()
 		if !update.State.Evacuated["z"] || len(update.Servers) != 1 || update.Servers[0].WarmUpMax < 17*time.Second {
-			t.Errorf("2 s after it has zones %v and %+v", update.State.Evacuated, update.Servers)
+			t.Errorf("2 s later the isolated proxy has evacuated zones %v and servers %+v", update.State.Evacuated, update.Servers)
 		}
 		if !update.Stale {
-			t.Error("a neighbour's statement counts as a node's")
+			t.Error("a neighbour's reply was treated as a node's")
 		}
 	})
 }
--- a/internal/system/distribution/subscriber_nodes.go
+++ b/internal/system/distribution/subscriber_nodes.go
@@ -21,7 +21,7 @@
 )
 
 // errReferred marks the error of a call to a node that serves no proxies and has named nodes that do.
-var errReferred = errors.New("distribution: this node serves no proxies; the ones that it names are tried")
+var errReferred = errors.New("distribution: this node serves no proxies; trying the nodes that it named")
 
 // distance ranks control-plane nodes by proximity.
 type distance int
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -72,7 +72,7 @@
 	for i := range 30 {
 		bubble.Test(t, func(t *testing.T) {
 			if seq, took := startBesideNeighbour(t, fmt.Sprint("p", i), TestingKnobs{}, seeds...); seq != 2 || took > 1500*time.Millisecond {
-				t.Errorf("p%d: serves change %d after %v", i, seq, took)
+				t.Errorf("proxy p%d serves change %d after %v", i, seq, took)
 			}
 		})
 	}
@@ -83,12 +83,12 @@
 func TestStartProbesNodesThatNeighbourNames(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		if seq, took := startBesideNeighbour(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
-			t.Errorf("serves change %d after %v", seq, took)
+			t.Errorf("the proxy serves change %d after %v", seq, took)
 		}
 	})
 	bubble.Test(t, func(t *testing.T) {
 		if seq, _ := startBesideNeighbour(t, "p", TestingKnobs{NeighbourAtOnce: true}, "old:2", "dead:1"); seq == 2 {
-			t.Error("control: the node's state came first though the neighbour was trusted at once")
+			t.Error("control: the node's state was served first though the neighbour's state may be served immediately")
 		}
 	})
 }
@@ -106,7 +106,7 @@
 		})
 		time.Sleep(10 * time.Second)
 		if seq, at := first.get(); seq != 1 || at.Sub(start) > 6*time.Second {
-			t.Errorf("serves change %d after %v", seq, at.Sub(start))
+			t.Errorf("the proxy serves change %d after %v", seq, at.Sub(start))
 		}
 	})
 }
--- a/internal/system/distribution/warmup_bounds_test.go
+++ b/internal/system/distribution/warmup_bounds_test.go
@@ -64,7 +64,7 @@
 		subscriber.handleReply(read, read, req, reply)
 		got := subscriber.Current().Servers
 		if len(got) != 1 {
-			t.Fatalf("has %+v", got)
+			t.Fatalf("the proxy has servers %+v", got)
 		}
 		if early := time.Until(end) - got[0].WarmUpMax; early > 0 {
 			t.Errorf("the warm-up ends early by %v", early)
@@ -91,7 +91,7 @@
 			Soft: &distributionpb.Cursor{Boot: server.bootID, Number: server.table.LastNumber}})
 		for _, s := range subscriber.Current().Servers {
 			if s.WarmUpMax > 0 {
-				t.Errorf("cold for %v more, 17 s after the warm-up's end", s.WarmUpMax)
+				t.Errorf("the server is cold for another %v, 17 s after the end of its warm-up", s.WarmUpMax)
 			}
 		}
 	})
@@ -112,7 +112,7 @@
 		late := p.stored()["proxy"].WarmUpMax - time.Until(p.server.warmUpEnd)
 		t.Logf("late by %v, early %v", late, p.early)
 		if late > 300*time.Millisecond {
-			t.Errorf("the warm-up ends %v late at a proxy that has a fast message of it", late)
+			t.Errorf("the warm-up ends %v late at a proxy that received it over a fast path", late)
 		}
 	})
 }
@@ -155,7 +155,7 @@
 		}
 		t.Logf("50 phases: warm and cold again %d times, worst late %v", flaps, worst)
 		if flaps > 0 {
-			t.Errorf("a warm server is called cold again by a reading of the same warm-up, %d of 50", flaps)
+			t.Errorf("a warm server is marked cold again by a reading of the same warm-up, %d times in 50 phases", flaps)
 		}
 	})
 }
--- a/internal/system/distribution/warmup_fleet_faults_test.go
+++ b/internal/system/distribution/warmup_fleet_faults_test.go
@@ -8,7 +8,7 @@
 // isolateFor partitions a machine from the others for a while; messages in transit are lost.
 func (w *warmUpFleet) isolateFor(host string, d time.Duration) {
 	w.isolatedUntil[host] = time.Now().Add(d)
-	w.log("cut ", host, " for ", d)
+	w.log("isolated ", host, " for ", d)
 	w.recordFault(host)
 	w.setPartitions(host, true)
 	if s := w.sources[host]; s != nil {
@@ -103,16 +103,16 @@
 	w.killServer(name)
 	w.startServer(name)
 	w.poll(name)
-	w.faultCounts["node again"]++
-	w.log("anew ", name)
+	w.faultCounts["node restarted"]++
+	w.log("restarted ", name)
 }
 
 func (w *warmUpFleet) restartProxy(node string) {
 	w.recordFault(node)
 	w.killProxy(node)
 	w.startPickingProxy(node)
-	w.faultCounts["proxy again"]++
-	w.log("anew ", node)
+	w.faultCounts["proxy restarted"]++
+	w.log("restarted ", node)
 }
 
 // notCurrentFor makes a node not current for a while although it reaches the others.
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -159,9 +159,9 @@
 	for _, node := range slices.Sorted(maps.Keys(byProxy)) {
 		out += fmt.Sprint(" ", node, byProxy[node])
 		if end, cut := w.isolatedUntil[node]; cut {
-			out += fmt.Sprint("(cut until ", end.Sub(w.begin), ")")
+			out += fmt.Sprint("(isolated until ", end.Sub(w.begin), ")")
 		} else if at, ok := w.lastFault[node]; ok {
-			out += fmt.Sprint("(last trouble ", at.Sub(w.begin), ")")
+			out += fmt.Sprint("(last fault ", at.Sub(w.begin), ")")
 		}
 	}
 	return out + "\n" + fmt.Sprint(w.eventLog[max(0, len(w.eventLog)-45):])
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -239,7 +239,7 @@
 		w.disturb(other)
 		current.next, current.phase = at+pause(2000), 2
 	case 2: // cold again, under the old ids
-		w.log("cold under its ids ", current.zone)
+		w.log("cold again with the same ids ", current.zone)
 		w.change(current.zone, func(id string, server warmingServer) (string, warmingServer) {
 			server.coldUntil = time.Now().Add(warmUpDuration)
 			return id, server
@@ -247,8 +247,8 @@
 		current.next, current.phase = at+pause(2400), 3
 	case 3:
 		w.chain.add(controlstate.Record{Op: controlstate.OpReadmit, Zone: current.zone})
-		w.faultCounts["taken back"]++
-		w.log("taken back ", current.zone)
+		w.faultCounts["readmitted"]++
+		w.log("readmitted ", current.zone)
 		current.next, current.phase = at+4*time.Second, 4
 	case 4: // servers that were draining have ended
 		w.change(other, func(id string, server warmingServer) (string, warmingServer) {
@@ -266,8 +266,8 @@
 func (w *warmUpFleet) disturb(zone string) {
 	if w.rng.IntN(2) == 0 {
 		w.change(zone, w.replaceServer)
-		w.faultCounts["zone again"]++
-		w.log("anew with new ids ", zone)
+		w.faultCounts["zone restarted"]++
+		w.log("restarted with new ids ", zone)
 		return
 	}
 	first := true
@@ -352,21 +352,21 @@
 		}
 		worst = max(worst, w.worst)
 		if float64(w.worst) > warmUpBound {
-			t.Errorf("%s: %d requests in a second at a cold server, of %v\n%s", name, w.worst, warmUpBound, w.worstSecond)
+			t.Errorf("%s: %d requests in a second at a cold server, bound %v\n%s", name, w.worst, warmUpBound, w.worstSecond)
 		}
 		if len(differ) > 0 {
-			t.Errorf("%s: 10 s after all faults have other servers than their node: %v\n%v", name, differ, w.eventLog)
+			t.Errorf("%s: proxies that have other servers than their node 10 s after all faults: %v\n%v", name, differ, w.eventLog)
 		}
 		if w.maxLateness > drainTimeout {
 			t.Errorf("%s: a request came %v after the list showed its server as draining\n%v", name, w.maxLateness, w.eventLog)
 		}
 	}
-	t.Logf("%d seeds: at most %d in a second; brought about %v", seeds, worst, came)
+	t.Logf("%d seeds: at most %d requests in a second; events: %v", seeds, worst, came)
 }
 
 // TestWarmUpFleetControl: pickers that do not learn of cold servers overload them, and the test detects it.
 func TestWarmUpFleetControl(t *testing.T) {
 	if w, _ := runWarmUpFleet(t, 1, 12, func(w *warmUpFleet) { w.hideWarmUps = true }); float64(w.worst) <= warmUpBound {
-		t.Errorf("%d requests in a second at a cold server, of %v", w.worst, warmUpBound)
+		t.Errorf("control: only %d requests in a second at a cold server, bound %v", w.worst, warmUpBound)
 	}
 }
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -154,11 +154,11 @@
 // is no notice.
 func (p *warmUpPath) wrong() string {
 	if p.check(); len(p.early) > 0 {
-		return fmt.Sprintf("the cold state ends early by %v", p.early)
+		return fmt.Sprintf("the warm-up ends early by %v", p.early)
 	}
 	for node, s := range p.stored() {
 		if (s.Remaining > 0) == p.server.withdrawnAt.IsZero() {
-			return fmt.Sprintf("%s: %v left, and a notice that ends at %v", node, s.Remaining, p.server.withdrawnAt)
+			return fmt.Sprintf("%s: remaining time %v, but the notice ends at %v", node, s.Remaining, p.server.withdrawnAt)
 		}
 		if late := s.Remaining - max(0, time.Until(p.server.withdrawnAt)); late > time.Millisecond {
 			return fmt.Sprintf("%s: the notice ends late by %v", node, late)
