--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -200,7 +200,7 @@
 	if x.progress[way] == nil {
 		x.progress[way] = &syncProgress{}
 	}
-	for range 2 { // the first call may only return the clock, so it is repeated
+	for range 2 { // again if the first call returned only the clock
 		req, number := x.servers[from].buildShareRequest(x.progress[way])
 		req.Call = x.servers[from].callIDs.Next()
 		got := transferred(x.tr, 'S', req, &distributionpb.ShareRequest{})
