--- a/internal/system/distribution/catchup/catchup.go
+++ b/internal/system/distribution/catchup/catchup.go
@@ -65,40 +65,40 @@
 		return None
 	case after > 0 && available.recordsFit(maxRecords):
 		return Records
-	case available.cachedSnapshotHelps(after):
+	case available.cachedSnapshotAdvances(after):
 		return CachedSnapshot
 	}
 	return NewSnapshot
 }
 
 // PlanSnapshot decides which snapshot to send to a subscriber that has the records up to after and that records alone do not bring up to
-// date. In afterCached, the records are those after the cached snapshot, not those after the number. madeLately states that the cached
+// date. In afterCached, the records are those after the cached snapshot, not those after the number. isRecent states that the cached
 // snapshot is so recent that it is sent even if the records after it do not fit. The method is CachedSnapshot or NewSnapshot; withRecords
 // reports whether the records after the cached snapshot go into the same reply.
-func PlanSnapshot(after uint64, afterCached Availability, madeLately bool, maxRecords int) (method Method, withRecords bool) {
+func PlanSnapshot(after uint64, afterCached Availability, isRecent bool, maxRecords int) (method Method, withRecords bool) {
 	isNewest := afterCached.CachedSnapshot == afterCached.Committed
-	withRecords = isNewest || afterCached.recordsFitBesideSnapshot(maxRecords)
-	afterCached.CachedSnapshotUsable = afterCached.CachedSnapshot > 0 && (withRecords || madeLately)
-	if !afterCached.cachedSnapshotHelps(after) {
+	withRecords = isNewest || afterCached.recordsFitWithSnapshot(maxRecords)
+	afterCached.CachedSnapshotUsable = afterCached.CachedSnapshot > 0 && (withRecords || isRecent)
+	if !afterCached.cachedSnapshotAdvances(after) {
 		return NewSnapshot, false
 	}
 	return CachedSnapshot, withRecords
 }
 
-// cachedSnapshotHelps reports whether the cached snapshot advances a subscriber that has the records up to after.
-func (a Availability) cachedSnapshotHelps(after uint64) bool {
+// cachedSnapshotAdvances reports whether the cached snapshot advances a subscriber that has the records up to after.
+func (a Availability) cachedSnapshotAdvances(after uint64) bool {
 	return a.CachedSnapshotUsable && a.CachedSnapshot > after
 }
 
 // recordsFit reports whether the requested records fit into one reply. A single record may be of any size, as it would otherwise never be
 // sent as a record.
 func (a Availability) recordsFit(maxRecords int) bool {
-	return a.Known && a.Records == 1 || a.recordsFitBesideSnapshot(maxRecords)
+	return a.Known && a.Records == 1 || a.recordsFitWithSnapshot(maxRecords)
 }
 
-// recordsFitBesideSnapshot reports whether the records fit into one reply together with a snapshot. Here a single record is bounded as
+// recordsFitWithSnapshot reports whether the records fit into one reply together with a snapshot. Here a single record is bounded as
 // well: the reply already has a snapshot, and the record can follow in the next reply.
-func (a Availability) recordsFitBesideSnapshot(maxRecords int) bool {
+func (a Availability) recordsFitWithSnapshot(maxRecords int) bool {
 	return a.Known && a.Records <= maxRecords && a.Bytes <= MaxReplyBytes
 }
 
--- a/internal/system/distribution/catchup/catchup_test.go
+++ b/internal/system/distribution/catchup/catchup_test.go
@@ -42,7 +42,7 @@
 	for _, test := range []struct {
 		name        string
 		afterCached Availability
-		madeLately  bool
+		isRecent    bool
 		want        Method
 		withRecords bool
 	}{
@@ -57,7 +57,7 @@
 		{"it brings nothing", Availability{Committed: 9, Known: true, Records: 4, CachedSnapshot: after}, true, NewSnapshot, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got, withRecords := PlanSnapshot(after, test.afterCached, test.madeLately, maxRecords)
+			got, withRecords := PlanSnapshot(after, test.afterCached, test.isRecent, maxRecords)
 			if got != test.want || withRecords != test.withRecords {
 				t.Errorf("got method %v with records %v, want %v with records %v", got, withRecords, test.want, test.withRecords)
 			}
--- a/internal/system/distribution/golden_trace_test.go
+++ b/internal/system/distribution/golden_trace_test.go
@@ -167,7 +167,7 @@
 	got := subscriber.handleReply(r.sentAt, time.Now(), r.req, r.reply)
 	x.tr.Step('T')
 	x.tr.Ints(int64(r.subscriber))
-	x.tr.Bools(got.current, got.serves, got.stateAdvanced, got.stillBehind)
+	x.tr.Bools(got.current, got.servesState, got.stateAdvanced, got.stillBehind)
 	x.traceUpdate(subscriber)
 }
 
--- a/internal/system/distribution/invariants_test.go
+++ b/internal/system/distribution/invariants_test.go
@@ -13,5 +13,5 @@
 	newer := controlstate.Empty()
 	newer.Seq = 5
 	subscriber.control.set(newer)
-	invarianttest.Expect(t, stateNeverGoesBack, func() { subscriber.control.set(controlstate.Empty()) })
+	invarianttest.Expect(t, controlStateMonotonic, func() { subscriber.control.set(controlstate.Empty()) })
 }
--- a/internal/system/distribution/late_delivery_test.go
+++ b/internal/system/distribution/late_delivery_test.go
@@ -132,7 +132,7 @@
 			w.violations["fresh without a change that was acknowledged earlier"]++
 		}
 		proxy.mu.Lock()
-		if proxy.wentBack {
+		if proxy.regressed {
 			w.violations["the state went back"]++
 		}
 		proxy.mu.Unlock()
@@ -184,21 +184,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	came := map[string]int{}
+	events := map[string]int{}
 	for seed := range seeds {
 		bubble.Test(t, func(t *testing.T) {
 			faults, violations := runLateFleet(t, seed, TestingKnobs{}, TestingKnobs{})
 			for what, n := range faults {
-				came[what] += n
+				events[what] += n
 			}
 			if len(violations) > 0 {
 				t.Errorf("seed %d: violations %v", seed, violations)
 			}
 		})
 	}
-	t.Logf("%d seeds, events: %v", seeds, came)
-	if came["isolated"] < int(seeds) || came["healed"] < int(seeds) {
-		t.Errorf("the runs trigger too few events: %v", came)
+	t.Logf("%d seeds, events: %v", seeds, events)
+	if events["isolated"] < int(seeds) || events["healed"] < int(seeds) {
+		t.Errorf("the runs trigger too few events: %v", events)
 	}
 }
 
--- a/internal/system/distribution/loopback_test.go
+++ b/internal/system/distribution/loopback_test.go
@@ -28,7 +28,7 @@
 	seen = new(atomic.Int64)
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
 	var wg sync.WaitGroup
-	wg.Go(func() { _ = srv.Serve(counting{ln, seen}) })
+	wg.Go(func() { _ = srv.Serve(countingListener{ln, seen}) })
 	tb.Cleanup(func() {
 		_ = srv.Close()
 		wg.Wait()
@@ -37,7 +37,7 @@
 }
 
 // counting counts the bytes of accepted connections in both directions.
-type counting struct {
+type countingListener struct {
 	net.Listener
 	n *atomic.Int64
 }
@@ -47,7 +47,7 @@
 	n *atomic.Int64
 }
 
-func (c counting) Accept() (net.Conn, error) {
+func (c countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	return countingConn{conn, c.n}, err
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) != nil {
 		return 0
@@ -208,7 +208,7 @@
 func (f *benchmarkFleet) measure(ctx context.Context, b *testing.B, busy bool, bytes *atomic.Int64) {
 	b.Helper()
 	b.ResetTimer()
-	startCPU, startBytes, start := cpu(), bytes.Load(), time.Now()
+	startCPU, startBytes, start := cpuTime(), bytes.Load(), time.Now()
 	version := uint64(1)
 	for b.Loop() {
 		// One operation is a tenth of a second of running time.
@@ -222,6 +222,6 @@
 		sleep(ctx, 100*time.Millisecond)
 	}
 	seconds := time.Since(start).Seconds() * benchmarkSubscribers
-	b.ReportMetric((cpu()-startCPU).Seconds()*1000/seconds, "cpu-ms/follower/s")
+	b.ReportMetric((cpuTime()-startCPU).Seconds()*1000/seconds, "cpu-ms/follower/s")
 	b.ReportMetric(float64(bytes.Load()-startBytes)/seconds, "B/follower/s")
 }
--- a/internal/system/distribution/mismatched_reply_test.go
+++ b/internal/system/distribution/mismatched_reply_test.go
@@ -27,8 +27,8 @@
 	script func(call uint32) string
 }
 
-// peerActs are the actions of a peer on a request. All but the first four end the connection.
-var peerActs = []string{"answer", "twice in one packet", "informational, then answer", "another's answer", "silence", "reset at once",
+// peerActions are the actions of a peer on a request. All but the first four end the connection.
+var peerActions = []string{"answer", "twice in one packet", "informational, then answer", "another's answer", "silence", "reset at once",
 	"end before the head", "end in the head", "end in the body", "answer, then end", "half-closed"}
 
 func answerBytes(call uint32) []byte {
@@ -61,9 +61,9 @@
 }
 
 // perform performs one action with the reply to the request and the reply to another one, and reports whether the connection stays open.
-func perform(conn net.Conn, reader io.Reader, act string, answer, other []byte) bool {
+func perform(conn net.Conn, reader io.Reader, action string, answer, other []byte) bool {
 	tcp, _ := conn.(*net.TCPConn)
-	switch act {
+	switch action {
 	case "answer":
 		_, _ = conn.Write(answer)
 		return true
@@ -126,7 +126,7 @@
 	rng := rand.New(rand.NewPCG(3, 5))
 	counts := map[string]int{}
 	subscriber, scripted, address := newScriptedSubscriber(t, func(uint32) string {
-		act := peerActs[rng.IntN(len(peerActs))]
+		act := peerActions[rng.IntN(len(peerActions))]
 		counts[act]++
 		return act
 	})
@@ -153,7 +153,7 @@
 	if good < 50 {
 		t.Errorf("only %d of 400 polls succeeded", good)
 	}
-	for _, act := range peerActs {
+	for _, act := range peerActions {
 		if counts[act] < 5 {
 			t.Errorf("action %q was performed %d times", act, counts[act])
 		}
--- a/internal/system/distribution/older_list_test.go
+++ b/internal/system/distribution/older_list_test.go
@@ -39,7 +39,7 @@
 	if len(got) != 2 || got[0].ID != "a" || !got[0].Draining || got[1].ID != "new" {
 		t.Errorf("the proxy has servers %+v", got)
 	}
-	if got := moveToRejoinedNode(t, TestingKnobs{ReplaceAlways: true}); len(got) == 2 && got[0].Draining {
+	if got := moveToRejoinedNode(t, TestingKnobs{AlwaysReplaceTable: true}); len(got) == 2 && got[0].Draining {
 		t.Error("control: the list did not change although each complete table replaces the stored one")
 	}
 }
--- a/internal/system/distribution/random_faults_test.go
+++ b/internal/system/distribution/random_faults_test.go
@@ -31,12 +31,12 @@
 // faultRun is a fleet with faults drawn from a seed.
 type faultRun struct {
 	*testFleet
-	t        *testing.T
-	rng      *rand.Rand
-	started  int // number of proxies started so far
-	version  uint64
-	list     []pick.Server
-	wentBack bool
+	t         *testing.T
+	rng       *rand.Rand
+	started   int // number of proxies started so far
+	version   uint64
+	list      []pick.Server
+	regressed bool
 }
 
 func randomFaults(t *testing.T, rng *rand.Rand) {
@@ -128,7 +128,7 @@
 func (f *faultRun) recordRegress(proxy *testProxy) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
-	f.wentBack = f.wentBack || proxy.wentBack
+	f.regressed = f.regressed || proxy.regressed
 }
 
 // readList makes a node read a list with one more server.
@@ -178,7 +178,7 @@
 		f.recordRegress(proxy)
 		f.checkProxy(name, proxy, seq)
 	}
-	if f.wentBack {
+	if f.regressed {
 		t.Error("the state of a proxy went back")
 	}
 }
--- a/internal/system/distribution/reply_budget_test.go
+++ b/internal/system/distribution/reply_budget_test.go
@@ -62,7 +62,7 @@
 		chain.add(largeConfigRecord(t, 4<<20, rand.NewChaCha8([32]byte{6})))
 		ends := make(chan net.Conn)
 		srv := &http.Server{Handler: server.Handler()}
-		go func() { _ = srv.Serve(pipes{ends}) }()
+		go func() { _ = srv.Serve(pipeListener{ends}) }()
 		defer func() { _ = srv.Close() }()
 		call := func(node string) net.Conn {
 			near, far := net.Pipe()
@@ -100,9 +100,9 @@
 }
 
 // pipes is a listener for connections that are passed to it.
-type pipes struct{ ends chan net.Conn }
+type pipeListener struct{ ends chan net.Conn }
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	c, ok := <-p.ends
 	if !ok {
 		return nil, net.ErrClosed
@@ -110,6 +110,6 @@
 	return c, nil
 }
 
-func (p pipes) Close() error { close(p.ends); return nil }
+func (p pipeListener) Close() error { close(p.ends); return nil }
 
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/system/distribution/rpc/transport_test.go
+++ b/internal/system/distribution/rpc/transport_test.go
@@ -20,17 +20,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if came, failed := breakEverySecond(context.Background(), t, 40); came != 40 || failed != 20 {
+	if came, failed := resetEverySecondCall(context.Background(), t, 40); came != 40 || failed != 20 {
 		t.Errorf("of 40 calls %d arrived and %d failed, want 40 and 20", came, failed)
 	}
-	if came, failed := breakEverySecond(key, t, 40); came <= 40 || failed >= 20 {
+	if came, failed := resetEverySecondCall(key, t, 40); came <= 40 || failed >= 20 {
 		t.Errorf("control: of 40 calls %d arrived and %d failed", came, failed)
 	}
 }
 
-// breakEverySecond makes calls to a peer that resets the connection on every second one, and returns how many arrived and how many
+// resetEverySecondCall makes calls to a peer that resets the connection on every second one, and returns how many arrived and how many
 // failed.
-func breakEverySecond(ctx context.Context, t *testing.T, calls int) (came, failed int) {
+func resetEverySecondCall(ctx context.Context, t *testing.T, calls int) (came, failed int) {
 	t.Helper()
 	arrived := make(chan uint64, 4*calls)
 	peer, err := resetserver.Listen(func(body []byte) { //nolint:contextcheck // it takes none: Close below ends it
--- a/internal/system/distribution/server.go
+++ b/internal/system/distribution/server.go
@@ -193,7 +193,7 @@
 	}
 	s.observeContacts(now)
 	s.isolation.mayServe(now, current)
-	s.completeAfterStart(now)
+	s.markCompleteAfterStart(now)
 	s.evaluateLiveness(now)
 	if now.Sub(s.lastExpiry) >= time.Second {
 		s.lastExpiry = now
@@ -227,8 +227,8 @@
 	}
 }
 
-// completeAfterStart marks the table complete once it has had time to fill. The caller holds mu.
-func (s *Server) completeAfterStart(now time.Time) {
+// markCompleteAfterStart marks the table complete once it has had time to fill. The caller holds mu.
+func (s *Server) markCompleteAfterStart(now time.Time) {
 	if !s.tableComplete && now.Sub(s.startedAt) > s.limits.TableCompleteAfter {
 		s.markComplete()
 	}
--- a/internal/system/distribution/server_follow.go
+++ b/internal/system/distribution/server_follow.go
@@ -111,12 +111,12 @@
 	if left <= 0 {
 		s.ready = true
 	} else {
-		s.addIn(left)
+		s.addDelay(left)
 	}
 }
 
-// addIn schedules a reply that is due after a duration.
-func (s *schedule) addIn(left time.Duration) {
+// addDelay schedules a reply that is due after a duration.
+func (s *schedule) addDelay(left time.Duration) {
 	if s.dueIn == 0 || left < s.dueIn {
 		s.dueIn = left
 	}
@@ -134,7 +134,7 @@
 	plan := s.scheduleSoftState(waiting, digest)
 	s.mu.Unlock()
 	if !current {
-		plan.addIn(currentRecheckInterval) // there is no notification when this node becomes current
+		plan.addDelay(currentRecheckInterval) // there is no notification when this node becomes current
 	}
 	if mustReject || hasNewerState || plan.ready {
 		return s.buildReply(ctx, waiting), pollWait{}
@@ -180,7 +180,7 @@
 
 // addEntries adds the entries that the caller of the poll lacks. The caller holds mu.
 func (s *Server) addEntries(now time.Time, reply *distributionpb.FollowReply, waiting *poll) {
-	entries, full := s.table.ChangesSince(s.numberAt(softstate.CursorFromProto(waiting.req.GetSoft())))
+	entries, full := s.table.ChangesSince(s.changeNumberOf(softstate.CursorFromProto(waiting.req.GetSoft())))
 	reply.Entries, reply.Full, reply.Complete = softstate.EncodeEntries(now, entries), full, s.tableComplete
 	if len(entries) > 0 {
 		waiting.caller.entriesSentAt = now
@@ -193,9 +193,9 @@
 	return softstate.Cursor{BootID: s.bootID, Number: s.table.LastNumber}
 }
 
-// numberAt returns the number of the last change that a reader with this cursor has; 0 if the cursor is for another table. The caller
+// changeNumberOf returns the number of the last change that a reader with this cursor has; 0 if the cursor is for another table. The caller
 // holds mu.
-func (s *Server) numberAt(cursor softstate.Cursor) uint64 {
+func (s *Server) changeNumberOf(cursor softstate.Cursor) uint64 {
 	if cursor.BootID != s.bootID {
 		return 0
 	}
--- a/internal/system/distribution/server_isolation.go
+++ b/internal/system/distribution/server_isolation.go
@@ -29,8 +29,8 @@
 	if !current {
 		return false
 	}
-	wasAway := !t.lastCurrent.IsZero() && now.Sub(t.lastCurrent) > isolationThreshold
-	if wasAway && now.Sub(t.isolatedAt) < rejoinDelay {
+	wasNotCurrent := !t.lastCurrent.IsZero() && now.Sub(t.lastCurrent) > isolationThreshold
+	if wasNotCurrent && now.Sub(t.isolatedAt) < rejoinDelay {
 		t.rejoinedAt = now
 	}
 	t.lastCurrent = now
--- a/internal/system/distribution/server_list.go
+++ b/internal/system/distribution/server_list.go
@@ -13,10 +13,10 @@
 
 // listReading is a complete reading of the platform's list that is being written to the table.
 type listReading struct {
-	fence, version uint64
-	now            time.Time
-	age            softstate.Age
-	firstOfFence   bool // no reading under this fence has been written yet
+	fence, version  uint64
+	now             time.Time
+	age             softstate.Age
+	firstUnderFence bool // no reading under this fence has been written yet
 }
 
 // PutList merges a complete reading of the platform's list; servers that it does not contain are deleted. read bounds the time between
@@ -27,7 +27,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	reading := listReading{fence: fence, version: version, now: now, age: read.AgeAt(now), firstOfFence: s.listFence() < fence}
+	reading := listReading{fence: fence, version: version, now: now, age: read.AgeAt(now), firstUnderFence: s.listFence() < fence}
 	if stored := s.table.Get(softstate.ListKey); stored != nil && stored.Fence == fence && reading.age.Max > stored.AgeAt(now).Max {
 		return errors.Mark(errors.Newf("distribution: a list reading that was requested %v later is stored, so this reading is discarded",
 			reading.age.Max-stored.AgeAt(now).Max), ErrStale)
@@ -38,9 +38,9 @@
 		return errors.Mark(errors.Newf("distribution: the list is written under a higher fence than %d: acquire the lease again before polling",
 			fence), ErrStale)
 	}
-	named := s.writeServers(reading, servers)
+	listedKeys := s.writeServers(reading, servers)
 	for _, stored := range slices.Clone(s.table.Live(softstate.ServerPrefix)) {
-		if !named[stored.Key] {
+		if !listedKeys[stored.Key] {
 			s.writeReading(reading, softstate.Entry{Key: stored.Key, Deleted: true})
 		}
 	}
@@ -48,26 +48,26 @@
 }
 
 // writeServers writes the servers that differ from the table, and returns the keys of all of them. The caller holds mu.
-func (s *Server) writeServers(reading listReading, servers []pick.Server) (named map[string]bool) {
-	named = make(map[string]bool, len(servers))
+func (s *Server) writeServers(reading listReading, servers []pick.Server) (listedKeys map[string]bool) {
+	listedKeys = make(map[string]bool, len(servers))
 	for _, server := range servers {
-		if server.ID == "" || len(server.ID) > softstate.MaxIDBytes || len(named) >= softstate.MaxServers {
+		if server.ID == "" || len(server.ID) > softstate.MaxIDBytes || len(listedKeys) >= softstate.MaxServers {
 			continue
 		}
 		key := softstate.ServerPrefix + server.ID
-		named[key] = true
-		if !s.readingAgrees(reading, key, server) {
+		listedKeys[key] = true
+		if !s.matchesReading(reading, key, server) {
 			s.writeReading(reading, softstate.Entry{Key: key, Value: softstate.EncodeServer(softstate.WithWarmUpMargin(server))})
 		}
 	}
-	return named
+	return listedKeys
 }
 
-// readingAgrees reports whether the table has the server as the reading shows it. Under a new fence every server is written once, because
+// matchesReading reports whether the table has the server as the reading shows it. Under a new fence every server is written once, because
 // peers may have entries of the former fence's reader that are missing here. The caller holds mu.
-func (s *Server) readingAgrees(reading listReading, key string, server pick.Server) bool {
+func (s *Server) matchesReading(reading listReading, key string, server pick.Server) bool {
 	stored := s.table.Get(key)
-	if stored == nil || stored.Deleted || reading.firstOfFence {
+	if stored == nil || stored.Deleted || reading.firstUnderFence {
 		return false
 	}
 	storedServer, ok := stored.ServerAt(reading.now)
--- a/internal/system/distribution/server_members.go
+++ b/internal/system/distribution/server_members.go
@@ -66,7 +66,7 @@
 
 // hasLiveSession reports whether an incarnation of a proxy has called this node recently. The caller holds mu.
 func (s *Server) hasLiveSession(now time.Time, node string, incarnation uint64) bool {
-	caller := s.sessions.of(softstate.Member{Node: node, Incarnation: incarnation})
+	caller := s.sessions.get(softstate.Member{Node: node, Incarnation: incarnation})
 	return caller != nil && caller.recentlyCalled(now, s.limits.SubscriberTimeout/2)
 }
 
@@ -126,7 +126,7 @@
 	switch {
 	case !ok:
 		return deleteMember, ""
-	case s.sessions.of(member) != nil:
+	case s.sessions.get(member) != nil:
 		if !isOwn {
 			return dropSession, ""
 		}
--- a/internal/system/distribution/server_peers.go
+++ b/internal/system/distribution/server_peers.go
@@ -66,7 +66,7 @@
 // to this one only still evaluates its own subscribers.
 func (s *peerSet) hasContact(now time.Time, node string) bool {
 	for address, p := range s.byAddress {
-		if p.inContact(now) && (address == node || s.reports(p, node)) {
+		if p.inContact(now) && (address == node || s.reportsContact(p, node)) {
 			return true
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // reports reports whether p says that it is in contact with a node.
-func (s *peerSet) reports(p *peer, node string) bool {
+func (s *peerSet) reportsContact(p *peer, node string) bool {
 	return slices.Contains(p.reachablePeers, node) && !s.ownContactsOnly
 }
 
--- a/internal/system/distribution/server_sessions.go
+++ b/internal/system/distribution/server_sessions.go
@@ -72,7 +72,7 @@
 }
 
 // of returns the session of exactly this incarnation of a node, or nil if there is none.
-func (c *sessionSet) of(m softstate.Member) *session {
+func (c *sessionSet) get(m softstate.Member) *session {
 	if found := c.byNode[m.Node]; found != nil && found.member.Incarnation == m.Incarnation {
 		return found
 	}
--- a/internal/system/distribution/server_state.go
+++ b/internal/system/distribution/server_state.go
@@ -17,18 +17,18 @@
 
 // snapshotCache holds the newest encoded snapshot, which all subscribers share. The zero value is ready to use.
 type snapshotCache struct {
-	mu       sync.Mutex // held while a snapshot is encoded: concurrent callers wait for the result
-	seq      uint64     // 0: there is none
-	count    int        // number of snapshots encoded so far
-	madeAt   time.Time
-	encoded  []byte
-	deflated bool
+	mu        sync.Mutex // held while a snapshot is encoded: concurrent callers wait for the result
+	seq       uint64     // 0: there is none
+	count     int        // number of snapshots encoded so far
+	encodedAt time.Time
+	encoded   []byte
+	deflated  bool
 }
 
 // replace encodes a snapshot of the state and caches it in place of the former one. The caller holds mu.
 func (c *snapshotCache) replace(state *controlstate.State) {
 	c.encoded, c.deflated = rpc.Compress(state.WithoutHistory().Encode()) // subscribers do not use the history of changes
-	c.seq, c.madeAt, c.count = state.Seq, time.Now(), c.count+1
+	c.seq, c.encodedAt, c.count = state.Seq, time.Now(), c.count+1
 }
 
 // probeReply replies to a proxy that is searching for a node: it states whether this node is current, and its newest record.
@@ -99,8 +99,8 @@
 	defer cache.mu.Unlock()
 	records, afterCached := s.availability(cache.seq, state.Seq)
 	afterCached.CachedSnapshot = cache.seq
-	madeLately := time.Since(cache.madeAt) < snapshotTTL
-	method, withRecords := catchup.PlanSnapshot(after, afterCached, madeLately, s.limits.MaxRecordsPerReply)
+	isRecent := time.Since(cache.encodedAt) < snapshotTTL
+	method, withRecords := catchup.PlanSnapshot(after, afterCached, isRecent, s.limits.MaxRecordsPerReply)
 	if method == catchup.NewSnapshot {
 		cache.replace(state)
 	}
--- a/internal/system/distribution/server_sync.go
+++ b/internal/system/distribution/server_sync.go
@@ -96,7 +96,7 @@
 		}
 		if (err == nil) != reached {
 			reached = err == nil
-			s.logReached(url, err)
+			s.logReachability(url, err)
 		}
 		if err == nil && !progress.handleReply(time.Now(), req, number, reply) {
 			continue // send it again immediately
@@ -119,8 +119,8 @@
 	return reply, rpc.CheckReply(req.GetCall(), reply.GetCall())
 }
 
-// logReached logs that a peer is reached again, or why it is no longer reached.
-func (s *Server) logReached(url string, err error) {
+// logReachability logs that a peer is reached again, or why it is no longer reached.
+func (s *Server) logReachability(url string, err error) {
 	if err == nil {
 		s.options.Log.WithField("peer", url).Info("distribution: synchronisation with a peer resumed")
 	} else {
@@ -191,7 +191,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	entries, full := s.table.ChangesSince(s.numberAt(p.cursor))
+	entries, full := s.table.ChangesSince(s.changeNumberOf(p.cursor))
 	return &distributionpb.ShareRequest{
 		From: s.location(), Boot: s.bootID, Full: full, Complete: s.tableComplete, Entries: softstate.EncodeEntries(now, entries),
 		Loads: s.loads.local.ChangesSince(p.ackedLoads), Lowest: s.sessions.minAckedSeq, Followers: uint64(len(s.sessions.byNode)),
@@ -209,8 +209,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clock := s.clockMS(now)
-	delay, dated := s.transitTime(clock, req.GetSentMs())
-	if !dated {
+	delay, known := s.transitTime(clock, req.GetSentMs())
+	if !known {
 		return &distributionpb.ShareReply{Boot: s.bootID, ClockMs: clock, Late: true, Call: req.GetCall()}, nil
 	}
 	sender := s.peers.byAddress[from]
@@ -229,7 +229,7 @@
 
 // transitTime bounds how long a message was in transit, by this process's clock alone: the sender states a lower bound of that clock at
 // the moment of sending. It returns false if the bound is missing, belongs to a former incarnation, or is too old.
-func (s *Server) transitTime(clock, sentMS uint64) (delay time.Duration, dated bool) {
+func (s *Server) transitTime(clock, sentMS uint64) (delay time.Duration, known bool) {
 	if s.options.knobs.DateByArrival {
 		return 0, true
 	}
@@ -264,7 +264,7 @@
 	}
 	if s.hasLiveSession(now, live.Node, live.Incarnation) {
 		s.mergeEntry(now, entry, age)
-		s.assertAlive(now, s.sessions.of(live).member)
+		s.assertAlive(now, s.sessions.get(live).member)
 		return
 	}
 	if live.Owner == from || live.Owner == s.options.Self || !s.peers.hasContact(now, live.Owner) {
--- a/internal/system/distribution/softstate/table.go
+++ b/internal/system/distribution/softstate/table.go
@@ -29,10 +29,10 @@
 	LastNumber uint64 // of the last change
 	LastUrgent uint64 // of the last change that is not lazy
 
-	entries         map[string]*StoredEntry
-	log             []change                  // in the order of numbers; may contain a key more than once
-	forgottenNumber uint64                    // the highest number of a tombstone that has been removed
-	sorted          map[string][]*StoredEntry // cache of the live entries under a prefix, sorted by key
+	entries                map[string]*StoredEntry
+	log                    []change                  // in the order of numbers; may contain a key more than once
+	droppedTombstoneNumber uint64                    // the highest number of a tombstone that has been removed
+	sorted                 map[string][]*StoredEntry // cache of the live entries under a prefix, sorted by key
 }
 
 // NewTable returns an empty table.
@@ -88,7 +88,7 @@
 
 // ChangesSince returns the entries changed after a number, in the order of their changes, and whether they are the complete table.
 func (t *Table) ChangesSince(number uint64) (entries []*StoredEntry, complete bool) {
-	if number < t.forgottenNumber || number > t.LastNumber {
+	if number < t.droppedTombstoneNumber || number > t.LastNumber {
 		number = 0
 	}
 	first := sort.Search(len(t.log), func(i int) bool { return t.log[i].number > number })
@@ -105,7 +105,7 @@
 	for key, e := range t.entries {
 		switch age := e.AgeAt(now).Max; {
 		case e.Deleted && age > tombstoneTTL:
-			t.forgottenNumber = max(t.forgottenNumber, e.number)
+			t.droppedTombstoneNumber = max(t.droppedTombstoneNumber, e.number)
 			t.Drop(key)
 		case age > hintTTL && strings.HasPrefix(key, HintPrefix):
 			t.Drop(key)
--- a/internal/system/distribution/subscriber.go
+++ b/internal/system/distribution/subscriber.go
@@ -86,7 +86,7 @@
 	options = options.withDefaults()
 	return &Subscriber{
 		options: options, client: &http.Client{Transport: rpc.BoundedTransport{Next: options.Transport}},
-		announced: newAnnouncement(options.Self), control: newStateReplica(), soft: newSoftReplica(options.knobs.ReplaceAlways),
+		announced: newAnnouncement(options.Self), control: newStateReplica(), soft: newSoftReplica(options.knobs.AlwaysReplaceTable),
 		loads: newLoadExchange(), nodes: newNodeSet(options.Self, options.Seeds),
 		updatePending: make(chan struct{}, 1), loadsPending: make(chan struct{}, 1), callRequested: make(chan struct{}, 1),
 	}
--- a/internal/system/distribution/subscriber_call.go
+++ b/internal/system/distribution/subscriber_call.go
@@ -30,7 +30,7 @@
 // pollResult is the outcome of a poll that was replied to.
 type pollResult struct {
 	current       bool // the node is current, so it serves the control state
-	serves        bool // the node serves any state at all
+	servesState   bool // the node serves any state at all
 	stateAdvanced bool // the reply advanced the control state
 	stillBehind   bool // the node has a newer control state, but the reply did not advance this proxy
 }
@@ -141,7 +141,7 @@
 		signal(s.updatePending)
 	}
 	if offer.Expired() {
-		return pollResult{serves: true, stateAdvanced: advanced}
+		return pollResult{servesState: true, stateAdvanced: advanced}
 	}
 	s.freshness.lastContact = now
 	if offer.Current && s.freshness.observeCurrent(checked) {
@@ -151,7 +151,7 @@
 	if s.control.position().ProvesFreshness(offer) && s.freshness.observeFresh(checked) {
 		signal(s.updatePending) // from now on this proxy's state may be served
 	}
-	return pollResult{current: offer.Current, serves: true, stateAdvanced: advanced, stillBehind: isBehind(s.control.position(), offer) && !advanced}
+	return pollResult{current: offer.Current, servesState: true, stateAdvanced: advanced, stillBehind: isBehind(s.control.position(), offer) && !advanced}
 }
 
 // isBehind reports whether a node has a newer control state.
--- a/internal/system/distribution/subscriber_history_test.go
+++ b/internal/system/distribution/subscriber_history_test.go
@@ -31,9 +31,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const most = 128 // bytes
+	const maxBytes = 128 // bytes
 	for what, s := range map[string]*controlstate.State{"a snapshot": snapshot, "records": subscriber.control.state} {
-		if s.Seq != 200 || s.Revision() != 200 || len(s.Encode()) > most {
+		if s.Seq != 200 || s.Revision() != 200 || len(s.Encode()) > maxBytes {
 			t.Errorf("state from %s: record %d, revision %d, %d bytes", what, s.Seq, s.Revision(), len(s.Encode()))
 		}
 	}
--- a/internal/system/distribution/subscriber_loads.go
+++ b/internal/system/distribution/subscriber_loads.go
@@ -41,8 +41,8 @@
 	return loadExchange{own: loadreport.NewVector(true), interval: initialReportInterval}
 }
 
-// sentNone reports whether the last report contained no load.
-func (e *loadExchange) sentNone() bool {
+// lastReportEmpty reports whether the last report contained no load.
+func (e *loadExchange) lastReportEmpty() bool {
 	return len(e.sent) == 0 || len(e.sent[len(e.sent)-1].loads) == 0
 }
 
@@ -80,7 +80,7 @@
 		}
 	}
 	e.totals.ReceivedAt = madeAt
-	others := e.totals.Without(e.sentAs(reply.GetTotalsOf()))
+	others := e.totals.Without(e.loadsReportedAs(reply.GetTotalsOf()))
 	if maps.Equal(others, e.others) {
 		return false
 	}
@@ -88,8 +88,8 @@
 	return true
 }
 
-// sentAs returns the loads that were reported under a number, or nil if they are no longer remembered.
-func (e *loadExchange) sentAs(number uint64) (loads map[string]pick.Load) {
+// loadsReportedAs returns the loads that were reported under a number, or nil if they are no longer remembered.
+func (e *loadExchange) loadsReportedAs(number uint64) (loads map[string]pick.Load) {
 	for _, report := range e.sent {
 		if report.number == number {
 			loads = report.loads
--- a/internal/system/distribution/subscriber_neighbours.go
+++ b/internal/system/distribution/subscriber_neighbours.go
@@ -84,10 +84,10 @@
 }
 
 // queryNeighbours queries one address after another until enough have replied.
-func (s *Subscriber) queryNeighbours(ctx context.Context, addresses []string, enough int) {
+func (s *Subscriber) queryNeighbours(ctx context.Context, addresses []string, wantReplies int) {
 	replied := 0
 	for _, address := range addresses {
-		if replied >= enough || ctx.Err() != nil {
+		if replied >= wantReplies || ctx.Err() != nil {
 			return
 		}
 		if s.queryNeighbour(ctx, address) {
@@ -123,7 +123,7 @@
 	if s.nodes.digest == 0 {
 		s.nodes.add(reply.GetKeepers())
 	}
-	if starting && !s.nodes.allTried() && !s.options.knobs.NeighbourAtOnce {
+	if starting && !s.nodes.allTried() && !s.options.knobs.ServeNeighbourImmediately {
 		return false // a reachable control-plane node knows better: query again once all have been tried
 	}
 	advanced := s.control.apply(s.options.Log, offerFromReply(reply, 0), reply)
--- a/internal/system/distribution/subscriber_nodes.go
+++ b/internal/system/distribution/subscriber_nodes.go
@@ -30,7 +30,7 @@
 	sameZone distance = iota
 	sameRegion
 	otherRegion
-	onlySeed // a seed that may not be a control-plane node
+	seedOnly // a seed that may not be a control-plane node
 )
 
 // controlPlaneNode is a known control-plane node, or a seed that may be one.
@@ -110,7 +110,7 @@
 func (s *nodeSet) distance(node *controlPlaneNode) distance {
 	switch {
 	case !node.inView:
-		return onlySeed
+		return seedOnly
 	case node.zone != "" && node.zone == s.self.Zone:
 		return sameZone
 	case node.region != "" && node.region == s.self.Region:
--- a/internal/system/distribution/subscriber_notify.go
+++ b/internal/system/distribution/subscriber_notify.go
@@ -88,7 +88,7 @@
 		return
 	}
 	s.mu.Lock()
-	idle := s.loads.sentNone()
+	idle := s.loads.lastReportEmpty()
 	s.mu.Unlock()
 	if idle && len(s.options.Loads()) > 0 {
 		signal(s.callRequested)
--- a/internal/system/distribution/subscriber_poll.go
+++ b/internal/system/distribution/subscriber_poll.go
@@ -55,7 +55,7 @@
 // stillServes reports whether the node may be polled again after a result: it serves state, and if it was current, it still is.
 func (n followedNode) stillServes(result pollResult) bool {
 	lostCurrent := n.current && !result.current
-	return result.serves && !lostCurrent
+	return result.servesState && !lostCurrent
 }
 
 // longPollOptions returns the options of a poll that waits for changes.
@@ -74,7 +74,7 @@
 		if !node.current && start.Sub(node.since) > maxStaleDuration {
 			return served
 		}
-		if node.current && start.After(node.nextCheck) && s.moveNearer(ctx, start, &node) {
+		if node.current && start.After(node.nextCheck) && s.switchToNearerNode(ctx, start, &node) {
 			continue
 		}
 		result, err := s.poll(ctx, node.address, s.longPollOptions(node))
@@ -93,8 +93,8 @@
 	}
 }
 
-// moveNearer checks for a nearer node, and reports whether that one is followed from now on.
-func (s *Subscriber) moveNearer(ctx context.Context, now time.Time, node *followedNode) (moved bool) {
+// switchToNearerNode checks for a nearer node, and reports whether that one is followed from now on.
+func (s *Subscriber) switchToNearerNode(ctx context.Context, now time.Time, node *followedNode) (switched bool) {
 	node.nextCheck = now.Add(returnInterval/2 + rand.N(returnInterval/2))
 	nearer := s.nearerNode(now, node.address)
 	if nearer == "" {
--- a/internal/system/distribution/subscriber_soft_state.go
+++ b/internal/system/distribution/subscriber_soft_state.go
@@ -20,11 +20,11 @@
 	membershipComplete bool             // a table that lacks no live proxy has been merged
 	skippedOldList     bool             // a list was not merged because it looked older than the stored one: request a complete table
 	notifyListUpdates  bool             // see Subscriber.NotifyListUpdates
-	replaceAlways      bool             // see TestingKnobs
+	alwaysReplaceTable bool             // see TestingKnobs
 }
 
-func newSoftReplica(replaceAlways bool) softReplica {
-	return softReplica{table: softstate.NewTable(), replaceAlways: replaceAlways}
+func newSoftReplica(alwaysReplaceTable bool) softReplica {
+	return softReplica{table: softstate.NewTable(), alwaysReplaceTable: alwaysReplaceTable}
 }
 
 // listEntry returns the entry that states when the list was read, or nil if the reply has none.
@@ -55,7 +55,7 @@
 	if !continues {
 		reply.Entries = withoutListEntry(reply.GetEntries())
 	}
-	resync := r.trackSkippedList(r.bringsOlderList(now, delay, reply), reply)
+	resync := r.trackSkippedList(r.hasOlderList(now, delay, reply), reply)
 	changed = r.applyEntries(now, delay, reply)
 	switch {
 	case resync:
@@ -77,11 +77,11 @@
 	return sameTable && from.Number <= r.cursor.Number && to.Number >= r.cursor.Number
 }
 
-// bringsOlderList reports whether the list in a reply was read before the stored one. A node that was isolated or paused may be current
+// hasOlderList reports whether the list in a reply was read before the stored one. A node that was isolated or paused may be current
 // again before its peers have sent it their list.
-func (r *softReplica) bringsOlderList(now time.Time, delay softstate.Age, reply *distributionpb.FollowReply) bool {
+func (r *softReplica) hasOlderList(now time.Time, delay softstate.Age, reply *distributionpb.FollowReply) bool {
 	stored, sent := r.table.Get(softstate.ListKey), listEntry(reply)
-	if stored == nil || sent == nil || r.replaceAlways {
+	if stored == nil || sent == nil || r.alwaysReplaceTable {
 		return false
 	}
 	if sent.GetFence() > stored.Fence {
@@ -96,15 +96,15 @@
 // no live proxy replaces the stored table, even entries with higher versions: nodes that have all lost their tables restart their version
 // numbers. If the list was read before the stored one, its entries are not merged. delay bounds how long ago the reply was made.
 func (r *softReplica) applyEntries(now time.Time, delay softstate.Age, reply *distributionpb.FollowReply) (changed bool) {
-	into := r.table
-	isOld := r.bringsOlderList(now, delay, reply)
+	target := r.table
+	isOld := r.hasOlderList(now, delay, reply)
 	if isCompleteTable(reply) && !r.membershipComplete {
 		r.membershipComplete, changed = true, true
 	}
 	if isCompleteTable(reply) && !isOld {
-		into = softstate.NewTable()
+		target = softstate.NewTable()
 	}
-	if listEntry(reply) != nil && !isOld && r.dropUnconfirmed(into) {
+	if listEntry(reply) != nil && !isOld && r.dropUnconfirmed(target) {
 		changed = true
 	}
 	for _, message := range reply.GetEntries() {
@@ -112,50 +112,50 @@
 		if isOld && softstate.BelongsToList(entry.Key) {
 			continue
 		}
-		if r.applyEntry(now, into, entry, age.Plus(delay)) {
+		if r.applyEntry(now, target, entry, age.Plus(delay)) {
 			changed = true
 		}
 	}
-	if into == r.table {
+	if target == r.table {
 		return changed
 	}
-	r.carryList(into)
-	r.table = into
+	r.copyList(target)
+	r.table = target
 	return true
 }
 
 // applyEntry merges one entry and reports whether the change is relevant to the owner.
-func (r *softReplica) applyEntry(now time.Time, into *softstate.Table, entry softstate.Entry, age softstate.Age) bool {
+func (r *softReplica) applyEntry(now time.Time, target *softstate.Table, entry softstate.Entry, age softstate.Age) bool {
 	if entry.Key == "" || len(entry.Key) > maxKeyBytes {
 		return false
 	}
 	if r.unconfirmed[entry.Key] {
 		delete(r.unconfirmed, entry.Key)
-		into.Drop(entry.Key)
+		target.Drop(entry.Key)
 	}
-	matters := !softstate.IsLazy(entry.Key) || r.notifyListUpdates
-	return into.Merge(now, entry, age) && matters
+	relevant := !softstate.IsLazy(entry.Key) || r.notifyListUpdates
+	return target.Merge(now, entry, age) && relevant
 }
 
 // dropUnconfirmed drops the unconfirmed entries, now that the list has been read again. It reports whether there were any.
-func (r *softReplica) dropUnconfirmed(into *softstate.Table) (dropped bool) {
+func (r *softReplica) dropUnconfirmed(target *softstate.Table) (dropped bool) {
 	for key := range r.unconfirmed {
-		into.Drop(key)
+		target.Drop(key)
 	}
 	dropped = len(r.unconfirmed) > 0
 	r.unconfirmed = nil
 	return dropped
 }
 
-// carryList copies the list's entries into the table that replaces the stored one, if the list has not been read since: until then old
+// copyList copies the list's entries into the table that replaces the stored one, if the list has not been read since: until then old
 // servers are better than none.
-func (r *softReplica) carryList(into *softstate.Table) {
-	if into.Get(softstate.ListKey) != nil {
+func (r *softReplica) copyList(target *softstate.Table) {
+	if target.Get(softstate.ListKey) != nil {
 		return
 	}
 	r.unconfirmed = map[string]bool{}
 	for key, stored := range r.table.All() {
-		if softstate.BelongsToList(key) && into.Put(stored.Entry, stored.MadeBetween) {
+		if softstate.BelongsToList(key) && target.Put(stored.Entry, stored.MadeBetween) {
 			r.unconfirmed[key] = true
 		}
 	}
--- a/internal/system/distribution/subscriber_start_test.go
+++ b/internal/system/distribution/subscriber_start_test.go
@@ -31,8 +31,8 @@
 	return f.seq, f.at
 }
 
-// newOldNeighbour creates a fleet of one node, and a proxy that has change 1 and is isolated before change 2 is acknowledged.
-func newOldNeighbour() *testFleet {
+// newFleetWithStaleNeighbour creates a fleet of one node, and a proxy that has change 1 and is isolated before change 2 is acknowledged.
+func newFleetWithStaleNeighbour() *testFleet {
 	fleet := newFleet("k1:1")
 	fleet.startProxy("old", nil)
 	fleet.chain.add(controlstate.Record{Op: controlstate.OpEvacuate, Zone: "z"})
@@ -42,10 +42,10 @@
 	return fleet
 }
 
-// startBesideNeighbour starts a proxy next to the old neighbour with some seeds, and returns the first state that it serves.
-func startBesideNeighbour(t *testing.T, node string, knobs TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
+// startWithStaleNeighbour starts a proxy next to the stale neighbour with some seeds, and returns the first state that it serves.
+func startWithStaleNeighbour(t *testing.T, node string, knobs TestingKnobs, seeds ...string) (seq uint64, took time.Duration) {
 	t.Helper()
-	fleet := newOldNeighbour()
+	fleet := newFleetWithStaleNeighbour()
 	defer fleet.stop()
 	for _, s := range seeds {
 		if s != "k1:1" && s != "old:2" {
@@ -71,7 +71,7 @@
 	}
 	for i := range 30 {
 		bubble.Test(t, func(t *testing.T) {
-			if seq, took := startBesideNeighbour(t, fmt.Sprint("p", i), TestingKnobs{}, seeds...); seq != 2 || took > 1500*time.Millisecond {
+			if seq, took := startWithStaleNeighbour(t, fmt.Sprint("p", i), TestingKnobs{}, seeds...); seq != 2 || took > 1500*time.Millisecond {
 				t.Errorf("proxy p%d serves change %d after %v", i, seq, took)
 			}
 		})
@@ -82,12 +82,12 @@
 // it serves the neighbour's state.
 func TestStartProbesNodesThatNeighbourNames(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		if seq, took := startBesideNeighbour(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
+		if seq, took := startWithStaleNeighbour(t, "p", TestingKnobs{}, "old:2", "dead:1"); seq != 2 || took > 4*time.Second {
 			t.Errorf("the proxy serves change %d after %v", seq, took)
 		}
 	})
 	bubble.Test(t, func(t *testing.T) {
-		if seq, _ := startBesideNeighbour(t, "p", TestingKnobs{NeighbourAtOnce: true}, "old:2", "dead:1"); seq == 2 {
+		if seq, _ := startWithStaleNeighbour(t, "p", TestingKnobs{ServeNeighbourImmediately: true}, "old:2", "dead:1"); seq == 2 {
 			t.Error("control: the node's state was served first though the neighbour's state may be served immediately")
 		}
 	})
@@ -96,7 +96,7 @@
 // TestStartWithoutNodeServesNeighboursState: if no node can be reached at all, an old state is better than none.
 func TestStartWithoutNodeServesNeighboursState(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		fleet := newOldNeighbour()
+		fleet := newFleetWithStaleNeighbour()
 		defer fleet.stop()
 		fleet.mesh.setPartitioned("p", "k1:1", true)
 		var first firstState
--- a/internal/system/distribution/subscriber_state.go
+++ b/internal/system/distribution/subscriber_state.go
@@ -30,7 +30,7 @@
 
 // set replaces the state. The sequence number never decreases.
 func (r *stateReplica) set(next *controlstate.State) {
-	stateNeverGoesBack.Check(next.Seq >= r.state.Seq)
+	controlStateMonotonic.Check(next.Seq >= r.state.Seq)
 	r.state = next
 }
 
--- a/internal/system/distribution/testfleet_test.go
+++ b/internal/system/distribution/testfleet_test.go
@@ -213,13 +213,13 @@
 	return s.states[len(s.states)-1], s.changed
 }
 
-func (s *fakeSource) RecordsAfter(seq uint64, most int) ([]controlstate.Record, bool) {
+func (s *fakeSource) RecordsAfter(seq uint64, maxRecords int) ([]controlstate.Record, bool) {
 	s.fakeChain.mu.Lock()
 	defer s.fakeChain.mu.Unlock()
 	if seq < s.compactedTo || seq > uint64(len(s.records)) {
 		return nil, false
 	}
-	return s.records[seq:min(uint64(len(s.records)), seq+uint64(most))], true
+	return s.records[seq:min(uint64(len(s.records)), seq+uint64(maxRecords))], true
 }
 
 func (s *fakeSource) Current() bool {
@@ -249,7 +249,7 @@
 
 	mu         sync.Mutex
 	lastUpdate Update
-	wentBack   bool // its state went back
+	regressed  bool // its state went back
 }
 
 func newFleet(nodes ...string) *testFleet { return newFleetWithKnobs(TestingKnobs{}, nodes...) }
@@ -296,7 +296,7 @@
 		OnUpdate: func(update Update) {
 			proxy.mu.Lock()
 			defer proxy.mu.Unlock()
-			proxy.wentBack = proxy.wentBack || proxy.lastUpdate.State != nil && update.State.Seq < proxy.lastUpdate.State.Seq
+			proxy.regressed = proxy.regressed || proxy.lastUpdate.State != nil && update.State.Seq < proxy.lastUpdate.State.Seq
 			proxy.lastUpdate = update
 		}}
 	if change != nil {
--- a/internal/system/distribution/testing_knobs.go
+++ b/internal/system/distribution/testing_knobs.go
@@ -11,12 +11,12 @@
 	SkipRejoinDelay bool
 	// DateByArrival makes servers and subscribers date the contents of a message by its arrival instead of its origin (D2, D5).
 	DateByArrival bool
-	// ReplaceAlways makes a subscriber replace its table by any complete one, however old the server list in it is (D4).
-	ReplaceAlways bool
+	// AlwaysReplaceTable makes a subscriber replace its table by any complete one, however old the server list in it is (D4).
+	AlwaysReplaceTable bool
 	// AcceptAnyReply makes a subscriber accept any reply that arrives on the connection in place of the expected one (D15).
 	AcceptAnyReply bool
 	// ServeLateState makes a starting proxy serve a state that arrived too late to prove freshness (D3).
 	ServeLateState bool
-	// NeighbourAtOnce makes a starting proxy serve a neighbour's state before the known control-plane nodes have been tried (D3).
-	NeighbourAtOnce bool
+	// ServeNeighbourImmediately makes a starting proxy serve a neighbour's state before the known control-plane nodes have been tried (D3).
+	ServeNeighbourImmediately bool
 }
--- a/internal/system/distribution/warmup_fleet_serve_test.go
+++ b/internal/system/distribution/warmup_fleet_serve_test.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		for id, v := range s.servers {
-			if rand.N(100) < l.fleet.missing {
+			if rand.N(100) < l.fleet.missingPercent {
 				continue
 			}
 			i := platform.Instance{ID: id, Target: "a", Address: id, Zone: v.zone, Slots: 1000, WarmUpLeft: max(0, v.coldUntil.Sub(now))}
@@ -121,7 +121,7 @@
 			return
 		}
 		asCold := picker.picker.Stats().WarmUpSends > sendsBefore
-		w.recordColdSend(choice.Server.ID, server, sentToCold{time.Now(), node, asCold})
+		w.recordColdSend(choice.Server.ID, server, coldRequest{time.Now(), node, asCold})
 	}
 	if _, isolated := w.isolatedUntil[node]; !isolated && !server.draining.IsZero() {
 		since := laterOf(laterOf(w.lastFault[node], w.lastFault[""]), server.draining.Add(warmUpListLag))
@@ -130,7 +130,7 @@
 }
 
 // recordColdSend records a request to a cold server. The caller holds mu.
-func (w *warmUpFleet) recordColdSend(id string, server warmingServer, request sentToCold) {
+func (w *warmUpFleet) recordColdSend(id string, server warmingServer, request coldRequest) {
 	w.sent[id] = append(w.sent[id], request)
 	for time.Since(w.sent[id][0].at) >= time.Second {
 		w.sent[id] = w.sent[id][1:]
--- a/internal/system/distribution/warmup_fleet_test.go
+++ b/internal/system/distribution/warmup_fleet_test.go
@@ -45,21 +45,21 @@
 // up to 2.4 s before their zone is readmitted. Machines are isolated, killed and started meanwhile.
 type warmUpFleet struct {
 	*testFleet
-	t             *testing.T
-	rng           *rand.Rand
-	config        *config.Config
-	proxyNames    []string
-	pickers       map[string]*fleetPicker
-	polls         map[string]context.CancelFunc
-	isolatedUntil map[string]time.Time
-	evacuated     map[string]uint64 // the last record that evacuated a zone
-	begin         time.Time
-	hideWarmUps   bool // control: pickers do not learn of cold servers
-	missing       int  // so many of 100 entries are missing from a reading
-	worst         int
-	lastFault     map[string]time.Time // when a proxy, or a node (""), was last isolated, joined, killed or started
-	maxLateness   time.Duration        // maximum delay of requests after a server was shown as draining and after faults on their path
-	faultCounts   map[string]int
+	t              *testing.T
+	rng            *rand.Rand
+	config         *config.Config
+	proxyNames     []string
+	pickers        map[string]*fleetPicker
+	polls          map[string]context.CancelFunc
+	isolatedUntil  map[string]time.Time
+	evacuated      map[string]uint64 // the last record that evacuated a zone
+	begin          time.Time
+	hideWarmUps    bool // control: pickers do not learn of cold servers
+	missingPercent int  // so many of 100 entries are missing from a reading
+	worst          int
+	lastFault      map[string]time.Time // when a proxy, or a node (""), was last isolated, joined, killed or started
+	maxLateness    time.Duration        // maximum delay of requests after a server was shown as draining and after faults on their path
+	faultCounts    map[string]int
 
 	mu          sync.Mutex
 	epoch       uint64
@@ -68,13 +68,13 @@
 	trueServers map[string]warmingServer
 	listHistory []shownList
 	ids         int
-	sent        map[string][]sentToCold // requests to cold servers within the last second
+	sent        map[string][]coldRequest // requests to cold servers within the last second
 	eventLog    []string
 	worstSecond string // description of the worst second
 }
 
-// sentToCold is a request to a server that was cold, and whether its proxy considered the server cold.
-type sentToCold struct {
+// coldRequest is a request to a server that was cold, and whether its proxy considered the server cold.
+type coldRequest struct {
 	at   time.Time
 	node string
 	cold bool
@@ -122,7 +122,7 @@
 func newWarmUpFleet(t *testing.T, rng *rand.Rand, proxies int, change func(*warmUpFleet)) *warmUpFleet {
 	t.Helper()
 	w := &warmUpFleet{testFleet: newFleet("k1:1", "k2:1", "k3:1"), t: t, rng: rng, pickers: map[string]*fleetPicker{}, polls: map[string]context.CancelFunc{},
-		isolatedUntil: map[string]time.Time{}, evacuated: map[string]uint64{}, lastFault: map[string]time.Time{}, faultCounts: map[string]int{}, epoch: 1, owner: "k1:1", seen: map[string]uint64{}, trueServers: map[string]warmingServer{}, sent: map[string][]sentToCold{}}
+		isolatedUntil: map[string]time.Time{}, evacuated: map[string]uint64{}, lastFault: map[string]time.Time{}, faultCounts: map[string]int{}, epoch: 1, owner: "k1:1", seen: map[string]uint64{}, trueServers: map[string]warmingServer{}, sent: map[string][]coldRequest{}}
 	change(w)
 	w.mesh.mu.Lock()
 	w.mesh.delay = func(_, _ string) time.Duration { return time.Millisecond + rand.N(50*time.Millisecond) }
@@ -236,7 +236,7 @@
 		w.log("evacuated ", current.zone)
 		current.next, current.phase = at+time.Second+pause(3000), 1
 	case 1: // the other zone goes down and comes back cold, or one of its servers drains
-		w.disturb(other)
+		w.disruptZone(other)
 		current.next, current.phase = at+pause(2000), 2
 	case 2: // cold again, under the old ids
 		w.log("cold again with the same ids ", current.zone)
@@ -263,7 +263,7 @@
 }
 
 // disturb makes a zone come back cold with new ids, or one of its servers drain.
-func (w *warmUpFleet) disturb(zone string) {
+func (w *warmUpFleet) disruptZone(zone string) {
 	if w.rng.IntN(2) == 0 {
 		w.change(zone, w.replaceServer)
 		w.faultCounts["zone restarted"]++
@@ -327,7 +327,7 @@
 		defer w.stopAll()
 		w.run(60)
 		w.mu.Lock()
-		w.missing = 0
+		w.missingPercent = 0
 		w.mu.Unlock()
 		differ = w.disagreements()
 	})
@@ -342,13 +342,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	came, worst := map[string]int{}, 0
+	events, worst := map[string]int{}, 0
 	for play := range 4 * seeds {
 		seed, proxies, missing := uint64(play/4), 12+8*(play%2), 10*(play/2%2)
 		name := fmt.Sprintf("seed %d, %d proxies, %d of 100 entries missing", seed, proxies, missing)
-		w, differ := runWarmUpFleet(t, seed, proxies, func(w *warmUpFleet) { w.missing = missing })
+		w, differ := runWarmUpFleet(t, seed, proxies, func(w *warmUpFleet) { w.missingPercent = missing })
 		for what, n := range w.faultCounts {
-			came[what] += n
+			events[what] += n
 		}
 		worst = max(worst, w.worst)
 		if float64(w.worst) > warmUpBound {
@@ -361,7 +361,7 @@
 			t.Errorf("%s: a request came %v after the list showed its server as draining\n%v", name, w.maxLateness, w.eventLog)
 		}
 	}
-	t.Logf("%d seeds: at most %d requests in a second; events: %v", seeds, worst, came)
+	t.Logf("%d seeds: at most %d requests in a second; events: %v", seeds, worst, events)
 }
 
 // TestWarmUpFleetControl: pickers that do not learn of cold servers overload them, and the test detects it.
--- a/internal/system/distribution/warmup_path_test.go
+++ b/internal/system/distribution/warmup_path_test.go
@@ -52,7 +52,7 @@
 	path.mesh.host("other:1", path.sync.to.Handler())
 	for _, node := range []string{"proxy", "neighbour"} {
 		subscriber := NewSubscriber(SubscriberOptions{Self: softstate.Member{Node: node}, Log: discardLogger(), Transport: meshTransport{path.mesh, node},
-			knobs: TestingKnobs{NeighbourAtOnce: true}}) // the neighbour learns of nodes, and must not try them first
+			knobs: TestingKnobs{ServeNeighbourImmediately: true}}) // the neighbour learns of nodes, and must not try them first
 		path.subscribers[node] = subscriber
 		path.mesh.host(node+":2", subscriber.Handler())
 	}
--- a/internal/system/distribution/warmup_times_test.go
+++ b/internal/system/distribution/warmup_times_test.go
@@ -108,17 +108,17 @@
 		cold := time.Duration(rapid.IntRange(1, 4000).Draw(rt, "cold")) * time.Millisecond
 		notice := time.Duration(rapid.IntRange(0, 4000).Draw(rt, "notice")) * time.Millisecond
 		steps := rapid.SliceOfN(rapid.Custom(drawPathStep), 1, 30).Draw(rt, "steps")
-		wrong := ""
-		bubble.Test(t, func(t *testing.T) { wrong = playSteps(t, cold, notice, steps) })
-		if wrong != "" {
-			rt.Fatal(wrong)
+		violation := ""
+		bubble.Test(t, func(t *testing.T) { violation = runSteps(t, cold, notice, steps) })
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
 
-// playSteps performs steps on the path of a list, with a server that is cold for a time and, unless notice is 0, withdrawn after notice.
+// runSteps performs steps on the path of a list, with a server that is cold for a time and, unless notice is 0, withdrawn after notice.
 // It returns a description of the first wrong time that a proxy has.
-func playSteps(t *testing.T, cold, notice time.Duration, steps []pathStep) (wrong string) {
+func runSteps(t *testing.T, cold, notice time.Duration, steps []pathStep) (violation string) {
 	t.Helper()
 	p := newWarmUpPath(t, steps[0].transit)
 	p.server.warmUpEnd = time.Now().Add(cold)
@@ -127,8 +127,8 @@
 	}
 	for _, s := range steps {
 		p.step(s)
-		if wrong = p.wrong(); wrong != "" {
-			return wrong
+		if violation = p.timeViolation(); violation != "" {
+			return violation
 		}
 	}
 	return ""
@@ -152,7 +152,7 @@
 
 // wrong describes a time stored by a subscriber that errs on the wrong side. A notice counts down to a millisecond, as 0 means that there
 // is no notice.
-func (p *warmUpPath) wrong() string {
+func (p *warmUpPath) timeViolation() string {
 	if p.check(); len(p.early) > 0 {
 		return fmt.Sprintf("the warm-up ends early by %v", p.early)
 	}
