--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -10,13 +10,13 @@
 	"gradeusher.example/gradeusher/balance/signals"
 )
 
-// tickInterval is how often estimates decay and endpoints are looked through.
+// tickInterval is how often estimates decay and endpoints are re-evaluated.
 const tickInterval = 100 * time.Millisecond
 
-// regroupInterval is how often subsets are selected anew where nothing else changes them.
+// regroupInterval is how often subsets are reselected if nothing else triggers it.
 const regroupInterval = time.Second
 
-// The tokens of timers.
+// Timer tokens.
 const (
 	tickToken uint64 = iota
 	discoveryToken
@@ -28,37 +28,37 @@
 	actions  Actions
 	rng      *rand.Rand
 
-	endpoints []*endpoint          // listed, by id
-	byID      map[string]*endpoint // listed, or removed with attempts in flight
+	endpoints []*endpoint          // listed endpoints, sorted by id
+	byID      map[string]*endpoint // listed endpoints, and removed ones with attempts in flight
 	inUse     []*endpoint          // members of the subsets
-	// capacityInUse is the size of the endpoints in use, for their warmth and the weight of their zone.
+	// capacityInUse is the total size of the endpoints in use, scaled by their warmth and the weight of their zone.
 	capacityInUse float64
 
-	groups       []*group      // of the best rule, and a last one of all endpoints
-	fleet        *group        // the last group
-	destinations []Destination // of the groups
-	pendingRules []Rule        // a route table that is not applied yet; nil: none is
-	pendingSince Time          // when the first of the tables came that have been pending without a break
+	groups       []*group      // the groups of the best rule, followed by one of all endpoints
+	fleet        *group        // the last group: all endpoints
+	destinations []Destination // the destinations of the groups
+	pendingRules []Rule        // a route table that is not applied yet; nil if there is none
+	pendingSince Time          // since when tables have been pending without a break
 	regroupedAt  Time          // when the subsets were last selected
-	zoneWeight   [2]float64    // weight of the own zone, which is 1, and of the others, by zoneIndex
+	zoneWeight   [2]float64    // by zoneIndex: 1 for the own zone, and the weight of other zones
 
 	requests map[RequestID]*request
 	arrivals float64 // decaying count of requests
 
 	latencyEstimates
 	shedding
-	inPanic bool // so much is ejected that the fault is likely this sidecar's own
+	inPanic bool // so much is ejected that the fault is probably on this sidecar's side
 
 	membership
-	reports      *signals.Aggregate // of the other sidecars
-	outOfService map[string]Time    // ids that operators took out, and since when
+	reports      *signals.Aggregate // reports of the other sidecars
+	outOfService map[string]Time    // ids that operators took out of service, and since when
 
 	subscribed        bool
-	discoveryFailures int // in a row
+	discoveryFailures int // consecutive failures
 }
 
-// New returns a Balancer, or an error that says what is wrong with the settings: a SettingsError that is
-// wrapped by the class, tenant or rule concerned.
+// New returns a Balancer. It returns an error if the settings are invalid: a SettingsError, wrapped with the class,
+// tenant or rule it concerns.
 func New(set Settings, actions Actions) (*Balancer, error) {
 	b, err := newBalancer(set, actions)
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// tick is the housekeeping of each tickInterval.
+// tick does the periodic work of each tickInterval.
 func (b *Balancer) tick(now Time) {
 	b.applyVerdicts(now)
 	b.decay(now, tickInterval)
--- a/balance/body.go
+++ b/balance/body.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// BodyConsumed notes that part of a body that is still arriving has been forwarded and not kept: the request cannot be sent
-// again.
+// BodyConsumed records that part of a request body has been forwarded without being buffered, so the request cannot be
+// retried.
 func (b *Balancer) BodyConsumed(id RequestID) {
 	if q := b.requests[id]; q != nil {
 		q.bodyConsumed = true
 	}
 }
 
-// BodyComplete handles that all of a body has arrived: from now on the client's time runs, and an answer is due.
+// BodyComplete handles the arrival of the last byte of a request body. The client's deadline and the wait for an answer
+// start now.
 func (b *Balancer) BodyComplete(now Time, id RequestID, timeLeft time.Duration) {
 	q := b.requests[id]
 	if q == nil || !q.BodyIncomplete {
@@ -26,7 +27,7 @@
 	}
 }
 
-// AnswerStarted handles that a streamed answer has begun: no other answer is due while it streams.
+// AnswerStarted handles the first byte of a streamed answer. The attempt does not count as overdue while its answer streams.
 func (b *Balancer) AnswerStarted(now Time, id RequestID, attemptIndex int) {
 	if _, a := b.pendingAttempt(id, attemptIndex); a != nil {
 		a.sentAt = now
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// minDiscoverySpread is the least time over which first calls to discovery are spread, and the longest
-	// backoff.
+	// minDiscoverySpread is the minimum of discoverySpread, over which the first calls to discovery are spread and which
+	// also limits the backoff.
 	minDiscoverySpread = time.Second
-	// minDiscoveryBackoff is the first backoff after a failure; it doubles maxDiscoveryDoublings times.
+	// minDiscoveryBackoff is the backoff after the first failure; it doubles up to maxDiscoveryDoublings times.
 	minDiscoveryBackoff   = time.Second
 	maxDiscoveryDoublings = 3
-	// defaultSize is the size of an endpoint that registered none.
+	// defaultSize is the size of an endpoint that registered without a size.
 	defaultSize = 1
 )
 
-// discoverySpread is the time within which all sidecars call discovery once.
+// discoverySpread returns the time within which all sidecars call discovery once.
 func (b *Balancer) discoverySpread() time.Duration {
 	return max(b.settings.DiscoveryDeadline/2, minDiscoverySpread)
 }
 
-// firstDiscoveryDelay spreads the first calls by the sidecars' index: all start at once, and discovery serves
-// few calls at a time.
+// firstDiscoveryDelay spreads the first calls by the index of the sidecars, because all sidecars may start together and
+// discovery serves few calls at a time.
 func (b *Balancer) firstDiscoveryDelay() time.Duration {
 	turn := (float64(b.settings.Index) + b.rng.Float64()) / float64(b.settings.PeerCount)
 	return time.Duration(turn * float64(b.discoverySpread()))
 }
 
-// discoveryBackoff is drawn from the half of a time that doubles with each failure: sidecars that call again
-// all together would keep a weak discovery service from ever answering.
+// discoveryBackoff returns a random backoff from the upper half of a limit that doubles with each failure. Sidecars that
+// all retried together could keep an overloaded discovery service from ever answering.
 func (b *Balancer) discoveryBackoff() time.Duration {
 	limit := min(minDiscoveryBackoff<<min(b.discoveryFailures, maxDiscoveryDoublings), b.discoverySpread())
 	return time.Duration((1 + b.rng.Float64()) * float64(limit) / 2)
 }
 
-// subscribe asks discovery for changes, unless that was done.
+// subscribe subscribes to changes from discovery unless already subscribed.
 func (b *Balancer) subscribe() {
 	if !b.subscribed {
 		b.subscribed = true
@@ -45,7 +45,7 @@
 	}
 }
 
-// Endpoints handles a list of discovery. ListRefused leaves the present list as it is.
+// Endpoints handles a list from discovery. ListRefused leaves the current list unchanged.
 func (b *Balancer) Endpoints(now Time, kind ListKind, list []Endpoint) {
 	if kind == ListRefused {
 		b.subscribed = false
@@ -70,7 +70,7 @@
 	}
 }
 
-// updateEndpoint takes over an entry of the list.
+// updateEndpoint adds or updates the endpoint of a list entry.
 func (b *Balancer) updateEndpoint(entry Endpoint, now Time) {
 	updated := b.byID[entry.ID]
 	if updated == nil {
@@ -88,8 +88,8 @@
 		updated.zoneIndex = otherZones
 	}
 	if entry.Started != updated.Started {
-		// A new process, though under the same id. One whose machine's clock is ahead has started by now all the
-		// same; it would count as warming up until this clock has caught up.
+		// A new process under the same id. If the clock of its machine is ahead, its start time lies in the future and
+		// it would count as warming up until this sidecar's clock has caught up.
 		b.resetEndpoint(updated, min(entry.Started, now))
 	}
 	_, updated.outOfService = b.outOfService[entry.ID]
@@ -97,8 +97,8 @@
 	updated.Size = cmp.Or(max(entry.Size, 0), defaultSize)
 }
 
-// relistEndpoints lists the endpoints that are not removed, by id, and forgets removed ones without attempts
-// in flight.
+// relistEndpoints rebuilds the sorted list of endpoints that are not removed, and deletes removed endpoints without
+// attempts in flight.
 func (b *Balancer) relistEndpoints() {
 	b.endpoints = b.endpoints[:0]
 	for id, e := range b.byID {
--- a/balance/flight.go
+++ b/balance/flight.go
@@ -2,35 +2,36 @@
 
 import "slices"
 
-// lostThreshold is how many later answers of its endpoint overtake an attempt until its own counts as lost.
+// lostThreshold is the number of later answers of its endpoint that overtake an attempt before its own answer counts as
+// lost.
 const lostThreshold = 4
 
-// flight is an attempt that is in flight, as its endpoint sees it.
+// flight is an attempt in flight, as tracked per endpoint.
 type flight struct {
 	requestID   RequestID
 	attempt     int
 	sentAt      Time
-	overtaken   int  // answers that the endpoint has given to attempts sent after it
+	overtaken   int  // number of answers to attempts that were sent to the endpoint after it
 	cancelled   bool // Cancel was called for it
-	noAnswerDue bool // its body is still arriving, or its answer is
+	noAnswerDue bool // its request body or its answer is still arriving
 }
 
-// isLost tells whether so many later answers have overtaken an attempt that its own is not slow but lost, or
-// none is due for now. Without that, one lost answer would close an endpoint that serves all others until the
-// attempt times out, and a body that arrives slowly, or an answer that is read slowly, would make the
-// endpoint seem slow.
+// isLost reports whether an attempt has been overtaken by so many later answers that its own answer is probably lost
+// rather than slow, or whether no answer is due yet. Otherwise one lost answer would block an endpoint that serves all
+// other requests until the attempt times out, and a body that arrives slowly or an answer that is read slowly would make
+// the endpoint seem slow.
 func (f *flight) isLost() bool { return f.noAnswerDue || f.overtaken >= lostThreshold }
 
-// restart has an answer be due from now on.
+// restart makes an answer due, counting from now.
 func (f *flight) restart(now Time) {
 	f.noAnswerDue = false
 	f.sentAt = now
 	f.overtaken = 0
 }
 
-// owedSeconds is the sum in seconds of how long attempts have been in flight. It is part of the latency
-// estimate because the first answers to come are the quick ones: an endpoint that got slow owes answers
-// before its answers show it, and a dead one would look idle.
+// owedSeconds returns for how many seconds in total the attempts without an answer have been in flight, not counting lost
+// ones. It is part of the latency estimate because fast answers arrive first: an endpoint that has become slow has
+// overdue answers before its answer times show it, and a dead one would look idle.
 func (e *endpoint) owedSeconds(now Time) float64 {
 	var sum Time
 	for _, f := range e.flights {
@@ -41,7 +42,7 @@
 	return sum.Seconds()
 }
 
-// pendingAnswers is the number of attempts in flight whose answers may still come.
+// pendingAnswers returns the number of attempts in flight whose answers may still arrive.
 func (e *endpoint) pendingAnswers() (count int) {
 	for _, f := range e.flights {
 		if !f.isLost() {
@@ -51,7 +52,7 @@
 	return count
 }
 
-// addFlight notes that the request's next attempt is sent.
+// addFlight records that the request's next attempt is sent to the endpoint.
 func (e *endpoint) addFlight(q *request, now Time) *flight {
 	e.inFlight++
 	added := &flight{requestID: q.ID, attempt: len(q.attempts), sentAt: now, noAnswerDue: q.BodyIncomplete}
@@ -59,7 +60,7 @@
 	return added
 }
 
-// removeFlight notes that an attempt has ended, and that its answer, if it got one, has overtaken those sent
+// removeFlight records that an attempt has ended. If it was answered, its answer has overtaken the attempts that were sent
 // before it.
 func (e *endpoint) removeFlight(ended *flight, served bool) {
 	at := slices.Index(e.flights, ended)
@@ -76,14 +77,14 @@
 }
 
 const (
-	// cancelThreshold is the share of its latency target before which a lost attempt is not cancelled.
+	// cancelThreshold is the minimum time before a lost attempt is cancelled, as a share of its latency target.
 	cancelThreshold = 0.25
-	// heavyMultiple is how many times its class's mean time a request may take: few take longer.
+	// heavyMultiple is the multiple of its class's mean time that a heavy request may take; few take longer.
 	heavyMultiple = 8.0
 )
 
-// cancelLost cancels the lost attempts at an endpoint whose requests may be sent to another one. A heavy
-// request is overtaken too, and its work would be done twice; so it gets many times what its class takes.
+// cancelLost cancels the lost attempts at an endpoint whose requests may be sent to another endpoint. Heavy requests are
+// overtaken as well and their work would be done twice, so an attempt is given many times the mean time of its class.
 func (b *Balancer) cancelLost(e *endpoint, now Time) {
 	for _, f := range e.flights {
 		q := b.requests[f.requestID]
@@ -98,7 +99,7 @@
 	}
 }
 
-// isHedgeable tells whether an attempt of a request may be given up for another one.
+// isHedgeable reports whether an attempt of a request may be abandoned in favor of another one.
 func (b *Balancer) isHedgeable(q *request) bool {
 	return q != nil && !q.finished && q.class.Effect == Idempotent &&
 		b.settings.CancelAllowed && len(q.attempts) < b.settings.MaxAttempts
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// memoryTTL is the time in which what requests and an endpoint's own answers have taught decays to 1/e.
+	// memoryTTL is the time constant with which request counts and sums over an endpoint's own answers decay to 1/e.
 	memoryTTL = 6 * time.Second
-	// recentTTL is the same for what answers of all have taught, and for own answers once none is newer.
+	// recentTTL is the time constant for sums over the answers of all endpoints, and for the weight of an endpoint's own
+	// answers once no new ones arrive.
 	recentTTL = time.Second
-	// unseenLoad is how many requests of other sidecars each endpoint is taken to hold.
+	// unseenLoad is the number of requests from other sidecars that each endpoint is assumed to be working on.
 	unseenLoad = 1.0
-	// priorLoad is the load by which an endpoint's own record outweighs that of its peers.
+	// priorLoad is the load at which an endpoint's own answers weigh as much as the estimate of its group.
 	priorLoad = 2.0
-	// classLatencyStep is the weight of an answer in the mean times of classes.
+	// classLatencyStep is the weight of one answer in the mean answer times of classes.
 	classLatencyStep = 0.05
-	// idleMinLoad is the load of a mean that is true to a third.
+	// idleMinLoad is the load at which a mean is accurate to a third.
 	idleMinLoad = 17
-	// idleMemories is the number of memoryTTL in which the latency of an idle fleet is forgotten to 1/e.
+	// idleMemories is the time constant of the idle fleet's latency, in units of memoryTTL.
 	idleMemories = 10
-	// degradedThreshold is the share of the shortest target that the group of a degraded endpoint counts for. It
-	// weighs what an endpoint's group would, and is alone no reason to refuse.
+	// degradedThreshold is the group latency assumed for a degraded endpoint, as a share of the shortest target. It has
+	// the weight of the group's estimate and on its own is no reason to refuse requests.
 	degradedThreshold = 0.6 * spillThreshold
-	// minLoad keeps a mean over no load finite.
+	// minLoad keeps a mean over zero load finite.
 	minLoad = 1e-9
 )
 
-// latencySums are decaying sums over answers. Their quotient is the latency estimate: seconds for each unit
-// of load.
+// latencySums holds decaying sums over answers. Their quotient is the latency estimate in seconds per unit of load.
 type latencySums struct {
-	latencySum float64 // of answer times, in seconds
-	loadSum    float64 // of the requests that were held when the attempts were sent
+	latencySum float64 // sum of answer times in seconds
+	loadSum    float64 // sum of the endpoint's loads when the attempts were sent
 }
 
-// add takes in an answer.
+// add adds an answer.
 func (s *latencySums) add(seconds, load float64) {
 	s.latencySum += seconds
 	s.loadSum += load
@@ -47,21 +47,20 @@
 	s.loadSum *= factor
 }
 
-// secondsPerLoad is the time that an endpoint takes for each request that it holds; in a group's sums for
-// each request that is held for a unit of size.
+// secondsPerLoad returns the answer time per unit of load. In the sums of a group, load is per unit of size.
 func (s *latencySums) secondsPerLoad() float64 { return s.latencySum / math.Max(s.loadSum, minLoad) }
 
-// latencyEstimates are the estimates that no endpoint or group has alone.
+// latencyEstimates holds the estimates that are not specific to an endpoint or group.
 type latencyEstimates struct {
-	shortestTarget float64       // of all classes, in seconds
-	meanSeconds    []float64     // of answers, by class
-	classLatency   []latencySums // by class: its answers' seconds and number, decaying with each answer of any
-	warmingUp      latencySums   // of endpoints that warm up
-	idleSeconds    float64       // of the fleet for each unit of load while it is idle: the least of late
+	shortestTarget float64       // shortest latency target of all classes, in seconds
+	meanSeconds    []float64     // mean answer time by class
+	classLatency   []latencySums // by class: seconds and count of answers, decaying with each answer of any class
+	warmingUp      latencySums   // over endpoints that are warming up
+	idleSeconds    float64       // latency of the idle fleet per unit of load: the recent minimum
 	lastResultAt   Time          // when an attempt last ended
 }
 
-// newLatencyEstimates has each class start from its latency target.
+// newLatencyEstimates initializes the mean answer time of each class with its latency target.
 func newLatencyEstimates(classes []Class) latencyEstimates {
 	var l latencyEstimates
 	for _, class := range classes {
@@ -76,12 +75,12 @@
 	return l
 }
 
-// expectedLatency is the answer time in seconds that a request sent now can expect, from what the endpoint's
-// answers took for each request it held. A little-used endpoint goes by its group, as kinds and zones are not
-// equally loaded, and a little-used group by the fleet.
+// expectedLatency returns the expected answer time, in seconds, of a request sent now. It is based on the endpoint's
+// answer times per unit of load. For an endpoint with few answers it falls back to the endpoint's group, since kinds
+// and zones are not equally loaded, and for a group with few answers to the fleet.
 //
-// A sidecar that takes the fleet for too slow would send nothing and never learn better; so the estimate
-// decays while no answer comes, as fast as what all have taught.
+// A sidecar that considers the whole fleet too slow would send nothing and never learn otherwise. So the estimate of
+// an endpoint without attempts in flight falls to zero within recentTTL while no result arrives.
 func (b *Balancer) expectedLatency(e *endpoint, now Time) float64 {
 	prior := priorLoad * b.groupSecondsPerLoad(e) / e.capacity()
 	perRequest := (e.latencySum*e.freshness + e.owedSeconds(now) + prior) /
@@ -92,8 +91,9 @@
 	return (float64(e.pendingAnswers()+1) + unseenLoad) * perRequest
 }
 
-// groupSecondsPerLoad is what an endpoint's peers take for each unit of load and size. An endpoint that warms
-// up has no part in the queues of warm ones, which are longest just then; its peers are those that warm up.
+// groupSecondsPerLoad returns the answer time of an endpoint's peers per unit of load and size. An endpoint that is
+// warming up does not share the queues of warm endpoints, which are longest just then, so its peers are the other
+// endpoints that are warming up.
 func (b *Balancer) groupSecondsPerLoad(e *endpoint) float64 {
 	home := e.homeGroup
 	seconds := (home.latencySum + home.owedSeconds + priorLoad*b.fleet.secondsPerLoad()) /
@@ -107,7 +107,7 @@
 	return seconds
 }
 
-// observeLatency takes in the end of an attempt that says how long its endpoint takes.
+// observeLatency updates the latency estimates of the endpoint, its group and the fleet with the result of an attempt.
 func (b *Balancer) observeLatency(a *attempt, r Result) {
 	answering := a.endpoint
 	seconds := r.Latency.Seconds()
@@ -115,7 +115,7 @@
 		answering.add(seconds, a.load)
 		answering.freshness = 1
 	}
-	if r.Outcome != Served { // what a silent endpoint never answers would make its sound peers seem slow
+	if r.Outcome != Served { // the time-outs of an unresponsive endpoint would make its healthy peers seem slow
 		return
 	}
 	loadPerSize := a.load / answering.capacity()
@@ -127,9 +127,9 @@
 	b.fleet.add(seconds, loadPerSize)
 }
 
-// observeClassLatency takes in how many seconds an answer of a class took. A class without answers of its own
-// tends to the mean of all classes: what an overload taught of a class that is then refused would have it
-// refused for good.
+// observeClassLatency adds the answer time of a request to the mean of its class. A class without recent answers tends
+// towards the mean of all classes. Otherwise a class that seemed slow during an overload and was refused for it would
+// be refused forever.
 func (b *Balancer) observeClassLatency(class int, seconds float64) {
 	b.classLatency[class].add(seconds/(1-classLatencyStep), 1/(1-classLatencyStep))
 	var all latencySums
@@ -142,11 +142,10 @@
 	}
 }
 
-// decay has what was learned count less by the time that has passed, and recounts warmth and the share that
-// is ejected.
+// decay reduces the weight of past observations by the elapsed time, and updates warmth, the capacity in use and panic.
 //
-// What an overload has taught must not outlast it: endpoints that seem full get nothing and cannot show
-// better. So one goes by its own answers while they are recent, and then by those of the others.
+// Estimates from an overload must not outlast it: endpoints that seem full get no requests and cannot prove otherwise.
+// So the estimate of an endpoint is based on its own answers while they are recent, and later on those of its peers.
 func (b *Balancer) decay(now Time, elapsed time.Duration) {
 	memory, recent := remaining(elapsed, memoryTTL), remaining(elapsed, recentTTL)
 	b.arrivals *= memory
@@ -167,13 +166,13 @@
 	b.updatePanic(now)
 }
 
-// remaining is what is left after some time of what decays to 1/e in another.
+// remaining returns the share that is left after the elapsed time of a value that decays to 1/e within ttl.
 func remaining(elapsed, ttl time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / ttl.Seconds())
 }
 
-// observeIdleLatency follows the fleet's latency down at once, and up slowly. If full went by the present
-// latency, queues everywhere would raise the threshold, and no endpoint would be full.
+// observeIdleLatency follows decreases of the fleet's latency immediately and increases slowly. If the current latency
+// determined when an endpoint is full, queues everywhere would raise that threshold and no endpoint would count as full.
 func (b *Balancer) observeIdleLatency(memory float64) {
 	if b.fleet.loadSum < idleMinLoad {
 		return
--- a/balance/members.go
+++ b/balance/members.go
@@ -2,29 +2,29 @@
 
 import "gradeusher.example/gradeusher/balance/turns"
 
-// Peer is what is known of a member of the fleet.
+// Peer describes a member of the fleet.
 type Peer struct {
-	Zone         string // "": not known
-	TrafficLevel int    // see Balancer.TrafficLevel; 0: not known
+	Zone         string // "": unknown
+	TrafficLevel int    // see Balancer.TrafficLevel; 0: unknown
 }
 
-// position is a place among some sidecars, from 0. The count is 0 where it is not known.
+// position is a position among some sidecars, starting at 0. The count is 0 if the position is unknown.
 type position struct{ index, count int }
 
-// membership is what a host that knows the other sidecars says of them. A Balancer works without any of it.
+// membership holds what a host that knows the other sidecars reports about them. A Balancer works without it.
 type membership struct {
 	amongAll       position
-	amongAlike     position // those of its zone and traffic level
+	amongAlike     position // among sidecars of the same zone and traffic level
 	trafficLevel   int
 	levelCheckedAt Time
 }
 
-// SetMembers takes over all members, in an order that they share, as that of a hash of their names, and which of them this
-// sidecar is. One that is not among them knows nobody. It is to be called when any of this changes: a member, a traffic level,
-// or this sidecar's own.
+// SetMembers sets the list of all members and the index of this sidecar in it. All members must use the same order, such as
+// by a hash of their names. If self is not an index of the list, the sidecar works without members. SetMembers must be called
+// whenever a member or a traffic level changes, including this sidecar's own.
 //
-// The sidecar's place in subsets is that among those alike, of its zone and traffic level. Who is not known to be unlike counts
-// as alike, so that without any levels places go by number.
+// For subsets, the sidecar's position is counted among the members of its zone and traffic level. Members whose zone or level
+// is unknown count as alike, so without any known levels the position is the one among all members.
 func (b *Balancer) SetMembers(now Time, self int, peers []Peer) {
 	var all, alike position
 	if self >= 0 && self < len(peers) {
@@ -39,7 +39,8 @@
 	}
 }
 
-// positionAmongAlike is not known while this sidecar's own traffic level is not.
+// positionAmongAlike returns the sidecar's position among the members of its zone and traffic level. It is unknown until
+// the sidecar's own traffic level is known.
 func (b *Balancer) positionAmongAlike(self int, peers []Peer) (alike position) {
 	if b.trafficLevel == 0 {
 		return position{}
@@ -62,12 +63,13 @@
 	return sameZone && sameLevel
 }
 
-// TrafficLevel stands for how much traffic this sidecar has for the servers of its zone: 1 for much, one more for each halving,
-// up to 11; 0 until that is known, some 12 s after the first list. Sidecars of one level use as many servers. It changes seldom,
-// and not by noise.
+// TrafficLevel returns the sidecar's level of traffic relative to the servers of its zone: 1 for the highest traffic, and one
+// more for each halving, up to 11. It is 0 until the traffic is known, about 12 s after the first list. Sidecars of the same
+// level use the same number of servers. The level changes rarely and does not follow noise.
 func (b *Balancer) TrafficLevel() int { return b.trafficLevel }
 
-// turnPosition is this sidecar's position for turns: among the members, or else among its peers by the settings.
+// turnPosition returns this sidecar's position for turns: among the members if known, otherwise among the peers according
+// to the settings.
 func (b *Balancer) turnPosition() turns.Position {
 	if b.amongAll.count > 0 {
 		return turns.Position{Index: b.amongAll.index, Count: b.amongAll.count}
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// ejectionThreshold is the count of failures that ejects: two without some successes between them.
+	// ejectionThreshold is the failure count at which an endpoint is ejected: two failures with few successes between.
 	ejectionThreshold = 1.6
-	// failureDecay is what a success leaves of the count of failures.
+	// failureDecay is the factor by which a success reduces the failure count.
 	failureDecay = 0.85
-	// failuresAfterEjection has the next failure after an endpoint's return eject it again.
+	// failuresAfterEjection is the failure count after an ejection. It makes the first failure after the endpoint's
+	// return eject it again.
 	failuresAfterEjection = 1
 	// ejectionTime is how long an ejection lasts.
 	ejectionTime = 5 * time.Second
-	// panicThreshold is the share of the size in use above which ejections are suspended.
+	// panicThreshold is the ejected share of the size in use above which ejections are suspended.
 	panicThreshold = 0.5
 )
 
-// failureKinds is what an outcome that may eject an endpoint says of how it fails.
+// failureKinds maps each outcome that may eject an endpoint to the kind of failure it indicates.
 var failureKinds = map[Outcome]signals.Kind{
 	TimedOut:      signals.Unresponsive,
 	Errored:       signals.Failing,
@@ -28,23 +29,23 @@
 	Reset:         signals.Failing,
 }
 
-// outlierState is what an endpoint's results say of whether it works.
+// outlierState is the outlier detection state of an endpoint.
 type outlierState struct {
-	failures     float64      // count, decaying with successes
-	ejectedUntil Time         // by this sidecar's results or the verdicts of others
+	failures     float64      // failure count, decaying with successes
+	ejectedUntil Time         // due to this sidecar's results or the verdicts of others
 	lastServed   Time         // when it last answered a request of this sidecar; 0: never
-	failureKind  signals.Kind // how it failed when this sidecar last ejected it, until it serves again
-	failedAt     Time         // when it last failed so or rejected a request
-	rejections   int          // requests that it rejected since it last served this sidecar
+	failureKind  signals.Kind // how it failed when this sidecar last ejected it; None once it serves again
+	failedAt     Time         // when it last failed in this way or rejected a request
+	rejections   int          // requests that it has rejected since it last served this sidecar
 }
 
-// observeResult takes in how an attempt ended.
+// observeResult updates latency estimates and outlier detection with the result of an attempt.
 func (b *Balancer) observeResult(ended *attempt, r Result, now Time) {
 	b.lastResultAt = now
 	b.observeLatency(ended, r)
 	e := ended.endpoint
 	switch r.Outcome {
-	case Saturated: // its queue is full: as bad as an answer at the latency target
+	case Saturated: // its queue is full, which counts like an answer at the latency target
 		e.latencySum += b.shortestTarget
 		e.freshness = 1
 		e.rejections++
@@ -59,8 +60,8 @@
 	}
 }
 
-// observeFailure counts a failure, and ejects the endpoint after too many: one that fails fast looks idle and
-// would draw all requests. A failure counts less the more answers have overtaken it.
+// observeFailure counts a failure and ejects the endpoint after too many of them. An endpoint that fails fast looks idle
+// and would otherwise attract all requests. A failure counts less the more later answers have overtaken it.
 func (b *Balancer) observeFailure(ended *attempt, outcome Outcome, now Time) {
 	failing := ended.endpoint
 	if outcome == TimedOut && ended.sentAt > failing.lastServed {
@@ -79,7 +80,8 @@
 	b.regroup(now)
 }
 
-// updatePanic suspends ejections where most endpoints seem bad: then the fault is likely this sidecar's own.
+// updatePanic suspends ejections while most of the capacity in use is ejected, because then the fault is probably on
+// this sidecar's side.
 func (b *Balancer) updatePanic(now Time) {
 	var ejected, all float64
 	for _, e := range b.inUse {
--- a/balance/peersignals.go
+++ b/balance/peersignals.go
@@ -10,50 +10,52 @@
 )
 
 const (
-	// defaultReportTTL is Settings.ReportTTL where none is set.
+	// defaultReportTTL is used if Settings.ReportTTL is not set.
 	defaultReportTTL = 2 * time.Second
-	// returnSpread is the time in which sidecars return, in turn, to an endpoint that is no longer condemned.
+	// returnSpread is the time over which the sidecars return, one after the other, to an endpoint that is no longer
+	// condemned.
 	returnSpread = time.Second
-	// probeInterval is how often each user of a condemned endpoint probes it in its turn: one in 20 within 8 s.
+	// probeInterval is how often each user of a condemned endpoint has a turn to probe it: one user in 20 does so
+	// within 8 s.
 	probeInterval = 160 * time.Second
-	// minProbeInterval and maxProbeInterval bound that for all users together. Without the upper bound nobody
-	// would know that the endpoint works again.
+	// minProbeInterval and maxProbeInterval bound the interval between the probes of all users together. Without the
+	// upper bound no sidecar might notice that the endpoint works again.
 	minProbeInterval = time.Second / 2
 	maxProbeInterval = 8 * time.Second
-	// probeTurnTTL is how long a turn to probe waits for a request.
+	// probeTurnTTL is how long a turn to probe stays valid while waiting for a suitable request.
 	probeTurnTTL = 2 * time.Second
-	// ownAnswerTTL is how long an own answer outweighs the verdicts of others.
+	// ownAnswerTTL is how long an answer to this sidecar overrides the verdicts of others.
 	ownAnswerTTL = time.Second
-	// verdictTTL is how long a verdict ejects: until the next tick but one.
+	// verdictTTL is how long a verdict ejects an endpoint unless renewed: two ticks.
 	verdictTTL = 2 * tickInterval
-	// overdueMultiple is how many times its class's mean time an answer must be due to be reported, as one of
-	// three.
+	// overdueMultiple is the multiple of its class's mean time after which an unanswered attempt is reported.
+	// A report alone ejects nothing, since a verdict needs three witnesses.
 	overdueMultiple = 4.0
-	// slowMultiple is how many times the latency of its group a slow endpoint takes.
+	// slowMultiple is the multiple of its group's latency above which an endpoint is slow.
 	slowMultiple = 4.0
-	// slowCount is how many failures slowness counts for in a report.
+	// slowCount is the number of failures that slowness counts as in a report.
 	slowCount = 2
 )
 
-// probeState is what the verdicts of members have made of an endpoint.
+// probeState is the state of an endpoint that results from the verdicts of the members.
 type probeState struct {
-	reportedDegraded bool // overloaded or slow, by their verdict
-	condemnedSince   Time // since when their verdict ejects it; 0: it does not
-	probeUntil       Time // until then it is this sidecar's turn to probe it
-	probedAt         Time // when this sidecar last did
-	reported         bool // by this sidecar, in the last LocalReport
+	reportedDegraded bool // overloaded or slow according to the verdict
+	condemnedSince   Time // since when the verdict ejects it; 0: it does not
+	probeUntil       Time // until when it is this sidecar's turn to probe it
+	probedAt         Time // when this sidecar last probed it
+	reported         bool // this sidecar's last LocalReport named it
 }
 
-// ReceiveReport takes in what a member stated of servers, if that is newer than what it stated before. The
-// start of a server's process is Endpoint.Started, as this sidecar has it.
+// ReceiveReport stores a member's statement about servers if it is newer than the member's previous one. Server
+// processes are identified by their Endpoint.Started as known to this sidecar.
 func (b *Balancer) ReceiveReport(now Time, statement signals.Statement) {
 	b.reports.Receive(statement, now)
 }
 
-// RemoveMember notes that a sidecar is no member any more: what it stated counts no longer.
+// RemoveMember handles that a sidecar is no longer a member, and discards its statement.
 func (b *Balancer) RemoveMember(origin string) { b.reports.Remove(origin) }
 
-// LocalReport is what this sidecar states of servers, by what it saw itself.
+// LocalReport returns this sidecar's report about servers, based only on its own observations.
 func (b *Balancer) LocalReport(now Time) signals.Report {
 	report := signals.Report{Zone: b.settings.Zone, TrafficLevel: b.trafficLevel}
 	for _, used := range b.endpoints {
@@ -62,8 +64,9 @@
 		}
 		countUse(&report, used.Zone)
 		seen := b.localVerdict(used, now)
-		// Where hundreds see the same, their reports would fill all that members can carry. Those that have
-		// reported go on: if all stopped that hear others, nobody would be left.
+		// If hundreds of sidecars reported the same failure, their reports would exceed the capacity of gossip. So once
+		// a verdict has enough witnesses, no new ones join. Those that have already reported continue, because if every
+		// witness that hears of others stopped, none would be left.
 		used.reported = seen.kind > signals.None &&
 			(used.reported || !b.reports.WellWitnessed(used.process(), seen.kind))
 		if used.reported {
@@ -79,7 +82,7 @@
 	return signals.LocalReport(report)
 }
 
-// countUse counts a server of a zone.
+// countUse adds one server of a zone to the report's uses.
 func countUse(report *signals.Report, zone string) {
 	at := slices.IndexFunc(report.Uses, func(u signals.ZoneUse) bool { return u.Zone == zone })
 	if at < 0 {
@@ -89,15 +92,15 @@
 	report.Uses[at].Servers++
 }
 
-// observation is how an endpoint fails, how often, and when it last did; or that it served this sidecar.
+// observation describes how an endpoint fails, how often and when it last failed, or that it served this sidecar.
 type observation struct {
 	kind  signals.Kind
 	count int
 	at    Time
 }
 
-// localVerdict is how an endpoint fails by what this sidecar saw itself, or that it served it where others
-// state that it fails.
+// localVerdict returns how an endpoint fails according to this sidecar's own observations, or that it served this
+// sidecar although others report it as failing.
 func (b *Balancer) localVerdict(e *endpoint, now Time) observation {
 	overdue := b.overdueAnswers(e, now)
 	switch {
@@ -115,14 +118,14 @@
 	return observation{}
 }
 
-// servesThoughCondemned tells whether an endpoint that others condemn has lately served this sidecar.
+// servesThoughCondemned reports whether an endpoint that others condemn has recently served this sidecar.
 func (b *Balancer) servesThoughCondemned(e *endpoint, now Time) bool {
 	return b.reports.Witnesses(e.process()).Condemning > 0 &&
 		e.lastServed > e.condemnedSince && now-e.lastServed <= b.reports.TTL
 }
 
-// overdueAnswers counts the attempts that have been in flight for longer than most answers take, while
-// nothing else came. A heavy request is as silent as a dead server.
+// overdueAnswers counts the attempts that have been in flight much longer than most answers take, without any later
+// answer from the endpoint. Until it is answered, a heavy request looks the same as one sent to a dead server.
 func (b *Balancer) overdueAnswers(e *endpoint, now Time) (count int) {
 	for _, f := range e.flights {
 		q := b.requests[f.requestID]
@@ -136,15 +139,15 @@
 	return count
 }
 
-// isSlow tells whether an endpoint's own answers took far longer than those of its group.
+// isSlow reports whether an endpoint's own answers took much longer than those of its group.
 func (e *endpoint) isSlow() bool {
 	return e.loadSum*e.freshness >= priorLoad &&
 		e.latencySum*e.capacity() > slowMultiple*e.loadSum*e.homeGroup.secondsPerLoad()
 }
 
-// applyVerdicts ejects the endpoints that the members call unresponsive or failing, as long as they do, but
-// for those that have served this sidecar in the last second. Panic counts it as any ejection. That an
-// endpoint is overloaded or slow counts for a sidecar that knows little of it.
+// applyVerdicts ejects endpoints for as long as the members' verdict is that they are unresponsive or failing, except
+// those that have served this sidecar within ownAnswerTTL. These ejections count for panic like any other. A verdict of
+// overloaded or slow only affects the estimates of sidecars that have few own answers from the endpoint.
 func (b *Balancer) applyVerdicts(now Time) {
 	verdicts, position := b.reports.Evaluate(now), b.turnPosition()
 	for _, e := range b.endpoints {
@@ -161,7 +164,8 @@
 	}
 }
 
-// endCondemnation has sidecars return to an endpoint in turn; one that it serves does at once.
+// endCondemnation ends the ejection of an endpoint. The sidecars return to it one after the other, except that a sidecar
+// it already serves returns immediately.
 func (b *Balancer) endCondemnation(e *endpoint, servesThis bool, position turns.Position, now Time) {
 	if e.condemnedSince > 0 && !servesThis {
 		e.ejectedUntil = max(e.ejectedUntil, now+position.ReturnDelay(e.orderHash(), returnSpread))
@@ -169,21 +173,21 @@
 	e.condemnedSince = 0
 }
 
-// scheduleProbe has this sidecar probe a condemned endpoint if it is its turn. Each user has a turn in
-// probeInterval, and sooner once one was served.
+// scheduleProbe schedules a probe of a condemned endpoint if it is this sidecar's turn. Each user has a turn every
+// probeInterval, or more often once the endpoint has served one of them.
 func (b *Balancer) scheduleProbe(e *endpoint, position turns.Position, now Time) {
 	interval := probeInterval / time.Duration(max(position.Count, 1))
 	interval = min(max(interval, minProbeInterval), maxProbeInterval)
 	if b.reports.Witnesses(e.process()).Served > 0 {
-		interval = min(interval, minProbeInterval) // one has had an answer: another makes it sure
+		interval = min(interval, minProbeInterval) // one sidecar was served; a second one confirms it
 	}
 	if position.IsOwner(e.orderHash(), now, interval) && now-e.probedAt >= interval && e.pendingAnswers() == 0 {
 		e.probeUntil = now + probeTurnTTL
 	}
 }
 
-// probeCandidate is a condemned endpoint that this sidecar is to probe in its turn, by a request that may be
-// sent again; or nil.
+// probeCandidate returns a condemned endpoint that it is this sidecar's turn to probe with the given request, or nil.
+// Only the first attempt of an idempotent request is used as a probe, because it can be retried.
 func (b *Balancer) probeCandidate(q *request, now Time) *endpoint {
 	if q.class.Effect != Idempotent || len(q.attempts) > 0 {
 		return nil
--- a/balance/request.go
+++ b/balance/request.go
@@ -6,40 +6,41 @@
 )
 
 const (
-	// likelyShare is the share of the time left within which an expected latency mostly comes in time.
+	// likelyShare is the share of the remaining time within which the expected latency must lie for an answer to be
+	// likely to arrive in time.
 	likelyShare = 0.5
-	// dedupeMargin is how long before the end of a class's window its duplicates are no longer sent: they have
-	// to arrive.
+	// dedupeMargin is how long before the end of a class's dedupe window duplicates are no longer sent, to leave them
+	// time to arrive.
 	dedupeMargin = time.Second / 2
-	// minLatencySeconds is the least that an answer counts for in the mean time of its class.
+	// minLatencySeconds is the minimum latency that an answer adds to the mean time of its class.
 	minLatencySeconds = 1e-6
 )
 
-// request is a client's request that is not finished, or has attempts in flight.
+// request is a client's request that is not finished or still has attempts in flight.
 type request struct {
 	Request
 	class           *Class
 	deadline        Time          // when the client gives up; see clientDeadline
 	overAllowance   bool          // it exceeds its tenant's allowance
-	finished        bool          // it has its final answer
-	bodyConsumed    bool          // part of its body has been forwarded and not kept: it cannot be sent again
-	latency         time.Duration // of its answer; 0: it has none
-	pendingAttempts int           // attempts without a result
+	finished        bool          // it has got its final answer
+	bodyConsumed    bool          // part of its body was forwarded without being buffered, so it cannot be retried
+	latency         time.Duration // latency of its answer; 0 if it has none
+	pendingAttempts int           // number of attempts without a result
 	attempts        []attempt
 }
 
-// attempt is one sending of a request.
+// attempt is one send of a request to an endpoint.
 type attempt struct {
 	endpoint        *endpoint
 	sentAt          Time
-	load            float64 // of the endpoint when it was sent, this attempt included
+	load            float64 // load of the endpoint when it was sent, including this attempt
 	flight          *flight
 	done            bool
-	mayHaveExecuted bool // done, and may have run
+	mayHaveExecuted bool // it is done and may have run
 }
 
-// clientDeadline is when the client gives up, as far as that is known: the time of a request whose body is
-// still arriving has not begun to run.
+// clientDeadline returns when the client gives up, as far as known. While the body of a request is still arriving, its
+// time has not started to run.
 func (q *request) clientDeadline(now Time) Time {
 	if q.BodyIncomplete {
 		return now + q.TimeLeft
@@ -47,7 +48,7 @@
 	return q.deadline
 }
 
-// Request handles a client's request. One with an id that is in use, or an unknown class, is ignored.
+// Request handles a client's request. A request whose id is in use or whose class is unknown is ignored.
 func (b *Balancer) Request(now Time, r Request) {
 	_, inUse := b.requests[r.ID]
 	if inUse || r.Class < 0 || r.Class >= len(b.settings.Classes) {
@@ -65,7 +66,7 @@
 	}
 }
 
-// sendOrFinish sends the request's next attempt, or gives its final answer if none may or should be sent.
+// sendOrFinish sends the request's next attempt, or gives the final answer if no attempt may or should be sent.
 func (b *Balancer) sendOrFinish(req *request, now Time) {
 	var excessSeconds float64
 	if b.mayRetry(req, now) {
@@ -86,26 +87,26 @@
 	b.finish(req)
 }
 
-// mayRetry tells whether the request has an attempt, its body and time left.
+// mayRetry reports whether the request has attempts and time left and its body is still available.
 func (b *Balancer) mayRetry(q *request, now Time) bool {
 	return len(q.attempts) < b.settings.MaxAttempts && !q.bodyConsumed && now < q.clientDeadline(now)
 }
 
-// sendAttempt sends the request to an endpoint, and credits those that warm up with their part of a turn.
+// sendAttempt sends the request to an endpoint, and credits the endpoints in use with their fraction of a turn.
 func (b *Balancer) sendAttempt(q *request, to *endpoint, now Time) {
 	load := float64(to.pendingAnswers()+1) + unseenLoad
 	q.pendingAttempts++
 	q.attempts = append(q.attempts, attempt{endpoint: to, sentAt: now, load: load, flight: to.addFlight(q, now)})
 	b.creditBySend(to)
 	var timeout time.Duration
-	if to.condemnedSince > 0 { // a probe: if it fails, time is left for another attempt
+	if to.condemnedSince > 0 { // a probe must leave time for another attempt in case it fails
 		timeout = time.Duration(likelyShare * float64(q.clientDeadline(now)-now))
 	}
 	b.actions.Send(q.ID, to.ID, timeout)
 }
 
-// maySendTo tells whether the request may be sent to e: to no endpoint twice, and only as its class allows
-// after attempts that may have run.
+// maySendTo reports whether the request may be sent to e. It must not be sent to an endpoint twice, and after an attempt
+// that may have run it is sent again only as its class allows.
 func (b *Balancer) maySendTo(q *request, e *endpoint, now Time) bool {
 	for i := range q.attempts {
 		a := &q.attempts[i]
@@ -120,7 +121,7 @@
 	return true
 }
 
-// dropsDuplicate tells whether e drops the request as a duplicate of an earlier attempt.
+// dropsDuplicate reports whether e drops the request as a duplicate of an earlier attempt.
 func (c *Class) dropsDuplicate(earlier *attempt, e *endpoint, now Time) bool {
 	switch {
 	case c.Effect == AtMostOnce:
@@ -135,7 +136,7 @@
 	return true
 }
 
-// mayRefuse tells whether a refusal is safe, which invites a retry by any sidecar.
+// mayRefuse reports whether the request can safely be refused. A refusal invites a retry through any sidecar.
 func (b *Balancer) mayRefuse(q *request) bool {
 	if q.class.Effect == Idempotent || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
 		return true
@@ -143,7 +144,7 @@
 	return !slices.ContainsFunc(q.attempts, func(a attempt) bool { return !a.done || a.mayHaveExecuted })
 }
 
-// Result handles the end of an attempt. One that is unknown, or has ended before, is ignored.
+// Result handles the end of an attempt. An attempt that is unknown or has already ended is ignored.
 func (b *Balancer) Result(now Time, r Result) {
 	req, ended := b.pendingAttempt(r.ID, r.Attempt)
 	if ended == nil {
@@ -167,7 +168,7 @@
 	}
 }
 
-// pendingAttempt returns an attempt that has no result yet with its request, or nil.
+// pendingAttempt returns an attempt that has no result yet, and its request. It returns nil if there is none.
 func (b *Balancer) pendingAttempt(id RequestID, index int) (*request, *attempt) {
 	q := b.requests[id]
 	if q == nil || index < 0 || index >= len(q.attempts) || q.attempts[index].done {
@@ -176,7 +177,7 @@
 	return q, &q.attempts[index]
 }
 
-// finish marks a request as finished, cancels its attempts in flight, and forgets it once it has none.
+// finish marks a request as finished and cancels its attempts in flight. It deletes the request once it has none.
 func (b *Balancer) finish(q *request) {
 	if !q.finished {
 		b.cancelAttempts(q)
@@ -201,7 +202,7 @@
 	}
 }
 
-// ClientDisconnected handles that the client has gone: it is owed no answer any more.
+// ClientDisconnected handles that the client has disconnected and needs no answer anymore.
 func (b *Balancer) ClientDisconnected(_ Time, id RequestID) {
 	if q := b.requests[id]; q != nil && !q.finished {
 		b.finish(q)
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -11,18 +11,18 @@
 // group is one destination of the best rule, or all endpoints.
 type group struct {
 	destination   Destination
-	ready         []*endpoint // by id, or by orderHash where the members are known
-	members       []*endpoint // the sidecar's subset of them, in order of rotation
-	readyCapacity [2]float64  // size of the ready ones for their warmth, by zoneIndex
-	maxReadySize  float64     // the largest size that was ever ready
-	latencySums               // of answers of endpoints at home in it, the load for a unit of size
-	owedSeconds   float64     // for which answers of those have been due, at the last tick
-	nextIndex     int         // of the member whose turn is next, modulo their number
-	credit        float64     // of the smooth weighted schedule
+	ready         []*endpoint // sorted by id, or by orderHash if the members are known
+	members       []*endpoint // the sidecar's subset of the ready endpoints, in rotation order
+	readyCapacity [2]float64  // total size of the ready endpoints scaled by their warmth, by zoneIndex
+	maxReadySize  float64     // the largest total size that was ever ready
+	latencySums               // over endpoints whose home group this is, with load per unit of size
+	owedSeconds   float64     // sum of owedSeconds of those endpoints at the last tick
+	nextIndex     int         // index of the member whose turn is next, modulo the number of members
+	credit        float64     // for the smooth weighted round robin
 }
 
-// weight is the configured weight for what the group's ready members can do. A group that got smaller, or
-// warms up, and kept its full weight would overload its last members.
+// weight returns the configured weight scaled by the capacity of the group's ready endpoints. If a group that has shrunk
+// or is warming up kept its full weight, its remaining members would be overloaded.
 func (g *group) weight(zoneWeight [2]float64) float64 {
 	capacity := g.readyCapacity[ownZone]*zoneWeight[ownZone] + g.readyCapacity[otherZones]*zoneWeight[otherZones]
 	if g.destination.PerSize {
@@ -31,14 +31,13 @@
 	return g.destination.Weight * capacity / math.Max(g.maxReadySize, minGroupSize)
 }
 
-// hasEligible tells whether a member may be chosen for the request that is being placed.
+// hasEligible reports whether any member may be chosen for the request that is being placed.
 func (g *group) hasEligible() bool {
 	return slices.ContainsFunc(g.members, func(e *endpoint) bool { return e.eligible })
 }
 
-// nextEndpoint takes the next turn of the smooth weighted round robin (as in nginx) among the groups with an
-// eligible member, and in that group the next turn of the rotation. It returns nil if no member of any group
-// is eligible.
+// nextEndpoint picks a group by smooth weighted round robin (as in nginx) among the groups with an eligible member, and
+// then the next endpoint in that group's rotation. It returns nil if no member of any group is eligible.
 func (b *Balancer) nextEndpoint() *endpoint {
 	var next *group
 	var total float64
@@ -60,8 +59,8 @@
 	return next.nextEndpoint()
 }
 
-// nextEndpoint gives the turn to the first eligible member from the next one on, or to the eligible one after
-// it if that has less of this sidecar's requests in flight.
+// nextEndpoint picks the first eligible member in rotation order, or the next eligible one after it if that has fewer of
+// this sidecar's requests in flight.
 func (g *group) nextEndpoint() (next *endpoint) {
 	count, offset := len(g.members), 0
 	for i, seen := 0, 0; i < count && seen < 2; i++ {
--- a/balance/rules.go
+++ b/balance/rules.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// pendingRulesTTL is how long a route table without a ready endpoint waits for one before it is applied all
-	// the same.
+	// pendingRulesTTL is how long a route table waits for a ready endpoint before it is applied regardless.
 	pendingRulesTTL = 30 * time.Second
 	// maxFirstIndex bounds the index at which a group's rotation starts.
 	maxFirstIndex = 1 << 16
 )
 
-// ErrNoReadyEndpoint says that a route table waits until its best rule has a ready endpoint.
+// ErrNoReadyEndpoint is returned for a route table that stays pending until its best rule has a ready endpoint.
 var ErrNoReadyEndpoint = errors.New("its best rule has no ready endpoint, and the one that holds has")
 
-// SetRules takes over another complete route table; an empty one stands for the rules of the settings. Groups
-// of the same tags keep their turns, credit, size and subset; new weights count from the next turn on.
+// SetRules replaces the complete route table; an empty table stands for the rules of the settings. Groups with the
+// same tags keep their rotation, credit, size and subset. New weights apply from the next turn on.
 //
-// An error says why the table is not applied: it is invalid, or it is ErrNoReadyEndpoint, as its best rule
-// for this client has no ready endpoint while the rule in force has some. Then the last table that came waits
-// until it has one, or pendingRulesTTL is over; see RulesPending.
+// SetRules returns an error if it did not apply the table: either the table is invalid, or the error is
+// ErrNoReadyEndpoint because the table's best rule for this client has no ready endpoint while the rule in force has
+// some. In the latter case the most recent table stays pending until it has a ready endpoint or pendingRulesTTL has
+// passed; see RulesPending.
 func (b *Balancer) SetRules(now Time, rules []Rule) error {
 	if err := routes.Table(rules).Check(); err != nil {
 		return err
@@ -33,17 +33,17 @@
 	if len(rules) == 0 {
 		rules = b.settings.Rules
 	}
-	if b.pendingRules == nil { // else tables that come often would each begin the wait anew
+	if b.pendingRules == nil { // otherwise frequent updates would keep restarting the wait
 		b.pendingSince = now
 	}
 	b.pendingRules = rules
 	return b.applyPendingRules(now)
 }
 
-// RulesPending tells whether a route table waits for a ready endpoint.
+// RulesPending reports whether a route table is waiting for a ready endpoint.
 func (b *Balancer) RulesPending() bool { return b.pendingRules != nil }
 
-// applyPendingRules applies the table that waits, or returns ErrNoReadyEndpoint.
+// applyPendingRules applies the pending table, or returns ErrNoReadyEndpoint if it has to keep waiting.
 func (b *Balancer) applyPendingRules(now Time) error {
 	destinations := b.destinationsOf(b.pendingRules)
 	expired := now >= b.pendingSince+pendingRulesTTL
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// boundCredit bounds the groups' credit by what a round brings: credit of weights that were much larger would
-// rule for as long.
+// boundCredit caps the groups' credit at what they earn in one round. Credit earned under much larger weights would
+// otherwise dominate the schedule for a long time.
 func (b *Balancer) boundCredit() {
 	var maxCredit float64
 	for _, g := range b.groups {
@@ -71,7 +71,7 @@
 	}
 }
 
-// destinationsOf are those of the best rule, and a last one of all endpoints.
+// destinationsOf returns the destinations of the best rule, followed by one that matches all endpoints.
 func (b *Balancer) destinationsOf(rules []Rule) (destinations []Destination) {
 	client := map[string]string{"region": b.settings.Zone}
 	maps.Copy(client, b.settings.Tags)
@@ -81,8 +81,8 @@
 	return append(destinations, Destination{Weight: 1, PerSize: true})
 }
 
-// hasReadyEndpoint tells whether any endpoint that is ready is in a destination with a weight. The last
-// destination counts only where there is no rule.
+// hasReadyEndpoint reports whether a destination with a positive weight has a ready endpoint. The last destination,
+// which matches all endpoints, counts only if there is no rule.
 func (b *Balancer) hasReadyEndpoint(destinations []Destination) bool {
 	ofRule := destinations[:max(1, len(destinations)-1)]
 	return slices.ContainsFunc(ofRule, func(d Destination) bool {
@@ -93,8 +93,8 @@
 	})
 }
 
-// setDestinations makes the groups of destinations, or keeps those that there are. Each sidecar's rotations
-// start elsewhere, so that sidecars do not go round in step.
+// setDestinations creates a group for each destination, reusing existing groups with the same tags. Rotations start at
+// a random index so that sidecars do not rotate in lockstep.
 func (b *Balancer) setDestinations(destinations []Destination) {
 	previous, last := b.groups, len(destinations)-1
 	b.groups, b.destinations, b.pendingRules = nil, destinations, nil
@@ -114,7 +114,7 @@
 	b.fleet = b.groups[last]
 }
 
-// joinGroups notes which groups' tags an endpoint carries by an entry, and the first of them.
+// joinGroups records which groups the tags of a list entry match, and the first of them as the endpoint's home group.
 func (b *Balancer) joinGroups(e *endpoint, entry Endpoint) {
 	tags := b.tagsOf(entry)
 	e.inGroup = make([]bool, len(b.groups))
@@ -124,7 +124,7 @@
 	e.homeGroup = b.groups[slices.Index(e.inGroup, true)]
 }
 
-// tagsOf are the tags that an endpoint carries.
+// tagsOf returns the tags that an endpoint carries.
 func (b *Balancer) tagsOf(e Endpoint) map[string]string {
 	return map[string]string{"service": b.settings.Service, "region": e.Zone, "version": e.Kind}
 }
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -5,20 +5,19 @@
 const (
 	// spillThreshold is the share of the shortest latency target above which an endpoint is full.
 	spillThreshold = 0.5
-	// fullThreshold is the multiple of an idle endpoint's time, for its size, below which none is full.
+	// fullThreshold is the multiple of the idle latency, scaled by size, below which no endpoint is full.
 	fullThreshold = 2.5
 )
 
-// pickEndpoint has the schedule choose among the endpoints that are not full, else among those where the
-// request can still expect an answer in time. It returns nil if there is none, and then by how many seconds
-// the answer would be late.
+// pickEndpoint schedules the request on an endpoint that is not full, or otherwise on one that is still expected to
+// answer in time. If there is none, it returns nil and by how many seconds the expected answer exceeds its limit.
 //
-// Classes of lower value are shed only while all endpoints are full: their threshold may lie under what an
-// idle slow machine takes, and quiet days would lose their even turns.
+// Classes of lower value are shed only while all endpoints are full. Their threshold may be below the latency of an
+// idle slow machine, so applying it under low load would make the rotation uneven.
 func (b *Balancer) pickEndpoint(req *request, now Time) (chosen *endpoint, excessSeconds float64) {
 	threshold := b.latencyThreshold(req, now)
-	// An answer that comes when the client has gone is work for nothing, and its effect is not known. One
-	// client's haste prefers quick endpoints, but it refuses nothing and is no reason to shed others.
+	// An answer that arrives after the client has given up is wasted work with an unknown effect. So a short
+	// client deadline prefers fast endpoints, but it neither refuses the request nor triggers shedding of others.
 	likelySeconds := likelyShare * (req.clientDeadline(now) - now).Seconds()
 	if probe := b.probeCandidate(req, now); probe != nil {
 		return probe, 0
@@ -30,8 +29,8 @@
 		if chosen = b.nextEndpoint(); chosen != nil {
 			return chosen, 0
 		}
-		// The threshold of a class that is shed may lie under what an idle endpoint takes; it must not prolong
-		// itself.
+		// The threshold of a class being shed may be below the latency of an idle endpoint, so shedding must not
+		// prolong itself.
 		if likelySeconds >= threshold && now >= b.sheddingUntil {
 			b.sheddingUntil = now + sheddingTime
 			threshold = min(threshold, b.sheddingThreshold(req.Class))
@@ -40,15 +39,15 @@
 	return nil, excessSeconds
 }
 
-// placementLimits say which endpoints a request may be placed at.
+// placementLimits restricts the endpoints that a request may be sent to.
 type placementLimits struct {
-	notFull       bool    // at those only that are not full
-	threshold     float64 // expected seconds above which the request is refused
-	likelySeconds float64 // expected seconds within which its answer mostly comes in time
+	notFull       bool    // only endpoints that are not full
+	threshold     float64 // expected latency in seconds above which the request is refused
+	likelySeconds float64 // expected latency in seconds up to which the answer is likely to arrive in time
 }
 
-// markEligible marks the endpoints in use at which the request may be placed. It returns by how many seconds
-// the least of those that may get it exceeds its limit, or the shortest target where that is less.
+// markEligible marks the endpoints in use that the request may be sent to. It returns the smallest number of seconds by
+// which a permitted endpoint exceeds its limit, but no more than the shortest latency target.
 func (b *Balancer) markEligible(req *request, limits placementLimits, now Time) (excessSeconds float64) {
 	excessSeconds = b.shortestTarget
 	for _, e := range b.inUse {
@@ -64,14 +63,14 @@
 	return excessSeconds
 }
 
-// mayRoute tells whether the request may be sent to an endpoint, however long that takes.
+// mayRoute reports whether the request may be sent to an endpoint, regardless of its latency.
 func (b *Balancer) mayRoute(q *request, e *endpoint, now Time) bool {
 	return e.isReady() && (b.inPanic || !e.isEjected(now)) && b.maySendTo(q, e, now) && e.hasWarmUpTurn()
 }
 
-// latencyLimit is the expected answer time in seconds up to which an endpoint may get a request. Where only
-// those that are not full may, it is above what crossing zones is worth, but an endpoint is not full just
-// because its kind is slow.
+// latencyLimit returns the expected answer time, in seconds, up to which an endpoint may get a request. If only
+// endpoints that are not full are allowed, the limit is above the gain that justifies a zone crossing, and it scales
+// with the idle latency so that an endpoint does not count as full just because its kind is slow.
 func (b *Balancer) latencyLimit(e *endpoint, limits placementLimits) float64 {
 	if !limits.notFull {
 		return limits.threshold
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -10,37 +10,37 @@
 	"gradeusher.example/gradeusher/balance/routes"
 )
 
-// Settings are what a Balancer gets at its start.
+// Settings configures a Balancer.
 type Settings struct {
 	Seed      uint64
-	Index     int // of this sidecar among its peers, from 0
-	PeerCount int // how many sidecars there are, this one included
+	Index     int // index of this sidecar among its peers, starting at 0
+	PeerCount int // number of sidecars, including this one
 	Zone      string
 	Zones     []string
 	Kinds     []string
 	Classes   []Class
 	Tenants   []Tenant
 
-	Service string            // the service that is balanced
-	Tags    map[string]string // the client's own tags besides its region: service, version
+	Service string            // the service whose requests are balanced
+	Tags    map[string]string // the client's own tags apart from its region: service, version
 	Rules   []Rule            // nil: DefaultRules(Service, Zones, Kinds)
 
-	MaxAttempts   int // of a request, at least 1
+	MaxAttempts   int // per request, at least 1
 	CancelAllowed bool
 
-	SubscribeToDiscovery bool          // list changes come only to a subscriber
-	DiscoveryDeadline    time.Duration // a list older than this counts as expired: by then each sidecar must have asked
+	SubscribeToDiscovery bool          // list changes are sent only to subscribers
+	DiscoveryDeadline    time.Duration // each sidecar must have called discovery by then; an older list counts as expired
 
-	WarmUpTime       time.Duration // an endpoint is warm this long after its start
-	StartCapacity    float64       // share of its capacity that it starts with, from 0 to 1
-	OverloadMultiple float64       // an endpoint that warms up and is sent more than this multiple of its capacity
-	OverloadTime     time.Duration // for this long becomes overloaded
+	WarmUpTime       time.Duration // how long an endpoint takes to warm up after its start
+	StartCapacity    float64       // share of its capacity that an endpoint starts with, from 0 to 1
+	OverloadMultiple float64       // an endpoint that is warming up is overloaded by more than this multiple of its
+	OverloadTime     time.Duration // current capacity during OverloadTime
 
-	ReportTTL time.Duration // a peer's report that is older counts for nothing; 0: 2 s
+	ReportTTL time.Duration // older reports of peers are ignored; 0: 2 s
 
-	ZoneCrossingCost float64 // of a request served in another zone, as a share of its value
+	ZoneCrossingCost float64 // cost of serving a request in another zone, as a share of its value
 
-	Hitters *hitters.Settings // how clients that ask for much of the fleet's work are found; nil: they are not
+	Hitters *hitters.Settings // detection of heavy clients; nil disables it
 }
 
 // Class describes one class of requests.
@@ -48,9 +48,9 @@
 	Name          string
 	Effect        Effect
 	Scope         Scope         // Deduplicated only
-	DedupeWindow  time.Duration // Deduplicated only: how long a duplicate is dropped, from the first send
-	LatencyTarget time.Duration // an answer within it has the full value
-	Deadline      time.Duration // of the client, over all attempts
+	DedupeWindow  time.Duration // Deduplicated only: how long after the first send duplicates are dropped
+	LatencyTarget time.Duration // an answer within this time has the full value
+	Deadline      time.Duration // the client's deadline, across all attempts
 	Value         float64
 	LateValue     float64 // share of the value that an answer after the target still has, from 0 to 1
 }
@@ -58,13 +58,13 @@
 // Tenant describes one tenant.
 type Tenant struct {
 	Name      string
-	Allowance float64 // requests a second, over all sidecars together, up to which they have their full value
+	Allowance float64 // requests per second, across all sidecars, up to which requests have their full value
 }
 
-// ErrNoActions says that New was given no host.
+// ErrNoActions is returned by New when it is given no Actions.
 var ErrNoActions = errors.New("no actions")
 
-// SettingsError says which field of the settings cannot be used, and why.
+// SettingsError reports an invalid field of the settings.
 type SettingsError struct {
 	Field   string
 	Problem string
@@ -76,7 +76,7 @@
 	return &SettingsError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// checkSettings returns what is wrong with the settings, naming the field.
+// checkSettings validates the settings. Its error names the invalid field.
 func checkSettings(set Settings, actions Actions) error {
 	switch {
 	case actions == nil:
@@ -130,7 +130,7 @@
 	return errors.Join(checkAmount("Value", class.Value), checkDuration("DedupeWindow", class.DedupeWindow))
 }
 
-// checkRules returns what is wrong with a route table, naming the rule and its field.
+// checkRules validates a route table. Its error names the invalid rule and field.
 func checkRules(rules []Rule) error {
 	for i, rule := range rules {
 		if err := routes.CheckRule(rule); err != nil {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// isBetween tells whether x is a number from low to high.
+// isBetween reports whether x is a number from low to high.
 func isBetween(x, low, high float64) bool { return x >= low && x <= high }
 
 func checkShare(field string, x float64) error {
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// DefaultRules is the table that is used where none is given: a group for each zone and kind, weighted by size.
+// DefaultRules returns the route table that is used if none is given: one destination per zone and kind, weighted by size.
 func DefaultRules(service string, zones, kinds []string) []Rule {
 	var destinations []Destination
 	for _, zone := range zones {
--- a/balance/shedding.go
+++ b/balance/shedding.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// refusalThreshold is the share of the shortest latency target above which no expected answer is worth its
-	// work.
+	// refusalThreshold is the expected latency, as a share of the shortest latency target, above which an answer is not
+	// worth its work.
 	refusalThreshold = 0.85
-	// overAllowanceShare is the threshold of requests beyond an allowance, as a share of their class's.
+	// overAllowanceShare is the threshold for requests beyond their tenant's allowance, as a share of the class's.
 	overAllowanceShare = 0.5
-	// sheddingTime is how long classes of lower value are shed once all endpoints were full.
+	// sheddingTime is how long classes of lower value are shed after all endpoints were full.
 	sheddingTime = memoryTTL
-	// minAllowance keeps a share of no allowance finite, in requests a second.
+	// minAllowance, in requests per second, keeps the share finite if there is no allowance.
 	minAllowance = 1e-9
 )
 
-// shedding is what says which requests are refused first.
+// shedding is the state that determines which requests are refused first.
 type shedding struct {
 	tenants        []tokenBucket
-	totalAllowance float64           // of all tenants, in requests a second
-	sheddingUntil  Time              // until then classes of lower value are refused sooner
-	hitters        *hitters.Detector // nil: heavy clients are not looked for
+	totalAllowance float64           // of all tenants, in requests per second
+	sheddingUntil  Time              // until when classes of lower value are refused sooner
+	hitters        *hitters.Detector // nil: heavy clients are not detected
 }
 
-// tokenBucket meters this sidecar's part of a tenant's allowance.
+// tokenBucket meters this sidecar's share of a tenant's allowance.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt Time
@@ -42,8 +42,8 @@
 	return s
 }
 
-// takes tells whether there was a token to take. The bucket fills by a rate, in tokens a second, to what
-// memoryTTL brings.
+// takes refills the bucket, takes a token, and reports whether there was one. The bucket refills at allowance*share
+// tokens per second and holds what memoryTTL adds, plus one.
 func (t *tokenBucket) takes(allowance, share float64, now Time) bool {
 	refilled := t.tokens + allowance*share*(now-t.refilledAt).Seconds()
 	t.tokens = math.Min(refilled, 1+allowance*share*memoryTTL.Seconds())
@@ -55,10 +55,10 @@
 	return true
 }
 
-// exceedsAllowance counts a request, and tells whether it exceeds its tenant's allowance, as far as this
-// sidecar sees. The sidecar's share of the allowance is the equal one or, where that is more, the one that
-// goes with its own traffic: of a thousand sidecars most carry little and some much more, and an equal share
-// would be under one request a second.
+// exceedsAllowance counts a request and reports whether it exceeds its tenant's allowance as far as this sidecar can
+// tell. The sidecar's share of the allowance is the larger of an equal share and its own share of the traffic. Of a
+// thousand sidecars most carry little traffic and some much more, and an equal share would be less than one request
+// per second.
 func (b *Balancer) exceedsAllowance(tenant int, now Time) bool {
 	b.arrivals++
 	if tenant < 0 || tenant >= len(b.tenants) {
@@ -69,7 +69,7 @@
 	return !b.tenants[tenant].takes(b.settings.Tenants[tenant].Allowance, share, now)
 }
 
-// latencyThreshold is the expected answer time in seconds above which a request is refused now.
+// latencyThreshold returns the expected answer time, in seconds, above which a request is currently refused.
 func (b *Balancer) latencyThreshold(q *request, now Time) float64 {
 	threshold := refusalThreshold * b.shortestTarget
 	if now < b.sheddingUntil {
@@ -81,9 +81,9 @@
 	return threshold
 }
 
-// sheddingThreshold is the expected answer time in seconds above which a class is refused while requests are
-// shed. It goes by the value for each second that answers take: a class that has a quarter of the highest
-// waits half as long.
+// sheddingThreshold returns the expected answer time, in seconds, above which a class is refused during shedding. It
+// depends on the class's value per second of answer time: a class with a quarter of the highest value per second gets
+// half the threshold.
 func (b *Balancer) sheddingThreshold(class int) float64 {
 	own := b.settings.Classes[class].Value / b.meanSeconds[class]
 	highest := math.SmallestNonzeroFloat64
@@ -93,8 +93,8 @@
 	return refusalThreshold * b.shortestTarget * math.Sqrt(own/highest)
 }
 
-// shedHeavyClient refuses a request of a heavy client that exceeds its fair share, while endpoints are full.
-// It tells whether it did.
+// shedHeavyClient refuses a request by which a heavy client exceeds its fair share while endpoints are full. It reports
+// whether it refused the request.
 func (b *Balancer) shedHeavyClient(q *request, now Time) bool {
 	if b.hitters == nil {
 		return false
@@ -107,9 +107,9 @@
 	return rejected
 }
 
-// observeClientWork counts a request for its client as its answer took, or else as its class does, in units
-// of the mean time of all classes: endpoints do not do more work when all answers take longer. It is bounded,
-// as one answer can take forever.
+// observeClientWork adds the work of a request to its client's total: its answer time, or the mean of its class if it
+// got no answer. The work is relative to the mean time of all classes, because endpoints do not do more work when all
+// answers take longer. It is bounded because a single answer can take arbitrarily long.
 func (b *Balancer) observeClientWork(q *request) {
 	mean, sum := b.meanSeconds[q.Class], 0.0
 	for _, seconds := range b.meanSeconds {
@@ -119,6 +119,6 @@
 	b.hitters.Observe(q.Client, time.Duration(work*float64(time.Second)), q.latency > 0)
 }
 
-// HeavyHitters is what is known of clients that ask for much; nil without Settings.Hitters. The host gives it
-// the reports of other sidecars, and ends its windows.
+// HeavyHitters returns the detector of heavy clients, or nil without Settings.Hitters. The host passes it the reports of
+// other sidecars and ends its windows.
 func (b *Balancer) HeavyHitters() *hitters.Detector { return b.hitters }
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// The bounds of snapshots.
+// Bounds of a snapshot.
 const (
-	maxSnapshotAge       = 5 * memoryTTL // by then under 1% is left of what answers taught
+	maxSnapshotAge       = 5 * memoryTTL // by then the estimates have decayed to under 1%
 	maxSnapshotEndpoints = 4096
-	maxRestored          = 1e9 // of sums, counts and credits
-	maxTargets           = 100 // of a class's mean time, in shortest latency targets
+	maxRestored          = 1e9 // for sums, counts and credits
+	maxTargets           = 100 // for the mean time of a class, in shortest latency targets
 )
 
-// Snapshot is what a Balancer has learned, for the one of the next process. Durations and starts are on the host's clock. It is
-// stored: the names of its keys stay.
+// Snapshot holds what a Balancer has learned, for the Balancer of the next process. Durations and start times are on the
+// host's clock. Snapshots are stored, so the JSON keys must not change.
 type Snapshot struct {
-	ZoneWeight  float64            `json:"near"`    // of other zones
-	IdleSeconds float64            `json:"idle"`    // of the fleet for each unit of load while it is idle
+	ZoneWeight  float64            `json:"near"`    // weight of other zones
+	IdleSeconds float64            `json:"idle"`    // latency of the idle fleet per unit of load
 	Arrivals    float64            `json:"arrived"` // decaying count of requests
-	SheddingFor time.Duration      `json:"tight"`   // for which classes of lower value are still shed
-	MeanSeconds []float64          `json:"work"`    // of answers, by class
-	Groups      []LatencySum       `json:"groups"`  // by the rule's destinations, the last one of all endpoints
+	SheddingFor time.Duration      `json:"tight"`   // how much longer classes of lower value are shed
+	MeanSeconds []float64          `json:"work"`    // mean answer time by class
+	Groups      []LatencySum       `json:"groups"`  // one per destination of the rule; the last one covers all endpoints
 	Endpoints   []EndpointSnapshot `json:"endpoints"`
 }
 
-// LatencySum is a decaying sum of answer times in seconds, and of the load.
+// LatencySum holds decaying sums of answer times, in seconds, and of load.
 type LatencySum struct {
 	Seconds float64 `json:"took"`
 	Load    float64 `json:"held"`
 }
 
-// EndpointSnapshot is what is known of an endpoint.
+// EndpointSnapshot holds what a Balancer has learned about an endpoint.
 type EndpointSnapshot struct {
 	ID          string `json:"id"`
-	Started     Time   `json:"started"` // of the process that it is known of; 0: long ago
-	WarmUpStart Time   `json:"cold"`    // 0: it is warm
+	Started     Time   `json:"started"` // start of the process that was observed; 0: long ago
+	WarmUpStart Time   `json:"cold"`    // 0: the endpoint is warm
 	LatencySum
-	Freshness  float64       `json:"fresh"` // share of the sums that still counts
+	Freshness  float64       `json:"fresh"` // share of the sums that still counts towards estimates
 	Failures   float64       `json:"faults"`
 	TurnCredit float64       `json:"due"`
 	EjectedFor time.Duration `json:"out"`
 }
 
-// isEmpty tells whether nothing is known of an endpoint.
+// isEmpty reports whether the snapshot holds nothing worth restoring.
 func (s EndpointSnapshot) isEmpty() bool {
 	return !(s.Load > 0 || s.Seconds > 0 || s.Failures > 0 || s.EjectedFor > 0 || s.WarmUpStart > 0)
 }
 
-// isValid tells whether all values are numbers within their bounds.
+// isValid reports whether all values are numbers within their bounds.
 func (s EndpointSnapshot) isValid() bool {
 	return s.LatencySum.isValid() && isUpTo(s.Freshness, 1) && isUpTo(s.Failures, ejectionThreshold) &&
 		isUpTo(s.TurnCredit, maxRestored) && isUpTo(s.EjectedFor.Seconds(), ejectionTime.Seconds())
@@ -63,10 +63,10 @@
 
 func (s latencySums) snapshot() LatencySum { return LatencySum{Seconds: s.latencySum, Load: s.loadSum} }
 
-// isUpTo tells whether x is a number from 0 to a bound.
+// isUpTo reports whether x is a number from 0 to a bound.
 func isUpTo(x, bound float64) bool { return isBetween(x, 0, bound) }
 
-// Snapshot returns what is known now.
+// Snapshot returns what the Balancer has learned so far.
 func (b *Balancer) Snapshot(now Time) Snapshot {
 	snapshot := Snapshot{
 		ZoneWeight:  b.zoneWeight[otherZones],
@@ -103,10 +103,10 @@
 	return saved
 }
 
-// Restore takes over what was known some time ago, where nothing newer is known yet: it is for a Balancer that got its first
-// list and has sent nothing. What is older than maxSnapshotAge, negative or no number counts for nothing, and so does what is
-// known of an endpoint's former process, of one that is not listed, and of groups that are others now. The rest decays by its
-// age as it would have.
+// Restore loads a snapshot of the given age. It is meant for a Balancer that has got its first list and sent nothing yet. It
+// ignores a snapshot older than maxSnapshotAge, values that are negative or not numbers, endpoints that are not listed or have
+// restarted since, and groups if the number of destinations differs. The rest decays by its age as it would have in a running
+// process.
 func (b *Balancer) Restore(now Time, snapshot Snapshot, age time.Duration) {
 	if age < 0 || age > maxSnapshotAge || len(b.requests) > 0 {
 		return
--- a/balance/status.go
+++ b/balance/status.go
@@ -1,6 +1,6 @@
 package balance
 
-// Knows tells whether an endpoint is listed, or taken out of service.
+// Knows reports whether an endpoint is listed or has been taken out of service.
 func (b *Balancer) Knows(id string) bool {
 	if _, isOut := b.outOfService[id]; isOut {
 		return true
@@ -9,7 +9,8 @@
 	return e != nil && e.State != Removed
 }
 
-// CountListed counts the endpoints on the list, and those of them that get nothing now: out of service, draining, or ejected.
+// CountListed returns the number of listed endpoints, and how many of them currently get no requests because they are out
+// of service, draining or ejected.
 func (b *Balancer) CountListed(now Time) (listed, avoided int) {
 	for _, e := range b.endpoints {
 		if !e.isReady() || e.isEjected(now) && !b.inPanic {
--- a/balance/warmup.go
+++ b/balance/warmup.go
@@ -1,6 +1,6 @@
 package balance
 
-// warmthOf is the share of its capacity that an endpoint has: it rises evenly from StartCapacity to 1 within
+// warmthOf returns the share of its full capacity that an endpoint has. It rises linearly from StartCapacity to 1 during
 // WarmUpTime.
 func (b *Balancer) warmthOf(e *endpoint, now Time) float64 {
 	age := now - e.warmUpStart
@@ -11,17 +11,17 @@
 	return start + (1-start)*max(age.Seconds(), 0)/b.settings.WarmUpTime.Seconds()
 }
 
-// hasWarmUpTurn tells whether an endpoint is warm, or has earned its next turn by the share of its capacity
-// that it has. Sidecars that all turned to an endpoint that warms up, as it alone seems free, would overload
-// it. As each keeps to its turns, the endpoint gets no more for its warmth than half of OverloadMultiple
-// times the fleet's mean, whatever the number of sidecars.
+// hasWarmUpTurn reports whether an endpoint is warm or has earned its next turn, which it does in proportion to its
+// current capacity. If it alone seems free, all sidecars might turn to an endpoint that is warming up and overload it.
+// Because each sidecar keeps to the turns, the endpoint gets at most half of OverloadMultiple times the fleet's mean load
+// relative to its warmth, whatever the number of sidecars.
 func (e *endpoint) hasWarmUpTurn() bool { return e.isWarm() || e.turnCredit >= 1 }
 
-// creditBySend credits endpoints with their part of a turn as a request is sent to one, which has had its
-// turn then.
+// creditBySend credits all endpoints in use with a fraction of a turn when a request is sent, and resets the credit of the
+// endpoint that gets it.
 //
-// The part is of the least that an endpoint that warms up can do. Most can do more, and warm up by what they
-// are given, so it is half of what would overload one that can do no more than the least.
+// The fraction is based on the minimum capacity of an endpoint that is warming up. Most can do more, and warm up through
+// the requests they get, so it is half of what would overload an endpoint with only the minimum capacity.
 func (b *Balancer) creditBySend(to *endpoint) {
 	share := max(b.settings.OverloadMultiple/2, 1) / b.capacityInUse
 	for _, e := range b.inUse {
@@ -30,9 +30,9 @@
 	to.turnCredit = 0
 }
 
-// creditWarmingUp has endpoints that warm up earn turns by a request that found none eligible, where all in
-// use warm up: the part of it that they can do of what a complete warm fleet could. With turns earned by
-// sends to others alone, a fleet that restarts, or returns to service, would have none until it is warm.
+// creditWarmingUp lets endpoints earn turns from a request that found no eligible endpoint, if all endpoints in use are
+// warming up. They earn their current capacity's share of what a complete warm fleet could do. If turns were earned only
+// by sends to other endpoints, a fleet that restarts or returns to service as a whole would get none until it is warm.
 func (b *Balancer) creditWarmingUp() {
 	var maxSize, readySize, usedSize float64
 	for _, g := range b.groups {
@@ -52,13 +52,12 @@
 	}
 }
 
-// resetEndpoint forgets what was seen of an endpoint's former process, and has the present one warm up from a
-// time on. Its first turn is drawn from one round of its own: sidecars that are notified at once must neither
-// send at once, nor all wait for a round, which takes those with little traffic a minute.
+// resetEndpoint discards what was observed of an endpoint's previous process and makes the endpoint warm up from the given
+// time. Its initial credit is random within one turn: sidecars that are notified together must neither all send at once
+// nor all wait for a full round, which takes a minute for those with little traffic.
 //
-// An endpoint may restart while it is out of service, and the list say so late; one that is taken for warm
-// then would be overloaded. Whether it may have restarted goes by the start that counts: the listed one may
-// lie ahead of this clock.
+// An endpoint may restart while it is out of service and the list may show that late; if it counted as warm, it would be
+// overloaded. So SetOutOfService compares with warmUpStart, not with the listed start, which may be ahead of this clock.
 func (b *Balancer) resetEndpoint(e *endpoint, warmUpStart Time) {
 	e.latencySums = latencySums{}
 	e.outlierState = outlierState{}
--- a/balance/zones.go
+++ b/balance/zones.go
@@ -1,21 +1,22 @@
 package balance
 
 const (
-	// crossingTargets is how many latency targets a crossing that costs all of a request's value is worth: it is
-	// made where the answer comes sooner by that.
+	// crossingTargets is the latency gain, in latency targets, that justifies a zone crossing which costs a request's
+	// full value. Cheaper crossings need proportionally less.
 	crossingTargets = 8.0
-	// minCrossingGain is the least of the same, as a share of the shortest latency target.
+	// minCrossingGain is the smallest gain that justifies a crossing, as a share of the shortest latency target.
 	minCrossingGain = 0.01
-	// minZoneWeight is the least weight of other zones: enough to know them.
+	// minZoneWeight is the minimum weight of other zones, enough to keep measuring their latency.
 	minZoneWeight = 0.001
-	// zoneWeightStep is the share of its way that a tick moves the weight of other zones.
+	// zoneWeightStep is the fraction of the remaining distance to its target by which the weight of other zones moves
+	// in a tick.
 	zoneWeightStep = 0.03
 )
 
-// adjustZoneWeight moves the weight of other zones, as a share of the own zone's, so that a zone with more
-// traffic than its servers can carry sends some elsewhere. Other zones count in full once the own one answers
-// later by what a crossing is worth, at most the threshold of full, and not at all below half of that. The
-// weight moves slowly, so that turns stay even.
+// adjustZoneWeight adjusts the weight of other zones relative to this sidecar's own zone, so that a zone with more
+// traffic than its servers can handle spills some of it. Other zones get full weight once the own zone is slower by
+// what a crossing is worth, capped at the threshold at which endpoints count as full, and only the minimum below half
+// of that. The weight moves slowly so that the rotation stays even.
 func (b *Balancer) adjustZoneWeight(now Time) {
 	var seconds, size [2]float64
 	for _, e := range b.inUse {
