--- a/balance/flight.go
+++ b/balance/flight.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// isHedgeable reports whether an attempt of a request may be abandoned in favor of another one.
+// isHedgeable reports whether an attempt of a request may be abandoned in favour of another one.
 func (b *Balancer) isHedgeable(q *request) bool {
 	return q != nil && !q.finished && q.class.Effect == Idempotent &&
 		b.settings.CancelAllowed && len(q.attempts) < b.settings.MaxAttempts
--- a/balance/hitters/client.go
+++ b/balance/hitters/client.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// State is what a client is taken for.
+// State is the state of a client.
 type State uint8
 
 // The states of a client.
 const (
-	Quiet     State = iota // not held at all
-	Suspected              // above the high threshold, but not for long enough
+	Quiet     State = iota // not tracked
+	Suspected              // above the high threshold, but not for long enough yet
 	Heavy                  // some of its requests are rejected while servers are full
-	Cooling                // below the low threshold for a while: served as all, and heavy at once when above the high one
+	Cooling                // recently below the low threshold: not rejected, but heavy again immediately above the high one
 )
 
 var stateNames = [...]string{"quiet", "suspected", "heavy", "cooling"}
@@ -28,29 +28,30 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Client is one that is, or until now was, in a state other than quiet.
+// Client is a client in a state other than quiet, or one that has just become quiet.
 type Client struct {
 	Key           uint64
-	Name          string  // the beginning of its name; "": no request of it came here since it is suspected
-	State         State   // now
-	Since         Time    // when it got there
-	Share         float64 // of the fleet's work, at the least
-	ShareError    float64 // its share is at most this much more
-	AdmittedShare float64 // of its requests, while servers are full
+	Name          string  // the beginning of its name; "": this sidecar got no request from it since it became suspected
+	State         State   // its current state
+	Since         Time    // when it entered the state
+	Share         float64 // lower bound of its share of the fleet's work
+	ShareError    float64 // its share is at most Share + ShareError
+	AdmittedShare float64 // share of its requests that is admitted while servers are full
 	credit        float64 // towards the next admitted request
-	rejecting     bool    // its rejections have begun, and there is no capacity for all of it yet
+	rejecting     bool    // its requests are being rejected, until there is capacity for all of them
 }
 
-// creditSpread is the number of values that a new client's credit is drawn from, so that sidecars do not admit in step.
+// creditSpread is the number of distinct initial credits of clients. They differ by sidecar so that sidecars do not admit
+// requests in lockstep.
 const creditSpread = 97
 
-// setShare notes a client's share, of which there may be more than is sure.
+// setShare sets a client's share and its possible error.
 func (c *Client) setShare(share float64, t tally, f fleet) {
 	c.Share = share
 	c.ShareError = float64(t.largestOther+f.err) / max(float64(f.total), 1)
 }
 
-// client returns the client that is held by a key, or a quiet one that is not.
+// client returns the tracked client with a key, or a new quiet one that is not tracked.
 func (d *Detector) client(key uint64) *Client {
 	if i, held := d.find(key); held {
 		return d.clients[i]
@@ -59,7 +60,7 @@
 	return &Client{Key: key, AdmittedShare: 1, credit: credit}
 }
 
-// heavyClient returns a client that is held as heavy, or nil.
+// heavyClient returns the client with a key if it is heavy, or nil.
 func (d *Detector) heavyClient(key uint64) *Client {
 	if i, held := d.find(key); held && d.clients[i].State == Heavy {
 		return d.clients[i]
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// storeClient holds a client by its new state. Where there is no room, the one that has been cooling longest is let go.
+// storeClient adds or removes a client according to its new state. If there are too many clients, the one that has been
+// cooling longest is removed.
 func (d *Detector) storeClient(c *Client) {
 	i, held := d.find(c.Key)
 	switch {
@@ -97,7 +99,7 @@
 	return slices.BinarySearchFunc(d.clients, key, func(c *Client, k uint64) int { return cmp.Compare(c.Key, k) })
 }
 
-// SetName has a client that is held be known by its name in logs.
+// SetName sets the name of a tracked client for logs, unless it already has one.
 func (d *Detector) SetName(key uint64, name string) {
 	if i, held := d.find(key); held && d.clients[i].Name == "" {
 		d.clients[i].Name = strings.ToValidUTF8(strings.Clone(name[:min(len(name), maxNameBytes)]), "")
--- a/balance/hitters/detector.go
+++ b/balance/hitters/detector.go
@@ -6,30 +6,29 @@
 )
 
 const (
-	// confidenceDeviations is the number of standard deviations from a share to the threshold: of few requests
-	// it may be chance.
+	// confidenceDeviations is the number of standard deviations by which a share must exceed the threshold. With few
+	// requests, a high share may be chance.
 	confidenceDeviations = 2.5
-	// maxTotalRatio is how many times the next origin's total the largest one counts for.
+	// maxTotalRatio caps the largest total of an origin at this multiple of the next one.
 	maxTotalRatio = 4
 )
 
-// Detector holds what the origins reported, and who is heavy by it. It must not be used by two goroutines at
-// once.
+// Detector stores the reports of the origins and determines from them which clients are heavy. It must not be used by
+// several goroutines concurrently.
 type Detector struct {
 	settings Settings
-	current  window          // of this sidecar, being counted
-	closed   [windows]window // the last ones
-	seq      uint64          // of the own reports
-	reports  []*storedReport // by origin
-	clients  []*Client       // by key
-	rejected uint64          // requests
-	capacity float64         // work that servers do, as far as is known, in microseconds a second
-	// unusedCapacity is how much of it is admitted besides what is served, as it seems to be left undone.
+	current  window          // this sidecar's open window
+	closed   [windows]window // the last closed windows
+	seq      uint64          // sequence number of this sidecar's reports
+	reports  []*storedReport // sorted by origin
+	clients  []*Client       // sorted by key
+	rejected uint64          // number of rejected requests
+	capacity float64         // estimate of the work that servers can do, in microseconds per second
+	// unusedCapacity is the part of the capacity that seems unused and is admitted in addition to the served work.
 	unusedCapacity float64
 }
 
-// New returns a Detector, or an error that says what is wrong with the settings. Without settings there is
-// none.
+// New returns a Detector, or an error if the settings are invalid. Without settings it returns nil.
 func New(set *Settings) (*Detector, error) {
 	if set == nil {
 		return nil, nil
@@ -40,18 +39,18 @@
 	return &Detector{settings: *set}, nil
 }
 
-// Rejected counts the requests that ShouldReject rejected.
+// Rejected returns the number of requests that ShouldReject rejected.
 func (d *Detector) Rejected() uint64 { return d.rejected }
 
-// Clients returns those that are held, by key. They change at the next EndWindow.
+// Clients returns the tracked clients, sorted by key. They change at the next EndWindow.
 func (d *Detector) Clients() []*Client { return d.clients }
 
-// EndWindow ends a window and moves the clients on. It returns the report that the others are to get, and the
-// clients whose state changed. The host calls it every Settings.Window.
+// EndWindow closes a window and updates the states of the clients. It returns the report to send to the other sidecars,
+// and the clients whose state changed. The host calls it every Settings.Window.
 func (d *Detector) EndWindow(now Time) (own OriginReport, changed []Client) {
 	own = d.closeWindow(now)
 	next := d.secondLargestTotal()
-	// One origin could hide all clients behind a total without bound.
+	// With an unbounded total, one origin could hide all heavy clients.
 	f, tallies := d.sumReports(maxTotalRatio * next)
 	for _, t := range tallies {
 		c := d.client(t.key)
@@ -68,23 +67,25 @@
 	return own, changed
 }
 
-// shareEstimate is a client's share of the fleet's work.
+// shareEstimate is an estimate of a client's share of the fleet's work.
 type shareEstimate struct {
 	likely     float64
-	lowerBound float64 // less a margin for chance
+	lowerBound float64 // likely minus a margin for chance
 }
 
-// share is a client's share of the fleet's work, less what the other origin reports that reports most of it.
-// One origin that lies could otherwise have any client be taken for heavy: what it reports adds to the total;
-// to this sum it adds nothing, or less than the honest one left out for it. So a client that comes by one
-// sidecar alone is heavy there, by its own count, and nowhere else.
+// share returns a client's share of the fleet's work, leaving out the largest part of the client's work that another
+// origin reports. Otherwise one origin with a false report could make any client count as heavy. A false report still
+// adds to the fleet's total, but to the client's work it adds nothing, or less than the honest report left out in its
+// place. So a client that sends all its requests through one sidecar is heavy there, by that sidecar's own count, and
+// nowhere else.
 func (f fleet) share(t tally) shareEstimate {
 	share := float64(t.total-t.largestOther) / math.Max(float64(f.total), 1)
 	deviation := math.Sqrt(share * (1 - share) / math.Max(float64(f.requests), 1))
 	return shareEstimate{likely: share, lowerBound: share - confidenceDeviations*deviation}
 }
 
-// nextState is the state that a client goes to: up by what is sure, down by what is not even likely.
+// nextState returns the next state of a client. A client becomes suspected by the lower bound of its share, and stops
+// being heavy by its likely share.
 func (d *Detector) nextState(client *Client, estimate shareEstimate, now Time) State {
 	isHigh, inState := estimate.lowerBound >= d.settings.HighThreshold, now-client.Since
 	switch client.State {
--- a/balance/hitters/hitters.go
+++ b/balance/hitters/hitters.go
@@ -1,28 +1,29 @@
-// Package hitters finds, over all sidecars of a fleet, the clients that ask for a large share of the servers' work (heavy
-// hitters), and says what each of them gives up while the servers are full.
+// Package hitters finds, across all sidecars of a fleet, the clients that ask for a large share of the servers' work (heavy
+// hitters), and determines which share of their requests is rejected while the servers are full.
 //
-// A sidecar counts work by client in bounded memory (Summary) and reports to the others, a window at a time, its total and its
-// few largest clients (Report). A Detector holds the latest report of each origin, sums them up, and moves clients through the
-// states below. It is a pure state machine: it has no clock, goroutine, lock or I/O, and the same calls always give the same
-// states.
+// A sidecar counts work by client in bounded memory (Summary) and, once per window, reports its total and its few largest
+// clients to the others (Report). A Detector stores the latest report of each origin, sums them up, and moves clients through
+// the states of State. It is a pure state machine: it has no clock, goroutine, lock or I/O, and the same calls always lead to
+// the same states.
 //
 // # Terms
 //
-//   - An origin is a sidecar as the source of reports. Work is servers' time, in microseconds of any unit that all share.
-//   - The high and low thresholds are shares of the fleet's work, above which a client is suspected and below which a heavy one
-//     cools.
-//   - A rejected request is one that a heavy client is refused so that others are served.
+//   - An origin is a sidecar as the source of reports. Work is server time, in microseconds of any unit that all origins share.
+//   - The high and low thresholds are shares of the fleet's work: above the high one a client becomes suspected, and below the
+//     low one a heavy client starts to cool.
+//   - A rejected request is a request of a heavy client that is refused so that others are served.
 //
 // # Invariants
 //
-//   - Whatever one origin reports, a client is heavy only if its share of the work that the others reported reaches the high
-//     threshold; the largest total of the others counts for no more than four times the next. See fleet.share. (TestOneLiar
-//     draws such origins.)
-//   - A sidecar alone, or cut off, goes by its own work alone, as do all once reports are older than their TTL.
-//   - One origin counts once: its newest report replaces its older ones, in any order, duplicated or late.
-//   - A heavy client keeps its fair share by max-min over all clients, and at the worst a tenth of the low threshold's share of
-//     what is served. Others lose nothing to it, and while there is capacity nobody loses anything.
-//   - Memory is bounded whatever clients are called: under 64 kB with 300 origins.
+//   - Whatever one origin reports, a client is heavy only if its share of the work that the other origins reported reaches the
+//     high threshold. The largest total of the others counts for no more than four times the next. See fleet.share. (TestOneLiar
+//     generates such origins.)
+//   - A sidecar that is alone or partitioned uses only its own counts, and so do all sidecars once reports have exceeded their
+//     TTL.
+//   - Each origin counts once: its newest report replaces its older ones, even if reports are reordered, duplicated or late.
+//   - A heavy client keeps its max-min fair share among all clients, and in the worst case a tenth of the low threshold's share
+//     of what is served. Other clients lose nothing to it, and while there is capacity no client loses anything.
+//   - Memory is bounded whatever the names of clients: under 64 kB with 300 origins.
 package hitters
 
 import (
@@ -34,46 +35,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Time is a reading of the host's monotonic clock, from any origin.
+// Time is a reading of the host's monotonic clock, relative to an arbitrary origin.
 type Time = time.Duration
 
-// The bounds of what is counted, held and reported.
+// Bounds of what is counted, stored and reported.
 const (
-	maxCounters         = 64   // clients counted in a window: a count is at most 1/65 of the total too low
-	windows             = 2    // that a report covers
+	maxCounters         = 64   // clients counted in a window; a count is too low by at most 1/65 of the total
+	windows             = 2    // windows covered by a report
 	maxNamed            = 11   // clients named in a report
-	maxOrigins          = 1024 // whose reports are held
-	maxClients          = 48   // in a state other than quiet: as many as can be above the low threshold
-	namedFraction       = 4    // a report names clients above this fraction of the high threshold, of the sidecar's own work
-	maxReportsPerWindow = 150  // of all sidecars
+	maxOrigins          = 1024 // origins whose reports are stored
+	maxClients          = 48   // clients in a state other than quiet: as many as can be above the low threshold
+	namedFraction       = 4    // a report names clients whose share of its work is above HighThreshold/namedFraction
+	maxReportsPerWindow = 150  // of all sidecars together
 	maxNameBytes        = 24   // of a client's name, kept for logs
 	fullShare           = math.MaxUint16
-	maxTotal            = 1 << 44   // microseconds of work a second
+	maxTotal            = 1 << 44   // microseconds of work per second
 	maxRequestWork      = time.Hour // of one request
 	maxDuration         = 10 * time.Minute
 )
 
-// The bounds of the thresholds.
+// Bounds of the settings.
 const (
-	minHighThreshold = 2. / maxCounters // a lower share could not be told from the error of the counts
+	minHighThreshold = 2. / maxCounters // a lower share could not be distinguished from the error of the counts
 	minLowThreshold  = 1. / maxClients
 	minWindow        = 10 * time.Millisecond
 )
 
-// Settings are what a Detector gets at its start.
+// Settings configures a Detector.
 type Settings struct {
-	Origin        uint64        // names this sidecar, as Key of its name
+	Origin        uint64        // identifies this sidecar: Key of its name
 	HighThreshold float64       // share of the fleet's work above which a client is suspected
-	LowThreshold  float64       // share below which a heavy one cools
-	Window        time.Duration // between reports; a report covers two
-	// SuspicionTime is how long a suspected client must stay above HighThreshold: a little less than complete windows, which
-	// do not end on the dot.
+	LowThreshold  float64       // share of the fleet's work below which a heavy client starts to cool
+	Window        time.Duration // length of a window; a report covers two
+	// SuspicionTime is how long a suspected client must stay above HighThreshold to become heavy. It should be a little less
+	// than a whole number of windows because windows do not end exactly on time.
 	SuspicionTime time.Duration
-	CoolingTime   time.Duration // for which a cooling client is remembered
-	ReportTTL     time.Duration // reports that are older count for nothing
+	CoolingTime   time.Duration // how long a cooling client is remembered
+	ReportTTL     time.Duration // older reports are ignored
 }
 
-// Defaults are the settings of a sidecar that is given none.
+// Defaults returns the default settings of a sidecar, without Origin.
 func Defaults() Settings {
 	return Settings{
 		HighThreshold: 0.04,
@@ -85,7 +86,7 @@
 	}
 }
 
-// SettingsError says which field of the settings cannot be used, and why.
+// SettingsError reports an invalid field of the settings.
 type SettingsError struct {
 	Field   string
 	Problem string
@@ -93,7 +94,7 @@
 
 func (e *SettingsError) Error() string { return "field " + e.Field + ": " + e.Problem }
 
-// check returns what is wrong with the settings, naming the field.
+// check validates the settings. Its error names the invalid field.
 func (s Settings) check() error {
 	if !(s.HighThreshold >= minHighThreshold && s.HighThreshold < 1) {
 		problem := fmt.Sprintf("%v is not from %.3f to under 1", s.HighThreshold, minHighThreshold)
@@ -118,8 +119,8 @@
 	return &SettingsError{Field: field, Problem: fmt.Sprintf("%v is not from %v to %v", value, low, maxDuration)}
 }
 
-// Key is the 64-bit xxHash of a client's name, or of an origin's, mixed with a salt that the fleet shares. Whoever knows the
-// salt can make a name that collides with another's; then both count as one.
+// Key returns the 64-bit xxHash of the name of a client or origin, seeded with a salt that the fleet shares. Someone who knows
+// the salt can construct a name that collides with another; both then count as one.
 func Key(salt uint64, name string) uint64 {
 	var digest xxhash.Digest
 	digest.ResetWithSeed(salt)
--- a/balance/hitters/observations.go
+++ b/balance/hitters/observations.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// OriginReport is a report as it arrives from a member, or as this sidecar makes it.
+// OriginReport is a report together with its origin, as received from a member or created by this sidecar.
 type OriginReport struct {
-	Origin uint64 // Key of its name
-	Start  int64  // of its process: a later process has a higher one
-	Seq    uint64 // rises within a process
+	Origin uint64 // Key of the origin's name
+	Start  int64  // identifies the origin's process; a later process has a higher value
+	Seq    uint64 // increases within a process
 	Age    time.Duration
 	Report Report
 }
@@ -25,20 +25,20 @@
 	Report
 }
 
-// window is what a sidecar counted in a stretch of time.
+// window holds what a sidecar counted during some time.
 type window struct {
 	Summary
-	served    uint64 // work, of its total
+	served    uint64 // the part of the total work that was served
 	requests  uint64
 	startedAt Time
 	length    time.Duration
 }
 
-// reportsGrowth is by how many the room for reports grows: not by twice as many, as memory is bounded.
+// reportsGrowth is the number of reports by which the slice grows. Doubling it would exceed the memory bound.
 const reportsGrowth = 32
 
-// Observe counts what a request of a client took, or would have taken, and whether it was served. If what is rejected did not
-// count, a flood would pass for gone while it is rejected, and be admitted again.
+// Observe counts the work that a client's request took, or would have taken, and whether it was served. Rejected requests
+// count as well: otherwise a flood would seem to be over while it is rejected, and would be admitted again.
 func (d *Detector) Observe(key uint64, work time.Duration, served bool) {
 	microseconds := uint64(min(max(work, 0), maxRequestWork) / time.Microsecond)
 	d.current.Add(key, microseconds)
@@ -48,16 +48,17 @@
 	}
 }
 
-// Receive takes in a report of another origin, and tells whether it is the latest of it, and not older than the TTL. What others
-// send in this sidecar's name is neither.
+// Receive stores a report of another origin, and reports whether it was accepted: it must be the origin's latest report and
+// not older than the TTL. Reports that others send in this sidecar's name are not accepted.
 //
-// A report that was dropped for its age cannot return as an older one: that would be older still.
+// After a report has been dropped for its age, no older report of the same origin can be accepted, as that one would be older
+// than the TTL as well.
 func (d *Detector) Receive(now Time, r OriginReport) bool {
 	isFresh := r.Age >= 0 && r.Age <= d.settings.ReportTTL
 	return r.Origin != d.settings.Origin && isFresh && d.store(now, r)
 }
 
-// store holds a report for its origin, unless a later one is held that counts.
+// store stores a report of an origin unless a later one is stored that has not expired.
 func (d *Detector) store(now Time, r OriginReport) bool {
 	index, held := slices.BinarySearchFunc(d.reports, r.Origin, func(s *storedReport, origin uint64) int {
 		return cmp.Compare(s.origin, origin)
@@ -79,13 +80,13 @@
 	return true
 }
 
-// isSuperseded tells whether a report is newer than the stored one, or that is too old to count.
+// isSuperseded reports whether a report is newer than the stored one, or the stored one has expired.
 func (s *storedReport) isSuperseded(now Time, r OriginReport, ttl time.Duration) bool {
 	order := cmp.Or(cmp.Compare(r.Start, s.start), cmp.Compare(r.Seq, s.seq))
 	return order > 0 || now-s.madeAt > ttl
 }
 
-// closeWindow closes the window, holds the own report over the last ones, and returns it.
+// closeWindow closes the current window, and stores and returns this sidecar's report over the last windows.
 func (d *Detector) closeWindow(now Time) OriginReport {
 	d.current.length = now - d.current.startedAt
 	reused := d.closed[0].Summary
@@ -101,17 +102,17 @@
 	return own
 }
 
-// fleet is the work of all clients by all reports, in microseconds a second.
+// fleet is the work of all clients summed over all reports, in microseconds per second.
 type fleet struct{ total, served, requests, err uint64 }
 
 // tally is the work of one client.
 type tally struct {
 	key          uint64
 	total        uint64
-	largestOther uint64 // of the total, by the one other origin that reports most of it
+	largestOther uint64 // the largest part of the total that a single other origin reports
 }
 
-// secondLargestTotal is the largest total but for the largest of another origin.
+// secondLargestTotal returns the largest total after excluding the largest total of another origin.
 func (d *Detector) secondLargestTotal() (second uint64) {
 	var largest uint64
 	for _, r := range d.reports {
@@ -125,7 +126,7 @@
 	return second
 }
 
-// cappedTotal is what a report's total counts for.
+// cappedTotal returns a report's total, capped at maxOther for other origins.
 func (d *Detector) cappedTotal(r *storedReport, maxOther uint64) uint64 {
 	if r.origin == d.settings.Origin {
 		return r.Total
@@ -133,8 +134,8 @@
 	return min(r.Total, maxOther)
 }
 
-// sumReports sums the reports, another origin's total counting for no more than a bound: over all, and for each client that is
-// held or may have more than 1/65 of it. The order of the reports plays no part in the sums.
+// sumReports sums up the reports, capping the totals of other origins at a bound: for the whole fleet, and for each client that
+// is tracked or may have more than 1/65 of the total. The sums do not depend on the order of the reports.
 func (d *Detector) sumReports(maxOther uint64) (f fleet, tallies []tally) {
 	var candidates Summary
 	for _, r := range d.reports {
@@ -160,7 +161,7 @@
 	return f, tallies
 }
 
-// tallyOf sums the work of one client.
+// tallyOf sums up the work of one client.
 func (d *Detector) tallyOf(key, maxOther uint64) tally {
 	t := tally{key: key}
 	for _, r := range d.reports {
@@ -177,9 +178,9 @@
 	return t
 }
 
-// maxMin is the level up to which each client gets what it asks for, so that together they get what is left: the max-min fair
-// share, found by filling up from the least (Bertsekas and Gallager, Data networks, 1992, 6.5.2). It is infinite where all can
-// have all, and below 0 where less than nothing is left. It sorts the tallies by what clients ask for.
+// maxMin returns the level up to which each client gets what it asks for, so that together they get what is left. It is the
+// max-min fair share, found by progressive filling from the smallest demand (Bertsekas and Gallager, Data networks, 1992,
+// 6.5.2). It is infinite if all demands can be met, and negative if less than nothing is left. It sorts the tallies by demand.
 func maxMin(left float64, tallies []tally) float64 {
 	slices.SortFunc(tallies, func(x, y tally) int {
 		return cmp.Or(cmp.Compare(x.total, y.total), cmp.Compare(x.key, y.key))
--- a/balance/hitters/report.go
+++ b/balance/hitters/report.go
@@ -10,38 +10,39 @@
 	"time"
 )
 
-// Report is what an origin reports of its last windows. Shares are of its total, in units of 1/65535. Memory is bounded by its
-// size, so it holds arrays and not slices.
+// Report is an origin's report of its last windows. Shares are fractions of its total in units of 1/65535. The fields are
+// arrays and not slices because the memory bound of the package relies on the fixed size of a Report.
 type Report struct {
-	Total    uint64 // work a second, asked for, in microseconds of any unit that all share
-	Requests uint32 // counted
+	Total    uint64 // requested work per second, in microseconds of any unit that all origins share
+	Requests uint32 // number of requests counted
 	Served   uint16 // share of the total that was served, rounded down
-	Err      uint16 // no client has more than its share and this, rounded up; its share is 0 if it is not named
+	Err      uint16 // a client has at most its share plus Err, rounded up; the share of a client that is not named is 0
 	Shares   [maxNamed]uint16
 	Named    uint8
 	Keys     [maxNamed]uint64
 }
 
-// MaxReportBytes bounds what ParseReport reads.
+// MaxReportBytes is the maximum size of a report that ParseReport accepts.
 const MaxReportBytes = 400
 
-// The form of an encoded report.
+// Layout of an encoded report.
 const (
-	layoutVersion    = 1 // a later layout of the same number may add bytes behind, which are ignored
+	layoutVersion    = 1 // later versions with this number may append bytes, which are ignored
 	fixedFieldsBytes = 5 // Served, Err and Named
 	keyBytes         = 8
 	clientBytes      = 10 // a key and its share
 )
 
-// ErrInvalidReport says that bytes are no report of this layout, or one that could not be true.
+// ErrInvalidReport is returned for bytes that are not a report of this layout, or a report that cannot be true.
 var ErrInvalidReport = errors.New("hitters: no report of this layout")
 
-// ReportInterval is in how many windows a sidecar sends its report once, among so many members. What they all send in a second
-// would grow with their number, and past some 150 of them it would fill the gossip, so that no report comes in time.
+// ReportInterval returns the number of windows per report that a sidecar sends, given the number of members. With one report
+// per window, the traffic would grow with the number of members, and beyond about 150 members it would exceed the capacity
+// of gossip so that no report arrives in time.
 func ReportInterval(members int) uint64 { return uint64(1 + max(members-1, 0)/maxReportsPerWindow) }
 
-// Append appends the report's bytes: layout, total and requests as varints, served, err, the number of keys, and a key's eight
-// bytes with its share's two each. It is 131 bytes at most.
+// Append appends the encoded report: the layout version, total and requests as varints, served, err, the number of keys, and
+// eight bytes of key with two bytes of share for each. It takes at most 131 bytes.
 func (r *Report) Append(to []byte) []byte {
 	to = append(to, layoutVersion)
 	to = binary.AppendUvarint(to, r.Total)
@@ -56,8 +57,8 @@
 	return to
 }
 
-// ParseReport reads a report's bytes. What it refuses with ErrInvalidReport could not be true: shares of more than the total, out
-// of order, or named twice, and totals beyond what any fleet does.
+// ParseReport decodes a report. It returns ErrInvalidReport for bytes of another layout and for reports that cannot be true:
+// shares that add up to more than the total, are out of order or belong to a key named twice, and totals that no fleet reaches.
 func ParseReport(encoded []byte) (Report, error) {
 	if len(encoded) > MaxReportBytes || len(encoded) == 0 || encoded[0] != layoutVersion {
 		return Report{}, ErrInvalidReport
@@ -83,7 +84,7 @@
 	return r, nil
 }
 
-// parseUvarint reads a number up to a bound, and returns what follows it.
+// parseUvarint decodes a number up to a bound, and returns the remaining bytes.
 func parseUvarint(from []byte, bound uint64) (value uint64, rest []byte, ok bool) {
 	value, size := binary.Uvarint(from)
 	if size <= 0 || value > bound {
@@ -92,7 +93,7 @@
 	return value, from[size:], true
 }
 
-// parseClients reads the clients that are named, and tells whether they may be true.
+// parseClients decodes the named clients, and reports whether they can be true.
 func (r *Report) parseClients(from []byte) bool {
 	if r.Named > maxNamed || len(from) < clientBytes*int(r.Named) {
 		return false
@@ -111,7 +112,7 @@
 	return true
 }
 
-// summarize sums windows up. Clients under a share of the total are left out, to keep reports short.
+// summarize returns a report of the given windows. Clients below a minimum share of the total are omitted to keep it short.
 func summarize(from []window, minShare uint16) Report {
 	var all window
 	for i := range from {
@@ -130,7 +131,7 @@
 		Served:   fractionOf(all.served, total),
 	}
 	omitted := r.nameClients(&all.Summary, minShare)
-	// One unit more, as the shares are rounded down.
+	// One unit is added because the shares are rounded down.
 	r.Err = uint16(min(int(fractionAbove(min(all.Err()+omitted, total), total))+1, fullShare))
 	return r
 }
@@ -139,7 +140,7 @@
 	return min(uint64(float64(work)/length.Seconds()), maxTotal)
 }
 
-// nameClients names the largest clients, and returns the work of the largest one that it left out.
+// nameClients names the largest clients in the report, and returns the work of the largest client that it omitted.
 func (r *Report) nameClients(all *Summary, minShare uint16) (omitted uint64) {
 	for _, i := range all.byWork() {
 		share := fractionOf(all.work[i], all.total)
@@ -152,7 +153,7 @@
 	return 0
 }
 
-// byWork are the indexes of the counters, the largest first.
+// byWork returns the indexes of the counters, sorted by descending work.
 func (s *Summary) byWork() []int {
 	order := make([]int, len(s.keys))
 	for i := range order {
@@ -164,13 +165,13 @@
 	return order
 }
 
-// fractionOf is part of total in units of 1/65535, rounded down.
+// fractionOf returns part/total in units of 1/65535, rounded down.
 func fractionOf(part, total uint64) uint16 {
 	quotient, _ := divide(part, total)
 	return uint16(quotient)
 }
 
-// fractionAbove is the same, rounded up.
+// fractionAbove returns part/total in units of 1/65535, rounded up.
 func fractionAbove(part, total uint64) uint16 {
 	quotient, remainder := divide(part, total)
 	if remainder > 0 {
@@ -179,7 +180,7 @@
 	return uint16(quotient)
 }
 
-// divide divides fullShare times a part, which may need more than 64 bits.
+// divide returns part*fullShare/total and the remainder. The product may need more than 64 bits.
 func divide(part, total uint64) (quotient, remainder uint64) {
 	high, low := bits.Mul64(min(part, total), fullShare)
 	return bits.Div64(high, low, total)
--- a/balance/hitters/summary.go
+++ b/balance/hitters/summary.go
@@ -7,21 +7,21 @@
 //
 //	Of(key) <= true work <= Of(key) + Err()  and  Err() <= (Total() - sum of counters) / (counters + 1)
 //
-// in any order, with any merges. A key with more than Total/(counters+1) always has a counter. It counts what it is given
-// and decides nothing. The zero value is ready.
+// in any order of additions and with any merges. A key with more than Total/(counters+1) always has a counter. A Summary only
+// counts and makes no decisions. The zero value is ready to use.
 type Summary struct {
 	keys       []uint64
 	work       []uint64
 	total, err uint64
 }
 
-// Total is the work of all keys, exactly.
+// Total returns the exact work of all keys.
 func (s *Summary) Total() uint64 { return s.total }
 
-// Err bounds how much too low a count can be.
+// Err returns an upper bound of how much too low a count can be.
 func (s *Summary) Err() uint64 { return s.err }
 
-// Of is a key's counter.
+// Of returns the counter of a key, or 0 if it has none.
 func (s *Summary) Of(key uint64) uint64 {
 	if i := slices.Index(s.keys, key); i >= 0 {
 		return s.work[i]
@@ -29,13 +29,13 @@
 	return 0
 }
 
-// Add counts work of a key. It takes time in the number of counters, and memory only for the first keys.
+// Add adds work of a key. Its time is linear in the number of counters, and it allocates memory only for the first key.
 func (s *Summary) Add(key, work uint64) {
 	s.total += work
 	s.put(key, work)
 }
 
-// Merge adds what another Summary counted.
+// Merge adds the counts of another Summary.
 func (s *Summary) Merge(o *Summary) {
 	s.total += o.total
 	s.err += o.err
@@ -44,8 +44,8 @@
 	}
 }
 
-// put adds work to a key's counter. Where none is left, the least is taken from all counters and from the work: each unit by
-// which counts get too low uses up one of every counter and one of the work, so counters+1 of the total.
+// put adds work to a key's counter. If no counter is free, the minimum is subtracted from all counters and from the work. Each
+// unit by which counts become too low uses up one unit of every counter and one of the work, so counters+1 units of the total.
 func (s *Summary) put(key, work uint64) {
 	if i := slices.Index(s.keys, key); i >= 0 {
 		s.work[i] += work
@@ -66,7 +66,7 @@
 	s.keys, s.work = append(s.keys, key), append(s.work, work)
 }
 
-// subtract takes work from all counters, and frees those that have no more.
+// subtract subtracts work from all counters, and frees those that reach 0.
 func (s *Summary) subtract(least uint64) {
 	left := 0
 	for i, work := range s.work {
@@ -78,5 +78,5 @@
 	s.keys, s.work = s.keys[:left], s.work[:left]
 }
 
-// reset forgets all, and keeps the memory.
+// reset clears the summary but keeps its memory.
 func (s *Summary) reset() { *s = Summary{keys: s.keys[:0], work: s.work[:0]} }
--- a/balance/routes/apply.go
+++ b/balance/routes/apply.go
@@ -7,9 +7,9 @@
 )
 
 var (
-	// ErrNoSuchRule says that an op names a rule that the table does not have.
+	// ErrNoSuchRule is returned for an op on a rule that is not in the table.
 	ErrNoSuchRule = errors.New("there is no such rule")
-	// ErrRuleExists says that an op adds a rule of a name that the table has.
+	// ErrRuleExists is returned for an op that adds a rule whose name is already in the table.
 	ErrRuleExists = errors.New("there is a rule of this name")
 
 	errUnknownOp = errors.New("unknown op")
@@ -28,7 +28,8 @@
 
 func (n *ruleNode) remove() { n.previous.next, n.next.previous = n.next, n.previous }
 
-// ruleList is a table that is being changed: a ring that begins and ends at the root, which stands for the rule "".
+// ruleList is a table that is being modified: a circular doubly linked list that starts and ends at the root, which
+// represents the rule "".
 type ruleList struct {
 	root   *ruleNode
 	byName map[string]*ruleNode
@@ -50,7 +51,7 @@
 	added.insertAfter(previous)
 }
 
-// table is the table that the list stands for.
+// table returns the table with the rules of the list.
 func (l ruleList) table() Table {
 	t := make(Table, 0, len(l.byName))
 	for node := l.root.next; node != l.root; node = node.next {
@@ -59,7 +60,7 @@
 	return t
 }
 
-// apply takes one step and returns the one that undoes it. After an error nothing has changed.
+// apply applies one op and returns the op that undoes it. If it returns an error, nothing has changed.
 func (l ruleList) apply(op Op) (undo Op, err error) {
 	node, previous := l.byName[op.Name], l.byName[op.After]
 	if err := checkOp(op, node, previous); err != nil {
@@ -91,7 +92,7 @@
 	return undo, nil
 }
 
-// checkOp returns why an op does not apply to the rule that it names, and the one that it is to be placed after.
+// checkOp returns an error if an op cannot be applied, given the rule that it names and the rule to place it after.
 func checkOp(op Op, node, previous *ruleNode) error {
 	switch {
 	case op.Name == "" || node == nil && op.Kind != Add:
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// setDestination adds or replaces a destination in a copy of the rule's: the table before keeps its own.
+// setDestination adds or replaces a destination in a copy of the rule's destinations, so the old table stays unchanged.
 func (n *ruleNode) setDestination(op Op) (undo Op) {
 	destinations := slices.Clone(n.rule.Destinations)
 	set := Destination{Weight: op.Weight, Match: op.Match, PerSize: op.PerSize}
@@ -122,7 +123,7 @@
 	return undo
 }
 
-// unsetDestination removes a destination from a copy of the rule's.
+// unsetDestination removes a destination from a copy of the rule's destinations.
 func (n *ruleNode) unsetDestination(op Op) (undo Op, err error) {
 	i := destinationIndex(n.rule.Destinations, op.Match, 0)
 	if i < 0 {
@@ -133,12 +134,12 @@
 	return undo, nil
 }
 
-// undoSet is the op that sets a destination to what it was.
+// undoSet returns the op that restores a destination.
 func undoSet(op Op, previous Destination) Op {
 	return Op{Kind: Set, Name: op.Name, Match: op.Match, Weight: previous.Weight, PerSize: previous.PerSize}
 }
 
-// applyAll takes all steps, and returns what they lead to and what undoes them, in order.
+// applyAll applies all ops, and returns the resulting table and the ops that undo them, in order.
 func applyAll(t Table, ops []Op) (after Table, undo []Op, err error) {
 	list := newRuleList(t)
 	for i, op := range ops {
@@ -152,8 +153,8 @@
 	return list.table(), undo, nil
 }
 
-// Apply is the table that ops lead to. Between them it may exceed the bounds; in the end it is one that Check accepts, or there
-// is an error that says what does not fit.
+// Apply returns the table that results from applying ops. Intermediate tables may exceed the bounds, but Apply returns an error
+// if Check rejects the final one or if an op cannot be applied.
 func Apply(t Table, ops []Op) (Table, error) {
 	after, _, err := applyAll(t, ops)
 	if err != nil {
@@ -165,16 +166,17 @@
 	return after, nil
 }
 
-// Invert is the ops that lead back from what ops make of a table, or what does not fit.
+// Invert returns the ops that lead back to t from the result of applying ops to t, or an error if an op cannot be applied.
 func Invert(t Table, ops []Op) ([]Op, error) {
 	_, undo, err := applyAll(t, ops)
 	return undo, err
 }
 
-// Concat is one list of ops that does what several do, one after the other.
+// Concat returns one list of ops that has the same effect as several lists applied one after the other.
 func Concat(steps ...[]Op) []Op { return slices.Concat(steps...) }
 
-// destinationIndex is where the destination of a match stands, likely at an index; below 0: nowhere.
+// destinationIndex returns the index of the destination with a match, or a negative number if there is none. It tries the
+// index likely first.
 func destinationIndex(destinations []Destination, m Match, likely int) int {
 	if likely < len(destinations) && destinations[likely].Match.equal(m) {
 		return likely
--- a/balance/routes/check.go
+++ b/balance/routes/check.go
@@ -10,13 +10,13 @@
 // Bounds of a table.
 const (
 	MaxRules        = 20_000
-	MaxDestinations = 128     // of a rule
-	MaxTags         = 16      // of a match
+	MaxDestinations = 128     // per rule
+	MaxTags         = 16      // per match
 	MaxTextBytes    = 128     // of a name, a tag or a value
-	MaxTableBytes   = 4 << 20 // of a table: its texts, and some for each of its parts
+	MaxTableBytes   = 4 << 20 // of a table: its texts plus an overhead per part, see below
 )
 
-// What each part of a table counts for besides its texts, in bytes.
+// The overhead in bytes that each part of a table counts for, in addition to its texts.
 const (
 	tagBytes         = 2
 	ruleBytes        = 4
@@ -26,10 +26,10 @@
 var (
 	errSameName = errors.New("another rule has this name")
 	errNoText   = errors.New("it is missing")
-	errNotUTF8  = errors.New("it is no UTF-8") // and would be another text at the next reader
+	errNotUTF8  = errors.New("it is no UTF-8") // other readers could decode it as a different text
 )
 
-// FieldError says which field of a rule is wrong, and how.
+// FieldError reports an invalid field of a rule.
 type FieldError struct {
 	Field string
 	Err   error
@@ -37,7 +37,7 @@
 
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the underlying error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 func badField(field, format string, args ...any) error {
@@ -46,8 +46,8 @@
 
 func destinationField(i int) string { return fmt.Sprintf("Destinations[%d]", i) }
 
-// Check returns what is wrong with a table, naming the rule and its field: it exceeds a bound, two rules have one name, two
-// destinations of a rule one match, or CheckRule refuses a rule.
+// Check returns an error that names the rule and field if the table exceeds a bound, two rules have the same name, two
+// destinations of a rule have the same match, or CheckRule rejects a rule.
 func (t Table) Check() error {
 	if len(t) > MaxRules {
 		return fmt.Errorf("%d rules: %d at most", len(t), MaxRules)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// sizeBytes is what MaxTableBytes bounds.
+// sizeBytes returns the size that MaxTableBytes limits.
 func (t Table) sizeBytes() (sum int) {
 	for _, rule := range t {
 		sum += len(rule.Name) + ruleBytes + rule.Source.sizeBytes() + rule.Service.sizeBytes()
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// CheckRule returns what no rule may be, whatever table it is in: it needs tags to match on, and weights from 0 up with a sum
-// above 0.
+// CheckRule checks what is required of a rule independent of its table: it must have tags to match on, and its weights must be
+// non-negative with a sum above 0.
 func CheckRule(r Rule) error {
 	if len(r.Source) == 0 {
 		return badField("Source", "no tag to match on")
--- a/balance/routes/diff.go
+++ b/balance/routes/diff.go
@@ -1,23 +1,25 @@
 package routes
 
-// Diff is the ops of least cost that lead from one table to another, the order of destinations aside; none:
-// they are the same. Both have unique names, and unique matches in a rule. It takes O(n log n) in rules.
+// Diff returns the ops of minimal cost that lead from one table to another, ignoring the order of destinations. It returns
+// none if the tables are equal. Both tables must have unique rule names, and unique matches within a rule. Diff takes
+// O(n log n) time in the number of rules.
 //
-// Why it is least. Say a rule in both tables takes e edits (match, set, unset) and has d destinations in the
-// target. Ops that drop it must add it again: 2+d at least, wherever it then stands. Others pay the e edits,
-// as no op edits two things, and 1 more if they move it. Rules that are neither dropped nor moved keep their
-// order: they are a subsequence of both tables. So a rule costs e in it, and min(e+1, d+2) outside: being in
-// it saves 1 if e <= d+1, and nothing otherwise. Most is saved by the longest common subsequence of the rules
-// with e <= d+1: the longest increasing one of their places in the target. Those outside it are moved, and
-// the rest dropped and added again. Rules of one table alone cost 1 to drop, or 1+d to add.
+// Proof that the cost is minimal: Consider a rule that is in both tables, takes e edits (match, set, unset) and has d
+// destinations in the target. Ops that drop it must add it again, which costs at least 2+d, wherever the rule is then
+// placed. Ops that keep it pay for the e edits, since no op makes two edits, and 1 more if they move it. The rules that are
+// neither dropped nor moved keep their order, so they form a subsequence of both tables. A rule therefore costs e inside this
+// subsequence and min(e+1, d+2) outside it: being inside saves 1 if e <= d+1, and nothing otherwise. So the savings are
+// largest for the longest common subsequence of the rules with e <= d+1, which is the longest increasing subsequence of
+// their indexes in the target. Those rules that are outside it are moved, and the rules with e > d+1 are dropped and added
+// again. Rules that are in only one of the tables cost 1 to drop, or 1+d to add.
 func Diff(from, to Table) []Op {
 	changes := newDiff(from, to)
 	stays := make([]bool, len(to))
 	for _, i := range longestIncreasing(changes.common) {
 		stays[i] = true
 	}
-	// Each rule that does not stay is put right behind its predecessor in the target. Those placed so far are
-	// then in order, and all that stay and come later are behind them; what else stands between is yet to move.
+	// Each rule that does not stay is inserted right after its predecessor in the target. The rules placed so far are then in
+	// order, and all later rules that stay are behind them. Any other rules in between have yet to be moved.
 	ops, after := changes.drops, ""
 	for i, rule := range to {
 		switch {
@@ -32,11 +34,11 @@
 	return ops
 }
 
-// diff says what happens to each rule of two tables, apart from its place.
+// diff describes the changes to each rule of two tables, apart from its position.
 type diff struct {
-	drops  []Op   // of rules that go, or that cost less to add anew
-	inBoth []bool // by index in the target: the rule is not dropped
-	edits  [][]Op // by index in the target, of kept rules
+	drops  []Op   // drops of rules that are not in the target, or that are cheaper to drop and add again
+	inBoth []bool // by index in the target: the rule is in both tables and is kept
+	edits  [][]Op // by index in the target: edits of the kept rules
 	common []int  // indexes in the target of the kept rules, in their old order
 }
 
@@ -61,7 +63,7 @@
 	return changes
 }
 
-// edit is what makes a rule like another of its name.
+// edit returns the ops that change a rule into another one of the same name.
 func edit(from, to Rule) (ops []Op) {
 	if !from.Source.equal(to.Source) || !from.Service.equal(to.Service) {
 		ops = append(ops, Op{Kind: Rematch, Name: to.Name, Source: to.Source, Service: to.Service})
--- a/balance/routes/encoding.go
+++ b/balance/routes/encoding.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sortedTags are the match's tags in order, in a space for most of them.
+// sortedTags returns the match's tags in sorted order. It uses the given space unless there are more than MaxTags of them.
 func (m Match) sortedTags(space *[MaxTags]string) []string {
 	all := space[:0]
 	for tag := range m {
@@ -20,7 +20,7 @@
 	return all
 }
 
-// key is the same for equal matches, and for no others.
+// key returns a string that is the same for equal matches only.
 func (m Match) key() string { return string(m.encode(nil)) }
 
 func (m Match) encode(encoded []byte) []byte {
@@ -36,7 +36,7 @@
 	return append(binary.AppendUvarint(encoded, uint64(len(text))), text...)
 }
 
-// Canonical is the same table with each rule's destinations in the one order that all tables share.
+// Canonical returns the same table with the destinations of each rule in a canonical order.
 func (t Table) Canonical() Table {
 	all := make(Table, len(t))
 	for i, rule := range t {
@@ -45,7 +45,7 @@
 	return all
 }
 
-// canonical shares the destinations of a rule that has them in order.
+// canonical returns the rule with its destinations in canonical order. If they already are, it shares them with r.
 func (r Rule) canonical() Rule {
 	if len(r.Destinations) < 2 {
 		return r
@@ -66,7 +66,7 @@
 	return r
 }
 
-// encode is the same for tables that mean the same, and for no others.
+// encode returns an encoding that is the same for equivalent tables only.
 func (t Table) encode() []byte {
 	var encoded []byte
 	for _, rule := range t.Canonical() {
@@ -82,7 +82,7 @@
 }
 
 func (d Destination) encode(encoded []byte) []byte {
-	const positiveZero = 0 // added, it makes -0 and 0 one weight
+	const positiveZero = 0 // adding it turns -0 into 0, so that both encode as the same weight
 	encoded = d.Match.encode(encoded)
 	encoded = binary.LittleEndian.AppendUint64(encoded, math.Float64bits(d.Weight+positiveZero))
 	if d.PerSize {
@@ -91,6 +91,6 @@
 	return append(encoded, 0)
 }
 
-// Hash is 16 hexadecimal digits that tables share which mean the same: the order of destinations does not count, that of rules
-// does.
+// Hash returns a hash of 16 hexadecimal digits that is the same for equivalent tables. It does not depend on the order of
+// destinations, but on the order of rules.
 func (t Table) Hash() string { return fmt.Sprintf("%016x", xxhash.Sum64(t.encode())) }
--- a/balance/routes/json.go
+++ b/balance/routes/json.go
@@ -8,7 +8,7 @@
 	"math"
 )
 
-// destinationJSON is a destination in JSON. A weight that is left out is no weight.
+// destinationJSON is the JSON format of a destination. Weight is a pointer so that a missing weight can be detected.
 type destinationJSON struct {
 	Match   Match    `json:"match"`
 	Weight  *float64 `json:"weight"`
@@ -16,7 +16,7 @@
 }
 
 func (f destinationJSON) destination() Destination {
-	d := Destination{Weight: math.NaN(), Match: f.Match, PerSize: f.PerSize} // which Check refuses
+	d := Destination{Weight: math.NaN(), Match: f.Match, PerSize: f.PerSize} // Check rejects NaN
 	if f.Weight != nil {
 		d.Weight = *f.Weight
 	}
@@ -28,7 +28,7 @@
 	return json.Marshal(destinationJSON{d.Match, &d.Weight, d.PerSize})
 }
 
-// UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are ignored.
+// UnmarshalJSON implements json.Unmarshaler. Unknown keys, such as those of later versions, are ignored.
 func (d *Destination) UnmarshalJSON(text []byte) error {
 	var f destinationJSON
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// ParseRules reads rules as a person wrote them: an unknown key is likely a mistake, and refused. What they say is not checked.
+// ParseRules parses rules written by a person. It rejects unknown keys, since they are probably mistakes, but does not validate
+// the rules.
 func ParseRules(text []byte) (Table, error) {
 	var all []struct {
 		Rule
@@ -61,7 +62,7 @@
 	return table, nil
 }
 
-// opJSON is an op in JSON, with the keys that its kind needs.
+// opJSON is the JSON format of an op, which has only the keys that its kind needs.
 type opJSON struct {
 	Kind    Kind     `json:"op"`
 	Name    string   `json:"name"`
@@ -93,11 +94,11 @@
 	return json.Marshal(form)
 }
 
-// ErrIncompleteOp says that an op lacks a key that its kind needs.
+// ErrIncompleteOp is returned for an op that lacks a key that its kind needs.
 var ErrIncompleteOp = errors.New("lacks what it needs")
 
-// UnmarshalJSON implements json.Unmarshaler. Unknown keys, as of later versions, are ignored; a place or a weight that is left out
-// is ErrIncompleteOp, not a default.
+// UnmarshalJSON implements json.Unmarshaler. Unknown keys, such as those of later versions, are ignored. A missing key that the
+// op's kind needs results in ErrIncompleteOp, not in a default.
 func (op *Op) UnmarshalJSON(text []byte) error {
 	var form opJSON
 	if err := json.Unmarshal(text, &form); err != nil {
@@ -127,7 +128,7 @@
 
 func (f opJSON) hasDestination() bool { return f.Kind == Set || f.Kind == Unset }
 
-// isComplete tells whether an op has the keys that its kind needs.
+// isComplete reports whether an op has the keys that its kind needs.
 func (f opJSON) isComplete() bool {
 	switch {
 	case f.hasPlace() && f.After == nil:
--- a/balance/routes/match.go
+++ b/balance/routes/match.go
@@ -1,9 +1,9 @@
 package routes
 
-// anyValue is the value of a match that all values satisfy.
+// anyValue is the value in a match that any value satisfies.
 const anyValue = "*"
 
-// Matches tells whether tags satisfy m, and how many of m's values are exact.
+// Matches reports whether tags satisfy m, and how many of m's values are matched exactly.
 func (m Match) Matches(tags map[string]string) (ok bool, exact int) {
 	for tag, wanted := range m {
 		value, known := tags[tag]
@@ -18,8 +18,8 @@
 	return true, exact
 }
 
-// Best picks the one rule that decides: more tags beat fewer, then more exact values beat "*", then the
-// newest wins. It returns nil if none matches.
+// Best returns the rule that applies to a client and service. A rule with more tags takes precedence, then one with more exact
+// values instead of "*", then the newest. Best returns nil if no rule matches.
 func Best(rules []Rule, client map[string]string, service string) (best *Rule) {
 	highest := -1
 	for i, rule := range rules {
--- a/balance/routes/rule.go
+++ b/balance/routes/rule.go
@@ -1,13 +1,13 @@
-// Package routes is the route table: rules from the oldest to the newest, which of them decides for a client, and the least
-// change from one table to another. It is values and decisions, without I/O.
+// Package routes implements the route table: rules ordered from the oldest to the newest, the choice of the rule that applies
+// to a client, and the minimal change from one table to another. It does no I/O.
 //
 // # Terms
 //
-//   - A rule applies to the clients whose tags satisfy its Source and to the services that satisfy its Service; it sends their
-//     requests to its weighted destinations. Best says which rule decides where several apply.
-//   - An Op is one step from a table to another; Diff returns those of least cost, and says why they are.
+//   - A rule applies to the clients whose tags satisfy its Source and to the services that satisfy its Service. It sends their
+//     requests to its weighted destinations. If several rules apply, Best returns the one that decides.
+//   - An Op is one step from a table to another. Diff returns the ops of minimal cost; its comment has the proof.
 //
-// A table is never changed in place: what makes another one shares the rules that stay.
+// A table is never modified in place: functions that return a new table share the unchanged rules with the old one.
 package routes
 
 import (
@@ -15,11 +15,12 @@
 	"reflect"
 )
 
-// Match is a set of tags and the values they must have; "*" matches any value, but the tag must be there, except for the tag
+// Match is a set of tags and the values they must have. "*" matches any value, but the tag must be present, except for the tag
 // "service", which every client and endpoint has.
 type Match map[string]string
 
-// equal tells whether two matches are the same. Tables that came one from the other share most of theirs.
+// equal reports whether two matches are equal. It compares pointers first, since tables derived from each other share most of
+// their matches.
 func (m Match) equal(other Match) bool {
 	return reflect.ValueOf(m).Pointer() == reflect.ValueOf(other).Pointer() || maps.Equal(m, other)
 }
@@ -29,8 +30,8 @@
 type Destination struct {
 	Weight float64
 	Match  Match
-	// PerSize makes Weight the weight of each unit of registered size that is ready in the group, in place of the weight of the
-	// whole group.
+	// PerSize makes Weight the weight per unit of registered size that is ready in the group, instead of the weight of the whole
+	// group.
 	PerSize bool
 }
 
@@ -42,35 +43,35 @@
 	Destinations []Destination `json:"destinations"`
 }
 
-// Table is all rules, from the oldest to the newest. The order of a rule's destinations means nothing.
+// Table contains all rules, from the oldest to the newest. The order of a rule's destinations has no meaning.
 type Table []Rule
 
-// Kind says what an Op does.
+// Kind is the kind of an Op.
 type Kind string
 
 // The kinds of Ops.
 const (
-	Drop    Kind = "drop"  // the rule goes
-	Add     Kind = "add"   // Rule comes, right after the rule After; "": in the oldest place
-	Move    Kind = "move"  // the rule goes there
-	Rematch Kind = "match" // the rule has this Source and Service
-	Set     Kind = "set"   // the rule's destination of Match comes, or has this Weight and PerSize
-	Unset   Kind = "unset" // the rule's destination of Match goes
+	Drop    Kind = "drop"  // removes the rule
+	Add     Kind = "add"   // inserts Rule right after the rule After; "": as the oldest rule
+	Move    Kind = "move"  // moves the rule right after the rule After; "": as the oldest rule
+	Rematch Kind = "match" // sets the rule's Source and Service
+	Set     Kind = "set"   // adds the rule's destination with Match, or sets its Weight and PerSize
+	Unset   Kind = "unset" // removes the rule's destination with Match
 )
 
 // Op is one step from a table to another.
 type Op struct {
 	Kind            Kind
-	Name            string // of the rule
-	After           string // add, move
-	Rule            Rule   // add
-	Source, Service Match  // match
-	Match           Match  // set, unset
-	Weight          float64
-	PerSize         bool
+	Name            string  // name of the rule
+	After           string  // Add and Move only
+	Rule            Rule    // Add only
+	Source, Service Match   // Rematch only
+	Match           Match   // Set and Unset only
+	Weight          float64 // Set only
+	PerSize         bool    // Set only
 }
 
-// Cost is what ops cost: 1 each, and 1 more for each destination that is added with a rule.
+// Cost returns the cost of ops: 1 for each op, and 1 more for each destination of a rule that is added.
 func Cost(ops []Op) (sum int) {
 	for _, op := range ops {
 		sum += 1 + len(op.Rule.Destinations)
@@ -78,8 +79,8 @@
 	return sum
 }
 
-// Relevant has the rules that can ever decide for a client with these tags that calls this service; nil: any client, "": any
-// service.
+// Relevant returns the rules that can apply to a client with these tags when it calls this service. A nil client stands for any
+// client, and "" for any service.
 func (t Table) Relevant(client map[string]string, service string) Table {
 	relevant, called := Table{}, map[string]string{"service": service}
 	for _, rule := range t {
--- a/balance/routes/subsequence.go
+++ b/balance/routes/subsequence.go
@@ -5,10 +5,10 @@
 	"sort"
 )
 
-// longestIncreasing is a longest increasing subsequence of different numbers, by patience sorting (Fredman, "On computing the
-// length of longest increasing subsequences", 1975).
+// longestIncreasing returns a longest increasing subsequence of distinct numbers, by patience sorting (Fredman, "On computing
+// the length of longest increasing subsequences", 1975).
 func longestIncreasing(numbers []int) []int {
-	var tops []int // by length: the index of the least number that an increasing sequence of the length ends in
+	var tops []int // by length-1: the index of the smallest number that ends an increasing subsequence of that length
 	previous := make([]int, len(numbers))
 	for i, number := range numbers {
 		pile := sort.Search(len(tops), func(p int) bool { return numbers[tops[p]] >= number })
--- a/balance/signals/codec.go
+++ b/balance/signals/codec.go
@@ -10,16 +10,16 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// A report is sent as MessagePack, by the library that memberlist uses, fields by their place: a later version adds fields
-// behind these, which an earlier one ignores.
+// A report is encoded as MessagePack with the library that memberlist uses. Structs are encoded as arrays: later versions
+// append fields, which earlier versions ignore.
 
-// MaxReportBytes bounds an encoded report.
+// MaxReportBytes is the maximum size of an encoded report.
 const MaxReportBytes = 640
 
-// maxNumber bounds the numbers that are decoded.
+// maxNumber is the upper bound of decoded numbers.
 const maxNumber = 1 << 30
 
-// ErrOverBounds says that a report has more or longer parts than any sidecar sends.
+// ErrOverBounds is returned for a report that has more or longer parts than any sidecar sends.
 var ErrOverBounds = errors.New("report: over the bounds")
 
 type wireReport struct {
@@ -46,11 +46,11 @@
 func msgpackHandle() *codec.MsgpackHandle {
 	handle := &codec.MsgpackHandle{}
 	handle.StructToArray = true
-	handle.MaxInitLen = 4 * maxUses // a length that a peer claims would be allocated before anything of it is read
+	handle.MaxInitLen = 4 * maxUses // without it, any length that a peer claims is allocated before its elements are read
 	return handle
 }
 
-// Encode writes a report in at most MaxReportBytes. The mildest verdicts, and then uses, are left out where it would be longer.
+// Encode encodes a report in at most MaxReportBytes. If it would be longer, the mildest verdicts and then uses are omitted.
 func Encode(r Report) ([]byte, error) {
 	wire := toWire(r)
 	for {
@@ -71,7 +71,7 @@
 	}
 }
 
-// toWire is a report's wire form, the worst verdicts first.
+// toWire converts a report to its wire format, with the worst verdicts first.
 func toWire(r Report) wireReport {
 	r.Verdicts = slices.SortedFunc(slices.Values(r.Verdicts), compareSeverity)
 	r = sanitized(r)
@@ -98,12 +98,12 @@
 	return wire
 }
 
-// compareSeverity puts the worst verdicts first, and those that a process serves last.
+// compareSeverity sorts the worst verdicts first and verdicts of kind Serving last.
 func compareSeverity(x, y Verdict) int {
 	return cmp.Or(cmp.Compare(y.Kind%Serving, x.Kind%Serving), cmp.Compare(y.Count, x.Count), cmp.Compare(x.Server, y.Server))
 }
 
-// Decode reads a report. One with parts beyond the bounds is ErrOverBounds.
+// Decode decodes a report. It returns ErrOverBounds if parts of the report exceed the bounds.
 func Decode(encoded []byte) (Report, error) {
 	if len(encoded) > MaxReportBytes {
 		return Report{}, fmt.Errorf("report: %d bytes are over %d", len(encoded), MaxReportBytes)
--- a/balance/signals/signals.go
+++ b/balance/signals/signals.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// What a verdict needs; see the package's invariants.
+// The requirements for a verdict; see the package's invariants.
 const (
 	minWitnesses  = 3
-	minServed     = 2 // witnesses that a process served, to outweigh earlier faults: one alone may lie
-	minFaults     = 5 // among the witnesses, at most maxFaultsEach of each
+	minServed     = 2 // served witnesses needed to outweigh earlier faults, as a single one may be false
+	minFaults     = 5 // in total, counting at most maxFaultsEach per witness
 	maxFaultsEach = 2
-	minZones      = 2               // a zone that is cut off would condemn another one for all
+	minZones      = 2               // otherwise a partitioned zone could condemn another zone for all sidecars
 	evidenceTTL   = 8 * time.Second // an ejection of 5 s, and time to fail at the server again
 	maxShare      = 0.4             // of the servers that a witness uses
-	maxZoneShare  = 0.5             // of those in one zone
-	minCondemned  = 2               // servers, below which no share means anything
+	maxZoneShare  = 0.5             // of the servers in one zone that a witness uses
+	minCondemned  = 2               // number of condemned servers below which shares are not meaningful
 )
 
-// witness is what one origin states of one process.
+// witness is the statement of one origin about one process.
 type witness struct {
 	kind       Kind
 	zone       string // the origin's
@@ -27,8 +27,8 @@
 	age        time.Duration
 }
 
-// Evaluate returns the verdict on each process by what the members state now: the worst kind that enough
-// witnesses support.
+// Evaluate returns the verdict on each process according to the current statements of the members: the worst kind that
+// enough witnesses support.
 func (a *Aggregate) Evaluate(now time.Duration) map[Process]Kind {
 	a.dropExpired(now)
 	verdicts := map[Process]Kind{}
@@ -51,8 +51,8 @@
 	}
 }
 
-// collectWitnesses returns the witnesses on each process that are likely not cut off, with evidence that
-// still counts.
+// collectWitnesses returns the witnesses on each process whose evidence has not expired and that are probably not
+// partitioned themselves.
 func (a *Aggregate) collectWitnesses(now time.Duration) map[Process][]witness {
 	witnesses := map[Process][]witness{}
 	for _, s := range a.statements {
@@ -76,7 +76,7 @@
 	return witnesses
 }
 
-// servedAges is how long ago the process served each of the witnesses that state so.
+// servedAges returns how long ago the process served each of the witnesses that report it as serving.
 func servedAges(witnesses []witness) (ages []time.Duration) {
 	for _, w := range witnesses {
 		if w.kind == Serving {
@@ -86,7 +86,7 @@
 	return ages
 }
 
-// condemning are the witnesses of faults that are no older than the answers that enough others had.
+// condemning returns the witnesses of faults that are no older than the answers that enough others got.
 func condemning(witnesses []witness, served []time.Duration) []witness {
 	oldest := evidenceTTL
 	if len(served) >= minServed {
@@ -96,7 +96,7 @@
 	return slices.DeleteFunc(witnesses, func(w witness) bool { return w.kind == Serving || w.age > oldest })
 }
 
-// worstKind is the worst kind that enough witnesses support, or None.
+// worstKind returns the worst kind that enough witnesses support, or None.
 func (a *Aggregate) worstKind(witnesses []witness) Kind {
 	for kind := Unresponsive; kind > None; kind-- {
 		if a.suffices(witnesses, kind) {
@@ -106,7 +106,7 @@
 	return None
 }
 
-// suffices tells whether the witnesses are enough for a kind of failure, or a worse one.
+// suffices reports whether enough witnesses support a kind of failure or a worse one.
 func (a *Aggregate) suffices(witnesses []witness, kind Kind) bool {
 	var zones []string
 	count, faults, near := 0, 0, 0
@@ -129,7 +129,7 @@
 	return len(zones) >= minZones || zones[0] == a.Zone || near >= minWitnesses
 }
 
-// isPartitioned tells whether a witness is more likely cut off itself than that so many servers fail.
+// isPartitioned reports whether a witness condemns so many servers that it is more likely partitioned itself.
 func isPartitioned(r Report) bool {
 	condemned := slices.DeleteFunc(slices.Clone(r.Verdicts), func(v Verdict) bool { return v.Kind == Serving })
 	var used, condemnedUsed int
@@ -141,7 +141,7 @@
 			return true
 		}
 	}
-	// What it condemns where it uses nothing, by its own statement, would not show in any share.
+	// Servers condemned in zones where it uses none, according to its own report, would not show up in any share.
 	if condemnedUsed < len(condemned) {
 		return true
 	}
@@ -157,8 +157,8 @@
 	return count
 }
 
-// LocalReport is what a sidecar states of what it saw itself: no verdict if it is likely cut off, and none
-// that is too old.
+// LocalReport returns a sidecar's own report as it may be sent: without verdicts if the sidecar is probably partitioned,
+// and without verdicts that are too old.
 func LocalReport(r Report) Report {
 	partitioned := isPartitioned(r)
 	r.Verdicts = slices.DeleteFunc(slices.Clone(r.Verdicts), func(v Verdict) bool {
--- a/balance/signals/types.go
+++ b/balance/signals/types.go
@@ -1,31 +1,34 @@
-// Package signals makes verdicts on servers of what many sidecars state that they saw.
+// Package signals derives verdicts on servers from the observations that many sidecars report.
 //
-// A sidecar with little traffic learns slowly that a server fails, and each learns it by requests that fail. So sidecars tell
-// each other what they saw, and each evaluates what all have stated. One that is wrong, cut off or lying must neither make a
-// verdict nor prevent one.
+// A sidecar with little traffic takes long to detect that a server fails, and each sidecar detects it only through requests
+// that fail. So the sidecars exchange their observations, and each evaluates the statements of all. A single sidecar that is
+// faulty, partitioned or malicious must neither cause a verdict nor prevent one.
 //
-// The package is pure: it has no clock and no I/O, and the same statements give the same verdicts in whatever order they come.
-// An Aggregate must not be used by two goroutines at once.
+// The package is pure: it has no clock and no I/O, and the same statements lead to the same verdicts in whatever order they
+// arrive. An Aggregate must not be used by several goroutines concurrently.
 //
 // # Terms
 //
-//   - A verdict of one sidecar says how one server process fails (its Kind), by what that sidecar saw itself.
-//   - A report is all verdicts of one sidecar at a time. A statement is a report with its origin and age.
-//   - A witness is an origin whose present report has a verdict on a process. It condemns the process, or was served by it.
+//   - A verdict of one sidecar says how one server process fails (its Kind), according to that sidecar's own observations.
+//   - A report contains all verdicts of one sidecar at a given time. A statement is a report with its origin and age.
+//   - A witness is an origin whose current report has a verdict on a process. It either condemns the process or was served by it.
 //
 // # Invariants
 //
-// They hold whatever the order, duplicates and losses of statements (TestVerdictsHaveWitnesses and TestOneLiarMovesNothing draw them):
+// They hold even if statements are reordered, duplicated or lost (TestVerdictsHaveWitnesses and TestOneLiarMovesNothing check
+// them on random statements):
 //
-//  1. A verdict rests on 3 or more origins that are members, each with its latest statement, no older than the TTL, on faults
-//     that the origin saw itself no longer than 8 s ago, 5 in all, at most 2 of each counted; from 2 or more zones, or all from
-//     the reader's own, or 3 from the server's, who have the shortest way to it.
-//  2. So one origin, whatever it states, and of whatever zones, neither makes a verdict that two sound ones would not be part
-//     of, nor prevents one that rests on three others.
-//  3. A witness that condemns over 0.4 of what it uses, or over half of one zone, is likely cut off: it counts nowhere.
-//  4. Faults count for nothing that are older than the answers that 2 others had; the word of one takes nothing away.
-//  5. A verdict ends a TTL after its witnesses fall silent, 8 s after the last fault that any of them saw, or with the server's
-//     process. No message ends it but what its witnesses themselves state next.
+//  1. A verdict needs 3 or more witnesses that are members, each with its latest statement, which is no older than the TTL. It
+//     is based on faults that the witnesses observed themselves no longer than 8 s ago: 5 faults in total, counting at most 2
+//     of each witness. The witnesses are from 2 or more zones, or all from the reader's own zone, or 3 of them are from the
+//     server's zone, as they have the shortest path to it.
+//  2. So one origin, whatever it states and about whatever zones, can neither cause a verdict that is not also supported by two
+//     honest origins, nor prevent one that is supported by three others.
+//  3. A witness that condemns more than 0.4 of the servers it uses, or more than half of those in one zone, is probably
+//     partitioned itself, and is ignored altogether.
+//  4. Faults older than the answers that 2 others got do not count. An answer to a single witness has no effect.
+//  5. A verdict ends one TTL after the last statements of its witnesses, 8 s after the last fault that any of them observed, or
+//     with the server's process. No message can end it earlier, except the next statements of the witnesses themselves.
 package signals
 
 import (
@@ -33,66 +36,67 @@
 	"time"
 )
 
-// Kind is how a server fails, from the mildest to the worst, or that it does not. Its numbers are on the wire.
+// Kind is how a server fails, from the mildest to the worst kind, or that it serves. The values are on the wire.
 type Kind uint8
 
-// The kinds. One beyond the last comes from a later version, and counts for nothing.
+// The kinds. Values above the last one come from a later version and are ignored.
 const (
 	None         Kind = iota
 	Overloaded        // rejects requests
-	Slow              // owes answers for longer than it should
-	Failing           // answers with errors, or accepts no connection
+	Slow              // takes longer to answer than it should
+	Failing           // answers with errors or accepts no connections
 	Unresponsive      // does not answer
-	Serving           // answers, though others state that it fails
+	Serving           // answers, although others report it as failing
 )
 
-// Process is one process of a server. Its successor under the same id is another one.
+// Process identifies one process of a server. A restarted server with the same id is a different process.
 type Process struct {
 	Server string
-	Start  int64 // in any unit that all sidecars share; 0: not known
+	Start  int64 // in any unit that all sidecars share; 0: unknown
 }
 
-// Verdict is what one sidecar saw of a server itself. What it learned from others is none.
+// Verdict is one sidecar's own observation of a server. It never contains what the sidecar learned from others.
 type Verdict struct {
 	Process
-	Zone  string        // the server's
+	Zone  string        // the server's zone
 	Kind  Kind          // how it fails
-	Count int           // faults seen
-	Age   time.Duration // since the last of them
+	Count int           // number of faults observed
+	Age   time.Duration // time since the last fault
 }
 
-// ZoneUse is how many servers of a zone a sidecar uses.
+// ZoneUse is the number of servers of a zone that a sidecar uses.
 type ZoneUse struct {
 	Zone    string
 	Servers int
 }
 
-// Report is all that a sidecar states. Each one stands for itself: a server that it does not name is not condemned.
+// Report is everything that a sidecar reports. Each report is complete: servers that it does not name are not condemned.
 type Report struct {
-	Zone         string // the sidecar's
-	TrafficLevel int    // as the balancer counts it; 0: not known
+	Zone         string // the sidecar's zone
+	TrafficLevel int    // the sidecar's Balancer.TrafficLevel; 0: unknown
 	Uses         []ZoneUse
 	Verdicts     []Verdict
 }
 
-// Statement is a report as it arrives from a member.
+// Statement is a report as received from a member.
 type Statement struct {
 	Origin string        // the member's name
-	Start  int64         // of its process: a later process has a higher one
-	Seq    uint64        // rises within a process
-	Age    time.Duration // since the report was made
+	Start  int64         // identifies the member's process; a later process has a higher value
+	Seq    uint64        // increases within a process
+	Age    time.Duration // time since the report was created
 	Report Report
 }
 
-// The bounds of a report and of an aggregate.
+// Bounds of a report and of an aggregate.
 const (
-	MaxVerdicts  = 12 // of a report
-	maxUses      = 16 // of a report
+	MaxVerdicts  = 12 // per report
+	maxUses      = 16 // per report
 	maxOrigins   = 4096
-	maxTextBytes = 64 // of a server's id, or a zone
+	maxTextBytes = 64 // of a server id or a zone
 )
 
-// sanitized is a report within the bounds, with one verdict on each process, of known kinds, and one use of each zone.
+// sanitized returns the report reduced to the bounds, with at most one verdict per process, only known kinds, and one use per
+// zone.
 func sanitized(r Report) Report {
 	clean := Report{Zone: r.Zone[:min(len(r.Zone), maxTextBytes)], TrafficLevel: r.TrafficLevel}
 	for _, use := range r.Uses[:min(len(r.Uses), maxUses)] {
--- a/balance/subset/subset.go
+++ b/balance/subset/subset.go
@@ -1,21 +1,21 @@
-// Package subset chooses which servers of a group a sidecar uses: a run of consecutive servers in the group's
-// order, so that a sidecar with little traffic knows its servers and connects to few. Together the runs of
-// all sidecars use each server equally (deterministic subsetting; Google, Site Reliability Engineering, 2016,
-// ch. 20).
+// Package subset chooses which servers of a group a sidecar uses: a run of consecutive servers in the group's order, so
+// that a sidecar with little traffic connects to few servers and has recent answers from each. Together, the runs of all
+// sidecars use each server equally (deterministic subsetting; Google, Site Reliability Engineering, 2016, ch. 20).
 package subset
 
 import "math"
 
 const (
-	// minServers is the least length of a run: some may fail.
+	// minServers is the minimum length of a run, since some servers may fail.
 	minServers = 4
-	// levelHysteresis is how many levels the traffic may be off; at 0.5 levels would follow noise.
+	// levelHysteresis is the number of levels by which the traffic may deviate before the level changes. With 0.5, levels
+	// would follow noise.
 	levelHysteresis = 1
 )
 
-// Level groups sidecars of like traffic: 1 where all of n servers are used, one more for each halving, down
-// to minServers. Share is the part of the servers that the traffic needs, current the level so far, or 0: no
-// traffic yet.
+// Level returns the traffic level of a sidecar, which groups sidecars of similar traffic: 1 if all of n servers are used,
+// and one more for each halving of that number, down to minServers. Share is the share of the servers that the traffic
+// needs. Current is the previous level, or 0 if there was no traffic yet.
 func Level(share float64, n, current int) int {
 	exact := 1 - math.Log2(min(max(share, minServers/float64(n)), 1))
 	isClose := current > 0 && math.Abs(exact-float64(current)) <= levelHysteresis
@@ -25,26 +25,26 @@
 	return int(math.Round(exact))
 }
 
-// ForIndex is the run, of n servers, of a sidecar that knows only its own index: starts that follow the
-// golden ratio spread any number of sidecars evenly.
+// ForIndex returns the run, out of n servers, of a sidecar that knows only its own index. The starts follow the golden
+// ratio, which spreads any number of sidecars evenly.
 func ForIndex(n, index int, share float64) (first, length int) {
 	first = int(goldenFraction(index) * float64(n))
 	return first, max(minServers, int(math.Ceil(share*float64(n))))
 }
 
-// ForMember is the run of a sidecar that has an index among those alike, count of one level and zone. Runs of
-// one length and near one traffic are laid evenly round the group, each on until all servers are in equally
-// many. One member more moves each by less than n/count.
+// ForMember returns the run of a sidecar, given its index among the count sidecars of the same level and zone. Their runs
+// have about the same length and similar traffic. They are spaced evenly around the group, with a length such that all
+// servers are in equally many runs. One more member moves each run by less than n/count.
 func ForMember(n, level, index, count int) (first, length int) {
 	step := float64(n) / float64(max(count, 1))
 	exact := max(math.Ldexp(float64(n), 1-level), minServers)
 	if runs := math.Round(exact / step); runs > 0 && n > 0 {
 		exact = runs * step
 	}
-	from := (float64(index) + goldenFraction(level)) * step // levels start apart
+	from := (float64(index) + goldenFraction(level)) * step // each level starts at a different offset
 	length = int(from+exact) - int(from)
 	return int(from) % max(n, 1), min(max(length, minServers), n)
 }
 
-// goldenFraction is the fraction of i times the inverse golden ratio.
+// goldenFraction returns the fractional part of i times the inverse golden ratio.
 func goldenFraction(i int) float64 { return math.Mod(float64(i)*(math.Sqrt(5)-1)/2, 1) }
