--- a/balance/allowance_test.go
+++ b/balance/allowance_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// exceedingShares counts which of the requests of two equal tenants count as beyond their share in one of a thousand
-// sidecars that gets rate requests a second for 20 s, of which the second tenant sends the given part.
+// exceedingShares returns for two tenants with equal allowances the share of requests that exceed the allowance. It simulates
+// one of a thousand sidecars, which gets rate requests per second for 20 s. Second is the second tenant's share of them.
 func exceedingShares(t *testing.T, rate, second float64) (over [2]float64) {
 	t.Helper()
 	set := settings()
@@ -36,7 +36,7 @@
 	for _, test := range []struct {
 		name         string
 		rate, second float64
-		low, high    [2]float64 // bounds of the shares that count as beyond
+		low, high    [2]float64 // bounds of the shares that exceed the allowance
 	}{
 		{"usual traffic", 1, .5, [2]float64{0, 0}, [2]float64{.1, .1}},
 		{"a busy sidecar", 10, .5, [2]float64{0, 0}, [2]float64{.35, .35}},
--- a/balance/body_test.go
+++ b/balance/body_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestBodyConsumed has an attempt fail, unseen by its endpoint, before and after part of a body that is not held was sent.
+// TestBodyConsumed makes an attempt fail to connect, with and without part of its body having been forwarded unbuffered.
 func TestBodyConsumed(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		b, recorder := start(t, settings(), pair())
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestSlowBodiesOweNothing has bodies come, and answers stream, for a long time: the endpoint does not seem slow for it,
-// and a request's time begins with its last byte.
+// TestSlowBodiesOweNothing has a request body and an answer that take a long time to stream. They must not make the endpoint seem
+// slow, and the request's time starts to run only with the last byte of its body.
 func TestSlowBodiesOweNothing(t *testing.T) {
 	b, recorder := start(t, settings(), pair()[:1])
 	serve(b, recorder, 40, 20*time.Millisecond)
@@ -43,7 +43,7 @@
 		t.Errorf("an answer is expected in %.3f s, before it was %.3f s", now, usual)
 	}
 	b.BodyComplete(recorder.now, 1, time.Second)
-	b.BodyComplete(recorder.now, 1, time.Second) // said once too often
+	b.BodyComplete(recorder.now, 1, time.Second) // a duplicate has no effect
 	if recorder.now += time.Second / 2; slow.owedSeconds(recorder.now) != 0.5 {
 		t.Errorf("%.1f s are owed half a second after the last byte", slow.owedSeconds(recorder.now))
 	}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,7 +7,7 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// printer is a sidecar's host that prints what it is asked to do.
+// printer is a host that prints the actions it is asked to take.
 type printer struct{}
 
 func (printer) Send(id balance.RequestID, endpoint string, _ time.Duration) {
--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -14,13 +14,13 @@
 	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
-// goldenFile holds a line for each scenario: its name, seed, number of steps and digest.
+// goldenFile has a line for each scenario: its name, seed, number of steps and digest.
 const goldenFile = "testdata/golden_trace.txt"
 
-// goldenTrace is the digest of a run, with what this package gives out.
+// goldenTrace is the digest of a run. Its methods add the outputs of this package.
 type goldenTrace struct{ *golden.Digest }
 
-// tracedActions passes a Balancer's actions on to a host, and traces them.
+// tracedActions adds a Balancer's actions to the digest and forwards them to a host.
 type tracedActions struct {
 	Actions
 	tr   goldenTrace
@@ -64,7 +64,7 @@
 	a.Actions.Log(text)
 }
 
-// snapshot takes in all that a Balancer has learned, as far as it hands that on.
+// snapshot adds a Balancer's snapshot to the digest.
 func (tr goldenTrace) snapshot(k Snapshot) {
 	tr.Step('K', int64(k.SheddingFor), int64(len(k.Groups)), int64(len(k.Endpoints)))
 	tr.Floats(k.ZoneWeight, k.IdleSeconds, k.Arrivals)
@@ -79,7 +79,7 @@
 	}
 }
 
-// report takes in what a Balancer says of servers.
+// report adds a Balancer's report about servers to the digest.
 func (tr goldenTrace) report(r signals.Report) {
 	tr.Step('W', int64(r.TrafficLevel), int64(len(r.Uses)), int64(len(r.Verdicts)))
 	tr.Text(r.Zone)
@@ -94,7 +94,7 @@
 	}
 }
 
-// hitters takes in a window's report and all clients that are held, and the changed ones.
+// hitters adds the report of a window, the changed clients and all tracked clients to the digest.
 func (tr goldenTrace) hitters(j *hitters.Detector, news hitters.OriginReport, changed []hitters.Client) {
 	tr.Step('H', int64(news.Origin), news.Start, int64(news.Seq), int64(len(changed)))
 	_, _ = tr.Write(news.Report.Append(nil))
@@ -109,13 +109,13 @@
 	tr.Ints(int64(j.Rejected()))
 }
 
-// tracedDay plays a random day of TestRules.
+// tracedDay runs the random events of TestRules.
 func tracedDay(t *testing.T, tr goldenTrace, seed uint64) {
 	t.Helper()
 	playDayOn(t, seed, 6000, func(c *checker) Actions { return tracedActions{Actions: c, tr: tr} })
 }
 
-// anyOperations drives three Balancers with operations drawn from the seed: all events, lists, rules, members' reports and clients.
+// anyOperations drives three Balancers with random operations: all events, lists, rules, reports of members and clients.
 func anyOperations(t *testing.T, tr goldenTrace, seed uint64) {
 	t.Helper()
 	driven := newDriver(t, tr, seed)
@@ -144,35 +144,35 @@
 	}
 }
 
-// driver is a small fleet of sidecars on one list of servers.
+// driver drives a small fleet of sidecars that use one list of servers.
 type driver struct {
 	t        *testing.T
 	tr       goldenTrace
 	rng      *rand.Rand
 	now      Time
-	self     int // the sidecar that the next operation is about
+	self     int // index of the sidecar that the next operation applies to
 	ids      RequestID
 	settings []Settings
 	sidecars []*Balancer
 	open     []drivenAttempt
 	nextTick []Time
 	list     []Endpoint
-	failing  map[string]Outcome // servers in trouble, and how they fail
+	failing  map[string]Outcome // failing servers and the outcome of their attempts
 	rules    []Rule
 	seq      uint64
 }
 
-// drivenAttempt is one that is under way.
+// drivenAttempt is an attempt in flight.
 type drivenAttempt struct {
 	self    int
 	id      RequestID
 	attempt int
 	to      string
 	sent    Time
-	hung    bool // its answer does not come before a time-out
+	hung    bool // it times out without an answer
 }
 
-// drivenHost notes the attempts that a sidecar asks for.
+// drivenHost records the attempts that a sidecar sends.
 type drivenHost struct {
 	d    *driver
 	self int
@@ -219,7 +219,7 @@
 	return driven
 }
 
-// started is a sidecar's new process, that knows the list.
+// started returns the Balancer of a sidecar's new process, which has got the list.
 func (d *driver) started(self int) *Balancer {
 	d.t.Helper()
 	recorder := &drivenHost{d: d, self: self, made: map[RequestID]int{}}
@@ -231,7 +231,7 @@
 	return b
 }
 
-// ticks has the timers of all sidecars expire that are due, and the sidecars exchange what they say.
+// ticks runs the due timers of all sidecars, and makes the sidecars exchange reports.
 func (d *driver) ticks() {
 	for self, b := range d.sidecars {
 		for ; d.nextTick[self] <= d.now; d.nextTick[self] += tickInterval {
@@ -261,7 +261,7 @@
 		if other == self {
 			continue
 		}
-		for _, alias := range []string{"", "-twin", "-third"} { // a witness counts once: as many as make a verdict
+		for _, alias := range []string{"", "-twin", "-third"} { // three witnesses, as many as a verdict needs
 			b.ReceiveReport(d.now, signals.Statement{Origin: fmt.Sprint("p", self, alias), Start: 1, Seq: d.seq - uint64(d.rng.IntN(2)), Age: time.Duration(d.rng.IntN(300)) * time.Millisecond, Report: r})
 		}
 		if d.rng.IntN(50) == 0 {
@@ -293,11 +293,11 @@
 	}
 }
 
-// drivenOutcomes are those that are drawn, the usual ones more often.
+// drivenOutcomes are the outcomes to choose from, with usual ones repeated to make them more likely.
 var drivenOutcomes = []Outcome{Served, Served, Served, Served, Served, Served, Served, Served, Served, Served, Served, Served, Served, Served,
 	Errored, Saturated, TimedOut, ConnectFailed, Reset, Cancelled, NotSent}
 
-// attemptEvent has something happen to an attempt that is under way.
+// attemptEvent passes a random event of an attempt in flight to its Balancer.
 func (d *driver) attemptEvent() {
 	if len(d.open) == 0 {
 		return
@@ -377,7 +377,7 @@
 	d.tr.Bools(d.sidecars[d.self].Knows("s14"))
 }
 
-// changeRules gives a sidecar another table, and traces the steps between the two.
+// changeRules sets a random route table, and adds the diff from the previous table to the digest.
 func (d *driver) changeRules() {
 	var table routes.Table
 	for i := range d.rng.IntN(5) {
@@ -410,7 +410,7 @@
 	}
 }
 
-// meet tells the sidecars of each other, and sometimes of others that are unlike.
+// meet passes the list of members to the sidecars, sometimes with additional members in other zones or of other levels.
 func (d *driver) meet() {
 	var peers []Peer
 	for i, b := range d.sidecars {
@@ -427,7 +427,7 @@
 	}
 }
 
-// changeFailures has a server fail in one way, or recover.
+// changeFailures makes a server fail with some outcome, or recover.
 func (d *driver) changeFailures() {
 	id := d.list[d.rng.IntN(len(d.list))].ID
 	if _, failing := d.failing[id]; failing {
@@ -437,7 +437,7 @@
 	}
 }
 
-// restartSidecar has a sidecar's next process take up what the last one learned.
+// restartSidecar restarts a sidecar, whose new process restores the snapshot of the old one.
 func (d *driver) restartSidecar() {
 	if d.rng.IntN(8) > 0 {
 		return
@@ -449,7 +449,8 @@
 	d.tr.snapshot(d.sidecars[d.self].Snapshot(d.now))
 }
 
-// tracedUnresponsive is a fleet of which a server falls silent, with members that tell each other, some servers cold.
+// tracedUnresponsive simulates a fleet with some cold servers, in which one server becomes unresponsive. The members exchange
+// reports.
 func tracedUnresponsive(t *testing.T, trace goldenTrace, seed uint64) {
 	t.Helper()
 	servers := fleet(12)
@@ -478,7 +479,7 @@
 	run(play.now + 6*time.Second)
 }
 
-// goldenScenarios are what is traced.
+// goldenScenarios returns the scenarios that are traced.
 func goldenScenarios() []golden.Scenario {
 	var all []golden.Scenario
 	add := func(name string, seeds uint64, play func(*testing.T, goldenTrace, uint64)) {
@@ -494,6 +495,6 @@
 	return all
 }
 
-// TestGoldenTrace holds every action, and all that is learned and said, to what they were, step by step. A change that is meant to
-// change what is decided writes the file anew with GRADEUSHER_WRITE_GOLDEN=1 and says so.
+// TestGoldenTrace checks that all actions, snapshots and reports are the same as before, step by step. A commit that intentionally
+// changes decisions must regenerate the file with GRADEUSHER_WRITE_GOLDEN=1 and say so.
 func TestGoldenTrace(t *testing.T) { golden.CompareDigests(t, goldenFile, goldenScenarios()) }
--- a/balance/heavyclient_test.go
+++ b/balance/heavyclient_test.go
@@ -8,14 +8,14 @@
 	"gradeusher.example/gradeusher/balance/hitters"
 )
 
-// The keys of clients in the tests of heavy ones: the heavy one, and the first of a hundred others.
+// Client keys: the heavy client, and the first of a hundred other clients.
 const (
 	heavyClient = 7
 	lightClient = 8
 )
 
-// TestHeavyClientIsRejected has one client ask for most of the work of a small fleet. While servers are full, it alone is refused,
-// and told when to return; while they are not, nobody is.
+// TestHeavyClientIsRejected has one client ask for most of the work of a small fleet. While servers are full, only this client is
+// refused, with a time after which to retry; otherwise no client is refused.
 func TestHeavyClientIsRejected(t *testing.T) {
 	play := newHeavyPlay(t)
 	if _, refused := play.run(4*time.Second, false); refused != [2]int{} {
@@ -33,7 +33,7 @@
 	if once := slices.Compact(slices.Clone(all)); len(once) != len(all) {
 		t.Errorf("%d refusals of %d requests", len(all), len(once))
 	}
-	// Capacity is seen by what is served once less is rejected, not by servers that are full no more: within seconds, not at once.
+	// New capacity is detected within seconds from the work that is served, not immediately when servers are no longer full.
 	if asked, refused := play.run(2*time.Second, false); refused[0] > asked[0]/10 || refused[1] != 0 {
 		t.Errorf("%v refused of %v as there is capacity again", refused, asked)
 	}
@@ -42,7 +42,7 @@
 	}
 }
 
-// heavyPlay is a sidecar of which the heavy client asks ten times as often as all others do.
+// heavyPlay simulates a sidecar whose heavy client sends ten times as many requests as all other clients together.
 type heavyPlay struct {
 	t      *testing.T
 	b      *Balancer
@@ -60,7 +60,7 @@
 	return &heavyPlay{t: t, b: b, h: recorder, window: defaults.Window}
 }
 
-// run plays for some time, and counts what the heavy client and the others asked, and what was refused of each.
+// run simulates some time, and returns the numbers of requests and refusals of the heavy client and of the others.
 func (p *heavyPlay) run(length time.Duration, full bool) (asked, refused [2]int) {
 	p.t.Helper()
 	for end := p.h.now + length; p.h.now < end; p.h.now += 10 * time.Millisecond {
@@ -85,7 +85,7 @@
 	return asked, refused
 }
 
-// ask plays a request, and counts its refusal.
+// ask sends a request and returns 1 if it is refused.
 func (p *heavyPlay) ask(client int) (refused int) {
 	p.t.Helper()
 	before := len(p.h.refused)
@@ -100,7 +100,7 @@
 	return 1
 }
 
-// answer ends the attempts in flight. A full server rejects half of the heavy client's.
+// answer ends the attempts in flight, either as served or as rejected by a full server.
 func (p *heavyPlay) answer(rejected bool) {
 	if !rejected {
 		p.h.answer(p.b, p.h.now, Served)
--- a/balance/hitters/detector_test.go
+++ b/balance/hitters/detector_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// set is that of the sidecar 1.
+// set is the settings of sidecar 1.
 var set = func() Settings {
 	s := Defaults()
 	s.Origin, s.HighThreshold, s.LowThreshold, s.SuspicionTime = 1, 0.08, 0.05, 900*time.Millisecond
 	return s
 }()
 
-// says is a report of a client's share, and more clients' after it.
+// says returns a report with the given shares of clients 1, 2 and so on.
 func says(total uint64, shares ...float64) Report {
 	r := Report{Total: total, Requests: 10_000, Served: fullShare}
 	for i, s := range shares {
@@ -33,10 +33,10 @@
 	return j
 }
 
-// state is what a client is held for.
+// state returns the state of a client.
 func state(j *Detector, key uint64) State { return j.client(key).State }
 
-// roll has the origins tell the same at each window, for some time.
+// roll makes the origins send the same reports in each window, for some time.
 func roll(j *Detector, now *Time, seq *uint64, long time.Duration, words map[uint64]Report) {
 	for end := *now + long; *now < end; *now += set.Window {
 		*seq++
@@ -47,13 +47,13 @@
 	}
 }
 
-// TestStates leads a client through all states.
+// TestStates takes a client through all states.
 func TestStates(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		loud  time.Duration // it has twice the upper bar
-		share float64       // and then that
-		quiet time.Duration
+		loud  time.Duration // how long it has twice the high threshold
+		share float64       // its share afterwards
+		quiet time.Duration // how long it has that share
 		want  State
 	}{
 		{"sound", 0, 0.07, 3 * time.Second, Quiet},
@@ -80,7 +80,8 @@
 	}
 }
 
-// TestReportsInAnyOrder tells drawn news in two orders, with repeats: the same is held. None counts past its bound.
+// TestReportsInAnyOrder delivers random reports in two orders, one of them with duplicates, and checks that the sums are the same.
+// Reports older than the TTL must not count.
 func TestReportsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		news := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) OriginReport {
@@ -88,7 +89,7 @@
 			return OriginReport{Origin: rapid.Uint64Range(2, 6).Draw(t, "origin"), Start: rapid.Int64Range(1, 3).Draw(t, "start"),
 				Seq: seq, Report: says(1000*seq, 0.1*float64(seq))}
 		}), 1, 30).Draw(t, "news")
-		for i := range news { // the same name is the same word
+		for i := range news { // reports with equal origin, start and seq have equal contents
 			news[i].Report.Total += uint64(news[i].Start)
 		}
 		once, shuffled := judge(t), judge(t)
@@ -111,8 +112,8 @@
 	})
 }
 
-// TestOneLiar has one origin tell drawn lies beside honest ones: whoever is held for heavy is so by what the honest ones
-// tell, the largest of them being taken for anything from four times the next to what it says.
+// TestOneLiar adds one origin with random false reports to honest ones. Any client that is not quiet must reach the high threshold by
+// the honest reports alone, where the largest honest total counts for anything from four times the next one to its full value.
 func TestOneLiar(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.Custom(func(t *rapid.T) Report {
@@ -143,7 +144,7 @@
 	})
 }
 
-// largestShare is the larger of a client's shares with totals capped, and without.
+// largestShare returns the larger of a client's shares with and without capped totals.
 func largestShare(d *Detector, key, capped uint64) (most float64) {
 	for _, maxOther := range []uint64{capped, math.MaxInt64} {
 		f, all := d.sumReports(maxOther)
@@ -156,7 +157,7 @@
 	return most
 }
 
-// TestFairShare holds what heavy clients keep against max-min worked out by trying levels.
+// TestFairShare compares the admitted shares of heavy clients with max-min fair shares that are found by trying levels.
 func TestFairShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := rapid.SliceOfN(rapid.Float64Range(0.09, 0.3), 1, 3).Draw(t, "shares")
@@ -183,7 +184,8 @@
 	})
 }
 
-// levelByTrial is the level of max-min by which clients of these shares, and others who ask for the rest, use no more than a supply.
+// levelByTrial returns the max-min level at which clients with these shares, and others that ask for the rest, use at most the
+// supply.
 func levelByTrial(shares []float64, supply float64) (level float64) {
 	for used := 0.0; level < 1 && used <= min(supply, 1); level += 1e-4 {
 		used = 1
@@ -194,7 +196,7 @@
 	return max(level, minAdmittedFraction*set.LowThreshold*supply)
 }
 
-// checkAdmitted holds the requests of a heavy client that are not rejected against its share.
+// checkAdmitted compares the number of admitted requests of a heavy client with its admitted share.
 func checkAdmitted(t *rapid.T, j *Detector, now Time, client *Client) {
 	t.Helper()
 	admitted := 0
@@ -215,8 +217,8 @@
 	}
 }
 
-// TestRejectsUntilThereIsCapacity: servers that are full no more because a heavy client gives way are no reason to let all of it
-// in again; where there is room for all of it, they are.
+// TestRejectsUntilThereIsCapacity checks that a heavy client is still rejected if servers are less than full only because of the
+// rejections, and no longer once there is capacity for all of its requests.
 func TestRejectsUntilThereIsCapacity(t *testing.T) {
 	r := says(1_000_000, 0.3)
 	r.Served = uint16(0.8 * fullShare)
--- a/balance/hitters/model_test.go
+++ b/balance/hitters/model_test.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// The model: a fleet of sidecars with uneven traffic, clients with a drawn skew, servers with a capacity that serve the
-// same share of all they are sent, and news with delays, losses and repeats. Some sidecars judge; the others tell, and do
-// as one of those says.
+// The simulation has a fleet of sidecars with uneven traffic, clients with random skew, servers with a limited capacity that serve
+// the same share of everything they are sent, and reports that are delayed or lost. Only some sidecars evaluate reports
+// (evaluators). The others send reports, and reject requests according to one of the evaluators.
 const (
 	sidecars       = 300
 	judges         = 24
 	clients        = 2000
 	step           = 50 * time.Millisecond
-	perSide        = 4.0 // requests a second of a sidecar in the mean, without a flood
+	perSide        = 4.0 // mean requests per second of a sidecar without floods
 	meanWork       = 0.05
-	floodAt        = 4 * time.Second // the servers are up to the rest
+	floodAt        = 4 * time.Second // start of the floods; the servers can handle the other requests
 	seenBy         = floodAt + 3*time.Second
 	lasts          = 16 * time.Second
-	firstBad       = 1 << 20 // the key of the first client that floods
-	firstNew       = 1 << 40 // and of those that never come back
-	capacityFactor = 1.05    // capacity over what is asked without a flood
-	usualLoss      = 0.13    // of news: of gossip that is full (see Every), as many do not hear of a report
-	maxQueueSteps  = 6       // steps' work that waits at servers at the most: half of it, and they count as full, for 6 s
+	firstBad       = 1 << 20 // key of the first flooding client
+	firstNew       = 1 << 40 // lowest key of clients that send a single request
+	capacityFactor = 1.05    // capacity relative to the work without a flood
+	usualLoss      = 0.13    // share of reports lost: with full gossip (see ReportInterval), so many sidecars miss a report
+	maxQueueSteps  = 6       // maximum queue in steps of work; servers count as full for 6 s once half of it is used
 )
 
 type scenario struct {
 	name        string
 	floods      int
-	share       float64       // of a flood, of the fleet's work
-	one         bool          // all of it by the first sidecar
-	partitioned bool          // the even ones and the others hear nothing of each other
-	killed      float64       // share of the sidecars that end a second into the flood
-	lie         *Report       // of the last sidecar, in place of what it has seen
-	fresh       float64       // share of the requests, without floods, whose clients never come back
-	load        float64       // of the sound ones, over what is usual; 0: 1
-	loss        float64       // of the news
-	late        time.Duration // of the news, at the most
+	share       float64       // share of each flood in the fleet's work
+	one         bool          // all of the flood goes through the first sidecar
+	partitioned bool          // sidecars with even and odd indexes get no reports of each other
+	killed      float64       // share of the sidecars that stop a second after the start of the flood
+	lie         *Report       // false report that the last sidecar sends instead of its own
+	fresh       float64       // share of the requests other than floods that are the only one of their client
+	load        float64       // load without floods, relative to the usual load; 0: 1
+	loss        float64       // share of reports lost
+	late        time.Duration // maximum delay of reports
 }
 
 var victim = Report{Requests: 1 << 31, Served: 1, Shares: [maxNamed]uint16{fullShare}, Named: 1, Keys: [maxNamed]uint64{40}}
@@ -61,24 +61,25 @@
 	{name: "news", floods: 1, share: 0.2, loss: 0.3, late: time.Second},
 }
 
-// outcome is what a scenario came to. Heavy clients are counted for each sidecar that judges: those over twice the high threshold, by
-// their rate, that are held as heavy 3 s after their flood began, and those under the threshold that ever are.
+// outcome is the result of a scenario. Heavy clients are counted per evaluator: over is the number of clients that should be heavy 3 s
+// after their flood started because their rate is over twice the high threshold, and detected the number of those that are. Right and
+// wrong count the clients that are heavy at any time, by whether they flood.
 type outcome struct {
 	over, detected, wrong, right float64
-	delay                        time.Duration // until 95% of them were held
-	calm, flooded                float64       // share of the sound ones' work that was served before, and after 3 s
-	admitted                     float64       // of the floods' requests
+	delay                        time.Duration // until 95% of the floods were detected
+	calm, flooded                float64       // share of the other clients' work that was served before the flood, and from 3 s into it
+	admitted                     float64       // share of the floods' work that was served
 	bytes, messages              float64
 }
 
-// delivery is a report on its way to a sidecar.
+// delivery is a report in transit to a sidecar.
 type delivery struct {
 	to int
 	OriginReport
 	sent Time
 }
 
-// served is work that was asked for, and the part of it that was done.
+// served counts requested work and the part of it that was done.
 type served struct{ asked, done float64 }
 
 func (s *served) add(asked, done float64) {
@@ -86,7 +87,7 @@
 	s.done += done
 }
 
-// simulation plays a scenario.
+// simulation simulates a scenario.
 type simulation struct {
 	scenario
 	rng        *rand.Rand
@@ -94,17 +95,17 @@
 	high       float64 // threshold
 	window     time.Duration
 	detectors  []*Detector
-	traffic    []float64       // summed up over the sidecars
-	popularity []float64       // summed up over the clients
-	base       float64         // requests a second without floods
-	flood      float64         // requests a second of each flood, of mean work
+	traffic    []float64       // cumulative weights of the sidecars
+	popularity []float64       // cumulative weights of the clients
+	base       float64         // requests per second without floods
+	flood      float64         // requests per second of each flood, of mean work
 	isFlood    map[uint64]bool // by key
 	mail       map[Time][]delivery
 
 	capacity float64 // work that servers do in a step
-	passing  float64 // share of what is sent that servers take in
-	queue    float64 // work that waits there
-	sent     float64 // work, in this step
+	passing  float64 // share of the sent work that servers accept
+	queue    float64 // work queued at servers
+	sent     float64 // work sent in this step
 	fullTo   Time
 
 	before, sound, flooding served
@@ -112,7 +113,7 @@
 	outcome                 outcome
 }
 
-// run plays a scenario.
+// run simulates a scenario.
 func (s scenario) run(t *testing.T, seed uint64) outcome {
 	t.Helper()
 	sim := newSimulation(t, s, seed)
@@ -162,7 +163,7 @@
 	return sim
 }
 
-// pick draws an index by weights that are summed up.
+// pick returns a random index by cumulative weights.
 func (sim *simulation) pick(weights []float64) int {
 	x := sim.rng.Float64() * weights[len(weights)-1]
 	for i, w := range weights {
@@ -212,7 +213,7 @@
 	}
 }
 
-// ask plays a request of a client at a sidecar.
+// ask sends a request of a client through a sidecar.
 func (sim *simulation) ask(i int, key uint64) {
 	if !sim.isAlive(i) {
 		return
@@ -238,7 +239,7 @@
 	}
 }
 
-// judge is the sidecar by whose verdicts another one acts.
+// judge returns the evaluator that determines which requests a sidecar rejects.
 func (sim *simulation) judge(i int, key uint64) *Detector {
 	if sim.one && sim.isFlood[key] || sim.partitioned && i%2 != i%judges%2 {
 		return sim.detectors[i]
@@ -246,7 +247,7 @@
 	return sim.detectors[i%judges]
 }
 
-// serve has the servers do a step's work.
+// serve simulates a step of the servers.
 func (sim *simulation) serve() {
 	sim.queue = max(0, sim.queue+sim.sent*sim.passing-sim.capacity)
 	if sim.queue > maxQueueSteps*sim.capacity/2 {
@@ -255,7 +256,7 @@
 	sim.passing = min(1, max(0, (maxQueueSteps+1)*sim.capacity-sim.queue)/max(sim.sent, 1e-9))
 }
 
-// report ends the windows that are over, and sends what they say.
+// report closes the windows that have ended, and sends their reports.
 func (sim *simulation) report() {
 	for index, detector := range sim.detectors {
 		if (sim.now/step+Time(index))%(sim.window/step) != 0 || !sim.isAlive(index) {
@@ -276,7 +277,7 @@
 	}
 }
 
-// send has a report arrive at the sidecars that judge, late or not at all.
+// send schedules the arrival of a report at the evaluators, unless it is lost.
 func (sim *simulation) send(from int, own OriginReport) {
 	text := own.Report.Append(nil)
 	sim.outcome.bytes += float64(len(text))
@@ -290,7 +291,7 @@
 	}
 }
 
-// countDetected counts who is held as heavy, rightly or not.
+// countDetected counts the clients that are heavy, rightly or not.
 func (sim *simulation) countDetected() {
 	got, want := 0.0, 0.0
 	for i, detector := range sim.detectors[:judges] {
@@ -347,7 +348,8 @@
 	return n
 }
 
-// TestFleet plays each scenario and sums up: precision 0.99, recall 0.95 of clients over twice the bar, within 3 s.
+// TestFleet simulates each scenario and checks the detection: a precision of 0.99, and a recall of 0.95 within 3 s for clients over
+// twice the high threshold.
 func TestFleet(t *testing.T) {
 	for _, test := range scenarios {
 		t.Run(test.name, func(t *testing.T) {
@@ -372,7 +374,7 @@
 	}
 }
 
-// full returns a Judge with as much to hold as it can have from some origins, and those words.
+// full returns a Detector and reports from some origins that name as many clients as possible.
 func full(origins int) (*Detector, []OriginReport) {
 	settings := Defaults()
 	detector, _ := New(&settings)
@@ -387,7 +389,7 @@
 	return detector, words
 }
 
-// TestMemory holds a Judge with 300 origins, and as many clients as there may be, to 64 kB.
+// TestMemory checks that a Detector with 300 origins and the maximum number of clients takes at most 64 kB.
 func TestMemory(t *testing.T) {
 	const n = 16
 	var before, after runtime.MemStats
@@ -426,7 +428,7 @@
 	return detector
 }
 
-// BenchmarkSecond is what a sidecar does in a second, with 300 others and a thousand requests of as many clients.
+// BenchmarkSecond measures the work of a sidecar in a second, with 300 other sidecars and a thousand requests of as many clients.
 func BenchmarkSecond(b *testing.B) {
 	detector, words := full(sidecars)
 	texts := make([][]byte, len(words))
--- a/balance/hitters/summary_test.go
+++ b/balance/hitters/summary_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestSummaryBound counts drawn work in several summaries, merged in a drawn order, beside exact counts.
+// TestSummaryBound adds random work to several summaries, merges them in random order, and compares the result with exact counts.
 func TestSummaryBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		exact := map[uint64]uint64{}
@@ -38,8 +38,8 @@
 	})
 }
 
-// TestStrangersKeys floods a sidecar with a million clients, some nameless or with long names, beside one with a tenth
-// of the work: it is named, and memory stays.
+// TestStrangersKeys sends requests of a million clients, some with long names, and of one client without a name that has a tenth of
+// the work. That client must be named in the report, and memory must stay bounded.
 func TestStrangersKeys(t *testing.T) {
 	detector, err := New(&set)
 	if err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// FuzzParseReport reads what strangers send: what is taken must be true to the bounds, and be the same when it is
-// written again.
+// FuzzParseReport checks for arbitrary input that an accepted report is within the bounds, and that encoding and parsing it again
+// gives the same report.
 func FuzzParseReport(f *testing.F) {
 	good := Report{Total: 1 << 40, Requests: 77, Served: fullShare, Err: 9, Named: 2, Keys: [maxNamed]uint64{5, 6}, Shares: [maxNamed]uint16{900, 900}}
 	f.Add(good.Append(nil))
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// sending is one Send that a host was asked for.
+// sending is one call of Send.
 type sending struct {
 	id     RequestID
 	to     string
 	within time.Duration
 }
 
-// host records what a Balancer asks for.
+// host records the actions of a Balancer.
 type host struct {
 	now        Time
 	sent       []sending
 	refused    []RequestID
-	advice     time.Duration // with the last refusal
+	advice     time.Duration // wait given with the last refusal
 	failed     []RequestID
 	cancelled  int
 	subscribed int
@@ -39,7 +39,7 @@
 func (recorder *host) Subscribe()      { recorder.subscribed++ }
 func (recorder *host) Log(text string) { recorder.logs = append(recorder.logs, text) }
 
-// answer ends all attempts out, in order, and leaves none recorded.
+// answer ends all recorded attempts, in order, and clears the record.
 func (recorder *host) answer(b *Balancer, now Time, outcome Outcome) {
 	recorder.now = now
 	sent := recorder.sent
@@ -50,7 +50,7 @@
 	}
 }
 
-// settings are those of a small deployment with one safe class.
+// settings returns the settings of a small deployment with one idempotent class.
 func settings() Settings {
 	return Settings{Seed: 1, PeerCount: 1, Zone: "x", Zones: []string{"x", "y"}, Kinds: []string{"big", "small"},
 		Service: "backend", MaxAttempts: 3, WarmUpTime: 10 * time.Second, StartCapacity: 0.3, OverloadMultiple: 3,
@@ -58,7 +58,7 @@
 		Classes: []Class{{Name: "read", Effect: Idempotent, LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}}}
 }
 
-// start returns a running Balancer that knows list.
+// start returns a running Balancer that has got the list.
 func start(t testing.TB, set Settings, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	recorder := &host{now: time.Minute}
@@ -110,7 +110,7 @@
 }
 
 func TestTimeGoingBack(t *testing.T) {
-	// Each request still ends once, and nothing is left over.
+	// Each request still ends once, and no state is left over.
 	b, recorder := start(t, settings(), pair())
 	for i := range RequestID(200) {
 		recorder.now += time.Duration(i%7-3) * 300 * time.Millisecond
@@ -123,7 +123,7 @@
 	}
 }
 
-// serve plays n requests, 20 ms apart, each answered after took by the one endpoint it was sent to.
+// serve sends n requests, 20 ms apart. Each is answered by the endpoint it was sent to, with the latency took.
 func serve(b *Balancer, recorder *host, n int, took time.Duration) {
 	for range n {
 		recorder.now += 20 * time.Millisecond
@@ -140,7 +140,7 @@
 	return []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
 }
 
-// ask sends one request and returns where it went, or "".
+// ask sends one request and returns the endpoint it was sent to, or "" if it was not sent.
 func ask(b *Balancer, recorder *host, id RequestID) string {
 	before := len(recorder.sent)
 	b.Request(recorder.now, Request{ID: id, Tenant: -1, TimeLeft: 3 * time.Second})
--- a/balance/invariants_host_test.go
+++ b/balance/invariants_host_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checker is a host that holds every action against the rules. It keeps its own books, apart from the module's.
+// checker is a host that checks every action against the invariants, using a model that is independent of the Balancer.
 type checker struct {
 	set        Settings
 	now        Time
@@ -16,7 +16,7 @@
 	asked      int
 	violations []string
 	sends      int
-	actions    []string // actions in order
+	actions    []string // all actions in order
 }
 
 type modelRequest struct {
@@ -109,7 +109,7 @@
 	}
 }
 
-// shortestAim is in seconds.
+// shortestAim returns the shortest latency target in seconds.
 func (c *checker) shortestAim() float64 {
 	shortest := c.set.Classes[0].LatencyTarget
 	for _, class := range c.set.Classes {
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// playDay runs a random day in steps of a millisecond and returns the checker with its violations.
+// playDay runs random events in steps of a millisecond and returns the checker with the violations it found.
 func playDay(t testing.TB, seed uint64, steps int) *checker {
 	t.Helper()
 	return playDayOn(t, seed, steps, func(c *checker) Actions { return c })
 }
 
-// playDayOn is playDay with a host that may stand between the checker and the Balancer.
+// playDayOn is playDay with a host that may wrap the checker.
 func playDayOn(t testing.TB, seed uint64, steps int, host func(*checker) Actions) *checker {
 	t.Helper()
 	drawn := newDay(t, seed, host)
@@ -27,18 +27,18 @@
 	return drawn.c
 }
 
-// day is one sidecar with drawn requests, lists and failures.
+// day is one sidecar with random requests, lists and failures.
 type day struct {
 	rng     *rand.Rand
 	b       *Balancer
 	c       *checker
 	list    []Endpoint
-	failing map[string]Outcome // servers that fail, and how
+	failing map[string]Outcome // failing servers and the outcome of their attempts
 	endings []ending
 	last    RequestID
 }
 
-// ending is how an attempt is going to end, and when.
+// ending is the scheduled end of an attempt.
 type ending struct {
 	at      Time
 	id      RequestID
@@ -64,7 +64,7 @@
 	return drawn
 }
 
-// flip is true with a probability.
+// flip returns true with the given probability.
 func (d *day) flip(probability float64) bool { return d.rng.Float64() < probability }
 
 func (d *day) drawSettings(seed uint64) Settings {
@@ -82,7 +82,7 @@
 	return set
 }
 
-// step plays a millisecond.
+// step simulates a millisecond.
 func (d *day) step() {
 	d.c.now += time.Millisecond
 	for _, token := range d.c.timers[d.c.now] {
@@ -102,7 +102,7 @@
 	d.forget()
 }
 
-// notify tells the Balancer and the checker of a list.
+// notify passes a list to the Balancer and the checker.
 func (d *day) notify(kind ListKind, entries []Endpoint) {
 	if kind != ListChanges {
 		for _, s := range d.c.servers {
@@ -151,7 +151,7 @@
 	d.notify(kind, entries)
 }
 
-// changeFailures has a server begin or cease to fail.
+// changeFailures makes a server start or stop failing.
 func (d *day) changeFailures() {
 	id := d.list[d.rng.IntN(len(d.list))].ID
 	if _, failing := d.failing[id]; failing {
@@ -161,7 +161,7 @@
 	}
 }
 
-// ask sends requests, mostly none, and sometimes many.
+// ask sends requests: usually none, and sometimes many.
 func (d *day) ask() {
 	burst := 0
 	if d.flip(.05) {
@@ -177,12 +177,12 @@
 		d.c.requests[d.last] = &modelRequest{class: &d.c.set.Classes[r.Class], deadline: d.c.now + r.TimeLeft}
 		d.b.Request(d.c.now, r)
 		if d.flip(.02) && !d.c.requests[d.last].ended {
-			d.b.Request(d.c.now, r) // a mistake of the host's
+			d.b.Request(d.c.now, r) // a host that sends a request twice by mistake
 		}
 	}
 }
 
-// drawEndings draws how the attempts of the latest requests end that are new.
+// drawEndings schedules the ends of new attempts of the latest requests.
 func (d *day) drawEndings() {
 	for id := max(d.last, 3000) - 2999; id <= d.last; id++ {
 		r := d.c.requests[id]
@@ -217,7 +217,7 @@
 	return e
 }
 
-// end ends the attempts that are due.
+// end ends the attempts whose scheduled end has come.
 func (d *day) end() {
 	drawn := d.endings
 	d.endings = nil
@@ -240,7 +240,7 @@
 	}
 }
 
-// forget drops the requests that are over, and finds those that got no answer.
+// forget removes requests that are finished, and reports those that got no answer in time.
 func (d *day) forget() {
 	for id, r := range d.c.requests {
 		if !r.ended && d.c.now > r.deadline+15*time.Millisecond {
@@ -256,6 +256,7 @@
 	}
 }
 
+// TestRules checks the invariants of the package on random events.
 func TestRules(t *testing.T) {
 	sends := 0
 	for seed := range uint64(40) {
--- a/balance/latency_test.go
+++ b/balance/latency_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestSlowedEndpointLosesTurnsBeforeItAnswers(t *testing.T) {
-	// Both endpoints answered in 200 ms each; then "a" is stuck with two requests, for less time than the bar.
+	// Both endpoints have answered in 200 ms. Then "a" is stuck with two requests, for less time than the refusal threshold.
 	b, recorder := start(t, settings(), pair())
 	serve(b, recorder, 20, 200*time.Millisecond)
 	for i := range RequestID(4) {
@@ -26,8 +26,8 @@
 }
 
 func TestLittleUsedEndpointIsJudgedByItsGroup(t *testing.T) {
-	// Small endpoints are idle and quick, big ones crowded and slow, though twice the size. A small one that was
-	// never used must not be expected to be slower than the big ones.
+	// Small endpoints are idle and fast, while the big one is overloaded and slow although it has twice the size. The expected
+	// latency of a small endpoint that was never used must not be that of the big one.
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 2}, {ID: "b", Zone: "x", Kind: "small", Size: 1},
 		{ID: "c", Zone: "x", Kind: "small", Size: 1}}
 	b, recorder := start(t, settings(), list)
@@ -48,8 +48,8 @@
 }
 
 func TestGroupIsJudgedByWhatItOwes(t *testing.T) {
-	// Three endpoints of one group, quick so far, hold a request each for half a second: the fourth, idle and never
-	// heard of, is not expected to be quick either.
+	// Three endpoints of a group, fast so far, each have a request in flight for half a second. The fourth, which is idle and
+	// has no answers, is not expected to be fast either.
 	b, recorder := start(t, settings(), fleet(4))
 	serve(b, recorder, 40, 20*time.Millisecond)
 	for i := range RequestID(3) {
@@ -65,12 +65,13 @@
 	}
 }
 
-// TestWarmingUpEndpointIgnoresOverloadedPeers has all warm endpoints answer too late while a fresh one does not.
+// TestWarmingUpEndpointIgnoresOverloadedPeers makes all warm endpoints answer too late and checks that the expected latency of a
+// freshly started endpoint depends only on its own answers.
 func TestWarmingUpEndpointIgnoresOverloadedPeers(t *testing.T) {
 	bar := time.Duration(refusalThreshold * float64(settings().Classes[0].LatencyTarget))
 	for _, test := range []struct {
 		name string
-		took time.Duration // by the fresh endpoint's answers; 0: it has given none
+		took time.Duration // latency of the fresh endpoint's answers; 0: it has none
 		open bool
 	}{
 		{"no answer of its own", 0, true},
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestUnresponsiveEndpointsDoNotSlowTheirPeers loses some endpoints, as with a zone: what they never answer says nothing of
-// how long the others take.
+// TestUnresponsiveEndpointsDoNotSlowTheirPeers makes some endpoints unresponsive, as if a zone had failed. Their time-outs must not
+// increase the expected latency of the others.
 func TestUnresponsiveEndpointsDoNotSlowTheirPeers(t *testing.T) {
 	took := 100 * time.Millisecond
 	b, recorder := start(t, settings(), fleet(4))
--- a/balance/log_test.go
+++ b/balance/log_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestLogLinesAreOnThePage keeps docs/oncall.md in step with what the module logs.
+// TestLogLinesAreOnThePage checks that docs/oncall.md shows the lines that the package logs.
 func TestLogLinesAreOnThePage(t *testing.T) {
 	page, err := os.ReadFile("../docs/oncall.md")
 	if err != nil {
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/balance/turns"
 )
 
-// sidecarOfKnownTraffic starts a sidecar whose traffic is little and known.
+// sidecarOfKnownTraffic starts a sidecar whose traffic is low and known.
 func sidecarOfKnownTraffic(t *testing.T, self, peers, servers int) (*Balancer, *host) {
 	t.Helper()
 	b, recorder := sidecar(t, self, peers, fleet(servers))
@@ -22,14 +22,14 @@
 	return b, recorder
 }
 
-// TestMembersGiveSubsetPositions: sidecars that know their places among those alike use each server equally often, and do
-// what they did alone once they know them no more, or are told what cannot be.
+// TestMembersGiveSubsetPositions checks that sidecars that know their positions among similar members use each server equally
+// often, and that they use the same subset as before once they no longer have a valid position.
 func TestMembersGiveSubsetPositions(t *testing.T) {
 	const peers, servers = 30, 60
 	for _, test := range []struct {
 		name      string
-		level     int  // of the peers; 0: not known
-		odd       bool // every second peer is unlike
+		level     int  // traffic level of the peers; 0: unknown
+		odd       bool // every second peer is in another zone or has another traffic level
 		exactUses bool
 	}{{"levels known", 1, false, true}, {"by number", 0, false, true}, {"every second unlike", 1, true, false}} {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// checkUsers holds how many sidecars use each server against what they should, or may at the most.
+// checkUsers checks the number of sidecars that use each server against the exact or maximum number.
 func checkUsers(t *testing.T, users map[string]int, list []Endpoint, want int, exact bool) {
 	t.Helper()
 	for _, e := range list {
@@ -57,10 +57,11 @@
 	}
 }
 
-// useAsMember returns what a sidecar uses as a member, and checks that it uses what it did alone once it is none.
+// useAsMember returns the servers that a sidecar uses as a member. It checks that the sidecar uses the same servers as alone
+// when it is given an invalid index.
 func useAsMember(t *testing.T, self, peers, servers, level int, odd bool) []string {
 	t.Helper()
-	b, recorder := sidecarOfKnownTraffic(t, 0, 1, servers) // all of one number: alone, all use the same
+	b, recorder := sidecarOfKnownTraffic(t, 0, 1, servers) // all have index 0, so alone they all use the same servers
 	all := make([]Peer, peers)
 	for i := range all {
 		all[i] = Peer{b.settings.Zone, level * b.TrafficLevel()}
@@ -86,7 +87,8 @@
 	return used
 }
 
-// TestReplacementsAreSpread: in the order of hashes, neighbours by name that are all ejected are made up for by many.
+// TestReplacementsAreSpread checks that ejected servers with neighbouring names are replaced by many different servers, because
+// subsets follow the order of hashes.
 func TestReplacementsAreSpread(t *testing.T) {
 	const peers, servers, gone = 60, 120, 12
 	users := map[string]int{}
@@ -114,8 +116,8 @@
 	}
 }
 
-// TestLoadSpreadsAmongMembers measures what servers get from sidecars of uneven traffic, and how steady their subsets are, alone
-// and as members.
+// TestLoadSpreadsAmongMembers measures how evenly servers are loaded by sidecars of uneven traffic, and how stable the subsets
+// are, with and without known members.
 func TestLoadSpreadsAmongMembers(t *testing.T) {
 	mostAlone, churnAlone := measureSpread(t, false)
 	mostMembers, churnMembers := measureSpread(t, true)
@@ -127,7 +129,7 @@
 	}
 }
 
-// measureSpread returns what the busiest server gets, in means, and how many members come to a subset a minute.
+// measureSpread returns the load of the busiest server relative to the mean, and how many servers join a subset per minute.
 func measureSpread(t *testing.T, members bool) (most, churn float64) {
 	t.Helper()
 	const sidecars, servers, rate, seconds = 100, 100, 170, 300
@@ -155,7 +157,7 @@
 	return most, churn
 }
 
-// updateUsed notes what each sidecar uses, and counts what it did not use before.
+// updateUsed records the servers that each sidecar uses, and returns how many of them it did not use before.
 func (f *simulatedFleet) updateUsed(used []map[string]bool) (came float64) {
 	for self, b := range f.sidecars {
 		now := map[string]bool{}
--- a/balance/operator_test.go
+++ b/balance/operator_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestOutOfService takes an endpoint out: it gets nothing new, whatever the list says of it, until it is put back.
+// TestOutOfService takes an endpoint out of service. It gets no new requests, whatever the list says, until it is put back.
 func TestOutOfService(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	serve(b, recorder, 20, 20*time.Millisecond)
@@ -48,12 +48,12 @@
 	t.Error("an endpoint that was put back is not used")
 }
 
-// TestReturnToServiceWarmsUp puts an endpoint back whose restart the list has not told yet: it gets a cold one's turns, from its
-// listed start on once that is known.
+// TestReturnToServiceWarmsUp returns an endpoint to service whose restart the list may not show yet. It warms up from its return,
+// or from its listed start once that is known.
 func TestReturnToServiceWarmsUp(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		started Time // listed while it is out, after the second it was taken out in; 0: not
+		started Time // start listed while it is out of service, since it was taken out; 0: not listed
 		warm    bool
 	}{{"not told", 0, false}, {"told", 2 * time.Second, false}, {"told, and warm since", 2 * time.Second, true}} {
 		b, recorder := start(t, settings(), pair())
@@ -81,7 +81,7 @@
 			}
 			recorder.answer(b, recorder.now, Served)
 		}
-		// Its share by its warmth, 0.3 at first, times half the fall multiple.
+		// Its share by its warmth, initially 0.3, times half of OverloadMultiple.
 		if (got > 16) != test.warm {
 			t.Errorf("%s: %d of 40 requests came to it", test.name, got)
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestReturnToServiceWithStartInTheFuture puts an endpoint back whose listed start lies ahead of the sidecar's clock: taken out and put
-// back after it was told, it may have been restarted in between, and is cold.
+// TestReturnToServiceWithStartInTheFuture returns an endpoint to service whose listed start is ahead of the sidecar's clock. It may
+// have restarted while it was out of service, so it must count as cold although the listed start is later.
 func TestReturnToServiceWithStartInTheFuture(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	again := pair()[:1]
@@ -122,13 +122,13 @@
 	}
 }
 
-// TestOnlyWarmingUpEndpointsAreLeft takes out all but an endpoint that is cold: it gets the part of the requests that it could do
-// of the whole fleet's, and not all at once.
+// TestOnlyWarmingUpEndpointsAreLeft takes all endpoints out of service except a cold one. It gets the share of the requests that
+// corresponds to its part of the fleet's capacity, and not all requests.
 func TestOnlyWarmingUpEndpointsAreLeft(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	serve(b, recorder, 40, 20*time.Millisecond)
 	b.SetOutOfService(recorder.now, []string{"a"})
-	b.SetOutOfService(recorder.now, []string{"b"}) // a is back, and cold
+	b.SetOutOfService(recorder.now, []string{"b"}) // a has returned and is cold
 	const n = 100
 	sent := 0
 	for range n {
@@ -138,7 +138,7 @@
 		}
 		recorder.answer(b, recorder.now, Served)
 	}
-	// It is half of the fleet, and has 0.3 of its capacity.
+	// It is half of the fleet and has 0.3 of its capacity.
 	if sent < n/10 || sent > n/5 {
 		t.Errorf("%d of %d requests were sent", sent, n)
 	}
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -11,7 +11,7 @@
 	set.MaxAttempts = 1
 	b, recorder := start(t, set, append(pair(), Endpoint{ID: "c", Zone: "x", Kind: "big", Size: 1}))
 	serve(b, recorder, 60, 20*time.Millisecond)
-	// play asks n times, gap apart, and returns how many requests went to a, which fails every one at once.
+	// play sends n requests, gap apart, and returns how many went to a, which fails every one immediately.
 	play := func(first, n RequestID, gap time.Duration) (failed int) {
 		for i := first; i < first+n; i++ {
 			recorder.now += gap
@@ -28,7 +28,7 @@
 	if failed := play(0, 60, 20*time.Millisecond); failed == 0 || failed > 2 {
 		t.Errorf("%d requests went to an endpoint that fails every one, want 1 or 2", failed)
 	}
-	// When its time is over it comes back, and the next fault ejects it at once.
+	// After the ejection time it returns, and the next failure ejects it again immediately.
 	recorder.now += ejectionTime + time.Second
 	b.Timer(recorder.now, tickToken)
 	if back := play(100, 12, 0); back != 1 {
@@ -37,7 +37,7 @@
 }
 
 func TestPanic(t *testing.T) {
-	// With every endpoint ejected, the fault is taken to be our own, and requests still go out.
+	// If every endpoint is ejected, the fault is assumed to be on this side, and requests are still sent.
 	b, recorder := start(t, settings(), pair())
 	for _, e := range b.endpoints {
 		e.ejectedUntil = recorder.now + time.Hour
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestLostAnswersCostNoTurns has every fiftieth answer of two sound endpoints get lost. Danger: each would close its
-// endpoint until it times out, and two at once would eject it.
+// TestLostAnswersCostNoTurns loses two of every fifty answers of two healthy endpoints. It guards against a lost answer that
+// blocks its endpoint until it times out, and against two of them that eject it.
 func TestLostAnswersCostNoTurns(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	serve(b, recorder, 100, 20*time.Millisecond)
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestLostAttemptIsSentElsewhere has one answer get lost while the others come: a request that is safe to retry is cancelled once
-// that is certain and sent elsewhere, another is left as it is.
+// TestLostAttemptIsSentElsewhere loses one answer while others arrive. An idempotent request is cancelled once its answer counts as
+// lost, and is sent to another endpoint; other requests are not cancelled.
 func TestLostAttemptIsSentElsewhere(t *testing.T) {
 	const lost = 1
 	for _, effect := range []Effect{Idempotent, Deduplicated, AtMostOnce} {
@@ -132,7 +132,7 @@
 	}
 }
 
-// serveUntilCancel serves requests, four at once, so that each endpoint holds some, until an attempt is cancelled.
+// serveUntilCancel serves requests with up to four in flight, so that each endpoint has some, until an attempt is cancelled.
 func serveUntilCancel(b *Balancer, recorder *host) {
 	recorder.sent = nil
 	var pending []sending
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestRetryNeedsTimeToArrive has a keyed request fail near the end of the time for which its repeats are dropped: one
-// that has to connect first would arrive after it and take effect twice.
+// TestRetryNeedsTimeToArrive makes a deduplicated request fail near the end of its dedupe window. It guards against a retry that
+// arrives after the window, for example because it has to connect first, and takes effect a second time.
 func TestRetryNeedsTimeToArrive(t *testing.T) {
 	for _, test := range []struct {
 		after   time.Duration
@@ -210,8 +210,8 @@
 	}
 }
 
-// TestStartInTheFuture lists a process that says it will start in an hour: it is taken for cold from now on, and warm after the time
-// that a cold one needs. Said again, it stays the process that it is.
+// TestStartInTheFuture lists a process whose start time is an hour ahead. It warms up from now on, and listing it again with the
+// same start time does not restart its warm-up.
 func TestStartInTheFuture(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	recorder.now += time.Minute
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestOverloadEstimateEndsWithIt has all endpoints answer late for some seconds, and then at once again: three seconds later
-// nothing is refused, and all of them get their share.
+// TestOverloadEstimateEndsWithIt makes all endpoints answer late for some seconds, and then fast again. Three seconds later no
+// request is refused and each endpoint gets its share.
 func TestOverloadEstimateEndsWithIt(t *testing.T) {
-	for _, gap := range []time.Duration{25 * time.Millisecond, 100 * time.Millisecond} { // much and little traffic
+	for _, gap := range []time.Duration{25 * time.Millisecond, 100 * time.Millisecond} { // high and low traffic
 		t.Run(fmt.Sprint("a request in ", gap), func(t *testing.T) {
 			play := newOverloadPlay(t, gap)
 			play.run()
@@ -25,7 +25,7 @@
 	}
 }
 
-// The times of an overloadPlay, since its start.
+// The phases of an overloadPlay, as times since its start.
 const (
 	overloadFrom  = 4 * time.Second
 	overloadUntil = 9 * time.Second
@@ -33,15 +33,15 @@
 	playUntil     = 16 * time.Second
 )
 
-// overloadPlay is an overload of all endpoints that one sidecar uses.
+// overloadPlay simulates an overload of all endpoints that one sidecar uses.
 type overloadPlay struct {
 	b       *Balancer
 	h       *host
 	list    []Endpoint
 	gap     time.Duration // between requests
 	due     []lateAnswer
-	refused int            // once the overload is over
-	got     map[string]int // by endpoint, likewise
+	refused int            // requests refused after the overload
+	got     map[string]int // requests sent after the overload, by endpoint
 }
 
 type lateAnswer struct {
@@ -102,14 +102,14 @@
 	if counted {
 		p.refused += len(p.h.refused) - before
 	}
-	if !overloaded { // the last late answers come after the first quick ones
+	if !overloaded { // keep the answers sorted: the last late answers come after the first fast ones
 		for i := len(p.due) - 1; i > 0 && p.due[i].at < p.due[i-1].at; i-- {
 			p.due[i], p.due[i-1] = p.due[i-1], p.due[i]
 		}
 	}
 }
 
-// sent is how many requests were sent once the overload was over.
+// sent returns the number of requests sent after the overload.
 func (p *overloadPlay) sent() (sum int) {
 	for _, n := range p.got {
 		sum += n
@@ -117,8 +117,8 @@
 	return sum
 }
 
-// TestWarmingUpEndpointFollowsItsPeers has all cold endpoints but one answer late: that one is believed no quicker, while
-// warm ones are.
+// TestWarmingUpEndpointFollowsItsPeers makes all cold endpoints but one answer late. The expected latency of the remaining cold
+// endpoint is high as well, while that of warm ones is low.
 func TestWarmingUpEndpointFollowsItsPeers(t *testing.T) {
 	var list []Endpoint
 	for index := range 8 {
@@ -137,7 +137,7 @@
 		}
 		took, outcome := 50*time.Millisecond, Served
 		if to == "e0" {
-			outcome = Cancelled // tells nothing
+			outcome = Cancelled // gives no information about its latency
 		}
 		if e := b.byID[to]; e.warmth < 1 {
 			took = 900 * time.Millisecond
--- a/balance/peersignals_test.go
+++ b/balance/peersignals_test.go
@@ -8,13 +8,13 @@
 	"gradeusher.example/gradeusher/balance/signals"
 )
 
-// report is what a member states of an endpoint, as one that uses 16 in two zones.
+// report returns a member's report with a verdict on an endpoint. The member uses 16 endpoints in two zones.
 func report(e *endpoint, zone string, kind signals.Kind) signals.Report {
 	return signals.Report{Zone: zone, Uses: []signals.ZoneUse{{Zone: e.Zone, Servers: 8}, {Zone: "other", Servers: 8}},
 		Verdicts: []signals.Verdict{{Process: e.process(), Zone: e.Zone, Kind: kind, Count: 2}}}
 }
 
-// condemn has members of two zones in turn state that an endpoint fails.
+// condemn makes members, alternately from two zones, report that an endpoint fails.
 func condemn(b *Balancer, now Time, e *endpoint, members int, seq uint64, kind signals.Kind) {
 	for i := range members {
 		zone := []string{b.settings.Zone, "other"}[i%2]
@@ -22,8 +22,9 @@
 	}
 }
 
-// TestVerdictEjects: what three members call unresponsive gets nothing; it returns within the TTL and the turns after they fall
-// silent. Two do not do, nor three for what serves this sidecar, a later process, or half of all.
+// TestVerdictEjects checks that an endpoint that three members report as unresponsive or failing is ejected, and that it returns
+// within the report TTL plus the spread of returns after their last report. Two members are not enough, and neither are three if
+// the endpoint has just served this sidecar or has restarted since.
 func TestVerdictEjects(t *testing.T) {
 	for _, test := range []verdictCase{
 		{"three", 3, signals.Unresponsive, 0, false, true},
@@ -43,8 +44,8 @@
 	name    string
 	members int
 	kind    signals.Kind
-	served  time.Duration // by the server, ago; 0: never
-	next    bool          // its next process is listed
+	served  time.Duration // time since the server last served this sidecar; 0: never
+	next    bool          // the server's next process is listed
 	avoided bool
 }
 
@@ -80,7 +81,8 @@
 	}
 }
 
-// TestVerdictsLeaveHalf: members that condemn more than half of all eject nobody, as this is more likely their fault.
+// TestVerdictsLeaveHalf checks that verdicts on more than half of all endpoints lead to panic, which suspends the ejections,
+// because then the fault is more likely on the side of the members.
 func TestVerdictsLeaveHalf(t *testing.T) {
 	b, recorder := sidecar(t, 0, 10, fleet(8))
 	recorder.now = 10 * time.Second
@@ -96,7 +98,7 @@
 	}
 }
 
-// TestLocalReport: a sidecar says what it saw: a server that owes two requests for long, or that it ejected, until that serves.
+// TestLocalReport checks that a sidecar reports servers with two overdue answers and servers that it ejected, until they serve it.
 func TestLocalReport(t *testing.T) {
 	b, recorder := sidecar(t, 0, 10, fleet(20))
 	seen := b.inUse[0]
@@ -123,7 +125,7 @@
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Unresponsive || r.Verdicts[0].Age != 0 {
 		t.Fatalf("%+v", r)
 	}
-	// Where so many speak that one more adds nothing, it goes on, but does not begin.
+	// If there are so many witnesses that one more adds nothing, the sidecar continues to report but does not start to.
 	for i := range 6 {
 		b.ReceiveReport(late, signals.Statement{Origin: fmt.Sprint("m", i), Start: 1, Seq: 1, Report: report(seen, []string{b.settings.Zone, "other"}[i%2], signals.Unresponsive)})
 	}
@@ -142,9 +144,9 @@
 	}
 }
 
-// TestOverloadedAndSlowAreReported: a sidecar says that a server turned its requests away, or answers far later than its group, and one
-// that knows little of the server takes it for worse at the word of three, till two were served since; one that knows it well
-// goes by what it saw.
+// TestOverloadedAndSlowAreReported checks that a sidecar reports servers that reject its requests or are much slower than their
+// group. A sidecar with few own answers expects higher latency of a server that three members report, until two were served since.
+// One with many own answers relies on those.
 func TestOverloadedAndSlowAreReported(t *testing.T) {
 	b, recorder := sidecar(t, 0, 10, fleet(20))
 	seen := b.inUse[0]
@@ -183,8 +185,8 @@
 	}
 }
 
-// TestProbesGoByTurns: of many that hear that a server is unresponsive few probe it at a time, with requests that may be retried, and
-// the turns of one that is gone pass on.
+// TestProbesGoByTurns checks that only few of many sidecars probe an unresponsive server at a time, and that the others take over
+// the turns of members that are gone.
 func TestProbesGoByTurns(t *testing.T) {
 	const peers, seconds = 100, 60
 	for _, gone := range []int{0, 50} {
@@ -204,7 +206,7 @@
 	}
 }
 
-// countProbes counts the requests that a sidecar sends to an endpoint which three members condemn all the time.
+// countProbes returns the number of requests that a sidecar sends to an endpoint while three members condemn it.
 func countProbes(t *testing.T, self, peers, members int, length time.Duration) (probes int) {
 	t.Helper()
 	b, recorder := sidecar(t, self, peers, fleet(20))
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// turnsOf plays n requests, each answered at once, and returns the endpoints in the order of their turns.
+// turnsOf sends n requests, each answered immediately, and returns the endpoints in the order in which they got them.
 func turnsOf(t *testing.T, rules []Rule, list []Endpoint, n int) []string {
 	t.Helper()
 	set := settings()
@@ -136,7 +136,7 @@
 }
 
 func TestEmptyGroups(t *testing.T) {
-	// A group without members gives its turns to the others; with no member in any, all ready ones are one group.
+	// The turns of a group without members go to the others. If no group has members, all ready endpoints form one group.
 	one := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}}
 	if got := count(turnsOf(t, canary(50, 50), one, 10)); got["a"] != 10 {
 		t.Errorf("turns %v, want all at a", got)
@@ -152,7 +152,7 @@
 	for i := range 4 {
 		b.Request(recorder.now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
 	}
-	// a and b hold two each. Once the one whose turn is next holds more, it yields.
+	// Each endpoint has two requests in flight. Once the endpoint whose turn is next has more than the other, it is skipped.
 	due := b.groups[0].members[b.groups[0].nextIndex%2]
 	other := recorder.sent[0]
 	for _, s := range recorder.sent {
@@ -238,7 +238,8 @@
 }
 
 func TestCheapCrossingsShiftSooner(t *testing.T) {
-	// The own zone answers in 200 ms, the other one in 50 ms: an eighth of the aim, and more than a cheap crossing.
+	// The own zone answers in 200 ms and the other one in 50 ms. The gain is about an eighth of the latency target, which is
+	// more than a cheap crossing costs.
 	abroad := func(charge float64) float64 {
 		set := settings()
 		set.ZoneCrossingCost = charge
--- a/balance/routes/routes_test.go
+++ b/balance/routes/routes_test.go
@@ -12,11 +12,11 @@
 	"pgregory.net/rapid"
 )
 
-// smallTables is a small set of tables: up to names rules, each one of sources matches, and for each of destinations a weight of 0
-// (it is not there), 1 or 2. A table is written as letters: for each rule its name, its source and its weights.
+// smallTables describes a small set of tables. They have up to names rules, each with one of sources matches, and for each of
+// destinations a weight of 0 (it is absent), 1 or 2. A table is encoded as a string with the name, source and weights of each rule.
 type smallTables struct{ names, sources, destinations int }
 
-// variants are all rules but for their names.
+// variants returns all possible rules without their names.
 func (w smallTables) variants() []string {
 	all := []string{""}
 	for i := range 1 + w.destinations {
@@ -55,7 +55,7 @@
 	queue [][]string // by cost
 }
 
-// leastCosts is the leastCosts cost from a table to each other one. It shares nothing with what it is held against.
+// leastCosts returns the minimal cost from a table to each other one. It shares no code with Diff.
 func (w smallTables) leastCosts(from string) map[string]int {
 	s := search{smallTables: w, cost: map[string]int{from: 0}, queue: [][]string{{from}}}
 	for cost := 0; cost < len(s.queue); cost++ {
@@ -69,7 +69,7 @@
 	return s.cost
 }
 
-// reach notes that a table is reached from another by an op of a price.
+// reach records that a table can be reached from another one by an op with the given price.
 func (s *search) reach(from, next string, price int) {
 	cost := s.cost[from] + price
 	if old, known := s.cost[next]; known && old <= cost {
@@ -103,7 +103,7 @@
 	}
 }
 
-// addRules adds each rule that the table lacks, in each place.
+// addRules adds each rule that the table lacks, at each position.
 func (s *search) addRules(table string) {
 	size, variants := 2+s.destinations, s.variants()
 	for n := range s.names {
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestDiffIsMinimal holds the diff against all lists of ops, on drawn tables to every other one of their worlds.
+// TestDiffIsMinimal compares the cost of Diff from random tables to all others of a small set with the minimum over all lists of ops.
 func TestDiffIsMinimal(t *testing.T) {
 	worlds := []smallTables{{5, 1, 0}, {3, 1, 1}, {4, 1, 1}, {2, 2, 2}, {3, 2, 1}}
 	known := map[string]map[string]int{}
@@ -146,7 +146,7 @@
 	})
 }
 
-// holds tells that ops lead from a to b, and their inverse back, and that a keeps what it was.
+// holds checks that ops lead from a to b, that their inverse leads back, and that a is unchanged.
 func holds(t interface{ Fatalf(string, ...any) }, a, b Table, ops []Op) {
 	before := a.Hash()
 	got, undo, err := applyAll(a, ops)
@@ -159,7 +159,7 @@
 	}
 }
 
-// large is a sound table of n rules.
+// large returns a valid table with n rules.
 func large(n int) Table {
 	t := make(Table, n)
 	for i := range t {
@@ -169,7 +169,7 @@
 	return t
 }
 
-// shaken is a table with about a share of its rules dropped, moved, edited and added.
+// shaken returns the table with about the given share of its rules dropped, moved, edited or added.
 func shaken(r *rand.Rand, t Table, share float64) Table {
 	var ops []Op
 	name := func() string { return t[r.IntN(len(t))].Name }
@@ -189,7 +189,7 @@
 			ops = append(ops, Op{Kind: Rematch, Name: name(), Source: Match{"service": fmt.Sprint(r.IntN(9))}, Service: Match{"service": "*"}})
 		}
 	}
-	for _, op := range ops { // one that does not fit is passed over
+	for _, op := range ops { // ops that cannot be applied are skipped
 		if after, _, err := applyAll(t, []Op{op}); err == nil {
 			t = after
 		}
@@ -197,7 +197,8 @@
 	return t
 }
 
-// TestDiffLarge takes tables of hundreds of rules: right, no dearer than how they were made, joined and turned round.
+// TestDiffLarge checks Diff on tables with hundreds of rules: the result is correct, costs no more than the edits that were made, and
+// can be concatenated and inverted.
 func TestDiffLarge(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	first := large(400)
@@ -222,7 +223,7 @@
 	}
 }
 
-// BenchmarkDiff compares 10,000 rules with as many of which a tenth was moved, edited, dropped or added.
+// BenchmarkDiff compares a table of 10,000 rules with modified versions of it.
 func BenchmarkDiff(b *testing.B) {
 	from := large(10_000)
 	r := rand.New(rand.NewPCG(3, 4))
@@ -247,7 +248,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	apart, err := ParseRules(text) // which shares nothing with from
+	apart, err := ParseRules(text) // shares no memory with from
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -333,7 +334,7 @@
 	}
 }
 
-// TestRelevant shows that a cut table decides as the whole one does, and that a cut follower is led by the diff of cuts.
+// TestRelevant checks that the relevant part of a table decides like the whole table.
 func TestRelevant(t *testing.T) {
 	whole := large(200)
 	client := map[string]string{"service": "app-7", "region": "r"}
@@ -379,7 +380,7 @@
 	}
 }
 
-// FuzzApply takes ops from strangers: they apply whole, to a sound table that their inverse leads back from, or not at all.
+// FuzzApply applies arbitrary ops. Either all of them apply, with a valid result and an inverse that leads back, or none of them.
 func FuzzApply(f *testing.F) {
 	for _, s := range []string{`[{"op":"drop","name":"rule-0"},{"op":"add","name":"rule-0","after":"rule-1","rule":{"name":"rule-0"}}]`,
 		`[{"op":"move","name":"rule-0","after":"rule-0"}]`, `[{"op":"move","name":"","after":""}]`, `[{"op":"unset","name":"rule-1","match":{"version":"a"}}]`,
--- a/balance/rules_apply_test.go
+++ b/balance/rules_apply_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// playTurns sends n requests, each answered at once, and returns the endpoints in the order of their turns.
+// playTurns sends n requests, each answered immediately, and returns the endpoints in the order in which they got them.
 func (recorder *host) playTurns(b *Balancer, n int) (order []string) {
 	for range n {
 		now := recorder.now + 10*time.Millisecond
@@ -23,7 +23,7 @@
 	return order
 }
 
-// TestSetRules changes a weight, then the other group: what is not named goes on as if nothing had happened.
+// TestSetRules changes weights and groups, and checks that groups which did not change keep their state.
 func TestSetRules(t *testing.T) {
 	list := []Endpoint{{ID: "a1", Zone: "x", Kind: "big", Size: 1}, {ID: "a2", Zone: "x", Kind: "big", Size: 1}, {ID: "a3", Zone: "x", Kind: "big", Size: 1},
 		{ID: "b", Zone: "x", Kind: "small", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
@@ -55,7 +55,7 @@
 	if got := count(recorder.playTurns(b, 100)); got["c"] != 20 || got["b"] != 0 {
 		t.Errorf("shares %v", got)
 	}
-	// 8000 and 2000 leave credit of thousands, which must not stand against 1 and 1.
+	// The weights 8000 and 2000 leave credit of thousands, which must not dominate the weights 1 and 1.
 	if err := b.SetRules(recorder.now, canary(8000, 2000)); err != nil {
 		t.Error("not applied")
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestSetRulesBetween sets a table while a request is out: it ends as it would have.
+// TestSetRulesBetween sets a table while a request is in flight: the request ends as usual.
 func TestSetRulesBetween(t *testing.T) {
 	set := settings()
 	set.Rules = canary(1, 1)
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestPendingRules has tables whose servers are not there: they wait while the rule in force has some, the last of them counts, and
-// not for ever.
+// TestPendingRules sets tables without ready endpoints. They stay pending while the rule in force has some, but not longer than
+// pendingRulesTTL, and only the last one is applied.
 func TestPendingRules(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
 	for _, test := range []pendingCase{
@@ -131,20 +131,20 @@
 	})
 }
 
-// rulesOf is a table of one rule for endpoints of a kind.
+// rulesOf returns a table with one rule for endpoints of a kind.
 func rulesOf(kind string) []Rule {
 	rules := canary(1)
 	rules[0].Destinations[0].Match = Match{"version": kind}
 	return rules
 }
 
-// pendingCase is what happens while a table waits, how long it does, and where requests go then.
+// pendingCase describes what happens while a table is pending, how long it stays pending, and where requests go afterwards.
 type pendingCase struct {
 	name   string
 	do     func(*testing.T, *Balancer, *host) // nil: nothing
-	others bool                               // other tables that have to wait come all the time
+	others bool                               // other tables that stay pending are set all the time
 	wait   time.Duration
-	want   string
+	want   string // ids of the endpoints that get requests afterwards
 }
 
 func (test pendingCase) run(t *testing.T, list []Endpoint) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// waitApplied plays until no table waits.
+// waitApplied runs timers until no table is pending.
 func (test pendingCase) waitApplied(b *Balancer, recorder *host) {
 	for i := 0; b.RulesPending(); i++ {
 		recorder.now += 100 * time.Millisecond
--- a/balance/shedding_end_test.go
+++ b/balance/shedding_end_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestSheddingEndsWithOverload has endpoints that answer at once after an overload in which the lower class came to seem heavy: it
-// is refused for no longer than shedding lasts, though its answers have not shown better yet; and so is one of so little value that
-// its threshold lies under what an idle server takes.
+// TestSheddingEndsWithOverload checks that after an overload, a class is refused for no longer than shedding lasts: a class whose
+// answers were slow in the overload and that has had no faster answers yet, and a class of so little value that its threshold is
+// below the latency of an idle server.
 func TestSheddingEndsWithOverload(t *testing.T) {
 	t.Run("a class that seemed heavy", func(t *testing.T) {
 		play := newSheddingPlay(t, 1)
@@ -36,7 +36,7 @@
 	})
 }
 
-// sheddingPlay is a sidecar with two classes, of which the first is slow in an overload that has just ended.
+// sheddingPlay simulates a sidecar with two classes. The first one was slow in an overload that has just ended.
 type sheddingPlay struct {
 	b   *Balancer
 	h   *host
@@ -60,7 +60,7 @@
 	return p
 }
 
-// ask plays a request, and tells whether it was refused.
+// ask sends a request and reports whether it was refused.
 func (p *sheddingPlay) ask(class int, took time.Duration) (refused bool) {
 	p.ids++
 	p.b.Request(p.h.now, Request{ID: p.ids, Class: class, Tenant: -1, TimeLeft: 3 * time.Second})
@@ -73,7 +73,8 @@
 	return false
 }
 
-// refusedWhileShedding counts the refusals of the first class from a shedding on, and those after it should have ended.
+// refusedWhileShedding returns the number of refusals of the first class once shedding starts, and how many of them came after
+// shedding should have ended.
 func (p *sheddingPlay) refusedWhileShedding() (refused, late int) {
 	began := p.h.now
 	p.b.sheddingUntil = began + memoryTTL
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestImpatientClient has clients wait for less than an answer takes on a slow endpoint: theirs go to a quick one, and
-// where none is quick enough they take their turns. Others do not give way for it.
+// TestImpatientClient sends requests whose clients wait for less time than a slow endpoint takes. They go to a fast endpoint, or
+// follow the usual rotation if no endpoint is fast enough. They do not trigger shedding.
 func TestImpatientClient(t *testing.T) {
 	b, recorder := start(t, settings(), pair())
 	for i := range RequestID(200) {
@@ -42,9 +42,9 @@
 	bar := refusalThreshold * settings().Classes[0].LatencyTarget.Seconds()
 	for _, test := range []struct {
 		name   string
-		took   float64 // times the bar
-		unused float64 // of the time in which what all have taught fades, when it must not be tried yet
-		then   float64 // and when it must
+		took   float64 // latency as a multiple of the refusal threshold
+		unused float64 // time, in units of recentTTL, after which endpoints must not be tried yet
+		then   float64 // time, in units of recentTTL, after which they must be tried
 	}{
 		{"a little too slow", 1.2, 0.1, 0.25},
 		{"twice too slow", 2, 0.4, 0.6},
@@ -71,7 +71,7 @@
 	aim := set.Classes[0].LatencyTarget
 	b, recorder := start(t, set, pair())
 	serve(b, recorder, 40, time.Duration(float64(aim)*refusalThreshold*0.8))
-	b.meanSeconds[1] = b.meanSeconds[0] // the lesser class has a third of the worth: its bar is at 0.58 of the other's
+	b.meanSeconds[1] = b.meanSeconds[0] // the lower class has a third of the value, so its threshold is 0.58 of the other's
 	if ask(b, recorder, 1) == "" {
 		t.Fatal("the lesser class is refused though nothing was full")
 	}
@@ -84,7 +84,7 @@
 	if last := recorder.sent[len(recorder.sent)-1]; last.id != 3 {
 		t.Error("the dearer class gives way too")
 	}
-	// Requests of the dearer class fill both endpoints, which makes it tight.
+	// Requests fill both endpoints, which starts shedding.
 	b, recorder = start(t, set, pair())
 	serve(b, recorder, 40, aim/2)
 	for i := RequestID(10); ask(b, recorder, i) != ""; i++ {
@@ -97,13 +97,14 @@
 	}
 }
 
-// TestOverloadCountsAsFull has all answers slow down alike: what an idle fleet takes says what is full, not the jam itself.
+// TestOverloadCountsAsFull slows down all answers alike. The latency of the idle fleet, not that of the overload, must determine
+// when an endpoint is full.
 func TestOverloadCountsAsFull(t *testing.T) {
 	const idle, jam = 100 * time.Millisecond, 700 * time.Millisecond
 	for _, test := range []struct {
 		name  string
 		took  time.Duration
-		ticks int // for which answers take that long
+		ticks int // number of ticks with this latency
 		full  bool
 	}{
 		{"no jam", idle, 100, false},
@@ -128,7 +129,7 @@
 }
 
 func TestHeavyClassIsShedSooner(t *testing.T) {
-	// Two classes of one worth; the answers of the second take four times as long, and with them the same worth.
+	// Two classes have the same value, but the answers of the second take four times as long.
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	b, recorder := start(t, set, pair())
@@ -145,8 +146,8 @@
 	}
 }
 
-// TestRefusalSaysWhen has clients ask a busy endpoint for more than it can do: each is told to come back when what
-// is there will have been worked off. Without that they come back at once, all together.
+// TestRefusalSaysWhen sends more requests than an endpoint can handle. The refused clients are to retry when the endpoint is
+// expected to have worked off its queue. Otherwise they would all retry immediately.
 func TestRefusalSaysWhen(t *testing.T) {
 	b, recorder := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
 	b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
--- a/balance/signals/signals_test.go
+++ b/balance/signals/signals_test.go
@@ -44,7 +44,7 @@
 	return r
 }
 
-// stated is a report of an origin, which arrives as often and as late as the network likes.
+// stated is a report of an origin, which may arrive late and several times.
 type stated struct {
 	origin string
 	seq    uint64
@@ -52,7 +52,7 @@
 	r      Report
 }
 
-// aggregateOf has a reader receive statements in an order.
+// aggregateOf returns an aggregate that has received statements in the given order.
 func aggregateOf(order []stated, now time.Duration) *Aggregate {
 	a := NewAggregate(rooms[0], bound)
 	for _, s := range order {
@@ -71,7 +71,8 @@
 	return all
 }
 
-// What origins stated gives the same verdicts in any order and with duplicates, and each verdict has its witnesses.
+// TestVerdictsHaveWitnesses checks that statements lead to the same verdicts in any order and with duplicates, and that each verdict
+// has enough witnesses.
 func TestVerdictsHaveWitnesses(t *testing.T) {
 	seen := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -92,7 +93,7 @@
 			seen++
 			checkWitnesses(t, newest, process, kind, now)
 		}
-		// A verdict ends with its witnesses' silence, whatever they stated.
+		// A verdict ends if its witnesses send nothing for the TTL, whatever they stated.
 		if late := again.Evaluate(now + bound + time.Millisecond); len(late) > 0 {
 			t.Fatalf("%v after the bound", late)
 		}
@@ -102,7 +103,7 @@
 	}
 }
 
-// checkWitnesses counts those who state that a process fails so, or worse, in a model of its own.
+// checkWitnesses counts, with an independent model, the witnesses of a kind of failure of a process or a worse one.
 func checkWitnesses(t *rapid.T, newest map[string]stated, process Process, kind Kind, now time.Duration) {
 	t.Helper()
 	var count, own, near int
@@ -133,7 +134,7 @@
 	return Statement{Origin: origin, Start: 1, Seq: 1, Report: r}
 }
 
-// sound is a fleet that says the truth of one silent server, from count members, beside quiet ones.
+// sound adds statements of honest members: count of them condemn the server s1, the others condemn none.
 func sound(b *Aggregate, count, quiet int) {
 	for i := range count + quiet {
 		r := Report{Zone: rooms[i%2], Uses: []ZoneUse{{rooms[0], 8}, {rooms[1], 8}}}
@@ -144,7 +145,8 @@
 	}
 }
 
-// One liar, whatever it says and how often, condemns nobody for whom two sound witnesses do not speak, and clears nobody.
+// TestOneLiarMovesNothing checks that one origin with false statements, whatever their contents and number, neither causes a verdict
+// that is not supported by two honest witnesses nor ends one.
 func TestOneLiarMovesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count, quiet := rapid.IntRange(0, 4).Draw(t, "witnesses"), rapid.IntRange(0, 20).Draw(t, "quiet")
@@ -212,7 +214,7 @@
 			t.Errorf("%s: it says %v itself", name, said.Verdicts)
 		}
 	}
-	// A room that cannot reach another speaks for itself only.
+	// The statements of a zone that cannot reach another zone count only in that zone itself.
 	for reader, want := range map[string]int{rooms[1]: 1, rooms[2]: 0} {
 		b := NewAggregate(reader, bound)
 		for i := range 5 {
@@ -230,8 +232,8 @@
 	}
 }
 
-// What those of a server's own room say counts everywhere. Two that it served later end it, one does not, and no fault that is
-// newer is ended.
+// TestNearWitnessesAndServed checks that statements from a server's own zone count in all zones. Two members that were served later
+// end the verdict, one does not, and faults newer than the answers still count.
 func TestNearWitnessesAndServed(t *testing.T) {
 	for name, test := range map[string]struct {
 		served []time.Duration // ago
@@ -281,7 +283,7 @@
 	})
 }
 
-// What does not fit gives way from the end.
+// TestLongReportsFit checks that Encode omits verdicts from the end of a report that is too long.
 func TestLongReportsFit(t *testing.T) {
 	r := Report{Zone: rooms[0], Uses: []ZoneUse{{rooms[0], 50}}}
 	for i := range 40 {
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRestore hands beliefs on: at once they are what they were, later they have faded as in life, and what is of a former process, too
-// old, or nonsense counts for nothing.
+// TestRestore restores a snapshot of various ages. Without delay the estimates are unchanged, later they have decayed as they would
+// have in a running process. Estimates of an endpoint's previous process, old snapshots and invalid values are ignored.
 func TestRestore(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "a", Kind: "m", Size: 1}, {ID: "b", Zone: "a", Kind: "m", Size: 1}, {ID: "c", Zone: "a", Kind: "m", Size: 1, Started: 50 * time.Second}}
 	old, _ := start(t, settings(), list)
--- a/balance/subset/model_test.go
+++ b/balance/subset/model_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// sidecar of the model: its order among all, and the requests that it has in the memory.
+// sidecar is a simulated sidecar: its sort key, its decaying count of requests and its traffic level.
 type sidecar struct {
 	name    float64
 	traffic float64
 	level   int
 }
 
-// draw makes n sidecars with some requests each in the memory on the mean; uneven ones have a coefficient of variation
-// of 1, as on the bench.
+// draw returns n sidecars with the given mean count of requests. If uneven, the traffic has a coefficient of variation of 1, as in
+// the benchmark fleet.
 func draw(rng *rand.Rand, n int, mean float64, uneven bool) []sidecar {
 	list := make([]sidecar, n)
 	var sum float64
@@ -38,7 +38,7 @@
 
 type run struct{ first, length int }
 
-// alone and among are the runs of all sidecars over n servers, by number and by place.
+// alone returns the runs of all sidecars over n servers if they know only their own index.
 func alone(list []sidecar, n int) (runs []run) {
 	for i, s := range list {
 		first, length := ForIndex(n, i, s.traffic/float64(n))
@@ -47,6 +47,7 @@
 	return runs
 }
 
+// among returns the runs of all sidecars over n servers if they know their position among the members of their level.
 func among(list []sidecar, n int) (runs []run) {
 	levels := map[int][]float64{}
 	for i := range list {
@@ -65,7 +66,8 @@
 	return runs
 }
 
-// spread is what servers get over the mean: the most, and the 99th percentile; and in how many runs one is.
+// spread returns the maximum and the 99th percentile of the servers' load relative to the mean, and the mean number of runs that a
+// server is in.
 func spread(list []sidecar, runs []run, n int) (most, p99, cover float64) {
 	got := make([]float64, n)
 	var sum float64
@@ -81,7 +83,7 @@
 	return got[n-1] / mean, got[int(math.Ceil(0.99*float64(n)))-1] / mean, cover
 }
 
-// moved counts the members of a run that are not in the run after a change, for one that knows them by id.
+// moved returns the number of servers of a run that are not in the run after a change, comparing ids.
 func moved(before, after run, was, is []string) (gone int) {
 	now := map[string]bool{}
 	for k := range after.length {
@@ -95,7 +97,7 @@
 	return gone
 }
 
-// churn is how many members the runs of the sidecars in both lists lose, on the mean and at most.
+// churn returns the mean and maximum number of servers that a run loses, over the sidecars in both lists.
 func churn(before, after []run, was, is []string) (mean, most float64) {
 	for i, r := range before {
 		m := float64(moved(r, after[i], was, is))
@@ -122,8 +124,9 @@
 	return ids
 }
 
-// TestFairAndSteady measures runs by place against runs by number. Where under ten runs hold a server, one more or less is a tenth
-// and more. Levels round the length of runs, so there may be up to the root of two more.
+// TestFairAndSteady compares runs by member position with runs by index. The balance is checked only if servers are in ten runs or
+// more, since otherwise one run more or less changes a server's load by over a tenth. Levels round the length of runs, so servers may
+// be in more runs by a factor of up to the square root of two.
 func TestFairAndSteady(t *testing.T) {
 	for _, size := range []struct {
 		sidecars, servers int
@@ -140,7 +143,7 @@
 	}
 }
 
-// spreading is what servers get, in means, and in how many runs one is: the mean over some seeds.
+// spreading is the result of spread, averaged over some seeds.
 type spreading struct{ most, p99, cover float64 }
 
 func (s *spreading) add(list []sidecar, runs []run, n int) {
@@ -148,7 +151,7 @@
 	s.most, s.p99, s.cover = s.most+most/seeds, s.p99+p99/seeds, s.cover+cover/seeds
 }
 
-// moving is how many members of a run move: the mean over some seeds, and the most.
+// moving is the number of servers that a run loses: the mean over some seeds, and the maximum.
 type moving struct{ mean, worst float64 }
 
 func (m *moving) add(before, after []run, was, is []string) {
@@ -161,7 +164,7 @@
 // measurement is what TestFairAndSteady measures of a fleet.
 type measurement struct {
 	byIndex, byMember spreading
-	joined, listed    moving // by one sidecar more, by one server more
+	joined, listed    moving // after adding one sidecar, after adding one server
 }
 
 func measure(sidecars, n int, mean float64, uneven bool) (m measurement) {
@@ -179,7 +182,7 @@
 	return m
 }
 
-// check holds what was measured against the bounds.
+// check checks the measurement against the bounds.
 func (m measurement) check(t *testing.T, sidecars, servers int) {
 	t.Helper()
 	if b := m.byMember; b.cover >= 30 && b.most > 1.15 || b.cover >= 10 && (b.most > 1.3 || b.p99 > 1.25) {
@@ -198,8 +201,8 @@
 	t.Logf("by number %+.2f, by place %+.2f, moved by a sidecar %+.2f, by a server %+.2f", m.byIndex, m.byMember, m.joined, m.listed)
 }
 
-// TestReleaseMovesItsOwnPart: where a tenth of the servers get new names, which end a sorted list, runs in the order of
-// names shift as a whole; in the order of hashes they lose what is gone.
+// TestReleaseMovesItsOwnPart renames a tenth of the servers so that the new names come last in a sorted list. In the order of names,
+// whole runs shift; in the order of hashes, runs should lose little more than the servers that are gone.
 func TestReleaseMovesItsOwnPart(t *testing.T) {
 	const n, part = 200, 20
 	list := draw(rand.New(rand.NewPCG(1, 1)), 300, 60, true)
@@ -218,7 +221,7 @@
 	}
 }
 
-// TestLevelKeepsStillInNoise: a level does not follow the chance in a count of requests that fades by 1/e in 6 s.
+// TestLevelKeepsStillInNoise checks that a level does not follow the noise in a count of requests that decays to 1/e in 6 s.
 func TestLevelKeepsStillInNoise(t *testing.T) {
 	const n, minutes = 200, 5
 	for _, rate := range []float64{1, 3, 10, 20} {
@@ -247,8 +250,8 @@
 	}
 }
 
-// TestRunsTile: whatever the sizes, runs of one level are within the group and put each server into equally many, but for
-// one, where they go round it at all.
+// TestRunsTile checks that all runs of one level are within the group, and that the numbers of runs of any two servers differ by at
+// most one, unless runs have the minimum length.
 func TestRunsTile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, count := rapid.IntRange(1, 1000).Draw(t, "servers"), rapid.IntRange(1, 1000).Draw(t, "count")
@@ -271,7 +274,7 @@
 	})
 }
 
-// TestNobodyThere: an empty group has an empty run.
+// TestNobodyThere checks that the run in an empty group is empty.
 func TestNobodyThere(t *testing.T) {
 	if first, length := ForMember(0, 3, 0, 0); first != 0 || length != 0 {
 		t.Errorf("run of %d from %d", length, first)
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// minSubset is how many endpoints of a group an idle sidecar uses.
+// minSubset is the number of endpoints of a group that an idle sidecar uses.
 const minSubset = 4
 
-// fleet lists n alike endpoints of one group.
+// fleet returns a list of n identical endpoints of one group.
 func fleet(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "x", Kind: "big", Size: 1})
@@ -19,7 +19,7 @@
 	return list
 }
 
-// sidecar starts number self of peers on a fleet.
+// sidecar starts the sidecar with index self among the given number of peers.
 func sidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
@@ -58,7 +58,7 @@
 func TestSubsetFollowsTraffic(t *testing.T) {
 	b, recorder := sidecar(t, 3, 10, fleet(200))
 	first := ids(b.inUse)
-	for range 300 { // 30 s of 10 requests a second
+	for range 300 { // 30 s with 10 requests per second
 		recorder.now += tickInterval
 		b.Timer(recorder.now, tickToken)
 		serve(b, recorder, 1, 10*time.Millisecond)
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestWarmingUpEndpointAmongManySidecars guards rule 4: what all sidecars together send to an endpoint that warms up stays within
-// its turns, also when each has nowhere else to go, whatever their number, and with none of them knowing it.
+// TestWarmingUpEndpointAmongManySidecars checks that all sidecars together do not overload an endpoint that is warming up, even if
+// all other endpoints reject requests, whatever the number of sidecars and although they do not coordinate.
 func TestWarmingUpEndpointAmongManySidecars(t *testing.T) {
 	const seconds = 2
 	for _, peers := range []int{5, 100, 1000} {
@@ -125,7 +125,7 @@
 				fromCold, fromAll := sendsWithOthersSaturated(t, self, peers, share, seconds)
 				cold, all = cold+fromCold, all+fromAll
 			}
-			// The mean endpoint gets one of 20 requests, and each request may be tried three times.
+			// On average, an endpoint gets one of 20 requests, and each request may have three attempts.
 			warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().WarmUpTime.Seconds()
 			if most := all / 20 * 3 * warm; cold > most {
 				t.Errorf("%.0f of %.0f requests went to the endpoint that warms up, want %.0f at most", cold, all, most)
@@ -134,7 +134,8 @@
 	}
 }
 
-// sendsWithOthersSaturated counts the requests that a sidecar sends to an endpoint that warms up while all others reject, and all.
+// sendsWithOthersSaturated returns the number of requests that a sidecar sends to an endpoint that is warming up while all other
+// endpoints reject requests, and the number of all requests.
 func sendsWithOthersSaturated(t *testing.T, self, peers, share, seconds int) (cold, all float64) {
 	t.Helper()
 	list := fleet(20)
@@ -163,8 +164,8 @@
 	return cold, all
 }
 
-// TestWarmingUpEndpointGetsItsShare guards against sidecars that all wait a round before they turn to a cold
-// endpoint: in a large fleet a round is longer than the endpoint is cold.
+// TestWarmingUpEndpointGetsItsShare guards against sidecars that all wait for a full round before they send to a cold endpoint. In
+// a large fleet, a round takes longer than the warm-up.
 func TestWarmingUpEndpointGetsItsShare(t *testing.T) {
 	for _, test := range []struct{ peers, servers int }{{3, 9}, {80, 60}} {
 		list := fleet(test.servers)
@@ -187,7 +188,7 @@
 				b.Result(recorder.now, Result{ID: 1 + id, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
 			}
 		}
-		// Half of what it would fall over at, were every endpoint loaded in full and it as cold as can be.
+		// Half of what would overload it if all endpoints were fully loaded and it had the minimum capacity.
 		share := settings().StartCapacity / (float64(test.servers-1) + settings().StartCapacity)
 		if want := share * all * settings().OverloadMultiple / 2; cold < 0.75*want-1 || cold > 1.25*want+1 {
 			t.Errorf("%d sidecars sent %.0f of %.0f requests to a cold endpoint of %d, want about %.1f", test.peers, cold, all,
@@ -196,7 +197,7 @@
 	}
 }
 
-// asking records when a Balancer is to call discovery.
+// asking is a host that records when a Balancer is to call discovery.
 type asking struct {
 	host
 	after time.Duration
--- a/balance/turns/turns_test.go
+++ b/balance/turns/turns_test.go
@@ -12,14 +12,14 @@
 
 const period = time.Second
 
-// member is a sidecar of the model with a clock of its own.
+// member is a simulated sidecar with its own clock.
 type member struct {
 	Position
 	clockOffset time.Duration
-	drift       float64 // of its clock, as a share
+	drift       float64 // relative clock drift
 }
 
-// members draws n of them.
+// members returns n random members.
 func members(rng *rand.Rand, n int, inStep bool) []member {
 	list := make([]member, n)
 	for i := range list {
@@ -36,8 +36,8 @@
 	return m.IsOwner(subject, at+m.clockOffset+time.Duration(float64(at)*m.drift), period)
 }
 
-// TestOneOwner checks what the package promises: one owner a period where clocks agree, and one on the average where they do not,
-// never much more at once.
+// TestOneOwner checks the guarantees of the package: one owner per period if clocks agree, and otherwise one on average and never
+// many at the same time.
 func TestOneOwner(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, count := range []int{1, 2, 10, 100, 1000} {
@@ -57,7 +57,8 @@
 	}
 }
 
-// countOwners counts the owners of turns over some subjects and periods, in all and at the most at a time.
+// countOwners returns the total number of owners over some subjects and periods, the maximum in a period, and the number of
+// periods.
 func countOwners(rng *rand.Rand, count int, inStep bool) (sum, most, periods int) {
 	for subject := range uint64(20) {
 		list := members(rng, count, inStep)
@@ -76,8 +77,7 @@
 	return sum, most, periods
 }
 
-// TestNobodyWaitsForever: a part of 1/n has a turn within 3n periods, wherever its clock stands, and no two of its
-// turns begin within a period.
+// TestNobodyWaitsForever checks that each of n members has a turn within 3n periods, whatever its clock.
 func TestNobodyWaitsForever(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1000).Draw(t, "members")
@@ -92,13 +92,14 @@
 	})
 }
 
-// TestOwnerThatIsGone: while the others still count it, only its own periods are lost; once they do not, none.
+// TestOwnerThatIsGone checks that only the periods of a removed member are lost while the others still count it, and none once
+// they do not.
 func TestOwnerThatIsGone(t *testing.T) {
 	const members, periods = 10, 1000
 	for _, known := range []bool{false, true} {
 		served := 0
 		for k := range periods {
-			for place := range members - 1 { // the last is gone
+			for place := range members - 1 { // the last member is gone
 				v := Position{Index: place, Count: members}
 				if known {
 					v.Count = members - 1
@@ -114,7 +115,7 @@
 	}
 }
 
-// TestReturnInTurn: an outage that ends for all at once is followed by callers at equal distances.
+// TestReturnInTurn checks that after an outage that ends for all members at the same time, they return at equal intervals.
 func TestReturnInTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, what := rapid.IntRange(1, 1000).Draw(t, "members"), rapid.Uint64().Draw(t, "what")
--- a/balance/unresponsive_test.go
+++ b/balance/unresponsive_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/balance/signals"
 )
 
-// reportExchange has each sidecar say what it saw every 200 ms, as long as it has anything to say or has just had, and all the others
-// hear it 200 ms later.
+// reportExchange makes each sidecar send its report every 200 ms, as long as this or the previous report has verdicts. All other
+// sidecars receive it 200 ms later.
 type reportExchange struct {
 	fleet      *simulatedFleet
 	seq        uint64
@@ -41,9 +41,9 @@
 	}
 }
 
-// playUnresponsive has a server answer nothing for 8 s, and tells after what time 95% of the sidecars that used it sent there for the
-// last time, how many attempts it got meanwhile, and after what time it has at least half of its share again; members know each
-// other.
+// playUnresponsive makes a server stop answering for 8 s. It returns after what time 95% of the sidecars that used the server sent
+// their last request to it, how many attempts it got meanwhile, and after what time it gets at least half of its share again. If
+// members is set, the sidecars know each other and exchange reports.
 func playUnresponsive(t *testing.T, sidecars int, members bool) (avoided time.Duration, attempts int, back time.Duration) {
 	const silence = 8 * time.Second
 	servers := fleet(20)
@@ -97,13 +97,14 @@
 	return at[int(math.Ceil(0.95*float64(len(at))))-1], attempts, back
 }
 
-// TestFleetAvoidsUnresponsive: a server that falls silent is avoided by the fleet sooner, and with fewer attempts, than sidecars
-// learn it alone, and it is back soon after it answers again. One in 20 tries it within the 8 s, or nobody would know that it is back.
+// TestFleetAvoidsUnresponsive checks that sidecars that exchange reports avoid an unresponsive server sooner and with fewer attempts
+// than sidecars on their own, and that the server is used again soon after it recovers. One sidecar in 20 probes it within the 8 s,
+// since otherwise none would notice the recovery.
 func TestFleetAvoidsUnresponsive(t *testing.T) {
 	for _, test := range []struct {
 		sidecars int
 		within   time.Duration
-		part     float64 // of the attempts alone
+		part     float64 // maximum share of the attempts without exchange
 	}{{20, 2500 * time.Millisecond, 0.3}, {100, 1500 * time.Millisecond, 0.3}, {300, 1500 * time.Millisecond, 0.2}} {
 		n := test.sidecars
 		alone, lone, _ := playUnresponsive(t, n, false)
--- a/balance/warmup_budget_test.go
+++ b/balance/warmup_budget_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sendsWhileWarmingUp plays a burst on a fleet of warm endpoints that take 20 ms a request and a freshly started one, and
-// returns how many sends the started one gets in each OverloadTime at most, and how many it may get from this sidecar.
+// sendsWhileWarmingUp simulates a burst on two warm endpoints, which take 20 ms per request, and a freshly started one. It
+// returns the maximum number of sends that the latter gets within any OverloadTime, and how many it may get from this sidecar.
 func sendsWhileWarmingUp(t *testing.T, peers int, retries bool) (most int, part float64) {
 	t.Helper()
 	set := settings()
@@ -49,7 +49,7 @@
 	return most, set.OverloadMultiple * share * 50 * set.OverloadTime.Seconds() / float64(peers)
 }
 
-// maxWithin is the most of the times, which rise, that lie within a length.
+// maxWithin returns the maximum number of the times, which must be ascending, that lie within any period of the given length.
 func maxWithin(times []Time, length time.Duration) (most int) {
 	for i, from := range times {
 		count := 0
--- a/balance/warmup_fleet_test.go
+++ b/balance/warmup_fleet_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// simulatedFleet plays sidecars of uneven traffic on servers of which some start cold, and counts what these get.
+// simulatedFleet simulates sidecars of uneven traffic that use the same servers, and records the requests that servers get.
 type simulatedFleet struct {
 	rng          *rand.Rand
 	now          Time
 	sidecars     []*Balancer
 	hosts        []*host
-	rate         []float64 // requests a second
-	next         []Time    // the next request
+	rate         []float64 // requests per second, by sidecar
+	next         []Time    // time of the next request, by sidecar
 	ids          RequestID
-	answers      []pendingAnswer // due, in the order of their time
-	bad          string          // refuses connections
-	unresponsive string          // takes requests, and answers none
+	answers      []pendingAnswer // sorted by time
+	bad          string          // server that refuses connections
+	unresponsive string          // server that accepts requests but does not answer
 	sent         map[string][]Time
 	by           []sentRequest
 }
@@ -61,7 +61,7 @@
 	return time.Duration(f.rng.ExpFloat64() / f.rate[self] * float64(time.Second))
 }
 
-// introduce tells each sidecar of all.
+// introduce passes the list of all members to each sidecar.
 func (f *simulatedFleet) introduce() {
 	var peers []Peer
 	for _, b := range f.sidecars {
@@ -72,7 +72,7 @@
 	}
 }
 
-// run plays for some time.
+// run simulates until the given time.
 func (f *simulatedFleet) run(until Time) {
 	for ; f.now < until; f.now += simulationTick {
 		for len(f.answers) > 0 && f.answers[0].at <= f.now {
@@ -102,7 +102,7 @@
 	if due.hung {
 		r.Outcome, r.Finished, r.Latency = TimedOut, false, hangTime
 	}
-	if q := f.sidecars[due.self].requests[r.ID]; q != nil { // one attempt after the other
+	if q := f.sidecars[due.self].requests[r.ID]; q != nil { // only the last attempt is in flight
 		r.Attempt = len(q.attempts) - 1
 	}
 	f.sidecars[due.self].Result(f.now, r)
@@ -127,8 +127,8 @@
 	f.hosts[self].sent = nil
 }
 
-// worstExcess is the most that a server got within a second from a time on, over what it may: the multiple of what it could do
-// then, and what chance allows.
+// worstExcess returns the maximum ratio of the requests that a server got within any OverloadTime after from, to the number that
+// it may get: OverloadMultiple times what it could do at that time, plus a margin for chance.
 func (f *simulatedFleet) worstExcess(id string, from Time, capacity float64) (over float64) {
 	set, sent := settings(), f.sent[id]
 	for i, first := range sent {
@@ -146,9 +146,9 @@
 	return over
 }
 
-// TestWarmUpBudgetAddsUp guards rule 4 for any number of sidecars of uneven traffic: what all of them send to an endpoint that
-// warms up, within the time after which it is overloaded, stays within what it may get, whether it returns alone, after it
-// refused everybody for some seconds, or with all others; and it gets enough of it to be of use.
+// TestWarmUpBudgetAddsUp checks for various numbers of sidecars of uneven traffic that all of them together do not overload an
+// endpoint that is warming up, and that it still gets enough requests to be useful. The endpoint returns alone, after it has
+// refused connections for some seconds, or together with all other endpoints.
 func TestWarmUpBudgetAddsUp(t *testing.T) {
 	for _, size := range []struct{ sidecars, servers int }{{1, 20}, {100, 20}, {1000, 50}} {
 		for _, known := range []bool{false, true} {
@@ -162,7 +162,7 @@
 	}
 }
 
-// checkWarmUpBudget has an endpoint return in a way that TestWarmUpBudgetAddsUp names.
+// checkWarmUpBudget simulates the return of an endpoint in one of the ways of TestWarmUpBudgetAddsUp and checks its requests.
 func checkWarmUpBudget(t *testing.T, sidecars, servers int, known bool, way string) {
 	t.Helper()
 	const capacity, load = 20, 0.8
