--- a/balance/allowance_test.go
+++ b/balance/allowance_test.go
@@ -45,7 +45,7 @@
 		got := exceedingShares(t, test.rate, test.second)
 		for i := range got {
 			if got[i] < test.low[i] || got[i] > test.high[i] {
-				t.Errorf("%s: %.2f of tenant %d is beyond its share, want %.2f to %.2f", test.name, got[i], i, test.low[i],
+				t.Errorf("%s: %.2f of the requests of tenant %d exceed its allowance, want %.2f to %.2f", test.name, got[i], i, test.low[i],
 					test.high[i])
 			}
 		}
--- a/balance/body_test.go
+++ b/balance/body_test.go
@@ -15,10 +15,10 @@
 		}
 		recorder.answer(b, recorder.now, ConnectFailed)
 		if again := len(recorder.sent) > 0; again == taken {
-			t.Errorf("with part of its body gone: %v, it is sent again: %v", taken, again)
+			t.Errorf("part of its body consumed: %v, request is retried: %v", taken, again)
 		}
 		if ended := len(recorder.refused) > 0; ended != taken {
-			t.Errorf("with part of its body gone: %v, it is refused: %v", taken, ended)
+			t.Errorf("part of its body consumed: %v, request is refused: %v", taken, ended)
 		}
 	}
 }
@@ -34,25 +34,25 @@
 	b.Request(recorder.now, Request{ID: 2, Tenant: -1, TimeLeft: time.Second})
 	b.AnswerStarted(recorder.now, 2, 0)
 	if recorder.now += 30 * time.Second; len(recorder.sent) != 2 {
-		t.Fatalf("%d attempts", len(recorder.sent))
+		t.Fatalf("%d attempts, want 2", len(recorder.sent))
 	}
 	if owed := slow.owedSeconds(recorder.now); owed != 0 {
-		t.Errorf("%.1f s are owed for what is still coming", owed)
+		t.Errorf("owedSeconds is %.1f while the body and the answer are still arriving, want 0", owed)
 	}
 	if now := b.expectedLatency(slow, recorder.now); now > 2*usual {
-		t.Errorf("an answer is expected in %.3f s, before it was %.3f s", now, usual)
+		t.Errorf("expected latency %.3f s while streaming, %.3f s before", now, usual)
 	}
 	b.BodyComplete(recorder.now, 1, time.Second)
 	b.BodyComplete(recorder.now, 1, time.Second) // a duplicate has no effect
 	if recorder.now += time.Second / 2; slow.owedSeconds(recorder.now) != 0.5 {
-		t.Errorf("%.1f s are owed half a second after the last byte", slow.owedSeconds(recorder.now))
+		t.Errorf("owedSeconds is %.1f half a second after the last byte, want 0.5", slow.owedSeconds(recorder.now))
 	}
 	recorder.answer(b, recorder.now, Errored)
 	if len(recorder.sent) == 0 && len(recorder.refused) == 0 {
-		t.Error("a request whose time had just begun was given up as late")
+		t.Error("a request whose time had just started was given up as late")
 	}
 	recorder.answer(b, recorder.now, Served)
 	if len(slow.flights) != 0 || slow.inFlight != 0 || slow.owedSeconds(recorder.now) != 0 {
-		t.Errorf("the endpoint is left with %+v", slow)
+		t.Errorf("the endpoint still has attempts in flight: %+v", slow)
 	}
 }
--- a/balance/heavyclient_test.go
+++ b/balance/heavyclient_test.go
@@ -19,26 +19,26 @@
 func TestHeavyClientIsRejected(t *testing.T) {
 	play := newHeavyPlay(t)
 	if _, refused := play.run(4*time.Second, false); refused != [2]int{} {
-		t.Errorf("%v refused where there is capacity", refused)
+		t.Errorf("%v requests refused although there is capacity", refused)
 	}
 	held := play.b.HeavyHitters().Clients()
 	if len(held) != 1 || held[0].Key != heavyClient || held[0].State != hitters.Heavy {
-		t.Fatalf("%+v held", held)
+		t.Fatalf("tracked clients %+v, want one heavy client", held)
 	}
 	asked, refused := play.run(4*time.Second, true)
 	if refused[0] < asked[0]/10 || refused[0] > asked[0]*9/10 || refused[1] != 0 {
-		t.Errorf("%v refused of %v where servers are full", refused, asked)
+		t.Errorf("%v of %v requests refused while servers are full", refused, asked)
 	}
 	all := slices.Sorted(slices.Values(play.h.refused))
 	if once := slices.Compact(slices.Clone(all)); len(once) != len(all) {
-		t.Errorf("%d refusals of %d requests", len(all), len(once))
+		t.Errorf("%d refusals of %d requests, want one each", len(all), len(once))
 	}
 	// New capacity is detected within seconds from the work that is served, not immediately when servers are no longer full.
 	if asked, refused := play.run(2*time.Second, false); refused[0] > asked[0]/10 || refused[1] != 0 {
-		t.Errorf("%v refused of %v as there is capacity again", refused, asked)
+		t.Errorf("%v of %v requests refused just after there is capacity again", refused, asked)
 	}
 	if _, refused := play.run(time.Second, false); refused != [2]int{} {
-		t.Errorf("%v refused where there is capacity again", refused)
+		t.Errorf("%v requests refused although there is capacity again", refused)
 	}
 }
 
@@ -95,7 +95,7 @@
 		return 0
 	}
 	if p.h.advice < time.Second || p.h.advice >= 2*time.Second {
-		p.t.Fatalf("told to return after %v", p.h.advice)
+		p.t.Fatalf("client is to retry after %v, want 1 to 2 s", p.h.advice)
 	}
 	return 1
 }
--- a/balance/hitters/detector_test.go
+++ b/balance/hitters/detector_test.go
@@ -75,7 +75,7 @@
 		roll(detector, &now, &seq, test.loud, with(0.16))
 		roll(detector, &now, &seq, test.quiet, with(test.share))
 		if got := state(detector, 1); got != test.want {
-			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+			t.Errorf("%s: state %v, want %v", test.name, got, test.want)
 		}
 	}
 }
@@ -103,11 +103,11 @@
 		fx, sx := once.sumReports(math.MaxInt64)
 		fy, sy := shuffled.sumReports(math.MaxInt64)
 		if fx != fy || !slices.Equal(sx, sy) {
-			t.Fatalf("%+v %+v, in another order %+v %+v", fx, sx, fy, sy)
+			t.Fatalf("sums %+v %+v, in another order %+v %+v", fx, sx, fy, sy)
 		}
 		once.EndWindow(set.ReportTTL + 1)
 		if f, _ := once.sumReports(math.MaxInt64); f.total != 0 || once.Receive(0, OriginReport{Origin: 9, Age: set.ReportTTL + 1}) {
-			t.Fatalf("%+v counts after the bound", f)
+			t.Fatalf("reports older than the TTL count: %+v", f)
 		}
 	})
 }
@@ -138,7 +138,7 @@
 		next := alone.secondLargestTotal()
 		for _, c := range detector.clients {
 			if most := largestShare(alone, c.Key, maxTotalRatio*next); most < set.HighThreshold-1e-3 {
-				t.Fatalf("%d is %v, with a share of %v without the liar", c.Key, c.State, most)
+				t.Fatalf("client %d is %v, with a share of %v without the false origin", c.Key, c.State, most)
 			}
 		}
 	})
@@ -174,12 +174,12 @@
 		for i, s := range shares {
 			c := detector.client(uint64(i + 1))
 			if c.State != Heavy || c.AdmittedShare < low/s-0.01 && c.AdmittedShare < 1 || c.AdmittedShare > high/s+0.01 {
-				t.Fatalf("%v keeps %v of %v, want a level from %v to %v", c.State, c.AdmittedShare, s, low, high)
+				t.Fatalf("client is %v and keeps %v of its share %v, want a level from %v to %v", c.State, c.AdmittedShare, s, low, high)
 			}
 			checkAdmitted(t, detector, now, c)
 		}
 		if _, rejected := detector.ShouldReject(now, true, 77, 1); rejected {
-			t.Fatal("one that is not heavy is rejected")
+			t.Fatal("a client that is not heavy is rejected")
 		}
 	})
 }
@@ -203,17 +203,17 @@
 	for id := range uint64(1000) {
 		after, rejected := j.ShouldReject(now, true, client.Key, id)
 		if rejected != (after >= minRetryDelay && after < 2*minRetryDelay) {
-			t.Fatalf("rejected %v, to return after %v", rejected, after)
+			t.Fatalf("rejected %v with a retry delay of %v", rejected, after)
 		}
 		if !rejected {
 			admitted++
 		}
 	}
 	if _, rejected := j.ShouldReject(now+set.ReportTTL, true, client.Key, 1); rejected {
-		t.Fatal("one is rejected by reports that are too old")
+		t.Fatal("a request is rejected although the reports are too old")
 	}
 	if math.Abs(float64(admitted)-1000*client.AdmittedShare) > 1 {
-		t.Fatalf("%d of 1000 admitted, want a share of %v", admitted, client.AdmittedShare)
+		t.Fatalf("%d of 1000 requests admitted, want a share of %v", admitted, client.AdmittedShare)
 	}
 }
 
@@ -240,17 +240,17 @@
 	}
 	tell(r)
 	if n := gives(false); n > 0 {
-		t.Errorf("%d of 100 give way before servers are full", n)
+		t.Errorf("%d of 100 requests rejected before servers are full", n)
 	}
 	if n := gives(true); n == 0 {
-		t.Error("none gives way while servers are full")
+		t.Error("no request rejected while servers are full")
 	}
 	if n := gives(false); n == 0 {
-		t.Error("all are let in again as soon as those that gave way are missed")
+		t.Error("no request rejected as soon as rejections have made servers less than full")
 	}
 	r.Served = fullShare
 	tell(r)
 	if n := gives(false); n > 0 {
-		t.Errorf("%d of 100 give way though there is room, they keep %v", n, detector.client(1).AdmittedShare)
+		t.Errorf("%d of 100 requests rejected although there is capacity, admitted share %v", n, detector.client(1).AdmittedShare)
 	}
 }
--- a/balance/hitters/model_test.go
+++ b/balance/hitters/model_test.go
@@ -356,19 +356,19 @@
 			t.Parallel()
 			got := test.run(t, 7)
 			precision, recall := got.right/max(got.right+got.wrong, 1), got.detected/max(got.over, 1)
-			t.Logf("precision %.4f, recall %.3f, held after %v, sound ones served %.3f before and %.3f after, floods %.3f, %.0f bytes/s in %.1f messages/s told by a sidecar",
+			t.Logf("precision %.4f, recall %.3f, detected after %v, others served %.3f, %.3f in floods, floods %.3f, %.0f B/s, %.1f messages/s",
 				precision, recall, got.delay, got.calm, got.flooded, got.admitted, got.bytes, got.messages)
 			if test.floods == 0 {
 				if got.wrong > 0 {
-					t.Errorf("%v times a sound client was held for heavy", got.wrong)
+					t.Errorf("a client was wrongly counted as heavy %v times", got.wrong)
 				}
 				return
 			}
 			if precision < 0.99 || recall < 0.95 || got.delay > 3*time.Second || got.over == 0 {
-				t.Errorf("precision %v, recall %v of %v, after %v", precision, recall, got.over, got.delay)
+				t.Errorf("precision %v, recall %v of %v, detected after %v", precision, recall, got.over, got.delay)
 			}
 			if !test.partitioned && test.killed == 0 && got.calm-got.flooded > 0.02 {
-				t.Errorf("sound clients: %v served, %v in the flood", got.calm, got.flooded)
+				t.Errorf("share of other clients' work served: %v before the flood, %v during it", got.calm, got.flooded)
 			}
 		})
 	}
@@ -403,9 +403,9 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	held := (int(after.HeapAlloc) - int(before.HeapAlloc)) / n
-	t.Logf("%d bytes with %d origins and %d clients held", held, len(all[0].reports), len(all[0].clients))
+	t.Logf("%d bytes with %d origins and %d clients", held, len(all[0].reports), len(all[0].clients))
 	if held > 64<<10 || len(all[0].clients) != maxClients {
-		t.Errorf("%d bytes, with %d clients held", held, len(all[0].clients))
+		t.Errorf("%d bytes with %d clients, want at most 64 kB with the maximum of clients", held, len(all[0].clients))
 	}
 	runtime.KeepAlive(all)
 	runtime.KeepAlive(words)
--- a/balance/hitters/summary_test.go
+++ b/balance/hitters/summary_test.go
@@ -29,11 +29,11 @@
 			total += work
 			held += all.Of(key)
 			if of := all.Of(key); of > work || work > of+all.Err() {
-				t.Fatalf("%d has %d, counted as %d with an error of %d", key, work, of, all.Err())
+				t.Fatalf("key %d has work %d, counted as %d with an error of %d", key, work, of, all.Err())
 			}
 		}
 		if all.Total() != total || all.Err()*(maxCounters+1) > total-held || len(all.keys) > maxCounters {
-			t.Fatalf("a total of %d, %d counted in %d counters: total %d, error %d", total, held, len(all.keys), all.Total(), all.Err())
+			t.Fatalf("total work %d, %d of it in %d counters; Total %d, Err %d", total, held, len(all.keys), all.Total(), all.Err())
 		}
 	})
 }
@@ -60,10 +60,10 @@
 	})
 	own, _ := detector.EndWindow(set.Window)
 	if r := own.Report; r.Named == 0 || r.Keys[0] != heavy || r.Shares[0]+r.Err < fullShare/11 || r.Err > fullShare/50 {
-		t.Errorf("a tenth of the work is told as %+v", r)
+		t.Errorf("a client with a tenth of the work is reported as %+v", r)
 	}
 	if allocs > 3000 { // the long names
-		t.Errorf("%v allocations", allocs)
+		t.Errorf("%v allocations, want at most 3000", allocs)
 	}
 }
 
@@ -79,7 +79,7 @@
 		r, err := ParseReport(from)
 		if err != nil {
 			if r != (Report{}) {
-				t.Fatalf("refused and half taken: %+v", r)
+				t.Fatalf("ParseReport returned %+v with an error", r)
 			}
 			return
 		}
@@ -89,7 +89,7 @@
 		}
 		again, err := ParseReport(r.Append(nil))
 		if err != nil || again != r || sum > fullShare || r.Total > maxTotal || len(from) > MaxReportBytes {
-			t.Fatalf("%+v is %+v again, %v", r, again, err)
+			t.Fatalf("%+v is %+v after encoding and parsing it again, error %v", r, again, err)
 		}
 	})
 }
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -95,17 +95,17 @@
 			sent, timers := len(recorder.sent), len(recorder.timers)
 			test.do()
 			if len(recorder.sent) != sent || len(recorder.timers) != timers || len(recorder.refused)+len(recorder.failed)+recorder.cancelled > 0 {
-				t.Errorf("it led to an action: %+v", recorder)
+				t.Errorf("misuse led to an action: %+v", recorder)
 			}
 			if len(b.requests) != 1 || b.byID["a"].inFlight != 1 || len(b.endpoints) != 1 {
-				t.Errorf("it changed the state: %d requests, %d in flight", len(b.requests), b.byID["a"].inFlight)
+				t.Errorf("misuse changed the state: %d requests, %d attempts in flight", len(b.requests), b.byID["a"].inFlight)
 			}
 		})
 	}
 	b.Result(recorder.now, Result{ID: 1, Outcome: Served, Latency: time.Millisecond, Finished: true})
 	b.Result(recorder.now, Result{ID: 1, Outcome: Served, Latency: time.Millisecond, Finished: true})
 	if e := b.byID["a"]; len(b.requests) != 0 || e.inFlight != 0 || len(e.flights) != 0 {
-		t.Errorf("%d requests, %d in flight after the end, told twice", len(b.requests), e.inFlight)
+		t.Errorf("%d requests, %d attempts in flight after a duplicate result, want none", len(b.requests), e.inFlight)
 	}
 }
 
@@ -119,7 +119,7 @@
 		recorder.answer(b, recorder.now-time.Duration(i%3)*time.Second, Served)
 	}
 	if len(b.requests) != 0 || b.byID["a"].inFlight+b.byID["b"].inFlight != 0 || len(recorder.failed) != 0 {
-		t.Errorf("%d requests left, %d failed", len(b.requests), len(recorder.failed))
+		t.Errorf("%d requests left and %d failed, want none", len(b.requests), len(recorder.failed))
 	}
 }
 
--- a/balance/invariants_host_test.go
+++ b/balance/invariants_host_test.go
@@ -47,22 +47,22 @@
 	c.actions = append(c.actions, fmt.Sprint("send ", id, to))
 	sent, target := c.requests[id], c.servers[to]
 	if sent == nil || sent.ended {
-		c.violation("rule 1: send for request %d, which is over", id)
+		c.violation("send for request %d, which has got its final answer", id)
 		return
 	}
 	if target == nil || !target.listed || target.State != Ready {
-		c.violation("rule 3: send to %s, which is not ready", to)
+		c.violation("send to %s, which is not listed as ready", to)
 		return
 	}
 	if timeout < 0 {
-		c.violation("negative timeout")
+		c.violation("send of request %d with a negative timeout", id)
 	}
 	if len(sent.attempts) >= c.set.MaxAttempts {
-		c.violation("attempt %d", len(sent.attempts))
+		c.violation("attempt %d exceeds MaxAttempts", len(sent.attempts))
 	}
 	for _, a := range sent.attempts {
 		if !a.done {
-			c.violation("rule 2: second copy of %d", id)
+			c.violation("request %d has two attempts in flight", id)
 		}
 		if a.done && !a.ran || sent.class.Effect == Idempotent {
 			continue
@@ -70,11 +70,11 @@
 		first := c.servers[a.to]
 		switch {
 		case sent.class.Effect == AtMostOnce:
-			c.violation("rule 2: at-most-once request %d again", id)
+			c.violation("at-most-once request %d retried", id)
 		case c.now-a.sent >= sent.class.DedupeWindow:
-			c.violation("rule 2: request %d again after its window", id)
+			c.violation("request %d retried after its dedupe window", id)
 		case sent.class.Scope == ScopeZone && first.Zone != target.Zone, sent.class.Scope == ScopeCell && first.Cell != target.Cell:
-			c.violation("rule 2: request %d again outside its scope", id)
+			c.violation("request %d retried outside its dedupe scope", id)
 		}
 	}
 	sent.attempts = append(sent.attempts, modelAttempt{to: to, sent: c.now})
@@ -84,11 +84,11 @@
 	c.actions = append(c.actions, fmt.Sprint("end ", id))
 	r := c.requests[id]
 	if r == nil || r.ended {
-		c.violation("rule 1: second answer for %d", id)
+		c.violation("request %d got a second final answer, or is unknown", id)
 		return nil
 	}
 	if c.now > r.deadline+10*time.Millisecond {
-		c.violation("rule 1: late answer for %d", id)
+		c.violation("request %d got its final answer after its deadline", id)
 	}
 	r.ended = true
 	return r
@@ -100,11 +100,12 @@
 		return
 	}
 	if after < 0 || after.Seconds() > c.shortestAim() {
-		c.violation("advice to wait %v", after) // a client that waits longer than its aim comes back for nothing
+		// After more than its latency target, a retry would be useless to the client.
+		c.violation("refusal with a wait of %v, want 0 to the shortest latency target", after)
 	}
 	for _, a := range r.attempts {
 		if (!a.done || a.ran) && (r.class.Effect == AtMostOnce || r.class.Effect == Deduplicated && r.class.Scope != ScopeAll) {
-			c.violation("rule 2: refusal of %d, which may have run", id)
+			c.violation("refusal of request %d, which may have run", id)
 		}
 	}
 }
@@ -122,7 +123,7 @@
 
 func (c *checker) Cancel(id RequestID, attempt int) {
 	if r := c.requests[id]; !c.set.CancelAllowed || r == nil || attempt >= len(r.attempts) {
-		c.violation("cancel of %d, attempt %d", id, attempt)
+		c.violation("invalid cancel of attempt %[2]d of request %[1]d", id, attempt)
 	}
 }
 
@@ -134,7 +135,7 @@
 
 func (c *checker) Subscribe() {
 	if !c.set.SubscribeToDiscovery {
-		c.violation("subscription where changes are pushed")
+		c.violation("subscription although SubscribeToDiscovery is not set")
 	}
 	c.asked++
 }
--- a/balance/invariants_test.go
+++ b/balance/invariants_test.go
@@ -22,7 +22,7 @@
 		drawn.step()
 	}
 	if len(drawn.b.requests) > len(drawn.c.requests) {
-		drawn.c.violation("%d requests are still known, %d are open", len(drawn.b.requests), len(drawn.c.requests))
+		drawn.c.violation("the balancer still stores %d requests, but %d are open", len(drawn.b.requests), len(drawn.c.requests))
 	}
 	return drawn.c
 }
@@ -244,7 +244,7 @@
 func (d *day) forget() {
 	for id, r := range d.c.requests {
 		if !r.ended && d.c.now > r.deadline+15*time.Millisecond {
-			d.c.violation("rule 1: no answer for %d", id)
+			d.c.violation("request %d got no final answer", id)
 			r.ended = true
 		}
 	}
@@ -270,7 +270,7 @@
 		}
 	}
 	if sends < 5000 {
-		t.Errorf("only %d sends: the days test little", sends)
+		t.Errorf("only %d sends in all runs, too few to test anything", sends)
 	}
 }
 
@@ -278,7 +278,7 @@
 	for seed := range uint64(5) {
 		a, b := playDay(t, seed, 3000), playDay(t, seed, 3000)
 		if !slices.Equal(a.actions, b.actions) {
-			t.Errorf("seed %d: the actions differ", seed)
+			t.Errorf("seed %d: two runs with the same events led to different actions", seed)
 		}
 	}
 }
--- a/balance/latency_test.go
+++ b/balance/latency_test.go
@@ -16,12 +16,12 @@
 		}
 	}
 	if b.byID["a"].inFlight == 0 {
-		t.Fatal("nothing is out at the endpoint")
+		t.Fatal("no request is in flight at endpoint a")
 	}
 	before := b.expectedLatency(b.byID["a"], recorder.now)
 	recorder.now += 600 * time.Millisecond
 	if after := b.expectedLatency(b.byID["a"], recorder.now); after < before*1.2 {
-		t.Errorf("a stuck endpoint is expected to answer in %.3f s, %.3f before", after, before)
+		t.Errorf("expected latency of a stuck endpoint is %.3f s, %.3f s before", after, before)
 	}
 }
 
@@ -43,7 +43,7 @@
 	unused := b.byID["c"]
 	unused.latencySum, unused.loadSum = 0, 0
 	if got := b.expectedLatency(unused, recorder.now); got > 0.15 {
-		t.Errorf("an unused endpoint of a quick group is expected to take %.3f s", got)
+		t.Errorf("expected latency of an unused endpoint in a fast group is %.3f s", got)
 	}
 }
 
@@ -61,7 +61,7 @@
 	recorder.now += tickInterval * 5
 	b.Timer(recorder.now, tickToken)
 	if after := b.expectedLatency(idle, recorder.now); after < 1.3*before {
-		t.Errorf("%.4f s are expected of it while its peers owe answers, %.4f before", after, before)
+		t.Errorf("expected latency of the idle endpoint is %.4f s while answers of its peers are overdue, %.4f s before", after, before)
 	}
 }
 
@@ -86,10 +86,10 @@
 			fresh.latencySum, fresh.loadSum, fresh.freshness = n*test.took.Seconds(), n*(1+unseenLoad), 1
 		}
 		if got := b.expectedLatency(fresh, recorder.now); got <= bar.Seconds() != test.open {
-			t.Errorf("%s: it is expected to answer in %.2f s, and its peers are full at %.2f s", test.name, got, bar.Seconds())
+			t.Errorf("%s: expected latency of the fresh endpoint is %.2f s, with a threshold of %.2f s", test.name, got, bar.Seconds())
 		}
 		if got := b.expectedLatency(b.byID["a"], recorder.now); got <= bar.Seconds() {
-			t.Errorf("%s: a jammed warm endpoint is expected to answer in %.2f s", test.name, got)
+			t.Errorf("%s: expected latency of an overloaded warm endpoint is only %.2f s", test.name, got)
 		}
 	}
 }
@@ -110,10 +110,10 @@
 		b.Result(recorder.now, r)
 	}
 	if got := b.expectedLatency(b.byID["s0002"], recorder.now); got > 1.5*took.Seconds() {
-		t.Errorf("an endpoint that answers in %v is expected to take %.2f s, since others are silent", took, got)
+		t.Errorf("an endpoint that answers in %v has an expected latency of %.2f s while others are unresponsive", took, got)
 	}
 	b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "s0009", Zone: "x", Kind: "big", Size: 1}})
 	if got := b.expectedLatency(b.byID["s0009"], recorder.now); got > 1.5*took.Seconds() {
-		t.Errorf("an endpoint not used yet is expected to take %.2f s, since others are silent", got)
+		t.Errorf("an unused endpoint has an expected latency of %.2f s while others are unresponsive", got)
 	}
 }
--- a/balance/log_test.go
+++ b/balance/log_test.go
@@ -20,7 +20,7 @@
 		}
 	}
 	if len(recorder.logs) == 0 {
-		t.Fatal("failing endpoints left no log line")
+		t.Fatal("no log line although endpoints failed")
 	}
 	for _, line := range recorder.logs {
 		for _, e := range b.endpoints {
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	b, recorder := sidecar(t, self, peers, fleet(servers))
 	if b.TrafficLevel() != 0 {
-		t.Fatalf("level %d before the traffic is known", b.TrafficLevel())
+		t.Fatalf("traffic level %d before the traffic is known, want 0", b.TrafficLevel())
 	}
 	for recorder.now = levelInterval; b.TrafficLevel() == 0; recorder.now += levelInterval {
 		b.arrivals = 1
@@ -72,17 +72,17 @@
 	alone := ids(b.inUse)
 	b.SetMembers(recorder.now, self, all)
 	if got, want := b.turnPosition(), (turns.Position{Index: self, Count: peers}); got != want {
-		t.Fatalf("turns go by %v, want %v", got, want)
+		t.Fatalf("position for turns %v, want %v", got, want)
 	}
 	used := ids(b.inUse)
 	for _, wrong := range []int{-1, peers} {
 		b.SetMembers(recorder.now, self, all)
 		if b.SetMembers(recorder.now, wrong, all); !slices.Equal(ids(b.inUse), alone) {
-			t.Errorf("number %d of %d, and uses %v; want %v as alone", wrong, peers, ids(b.inUse), alone)
+			t.Errorf("with the invalid index %d of %d it uses %v, want %v as alone", wrong, peers, ids(b.inUse), alone)
 		}
 	}
 	if got, want := b.turnPosition(), (turns.Position{Index: 0, Count: 1}); got != want {
-		t.Errorf("turns go by %v, want %v", got, want)
+		t.Errorf("position for turns %v, want %v", got, want)
 	}
 	return used
 }
@@ -111,7 +111,7 @@
 	}
 	for id, n := range users {
 		if most := 3 * peers * minSubset / (servers - gone); n > most {
-			t.Errorf("%s is used by %d sidecars, want %d at most", id, n, most)
+			t.Errorf("%s is used by %d sidecars, want at most %d", id, n, most)
 		}
 	}
 }
@@ -122,10 +122,10 @@
 	mostAlone, churnAlone := measureSpread(t, false)
 	mostMembers, churnMembers := measureSpread(t, true)
 	if churnMembers > churnAlone/4 {
-		t.Errorf("%.1f members come to a subset a minute among members, %.1f alone", churnMembers, churnAlone)
+		t.Errorf("%.1f servers join a subset per minute with known members, %.1f without", churnMembers, churnAlone)
 	}
 	if mostMembers > 1+(mostAlone-1)*0.8 {
-		t.Errorf("the busiest server gets %.2f of the mean among members, %.2f alone", mostMembers, mostAlone)
+		t.Errorf("the busiest server gets %.2f of the mean with known members, %.2f without", mostMembers, mostAlone)
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	most = float64(slices.Max(got)) / (rate * (seconds - 5) / servers)
 	churn *= 60.0 / (seconds - 1) / sidecars
-	t.Logf("members %v: the busiest server got %.2f of the mean in %d s, %.1f members came to each subset a minute", members, most, seconds-5, churn)
+	t.Logf("members %v: busiest server got %.2f of the mean in %d s, %.1f servers joined a subset per minute", members, most, seconds-5, churn)
 	return most, churn
 }
 
--- a/balance/operator_test.go
+++ b/balance/operator_test.go
@@ -26,7 +26,7 @@
 		for id := range RequestID(20) {
 			recorder.now += time.Second
 			if to := ask(b, recorder, RequestID(recorder.now)+id); to == "a" {
-				t.Fatalf("%s: it got a request", name)
+				t.Fatalf("%s: the endpoint that is out of service got a request", name)
 			}
 			recorder.answer(b, recorder.now, Served)
 		}
@@ -36,7 +36,7 @@
 	}
 	b.SetOutOfService(recorder.now, nil)
 	if _, avoided := b.CountListed(recorder.now); avoided != 0 {
-		t.Errorf("%d are avoided though none is out", avoided)
+		t.Errorf("%d endpoints are avoided although none is out of service", avoided)
 	}
 	for id := range RequestID(200) {
 		recorder.now += 20 * time.Millisecond
@@ -71,7 +71,7 @@
 		b.SetOutOfService(recorder.now, nil)
 		returned := b.byID["a"]
 		if got := returned.warmth >= 1; got != test.warm {
-			t.Errorf("%s: warmth %.2f", test.name, returned.warmth)
+			t.Errorf("%s: warmth %.2f after its return", test.name, returned.warmth)
 		}
 		got := 0
 		for range 40 {
@@ -83,14 +83,14 @@
 		}
 		// Its share by its warmth, initially 0.3, times half of OverloadMultiple.
 		if (got > 16) != test.warm {
-			t.Errorf("%s: %d of 40 requests came to it", test.name, got)
+			t.Errorf("%s: it got %d of 40 requests", test.name, got)
 		}
 		late := pair()[:1]
 		late[0].Started = began + time.Second
 		recorder.now = max(recorder.now, began+time.Second)
 		b.Endpoints(recorder.now, ListChanges, late)
 		if want := began + time.Second; returned.warmUpStart != want {
-			t.Errorf("%s: cold from %v, want its listed start %v", test.name, returned.warmUpStart, want)
+			t.Errorf("%s: warms up from %v, want from its listed start %v", test.name, returned.warmUpStart, want)
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	recorder.now += time.Second
 	b.SetOutOfService(recorder.now, nil)
 	if e := b.byID["a"]; e.warmth >= 1 || e.warmUpStart != recorder.now {
-		t.Errorf("cold from %v with warmth %.2f, want from %v", e.warmUpStart, e.warmth, recorder.now)
+		t.Errorf("warms up from %v with warmth %.2f, want from %v", e.warmUpStart, e.warmth, recorder.now)
 	}
 }
 
@@ -117,7 +117,7 @@
 	b.Endpoints(recorder.now, ListFull, pair()[:1])
 	for id, want := range map[string]bool{"a": true, "b": false, "c": true, "d": false, "": false} {
 		if b.Knows(id) != want {
-			t.Errorf("knows %q: %v", id, !want)
+			t.Errorf("Knows(%q) returned %v", id, !want)
 		}
 	}
 }
@@ -140,6 +140,6 @@
 	}
 	// It is half of the fleet and has 0.3 of its capacity.
 	if sent < n/10 || sent > n/5 {
-		t.Errorf("%d of %d requests were sent", sent, n)
+		t.Errorf("%d of %d requests were sent to the cold endpoint", sent, n)
 	}
 }
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -26,13 +26,13 @@
 		return failed
 	}
 	if failed := play(0, 60, 20*time.Millisecond); failed == 0 || failed > 2 {
-		t.Errorf("%d requests went to an endpoint that fails every one, want 1 or 2", failed)
+		t.Errorf("%d requests went to an endpoint that fails all of them, want 1 or 2", failed)
 	}
 	// After the ejection time it returns, and the next failure ejects it again immediately.
 	recorder.now += ejectionTime + time.Second
 	b.Timer(recorder.now, tickToken)
 	if back := play(100, 12, 0); back != 1 {
-		t.Errorf("%d requests after its return, want 1", back)
+		t.Errorf("%d requests went to it after its return, want 1", back)
 	}
 }
 
@@ -43,11 +43,11 @@
 		e.ejectedUntil = recorder.now + time.Hour
 	}
 	if ask(b, recorder, 1) != "" {
-		t.Error("an ejected endpoint was used before the share was counted")
+		t.Error("an ejected endpoint was used before the tick that updates panic")
 	}
 	b.Timer(recorder.now, tickToken)
 	if ask(b, recorder, 2) == "" {
-		t.Error("no endpoint is used though all are ejected")
+		t.Error("no endpoint is used while all are ejected, want panic to suspend the ejections")
 	}
 }
 
@@ -59,7 +59,7 @@
 	for i := RequestID(10); i < 20; i++ {
 		to := ask(b, recorder, i)
 		if to == first {
-			t.Fatalf("request %d went to an endpoint that has been silent for two aims", i)
+			t.Fatalf("request %d went to an endpoint that has not answered for two latency targets", i)
 		}
 		b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: 20 * time.Millisecond, Finished: true})
 	}
@@ -92,13 +92,13 @@
 		b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: 5 * time.Millisecond, Finished: true})
 	}
 	if len(recorder.refused) > 0 || len(recorder.logs) > 0 {
-		t.Errorf("%d requests refused, log %v", len(recorder.refused), recorder.logs)
+		t.Errorf("%d requests refused and log lines %v, want none", len(recorder.refused), recorder.logs)
 	}
 	if turns["a"] < requests*2/5 || turns["b"] < requests*2/5 {
-		t.Errorf("turns %v", turns)
+		t.Errorf("turns %v, want about half each", turns)
 	}
 	if e := b.byID["a"]; len(e.flights) != e.inFlight || e.pendingAnswers() > e.inFlight {
-		t.Errorf("%d flights, %d in flight, %d awaited", len(e.flights), e.inFlight, e.pendingAnswers())
+		t.Errorf("%d flights, %d in flight, %d pending answers", len(e.flights), e.inFlight, e.pendingAnswers())
 	}
 }
 
@@ -117,16 +117,16 @@
 			serveUntilCancel(b, recorder)
 			if effect != Idempotent {
 				if recorder.cancelled > 0 {
-					t.Error("cancelled")
+					t.Error("a request that is not idempotent was cancelled")
 				}
 				return
 			}
 			if after := recorder.now - began; recorder.cancelled != 1 || after < 200*time.Millisecond || after > 500*time.Millisecond {
-				t.Fatalf("cancelled %d times, the first after %v", recorder.cancelled, after)
+				t.Fatalf("cancelled %d times, the first after %v, want once after 200 to 500 ms", recorder.cancelled, after)
 			}
 			b.Result(recorder.now, Result{ID: lost, Endpoint: first, Outcome: Cancelled, Latency: recorder.now - began})
 			if len(recorder.sent) != 1 || recorder.sent[0].id != lost || recorder.sent[0].to == first {
-				t.Errorf("then %v, not at %s again", recorder.sent, first)
+				t.Errorf("sent %v after the cancellation, want one attempt at an endpoint other than %s", recorder.sent, first)
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 	again.Started = recorder.now
 	b.Endpoints(recorder.now, ListChanges, []Endpoint{again})
 	if e.ejectedUntil != 0 || e.loadSum != 0 || e.warmth >= 1 {
-		t.Errorf("a restarted endpoint keeps its past: %+v", e)
+		t.Errorf("a restarted endpoint keeps the state of its previous process: %+v", e)
 	}
 }
 
@@ -170,7 +170,7 @@
 		serve(b, recorder, 2, time.Millisecond)
 	}
 	if len(b.byID) > 2 || len(b.endpoints) != 1 || len(b.requests) != 0 {
-		t.Errorf("%d endpoints and %d requests are still known", len(b.byID), len(b.requests))
+		t.Errorf("%d endpoints and %d requests are still stored", len(b.byID), len(b.requests))
 	}
 }
 
@@ -183,12 +183,12 @@
 		b.Timer(recorder.now, discoveryToken)
 		b.Timer(recorder.now, discoveryToken)
 		if recorder.subscribed != calls+1 {
-			t.Fatalf("%d calls, want one more than %d: a call is out", recorder.subscribed, calls)
+			t.Fatalf("%d discovery calls, want one more than %d while a call is in flight", recorder.subscribed, calls)
 		}
 		b.Endpoints(recorder.now, ListRefused, nil)
 	}
 	if len(b.endpoints) != 2 {
-		t.Error("a refused call lost the list in hand")
+		t.Error("a refused call changed the current list")
 	}
 }
 
@@ -205,7 +205,7 @@
 		b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: 10 * time.Second})
 		recorder.answer(b, recorder.now+test.after, Errored)
 		if len(recorder.sent) != test.repeats {
-			t.Errorf("%d repeats after %v, want %d", len(recorder.sent), test.after, test.repeats)
+			t.Errorf("%d retries after %v, want %d", len(recorder.sent), test.after, test.repeats)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 		recorder.now = told + test.after
 		b.Endpoints(recorder.now, ListChanges, fresh)
 		if got := b.warmthOf(b.byID["c"], recorder.now); got < test.want-1e-9 || got > test.want+1e-9 {
-			t.Errorf("%v after it was told, its warmth is %v, want %v", test.after, got, test.want)
+			t.Errorf("%v after it was first listed, its warmth is %v, want %v", test.after, got, test.want)
 		}
 	}
 }
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -14,11 +14,11 @@
 			play := newOverloadPlay(t, gap)
 			play.run()
 			if play.refused > 0 {
-				t.Errorf("%d refused from 3 s after the overload on, %d sent", play.refused, play.sent())
+				t.Errorf("%d requests refused later than 3 s after the overload, %d sent", play.refused, play.sent())
 			}
 			for _, e := range play.list {
 				if mean := play.sent() / len(play.list); play.got[e.ID] < mean/2 || play.got[e.ID] > 2*mean+1 {
-					t.Errorf("%s got %d of %d", e.ID, play.got[e.ID], play.sent())
+					t.Errorf("%s got %d of %d requests, want about an equal share", e.ID, play.got[e.ID], play.sent())
 				}
 			}
 		})
@@ -146,6 +146,6 @@
 	}
 	cold, warm := b.expectedLatency(b.byID["e0"], recorder.now), b.expectedLatency(b.byID["e5"], recorder.now)
 	if cold < 0.5 || warm > 0.2 {
-		t.Errorf("a cold endpoint that has told nothing is expected to answer in %.2f s, a warm one in %.2f s", cold, warm)
+		t.Errorf("expected latency of a cold endpoint without answers is %.2f s, of a warm one %.2f s", cold, warm)
 	}
 }
--- a/balance/peersignals_test.go
+++ b/balance/peersignals_test.go
@@ -66,10 +66,10 @@
 	condemn(b, recorder.now, &condemned, test.members, uint64(recorder.now), test.kind)
 	b.Timer(recorder.now, tickToken)
 	if got := recorder.now < subject.ejectedUntil; got != test.avoided {
-		t.Errorf("avoided %v, want %v", got, test.avoided)
+		t.Errorf("endpoint is ejected: %v, want %v", got, test.avoided)
 	}
 	if v := b.LocalReport(recorder.now).Verdicts; len(v) > 0 && (test.served == 0 || v[0].Kind != signals.Serving) {
-		t.Error("it states itself what it only heard")
+		t.Error("the sidecar reports a verdict that it only received from others")
 	}
 	last := recorder.now + 2*time.Second + returnSpread + time.Second
 	for recorder.now < last {
@@ -77,7 +77,7 @@
 		b.Timer(recorder.now, tickToken)
 	}
 	if recorder.now < subject.ejectedUntil {
-		t.Errorf("still avoided %v after the last report", recorder.now)
+		t.Errorf("endpoint is still ejected at %v, after the last report has expired", recorder.now)
 	}
 }
 
@@ -94,7 +94,7 @@
 	b.Timer(recorder.now, tickToken)
 	b.Timer(recorder.now+tickInterval, tickToken)
 	if !b.inPanic {
-		t.Error("over half are avoided at others' word")
+		t.Error("no panic although verdicts of others eject more than half of the endpoints")
 	}
 }
 
@@ -105,12 +105,12 @@
 	recorder.now = 10 * time.Second
 	b.Timer(recorder.now, tickToken)
 	if r := b.LocalReport(recorder.now); len(r.Verdicts) > 0 || len(r.Uses) == 0 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("report without observations: %+v", r)
 	}
 	seen.failureKind, seen.failedAt = signals.Unresponsive, recorder.now-time.Second
 	r := b.LocalReport(recorder.now)
 	if len(r.Verdicts) != 1 || r.Verdicts[0].Server != seen.ID || r.Verdicts[0].Age != time.Second {
-		t.Fatalf("%+v", r)
+		t.Fatalf("report after an ejection: %+v", r)
 	}
 	seen.failureKind = signals.None
 	for id := range RequestID(2) {
@@ -120,10 +120,10 @@
 	}
 	late := recorder.now + time.Duration(overdueMultiple*b.meanSeconds[0]*float64(time.Second))
 	if r := b.LocalReport(late - time.Millisecond); len(r.Verdicts) > 0 {
-		t.Fatalf("too early: %+v", r)
+		t.Fatalf("verdict before the answers are overdue: %+v", r)
 	}
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Unresponsive || r.Verdicts[0].Age != 0 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("report with overdue answers: %+v", r)
 	}
 	// If there are so many witnesses that one more adds nothing, the sidecar continues to report but does not start to.
 	for i := range 6 {
@@ -131,16 +131,16 @@
 	}
 	b.Timer(late, tickToken)
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 {
-		t.Fatalf("it fell silent: %+v", r)
+		t.Fatalf("the sidecar stopped reporting because of other witnesses: %+v", r)
 	}
 	seen.reported = false
 	if r := b.LocalReport(late); len(r.Verdicts) > 0 {
-		t.Fatalf("it joins six: %+v", r)
+		t.Fatalf("the sidecar started reporting although there are six witnesses: %+v", r)
 	}
 	seen.lastServed = late
 	b.Timer(late, tickToken)
 	if r := b.LocalReport(late); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Serving {
-		t.Fatalf("it has answered since, which others should know: %+v", r)
+		t.Fatalf("the sidecar does not report that the server has served it since: %+v", r)
 	}
 }
 
@@ -154,11 +154,11 @@
 	serve(b, recorder, 200, 20*time.Millisecond)
 	seen.rejections, seen.failedAt = 3, recorder.now
 	if r := b.LocalReport(recorder.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Overloaded || r.Verdicts[0].Count != 3 {
-		t.Fatalf("turned away: %+v", r)
+		t.Fatalf("report after rejections: %+v", r)
 	}
 	seen.rejections, seen.loadSum, seen.freshness = 0, 10, 1
 	if seen.latencySum = 2 * slowMultiple * 10 * seen.homeGroup.secondsPerLoad() / seen.capacity(); b.LocalReport(recorder.now).Verdicts[0].Kind != signals.Slow {
-		t.Fatalf("slow: %+v", b.LocalReport(recorder.now))
+		t.Fatalf("report of a slow server: %+v", b.LocalReport(recorder.now))
 	}
 	seen.latencySum, seen.loadSum, seen.lastServed = 0, 0, 0
 	before := b.expectedLatency(seen, recorder.now)
@@ -172,16 +172,16 @@
 	}
 	tell(1, 0, 3, signals.Overloaded, time.Second)
 	if after := b.expectedLatency(seen, recorder.now); after < spillThreshold*b.shortestTarget || after > refusalThreshold*b.shortestTarget || recorder.now < seen.ejectedUntil {
-		t.Errorf("expected in %.3f s, before in %.3f s", after, before)
+		t.Errorf("expected latency %.3f s after the verdict, %.3f s before", after, before)
 	}
 	if seen.latencySum, seen.loadSum, seen.freshness = 0.2, 20, 1; b.expectedLatency(seen, recorder.now) > spillThreshold*b.shortestTarget {
-		t.Errorf("against what it saw itself, it expects an answer in %.3f s", b.expectedLatency(seen, recorder.now))
+		t.Errorf("expected latency %.3f s in spite of fast own answers", b.expectedLatency(seen, recorder.now))
 	}
 	if tell(1, 3, 4, signals.Serving, time.Second/2); !seen.reportedDegraded {
-		t.Error("the word of one opens it")
+		t.Error("a single served member ended the verdict")
 	}
 	if tell(1, 4, 5, signals.Serving, time.Second/2); seen.reportedDegraded {
-		t.Error("it is still taken for full after two were served")
+		t.Error("the server still counts as degraded after two members were served")
 	}
 }
 
@@ -195,12 +195,12 @@
 			for self := range peers - gone {
 				own := countProbes(t, self, peers, peers-gone, seconds*time.Second)
 				if own > seconds/5 {
-					t.Errorf("sidecar %d probes %d times in %d s", self, own, seconds)
+					t.Errorf("sidecar %d probes %d times in %d s, want at most once in 5 s", self, own, seconds)
 				}
 				probes += own
 			}
 			if probes < 10 || probes > 4*seconds {
-				t.Errorf("%d probes of one server in %d s", probes, seconds)
+				t.Errorf("%d probes of one server in %d s, want at least 10 and at most 4 per second", probes, seconds)
 			}
 		})
 	}
@@ -223,7 +223,7 @@
 			}
 			probes++
 			if s.within != 1500*time.Millisecond {
-				t.Fatalf("a probe may take %v of 3 s: no time is left for another attempt", s.within)
+				t.Fatalf("a probe has a timeout of %v, want half of the 3 s to leave time for another attempt", s.within)
 			}
 		}
 		recorder.sent = nil
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -65,7 +65,7 @@
 		now := recorder.now + 10*time.Millisecond
 		b.Request(now, Request{ID: RequestID(i), Tenant: -1, TimeLeft: time.Second})
 		if len(recorder.sent) != 1 {
-			t.Fatalf("request %d: %d sends", i, len(recorder.sent))
+			t.Fatalf("request %d: %d sends, want 1", i, len(recorder.sent))
 		}
 		order = append(order, recorder.sent[0].to)
 		recorder.answer(b, now+time.Millisecond, Served)
@@ -111,7 +111,7 @@
 	order := turnsOf(t, nil, list, 40)
 	for i := 4; i < len(order); i++ {
 		if order[i] != order[i-4] {
-			t.Fatalf("turn %d went to %s after %v", i, order[i], order[i-4:i])
+			t.Fatalf("turn %d went to %s after %v, want the same order in each round", i, order[i], order[i-4:i])
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	b, _ := start(t, set, list)
 	b.Endpoints(time.Second, ListChanges, []Endpoint{{ID: "b", Zone: "x", Kind: "big", Size: 1, State: Draining}})
 	if w := b.groups[0].weight(b.zoneWeight); math.Abs(w-25) > 1e-9 {
-		t.Errorf("a group that lost half of its members weighs %v, want 25", w)
+		t.Errorf("weight of a group that lost half of its members is %v, want 25", w)
 	}
 }
 
@@ -163,7 +163,7 @@
 	b.Result(recorder.now, Result{ID: other.id, Endpoint: other.to, Latency: time.Millisecond, Finished: true})
 	b.Request(recorder.now, Request{ID: 9, Tenant: -1, TimeLeft: time.Second})
 	if got := recorder.sent[len(recorder.sent)-1].to; got == due.ID {
-		t.Errorf("the turn went to %s, which holds more than the next", got)
+		t.Errorf("the turn went to %s, which has more requests in flight than the next endpoint", got)
 	}
 }
 
@@ -181,7 +181,7 @@
 		first[recorder.sent[0].to] = true
 	}
 	if len(first) < 5 {
-		t.Errorf("20 sidecars began at only %d of 10 endpoints", len(first))
+		t.Errorf("20 sidecars started at only %d of 10 endpoints", len(first))
 	}
 }
 
@@ -228,12 +228,12 @@
 			set := settings()
 			test.spoil(&set)
 			if _, err := New(set, &host{}); err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("error %v, want one that names %q", err, test.want)
+				t.Errorf("New returned error %v, want one that contains %q", err, test.want)
 			}
 		})
 	}
 	if _, err := New(settings(), nil); err == nil {
-		t.Error("no error without actions")
+		t.Error("New returned no error without actions")
 	}
 }
 
@@ -254,6 +254,6 @@
 		return b.zoneWeight[1]
 	}
 	if cheap, dear := abroad(0.01), abroad(0.1); cheap < 0.3 || dear > 0.1 {
-		t.Errorf("other zones weigh %.3f with cheap crossings and %.3f with dear ones", cheap, dear)
+		t.Errorf("weight of other zones is %.3f with cheap crossings and %.3f with expensive ones", cheap, dear)
 	}
 }
--- a/balance/routes/routes_test.go
+++ b/balance/routes/routes_test.go
@@ -151,11 +151,11 @@
 	before := a.Hash()
 	got, undo, err := applyAll(a, ops)
 	if err != nil || got.Hash() != b.Hash() {
-		t.Fatalf("%v makes %v of %v, want %v: %v", ops, got, a, b, err)
+		t.Fatalf("applying %v results in %v from %v, want %v: %v", ops, got, a, b, err)
 	}
 	back, _, err := applyAll(got, undo)
 	if err != nil || back.Hash() != before || a.Hash() != before {
-		t.Fatalf("the inverse of %v makes %v, want %v: %v", ops, back, a, err)
+		t.Fatalf("applying the inverse of %v results in %v, want %v: %v", ops, back, a, err)
 	}
 }
 
@@ -208,17 +208,17 @@
 		ab, bc := Diff(first, second), Diff(second, third)
 		holds(t, first, second, ab)
 		if len(ab) == 0 || float64(Cost(ab)) > 2*share*float64(len(first)) {
-			t.Errorf("a share of %v shaken costs %d", share, Cost(ab))
+			t.Errorf("the diff after editing a share of %v costs %d", share, Cost(ab))
 		}
 		if got, err := Apply(first, Concat(ab, bc)); err != nil || got.Hash() != third.Hash() {
-			t.Errorf("joined diffs do not lead there: %v", err)
+			t.Errorf("the concatenated diffs do not lead to the last table: %v", err)
 		}
 		back, err := Invert(first, Concat(ab, bc))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got, err := Apply(third, back); err != nil || got.Hash() != first.Hash() {
-			t.Errorf("their inverse does not lead back: %v", err)
+			t.Errorf("the inverse of the concatenated diffs does not lead back: %v", err)
 		}
 	}
 }
@@ -266,7 +266,7 @@
 	second := append(Table(nil), first...)
 	second[1].Destinations = []Destination{first[1].Destinations[1], first[1].Destinations[0]}
 	if first.Hash() != second.Hash() || len(Diff(first, second)) != 0 || !reflect.DeepEqual(first.Canonical(), second.Canonical()) {
-		t.Error("the order of destinations counts")
+		t.Error("the order of destinations makes a difference")
 	}
 	seen := map[string]string{first.Hash(): "the table"}
 	for what, ops := range map[string][]Op{
@@ -282,7 +282,7 @@
 			t.Fatal(err)
 		}
 		if same := seen[second.Hash()]; same != "" {
-			t.Errorf("%s hashes as %s", what, same)
+			t.Errorf("the variant %q has the same hash as %q", what, same)
 		}
 		seen[second.Hash()] = what
 	}
@@ -314,7 +314,7 @@
 		table := large(3)
 		test.do(&table[2])
 		if err := table.Check(); err == nil || !strings.Contains(err.Error(), test.want) || !strings.HasPrefix(err.Error(), "rule 2, ") {
-			t.Errorf("got %v, want %s", err, test.want)
+			t.Errorf("Check returned %v, want an error with %q", err, test.want)
 		}
 	}
 	for _, table := range []Table{{}, large(3), large(MaxRules / 2)} {
@@ -323,14 +323,14 @@
 		}
 	}
 	if err := large(MaxRules + 1).Check(); err == nil {
-		t.Error("too many rules pass")
+		t.Error("Check accepts too many rules")
 	}
 	fat := large(MaxRules)
 	for i := range fat {
 		fat[i].Destinations = many[:20]
 	}
 	if err := fat.Check(); err == nil || !strings.Contains(err.Error(), "bytes") {
-		t.Errorf("too many bytes pass: %v", err)
+		t.Errorf("Check of a table with too many bytes returned %v", err)
 	}
 }
 
@@ -340,13 +340,13 @@
 	client := map[string]string{"service": "app-7", "region": "r"}
 	cut := whole.Relevant(client, "rec-api")
 	if len(cut) != 4 || Best(cut, client, "rec-api").Name != Best(whole, client, "rec-api").Name {
-		t.Errorf("cut to %d rules", len(cut))
+		t.Errorf("%d relevant rules, want 4 that decide like the whole table", len(cut))
 	}
 	if n := len(whole.Relevant(client, "other")) + len(whole.Relevant(map[string]string{"service": "app-7"}, "rec-api")); n != 0 {
-		t.Errorf("%d rules are left that match nothing", n)
+		t.Errorf("%d rules count as relevant that cannot match", n)
 	}
 	if len(whole.Relevant(nil, "")) != 200 || len(whole.Relevant(nil, "rec-api")) != 200 {
-		t.Error("a client of any tags loses rules")
+		t.Error("Relevant for any client omits rules")
 	}
 }
 
@@ -358,14 +358,14 @@
 	}
 	again, err := json.Marshal(table)
 	if err != nil || string(again) != text {
-		t.Errorf("written as %s: %v", again, err)
+		t.Errorf("table is encoded as %s: %v", again, err)
 	}
 	none, err := ParseRules([]byte(strings.Replace(text, `"weight":1,`, "", 1)))
 	if err != nil || none.Check() == nil {
-		t.Errorf("no weight passes: %v", err)
+		t.Errorf("a rule without a weight is accepted: %v", err)
 	}
 	if _, err := ParseRules([]byte(strings.Replace(text, "per_size", "per-size", 1))); err == nil {
-		t.Error("an unknown key passes")
+		t.Error("an unknown key is accepted")
 	}
 	rest := large(2)
 	ops := Concat(Diff(table, rest), Diff(rest, table), []Op{{Kind: Move, Name: "x", After: "y"}, {Kind: Unset, Name: "x", Match: Match{"a": "b"}},
@@ -376,7 +376,7 @@
 	}
 	var read []Op
 	if err := json.Unmarshal(line, &read); err != nil || !reflect.DeepEqual(read, ops) {
-		t.Errorf("%s reads as %v: %v", line, read, err)
+		t.Errorf("%s is decoded as %v: %v", line, read, err)
 	}
 }
 
@@ -396,7 +396,7 @@
 		before := table.Hash()
 		got, err := Apply(table, ops)
 		if table.Hash() != before || err != nil && got != nil {
-			t.Fatalf("%s changed what it was given", text)
+			t.Fatalf("%s changed the table that it was applied to, or returned a table with an error", text)
 		}
 		if err != nil {
 			return
--- a/balance/rules_apply_test.go
+++ b/balance/rules_apply_test.go
@@ -45,38 +45,38 @@
 	}
 	before := stateOf(b.groups[0])
 	if err := b.SetRules(recorder.now, canary(80, 20)); err != nil || stateOf(b.groups[0]) != before {
-		t.Errorf("the same table changes something: %v, %v after %v", err, stateOf(b.groups[0]), before)
+		t.Errorf("setting the same table: error %v, first group is %v, was %v", err, stateOf(b.groups[0]), before)
 	}
 	other := canary(80, 20)
 	other[0].Destinations[1].Match = Match{"version": "huge"}
 	if err := b.SetRules(recorder.now, other); err != nil || stateOf(b.groups[0]) != before || len(b.groups) != 3 {
-		t.Errorf("what another group is changes the first: %v, %v after %v", err, stateOf(b.groups[0]), before)
+		t.Errorf("changing the second group: error %v, first group is %v, was %v", err, stateOf(b.groups[0]), before)
 	}
 	if got := count(recorder.playTurns(b, 100)); got["c"] != 20 || got["b"] != 0 {
-		t.Errorf("shares %v", got)
+		t.Errorf("turns %v, want 20 of 100 at c and none at b", got)
 	}
 	// The weights 8000 and 2000 leave credit of thousands, which must not dominate the weights 1 and 1.
 	if err := b.SetRules(recorder.now, canary(8000, 2000)); err != nil {
-		t.Error("not applied")
+		t.Error("table with weights 8000 and 2000 not applied")
 	}
 	recorder.playTurns(b, 3)
 	if err := b.SetRules(recorder.now, canary(1, 1)); err != nil {
-		t.Error("not applied")
+		t.Error("table with weights 1 and 1 not applied")
 	}
 	if got := count(recorder.playTurns(b, 20)); got["b"] < 8 || got["b"] > 12 {
-		t.Errorf("new shares %v, want half", got)
+		t.Errorf("turns %v after the new weights, want half each", got)
 	}
 	order := recorder.playTurns(b, 12)
 	for i := 6; i < len(order); i++ {
 		if order[i] != order[i-6] {
-			t.Errorf("uneven turns %v", order)
+			t.Errorf("turns do not repeat evenly: %v", order)
 		}
 	}
 	if err := b.SetRules(recorder.now, canary(math.NaN(), 1)); err == nil || !strings.Contains(err.Error(), "weight NaN") {
-		t.Errorf("a wrong table: %v", err)
+		t.Errorf("a table with an invalid weight returned error %v", err)
 	}
 	if err := b.SetRules(recorder.now, nil); err != nil || b.groups[0].destination.Weight != 80 {
-		t.Error("an empty table does not stand for the rules of the settings")
+		t.Error("an empty table did not restore the rules of the settings")
 	}
 }
 
@@ -92,7 +92,7 @@
 	}
 	recorder.answer(b, recorder.now+time.Millisecond, Served)
 	if got := count(recorder.playTurns(b, 10)); got["a"] != 10 {
-		t.Errorf("turns %v after a weight of 0", got)
+		t.Errorf("turns %v, want none at b after its weight was set to 0", got)
 	}
 }
 
@@ -122,11 +122,11 @@
 		set.Rules = rulesOf("none")
 		b, recorder := start(t, set, list)
 		if err := b.SetRules(recorder.now, rulesOf("nowhere")); err != nil {
-			t.Errorf("a table without servers waits for one without: %v", err)
+			t.Errorf("a table without endpoints is pending although the current one has none either: %v", err)
 		}
 		other := []Rule{{Name: "x", Source: Match{"service": "other"}, Service: Match{"service": "*"}, Destinations: canary(1)[0].Destinations}}
 		if err := b.SetRules(recorder.now, other); err != nil {
-			t.Errorf("a table that has no rule for this client waits: %v", err)
+			t.Errorf("a table without a rule for this client is pending: %v", err)
 		}
 	})
 }
@@ -153,10 +153,10 @@
 	b, recorder := start(t, set, list)
 	err := b.SetRules(recorder.now, rulesOf("none"))
 	if !errors.Is(err, ErrNoReadyEndpoint) || !b.RulesPending() {
-		t.Fatalf("it does not wait: %v", err)
+		t.Fatalf("the table is not pending, SetRules returned %v", err)
 	}
 	if got := count(recorder.playTurns(b, 10)); got["a"] != 10 {
-		t.Errorf("turns %v while it waits", got)
+		t.Errorf("turns %v while the table is pending, want all at a", got)
 	}
 	from := recorder.now - 100*time.Millisecond
 	if test.do != nil {
@@ -164,12 +164,12 @@
 	}
 	test.waitApplied(b, recorder)
 	if took := recorder.now - from; took < test.wait-time.Second || took > test.wait+time.Second {
-		t.Errorf("it waited %v, want %v", took, test.wait)
+		t.Errorf("the table was pending for %v, want %v", took, test.wait)
 	}
 	got := count(recorder.playTurns(b, 10))
 	for _, id := range strings.Split(test.want, "") {
 		if got[id] != 10/len(test.want) {
-			t.Errorf("turns %v, want them at %s", got, test.want)
+			t.Errorf("turns %v, want them evenly at the endpoints %s", got, test.want)
 		}
 	}
 }
--- a/balance/shedding_end_test.go
+++ b/balance/shedding_end_test.go
@@ -13,25 +13,25 @@
 	t.Run("a class that seemed heavy", func(t *testing.T) {
 		play := newSheddingPlay(t, 1)
 		if play.b.meanSeconds[0] < 20*play.b.meanSeconds[1] {
-			t.Fatalf("the overload taught %.3f", play.b.meanSeconds)
+			t.Fatalf("mean times by class are %.3f after the overload, want the first at least 20 times the second", play.b.meanSeconds)
 		}
 		for range 400 {
 			play.ask(1, 30*time.Millisecond)
 		}
 		if play.b.meanSeconds[0] > 3*play.b.meanSeconds[1] {
-			t.Errorf("after 400 answers of the other class the lower one still seems to take %.3f s, the other %.3f s", play.b.meanSeconds[0], play.b.meanSeconds[1])
+			t.Errorf("mean times %.3f s and %.3f s after 400 answers of the second class", play.b.meanSeconds[0], play.b.meanSeconds[1])
 		}
 		refused, late := play.refusedWhileShedding()
 		if late > 0 {
-			t.Errorf("%d refused after classes were shed for %v", late, memoryTTL)
+			t.Errorf("%d requests refused after the shedding time of %v", late, memoryTTL)
 		}
 		if refused > 0 {
-			t.Errorf("%d refused while classes are shed, though it takes no longer than the other", refused)
+			t.Errorf("%d requests of the lower class refused during shedding although it takes no longer than the other", refused)
 		}
 	})
 	t.Run("a class of little value", func(t *testing.T) {
 		if _, late := newSheddingPlay(t, 1e-4).refusedWhileShedding(); late > 0 {
-			t.Errorf("%d refused after classes were shed for %v", late, memoryTTL)
+			t.Errorf("%d requests refused after the shedding time of %v", late, memoryTTL)
 		}
 	})
 }
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -31,10 +31,10 @@
 		}
 	}
 	if b.sheddingUntil != 0 {
-		t.Errorf("classes give way until %v, though no endpoint is full", b.sheddingUntil)
+		t.Errorf("classes are shed until %v although no endpoint is full", b.sheddingUntil)
 	}
 	if turns["a"] != 30 || turns["b"] != 10 || len(recorder.refused) != 0 {
-		t.Errorf("turns %v, %d refused", turns, len(recorder.refused))
+		t.Errorf("turns %v and %d refusals, want 30 at a, 10 at b and no refusals", turns, len(recorder.refused))
 	}
 }
 
@@ -55,11 +55,11 @@
 		at := recorder.now
 		recorder.now = at + time.Duration(test.unused*float64(recentTTL))
 		if to := ask(b, recorder, 1); to != "" {
-			t.Errorf("%s: sent to %s though no answer in time is expected", test.name, to)
+			t.Errorf("%s: request sent to %s although no answer in time is expected", test.name, to)
 		}
 		recorder.now = at + time.Duration(test.then*float64(recentTTL))
 		if ask(b, recorder, 2) == "" {
-			t.Errorf("%s: an unused endpoint is not tried, so that nothing can be learnt", test.name)
+			t.Errorf("%s: an unused endpoint is not tried, so its latency estimate cannot improve", test.name)
 		}
 	}
 }
@@ -73,27 +73,27 @@
 	serve(b, recorder, 40, time.Duration(float64(aim)*refusalThreshold*0.8))
 	b.meanSeconds[1] = b.meanSeconds[0] // the lower class has a third of the value, so its threshold is 0.58 of the other's
 	if ask(b, recorder, 1) == "" {
-		t.Fatal("the lesser class is refused though nothing was full")
+		t.Fatal("the lower class is refused although no endpoint was full")
 	}
 	b.Result(recorder.now, Result{ID: 1, Endpoint: recorder.sent[0].to, Latency: aim / 2, Finished: true})
 	b.sheddingUntil = recorder.now + memoryTTL
 	if to := ask(b, recorder, 2); to != "" {
-		t.Error("the lesser class does not give way")
+		t.Error("the lower class is not shed")
 	}
 	b.Request(recorder.now, Request{ID: 3, Class: 1, Tenant: -1, TimeLeft: 3 * time.Second})
 	if last := recorder.sent[len(recorder.sent)-1]; last.id != 3 {
-		t.Error("the dearer class gives way too")
+		t.Error("the higher class is shed as well")
 	}
 	// Requests fill both endpoints, which starts shedding.
 	b, recorder = start(t, set, pair())
 	serve(b, recorder, 40, aim/2)
 	for i := RequestID(10); ask(b, recorder, i) != ""; i++ {
 		if i > 100 {
-			t.Fatal("nothing is ever full")
+			t.Fatal("the endpoints never become full")
 		}
 	}
 	if recorder.now >= b.sheddingUntil {
-		t.Error("all is full, and it does not count as tight")
+		t.Error("all endpoints are full, but shedding has not started")
 	}
 }
 
@@ -123,7 +123,7 @@
 		b.sheddingUntil = 0
 		ask(b, recorder, 1)
 		if full := b.sheddingUntil != 0; full != test.full {
-			t.Errorf("%s: full %v, want %v; idle it takes %.3f s, now %.3f s", test.name, full, test.full, b.idleSeconds, b.fleet.secondsPerLoad())
+			t.Errorf("%s: full %v, want %v; idle latency %.3f s, now %.3f s", test.name, full, test.full, b.idleSeconds, b.fleet.secondsPerLoad())
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	light, heavy := b.sheddingThreshold(0), b.sheddingThreshold(1)
 	if ratio := heavy / light; ratio < 0.45 || ratio > 0.55 || light != refusalThreshold*b.shortestTarget {
-		t.Errorf("the tight bars are %.3f and %.3f s, want the full bar and half of it", light, heavy)
+		t.Errorf("the shedding thresholds are %.3f and %.3f s, want the refusal threshold and half of it", light, heavy)
 	}
 }
 
@@ -155,17 +155,17 @@
 	b.Result(recorder.now, Result{ID: 1, Outcome: Served, Latency: 200 * time.Millisecond, Finished: true})
 	for i := RequestID(2); len(recorder.refused) == 0; i++ {
 		if i > 1000 {
-			t.Fatal("never full")
+			t.Fatal("the endpoint never becomes full")
 		}
 		b.Request(recorder.now, Request{ID: i, Tenant: -1, TimeLeft: time.Second})
 	}
 	first := recorder.advice
 	if aim := b.settings.Classes[0].LatencyTarget; first <= 0 || first > aim {
-		t.Errorf("advice to wait %v with an aim of %v", first, aim)
+		t.Errorf("refusal with a wait of %v, want above 0 and at most the latency target of %v", first, aim)
 	}
 	recorder.refused = nil
 	b.Request(recorder.now+100*time.Millisecond, Request{ID: 2000, Tenant: -1, TimeLeft: 0})
 	if len(recorder.refused) != 1 || recorder.advice != 0 {
-		t.Errorf("%d refusals of what has no time left, advice to wait %v", len(recorder.refused), recorder.advice)
+		t.Errorf("%d refusals with a wait of %v for a request without time left, want one without a wait", len(recorder.refused), recorder.advice)
 	}
 }
--- a/balance/signals/signals_test.go
+++ b/balance/signals/signals_test.go
@@ -81,7 +81,7 @@
 		verdicts := aggregateOf(all, now).Evaluate(now)
 		again := aggregateOf(rapid.Permutation(append(all, all...)).Draw(t, "order"), now)
 		if got := again.Evaluate(now); !reflect.DeepEqual(got, verdicts) {
-			t.Fatalf("%v, in another order %v", verdicts, got)
+			t.Fatalf("verdicts %v, in another order %v", verdicts, got)
 		}
 		newest := map[string]stated{}
 		for _, s := range all {
@@ -95,11 +95,11 @@
 		}
 		// A verdict ends if its witnesses send nothing for the TTL, whatever they stated.
 		if late := again.Evaluate(now + bound + time.Millisecond); len(late) > 0 {
-			t.Fatalf("%v after the bound", late)
+			t.Fatalf("verdicts %v after the TTL", late)
 		}
 	})
 	if seen == 0 {
-		t.Fatal("no verdict was seen")
+		t.Fatal("the random statements led to no verdict")
 	}
 }
 
@@ -166,16 +166,16 @@
 		judged, truth := b.Evaluate(now), without.Evaluate(now)
 		for subject, kind := range judged {
 			if subject != (Process{"s1", 1}) || count < 2 {
-				t.Fatalf("%v is judged %v for a lie", subject, kind)
+				t.Fatalf("false statements led to the verdict %[2]v on %[1]v", subject, kind)
 			}
 		}
 		for subject, kind := range truth {
 			if judged[subject] < kind {
-				t.Fatalf("a lie took %v from %v", kind, subject)
+				t.Fatalf("false statements ended the verdict %v on %v", kind, subject)
 			}
 		}
 		if (count >= 3) != (len(truth) == 1) {
-			t.Fatalf("%d witnesses: %v", count, truth)
+			t.Fatalf("verdicts of %d honest witnesses: %v", count, truth)
 		}
 	})
 }
@@ -208,10 +208,10 @@
 			b.Receive(first(fmt.Sprint(i), r), 0)
 		}
 		if got := len(b.Evaluate(0)); got != test.judged {
-			t.Errorf("%s: %d are judged", name, got)
+			t.Errorf("%s: %d verdicts", name, got)
 		}
 		if said := LocalReport(r); (len(said.Verdicts) > 0) != (test.judged > 0) {
-			t.Errorf("%s: it says %v itself", name, said.Verdicts)
+			t.Errorf("%s: its own report has the verdicts %v", name, said.Verdicts)
 		}
 	}
 	// The statements of a zone that cannot reach another zone count only in that zone itself.
@@ -221,13 +221,13 @@
 			b.Receive(first(fmt.Sprint(i), Report{Zone: rooms[1], Uses: uses, Verdicts: down(rooms[0], 1)}), 0)
 		}
 		if got := len(b.Evaluate(0)); got != want {
-			t.Errorf("%s: %d", reader, got)
+			t.Errorf("%d verdicts for a reader in %s, want %d", got, reader, want)
 		}
 		for i := range 3 {
 			b.Remove(fmt.Sprint(i))
 		}
 		if len(b.Evaluate(0)) > 0 {
-			t.Error("two are enough")
+			t.Error("two witnesses are enough for a verdict")
 		}
 	}
 }
@@ -252,10 +252,10 @@
 				Verdicts: []Verdict{{Process{"s1", 1}, rooms[1], Serving, 1, age}}}), 0)
 		}
 		if got := len(b.Evaluate(0)); got != test.judged {
-			t.Errorf("%s: %d judged, want %d", name, got, test.judged)
+			t.Errorf("%s: %d verdicts, want %d", name, got, test.judged)
 		}
 		if got := b.Witnesses(Process{"s1", 1}); got != (WitnessCount{Condemning: 3, Served: len(test.served)}) {
-			t.Errorf("%s: %+v witnesses", name, got)
+			t.Errorf("%s: witnesses %+v", name, got)
 		}
 	}
 }
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -27,19 +27,19 @@
 			left = 0
 		}
 		if a := b.byID["a"]; math.Abs(a.latencySum-4*left) > 1e-9 || math.Abs(a.loadSum-8*left) > 1e-9 || math.Abs(b.arrivals-30*left) > 1e-9 {
-			t.Errorf("%v old: took %v, held %v, arrived %v, want %v of it", age, a.latencySum, a.loadSum, b.arrivals, left)
+			t.Errorf("%v old: latencySum %v, loadSum %v, arrivals %v, want a share of %v", age, a.latencySum, a.loadSum, b.arrivals, left)
 		}
 		if until := b.byID["b"].ejectedUntil; left > 0 && until != now+4*time.Second-age || left == 0 && until != 0 {
 			t.Errorf("%v old: ejected until %v", age, until)
 		}
 		if c := b.byID["c"]; c.latencySum != 0 || c.loadSum != 0 || c.failures != 0 {
-			t.Errorf("%v old: another process got what was believed of the one before: %+v", age, c)
+			t.Errorf("%v old: a new process got the estimates of the previous one: %+v", age, c)
 		}
 	}
 	b, _ := start(t, settings(), list)
 	b.Restore(now, Snapshot{ZoneWeight: math.NaN(), IdleSeconds: -1, Arrivals: math.Inf(1), SheddingFor: -1, MeanSeconds: []float64{math.NaN()}, Groups: []LatencySum{{-1, 0}},
 		Endpoints: []EndpointSnapshot{{ID: "a", LatencySum: LatencySum{math.NaN(), 1}}, {ID: "z"}, {ID: "b", Failures: 1e300}}}, 0)
 	if a := b.byID["a"]; a.latencySum != 0 || a.loadSum != 0 || b.arrivals != 0 || !(b.zoneWeight[1] <= 1) || b.byID["b"].failures != 0 {
-		t.Errorf("nonsense is believed: %+v, %+v", a, b)
+		t.Errorf("invalid values were restored: %+v, %+v", a, b)
 	}
 }
--- a/balance/subset/model_test.go
+++ b/balance/subset/model_test.go
@@ -186,19 +186,19 @@
 func (m measurement) check(t *testing.T, sidecars, servers int) {
 	t.Helper()
 	if b := m.byMember; b.cover >= 30 && b.most > 1.15 || b.cover >= 10 && (b.most > 1.3 || b.p99 > 1.25) {
-		t.Errorf("in %.1f runs the servers get up to %.2f of the mean, at p99 %.2f", b.cover, b.most, b.p99)
+		t.Errorf("servers in %.1f runs get up to %.2f of the mean load, %.2f at p99", b.cover, b.most, b.p99)
 	}
 	if a, b := m.byIndex, m.byMember; b.most > a.most+0.01 || b.cover > math.Sqrt2*a.cover {
-		t.Errorf("by place the servers get %.2f in %.1f runs, by number %.2f in %.1f", b.most, b.cover, a.most, a.cover)
+		t.Errorf("servers get up to %.2f in %.1f runs by member position, %.2f in %.1f runs by index", b.most, b.cover, a.most, a.cover)
 	}
 	if 6*sidecars >= servers && m.joined.mean >= 2 || m.listed.mean >= 2 {
-		t.Errorf("one sidecar more moves %.2f members of a run, one server more %.2f; want under 2", m.joined.mean, m.listed.mean)
+		t.Errorf("one more sidecar moves %.2f servers of a run, one more server %.2f; want under 2", m.joined.mean, m.listed.mean)
 	}
 }
 
 func (m measurement) log(t *testing.T) {
 	t.Helper()
-	t.Logf("by number %+.2f, by place %+.2f, moved by a sidecar %+.2f, by a server %+.2f", m.byIndex, m.byMember, m.joined, m.listed)
+	t.Logf("by index %+.2f, by member %+.2f, moved by one sidecar %+.2f, by one server %+.2f", m.byIndex, m.byMember, m.joined, m.listed)
 }
 
 // TestReleaseMovesItsOwnPart renames a tenth of the servers so that the new names come last in a sorted list. In the order of names,
@@ -215,9 +215,9 @@
 	for _, r := range runs {
 		mean += float64(r.length) / float64(len(runs))
 	}
-	t.Logf("of %.1f members %.1f move in the order of names, %.1f in that of hashes", mean, named, hashed)
+	t.Logf("of %.1f servers in a run %.1f move in the order of names, %.1f in the order of hashes", mean, named, hashed)
 	if hashed > mean*part/n*1.5 || hashed > named/1.5 {
-		t.Errorf("%.1f of %.1f members move, %.1f in the order of names", hashed, mean, named)
+		t.Errorf("%.1f of %.1f servers in a run move in the order of hashes, %.1f in the order of names", hashed, mean, named)
 	}
 }
 
@@ -242,10 +242,10 @@
 				level = l
 			}
 		}
-		t.Logf("%2.0f requests a second: %3d members come or go a minute by number, %.1f levels", rate, lengths/minutes,
+		t.Logf("%2.0f requests per second: %3d servers join or leave per minute by index, %.1f level changes", rate, lengths/minutes,
 			float64(levels)/minutes)
 		if levels > 2*minutes {
-			t.Errorf("%d levels in %d minutes", levels, minutes)
+			t.Errorf("%d level changes in %d minutes", levels, minutes)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 		for place := range count {
 			first, length := ForMember(n, level, place, count)
 			if first < 0 || first >= n || length < min(n, minServers) || length > n {
-				t.Fatalf("run of %d from %d of %d servers", length, first, n)
+				t.Fatalf("invalid run of length %d from %d of %d servers", length, first, n)
 			}
 			shortest = min(shortest, length)
 			for k := range length {
@@ -269,7 +269,7 @@
 			}
 		}
 		if low, high := slices.Min(in), slices.Max(in); shortest > minServers && high > low+1 {
-			t.Fatalf("servers are in %d to %d runs of %d and more", low, high, shortest)
+			t.Fatalf("servers are in %d to %d runs with a length of at least %d", low, high, shortest)
 		}
 	})
 }
@@ -277,6 +277,6 @@
 // TestNobodyThere checks that the run in an empty group is empty.
 func TestNobodyThere(t *testing.T) {
 	if first, length := ForMember(0, 3, 0, 0); first != 0 || length != 0 {
-		t.Errorf("run of %d from %d", length, first)
+		t.Errorf("run of length %d from %d in an empty group", length, first)
 	}
 }
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -64,10 +64,10 @@
 		serve(b, recorder, 1, 10*time.Millisecond)
 	}
 	if n, want := len(b.inUse), 10*memoryTTL.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
-		t.Errorf("at 10 requests a second %d endpoints are used, want about %.0f", n, want)
+		t.Errorf("%d endpoints are used at 10 requests per second, want about %.0f", n, want)
 	}
 	if got := ids(b.inUse); !slices.Equal(got[:len(first)], first) {
-		t.Errorf("a wider subset begins with %v, the narrow one was %v", got[:len(first)], first)
+		t.Errorf("the larger subset starts with %v, want the smaller one %v", got[:len(first)], first)
 	}
 }
 
@@ -91,7 +91,7 @@
 		t.Fatalf("%d ejections, want 1", len(recorder.logs))
 	}
 	if n, want := len(b.inUse), int(math.Ceil(b.arrivals))+1; n != want {
-		t.Errorf("%d endpoints are used with one ejected, want %d", n, want)
+		t.Errorf("%d endpoints are used while one is ejected, want %d", n, want)
 	}
 }
 
@@ -109,7 +109,7 @@
 		}
 	}
 	if moved > 100 {
-		t.Errorf("one more endpoint among %d moved %d members of 100 subsets, want one a subset at most", servers, moved)
+		t.Errorf("adding one endpoint to %d changed %d members of 100 subsets, want at most one per subset", servers, moved)
 	}
 }
 
@@ -128,7 +128,7 @@
 			// On average, an endpoint gets one of 20 requests, and each request may have three attempts.
 			warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().WarmUpTime.Seconds()
 			if most := all / 20 * 3 * warm; cold > most {
-				t.Errorf("%.0f of %.0f requests went to the endpoint that warms up, want %.0f at most", cold, all, most)
+				t.Errorf("%.0f of %.0f requests went to the endpoint that is warming up, want at most %.0f", cold, all, most)
 			}
 		})
 	}
@@ -219,13 +219,13 @@
 			t.Fatal(err)
 		}
 		if a.after < 0 || a.after >= set.DiscoveryDeadline/2 {
-			t.Fatalf("sidecar %d calls after %v, want half of MustAsk at most", set.Index, a.after)
+			t.Fatalf("sidecar %d calls discovery after %v, want at most half of DiscoveryDeadline", set.Index, a.after)
 		}
 		seconds[a.after/time.Second]++
 	}
 	for i, n := range seconds {
 		if n < 150 || n > 250 {
-			t.Errorf("%d of 1000 sidecars call in second %d, want about 200", n, i)
+			t.Errorf("%d of 1000 sidecars call discovery in second %d, want about 200", n, i)
 		}
 	}
 }
--- a/balance/turns/turns_test.go
+++ b/balance/turns/turns_test.go
@@ -47,7 +47,7 @@
 				mean := float64(sum) / float64(periods)
 				t.Logf("mean %.3f owners, at most %d", mean, most)
 				if inStep && (sum != periods || most != 1) {
-					t.Errorf("%d owners in %d periods, want one in each", sum, periods)
+					t.Errorf("%d owners in %d periods, want exactly one in each", sum, periods)
 				}
 				if math.Abs(mean-1) > 0.1 || most > min(count, 9) {
 					t.Errorf("mean %.3f owners, want 1; at most %d, want %d", mean, most, min(count, 9))
@@ -128,7 +128,7 @@
 			}
 			slot := int(math.Round(float64(after) / float64(span) * float64(n)))
 			if seen[slot] {
-				t.Fatalf("two members come back after %v", after)
+				t.Fatalf("two members return after %v", after)
 			}
 			seen[slot] = true
 		}
--- a/balance/unresponsive_test.go
+++ b/balance/unresponsive_test.go
@@ -109,9 +109,9 @@
 		n := test.sidecars
 		alone, lone, _ := playUnresponsive(t, n, false)
 		avoided, attempts, back := playUnresponsive(t, n, true)
-		t.Logf("%d sidecars: 95%% avoid it after %v with %d attempts, alone %v with %d; back after %v", n, avoided, attempts, alone, lone, back)
+		t.Logf("%d sidecars: 95%% avoid it after %v and %d attempts, alone %v and %d; back after %v", n, avoided, attempts, alone, lone, back)
 		if avoided > test.within || float64(attempts) > test.part*float64(lone) || back > 5*time.Second {
-			t.Errorf("%d sidecars: want %v, %.0f attempts and 5 s at most", n, test.within, test.part*float64(lone))
+			t.Errorf("%d sidecars: want at most %v, %.0f attempts and 5 s", n, test.within, test.part*float64(lone))
 		}
 	}
 }
--- a/balance/warmup_budget_test.go
+++ b/balance/warmup_budget_test.go
@@ -68,7 +68,7 @@
 		for _, retries := range []bool{false, true} {
 			most, part := sendsWhileWarmingUp(t, peers, retries)
 			if float64(most) > max(part, 1) || most == 0 {
-				t.Errorf("%d peers, retries %v: %d sends to the cold endpoint, want 1 to %.1f", peers, retries, most, part)
+				t.Errorf("%d peers, retries %v: %d sends to the cold endpoint within OverloadTime, want 1 to %.1f", peers, retries, most, part)
 			}
 		}
 	}
--- a/balance/warmup_fleet_test.go
+++ b/balance/warmup_fleet_test.go
@@ -198,11 +198,11 @@
 			got++
 		}
 	}
-	t.Logf("%.2f of what one may get in a second, %4.0f in 10 s", over, got)
+	t.Logf("at most %.2f of the requests that an endpoint may get, %4.0f requests in 10 s", over, got)
 	if over > 1 {
-		t.Errorf("an endpoint that warms up was sent %.2f of what it may get", over)
+		t.Errorf("an endpoint that is warming up got %.2f times the requests that it may get", over)
 	}
 	if even := capacity * 10 * (1 + settings().StartCapacity) / 2; way != "refusing" && got < even/2 {
-		t.Errorf("an endpoint that warms up got %.0f requests in 10 s, and could do %.0f", got, even)
+		t.Errorf("an endpoint that is warming up got %.0f requests in 10 s, and could handle %.0f", got, even)
 	}
 }
