--- a/balance/hitters/hitters.go
+++ b/balance/hitters/hitters.go
@@ -97,11 +97,11 @@
 // check validates the settings. Its error names the invalid field.
 func (s Settings) check() error {
 	if !(s.HighThreshold >= minHighThreshold && s.HighThreshold < 1) {
-		problem := fmt.Sprintf("%v is not from %.3f to under 1", s.HighThreshold, minHighThreshold)
+		problem := fmt.Sprintf("%v is not in the range from %.3f to below 1", s.HighThreshold, minHighThreshold)
 		return &SettingsError{Field: "HighThreshold", Problem: problem}
 	}
 	if !(s.LowThreshold >= minLowThreshold && s.LowThreshold <= s.HighThreshold) {
-		problem := fmt.Sprintf("%v is not from %.3f to HighThreshold", s.LowThreshold, minLowThreshold)
+		problem := fmt.Sprintf("%v is not in the range from %.3f to HighThreshold", s.LowThreshold, minLowThreshold)
 		return &SettingsError{Field: "LowThreshold", Problem: problem}
 	}
 	return errors.Join(
@@ -116,7 +116,7 @@
 	if value >= low && value <= maxDuration {
 		return nil
 	}
-	return &SettingsError{Field: field, Problem: fmt.Sprintf("%v is not from %v to %v", value, low, maxDuration)}
+	return &SettingsError{Field: field, Problem: fmt.Sprintf("%v is not in the range from %v to %v", value, low, maxDuration)}
 }
 
 // Key returns the 64-bit xxHash of the name of a client or origin, seeded with a salt that the fleet shares. Someone who knows
--- a/balance/hitters/report.go
+++ b/balance/hitters/report.go
@@ -34,7 +34,7 @@
 )
 
 // ErrInvalidReport is returned for bytes that are not a report of this layout, or a report that cannot be true.
-var ErrInvalidReport = errors.New("hitters: no report of this layout")
+var ErrInvalidReport = errors.New("hitters: invalid report")
 
 // ReportInterval returns the number of windows per report that a sidecar sends, given the number of members. With one report
 // per window, the traffic would grow with the number of members, and beyond about 150 members it would exceed the capacity
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -62,7 +62,7 @@
 }
 
 // ErrNoActions is returned by New when it is given no Actions.
-var ErrNoActions = errors.New("no actions")
+var ErrNoActions = errors.New("no Actions given")
 
 // SettingsError reports an invalid field of the settings.
 type SettingsError struct {
@@ -84,11 +84,11 @@
 	case len(set.Classes) == 0:
 		return badField("Classes", "no classes")
 	case set.PeerCount < 1:
-		return badField("PeerCount", "%d sidecars", set.PeerCount)
+		return badField("PeerCount", "%d is less than 1", set.PeerCount)
 	case set.Index < 0 || set.Index >= set.PeerCount:
-		return badField("Index", "sidecar %d of %d", set.Index, set.PeerCount)
+		return badField("Index", "%d is not a valid index for %d sidecars", set.Index, set.PeerCount)
 	case set.MaxAttempts < 1:
-		return badField("MaxAttempts", "%d attempts", set.MaxAttempts)
+		return badField("MaxAttempts", "%d is less than 1", set.MaxAttempts)
 	}
 	if err := checkShare("StartCapacity", set.StartCapacity); err != nil {
 		return err
@@ -118,7 +118,7 @@
 	case class.LatencyTarget <= 0:
 		return badField("LatencyTarget", "%v is not above 0", class.LatencyTarget)
 	case class.Deadline < class.LatencyTarget:
-		return badField("Deadline", "%v is before the latency target of %v", class.Deadline, class.LatencyTarget)
+		return badField("Deadline", "%v is shorter than the latency target of %v", class.Deadline, class.LatencyTarget)
 	case class.Effect < Idempotent || class.Effect > AtMostOnce:
 		return badField("Effect", "%d is unknown", class.Effect)
 	case class.Scope < ScopeAll || class.Scope > ScopeCell:
@@ -145,14 +145,14 @@
 
 func checkShare(field string, x float64) error {
 	if !isBetween(x, 0, 1) {
-		return badField(field, "%v is no share from 0 to 1", x)
+		return badField(field, "%v is not a share from 0 to 1", x)
 	}
 	return nil
 }
 
 func checkAmount(field string, x float64) error {
 	if !isBetween(x, 0, math.MaxFloat64) {
-		return badField(field, "%v is not a number from 0 up", x)
+		return badField(field, "%v is not a non-negative number", x)
 	}
 	return nil
 }
