--- a/balance/heavyclient_test.go
+++ b/balance/heavyclient_test.go
@@ -100,7 +100,8 @@
 	return 1
 }
 
-// answer ends the attempts in flight, either as served or as rejected by a full server.
+// answer ends the attempts in flight, either as served or as rejected by a full server. A full server rejects half of the heavy
+// client's attempts.
 func (p *heavyPlay) answer(rejected bool) {
 	if !rejected {
 		p.h.answer(p.b, p.h.now, Served)
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -115,7 +115,7 @@
 		answering.add(seconds, a.load)
 		answering.freshness = 1
 	}
-	if r.Outcome != Served { // the time-outs of an unresponsive endpoint would make its healthy peers seem slow
+	if r.Outcome != Served { // the timeouts of an unresponsive endpoint would make its healthy peers seem slow
 		return
 	}
 	loadPerSize := a.load / answering.capacity()
--- a/balance/latency_test.go
+++ b/balance/latency_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestUnresponsiveEndpointsDoNotSlowTheirPeers makes some endpoints unresponsive, as if a zone had failed. Their time-outs must not
+// TestUnresponsiveEndpointsDoNotSlowTheirPeers makes some endpoints unresponsive, as if a zone had failed. Their timeouts must not
 // increase the expected latency of the others.
 func TestUnresponsiveEndpointsDoNotSlowTheirPeers(t *testing.T) {
 	took := 100 * time.Millisecond
--- a/balance/turns/turns.go
+++ b/balance/turns/turns.go
@@ -1,5 +1,5 @@
-// Package turns assigns turns for actions that not all sidecars should take at once, such as probing a condemned server or
-// returning to a server after an outage.
+// Package turns assigns turns for actions that sidecars should not all take at the same time, such as probing a condemned
+// server or returning to a server after an outage.
 //
 // Turns are computed from a sidecar's position and the time, without messages. Each period determines a point on a circle
 // that is divided evenly among the members. The member whose part contains the point owns the turn. So the next period has a
