--- a/balance/hitters/detector_test.go
+++ b/balance/hitters/detector_test.go
@@ -57,11 +57,11 @@
 		want  State
 	}{
 		{"sound", 0, 0.07, 3 * time.Second, Quiet},
-		{"a moment", time.Second, 0.07, time.Second, Quiet},
-		{"just come", time.Second, 0.16, 0, Suspected},
-		{"for long", 2 * time.Second, 0.16, 0, Heavy},
-		{"between the bars", 2 * time.Second, 0.06, 9 * time.Second, Heavy},
-		{"under both", 2 * time.Second, 0.04, 3 * time.Second, Cooling},
+		{"for a moment", time.Second, 0.07, time.Second, Quiet},
+		{"just started", time.Second, 0.16, 0, Suspected},
+		{"for a long time", 2 * time.Second, 0.16, 0, Heavy},
+		{"between the thresholds", 2 * time.Second, 0.06, 9 * time.Second, Heavy},
+		{"below both thresholds", 2 * time.Second, 0.04, 3 * time.Second, Cooling},
 		{"forgotten", 2 * time.Second, 0.04, 7 * time.Second, Quiet},
 	} {
 		detector, now, seq := judge(t), time.Minute, uint64(0)
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -31,7 +31,7 @@
 		level     int  // traffic level of the peers; 0: unknown
 		odd       bool // every second peer is in another zone or has another traffic level
 		exactUses bool
-	}{{"levels known", 1, false, true}, {"by number", 0, false, true}, {"every second unlike", 1, true, false}} {
+	}{{"levels known", 1, false, true}, {"levels unknown", 0, false, true}, {"every second different", 1, true, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			users := map[string]int{}
 			for self := range peers {
--- a/balance/operator_test.go
+++ b/balance/operator_test.go
@@ -55,7 +55,7 @@
 		name    string
 		started Time // start listed while it is out of service, since it was taken out; 0: not listed
 		warm    bool
-	}{{"not told", 0, false}, {"told", 2 * time.Second, false}, {"told, and warm since", 2 * time.Second, true}} {
+	}{{"restart not listed", 0, false}, {"restart listed", 2 * time.Second, false}, {"restart listed, warm since", 2 * time.Second, true}} {
 		b, recorder := start(t, settings(), pair())
 		serve(b, recorder, 20, 20*time.Millisecond)
 		began := recorder.now
--- a/balance/peersignals_test.go
+++ b/balance/peersignals_test.go
@@ -190,7 +190,7 @@
 func TestProbesGoByTurns(t *testing.T) {
 	const peers, seconds = 100, 60
 	for _, gone := range []int{0, 50} {
-		t.Run(fmt.Sprint(gone, " gone"), func(t *testing.T) {
+		t.Run(fmt.Sprint(gone, " missing"), func(t *testing.T) {
 			probes := 0
 			for self := range peers - gone {
 				own := countProbes(t, self, peers, peers-gone, seconds*time.Second)
--- a/balance/rules_apply_test.go
+++ b/balance/rules_apply_test.go
@@ -102,14 +102,14 @@
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
 	for _, test := range []pendingCase{
 		{name: "nothing happens", wait: pendingRulesTTL, want: "ac"},
-		{name: "a server comes", wait: 100 * time.Millisecond, want: "z", do: func(_ *testing.T, b *Balancer, recorder *host) {
+		{name: "a server is added", wait: 100 * time.Millisecond, want: "z", do: func(_ *testing.T, b *Balancer, recorder *host) {
 			b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "z", Zone: "x", Kind: "none", Size: 1}})
 		}},
-		{name: "the old ones go", wait: 100 * time.Millisecond, want: "c", do: func(_ *testing.T, b *Balancer, recorder *host) {
+		{name: "the old servers drain", wait: 100 * time.Millisecond, want: "c", do: func(_ *testing.T, b *Balancer, recorder *host) {
 			b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "a", State: Draining}})
 		}},
-		{name: "other tables come all the time", wait: pendingRulesTTL, want: "ac", others: true},
-		{name: "one comes that can be applied", wait: 0, want: "c", do: func(t *testing.T, b *Balancer, recorder *host) {
+		{name: "other tables are set all the time", wait: pendingRulesTTL, want: "ac", others: true},
+		{name: "a table with ready servers is set", wait: 0, want: "c", do: func(t *testing.T, b *Balancer, recorder *host) {
 			if err := b.SetRules(recorder.now, rulesOf("huge")); err != nil {
 				t.Error(err)
 			}
@@ -117,7 +117,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) { test.run(t, list) })
 	}
-	t.Run("nothing serves before", func(t *testing.T) {
+	t.Run("no ready server before", func(t *testing.T) {
 		set := settings()
 		set.Rules = rulesOf("none")
 		b, recorder := start(t, set, list)
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -48,7 +48,7 @@
 	}{
 		{"a little too slow", 1.2, 0.1, 0.25},
 		{"twice too slow", 2, 0.4, 0.6},
-		{"far beyond the aim", 12, 0.85, 1.05},
+		{"far beyond the target", 12, 0.85, 1.05},
 	} {
 		b, recorder := start(t, settings(), pair())
 		serve(b, recorder, 2, time.Duration(test.took*bar*float64(time.Second)))
@@ -107,9 +107,9 @@
 		ticks int // number of ticks with this latency
 		full  bool
 	}{
-		{"no jam", idle, 100, false},
-		{"a jam", jam, 100, true},
-		{"a jam that has long passed for what it takes", jam, 3000, false},
+		{"no overload", idle, 100, false},
+		{"an overload", jam, 100, true},
+		{"an overload so long that it counts as normal", jam, 3000, false},
 	} {
 		b, recorder := start(t, settings(), pair())
 		play := func(ticks int, took time.Duration) {
