--- a/balance/invariants_host_test.go
+++ b/balance/invariants_host_test.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if timeout < 0 {
-		c.violation("send of request %d with a negative timeout", id)
+		c.violation("send with a negative timeout")
 	}
 	if len(sent.attempts) >= c.set.MaxAttempts {
 		c.violation("attempt %d exceeds MaxAttempts", len(sent.attempts))
--- a/balance/signals/signals_test.go
+++ b/balance/signals/signals_test.go
@@ -221,7 +221,7 @@
 			b.Receive(first(fmt.Sprint(i), Report{Zone: rooms[1], Uses: uses, Verdicts: down(rooms[0], 1)}), 0)
 		}
 		if got := len(b.Evaluate(0)); got != want {
-			t.Errorf("%d verdicts for a reader in %s, want %d", got, reader, want)
+			t.Errorf("reader in %s: %d verdicts", reader, got)
 		}
 		for i := range 3 {
 			b.Remove(fmt.Sprint(i))
