--- a/balance/allowance_test.go
+++ b/balance/allowance_test.go
@@ -12,7 +12,7 @@
 	set := settings()
 	set.PeerCount = 1000
 	set.Tenants = []Tenant{{"a", 500}, {"b", 500}}
-	b, recorder := start(t, set, pair())
+	b, recorder := start(t, set, twoEndpoints())
 	rng := rand.New(rand.NewPCG(1, 1))
 	var all [2]float64
 	for range int(20 / tickInterval.Seconds()) {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,7 +6,7 @@
 )
 
 func BenchmarkRequest(b *testing.B) {
-	bal, recorder := start(b, settings(), pair())
+	bal, recorder := start(b, settings(), twoEndpoints())
 	b.ReportAllocs()
 	for i := range b.N {
 		recorder.sent = recorder.sent[:0]
--- a/balance/flight.go
+++ b/balance/flight.go
@@ -29,10 +29,10 @@
 	f.overtaken = 0
 }
 
-// owedSeconds returns for how many seconds in total the attempts without an answer have been in flight, not counting lost
+// pendingSeconds returns for how many seconds in total the attempts without an answer have been in flight, not counting lost
 // ones. It is part of the latency estimate because fast answers arrive first: an endpoint that has become slow has
 // overdue answers before its answer times show it, and a dead one would look idle.
-func (e *endpoint) owedSeconds(now Time) float64 {
+func (e *endpoint) pendingSeconds(now Time) float64 {
 	var sum Time
 	for _, f := range e.flights {
 		if !f.isLost() {
--- a/balance/golden_trace_test.go
+++ b/balance/golden_trace_test.go
@@ -95,34 +95,34 @@
 }
 
 // hitters adds the report of a window, the changed clients and all tracked clients to the digest.
-func (tr goldenTrace) hitters(j *hitters.Detector, news hitters.OriginReport, changed []hitters.Client) {
-	tr.Step('H', int64(news.Origin), news.Start, int64(news.Seq), int64(len(changed)))
-	_, _ = tr.Write(news.Report.Append(nil))
+func (tr goldenTrace) hitters(detector *hitters.Detector, report hitters.OriginReport, changed []hitters.Client) {
+	tr.Step('H', int64(report.Origin), report.Start, int64(report.Seq), int64(len(changed)))
+	_, _ = tr.Write(report.Report.Append(nil))
 	for _, c := range changed {
 		tr.Ints(int64(c.Key), int64(c.State), int64(c.Since))
 		tr.Floats(c.Share, c.ShareError, c.AdmittedShare)
 	}
-	for _, c := range j.Clients() {
+	for _, c := range detector.Clients() {
 		tr.Ints(int64(c.Key), int64(c.State), int64(c.Since))
 		tr.Floats(c.Share, c.ShareError, c.AdmittedShare)
 	}
-	tr.Ints(int64(j.Rejected()))
+	tr.Ints(int64(detector.Rejected()))
 }
 
-// tracedDay runs the random events of TestRules.
-func tracedDay(t *testing.T, tr goldenTrace, seed uint64) {
+// traceRandomEvents runs the random events of TestRules.
+func traceRandomEvents(t *testing.T, tr goldenTrace, seed uint64) {
 	t.Helper()
-	playDayOn(t, seed, 6000, func(c *checker) Actions { return tracedActions{Actions: c, tr: tr} })
+	runRandomEventsOn(t, seed, 6000, func(c *checker) Actions { return tracedActions{Actions: c, tr: tr} })
 }
 
-// anyOperations drives three Balancers with random operations: all events, lists, rules, reports of members and clients.
-func anyOperations(t *testing.T, tr goldenTrace, seed uint64) {
+// traceRandomOperations drives three Balancers with random operations: all events, lists, rules, reports of members and clients.
+func traceRandomOperations(t *testing.T, tr goldenTrace, seed uint64) {
 	t.Helper()
 	driven := newDriver(t, tr, seed)
 	for range 12_000 {
 		driven.now += time.Duration(driven.rng.IntN(6)) * time.Millisecond
 		driven.self = driven.rng.IntN(len(driven.sidecars))
-		driven.ticks()
+		driven.runTimers()
 		switch choice := driven.rng.IntN(400); {
 		case choice < 120:
 			driven.request()
@@ -131,11 +131,11 @@
 		case choice < 366:
 			driven.changeList()
 		case choice == 366:
-			driven.takeOut()
+			driven.setOutOfService()
 		case choice == 367:
 			driven.changeRules()
 		case choice == 368:
-			driven.meet()
+			driven.setMembers()
 		case choice < 372:
 			driven.changeFailures()
 		case choice < 374:
@@ -154,7 +154,7 @@
 	ids      RequestID
 	settings []Settings
 	sidecars []*Balancer
-	open     []drivenAttempt
+	inFlight []drivenAttempt
 	nextTick []Time
 	list     []Endpoint
 	failing  map[string]Outcome // failing servers and the outcome of their attempts
@@ -174,15 +174,16 @@
 
 // drivenHost records the attempts that a sidecar sends.
 type drivenHost struct {
-	d    *driver
-	self int
-	made map[RequestID]int
+	d        *driver
+	self     int
+	attempts map[RequestID]int
 }
 
-func (recorder *drivenHost) Send(id RequestID, endpoint string, _ time.Duration) {
-	recorder.d.open = append(recorder.d.open, drivenAttempt{self: recorder.self, id: id, attempt: recorder.made[id], to: endpoint, sent: recorder.d.now,
-		hung: recorder.d.rng.IntN(30) == 0})
-	recorder.made[id]++
+func (host *drivenHost) Send(id RequestID, endpoint string, _ time.Duration) {
+	host.d.inFlight = append(host.d.inFlight, drivenAttempt{self: host.self, id: id, attempt: host.attempts[id], to: endpoint,
+		sent: host.d.now,
+		hung: host.d.rng.IntN(30) == 0})
+	host.attempts[id]++
 }
 func (*drivenHost) Cancel(RequestID, int)           {}
 func (*drivenHost) Refuse(RequestID, time.Duration) {}
@@ -199,10 +200,10 @@
 			Cell: i % 4, Size: []float64{1, 0.5, 2, 0}[i%4]})
 	}
 	for self := range 3 {
-		recorder := hitters.Defaults()
-		recorder.Origin = hitters.Key(seed, fmt.Sprint(self))
+		hitterSettings := hitters.Defaults()
+		hitterSettings.Origin = hitters.Key(seed, fmt.Sprint(self))
 		set := settings()
-		set.Seed, set.Index, set.PeerCount, set.Hitters = seed, self, 3, &recorder
+		set.Seed, set.Index, set.PeerCount, set.Hitters = seed, self, 3, &hitterSettings
 		set.Zone = []string{"x", "x", "y"}[self]
 		set.Tenants = []Tenant{{"a", 30}, {"b", 5}}
 		set.CancelAllowed, set.SubscribeToDiscovery, set.DiscoveryDeadline = self != 1, self != 2, 10*time.Second
@@ -213,17 +214,17 @@
 			{Name: "heavy", Effect: Idempotent, LatencyTarget: 2 * time.Second, Deadline: 5 * time.Second, Value: 1},
 		}
 		driven.settings = append(driven.settings, set)
-		driven.sidecars = append(driven.sidecars, driven.started(self))
+		driven.sidecars = append(driven.sidecars, driven.startSidecar(self))
 		driven.nextTick = append(driven.nextTick, driven.now+time.Duration(self)*30*time.Millisecond)
 	}
 	return driven
 }
 
-// started returns the Balancer of a sidecar's new process, which has got the list.
-func (d *driver) started(self int) *Balancer {
+// startSidecar returns the Balancer of a sidecar's new process, which has got the list.
+func (d *driver) startSidecar(self int) *Balancer {
 	d.t.Helper()
-	recorder := &drivenHost{d: d, self: self, made: map[RequestID]int{}}
-	b, err := New(d.settings[self], tracedActions{recorder, d.tr, int64(self)})
+	host := &drivenHost{d: d, self: self, attempts: map[RequestID]int{}}
+	b, err := New(d.settings[self], tracedActions{host, d.tr, int64(self)})
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -231,8 +232,8 @@
 	return b
 }
 
-// ticks runs the due timers of all sidecars, and makes the sidecars exchange reports.
-func (d *driver) ticks() {
+// runTimers runs the due timers of all sidecars, and makes the sidecars exchange reports.
+func (d *driver) runTimers() {
 	for self, b := range d.sidecars {
 		for ; d.nextTick[self] <= d.now; d.nextTick[self] += tickInterval {
 			b.Timer(d.now, tickToken)
@@ -271,11 +272,11 @@
 }
 
 func (d *driver) endWindow(self int) {
-	news, changed := d.sidecars[self].HeavyHitters().EndWindow(d.now)
-	d.tr.hitters(d.sidecars[self].HeavyHitters(), news, changed)
+	report, changed := d.sidecars[self].HeavyHitters().EndWindow(d.now)
+	d.tr.hitters(d.sidecars[self].HeavyHitters(), report, changed)
 	for other, b := range d.sidecars {
 		if other != self {
-			d.tr.Bools(b.HeavyHitters().Receive(d.now, news))
+			d.tr.Bools(b.HeavyHitters().Receive(d.now, report))
 		}
 	}
 }
@@ -299,11 +300,11 @@
 
 // attemptEvent passes a random event of an attempt in flight to its Balancer.
 func (d *driver) attemptEvent() {
-	if len(d.open) == 0 {
+	if len(d.inFlight) == 0 {
 		return
 	}
-	index := d.rng.IntN(min(len(d.open), 90))
-	subject := &d.open[index]
+	index := d.rng.IntN(min(len(d.inFlight), 90))
+	subject := &d.inFlight[index]
 	b := d.sidecars[subject.self]
 	switch d.rng.IntN(24) {
 	case 0:
@@ -322,7 +323,7 @@
 }
 
 func (d *driver) end(index int) {
-	ended := d.open[index]
+	ended := d.inFlight[index]
 	outcome, failing := d.failing[ended.to]
 	if !failing {
 		outcome = drivenOutcomes[d.rng.IntN(len(drivenOutcomes))]
@@ -336,7 +337,7 @@
 	if outcome == TimedOut && d.now-ended.sent < 400*time.Millisecond {
 		return
 	}
-	d.open = slices.Delete(d.open, index, index+1)
+	d.inFlight = slices.Delete(d.inFlight, index, index+1)
 	d.sidecars[ended.self].Result(d.now, Result{ID: ended.id, Attempt: ended.attempt, Endpoint: ended.to, Outcome: outcome, Latency: d.now - ended.sent,
 		Finished: outcome == Served || d.rng.IntN(20) == 0})
 }
@@ -368,7 +369,7 @@
 	}
 }
 
-func (d *driver) takeOut() {
+func (d *driver) setOutOfService() {
 	var out []string
 	for range d.rng.IntN(3) {
 		out = append(out, fmt.Sprint("s", d.rng.IntN(15)))
@@ -410,8 +411,8 @@
 	}
 }
 
-// meet passes the list of members to the sidecars, sometimes with additional members in other zones or of other levels.
-func (d *driver) meet() {
+// setMembers passes the list of members to the sidecars, sometimes with additional members in other zones or of other levels.
+func (d *driver) setMembers() {
 	var peers []Peer
 	for i, b := range d.sidecars {
 		peers = append(peers, Peer{d.settings[i].Zone, b.TrafficLevel()})
@@ -443,40 +444,40 @@
 		return
 	}
 	learned := d.sidecars[d.self].Snapshot(d.now)
-	d.open = slices.DeleteFunc(d.open, func(a drivenAttempt) bool { return a.self == d.self })
-	d.sidecars[d.self] = d.started(d.self)
+	d.inFlight = slices.DeleteFunc(d.inFlight, func(a drivenAttempt) bool { return a.self == d.self })
+	d.sidecars[d.self] = d.startSidecar(d.self)
 	d.sidecars[d.self].Restore(d.now, learned, time.Duration(d.rng.IntN(3000))*time.Millisecond)
 	d.tr.snapshot(d.sidecars[d.self].Snapshot(d.now))
 }
 
-// tracedUnresponsive simulates a fleet with some cold servers, in which one server becomes unresponsive. The members exchange
+// traceUnresponsive simulates a fleet with some cold servers, in which one server becomes unresponsive. The members exchange
 // reports.
-func tracedUnresponsive(t *testing.T, trace goldenTrace, seed uint64) {
+func traceUnresponsive(t *testing.T, trace goldenTrace, seed uint64) {
 	t.Helper()
-	servers := fleet(12)
+	servers := endpointList(12)
 	servers[1].Started, servers[5].Started = time.Minute-time.Second, time.Minute
-	play := newSimulatedFleet(t, 10+int(seed), servers, 120)
-	g := &reportExchange{fleet: play, reports: make([]signals.Report, len(play.sidecars))}
-	for self, b := range play.sidecars {
+	simulated := newSimulatedFleet(t, 10+int(seed), servers, 120)
+	g := &reportExchange{fleet: simulated, reports: make([]signals.Report, len(simulated.sidecars))}
+	for self, b := range simulated.sidecars {
 		b.actions = tracedActions{b.actions, trace, int64(self)}
 	}
 	run := func(until Time) {
-		for play.now < until {
-			g.round()
-			play.run(play.now + 200*time.Millisecond)
-			for _, b := range play.sidecars {
-				trace.snapshot(b.Snapshot(play.now))
+		for simulated.now < until {
+			g.exchange()
+			simulated.run(simulated.now + 200*time.Millisecond)
+			for _, b := range simulated.sidecars {
+				trace.snapshot(b.Snapshot(simulated.now))
 			}
 		}
 	}
-	run(play.now + 14*time.Second)
-	play.introduce()
-	play.bad = "s0003"
-	run(play.now + 4*time.Second)
-	play.unresponsive, play.bad = play.sidecars[0].inUse[0].ID, ""
-	run(play.now + 8*time.Second)
-	play.unresponsive = ""
-	run(play.now + 6*time.Second)
+	run(simulated.now + 14*time.Second)
+	simulated.setMembers()
+	simulated.refusing = "s0003"
+	run(simulated.now + 4*time.Second)
+	simulated.unresponsive, simulated.refusing = simulated.sidecars[0].inUse[0].ID, ""
+	run(simulated.now + 8*time.Second)
+	simulated.unresponsive = ""
+	run(simulated.now + 6*time.Second)
 }
 
 // goldenScenarios returns the scenarios that are traced.
@@ -489,9 +490,9 @@
 			}})
 		}
 	}
-	add("day", 8, tracedDay)
-	add("any-operations", 6, anyOperations)
-	add("silence", 2, tracedUnresponsive)
+	add("day", 8, traceRandomEvents)
+	add("any-operations", 6, traceRandomOperations)
+	add("silence", 2, traceUnresponsive)
 	return all
 }
 
--- a/balance/heavyclient_test.go
+++ b/balance/heavyclient_test.go
@@ -17,33 +17,33 @@
 // TestHeavyClientIsRejected has one client ask for most of the work of a small fleet. While servers are full, only this client is
 // refused, with a time after which to retry; otherwise no client is refused.
 func TestHeavyClientIsRejected(t *testing.T) {
-	play := newHeavyPlay(t)
-	if _, refused := play.run(4*time.Second, false); refused != [2]int{} {
+	simulation := newHeavyClientSimulation(t)
+	if _, refused := simulation.simulate(4*time.Second, false); refused != [2]int{} {
 		t.Errorf("%v requests refused although there is capacity", refused)
 	}
-	held := play.b.HeavyHitters().Clients()
-	if len(held) != 1 || held[0].Key != heavyClient || held[0].State != hitters.Heavy {
-		t.Fatalf("tracked clients %+v, want one heavy client", held)
+	tracked := simulation.b.HeavyHitters().Clients()
+	if len(tracked) != 1 || tracked[0].Key != heavyClient || tracked[0].State != hitters.Heavy {
+		t.Fatalf("tracked clients %+v, want one heavy client", tracked)
 	}
-	asked, refused := play.run(4*time.Second, true)
-	if refused[0] < asked[0]/10 || refused[0] > asked[0]*9/10 || refused[1] != 0 {
-		t.Errorf("%v of %v requests refused while servers are full", refused, asked)
+	sent, refused := simulation.simulate(4*time.Second, true)
+	if refused[0] < sent[0]/10 || refused[0] > sent[0]*9/10 || refused[1] != 0 {
+		t.Errorf("%v of %v requests refused while servers are full", refused, sent)
 	}
-	all := slices.Sorted(slices.Values(play.h.refused))
-	if once := slices.Compact(slices.Clone(all)); len(once) != len(all) {
-		t.Errorf("%d refusals of %d requests, want one each", len(all), len(once))
+	all := slices.Sorted(slices.Values(simulation.h.refused))
+	if unique := slices.Compact(slices.Clone(all)); len(unique) != len(all) {
+		t.Errorf("%d refusals of %d requests, want one each", len(all), len(unique))
 	}
 	// New capacity is detected within seconds from the work that is served, not immediately when servers are no longer full.
-	if asked, refused := play.run(2*time.Second, false); refused[0] > asked[0]/10 || refused[1] != 0 {
-		t.Errorf("%v of %v requests refused just after there is capacity again", refused, asked)
+	if sent, refused := simulation.simulate(2*time.Second, false); refused[0] > sent[0]/10 || refused[1] != 0 {
+		t.Errorf("%v of %v requests refused just after there is capacity again", refused, sent)
 	}
-	if _, refused := play.run(time.Second, false); refused != [2]int{} {
+	if _, refused := simulation.simulate(time.Second, false); refused != [2]int{} {
 		t.Errorf("%v requests refused although there is capacity again", refused)
 	}
 }
 
-// heavyPlay simulates a sidecar whose heavy client sends ten times as many requests as all other clients together.
-type heavyPlay struct {
+// heavyClientSimulation simulates a sidecar whose heavy client sends ten times as many requests as all other clients together.
+type heavyClientSimulation struct {
 	t      *testing.T
 	b      *Balancer
 	h      *host
@@ -51,17 +51,17 @@
 	id     RequestID
 }
 
-func newHeavyPlay(t *testing.T) *heavyPlay {
+func newHeavyClientSimulation(t *testing.T) *heavyClientSimulation {
 	t.Helper()
 	set := settings()
 	defaults := hitters.Defaults()
 	set.Hitters = &defaults
-	b, recorder := start(t, set, pair())
-	return &heavyPlay{t: t, b: b, h: recorder, window: defaults.Window}
+	b, recorder := start(t, set, twoEndpoints())
+	return &heavyClientSimulation{t: t, b: b, h: recorder, window: defaults.Window}
 }
 
-// run simulates some time, and returns the numbers of requests and refusals of the heavy client and of the others.
-func (p *heavyPlay) run(length time.Duration, full bool) (asked, refused [2]int) {
+// simulate simulates some time, and returns the numbers of requests and refusals of the heavy client and of the others.
+func (p *heavyClientSimulation) simulate(length time.Duration, full bool) (sent, refused [2]int) {
 	p.t.Helper()
 	for end := p.h.now + length; p.h.now < end; p.h.now += 10 * time.Millisecond {
 		p.b.sheddingUntil = 0
@@ -73,20 +73,20 @@
 			if n == 10 {
 				client = lightClient + int(p.id)%100
 			}
-			who := min(client-heavyClient, 1)
-			asked[who]++
-			refused[who] += p.ask(client)
-			p.answer(full && n%2 == 0 && n < 10)
+			index := min(client-heavyClient, 1)
+			sent[index]++
+			refused[index] += p.sendRequest(client)
+			p.endAttempts(full && n%2 == 0 && n < 10)
 		}
 		if p.h.now%p.window < 10*time.Millisecond {
 			p.b.HeavyHitters().EndWindow(p.h.now)
 		}
 	}
-	return asked, refused
+	return sent, refused
 }
 
-// ask sends a request and returns 1 if it is refused.
-func (p *heavyPlay) ask(client int) (refused int) {
+// sendRequest sends a request and returns 1 if it is refused.
+func (p *heavyClientSimulation) sendRequest(client int) (refused int) {
 	p.t.Helper()
 	before := len(p.h.refused)
 	p.id++
@@ -94,19 +94,19 @@
 	if len(p.h.refused) == before {
 		return 0
 	}
-	if p.h.advice < time.Second || p.h.advice >= 2*time.Second {
-		p.t.Fatalf("client is to retry after %v, want 1 to 2 s", p.h.advice)
+	if p.h.retryAfter < time.Second || p.h.retryAfter >= 2*time.Second {
+		p.t.Fatalf("client is to retry after %v, want 1 to 2 s", p.h.retryAfter)
 	}
 	return 1
 }
 
-// answer ends the attempts in flight, either as served or as rejected by a full server. A full server rejects half of the heavy
+// endAttempts ends the attempts in flight, either as served or as rejected by a full server. A full server rejects half of the heavy
 // client's attempts.
-func (p *heavyPlay) answer(rejected bool) {
+func (p *heavyClientSimulation) endAttempts(rejected bool) {
 	if !rejected {
-		p.h.answer(p.b, p.h.now, Served)
+		p.h.endAttempts(p.b, p.h.now, Served)
 		return
 	}
-	p.h.answer(p.b, p.h.now, Saturated)
+	p.h.endAttempts(p.b, p.h.now, Saturated)
 	p.h.sent = nil
 }
--- a/balance/hitters/hitters.go
+++ b/balance/hitters/hitters.go
@@ -16,7 +16,7 @@
 // # Invariants
 //
 //   - Whatever one origin reports, a client is heavy only if its share of the work that the other origins reported reaches the
-//     high threshold. The largest total of the others counts for no more than four times the next. See fleet.share. (TestOneLiar
+//     high threshold. The largest total of the others counts for no more than four times the next. See fleet.share. (TestOneFalseOrigin
 //     generates such origins.)
 //   - A sidecar that is alone or partitioned uses only its own counts, and so do all sidecars once reports have exceeded their
 //     TTL.
--- a/balance/hitters/report.go
+++ b/balance/hitters/report.go
@@ -128,11 +128,11 @@
 	r := Report{
 		Total:    perSecond(total, all.length),
 		Requests: uint32(min(all.requests, math.MaxUint32)),
-		Served:   fractionOf(all.served, total),
+		Served:   fractionRoundedDown(all.served, total),
 	}
 	omitted := r.nameClients(&all.Summary, minShare)
 	// One unit is added because the shares are rounded down.
-	r.Err = uint16(min(int(fractionAbove(min(all.Err()+omitted, total), total))+1, fullShare))
+	r.Err = uint16(min(int(fractionRoundedUp(min(all.Err()+omitted, total), total))+1, fullShare))
 	return r
 }
 
@@ -143,7 +143,7 @@
 // nameClients names the largest clients in the report, and returns the work of the largest client that it omitted.
 func (r *Report) nameClients(all *Summary, minShare uint16) (omitted uint64) {
 	for _, i := range all.byWork() {
-		share := fractionOf(all.work[i], all.total)
+		share := fractionRoundedDown(all.work[i], all.total)
 		if share == 0 || share < minShare || r.Named == maxNamed {
 			return all.work[i]
 		}
@@ -165,14 +165,14 @@
 	return order
 }
 
-// fractionOf returns part/total in units of 1/65535, rounded down.
-func fractionOf(part, total uint64) uint16 {
+// fractionRoundedDown returns part/total in units of 1/65535, rounded down.
+func fractionRoundedDown(part, total uint64) uint16 {
 	quotient, _ := divide(part, total)
 	return uint16(quotient)
 }
 
-// fractionAbove returns part/total in units of 1/65535, rounded up.
-func fractionAbove(part, total uint64) uint16 {
+// fractionRoundedUp returns part/total in units of 1/65535, rounded up.
+func fractionRoundedUp(part, total uint64) uint16 {
 	quotient, remainder := divide(part, total)
 	if remainder > 0 {
 		quotient++
--- a/balance/hitters/summary.go
+++ b/balance/hitters/summary.go
@@ -5,7 +5,7 @@
 // Summary counts work by key with a bounded number of counters: the weighted form of Misra and Gries (Finding repeated
 // elements, 1982), which is mergeable (Agarwal et al., Mergeable summaries, 2012). For every key
 //
-//	Of(key) <= true work <= Of(key) + Err()  and  Err() <= (Total() - sum of counters) / (counters + 1)
+//	Estimate(key) <= true work <= Estimate(key) + Err()  and  Err() <= (Total() - sum of counters) / (counters + 1)
 //
 // in any order of additions and with any merges. A key with more than Total/(counters+1) always has a counter. A Summary only
 // counts and makes no decisions. The zero value is ready to use.
@@ -21,8 +21,8 @@
 // Err returns an upper bound of how much too low a count can be.
 func (s *Summary) Err() uint64 { return s.err }
 
-// Of returns the counter of a key, or 0 if it has none.
-func (s *Summary) Of(key uint64) uint64 {
+// Estimate returns the counter of a key, or 0 if it has none.
+func (s *Summary) Estimate(key uint64) uint64 {
 	if i := slices.Index(s.keys, key); i >= 0 {
 		return s.work[i]
 	}
--- a/balance/hitters/summary_test.go
+++ b/balance/hitters/summary_test.go
@@ -27,8 +27,8 @@
 		var total, held uint64
 		for key, work := range exact {
 			total += work
-			held += all.Of(key)
-			if of := all.Of(key); of > work || work > of+all.Err() {
+			held += all.Estimate(key)
+			if of := all.Estimate(key); of > work || work > of+all.Err() {
 				t.Fatalf("key %d has work %d, counted as %d with an error of %d", key, work, of, all.Err())
 			}
 		}
@@ -38,10 +38,10 @@
 	})
 }
 
-// TestStrangersKeys sends requests of a million clients, some with long names, and of one client without a name that has a tenth of
+// TestManyClientKeys sends requests of a million clients, some with long names, and of one client without a name that has a tenth of
 // the work. That client must be named in the report, and memory must stay bounded.
-func TestStrangersKeys(t *testing.T) {
-	detector, err := New(&set)
+func TestManyClientKeys(t *testing.T) {
+	detector, err := New(&testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 			}
 		}
 	})
-	own, _ := detector.EndWindow(set.Window)
+	own, _ := detector.EndWindow(testSettings.Window)
 	if r := own.Report; r.Named == 0 || r.Keys[0] != heavy || r.Shares[0]+r.Err < fullShare/11 || r.Err > fullShare/50 {
 		t.Errorf("a client with a tenth of the work is reported as %+v", r)
 	}
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// sending is one call of Send.
-type sending struct {
-	id     RequestID
-	to     string
-	within time.Duration
+// sendCall is one call of Send.
+type sendCall struct {
+	id      RequestID
+	to      string
+	timeout time.Duration
 }
 
 // host records the actions of a Balancer.
 type host struct {
 	now        Time
-	sent       []sending
+	sent       []sendCall
 	refused    []RequestID
-	advice     time.Duration // wait given with the last refusal
+	retryAfter time.Duration // wait given with the last refusal
 	failed     []RequestID
 	cancelled  int
 	subscribed int
@@ -25,12 +25,12 @@
 	logs       []string
 }
 
-func (recorder *host) Send(id RequestID, endpoint string, within time.Duration) {
-	recorder.sent = append(recorder.sent, sending{id, endpoint, within})
+func (recorder *host) Send(id RequestID, endpoint string, timeout time.Duration) {
+	recorder.sent = append(recorder.sent, sendCall{id, endpoint, timeout})
 }
 func (recorder *host) Cancel(RequestID, int) { recorder.cancelled++ }
 func (recorder *host) Refuse(id RequestID, after time.Duration) {
-	recorder.refused, recorder.advice = append(recorder.refused, id), after
+	recorder.refused, recorder.retryAfter = append(recorder.refused, id), after
 }
 func (recorder *host) Fail(id RequestID) { recorder.failed = append(recorder.failed, id) }
 func (recorder *host) Timer(_ time.Duration, token uint64) {
@@ -39,8 +39,8 @@
 func (recorder *host) Subscribe()      { recorder.subscribed++ }
 func (recorder *host) Log(text string) { recorder.logs = append(recorder.logs, text) }
 
-// answer ends all recorded attempts, in order, and clears the record.
-func (recorder *host) answer(b *Balancer, now Time, outcome Outcome) {
+// endAttempts ends all recorded attempts, in order, and clears the record.
+func (recorder *host) endAttempts(b *Balancer, now Time, outcome Outcome) {
 	recorder.now = now
 	sent := recorder.sent
 	recorder.sent = nil
@@ -70,15 +70,15 @@
 	return b, recorder
 }
 
-func TestMisuseIsPassedOver(t *testing.T) {
+func TestMisuseIsIgnored(t *testing.T) {
 	b, recorder := start(t, settings(), []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}})
 	b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second})
 	if len(recorder.sent) != 1 {
 		t.Fatalf("%d attempts for a request, want 1", len(recorder.sent))
 	}
 	for _, test := range []struct {
-		name string
-		do   func()
+		name   string
+		misuse func()
 	}{
 		{"duplicate request", func() { b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: time.Second}) }},
 		{"unknown class", func() { b.Request(recorder.now, Request{ID: 2, Class: 9, Tenant: -1, TimeLeft: time.Second}) }},
@@ -93,7 +93,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			sent, timers := len(recorder.sent), len(recorder.timers)
-			test.do()
+			test.misuse()
 			if len(recorder.sent) != sent || len(recorder.timers) != timers || len(recorder.refused)+len(recorder.failed)+recorder.cancelled > 0 {
 				t.Errorf("misuse led to an action: %+v", recorder)
 			}
@@ -111,20 +111,20 @@
 
 func TestTimeGoingBack(t *testing.T) {
 	// Each request still ends once, and no state is left over.
-	b, recorder := start(t, settings(), pair())
+	b, recorder := start(t, settings(), twoEndpoints())
 	for i := range RequestID(200) {
 		recorder.now += time.Duration(i%7-3) * 300 * time.Millisecond
 		b.Request(recorder.now, Request{ID: i, Tenant: -1, TimeLeft: time.Second})
 		b.Timer(recorder.now, tickToken)
-		recorder.answer(b, recorder.now-time.Duration(i%3)*time.Second, Served)
+		recorder.endAttempts(b, recorder.now-time.Duration(i%3)*time.Second, Served)
 	}
 	if len(b.requests) != 0 || b.byID["a"].inFlight+b.byID["b"].inFlight != 0 || len(recorder.failed) != 0 {
 		t.Errorf("%d requests left and %d failed, want none", len(b.requests), len(recorder.failed))
 	}
 }
 
-// serve sends n requests, 20 ms apart. Each is answered by the endpoint it was sent to, with the latency took.
-func serve(b *Balancer, recorder *host, n int, took time.Duration) {
+// serveRequests sends n requests, 20 ms apart. Each is answered by the endpoint it was sent to, with the latency took.
+func serveRequests(b *Balancer, recorder *host, n int, took time.Duration) {
 	for range n {
 		recorder.now += 20 * time.Millisecond
 		id := RequestID(recorder.now)
@@ -136,12 +136,12 @@
 	}
 }
 
-func pair() []Endpoint {
+func twoEndpoints() []Endpoint {
 	return []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "big", Size: 1}}
 }
 
-// ask sends one request and returns the endpoint it was sent to, or "" if it was not sent.
-func ask(b *Balancer, recorder *host, id RequestID) string {
+// sendRequest sends one request and returns the endpoint it was sent to, or "" if it was not sent.
+func sendRequest(b *Balancer, recorder *host, id RequestID) string {
 	before := len(recorder.sent)
 	b.Request(recorder.now, Request{ID: id, Tenant: -1, TimeLeft: 3 * time.Second})
 	if len(recorder.sent) == before {
--- a/balance/invariants_host_test.go
+++ b/balance/invariants_host_test.go
@@ -7,30 +7,30 @@
 
 // checker is a host that checks every action against the invariants, using a model that is independent of the Balancer.
 type checker struct {
-	set        Settings
-	now        Time
-	requests   map[RequestID]*modelRequest
-	servers    map[string]*modelServer
-	order      []string // server ids
-	timers     map[Time][]uint64
-	asked      int
-	violations []string
-	sends      int
-	actions    []string // all actions in order
+	set           Settings
+	now           Time
+	requests      map[RequestID]*modelRequest
+	servers       map[string]*modelServer
+	order         []string // server ids
+	timers        map[Time][]uint64
+	subscriptions int
+	violations    []string
+	sends         int
+	actions       []string // all actions in order
 }
 
 type modelRequest struct {
 	class    *Class
 	deadline Time
-	ended    bool
+	finished bool
 	attempts []modelAttempt
 }
 
 type modelAttempt struct {
-	to   string
-	sent Time
-	done bool
-	ran  bool
+	to         string
+	sent       Time
+	done       bool
+	mayHaveRun bool
 }
 
 type modelServer struct {
@@ -46,7 +46,7 @@
 	c.sends++
 	c.actions = append(c.actions, fmt.Sprint("send ", id, to))
 	sent, target := c.requests[id], c.servers[to]
-	if sent == nil || sent.ended {
+	if sent == nil || sent.finished {
 		c.violation("send for request %d, which has got its final answer", id)
 		return
 	}
@@ -64,7 +64,7 @@
 		if !a.done {
 			c.violation("request %d has two attempts in flight", id)
 		}
-		if a.done && !a.ran || sent.class.Effect == Idempotent {
+		if a.done && !a.mayHaveRun || sent.class.Effect == Idempotent {
 			continue
 		}
 		first := c.servers[a.to]
@@ -80,38 +80,38 @@
 	sent.attempts = append(sent.attempts, modelAttempt{to: to, sent: c.now})
 }
 
-func (c *checker) final(id RequestID) *modelRequest {
+func (c *checker) recordFinalAnswer(id RequestID) *modelRequest {
 	c.actions = append(c.actions, fmt.Sprint("end ", id))
 	r := c.requests[id]
-	if r == nil || r.ended {
+	if r == nil || r.finished {
 		c.violation("request %d got a second final answer, or is unknown", id)
 		return nil
 	}
 	if c.now > r.deadline+10*time.Millisecond {
 		c.violation("request %d got its final answer after its deadline", id)
 	}
-	r.ended = true
+	r.finished = true
 	return r
 }
 
 func (c *checker) Refuse(id RequestID, after time.Duration) {
-	r := c.final(id)
+	r := c.recordFinalAnswer(id)
 	if r == nil {
 		return
 	}
-	if after < 0 || after.Seconds() > c.shortestAim() {
+	if after < 0 || after.Seconds() > c.shortestTarget() {
 		// After more than its latency target, a retry would be useless to the client.
 		c.violation("refusal with a wait of %v, want 0 to the shortest latency target", after)
 	}
 	for _, a := range r.attempts {
-		if (!a.done || a.ran) && (r.class.Effect == AtMostOnce || r.class.Effect == Deduplicated && r.class.Scope != ScopeAll) {
+		if (!a.done || a.mayHaveRun) && (r.class.Effect == AtMostOnce || r.class.Effect == Deduplicated && r.class.Scope != ScopeAll) {
 			c.violation("refusal of request %d, which may have run", id)
 		}
 	}
 }
 
-// shortestAim returns the shortest latency target in seconds.
-func (c *checker) shortestAim() float64 {
+// shortestTarget returns the shortest latency target in seconds.
+func (c *checker) shortestTarget() float64 {
 	shortest := c.set.Classes[0].LatencyTarget
 	for _, class := range c.set.Classes {
 		shortest = min(shortest, class.LatencyTarget)
@@ -119,7 +119,7 @@
 	return shortest.Seconds()
 }
 
-func (c *checker) Fail(id RequestID) { c.final(id) }
+func (c *checker) Fail(id RequestID) { c.recordFinalAnswer(id) }
 
 func (c *checker) Cancel(id RequestID, attempt int) {
 	if r := c.requests[id]; !c.set.CancelAllowed || r == nil || attempt >= len(r.attempts) {
@@ -137,7 +137,7 @@
 	if !c.set.SubscribeToDiscovery {
 		c.violation("subscription although SubscribeToDiscovery is not set")
 	}
-	c.asked++
+	c.subscriptions++
 }
 
 func (c *checker) Log(string) {}
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -83,7 +83,7 @@
 // an endpoint without attempts in flight falls to zero within recentTTL while no result arrives.
 func (b *Balancer) expectedLatency(e *endpoint, now Time) float64 {
 	prior := priorLoad * b.groupSecondsPerLoad(e) / e.capacity()
-	perRequest := (e.latencySum*e.freshness + e.owedSeconds(now) + prior) /
+	perRequest := (e.latencySum*e.freshness + e.pendingSeconds(now) + prior) /
 		(e.loadSum*e.freshness + priorLoad)
 	if e.pendingAnswers() == 0 {
 		perRequest *= max(0, 1-(now-b.lastResultAt).Seconds()/recentTTL.Seconds())
@@ -96,7 +96,7 @@
 // endpoints that are warming up.
 func (b *Balancer) groupSecondsPerLoad(e *endpoint) float64 {
 	home := e.homeGroup
-	seconds := (home.latencySum + home.owedSeconds + priorLoad*b.fleet.secondsPerLoad()) /
+	seconds := (home.latencySum + home.pendingSeconds + priorLoad*b.fleet.secondsPerLoad()) /
 		(home.loadSum + priorLoad)
 	if !e.isWarm() {
 		seconds = b.warmingUp.latencySum / (b.warmingUp.loadSum + priorLoad)
@@ -152,14 +152,14 @@
 	b.warmingUp.scale(recent)
 	for _, g := range b.groups {
 		g.scale(recent)
-		g.owedSeconds = 0
+		g.pendingSeconds = 0
 	}
 	b.capacityInUse = 0
 	for _, e := range b.inUse {
 		e.scale(memory)
 		e.freshness *= recent
 		e.warmth = b.warmthOf(e, now)
-		e.homeGroup.owedSeconds += e.owedSeconds(now)
+		e.homeGroup.pendingSeconds += e.pendingSeconds(now)
 		b.capacityInUse += e.Size * e.warmth * b.zoneWeight[e.zoneIndex]
 	}
 	b.observeIdleLatency(memory)
--- a/balance/latency_test.go
+++ b/balance/latency_test.go
@@ -8,10 +8,10 @@
 
 func TestSlowedEndpointLosesTurnsBeforeItAnswers(t *testing.T) {
 	// Both endpoints have answered in 200 ms. Then "a" is stuck with two requests, for less time than the refusal threshold.
-	b, recorder := start(t, settings(), pair())
-	serve(b, recorder, 20, 200*time.Millisecond)
+	b, recorder := start(t, settings(), twoEndpoints())
+	serveRequests(b, recorder, 20, 200*time.Millisecond)
 	for i := range RequestID(4) {
-		if to := ask(b, recorder, i); to == "b" {
+		if to := sendRequest(b, recorder, i); to == "b" {
 			b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: 200 * time.Millisecond, Finished: true})
 		}
 	}
@@ -25,14 +25,14 @@
 	}
 }
 
-func TestLittleUsedEndpointIsJudgedByItsGroup(t *testing.T) {
+func TestLittleUsedEndpointUsesGroupEstimate(t *testing.T) {
 	// Small endpoints are idle and fast, while the big one is overloaded and slow although it has twice the size. The expected
 	// latency of a small endpoint that was never used must not be that of the big one.
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 2}, {ID: "b", Zone: "x", Kind: "small", Size: 1},
 		{ID: "c", Zone: "x", Kind: "small", Size: 1}}
 	b, recorder := start(t, settings(), list)
 	for i := range RequestID(60) {
-		to := ask(b, recorder, i)
+		to := sendRequest(b, recorder, i)
 		took := 600 * time.Millisecond
 		if to != "a" || i < 10 {
 			took = 50 * time.Millisecond
@@ -47,13 +47,13 @@
 	}
 }
 
-func TestGroupIsJudgedByWhatItOwes(t *testing.T) {
+func TestGroupEstimateIncludesPendingAnswers(t *testing.T) {
 	// Three endpoints of a group, fast so far, each have a request in flight for half a second. The fourth, which is idle and
 	// has no answers, is not expected to be fast either.
-	b, recorder := start(t, settings(), fleet(4))
-	serve(b, recorder, 40, 20*time.Millisecond)
+	b, recorder := start(t, settings(), endpointList(4))
+	serveRequests(b, recorder, 40, 20*time.Millisecond)
 	for i := range RequestID(3) {
-		ask(b, recorder, i)
+		sendRequest(b, recorder, i)
 	}
 	idle := b.endpoints[slices.IndexFunc(b.endpoints, func(e *endpoint) bool { return e.inFlight == 0 })]
 	idle.latencySum, idle.loadSum = 0, 0
@@ -68,27 +68,27 @@
 // TestWarmingUpEndpointIgnoresOverloadedPeers makes all warm endpoints answer too late and checks that the expected latency of a
 // freshly started endpoint depends only on its own answers.
 func TestWarmingUpEndpointIgnoresOverloadedPeers(t *testing.T) {
-	bar := time.Duration(refusalThreshold * float64(settings().Classes[0].LatencyTarget))
+	threshold := time.Duration(refusalThreshold * float64(settings().Classes[0].LatencyTarget))
 	for _, test := range []struct {
-		name string
-		took time.Duration // latency of the fresh endpoint's answers; 0: it has none
-		open bool
+		name      string
+		latency   time.Duration // latency of the fresh endpoint's answers; 0: it has none
+		wantBelow bool
 	}{
 		{"no answer of its own", 0, true},
-		{"quick answers of its own", bar / 4, true},
-		{"late answers of its own", 2 * bar, false},
+		{"quick answers of its own", threshold / 4, true},
+		{"late answers of its own", 2 * threshold, false},
 	} {
-		b, recorder := start(t, settings(), pair())
-		serve(b, recorder, 40, 2*bar)
+		b, recorder := start(t, settings(), twoEndpoints())
+		serveRequests(b, recorder, 40, 2*threshold)
 		b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: recorder.now}})
 		fresh := b.byID["c"]
-		if n := 20.0; test.took > 0 {
-			fresh.latencySum, fresh.loadSum, fresh.freshness = n*test.took.Seconds(), n*(1+unseenLoad), 1
+		if n := 20.0; test.latency > 0 {
+			fresh.latencySum, fresh.loadSum, fresh.freshness = n*test.latency.Seconds(), n*(1+unseenLoad), 1
 		}
-		if got := b.expectedLatency(fresh, recorder.now); got <= bar.Seconds() != test.open {
-			t.Errorf("%s: expected latency of the fresh endpoint is %.2f s, with a threshold of %.2f s", test.name, got, bar.Seconds())
+		if got := b.expectedLatency(fresh, recorder.now); got <= threshold.Seconds() != test.wantBelow {
+			t.Errorf("%s: expected latency of the fresh endpoint is %.2f s, with a threshold of %.2f s", test.name, got, threshold.Seconds())
 		}
-		if got := b.expectedLatency(b.byID["a"], recorder.now); got <= bar.Seconds() {
+		if got := b.expectedLatency(b.byID["a"], recorder.now); got <= threshold.Seconds() {
 			t.Errorf("%s: expected latency of an overloaded warm endpoint is only %.2f s", test.name, got)
 		}
 	}
@@ -98,11 +98,11 @@
 // increase the expected latency of the others.
 func TestUnresponsiveEndpointsDoNotSlowTheirPeers(t *testing.T) {
 	took := 100 * time.Millisecond
-	b, recorder := start(t, settings(), fleet(4))
-	serve(b, recorder, 40, took)
+	b, recorder := start(t, settings(), endpointList(4))
+	serveRequests(b, recorder, 40, took)
 	for i := range RequestID(40) {
 		recorder.now += 20 * time.Millisecond
-		to := ask(b, recorder, i+1)
+		to := sendRequest(b, recorder, i+1)
 		r := Result{ID: i + 1, Endpoint: to, Latency: took, Finished: true}
 		if to == "s0000" || to == "s0001" {
 			r.Outcome, r.Latency = TimedOut, 3*time.Second
--- a/balance/log_test.go
+++ b/balance/log_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// TestLogLinesAreOnThePage checks that docs/oncall.md shows the lines that the package logs.
-func TestLogLinesAreOnThePage(t *testing.T) {
+// TestLogLinesAreDocumented checks that docs/oncall.md shows the lines that the package logs.
+func TestLogLinesAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/oncall.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, recorder := start(t, settings(), pair())
+	b, recorder := start(t, settings(), twoEndpoints())
 	for i := range RequestID(8) {
-		if to := ask(b, recorder, i); to != "" {
+		if to := sendRequest(b, recorder, i); to != "" {
 			b.Result(recorder.now, Result{ID: i, Endpoint: to, Outcome: Errored, Latency: time.Millisecond, Finished: true})
 		}
 	}
--- a/balance/members.go
+++ b/balance/members.go
@@ -13,8 +13,8 @@
 
 // membership holds what a host that knows the other sidecars reports about them. A Balancer works without it.
 type membership struct {
-	amongAll       position
-	amongAlike     position // among sidecars of the same zone and traffic level
+	fleetPosition  position
+	levelPosition  position // among sidecars of the same zone and traffic level
 	trafficLevel   int
 	levelCheckedAt Time
 }
@@ -26,38 +26,38 @@
 // For subsets, the sidecar's position is counted among the members of its zone and traffic level. Members whose zone or level
 // is unknown count as alike, so without any known levels the position is the one among all members.
 func (b *Balancer) SetMembers(now Time, self int, peers []Peer) {
-	var all, alike position
+	var fleetPosition, levelPosition position
 	if self >= 0 && self < len(peers) {
-		all = position{index: self, count: len(peers)}
-		alike = b.positionAmongAlike(self, peers)
+		fleetPosition = position{index: self, count: len(peers)}
+		levelPosition = b.positionInLevel(self, peers)
 	}
-	changed := alike != b.amongAlike
-	b.amongAll, b.amongAlike = all, alike
+	changed := levelPosition != b.levelPosition
+	b.fleetPosition, b.levelPosition = fleetPosition, levelPosition
 	if changed {
 		b.regroup(now)
 		b.decay(now, 0)
 	}
 }
 
-// positionAmongAlike returns the sidecar's position among the members of its zone and traffic level. It is unknown until
+// positionInLevel returns the sidecar's position among the members of its zone and traffic level. It is unknown until
 // the sidecar's own traffic level is known.
-func (b *Balancer) positionAmongAlike(self int, peers []Peer) (alike position) {
+func (b *Balancer) positionInLevel(self int, peers []Peer) (inLevel position) {
 	if b.trafficLevel == 0 {
 		return position{}
 	}
 	for i, peer := range peers {
-		if i != self && !b.mayBeAlike(peer) {
+		if i != self && !b.matchesZoneAndLevel(peer) {
 			continue
 		}
-		alike.count++
+		inLevel.count++
 		if i < self {
-			alike.index++
+			inLevel.index++
 		}
 	}
-	return alike
+	return inLevel
 }
 
-func (b *Balancer) mayBeAlike(peer Peer) bool {
+func (b *Balancer) matchesZoneAndLevel(peer Peer) bool {
 	sameZone := peer.Zone == "" || peer.Zone == b.settings.Zone
 	sameLevel := peer.TrafficLevel == 0 || peer.TrafficLevel == b.trafficLevel
 	return sameZone && sameLevel
@@ -71,8 +71,8 @@
 // turnPosition returns this sidecar's position for turns: among the members if known, otherwise among the peers according
 // to the settings.
 func (b *Balancer) turnPosition() turns.Position {
-	if b.amongAll.count > 0 {
-		return turns.Position{Index: b.amongAll.index, Count: b.amongAll.count}
+	if b.fleetPosition.count > 0 {
+		return turns.Position{Index: b.fleetPosition.index, Count: b.fleetPosition.count}
 	}
 	return turns.Position{Index: b.settings.Index, Count: b.settings.PeerCount}
 }
--- a/balance/members_test.go
+++ b/balance/members_test.go
@@ -8,10 +8,10 @@
 	"gradeusher.example/gradeusher/balance/turns"
 )
 
-// sidecarOfKnownTraffic starts a sidecar whose traffic is low and known.
-func sidecarOfKnownTraffic(t *testing.T, self, peers, servers int) (*Balancer, *host) {
+// newSidecarWithKnownTraffic starts a sidecar whose traffic is low and known.
+func newSidecarWithKnownTraffic(t *testing.T, self, peers, servers int) (*Balancer, *host) {
 	t.Helper()
-	b, recorder := sidecar(t, self, peers, fleet(servers))
+	b, recorder := startSidecar(t, self, peers, endpointList(servers))
 	if b.TrafficLevel() != 0 {
 		t.Fatalf("traffic level %d before the traffic is known, want 0", b.TrafficLevel())
 	}
@@ -29,20 +29,20 @@
 	for _, test := range []struct {
 		name      string
 		level     int  // traffic level of the peers; 0: unknown
-		odd       bool // every second peer is in another zone or has another traffic level
+		mixed     bool // every second peer is in another zone or has another traffic level
 		exactUses bool
 	}{{"levels known", 1, false, true}, {"levels unknown", 0, false, true}, {"every second different", 1, true, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			users := map[string]int{}
 			for self := range peers {
-				if test.odd && self%2 == 1 {
+				if test.mixed && self%2 == 1 {
 					continue
 				}
-				for _, id := range useAsMember(t, self, peers, servers, test.level, test.odd) {
+				for _, id := range endpointsAsMember(t, self, peers, servers, test.level, test.mixed) {
 					users[id]++
 				}
 			}
-			checkUsers(t, users, fleet(servers), peers*minSubset/servers, test.exactUses)
+			checkUsers(t, users, endpointList(servers), peers*minSubset/servers, test.exactUses)
 		})
 	}
 }
@@ -57,15 +57,15 @@
 	}
 }
 
-// useAsMember returns the servers that a sidecar uses as a member. It checks that the sidecar uses the same servers as alone
+// endpointsAsMember returns the servers that a sidecar uses as a member. It checks that the sidecar uses the same servers as alone
 // when it is given an invalid index.
-func useAsMember(t *testing.T, self, peers, servers, level int, odd bool) []string {
+func endpointsAsMember(t *testing.T, self, peers, servers, level int, mixed bool) []string {
 	t.Helper()
-	b, recorder := sidecarOfKnownTraffic(t, 0, 1, servers) // all have index 0, so alone they all use the same servers
+	b, recorder := newSidecarWithKnownTraffic(t, 0, 1, servers) // all have index 0, so alone they all use the same servers
 	all := make([]Peer, peers)
 	for i := range all {
 		all[i] = Peer{b.settings.Zone, level * b.TrafficLevel()}
-		if odd && i%2 == 1 {
+		if mixed && i%2 == 1 {
 			all[i] = []Peer{{b.settings.Zone, b.TrafficLevel() + 1}, {"elsewhere", b.TrafficLevel()}}[i/2%2]
 		}
 	}
@@ -90,11 +90,11 @@
 // TestReplacementsAreSpread checks that ejected servers with neighbouring names are replaced by many different servers, because
 // subsets follow the order of hashes.
 func TestReplacementsAreSpread(t *testing.T) {
-	const peers, servers, gone = 60, 120, 12
+	const peers, servers, ejected = 60, 120, 12
 	users := map[string]int{}
 	for self := range peers {
-		b, recorder := sidecarOfKnownTraffic(t, self, peers, servers)
-		for _, e := range b.endpoints[:gone] {
+		b, recorder := newSidecarWithKnownTraffic(t, self, peers, servers)
+		for _, e := range b.endpoints[:ejected] {
 			e.ejectedUntil = recorder.now + time.Minute
 		}
 		b.SetMembers(recorder.now, self, make([]Peer, peers))
@@ -110,8 +110,8 @@
 		}
 	}
 	for id, n := range users {
-		if most := 3 * peers * minSubset / (servers - gone); n > most {
-			t.Errorf("%s is used by %d sidecars, want at most %d", id, n, most)
+		if maxUsers := 3 * peers * minSubset / (servers - ejected); n > maxUsers {
+			t.Errorf("%s is used by %d sidecars, want at most %d", id, n, maxUsers)
 		}
 	}
 }
@@ -130,44 +130,45 @@
 }
 
 // measureSpread returns the load of the busiest server relative to the mean, and how many servers join a subset per minute.
-func measureSpread(t *testing.T, members bool) (most, churn float64) {
+func measureSpread(t *testing.T, members bool) (busiest, churn float64) {
 	t.Helper()
 	const sidecars, servers, rate, seconds = 100, 100, 170, 300
-	play := newSimulatedFleet(t, sidecars, fleet(servers), rate)
-	play.run(play.now + 26*time.Second)
+	simulated := newSimulatedFleet(t, sidecars, endpointList(servers), rate)
+	simulated.run(simulated.now + 26*time.Second)
 	used := make([]map[string]bool, sidecars)
 	for second := range seconds {
 		if members {
-			play.introduce()
+			simulated.setMembers()
 		}
-		play.run(play.now + time.Second)
-		came := play.updateUsed(used)
+		simulated.run(simulated.now + time.Second)
+		joined := simulated.updateUsed(used)
 		if second > 0 {
-			churn += came
+			churn += joined
 		}
 	}
 	var got []int
-	for _, sent := range play.sent {
-		first, _ := slices.BinarySearch(sent, play.now-(seconds-5)*time.Second)
+	for _, sent := range simulated.sent {
+		first, _ := slices.BinarySearch(sent, simulated.now-(seconds-5)*time.Second)
 		got = append(got, len(sent)-first)
 	}
-	most = float64(slices.Max(got)) / (rate * (seconds - 5) / servers)
+	busiest = float64(slices.Max(got)) / (rate * (seconds - 5) / servers)
 	churn *= 60.0 / (seconds - 1) / sidecars
-	t.Logf("members %v: busiest server got %.2f of the mean in %d s, %.1f servers joined a subset per minute", members, most, seconds-5, churn)
-	return most, churn
+	t.Logf("members %v: busiest server got %.2f of the mean in %d s, %.1f servers joined a subset per minute",
+		members, busiest, seconds-5, churn)
+	return busiest, churn
 }
 
 // updateUsed records the servers that each sidecar uses, and returns how many of them it did not use before.
-func (f *simulatedFleet) updateUsed(used []map[string]bool) (came float64) {
+func (f *simulatedFleet) updateUsed(used []map[string]bool) (joined float64) {
 	for self, b := range f.sidecars {
 		now := map[string]bool{}
 		for _, id := range ids(b.inUse) {
 			now[id] = true
 			if !used[self][id] {
-				came++
+				joined++
 			}
 		}
 		used[self] = now
 	}
-	return came
+	return joined
 }
--- a/balance/operator_test.go
+++ b/balance/operator_test.go
@@ -7,28 +7,28 @@
 
 // TestOutOfService takes an endpoint out of service. It gets no new requests, whatever the list says, until it is put back.
 func TestOutOfService(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
-	serve(b, recorder, 20, 20*time.Millisecond)
+	b, recorder := start(t, settings(), twoEndpoints())
+	serveRequests(b, recorder, 20, 20*time.Millisecond)
 	b.SetOutOfService(recorder.now, []string{"a", "not listed"})
-	again := pair()
-	again[0].Started = recorder.now
+	restarted := twoEndpoints()
+	restarted[0].Started = recorder.now
 	for name, change := range map[string]func(){
 		"taken out":    func() {},
 		"taken twice":  func() { b.SetOutOfService(recorder.now, []string{"a", "not listed"}) },
-		"listed again": func() { b.Endpoints(recorder.now, ListFull, pair()) },
-		"restarted":    func() { b.Endpoints(recorder.now, ListChanges, again[:1]) },
+		"listed again": func() { b.Endpoints(recorder.now, ListFull, twoEndpoints()) },
+		"restarted":    func() { b.Endpoints(recorder.now, ListChanges, restarted[:1]) },
 		"gone and back": func() {
-			b.Endpoints(recorder.now, ListFull, pair()[1:])
-			b.Endpoints(recorder.now, ListFull, pair())
+			b.Endpoints(recorder.now, ListFull, twoEndpoints()[1:])
+			b.Endpoints(recorder.now, ListFull, twoEndpoints())
 		},
 	} {
 		change()
 		for id := range RequestID(20) {
 			recorder.now += time.Second
-			if to := ask(b, recorder, RequestID(recorder.now)+id); to == "a" {
+			if to := sendRequest(b, recorder, RequestID(recorder.now)+id); to == "a" {
 				t.Fatalf("%s: the endpoint that is out of service got a request", name)
 			}
-			recorder.answer(b, recorder.now, Served)
+			recorder.endAttempts(b, recorder.now, Served)
 		}
 		if all, avoided := b.CountListed(recorder.now); all != 2 || avoided != 1 {
 			t.Errorf("%s: %d listed and %d avoided, want 2 and 1", name, all, avoided)
@@ -40,10 +40,10 @@
 	}
 	for id := range RequestID(200) {
 		recorder.now += 20 * time.Millisecond
-		if ask(b, recorder, RequestID(recorder.now)+id) == "a" {
+		if sendRequest(b, recorder, RequestID(recorder.now)+id) == "a" {
 			return
 		}
-		recorder.answer(b, recorder.now, Served)
+		recorder.endAttempts(b, recorder.now, Served)
 	}
 	t.Error("an endpoint that was put back is not used")
 }
@@ -54,38 +54,38 @@
 	for _, test := range []struct {
 		name    string
 		started Time // start listed while it is out of service, since it was taken out; 0: not listed
-		warm    bool
+		isWarm  bool
 	}{{"restart not listed", 0, false}, {"restart listed", 2 * time.Second, false}, {"restart listed, warm since", 2 * time.Second, true}} {
-		b, recorder := start(t, settings(), pair())
-		serve(b, recorder, 20, 20*time.Millisecond)
+		b, recorder := start(t, settings(), twoEndpoints())
+		serveRequests(b, recorder, 20, 20*time.Millisecond)
 		began := recorder.now
 		b.SetOutOfService(recorder.now, []string{"a"})
 		if recorder.now += 4 * time.Second; test.started != 0 {
-			again := pair()[:1]
+			again := twoEndpoints()[:1]
 			again[0].Started = began + test.started
 			b.Endpoints(recorder.now, ListChanges, again)
 		}
-		if test.warm {
+		if test.isWarm {
 			recorder.now += settings().WarmUpTime
 		}
 		b.SetOutOfService(recorder.now, nil)
 		returned := b.byID["a"]
-		if got := returned.warmth >= 1; got != test.warm {
+		if got := returned.warmth >= 1; got != test.isWarm {
 			t.Errorf("%s: warmth %.2f after its return", test.name, returned.warmth)
 		}
 		got := 0
 		for range 40 {
 			recorder.now += time.Millisecond
-			if ask(b, recorder, RequestID(recorder.now)) == "a" {
+			if sendRequest(b, recorder, RequestID(recorder.now)) == "a" {
 				got++
 			}
-			recorder.answer(b, recorder.now, Served)
+			recorder.endAttempts(b, recorder.now, Served)
 		}
 		// Its share by its warmth, initially 0.3, times half of OverloadMultiple.
-		if (got > 16) != test.warm {
+		if (got > 16) != test.isWarm {
 			t.Errorf("%s: it got %d of 40 requests", test.name, got)
 		}
-		late := pair()[:1]
+		late := twoEndpoints()[:1]
 		late[0].Started = began + time.Second
 		recorder.now = max(recorder.now, began+time.Second)
 		b.Endpoints(recorder.now, ListChanges, late)
@@ -98,8 +98,8 @@
 // TestReturnToServiceWithStartInTheFuture returns an endpoint to service whose listed start is ahead of the sidecar's clock. It may
 // have restarted while it was out of service, so it must count as cold although the listed start is later.
 func TestReturnToServiceWithStartInTheFuture(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
-	again := pair()[:1]
+	b, recorder := start(t, settings(), twoEndpoints())
+	again := twoEndpoints()[:1]
 	again[0].Started = recorder.now + time.Hour
 	b.Endpoints(recorder.now, ListChanges, again)
 	recorder.now += settings().WarmUpTime
@@ -112,9 +112,9 @@
 }
 
 func TestKnows(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
+	b, recorder := start(t, settings(), twoEndpoints())
 	b.SetOutOfService(recorder.now, []string{"c"})
-	b.Endpoints(recorder.now, ListFull, pair()[:1])
+	b.Endpoints(recorder.now, ListFull, twoEndpoints()[:1])
 	for id, want := range map[string]bool{"a": true, "b": false, "c": true, "d": false, "": false} {
 		if b.Knows(id) != want {
 			t.Errorf("Knows(%q) returned %v", id, !want)
@@ -125,18 +125,18 @@
 // TestOnlyWarmingUpEndpointsAreLeft takes all endpoints out of service except a cold one. It gets the share of the requests that
 // corresponds to its part of the fleet's capacity, and not all requests.
 func TestOnlyWarmingUpEndpointsAreLeft(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
-	serve(b, recorder, 40, 20*time.Millisecond)
+	b, recorder := start(t, settings(), twoEndpoints())
+	serveRequests(b, recorder, 40, 20*time.Millisecond)
 	b.SetOutOfService(recorder.now, []string{"a"})
 	b.SetOutOfService(recorder.now, []string{"b"}) // a has returned and is cold
 	const n = 100
 	sent := 0
 	for range n {
 		recorder.now += time.Millisecond
-		if to := ask(b, recorder, RequestID(recorder.now)); to != "" {
+		if to := sendRequest(b, recorder, RequestID(recorder.now)); to != "" {
 			sent++
 		}
-		recorder.answer(b, recorder.now, Served)
+		recorder.endAttempts(b, recorder.now, Served)
 	}
 	// It is half of the fleet and has 0.3 of its capacity.
 	if sent < n/10 || sent > n/5 {
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -9,13 +9,13 @@
 func TestFastFailureIsEjected(t *testing.T) {
 	set := settings()
 	set.MaxAttempts = 1
-	b, recorder := start(t, set, append(pair(), Endpoint{ID: "c", Zone: "x", Kind: "big", Size: 1}))
-	serve(b, recorder, 60, 20*time.Millisecond)
-	// play sends n requests, gap apart, and returns how many went to a, which fails every one immediately.
-	play := func(first, n RequestID, gap time.Duration) (failed int) {
+	b, recorder := start(t, set, append(twoEndpoints(), Endpoint{ID: "c", Zone: "x", Kind: "big", Size: 1}))
+	serveRequests(b, recorder, 60, 20*time.Millisecond)
+	// sendRequests sends n requests, gap apart, and returns how many went to a, which fails every one immediately.
+	sendRequests := func(first, n RequestID, gap time.Duration) (failed int) {
 		for i := first; i < first+n; i++ {
 			recorder.now += gap
-			to := ask(b, recorder, i)
+			to := sendRequest(b, recorder, i)
 			outcome := Served
 			if to == "a" {
 				outcome = Errored
@@ -25,39 +25,39 @@
 		}
 		return failed
 	}
-	if failed := play(0, 60, 20*time.Millisecond); failed == 0 || failed > 2 {
+	if failed := sendRequests(0, 60, 20*time.Millisecond); failed == 0 || failed > 2 {
 		t.Errorf("%d requests went to an endpoint that fails all of them, want 1 or 2", failed)
 	}
 	// After the ejection time it returns, and the next failure ejects it again immediately.
 	recorder.now += ejectionTime + time.Second
 	b.Timer(recorder.now, tickToken)
-	if back := play(100, 12, 0); back != 1 {
+	if back := sendRequests(100, 12, 0); back != 1 {
 		t.Errorf("%d requests went to it after its return, want 1", back)
 	}
 }
 
 func TestPanic(t *testing.T) {
 	// If every endpoint is ejected, the fault is assumed to be on this side, and requests are still sent.
-	b, recorder := start(t, settings(), pair())
+	b, recorder := start(t, settings(), twoEndpoints())
 	for _, e := range b.endpoints {
 		e.ejectedUntil = recorder.now + time.Hour
 	}
-	if ask(b, recorder, 1) != "" {
+	if sendRequest(b, recorder, 1) != "" {
 		t.Error("an ejected endpoint was used before the tick that updates panic")
 	}
 	b.Timer(recorder.now, tickToken)
-	if ask(b, recorder, 2) == "" {
+	if sendRequest(b, recorder, 2) == "" {
 		t.Error("no endpoint is used while all are ejected, want panic to suspend the ejections")
 	}
 }
 
 func TestUnresponsiveEndpointGetsNothingMore(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
-	serve(b, recorder, 100, 20*time.Millisecond)
-	first := ask(b, recorder, 1) // never answered
+	b, recorder := start(t, settings(), twoEndpoints())
+	serveRequests(b, recorder, 100, 20*time.Millisecond)
+	first := sendRequest(b, recorder, 1) // never answered
 	recorder.now += 2 * time.Second
 	for i := RequestID(10); i < 20; i++ {
-		to := ask(b, recorder, i)
+		to := sendRequest(b, recorder, i)
 		if to == first {
 			t.Fatalf("request %d went to an endpoint that has not answered for two latency targets", i)
 		}
@@ -68,14 +68,14 @@
 // TestLostAnswersCostNoTurns loses two of every fifty answers of two healthy endpoints. It guards against a lost answer that
 // blocks its endpoint until it times out, and against two of them that eject it.
 func TestLostAnswersCostNoTurns(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
-	serve(b, recorder, 100, 20*time.Millisecond)
-	type out struct {
+	b, recorder := start(t, settings(), twoEndpoints())
+	serveRequests(b, recorder, 100, 20*time.Millisecond)
+	type lostAttempt struct {
 		id RequestID
 		at Time
 		to string
 	}
-	var lost []out
+	var lost []lostAttempt
 	turns := map[string]int{}
 	const requests = 1000
 	for i := range RequestID(requests) {
@@ -84,9 +84,9 @@
 			b.Result(recorder.now, Result{ID: lost[0].id, Endpoint: lost[0].to, Outcome: TimedOut, Latency: 2 * time.Second, Finished: true})
 			lost = lost[1:]
 		}
-		to := ask(b, recorder, i)
+		to := sendRequest(b, recorder, i)
 		if turns[to]++; i%50 < 2 && to != "" {
-			lost = append(lost, out{i, recorder.now, to})
+			lost = append(lost, lostAttempt{i, recorder.now, to})
 			continue
 		}
 		b.Result(recorder.now, Result{ID: i, Endpoint: to, Latency: 5 * time.Millisecond, Finished: true})
@@ -111,9 +111,9 @@
 			set := settings()
 			set.CancelAllowed = true
 			set.Classes[0].Effect, set.Classes[0].DedupeWindow = effect, 5*time.Second
-			b, recorder := start(t, set, pair())
-			serve(b, recorder, 100, 20*time.Millisecond)
-			first, began := ask(b, recorder, lost), recorder.now
+			b, recorder := start(t, set, twoEndpoints())
+			serveRequests(b, recorder, 100, 20*time.Millisecond)
+			first, began := sendRequest(b, recorder, lost), recorder.now
 			serveUntilCancel(b, recorder)
 			if effect != Idempotent {
 				if recorder.cancelled > 0 {
@@ -135,11 +135,11 @@
 // serveUntilCancel serves requests with up to four in flight, so that each endpoint has some, until an attempt is cancelled.
 func serveUntilCancel(b *Balancer, recorder *host) {
 	recorder.sent = nil
-	var pending []sending
+	var pending []sendCall
 	for i := RequestID(10); i < 200 && recorder.cancelled == 0; i++ {
 		recorder.now += 10 * time.Millisecond
-		if to := ask(b, recorder, i); to != "" {
-			pending = append(pending, sending{id: i, to: to})
+		if to := sendRequest(b, recorder, i); to != "" {
+			pending = append(pending, sendCall{id: i, to: to})
 		}
 		recorder.sent = nil
 		if len(pending) == 4 {
@@ -149,9 +149,9 @@
 	}
 }
 
-func TestRestartIsANewStart(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
-	serve(b, recorder, 40, 20*time.Millisecond)
+func TestRestartResetsEndpoint(t *testing.T) {
+	b, recorder := start(t, settings(), twoEndpoints())
+	serveRequests(b, recorder, 40, 20*time.Millisecond)
 	e := b.byID["a"]
 	e.ejectedUntil = recorder.now + time.Hour
 	again := e.Endpoint
@@ -162,12 +162,12 @@
 	}
 }
 
-func TestDepartedEndpointsAreForgotten(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
+func TestRemovedEndpointsAreDeleted(t *testing.T) {
+	b, recorder := start(t, settings(), twoEndpoints())
 	for i := range 1000 {
 		list := []Endpoint{{ID: string(rune('c' + i)), Zone: "x", Kind: "big", Size: 1}}
 		b.Endpoints(recorder.now, ListFull, list)
-		serve(b, recorder, 2, time.Millisecond)
+		serveRequests(b, recorder, 2, time.Millisecond)
 	}
 	if len(b.byID) > 2 || len(b.endpoints) != 1 || len(b.requests) != 0 {
 		t.Errorf("%d endpoints and %d requests are still stored", len(b.byID), len(b.requests))
@@ -177,7 +177,7 @@
 func TestDiscoveryCallsBackOff(t *testing.T) {
 	set := settings()
 	set.SubscribeToDiscovery, set.DiscoveryDeadline = true, 10*time.Second
-	b, recorder := start(t, set, pair())
+	b, recorder := start(t, set, twoEndpoints())
 	for range 20 {
 		calls := recorder.subscribed
 		b.Timer(recorder.now, discoveryToken)
@@ -201,9 +201,9 @@
 	}{{4 * time.Second, 1}, {4800 * time.Millisecond, 0}} {
 		set := settings()
 		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].DedupeWindow = Deduplicated, ScopeAll, 5*time.Second
-		b, recorder := start(t, set, pair())
+		b, recorder := start(t, set, twoEndpoints())
 		b.Request(recorder.now, Request{ID: 1, Tenant: -1, TimeLeft: 10 * time.Second})
-		recorder.answer(b, recorder.now+test.after, Errored)
+		recorder.endAttempts(b, recorder.now+test.after, Errored)
 		if len(recorder.sent) != test.repeats {
 			t.Errorf("%d retries after %v, want %d", len(recorder.sent), test.after, test.repeats)
 		}
@@ -213,16 +213,16 @@
 // TestStartInTheFuture lists a process whose start time is an hour ahead. It warms up from now on, and listing it again with the
 // same start time does not restart its warm-up.
 func TestStartInTheFuture(t *testing.T) {
-	b, recorder := start(t, settings(), pair())
+	b, recorder := start(t, settings(), twoEndpoints())
 	recorder.now += time.Minute
 	fresh := []Endpoint{{ID: "c", Zone: "x", Kind: "big", Size: 1, Started: recorder.now + time.Hour}}
 	b.Endpoints(recorder.now, ListChanges, fresh)
-	told := recorder.now
+	listedAt := recorder.now
 	for _, test := range []struct {
 		after time.Duration
 		want  float64
 	}{{0, settings().StartCapacity}, {settings().WarmUpTime / 2, (1 + settings().StartCapacity) / 2}, {settings().WarmUpTime, 1}} {
-		recorder.now = told + test.after
+		recorder.now = listedAt + test.after
 		b.Endpoints(recorder.now, ListChanges, fresh)
 		if got := b.warmthOf(b.byID["c"], recorder.now); got < test.want-1e-9 || got > test.want+1e-9 {
 			t.Errorf("%v after it was first listed, its warmth is %v, want %v", test.after, got, test.want)
--- a/balance/overload_test.go
+++ b/balance/overload_test.go
@@ -11,50 +11,50 @@
 func TestOverloadEstimateEndsWithIt(t *testing.T) {
 	for _, gap := range []time.Duration{25 * time.Millisecond, 100 * time.Millisecond} { // high and low traffic
 		t.Run(fmt.Sprint("a request in ", gap), func(t *testing.T) {
-			play := newOverloadPlay(t, gap)
-			play.run()
-			if play.refused > 0 {
-				t.Errorf("%d requests refused later than 3 s after the overload, %d sent", play.refused, play.sent())
+			simulation := newOverloadSimulation(t, gap)
+			simulation.run()
+			if simulation.refused > 0 {
+				t.Errorf("%d requests refused later than 3 s after the overload, %d sent", simulation.refused, simulation.sent())
 			}
-			for _, e := range play.list {
-				if mean := play.sent() / len(play.list); play.got[e.ID] < mean/2 || play.got[e.ID] > 2*mean+1 {
-					t.Errorf("%s got %d of %d requests, want about an equal share", e.ID, play.got[e.ID], play.sent())
+			for _, e := range simulation.list {
+				if mean := simulation.sent() / len(simulation.list); simulation.sentTo[e.ID] < mean/2 || simulation.sentTo[e.ID] > 2*mean+1 {
+					t.Errorf("%s got %d of %d requests, want about an equal share", e.ID, simulation.sentTo[e.ID], simulation.sent())
 				}
 			}
 		})
 	}
 }
 
-// The phases of an overloadPlay, as times since its start.
+// The phases of an overloadSimulation, as times since its start.
 const (
-	overloadFrom  = 4 * time.Second
-	overloadUntil = 9 * time.Second
-	countedFrom   = 12 * time.Second
-	playUntil     = 16 * time.Second
+	overloadFrom   = 4 * time.Second
+	overloadUntil  = 9 * time.Second
+	countedFrom    = 12 * time.Second
+	simulatedUntil = 16 * time.Second
 )
 
-// overloadPlay simulates an overload of all endpoints that one sidecar uses.
-type overloadPlay struct {
-	b       *Balancer
-	h       *host
-	list    []Endpoint
-	gap     time.Duration // between requests
-	due     []lateAnswer
-	refused int            // requests refused after the overload
-	got     map[string]int // requests sent after the overload, by endpoint
+// overloadSimulation simulates an overload of all endpoints that one sidecar uses.
+type overloadSimulation struct {
+	b              *Balancer
+	h              *host
+	list           []Endpoint
+	gap            time.Duration // between requests
+	pendingAnswers []lateAnswer
+	refused        int            // requests refused after the overload
+	sentTo         map[string]int // requests sent after the overload, by endpoint
 }
 
 type lateAnswer struct {
 	at, took time.Duration
-	sending
+	sendCall
 }
 
-func newOverloadPlay(t *testing.T, gap time.Duration) *overloadPlay {
+func newOverloadSimulation(t *testing.T, gap time.Duration) *overloadSimulation {
 	t.Helper()
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
 	set.Classes[1].Value = 5
-	p := &overloadPlay{gap: gap, got: map[string]int{}}
+	p := &overloadSimulation{gap: gap, sentTo: map[string]int{}}
 	for i := range 12 {
 		p.list = append(p.list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
 	}
@@ -62,40 +62,40 @@
 	return p
 }
 
-func (p *overloadPlay) run() {
-	for began := p.h.now; p.h.now < began+playUntil; p.h.now += 5 * time.Millisecond {
+func (p *overloadSimulation) run() {
+	for began := p.h.now; p.h.now < began+simulatedUntil; p.h.now += 5 * time.Millisecond {
 		since := p.h.now - began
-		p.answer()
+		p.deliverAnswers()
 		if since%tickInterval == 0 {
 			p.b.Timer(p.h.now, tickToken)
 		}
 		if since%p.gap == 0 {
-			p.ask(since)
+			p.sendRequest(since)
 		}
 	}
 }
 
-func (p *overloadPlay) answer() {
-	for len(p.due) > 0 && p.due[0].at <= p.h.now {
-		answer := p.due[0]
-		p.due = p.due[1:]
+func (p *overloadSimulation) deliverAnswers() {
+	for len(p.pendingAnswers) > 0 && p.pendingAnswers[0].at <= p.h.now {
+		answer := p.pendingAnswers[0]
+		p.pendingAnswers = p.pendingAnswers[1:]
 		p.b.Result(p.h.now, Result{ID: answer.id, Endpoint: answer.to, Latency: answer.took, Finished: true})
 	}
 }
 
-func (p *overloadPlay) ask(since time.Duration) {
-	const quick, late = 60 * time.Millisecond, 900 * time.Millisecond
+func (p *overloadSimulation) sendRequest(since time.Duration) {
+	const fast, late = 60 * time.Millisecond, 900 * time.Millisecond
 	overloaded, counted := since >= overloadFrom && since < overloadUntil, since >= countedFrom
 	before := len(p.h.refused)
 	p.b.Request(p.h.now, Request{ID: RequestID(p.h.now), Class: int(since / p.gap % 2), Tenant: -1, TimeLeft: 3 * time.Second})
 	for _, s := range p.h.sent {
-		took := quick
+		took := fast
 		if overloaded {
 			took = late
 		}
-		p.due = append(p.due, lateAnswer{p.h.now + took, took, s})
+		p.pendingAnswers = append(p.pendingAnswers, lateAnswer{p.h.now + took, took, s})
 		if counted {
-			p.got[s.to]++
+			p.sentTo[s.to]++
 		}
 	}
 	p.h.sent = nil
@@ -103,15 +103,15 @@
 		p.refused += len(p.h.refused) - before
 	}
 	if !overloaded { // keep the answers sorted: the last late answers come after the first fast ones
-		for i := len(p.due) - 1; i > 0 && p.due[i].at < p.due[i-1].at; i-- {
-			p.due[i], p.due[i-1] = p.due[i-1], p.due[i]
+		for i := len(p.pendingAnswers) - 1; i > 0 && p.pendingAnswers[i].at < p.pendingAnswers[i-1].at; i-- {
+			p.pendingAnswers[i], p.pendingAnswers[i-1] = p.pendingAnswers[i-1], p.pendingAnswers[i]
 		}
 	}
 }
 
 // sent returns the number of requests sent after the overload.
-func (p *overloadPlay) sent() (sum int) {
-	for _, n := range p.got {
+func (p *overloadSimulation) sent() (sum int) {
+	for _, n := range p.sentTo {
 		sum += n
 	}
 	return sum
@@ -131,7 +131,7 @@
 	b.Endpoints(recorder.now, ListFull, list)
 	for index := range RequestID(60) {
 		recorder.now += 20 * time.Millisecond
-		to := ask(b, recorder, index)
+		to := sendRequest(b, recorder, index)
 		if to == "" {
 			continue
 		}
--- a/balance/peersignals_test.go
+++ b/balance/peersignals_test.go
@@ -41,32 +41,32 @@
 }
 
 type verdictCase struct {
-	name    string
-	members int
-	kind    signals.Kind
-	served  time.Duration // time since the server last served this sidecar; 0: never
-	next    bool          // the server's next process is listed
-	avoided bool
+	name      string
+	members   int
+	kind      signals.Kind
+	served    time.Duration // time since the server last served this sidecar; 0: never
+	restarted bool          // the server's next process is listed
+	ejected   bool
 }
 
 func (test verdictCase) run(t *testing.T) {
 	const peers = 10
-	b, recorder := sidecar(t, 3, peers, fleet(20))
+	b, recorder := startSidecar(t, 3, peers, endpointList(20))
 	subject := b.inUse[0]
 	recorder.now = 10 * time.Second
 	if test.served > 0 {
 		subject.lastServed = recorder.now - test.served
 	}
 	condemned := *subject
-	if test.next {
+	if test.restarted {
 		next := subject.Endpoint
 		next.Started = recorder.now
 		b.Endpoints(recorder.now, ListChanges, []Endpoint{next})
 	}
 	condemn(b, recorder.now, &condemned, test.members, uint64(recorder.now), test.kind)
 	b.Timer(recorder.now, tickToken)
-	if got := recorder.now < subject.ejectedUntil; got != test.avoided {
-		t.Errorf("endpoint is ejected: %v, want %v", got, test.avoided)
+	if got := recorder.now < subject.ejectedUntil; got != test.ejected {
+		t.Errorf("endpoint is ejected: %v, want %v", got, test.ejected)
 	}
 	if v := b.LocalReport(recorder.now).Verdicts; len(v) > 0 && (test.served == 0 || v[0].Kind != signals.Serving) {
 		t.Error("the sidecar reports a verdict that it only received from others")
@@ -84,7 +84,7 @@
 // TestVerdictsLeaveHalf checks that verdicts on more than half of all endpoints lead to panic, which suspends the ejections,
 // because then the fault is more likely on the side of the members.
 func TestVerdictsLeaveHalf(t *testing.T) {
-	b, recorder := sidecar(t, 0, 10, fleet(8))
+	b, recorder := startSidecar(t, 0, 10, endpointList(8))
 	recorder.now = 10 * time.Second
 	for n, e := range b.endpoints[:5] {
 		for i := range 3 {
@@ -100,7 +100,7 @@
 
 // TestLocalReport checks that a sidecar reports servers with two overdue answers and servers that it ejected, until they serve it.
 func TestLocalReport(t *testing.T) {
-	b, recorder := sidecar(t, 0, 10, fleet(20))
+	b, recorder := startSidecar(t, 0, 10, endpointList(20))
 	seen := b.inUse[0]
 	recorder.now = 10 * time.Second
 	b.Timer(recorder.now, tickToken)
@@ -148,10 +148,10 @@
 // group. A sidecar with few own answers expects higher latency of a server that three members report, until two were served since.
 // One with many own answers relies on those.
 func TestOverloadedAndSlowAreReported(t *testing.T) {
-	b, recorder := sidecar(t, 0, 10, fleet(20))
+	b, recorder := startSidecar(t, 0, 10, endpointList(20))
 	seen := b.inUse[0]
 	recorder.now = 10 * time.Second
-	serve(b, recorder, 200, 20*time.Millisecond)
+	serveRequests(b, recorder, 200, 20*time.Millisecond)
 	seen.rejections, seen.failedAt = 3, recorder.now
 	if r := b.LocalReport(recorder.now); len(r.Verdicts) != 1 || r.Verdicts[0].Kind != signals.Overloaded || r.Verdicts[0].Count != 3 {
 		t.Fatalf("report after rejections: %+v", r)
@@ -162,7 +162,7 @@
 	}
 	seen.latencySum, seen.loadSum, seen.lastServed = 0, 0, 0
 	before := b.expectedLatency(seen, recorder.now)
-	tell := func(seq uint64, from, to int, kind signals.Kind, age time.Duration) {
+	receiveReports := func(seq uint64, from, to int, kind signals.Kind, age time.Duration) {
 		for i := from; i < to; i++ {
 			r := report(seen, []string{b.settings.Zone, "other"}[i%2], kind)
 			r.Verdicts[0].Age = age
@@ -170,17 +170,17 @@
 		}
 		b.Timer(recorder.now, tickToken)
 	}
-	tell(1, 0, 3, signals.Overloaded, time.Second)
+	receiveReports(1, 0, 3, signals.Overloaded, time.Second)
 	if after := b.expectedLatency(seen, recorder.now); after < spillThreshold*b.shortestTarget || after > refusalThreshold*b.shortestTarget || recorder.now < seen.ejectedUntil {
 		t.Errorf("expected latency %.3f s after the verdict, %.3f s before", after, before)
 	}
 	if seen.latencySum, seen.loadSum, seen.freshness = 0.2, 20, 1; b.expectedLatency(seen, recorder.now) > spillThreshold*b.shortestTarget {
 		t.Errorf("expected latency %.3f s in spite of fast own answers", b.expectedLatency(seen, recorder.now))
 	}
-	if tell(1, 3, 4, signals.Serving, time.Second/2); !seen.reportedDegraded {
+	if receiveReports(1, 3, 4, signals.Serving, time.Second/2); !seen.reportedDegraded {
 		t.Error("a single served member ended the verdict")
 	}
-	if tell(1, 4, 5, signals.Serving, time.Second/2); seen.reportedDegraded {
+	if receiveReports(1, 4, 5, signals.Serving, time.Second/2); seen.reportedDegraded {
 		t.Error("the server still counts as degraded after two members were served")
 	}
 }
@@ -189,15 +189,15 @@
 // the turns of members that are gone.
 func TestProbesGoByTurns(t *testing.T) {
 	const peers, seconds = 100, 60
-	for _, gone := range []int{0, 50} {
-		t.Run(fmt.Sprint(gone, " missing"), func(t *testing.T) {
+	for _, missing := range []int{0, 50} {
+		t.Run(fmt.Sprint(missing, " missing"), func(t *testing.T) {
 			probes := 0
-			for self := range peers - gone {
-				own := countProbes(t, self, peers, peers-gone, seconds*time.Second)
-				if own > seconds/5 {
-					t.Errorf("sidecar %d probes %d times in %d s, want at most once in 5 s", self, own, seconds)
+			for self := range peers - missing {
+				sidecarProbes := countProbes(t, self, peers, peers-missing, seconds*time.Second)
+				if sidecarProbes > seconds/5 {
+					t.Errorf("sidecar %d probes %d times in %d s, want at most once in 5 s", self, sidecarProbes, seconds)
 				}
-				probes += own
+				probes += sidecarProbes
 			}
 			if probes < 10 || probes > 4*seconds {
 				t.Errorf("%d probes of one server in %d s, want at least 10 and at most 4 per second", probes, seconds)
@@ -209,21 +209,21 @@
 // countProbes returns the number of requests that a sidecar sends to an endpoint while three members condemn it.
 func countProbes(t *testing.T, self, peers, members int, length time.Duration) (probes int) {
 	t.Helper()
-	b, recorder := sidecar(t, self, peers, fleet(20))
+	b, recorder := startSidecar(t, self, peers, endpointList(20))
 	b.SetMembers(recorder.now, self, make([]Peer, members))
 	condemned := b.inUse[0]
 	recorder.now = 10 * time.Second
 	for end := recorder.now + length; recorder.now < end; recorder.now += tickInterval {
 		condemn(b, recorder.now, condemned, 3, uint64(recorder.now), signals.Unresponsive)
 		b.Timer(recorder.now, tickToken)
-		ask(b, recorder, RequestID(recorder.now))
+		sendRequest(b, recorder, RequestID(recorder.now))
 		for _, s := range recorder.sent {
 			if s.to != condemned.ID {
 				continue
 			}
 			probes++
-			if s.within != 1500*time.Millisecond {
-				t.Fatalf("a probe has a timeout of %v, want half of the 3 s to leave time for another attempt", s.within)
+			if s.timeout != 1500*time.Millisecond {
+				t.Fatalf("a probe has a timeout of %v, want half of the 3 s to leave time for another attempt", s.timeout)
 			}
 		}
 		recorder.sent = nil
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -10,15 +10,15 @@
 
 // group is one destination of the best rule, or all endpoints.
 type group struct {
-	destination   Destination
-	ready         []*endpoint // sorted by id, or by orderHash if the members are known
-	members       []*endpoint // the sidecar's subset of the ready endpoints, in rotation order
-	readyCapacity [2]float64  // total size of the ready endpoints scaled by their warmth, by zoneIndex
-	maxReadySize  float64     // the largest total size that was ever ready
-	latencySums               // over endpoints whose home group this is, with load per unit of size
-	owedSeconds   float64     // sum of owedSeconds of those endpoints at the last tick
-	nextIndex     int         // index of the member whose turn is next, modulo the number of members
-	credit        float64     // for the smooth weighted round robin
+	destination    Destination
+	ready          []*endpoint // sorted by id, or by orderHash if the members are known
+	members        []*endpoint // the sidecar's subset of the ready endpoints, in rotation order
+	readyCapacity  [2]float64  // total size of the ready endpoints scaled by their warmth, by zoneIndex
+	maxReadySize   float64     // the largest total size that was ever ready
+	latencySums                // over endpoints whose home group this is, with load per unit of size
+	pendingSeconds float64     // sum of pendingSeconds of those endpoints at the last tick
+	nextIndex      int         // index of the member whose turn is next, modulo the number of members
+	credit         float64     // for the smooth weighted round robin
 }
 
 // weight returns the configured weight scaled by the capacity of the group's ready endpoints. If a group that has shrunk
--- a/balance/rotation_test.go
+++ b/balance/rotation_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// turnsOf sends n requests, each answered immediately, and returns the endpoints in the order in which they got them.
-func turnsOf(t *testing.T, rules []Rule, list []Endpoint, n int) []string {
+// rotationOrder sends n requests, each answered immediately, and returns the endpoints in the order in which they got them.
+func rotationOrder(t *testing.T, rules []Rule, list []Endpoint, n int) []string {
 	t.Helper()
 	set := settings()
 	set.Rules = rules
@@ -68,7 +68,7 @@
 			t.Fatalf("request %d: %d sends, want 1", i, len(recorder.sent))
 		}
 		order = append(order, recorder.sent[0].to)
-		recorder.answer(b, now+time.Millisecond, Served)
+		recorder.endAttempts(b, now+time.Millisecond, Served)
 	}
 	return order
 }
@@ -92,7 +92,7 @@
 
 func TestSplitIsSmooth(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "x", Kind: "small", Size: 1}}
-	order := turnsOf(t, canary(80, 20), list, 100)
+	order := rotationOrder(t, canary(80, 20), list, 100)
 	if got := count(order); got["a"] != 80 || got["b"] != 20 {
 		t.Fatalf("split %v, want 80 and 20", got)
 	}
@@ -108,7 +108,7 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		list = append(list, Endpoint{ID: id, Zone: "x", Kind: "big", Size: 1})
 	}
-	order := turnsOf(t, nil, list, 40)
+	order := rotationOrder(t, nil, list, 40)
 	for i := 4; i < len(order); i++ {
 		if order[i] != order[i-4] {
 			t.Fatalf("turn %d went to %s after %v, want the same order in each round", i, order[i], order[i-4:i])
@@ -118,7 +118,7 @@
 
 func TestUnequalKindsBySize(t *testing.T) {
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 3}, {ID: "b", Zone: "x", Kind: "small", Size: 1}}
-	if got := count(turnsOf(t, nil, list, 40)); got["a"] != 30 || got["b"] != 10 {
+	if got := count(rotationOrder(t, nil, list, 40)); got["a"] != 30 || got["b"] != 10 {
 		t.Errorf("turns %v, want 30 and 10", got)
 	}
 }
@@ -138,11 +138,11 @@
 func TestEmptyGroups(t *testing.T) {
 	// The turns of a group without members go to the others. If no group has members, all ready endpoints form one group.
 	one := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}}
-	if got := count(turnsOf(t, canary(50, 50), one, 10)); got["a"] != 10 {
+	if got := count(rotationOrder(t, canary(50, 50), one, 10)); got["a"] != 10 {
 		t.Errorf("turns %v, want all at a", got)
 	}
 	unknown := []Endpoint{{ID: "a", Zone: "x", Kind: "new", Size: 1}, {ID: "b", Zone: "x", Kind: "new", Size: 1}}
-	if got := count(turnsOf(t, canary(50, 50), unknown, 10)); got["a"] != 5 || got["b"] != 5 {
+	if got := count(rotationOrder(t, canary(50, 50), unknown, 10)); got["a"] != 5 || got["b"] != 5 {
 		t.Errorf("turns %v, want 5 each", got)
 	}
 }
@@ -187,9 +187,9 @@
 
 func TestBadSettings(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(*Settings)
-		want  string
+		name       string
+		invalidate func(*Settings)
+		want       string
 	}{
 		{"no classes", func(s *Settings) { s.Classes = nil }, "field Classes"},
 		{"no latency target", func(s *Settings) { s.Classes[0].LatencyTarget = 0 }, `class 0, "read": field LatencyTarget`},
@@ -226,7 +226,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			set := settings()
-			test.spoil(&set)
+			test.invalidate(&set)
 			if _, err := New(set, &host{}); err == nil || !strings.Contains(err.Error(), test.want) {
 				t.Errorf("New returned error %v, want one that contains %q", err, test.want)
 			}
@@ -240,9 +240,9 @@
 func TestCheapCrossingsShiftSooner(t *testing.T) {
 	// The own zone answers in 200 ms and the other one in 50 ms. The gain is about an eighth of the latency target, which is
 	// more than a cheap crossing costs.
-	abroad := func(charge float64) float64 {
+	otherZoneWeight := func(crossingCost float64) float64 {
 		set := settings()
-		set.ZoneCrossingCost = charge
+		set.ZoneCrossingCost = crossingCost
 		b, recorder := start(t, set, []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "b", Zone: "y", Kind: "big", Size: 1}})
 		for range 300 {
 			recorder.now += tickInterval
@@ -253,7 +253,7 @@
 		}
 		return b.zoneWeight[1]
 	}
-	if cheap, dear := abroad(0.01), abroad(0.1); cheap < 0.3 || dear > 0.1 {
-		t.Errorf("weight of other zones is %.3f with cheap crossings and %.3f with expensive ones", cheap, dear)
+	if cheap, expensive := otherZoneWeight(0.01), otherZoneWeight(0.1); cheap < 0.3 || expensive > 0.1 {
+		t.Errorf("weight of other zones is %.3f with cheap crossings and %.3f with expensive ones", cheap, expensive)
 	}
 }
--- a/balance/routes/routes_test.go
+++ b/balance/routes/routes_test.go
@@ -122,10 +122,10 @@
 
 // TestDiffIsMinimal compares the cost of Diff from random tables to all others of a small set with the minimum over all lists of ops.
 func TestDiffIsMinimal(t *testing.T) {
-	worlds := []smallTables{{5, 1, 0}, {3, 1, 1}, {4, 1, 1}, {2, 2, 2}, {3, 2, 1}}
+	tableSets := []smallTables{{5, 1, 0}, {3, 1, 1}, {4, 1, 1}, {2, 2, 2}, {3, 2, 1}}
 	known := map[string]map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := rapid.SampledFrom(worlds).Draw(t, "world")
+		w := rapid.SampledFrom(tableSets).Draw(t, "world")
 		from := ""
 		for _, n := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:w.names]).Draw(t, "order")[:rapid.IntRange(0, w.names).Draw(t, "rules")] {
 			from += string(rune('a'+n)) + rapid.SampledFrom(w.variants()).Draw(t, "variant")
@@ -141,13 +141,13 @@
 			if got := Cost(ops); got != want {
 				t.Fatalf("%q to %q costs %d by %v, want %d", from, to, got, ops, want)
 			}
-			holds(t, a, b, ops)
+			checkDiff(t, a, b, ops)
 		}
 	})
 }
 
-// holds checks that ops lead from a to b, that their inverse leads back, and that a is unchanged.
-func holds(t interface{ Fatalf(string, ...any) }, a, b Table, ops []Op) {
+// checkDiff checks that ops lead from a to b, that their inverse leads back, and that a is unchanged.
+func checkDiff(t interface{ Fatalf(string, ...any) }, a, b Table, ops []Op) {
 	before := a.Hash()
 	got, undo, err := applyAll(a, ops)
 	if err != nil || got.Hash() != b.Hash() {
@@ -159,8 +159,8 @@
 	}
 }
 
-// large returns a valid table with n rules.
-func large(n int) Table {
+// largeTable returns a valid table with n rules.
+func largeTable(n int) Table {
 	t := make(Table, n)
 	for i := range t {
 		t[i] = Rule{Name: fmt.Sprintf("rule-%d", i), Source: Match{"service": fmt.Sprintf("app-%d", i%50), "region": "*"}, Service: Match{"service": "rec-api"},
@@ -169,8 +169,8 @@
 	return t
 }
 
-// shaken returns the table with about the given share of its rules dropped, moved, edited or added.
-func shaken(r *rand.Rand, t Table, share float64) Table {
+// randomlyEdited returns the table with about the given share of its rules dropped, moved, edited or added.
+func randomlyEdited(r *rand.Rand, t Table, share float64) Table {
 	var ops []Op
 	name := func() string { return t[r.IntN(len(t))].Name }
 	for range int(share * float64(len(t))) {
@@ -201,23 +201,23 @@
 // can be concatenated and inverted.
 func TestDiffLarge(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	first := large(400)
+	first := largeTable(400)
 	for _, share := range []float64{0.01, 0.1, 0.5, 1} {
-		second := shaken(r, first, share)
-		third := shaken(r, second, share)
+		second := randomlyEdited(r, first, share)
+		third := randomlyEdited(r, second, share)
 		ab, bc := Diff(first, second), Diff(second, third)
-		holds(t, first, second, ab)
+		checkDiff(t, first, second, ab)
 		if len(ab) == 0 || float64(Cost(ab)) > 2*share*float64(len(first)) {
 			t.Errorf("the diff after editing a share of %v costs %d", share, Cost(ab))
 		}
 		if got, err := Apply(first, Concat(ab, bc)); err != nil || got.Hash() != third.Hash() {
 			t.Errorf("the concatenated diffs do not lead to the last table: %v", err)
 		}
-		back, err := Invert(first, Concat(ab, bc))
+		undoOps, err := Invert(first, Concat(ab, bc))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Apply(third, back); err != nil || got.Hash() != first.Hash() {
+		if got, err := Apply(third, undoOps); err != nil || got.Hash() != first.Hash() {
 			t.Errorf("the inverse of the concatenated diffs does not lead back: %v", err)
 		}
 	}
@@ -225,7 +225,7 @@
 
 // BenchmarkDiff compares a table of 10,000 rules with modified versions of it.
 func BenchmarkDiff(b *testing.B) {
-	from := large(10_000)
+	from := largeTable(10_000)
 	r := rand.New(rand.NewPCG(3, 4))
 	shuffled := append(Table(nil), from...)
 	r.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
@@ -262,7 +262,7 @@
 }
 
 func TestHash(t *testing.T) {
-	first := large(3)
+	first := largeTable(3)
 	second := append(Table(nil), first...)
 	second[1].Destinations = []Destination{first[1].Destinations[1], first[1].Destinations[0]}
 	if first.Hash() != second.Hash() || len(Diff(first, second)) != 0 || !reflect.DeepEqual(first.Canonical(), second.Canonical()) {
@@ -295,7 +295,7 @@
 	}
 	for _, test := range []struct {
 		want string
-		do   func(*Rule)
+		edit func(*Rule)
 	}{
 		{"another rule has this name", func(r *Rule) { r.Name = "rule-0" }},
 		{"field Name: it is missing", func(r *Rule) { r.Name = "" }},
@@ -311,36 +311,36 @@
 		{"weight NaN is not", func(r *Rule) { r.Destinations = []Destination{{Weight: math.NaN()}} }},
 		{"weight +Inf is not", func(r *Rule) { r.Destinations = []Destination{{Weight: math.Inf(1)}} }},
 	} {
-		table := large(3)
-		test.do(&table[2])
+		table := largeTable(3)
+		test.edit(&table[2])
 		if err := table.Check(); err == nil || !strings.Contains(err.Error(), test.want) || !strings.HasPrefix(err.Error(), "rule 2, ") {
 			t.Errorf("Check returned %v, want an error with %q", err, test.want)
 		}
 	}
-	for _, table := range []Table{{}, large(3), large(MaxRules / 2)} {
+	for _, table := range []Table{{}, largeTable(3), largeTable(MaxRules / 2)} {
 		if err := table.Check(); err != nil {
 			t.Error(err)
 		}
 	}
-	if err := large(MaxRules + 1).Check(); err == nil {
+	if err := largeTable(MaxRules + 1).Check(); err == nil {
 		t.Error("Check accepts too many rules")
 	}
-	fat := large(MaxRules)
-	for i := range fat {
-		fat[i].Destinations = many[:20]
+	oversized := largeTable(MaxRules)
+	for i := range oversized {
+		oversized[i].Destinations = many[:20]
 	}
-	if err := fat.Check(); err == nil || !strings.Contains(err.Error(), "bytes") {
+	if err := oversized.Check(); err == nil || !strings.Contains(err.Error(), "bytes") {
 		t.Errorf("Check of a table with too many bytes returned %v", err)
 	}
 }
 
 // TestRelevant checks that the relevant part of a table decides like the whole table.
 func TestRelevant(t *testing.T) {
-	whole := large(200)
+	whole := largeTable(200)
 	client := map[string]string{"service": "app-7", "region": "r"}
-	cut := whole.Relevant(client, "rec-api")
-	if len(cut) != 4 || Best(cut, client, "rec-api").Name != Best(whole, client, "rec-api").Name {
-		t.Errorf("%d relevant rules, want 4 that decide like the whole table", len(cut))
+	relevant := whole.Relevant(client, "rec-api")
+	if len(relevant) != 4 || Best(relevant, client, "rec-api").Name != Best(whole, client, "rec-api").Name {
+		t.Errorf("%d relevant rules, want 4 that decide like the whole table", len(relevant))
 	}
 	if n := len(whole.Relevant(client, "other")) + len(whole.Relevant(map[string]string{"service": "app-7"}, "rec-api")); n != 0 {
 		t.Errorf("%d rules count as relevant that cannot match", n)
@@ -367,7 +367,7 @@
 	if _, err := ParseRules([]byte(strings.Replace(text, "per_size", "per-size", 1))); err == nil {
 		t.Error("an unknown key is accepted")
 	}
-	rest := large(2)
+	rest := largeTable(2)
 	ops := Concat(Diff(table, rest), Diff(rest, table), []Op{{Kind: Move, Name: "x", After: "y"}, {Kind: Unset, Name: "x", Match: Match{"a": "b"}},
 		{Kind: Set, Name: "x", Match: Match{"a": "b"}}, {Kind: Rematch, Name: "x", Source: Match{"a": "b"}, Service: Match{"service": "*"}}})
 	line, err := json.Marshal(ops)
@@ -392,7 +392,7 @@
 		if json.Unmarshal(text, &ops) != nil {
 			return
 		}
-		table := large(3)
+		table := largeTable(3)
 		before := table.Hash()
 		got, err := Apply(table, ops)
 		if table.Hash() != before || err != nil && got != nil {
--- a/balance/rules_apply_test.go
+++ b/balance/rules_apply_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// playTurns sends n requests, each answered immediately, and returns the endpoints in the order in which they got them.
-func (recorder *host) playTurns(b *Balancer, n int) (order []string) {
+// sendInTurn sends n requests, each answered immediately, and returns the endpoints in the order in which they got them.
+func (recorder *host) sendInTurn(b *Balancer, n int) (order []string) {
 	for range n {
 		now := recorder.now + 10*time.Millisecond
 		recorder.now = now
 		b.Request(now, Request{ID: RequestID(now), Tenant: -1, TimeLeft: time.Second})
 		if len(recorder.sent) == 1 {
 			order = append(order, recorder.sent[0].to)
-			recorder.answer(b, now+time.Millisecond, Served)
+			recorder.endAttempts(b, now+time.Millisecond, Served)
 		}
 	}
 	return order
@@ -30,14 +30,14 @@
 	set := settings()
 	set.Rules = canary(80, 20)
 	b, recorder := start(t, set, list)
-	recorder.playTurns(b, 7)
-	type kept struct {
-		next          int
-		credit, whole float64
-		members       string
-	}
-	stateOf := func(g *group) kept {
-		k := kept{next: g.nextIndex, credit: g.credit, whole: g.maxReadySize}
+	recorder.sendInTurn(b, 7)
+	type groupState struct {
+		next                 int
+		credit, maxReadySize float64
+		members              string
+	}
+	stateOf := func(g *group) groupState {
+		k := groupState{next: g.nextIndex, credit: g.credit, maxReadySize: g.maxReadySize}
 		for _, e := range g.members {
 			k.members += e.ID
 		}
@@ -52,21 +52,21 @@
 	if err := b.SetRules(recorder.now, other); err != nil || stateOf(b.groups[0]) != before || len(b.groups) != 3 {
 		t.Errorf("changing the second group: error %v, first group is %v, was %v", err, stateOf(b.groups[0]), before)
 	}
-	if got := count(recorder.playTurns(b, 100)); got["c"] != 20 || got["b"] != 0 {
+	if got := count(recorder.sendInTurn(b, 100)); got["c"] != 20 || got["b"] != 0 {
 		t.Errorf("turns %v, want 20 of 100 at c and none at b", got)
 	}
 	// The weights 8000 and 2000 leave credit of thousands, which must not dominate the weights 1 and 1.
 	if err := b.SetRules(recorder.now, canary(8000, 2000)); err != nil {
 		t.Error("table with weights 8000 and 2000 not applied")
 	}
-	recorder.playTurns(b, 3)
+	recorder.sendInTurn(b, 3)
 	if err := b.SetRules(recorder.now, canary(1, 1)); err != nil {
 		t.Error("table with weights 1 and 1 not applied")
 	}
-	if got := count(recorder.playTurns(b, 20)); got["b"] < 8 || got["b"] > 12 {
+	if got := count(recorder.sendInTurn(b, 20)); got["b"] < 8 || got["b"] > 12 {
 		t.Errorf("turns %v after the new weights, want half each", got)
 	}
-	order := recorder.playTurns(b, 12)
+	order := recorder.sendInTurn(b, 12)
 	for i := 6; i < len(order); i++ {
 		if order[i] != order[i-6] {
 			t.Errorf("turns do not repeat evenly: %v", order)
@@ -90,8 +90,8 @@
 	if err := b.SetRules(recorder.now, only); err != nil {
 		t.Fatal(err)
 	}
-	recorder.answer(b, recorder.now+time.Millisecond, Served)
-	if got := count(recorder.playTurns(b, 10)); got["a"] != 10 {
+	recorder.endAttempts(b, recorder.now+time.Millisecond, Served)
+	if got := count(recorder.sendInTurn(b, 10)); got["a"] != 10 {
 		t.Errorf("turns %v, want none at b after its weight was set to 0", got)
 	}
 }
@@ -102,15 +102,15 @@
 	list := []Endpoint{{ID: "a", Zone: "x", Kind: "big", Size: 1}, {ID: "c", Zone: "x", Kind: "huge", Size: 1}}
 	for _, test := range []pendingCase{
 		{name: "nothing happens", wait: pendingRulesTTL, want: "ac"},
-		{name: "a server is added", wait: 100 * time.Millisecond, want: "z", do: func(_ *testing.T, b *Balancer, recorder *host) {
+		{name: "a server is added", wait: 100 * time.Millisecond, want: "z", action: func(_ *testing.T, b *Balancer, recorder *host) {
 			b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "z", Zone: "x", Kind: "none", Size: 1}})
 		}},
-		{name: "the old servers drain", wait: 100 * time.Millisecond, want: "c", do: func(_ *testing.T, b *Balancer, recorder *host) {
+		{name: "the old servers drain", wait: 100 * time.Millisecond, want: "c", action: func(_ *testing.T, b *Balancer, recorder *host) {
 			b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "a", State: Draining}})
 		}},
-		{name: "other tables are set all the time", wait: pendingRulesTTL, want: "ac", others: true},
-		{name: "a table with ready servers is set", wait: 0, want: "c", do: func(t *testing.T, b *Balancer, recorder *host) {
-			if err := b.SetRules(recorder.now, rulesOf("huge")); err != nil {
+		{name: "other tables are set all the time", wait: pendingRulesTTL, want: "ac", setOthers: true},
+		{name: "a table with ready servers is set", wait: 0, want: "c", action: func(t *testing.T, b *Balancer, recorder *host) {
+			if err := b.SetRules(recorder.now, rulesForKind("huge")); err != nil {
 				t.Error(err)
 			}
 		}},
@@ -119,9 +119,9 @@
 	}
 	t.Run("no ready server before", func(t *testing.T) {
 		set := settings()
-		set.Rules = rulesOf("none")
+		set.Rules = rulesForKind("none")
 		b, recorder := start(t, set, list)
-		if err := b.SetRules(recorder.now, rulesOf("nowhere")); err != nil {
+		if err := b.SetRules(recorder.now, rulesForKind("nowhere")); err != nil {
 			t.Errorf("a table without endpoints is pending although the current one has none either: %v", err)
 		}
 		other := []Rule{{Name: "x", Source: Match{"service": "other"}, Service: Match{"service": "*"}, Destinations: canary(1)[0].Destinations}}
@@ -131,8 +131,8 @@
 	})
 }
 
-// rulesOf returns a table with one rule for endpoints of a kind.
-func rulesOf(kind string) []Rule {
+// rulesForKind returns a table with one rule for endpoints of a kind.
+func rulesForKind(kind string) []Rule {
 	rules := canary(1)
 	rules[0].Destinations[0].Match = Match{"version": kind}
 	return rules
@@ -140,33 +140,33 @@
 
 // pendingCase describes what happens while a table is pending, how long it stays pending, and where requests go afterwards.
 type pendingCase struct {
-	name   string
-	do     func(*testing.T, *Balancer, *host) // nil: nothing
-	others bool                               // other tables that stay pending are set all the time
-	wait   time.Duration
-	want   string // ids of the endpoints that get requests afterwards
+	name      string
+	action    func(*testing.T, *Balancer, *host) // nil: nothing
+	setOthers bool                               // other tables that stay pending are set all the time
+	wait      time.Duration
+	want      string // ids of the endpoints that get requests afterwards
 }
 
 func (test pendingCase) run(t *testing.T, list []Endpoint) {
 	set := settings()
 	set.Rules = canary(1)
 	b, recorder := start(t, set, list)
-	err := b.SetRules(recorder.now, rulesOf("none"))
+	err := b.SetRules(recorder.now, rulesForKind("none"))
 	if !errors.Is(err, ErrNoReadyEndpoint) || !b.RulesPending() {
 		t.Fatalf("the table is not pending, SetRules returned %v", err)
 	}
-	if got := count(recorder.playTurns(b, 10)); got["a"] != 10 {
+	if got := count(recorder.sendInTurn(b, 10)); got["a"] != 10 {
 		t.Errorf("turns %v while the table is pending, want all at a", got)
 	}
 	from := recorder.now - 100*time.Millisecond
-	if test.do != nil {
-		test.do(t, b, recorder)
+	if test.action != nil {
+		test.action(t, b, recorder)
 	}
-	test.waitApplied(b, recorder)
+	test.runUntilApplied(b, recorder)
 	if took := recorder.now - from; took < test.wait-time.Second || took > test.wait+time.Second {
 		t.Errorf("the table was pending for %v, want %v", took, test.wait)
 	}
-	got := count(recorder.playTurns(b, 10))
+	got := count(recorder.sendInTurn(b, 10))
 	for _, id := range strings.Split(test.want, "") {
 		if got[id] != 10/len(test.want) {
 			t.Errorf("turns %v, want them evenly at the endpoints %s", got, test.want)
@@ -174,12 +174,12 @@
 	}
 }
 
-// waitApplied runs timers until no table is pending.
-func (test pendingCase) waitApplied(b *Balancer, recorder *host) {
+// runUntilApplied runs timers until no table is pending.
+func (test pendingCase) runUntilApplied(b *Balancer, recorder *host) {
 	for i := 0; b.RulesPending(); i++ {
 		recorder.now += 100 * time.Millisecond
-		if test.others && i%10 == 0 {
-			if err := b.SetRules(recorder.now, rulesOf(fmt.Sprint("none", i))); err == nil {
+		if test.setOthers && i%10 == 0 {
+			if err := b.SetRules(recorder.now, rulesForKind(fmt.Sprint("none", i))); err == nil {
 				return
 			}
 		}
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -57,8 +57,8 @@
 			continue
 		}
 		excessSeconds = min(excessSeconds, excess)
-		owedLimit := limits.threshold * float64(e.pendingAnswers())
-		e.eligible = excess <= 0 && e.owedSeconds(now) <= owedLimit
+		pendingLimit := limits.threshold * float64(e.pendingAnswers())
+		e.eligible = excess <= 0 && e.pendingSeconds(now) <= pendingLimit
 	}
 	return excessSeconds
 }
--- a/balance/shedding.go
+++ b/balance/shedding.go
@@ -42,9 +42,9 @@
 	return s
 }
 
-// takes refills the bucket, takes a token, and reports whether there was one. The bucket refills at allowance*share
+// takeToken refills the bucket, takes a token, and reports whether there was one. The bucket refills at allowance*share
 // tokens per second and holds what memoryTTL adds, plus one.
-func (t *tokenBucket) takes(allowance, share float64, now Time) bool {
+func (t *tokenBucket) takeToken(allowance, share float64, now Time) bool {
 	refilled := t.tokens + allowance*share*(now-t.refilledAt).Seconds()
 	t.tokens = math.Min(refilled, 1+allowance*share*memoryTTL.Seconds())
 	t.refilledAt = now
@@ -66,7 +66,7 @@
 	}
 	share := math.Max(1/float64(b.settings.PeerCount),
 		b.arrivals/memoryTTL.Seconds()/math.Max(b.totalAllowance, minAllowance))
-	return !b.tenants[tenant].takes(b.settings.Tenants[tenant].Allowance, share, now)
+	return !b.tenants[tenant].takeToken(b.settings.Tenants[tenant].Allowance, share, now)
 }
 
 // latencyThreshold returns the expected answer time, in seconds, above which a request is currently refused.
--- a/balance/shedding_end_test.go
+++ b/balance/shedding_end_test.go
@@ -11,17 +11,17 @@
 // below the latency of an idle server.
 func TestSheddingEndsWithOverload(t *testing.T) {
 	t.Run("a class that seemed heavy", func(t *testing.T) {
-		play := newSheddingPlay(t, 1)
-		if play.b.meanSeconds[0] < 20*play.b.meanSeconds[1] {
-			t.Fatalf("mean times by class are %.3f after the overload, want the first at least 20 times the second", play.b.meanSeconds)
+		simulation := newSheddingSimulation(t, 1)
+		if simulation.b.meanSeconds[0] < 20*simulation.b.meanSeconds[1] {
+			t.Fatalf("mean times by class are %.3f after the overload, want the first at least 20 times the second", simulation.b.meanSeconds)
 		}
 		for range 400 {
-			play.ask(1, 30*time.Millisecond)
+			simulation.sendRequest(1, 30*time.Millisecond)
 		}
-		if play.b.meanSeconds[0] > 3*play.b.meanSeconds[1] {
-			t.Errorf("mean times %.3f s and %.3f s after 400 answers of the second class", play.b.meanSeconds[0], play.b.meanSeconds[1])
+		if simulation.b.meanSeconds[0] > 3*simulation.b.meanSeconds[1] {
+			t.Errorf("mean times %.3f s and %.3f s after 400 answers of the second class", simulation.b.meanSeconds[0], simulation.b.meanSeconds[1])
 		}
-		refused, late := play.refusedWhileShedding()
+		refused, late := simulation.refusedWhileShedding()
 		if late > 0 {
 			t.Errorf("%d requests refused after the shedding time of %v", late, memoryTTL)
 		}
@@ -30,20 +30,20 @@
 		}
 	})
 	t.Run("a class of little value", func(t *testing.T) {
-		if _, late := newSheddingPlay(t, 1e-4).refusedWhileShedding(); late > 0 {
+		if _, late := newSheddingSimulation(t, 1e-4).refusedWhileShedding(); late > 0 {
 			t.Errorf("%d requests refused after the shedding time of %v", late, memoryTTL)
 		}
 	})
 }
 
-// sheddingPlay simulates a sidecar with two classes. The first one was slow in an overload that has just ended.
-type sheddingPlay struct {
+// sheddingSimulation simulates a sidecar with two classes. The first one was slow in an overload that has just ended.
+type sheddingSimulation struct {
 	b   *Balancer
 	h   *host
 	ids RequestID
 }
 
-func newSheddingPlay(t *testing.T, value float64) *sheddingPlay {
+func newSheddingSimulation(t *testing.T, value float64) *sheddingSimulation {
 	t.Helper()
 	set := settings()
 	set.Classes = append(set.Classes, set.Classes[0])
@@ -52,16 +52,16 @@
 	for i := range 8 {
 		list = append(list, Endpoint{ID: fmt.Sprint("e", i), Zone: "x", Kind: "big", Size: 1})
 	}
-	p := &sheddingPlay{}
+	p := &sheddingSimulation{}
 	p.b, p.h = start(t, set, list)
 	for i := range 400 {
-		p.ask(i%2, []time.Duration{2 * time.Second, 30 * time.Millisecond}[i%2])
+		p.sendRequest(i%2, []time.Duration{2 * time.Second, 30 * time.Millisecond}[i%2])
 	}
 	return p
 }
 
-// ask sends a request and reports whether it was refused.
-func (p *sheddingPlay) ask(class int, took time.Duration) (refused bool) {
+// sendRequest sends a request and reports whether it was refused.
+func (p *sheddingSimulation) sendRequest(class int, took time.Duration) (refused bool) {
 	p.ids++
 	p.b.Request(p.h.now, Request{ID: p.ids, Class: class, Tenant: -1, TimeLeft: 3 * time.Second})
 	p.h.now += 10 * time.Millisecond
@@ -75,15 +75,15 @@
 
 // refusedWhileShedding returns the number of refusals of the first class once shedding starts, and how many of them came after
 // shedding should have ended.
-func (p *sheddingPlay) refusedWhileShedding() (refused, late int) {
+func (p *sheddingSimulation) refusedWhileShedding() (refused, late int) {
 	began := p.h.now
 	p.b.sheddingUntil = began + memoryTTL
 	for p.h.now < began+3*memoryTTL {
 		if p.h.now%tickInterval == 0 {
 			p.b.Timer(p.h.now, tickToken)
 		}
-		p.ask(1, 30*time.Millisecond)
-		if !p.ask(0, 30*time.Millisecond) {
+		p.sendRequest(1, 30*time.Millisecond)
+		if !p.sendRequest(0, 30*time.Millisecond) {
 			continue
 		}
 		refused++
--- a/balance/signals/aggregate.go
+++ b/balance/signals/aggregate.go
@@ -56,7 +56,7 @@
 }
 
 func (a *Aggregate) store(s Statement, madeAt time.Duration) {
-	a.statements[s.Origin] = storedStatement{Report: sanitized(s.Report), start: s.Start, seq: s.Seq, madeAt: madeAt}
+	a.statements[s.Origin] = storedStatement{Report: sanitize(s.Report), start: s.Start, seq: s.Seq, madeAt: madeAt}
 }
 
 // Remove removes the statement of an origin that is no longer a member.
--- a/balance/signals/codec.go
+++ b/balance/signals/codec.go
@@ -74,7 +74,7 @@
 // toWire converts a report to its wire format, with the worst verdicts first.
 func toWire(r Report) wireReport {
 	r.Verdicts = slices.SortedFunc(slices.Values(r.Verdicts), compareSeverity)
-	r = sanitized(r)
+	r = sanitize(r)
 	wire := wireReport{Zone: r.Zone, Level: uint(max(r.TrafficLevel, 0))}
 	zoneIndex := map[string]uint{}
 	for i, use := range r.Uses {
--- a/balance/signals/signals.go
+++ b/balance/signals/signals.go
@@ -36,7 +36,7 @@
 	for process, witnesses := range a.collectWitnesses(now) {
 		served := servedAges(witnesses)
 		a.counts[process] = WitnessCount{Condemning: len(witnesses) - len(served), Served: len(served)}
-		if kind := a.worstKind(condemning(witnesses, served)); kind > None {
+		if kind := a.worstKind(condemningWitnesses(witnesses, served)); kind > None {
 			verdicts[process] = kind
 		}
 	}
@@ -86,30 +86,30 @@
 	return ages
 }
 
-// condemning returns the witnesses of faults that are no older than the answers that enough others got.
-func condemning(witnesses []witness, served []time.Duration) []witness {
-	oldest := evidenceTTL
+// condemningWitnesses returns the witnesses of faults that are no older than the answers that enough others got.
+func condemningWitnesses(witnesses []witness, served []time.Duration) []witness {
+	maxAge := evidenceTTL
 	if len(served) >= minServed {
 		slices.Sort(served)
-		oldest = served[minServed-1]
+		maxAge = served[minServed-1]
 	}
-	return slices.DeleteFunc(witnesses, func(w witness) bool { return w.kind == Serving || w.age > oldest })
+	return slices.DeleteFunc(witnesses, func(w witness) bool { return w.kind == Serving || w.age > maxAge })
 }
 
 // worstKind returns the worst kind that enough witnesses support, or None.
 func (a *Aggregate) worstKind(witnesses []witness) Kind {
 	for kind := Unresponsive; kind > None; kind-- {
-		if a.suffices(witnesses, kind) {
+		if a.hasEnoughWitnesses(witnesses, kind) {
 			return kind
 		}
 	}
 	return None
 }
 
-// suffices reports whether enough witnesses support a kind of failure or a worse one.
-func (a *Aggregate) suffices(witnesses []witness, kind Kind) bool {
+// hasEnoughWitnesses reports whether enough witnesses support a kind of failure or a worse one.
+func (a *Aggregate) hasEnoughWitnesses(witnesses []witness, kind Kind) bool {
 	var zones []string
-	count, faults, near := 0, 0, 0
+	count, faults, sameZone := 0, 0, 0
 	for _, w := range witnesses {
 		if w.kind < kind {
 			continue
@@ -120,13 +120,13 @@
 			zones = append(zones, w.zone)
 		}
 		if w.zone == w.serverZone {
-			near++
+			sameZone++
 		}
 	}
 	if count < minWitnesses || faults < minFaults {
 		return false
 	}
-	return len(zones) >= minZones || zones[0] == a.Zone || near >= minWitnesses
+	return len(zones) >= minZones || zones[0] == a.Zone || sameZone >= minWitnesses
 }
 
 // isPartitioned reports whether a witness condemns so many servers that it is more likely partitioned itself.
--- a/balance/signals/types.go
+++ b/balance/signals/types.go
@@ -15,7 +15,7 @@
 //
 // # Invariants
 //
-// They hold even if statements are reordered, duplicated or lost (TestVerdictsHaveWitnesses and TestOneLiarMovesNothing check
+// They hold even if statements are reordered, duplicated or lost (TestVerdictsHaveWitnesses and TestOneFalseOriginChangesNoVerdict check
 // them on random statements):
 //
 //  1. A verdict needs 3 or more witnesses that are members, each with its latest statement, which is no older than the TTL. It
@@ -95,9 +95,9 @@
 	maxTextBytes = 64 // of a server id or a zone
 )
 
-// sanitized returns the report reduced to the bounds, with at most one verdict per process, only known kinds, and one use per
+// sanitize returns the report reduced to the bounds, with at most one verdict per process, only known kinds, and one use per
 // zone.
-func sanitized(r Report) Report {
+func sanitize(r Report) Report {
 	clean := Report{Zone: r.Zone[:min(len(r.Zone), maxTextBytes)], TrafficLevel: r.TrafficLevel}
 	for _, use := range r.Uses[:min(len(r.Uses), maxUses)] {
 		if !slices.ContainsFunc(clean.Uses, func(u ZoneUse) bool { return u.Zone == use.Zone }) {
--- a/balance/subset/model_test.go
+++ b/balance/subset/model_test.go
@@ -13,18 +13,18 @@
 
 // sidecar is a simulated sidecar: its sort key, its decaying count of requests and its traffic level.
 type sidecar struct {
-	name    float64
+	sortKey float64
 	traffic float64
 	level   int
 }
 
-// draw returns n sidecars with the given mean count of requests. If uneven, the traffic has a coefficient of variation of 1, as in
-// the benchmark fleet.
-func draw(rng *rand.Rand, n int, mean float64, uneven bool) []sidecar {
+// randomSidecars returns n sidecars with the given mean count of requests. If uneven, the traffic has a coefficient of variation of 1, as
+// in the benchmark fleet.
+func randomSidecars(rng *rand.Rand, n int, mean float64, uneven bool) []sidecar {
 	list := make([]sidecar, n)
 	var sum float64
 	for i := range list {
-		list[i] = sidecar{name: rng.Float64(), traffic: 1}
+		list[i] = sidecar{sortKey: rng.Float64(), traffic: 1}
 		if uneven {
 			list[i].traffic = rng.ExpFloat64()
 		}
@@ -38,8 +38,8 @@
 
 type run struct{ first, length int }
 
-// alone returns the runs of all sidecars over n servers if they know only their own index.
-func alone(list []sidecar, n int) (runs []run) {
+// runsByIndex returns the runs of all sidecars over n servers if they know only their own index.
+func runsByIndex(list []sidecar, n int) (runs []run) {
 	for i, s := range list {
 		first, length := ForIndex(n, i, s.traffic/float64(n))
 		runs = append(runs, run{first, min(length, n)})
@@ -47,28 +47,28 @@
 	return runs
 }
 
-// among returns the runs of all sidecars over n servers if they know their position among the members of their level.
-func among(list []sidecar, n int) (runs []run) {
+// runsByMember returns the runs of all sidecars over n servers if they know their position among the members of their level.
+func runsByMember(list []sidecar, n int) (runs []run) {
 	levels := map[int][]float64{}
 	for i := range list {
 		s := &list[i]
 		s.level = Level(s.traffic/float64(n), n, s.level)
-		levels[s.level] = append(levels[s.level], s.name)
+		levels[s.level] = append(levels[s.level], s.sortKey)
 	}
 	for _, names := range levels {
 		slices.Sort(names)
 	}
 	for _, s := range list {
-		place, _ := slices.BinarySearch(levels[s.level], s.name)
+		place, _ := slices.BinarySearch(levels[s.level], s.sortKey)
 		first, length := ForMember(n, s.level, place, len(levels[s.level]))
 		runs = append(runs, run{first, length})
 	}
 	return runs
 }
 
-// spread returns the maximum and the 99th percentile of the servers' load relative to the mean, and the mean number of runs that a
+// measureSpread returns the maximum and the 99th percentile of the servers' load relative to the mean, and the mean number of runs that a
 // server is in.
-func spread(list []sidecar, runs []run, n int) (most, p99, cover float64) {
+func measureSpread(list []sidecar, runs []run, n int) (highest, p99, cover float64) {
 	got := make([]float64, n)
 	var sum float64
 	for i, r := range runs {
@@ -83,24 +83,24 @@
 	return got[n-1] / mean, got[int(math.Ceil(0.99*float64(n)))-1] / mean, cover
 }
 
-// moved returns the number of servers of a run that are not in the run after a change, comparing ids.
-func moved(before, after run, was, is []string) (gone int) {
+// countMoved returns the number of servers of a run that are not in the run after a change, comparing ids.
+func countMoved(before, after run, oldIDs, newIDs []string) (lost int) {
 	now := map[string]bool{}
 	for k := range after.length {
-		now[is[(after.first+k)%len(is)]] = true
+		now[newIDs[(after.first+k)%len(newIDs)]] = true
 	}
 	for k := range before.length {
-		if !now[was[(before.first+k)%len(was)]] {
-			gone++
+		if !now[oldIDs[(before.first+k)%len(oldIDs)]] {
+			lost++
 		}
 	}
-	return gone
+	return lost
 }
 
 // churn returns the mean and maximum number of servers that a run loses, over the sidecars in both lists.
-func churn(before, after []run, was, is []string) (mean, most float64) {
+func churn(before, after []run, oldIDs, newIDs []string) (mean, most float64) {
 	for i, r := range before {
-		m := float64(moved(r, after[i], was, is))
+		m := float64(countMoved(r, after[i], oldIDs, newIDs))
 		mean, most = mean+m/float64(len(before)), max(most, m)
 	}
 	return mean, most
@@ -147,15 +147,15 @@
 type spreading struct{ most, p99, cover float64 }
 
 func (s *spreading) add(list []sidecar, runs []run, n int) {
-	most, p99, cover := spread(list, runs, n)
+	most, p99, cover := measureSpread(list, runs, n)
 	s.most, s.p99, s.cover = s.most+most/seeds, s.p99+p99/seeds, s.cover+cover/seeds
 }
 
 // moving is the number of servers that a run loses: the mean over some seeds, and the maximum.
 type moving struct{ mean, worst float64 }
 
-func (m *moving) add(before, after []run, was, is []string) {
-	mean, worst := churn(before, after, was, is)
+func (m *moving) add(before, after []run, oldIDs, newIDs []string) {
+	mean, worst := churn(before, after, oldIDs, newIDs)
 	m.mean, m.worst = m.mean+mean/seeds, max(m.worst, worst)
 }
 
@@ -170,14 +170,14 @@
 func measure(sidecars, n int, mean float64, uneven bool) (m measurement) {
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		list := draw(rng, sidecars, mean, uneven)
+		list := randomSidecars(rng, sidecars, mean, uneven)
 		ids := byHash(servers(n))
-		old, runs := alone(list, n), among(list, n)
+		old, runs := runsByIndex(list, n), runsByMember(list, n)
 		m.byIndex.add(list, old, n)
 		m.byMember.add(list, runs, n)
-		more := append(slices.Clone(list), sidecar{name: rng.Float64(), traffic: list[rng.IntN(len(list))].traffic})
-		m.joined.add(runs, among(more, n), ids, ids)
-		m.listed.add(runs, among(list, n+1), ids, byHash(append(servers(n), fmt.Sprint("new", seed))))
+		more := append(slices.Clone(list), sidecar{sortKey: rng.Float64(), traffic: list[rng.IntN(len(list))].traffic})
+		m.joined.add(runs, runsByMember(more, n), ids, ids)
+		m.listed.add(runs, runsByMember(list, n+1), ids, byHash(append(servers(n), fmt.Sprint("new", seed))))
 	}
 	return m
 }
@@ -201,16 +201,16 @@
 	t.Logf("by index %+.2f, by member %+.2f, moved by one sidecar %+.2f, by one server %+.2f", m.byIndex, m.byMember, m.joined, m.listed)
 }
 
-// TestReleaseMovesItsOwnPart renames a tenth of the servers so that the new names come last in a sorted list. In the order of names,
-// whole runs shift; in the order of hashes, runs should lose little more than the servers that are gone.
-func TestReleaseMovesItsOwnPart(t *testing.T) {
+// TestReleaseMovesOnlyReplacedServers renames a tenth of the servers so that the new names come last in a sorted list. In the order of
+// names, whole runs shift; in the order of hashes, runs should lose little more than the servers that are gone.
+func TestReleaseMovesOnlyReplacedServers(t *testing.T) {
 	const n, part = 200, 20
-	list := draw(rand.New(rand.NewPCG(1, 1)), 300, 60, true)
-	was := servers(n)
-	is := servers(n + part)[part:]
-	runs := among(list, n)
-	named, _ := churn(runs, runs, was, is)
-	hashed, _ := churn(runs, runs, byHash(was), byHash(is))
+	list := randomSidecars(rand.New(rand.NewPCG(1, 1)), 300, 60, true)
+	oldIDs := servers(n)
+	newIDs := servers(n + part)[part:]
+	runs := runsByMember(list, n)
+	named, _ := churn(runs, runs, oldIDs, newIDs)
+	hashed, _ := churn(runs, runs, byHash(oldIDs), byHash(newIDs))
 	var mean float64
 	for _, r := range runs {
 		mean += float64(r.length) / float64(len(runs))
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestLevelKeepsStillInNoise checks that a level does not follow the noise in a count of requests that decays to 1/e in 6 s.
-func TestLevelKeepsStillInNoise(t *testing.T) {
+// TestLevelIgnoresNoise checks that a level does not follow the noise in a count of requests that decays to 1/e in 6 s.
+func TestLevelIgnoresNoise(t *testing.T) {
 	const n, minutes = 200, 5
 	for _, rate := range []float64{1, 3, 10, 20} {
 		rng := rand.New(rand.NewPCG(uint64(rate), 2))
@@ -250,9 +250,9 @@
 	}
 }
 
-// TestRunsTile checks that all runs of one level are within the group, and that the numbers of runs of any two servers differ by at
-// most one, unless runs have the minimum length.
-func TestRunsTile(t *testing.T) {
+// TestRunsCoverServersEvenly checks that all runs of one level are within the group, and that the numbers of runs of any two servers differ
+// by at most one, unless runs have the minimum length.
+func TestRunsCoverServersEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, count := rapid.IntRange(1, 1000).Draw(t, "servers"), rapid.IntRange(1, 1000).Draw(t, "count")
 		level := rapid.IntRange(1, 11).Draw(t, "level")
@@ -274,8 +274,8 @@
 	})
 }
 
-// TestNobodyThere checks that the run in an empty group is empty.
-func TestNobodyThere(t *testing.T) {
+// TestEmptyGroup checks that the run in an empty group is empty.
+func TestEmptyGroup(t *testing.T) {
 	if first, length := ForMember(0, 3, 0, 0); first != 0 || length != 0 {
 		t.Errorf("run of length %d from %d in an empty group", length, first)
 	}
--- a/balance/subsetting.go
+++ b/balance/subsetting.go
@@ -56,9 +56,9 @@
 	if count > 0 && now >= b.levelCheckedAt+levelInterval {
 		b.updateTrafficLevel(trafficShare, now)
 	}
-	if b.amongAlike.count > 0 {
+	if b.levelPosition.count > 0 {
 		slices.SortFunc(target.ready, func(x, y *endpoint) int { return cmp.Compare(x.orderHash(), y.orderHash()) })
-		first, wanted = subset.ForMember(count, b.trafficLevel, b.amongAlike.index, b.amongAlike.count)
+		first, wanted = subset.ForMember(count, b.trafficLevel, b.levelPosition.index, b.levelPosition.count)
 	}
 	target.members = target.members[:0]
 	for i := 0; i < count && wanted > 0; i++ {
--- a/balance/subsetting_test.go
+++ b/balance/subsetting_test.go
@@ -11,16 +11,16 @@
 // minSubset is the number of endpoints of a group that an idle sidecar uses.
 const minSubset = 4
 
-// fleet returns a list of n identical endpoints of one group.
-func fleet(n int) (list []Endpoint) {
+// endpointList returns a list of n identical endpoints of one group.
+func endpointList(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "x", Kind: "big", Size: 1})
 	}
 	return list
 }
 
-// sidecar starts the sidecar with index self among the given number of peers.
-func sidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
+// startSidecar starts the sidecar with index self among the given number of peers.
+func startSidecar(t *testing.T, self, peers int, list []Endpoint) (*Balancer, *host) {
 	t.Helper()
 	set := settings()
 	set.Index, set.PeerCount, set.Seed = self, peers, uint64(self)
@@ -36,10 +36,10 @@
 
 func TestSubsetsSpreadEvenly(t *testing.T) {
 	const peers, servers = 1000, 200
-	list := fleet(servers)
+	list := endpointList(servers)
 	users := map[string]int{}
 	for self := range peers {
-		b, _ := sidecar(t, self, peers, list)
+		b, _ := startSidecar(t, self, peers, list)
 		if n := len(b.inUse); n != minSubset {
 			t.Fatalf("an idle sidecar uses %d endpoints, want %d", n, minSubset)
 		}
@@ -56,12 +56,12 @@
 }
 
 func TestSubsetFollowsTraffic(t *testing.T) {
-	b, recorder := sidecar(t, 3, 10, fleet(200))
+	b, recorder := startSidecar(t, 3, 10, endpointList(200))
 	first := ids(b.inUse)
 	for range 300 { // 30 s with 10 requests per second
 		recorder.now += tickInterval
 		b.Timer(recorder.now, tickToken)
-		serve(b, recorder, 1, 10*time.Millisecond)
+		serveRequests(b, recorder, 1, 10*time.Millisecond)
 	}
 	if n, want := len(b.inUse), 10*memoryTTL.Seconds(); float64(n) < want*0.8 || float64(n) > want*1.2 {
 		t.Errorf("%d endpoints are used at 10 requests per second, want about %.0f", n, want)
@@ -72,12 +72,12 @@
 }
 
 func TestSubsetReplacesEjected(t *testing.T) {
-	b, recorder := sidecar(t, 3, 10, fleet(200))
+	b, recorder := startSidecar(t, 3, 10, endpointList(200))
 	first := ids(b.inUse)
 	for range 2 {
 		for i := range RequestID(minSubset) {
 			id := RequestID(len(recorder.logs)*100) + i + RequestID(recorder.now)
-			if to := ask(b, recorder, id); to != "" {
+			if to := sendRequest(b, recorder, id); to != "" {
 				outcome := Served
 				if to == first[0] {
 					outcome = Errored
@@ -99,7 +99,7 @@
 	const servers = 200
 	moved := 0
 	for self := range 100 {
-		b, recorder := sidecar(t, self, 100, fleet(servers))
+		b, recorder := startSidecar(t, self, 100, endpointList(servers))
 		before := ids(b.inUse)
 		b.Endpoints(recorder.now, ListChanges, []Endpoint{{ID: "s0100x", Zone: "x", Kind: "big", Size: 1}})
 		for _, id := range ids(b.inUse) {
@@ -127,8 +127,8 @@
 			}
 			// On average, an endpoint gets one of 20 requests, and each request may have three attempts.
 			warm := settings().StartCapacity + (1-settings().StartCapacity)*seconds/settings().WarmUpTime.Seconds()
-			if most := all / 20 * 3 * warm; cold > most {
-				t.Errorf("%.0f of %.0f requests went to the endpoint that is warming up, want at most %.0f", cold, all, most)
+			if maxCold := all / 20 * 3 * warm; cold > maxCold {
+				t.Errorf("%.0f of %.0f requests went to the endpoint that is warming up, want at most %.0f", cold, all, maxCold)
 			}
 		})
 	}
@@ -138,8 +138,8 @@
 // endpoints reject requests, and the number of all requests.
 func sendsWithOthersSaturated(t *testing.T, self, peers, share, seconds int) (cold, all float64) {
 	t.Helper()
-	list := fleet(20)
-	b, recorder := sidecar(t, self, peers, list)
+	list := endpointList(20)
+	b, recorder := startSidecar(t, self, peers, list)
 	fresh := list[0]
 	fresh.Started = recorder.now
 	b.Endpoints(recorder.now, ListChanges, []Endpoint{fresh})
@@ -149,7 +149,7 @@
 		b.Timer(recorder.now, tickToken)
 		for int(id)*seconds*10 < share*(tick+1) {
 			id++
-			to := ask(b, recorder, id)
+			to := sendRequest(b, recorder, id)
 			all++
 			outcome := Saturated
 			if to == fresh.ID {
@@ -168,20 +168,20 @@
 // a large fleet, a round takes longer than the warm-up.
 func TestWarmingUpEndpointGetsItsShare(t *testing.T) {
 	for _, test := range []struct{ peers, servers int }{{3, 9}, {80, 60}} {
-		list := fleet(test.servers)
+		list := endpointList(test.servers)
 		var cold, all float64
 		for self := range test.peers {
-			b, recorder := sidecar(t, self, test.peers, list)
+			b, recorder := startSidecar(t, self, test.peers, list)
 			for range 40 { // enough traffic to use every endpoint
 				b.Timer(recorder.now, tickToken)
-				serve(b, recorder, 10, 20*time.Millisecond)
+				serveRequests(b, recorder, 10, 20*time.Millisecond)
 			}
 			fresh := list[0]
 			fresh.Started = recorder.now
 			b.Endpoints(recorder.now, ListChanges, []Endpoint{fresh})
 			for id := range RequestID(2 * test.servers) {
 				recorder.now += 10 * time.Millisecond
-				to := ask(b, recorder, 1+id)
+				to := sendRequest(b, recorder, 1+id)
 				if all++; to == fresh.ID {
 					cold++
 				}
@@ -197,13 +197,13 @@
 	}
 }
 
-// asking is a host that records when a Balancer is to call discovery.
-type asking struct {
+// discoveryTimerHost is a host that records when a Balancer is to call discovery.
+type discoveryTimerHost struct {
 	host
 	after time.Duration
 }
 
-func (a *asking) Timer(after time.Duration, token uint64) {
+func (a *discoveryTimerHost) Timer(after time.Duration, token uint64) {
 	if token == discoveryToken {
 		a.after = after
 	}
@@ -214,7 +214,7 @@
 	set.SubscribeToDiscovery, set.DiscoveryDeadline, set.PeerCount = true, 10*time.Second, 1000
 	seconds := make([]int, set.DiscoveryDeadline/2/time.Second)
 	for set.Index = range set.PeerCount {
-		a := &asking{}
+		a := &discoveryTimerHost{}
 		if _, err := New(set, a); err != nil {
 			t.Fatal(err)
 		}
--- a/balance/turns/turns.go
+++ b/balance/turns/turns.go
@@ -12,8 +12,8 @@
 
 import "time"
 
-// fraction53 is the divisor that converts 53 random bits to a number from 0 to less than 1.
-const fraction53 = 1 << 53
+// twoToThe53 is the divisor that converts 53 random bits to a number from 0 to less than 1.
+const twoToThe53 = 1 << 53
 
 // goldenSection is 1<<64 divided by the golden ratio.
 const goldenSection = 0x9e3779b97f4a7c15
@@ -27,7 +27,7 @@
 // once. The points of consecutive periods are a golden section apart, so each of n members has a turn within 3n periods.
 func (p Position) IsOwner(subject uint64, now, period time.Duration) bool {
 	number := uint64(now / max(period, 1))
-	point := float64((splitMix64(subject)+number*goldenSection)>>11) / fraction53
+	point := float64((splitMix64(subject)+number*goldenSection)>>11) / twoToThe53
 	count := float64(p.Count)
 	return float64(p.Index)/count <= point && point < float64(p.Index+1)/count
 }
--- a/balance/turns/turns_test.go
+++ b/balance/turns/turns_test.go
@@ -19,12 +19,12 @@
 	drift       float64 // relative clock drift
 }
 
-// members returns n random members.
-func members(rng *rand.Rand, n int, inStep bool) []member {
+// randomMembers returns n random members.
+func randomMembers(rng *rand.Rand, n int, clocksAgree bool) []member {
 	list := make([]member, n)
 	for i := range list {
 		list[i].Index, list[i].Count = i, n
-		if !inStep {
+		if !clocksAgree {
 			list[i].clockOffset = time.Duration(rng.Int64N(int64(24 * time.Hour)))
 			list[i].drift = (rng.Float64() - 0.5) * 1e-3
 		}
@@ -41,16 +41,16 @@
 func TestOneOwner(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, count := range []int{1, 2, 10, 100, 1000} {
-		for _, inStep := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%d members, clocks agree %v", count, inStep), func(t *testing.T) {
-				sum, most, periods := countOwners(rng, count, inStep)
+		for _, clocksAgree := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%d members, clocks agree %v", count, clocksAgree), func(t *testing.T) {
+				sum, maxOwners, periods := countOwners(rng, count, clocksAgree)
 				mean := float64(sum) / float64(periods)
-				t.Logf("mean %.3f owners, at most %d", mean, most)
-				if inStep && (sum != periods || most != 1) {
+				t.Logf("mean %.3f owners, at most %d", mean, maxOwners)
+				if clocksAgree && (sum != periods || maxOwners != 1) {
 					t.Errorf("%d owners in %d periods, want exactly one in each", sum, periods)
 				}
-				if math.Abs(mean-1) > 0.1 || most > min(count, 9) {
-					t.Errorf("mean %.3f owners, want 1; at most %d, want %d", mean, most, min(count, 9))
+				if math.Abs(mean-1) > 0.1 || maxOwners > min(count, 9) {
+					t.Errorf("mean %.3f owners, want 1; at most %d, want %d", mean, maxOwners, min(count, 9))
 				}
 			})
 		}
@@ -59,9 +59,9 @@
 
 // countOwners returns the total number of owners over some subjects and periods, the maximum in a period, and the number of
 // periods.
-func countOwners(rng *rand.Rand, count int, inStep bool) (sum, most, periods int) {
+func countOwners(rng *rand.Rand, count int, clocksAgree bool) (sum, maxOwners, periods int) {
 	for subject := range uint64(20) {
-		list := members(rng, count, inStep)
+		list := randomMembers(rng, count, clocksAgree)
 		for k := range 100 {
 			owners := 0
 			for _, m := range list {
@@ -70,21 +70,21 @@
 				}
 			}
 			sum += owners
-			most = max(most, owners)
+			maxOwners = max(maxOwners, owners)
 			periods++
 		}
 	}
-	return sum, most, periods
+	return sum, maxOwners, periods
 }
 
-// TestNobodyWaitsForever checks that each of n members has a turn within 3n periods, whatever its clock.
-func TestNobodyWaitsForever(t *testing.T) {
+// TestEveryMemberGetsTurns checks that each of n members has a turn within 3n periods, whatever its clock.
+func TestEveryMemberGetsTurns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1000).Draw(t, "members")
-		v := Position{Index: rapid.IntRange(0, n-1).Draw(t, "place"), Count: n}
-		what, from := rapid.Uint64().Draw(t, "what"), rapid.Int64Range(0, 1<<40).Draw(t, "clock")
+		position := Position{Index: rapid.IntRange(0, n-1).Draw(t, "place"), Count: n}
+		subject, clock := rapid.Uint64().Draw(t, "what"), rapid.Int64Range(0, 1<<40).Draw(t, "clock")
 		for k := range 3 * n {
-			if v.IsOwner(what, time.Duration(from)*time.Microsecond+time.Duration(k)*period, period) {
+			if position.IsOwner(subject, time.Duration(clock)*time.Microsecond+time.Duration(k)*period, period) {
 				return
 			}
 		}
@@ -92,19 +92,19 @@
 	})
 }
 
-// TestOwnerThatIsGone checks that only the periods of a removed member are lost while the others still count it, and none once
+// TestTurnsOfRemovedMember checks that only the periods of a removed member are lost while the others still count it, and none once
 // they do not.
-func TestOwnerThatIsGone(t *testing.T) {
+func TestTurnsOfRemovedMember(t *testing.T) {
 	const members, periods = 10, 1000
 	for _, known := range []bool{false, true} {
 		served := 0
 		for k := range periods {
 			for place := range members - 1 { // the last member is gone
-				v := Position{Index: place, Count: members}
+				position := Position{Index: place, Count: members}
 				if known {
-					v.Count = members - 1
+					position.Count = members - 1
 				}
-				if v.IsOwner(7, time.Duration(k)*period, period) {
+				if position.IsOwner(7, time.Duration(k)*period, period) {
 					served++
 				}
 			}
@@ -118,11 +118,11 @@
 // TestReturnInTurn checks that after an outage that ends for all members at the same time, they return at equal intervals.
 func TestReturnInTurn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, what := rapid.IntRange(1, 1000).Draw(t, "members"), rapid.Uint64().Draw(t, "what")
+		n, subject := rapid.IntRange(1, 1000).Draw(t, "members"), rapid.Uint64().Draw(t, "what")
 		const span = 5 * time.Second
 		seen := make([]bool, n)
 		for place := range n {
-			after := Position{Index: place, Count: n}.ReturnDelay(what, span)
+			after := Position{Index: place, Count: n}.ReturnDelay(subject, span)
 			if after < 0 || after >= span {
 				t.Fatalf("member %d waits %v, want under %v", place, after, span)
 			}
--- a/balance/unresponsive_test.go
+++ b/balance/unresponsive_test.go
@@ -19,9 +19,9 @@
 	deliveries []func()
 }
 
-func (g *reportExchange) round() {
-	for _, tell := range g.deliveries {
-		tell()
+func (g *reportExchange) exchange() {
+	for _, deliver := range g.deliveries {
+		deliver()
 	}
 	g.deliveries, g.seq = nil, g.seq+1
 	for self, b := range g.fleet.sidecars {
@@ -41,56 +41,56 @@
 	}
 }
 
-// playUnresponsive makes a server stop answering for 8 s. It returns after what time 95% of the sidecars that used the server sent
+// simulateUnresponsive makes a server stop answering for 8 s. It returns after what time 95% of the sidecars that used the server sent
 // their last request to it, how many attempts it got meanwhile, and after what time it gets at least half of its share again. If
 // members is set, the sidecars know each other and exchange reports.
-func playUnresponsive(t *testing.T, sidecars int, members bool) (avoided time.Duration, attempts int, back time.Duration) {
+func simulateUnresponsive(t *testing.T, sidecars int, members bool) (avoided time.Duration, attempts int, back time.Duration) {
 	const silence = 8 * time.Second
-	servers := fleet(20)
-	play := newSimulatedFleet(t, sidecars, servers, 3*float64(sidecars))
-	g := &reportExchange{fleet: play, reports: make([]signals.Report, sidecars)}
+	servers := endpointList(20)
+	simulated := newSimulatedFleet(t, sidecars, servers, 3*float64(sidecars))
+	g := &reportExchange{fleet: simulated, reports: make([]signals.Report, sidecars)}
 	run := func(until Time) {
-		for play.now < until {
+		for simulated.now < until {
 			if members {
-				g.round()
+				g.exchange()
 			}
-			play.run(play.now + 200*time.Millisecond)
+			simulated.run(simulated.now + 200*time.Millisecond)
 		}
 	}
-	run(play.now + 26*time.Second)
+	run(simulated.now + 26*time.Second)
 	if members {
-		play.introduce()
+		simulated.setMembers()
 	}
-	run(play.now + 10*time.Second)
-	from := play.now
-	play.unresponsive = play.sidecars[0].inUse[0].ID
+	run(simulated.now + 10*time.Second)
+	from := simulated.now
+	simulated.unresponsive = simulated.sidecars[0].inUse[0].ID
 	used := map[int]bool{}
-	for self, b := range play.sidecars {
-		used[self] = b.byID[play.unresponsive].loadSum > 0.2
+	for self, b := range simulated.sidecars {
+		used[self] = b.byID[simulated.unresponsive].loadSum > 0.2
 	}
-	play.by = nil
+	simulated.sends = nil
 	run(from + silence)
 	at := make([]time.Duration, 0, sidecars)
 	last := map[int]Time{}
-	for _, s := range play.by {
-		if s.to == play.unresponsive {
+	for _, s := range simulated.sends {
+		if s.to == simulated.unresponsive {
 			attempts++
 			last[s.self] = s.at - from
 		}
 	}
-	for self, is := range used {
-		if is {
+	for self, usesIt := range used {
+		if usesIt {
 			at = append(at, last[self])
 		}
 	}
 	slices.Sort(at)
-	id := play.unresponsive
-	play.unresponsive = ""
+	id := simulated.unresponsive
+	simulated.unresponsive = ""
 	share := 3 * sidecars / len(servers)
 	for back = time.Second; back < 20*time.Second; back += time.Second / 2 {
 		run(from + silence + back)
-		first, _ := slices.BinarySearch(play.sent[id], play.now-time.Second)
-		if len(play.sent[id])-first >= share/2 {
+		first, _ := slices.BinarySearch(simulated.sent[id], simulated.now-time.Second)
+		if len(simulated.sent[id])-first >= share/2 {
 			break
 		}
 	}
@@ -107,11 +107,12 @@
 		part     float64 // maximum share of the attempts without exchange
 	}{{20, 2500 * time.Millisecond, 0.3}, {100, 1500 * time.Millisecond, 0.3}, {300, 1500 * time.Millisecond, 0.2}} {
 		n := test.sidecars
-		alone, lone, _ := playUnresponsive(t, n, false)
-		avoided, attempts, back := playUnresponsive(t, n, true)
-		t.Logf("%d sidecars: 95%% avoid it after %v and %d attempts, alone %v and %d; back after %v", n, avoided, attempts, alone, lone, back)
-		if avoided > test.within || float64(attempts) > test.part*float64(lone) || back > 5*time.Second {
-			t.Errorf("%d sidecars: want at most %v, %.0f attempts and 5 s", n, test.within, test.part*float64(lone))
+		alone, aloneAttempts, _ := simulateUnresponsive(t, n, false)
+		avoided, attempts, back := simulateUnresponsive(t, n, true)
+		t.Logf("%d sidecars: 95%% avoid it after %v and %d attempts, alone %v and %d; back after %v",
+			n, avoided, attempts, alone, aloneAttempts, back)
+		if avoided > test.within || float64(attempts) > test.part*float64(aloneAttempts) || back > 5*time.Second {
+			t.Errorf("%d sidecars: want at most %v, %.0f attempts and 5 s", n, test.within, test.part*float64(aloneAttempts))
 		}
 	}
 }
--- a/balance/warmup_budget_test.go
+++ b/balance/warmup_budget_test.go
@@ -7,7 +7,7 @@
 
 // sendsWhileWarmingUp simulates a burst on two warm endpoints, which take 20 ms per request, and a freshly started one. It
 // returns the maximum number of sends that the latter gets within any OverloadTime, and how many it may get from this sidecar.
-func sendsWhileWarmingUp(t *testing.T, peers int, retries bool) (most int, part float64) {
+func sendsWhileWarmingUp(t *testing.T, peers int, retries bool) (maxSends int, budget float64) {
 	t.Helper()
 	set := settings()
 	set.PeerCount = peers
@@ -43,10 +43,10 @@
 		}
 		recorder.sent = recorder.sent[:0]
 	}
-	most = maxWithin(cold, set.OverloadTime)
+	maxSends = maxWithin(cold, set.OverloadTime)
 	// At the end of the second its share of capacity is a little higher than at the start.
 	share := set.StartCapacity + (1-set.StartCapacity)*1.0/set.WarmUpTime.Seconds()
-	return most, set.OverloadMultiple * share * 50 * set.OverloadTime.Seconds() / float64(peers)
+	return maxSends, set.OverloadMultiple * share * 50 * set.OverloadTime.Seconds() / float64(peers)
 }
 
 // maxWithin returns the maximum number of the times, which must be ascending, that lie within any period of the given length.
@@ -66,9 +66,9 @@
 func TestWarmUpBudget(t *testing.T) {
 	for _, peers := range []int{1, 2, 5} {
 		for _, retries := range []bool{false, true} {
-			most, part := sendsWhileWarmingUp(t, peers, retries)
-			if float64(most) > max(part, 1) || most == 0 {
-				t.Errorf("%d peers, retries %v: %d sends to the cold endpoint within OverloadTime, want 1 to %.1f", peers, retries, most, part)
+			maxSends, budget := sendsWhileWarmingUp(t, peers, retries)
+			if float64(maxSends) > max(budget, 1) || maxSends == 0 {
+				t.Errorf("%d peers, retries %v: %d sends to the cold endpoint within OverloadTime, want 1 to %.1f", peers, retries, maxSends, budget)
 			}
 		}
 	}
--- a/balance/warmup_fleet_test.go
+++ b/balance/warmup_fleet_test.go
@@ -20,10 +20,10 @@
 	next         []Time    // time of the next request, by sidecar
 	ids          RequestID
 	answers      []pendingAnswer // sorted by time
-	bad          string          // server that refuses connections
+	refusing     string          // server that refuses connections
 	unresponsive string          // server that accepts requests but does not answer
 	sent         map[string][]Time
-	by           []sentRequest
+	sends        []sentRequest
 }
 
 type sentRequest struct {
@@ -35,7 +35,7 @@
 type pendingAnswer struct {
 	at   Time
 	self int
-	send sending
+	send sendCall
 	hung bool
 }
 
@@ -45,7 +45,7 @@
 	f := &simulatedFleet{rng: rand.New(rand.NewPCG(uint64(sidecars), uint64(len(servers)))), now: time.Minute, sent: map[string][]Time{}}
 	var sum float64
 	for self := range sidecars {
-		b, recorder := sidecar(t, self, sidecars, servers)
+		b, recorder := startSidecar(t, self, sidecars, servers)
 		f.sidecars, f.hosts = append(f.sidecars, b), append(f.hosts, recorder)
 		f.rate = append(f.rate, f.rng.ExpFloat64())
 		sum += f.rate[self]
@@ -61,8 +61,8 @@
 	return time.Duration(f.rng.ExpFloat64() / f.rate[self] * float64(time.Second))
 }
 
-// introduce passes the list of all members to each sidecar.
-func (f *simulatedFleet) introduce() {
+// setMembers passes the list of all members to each sidecar.
+func (f *simulatedFleet) setMembers() {
 	var peers []Peer
 	for _, b := range f.sidecars {
 		peers = append(peers, Peer{b.settings.Zone, b.TrafficLevel()})
@@ -96,7 +96,7 @@
 // answer ends an attempt.
 func (f *simulatedFleet) answer(due pendingAnswer) {
 	r := Result{ID: due.send.id, Endpoint: due.send.to, Latency: 100 * time.Millisecond, Finished: true}
-	if due.send.to == f.bad {
+	if due.send.to == f.refusing {
 		r.Outcome, r.Finished = ConnectFailed, false
 	}
 	if due.hung {
@@ -112,9 +112,9 @@
 func (f *simulatedFleet) collectSends(self int) {
 	for _, s := range f.hosts[self].sent {
 		f.sent[s.to] = append(f.sent[s.to], f.now)
-		f.by = append(f.by, sentRequest{self, s.to, f.now})
+		f.sends = append(f.sends, sentRequest{self, s.to, f.now})
 		at := f.now + 100*time.Millisecond
-		if s.to == f.bad {
+		if s.to == f.refusing {
 			at = f.now + simulationTick
 		}
 		hung := s.to == f.unresponsive
@@ -129,7 +129,7 @@
 
 // worstExcess returns the maximum ratio of the requests that a server got within any OverloadTime after from, to the number that
 // it may get: OverloadMultiple times what it could do at that time, plus a margin for chance.
-func (f *simulatedFleet) worstExcess(id string, from Time, capacity float64) (over float64) {
+func (f *simulatedFleet) worstExcess(id string, from Time, capacity float64) (worst float64) {
 	set, sent := settings(), f.sent[id]
 	for i, first := range sent {
 		if first < from {
@@ -140,10 +140,10 @@
 			j++
 		}
 		warm := set.StartCapacity + (1-set.StartCapacity)*min((first-from).Seconds()/set.WarmUpTime.Seconds(), 1)
-		may := set.OverloadMultiple * warm * capacity * set.OverloadTime.Seconds()
-		over = max(over, float64(j-i)/(may+3*math.Sqrt(may)+3))
+		allowed := set.OverloadMultiple * warm * capacity * set.OverloadTime.Seconds()
+		worst = max(worst, float64(j-i)/(allowed+3*math.Sqrt(allowed)+3))
 	}
-	return over
+	return worst
 }
 
 // TestWarmUpBudgetAddsUp checks for various numbers of sidecars of uneven traffic that all of them together do not overload an
@@ -152,10 +152,10 @@
 func TestWarmUpBudgetAddsUp(t *testing.T) {
 	for _, size := range []struct{ sidecars, servers int }{{1, 20}, {100, 20}, {1000, 50}} {
 		for _, known := range []bool{false, true} {
-			for _, way := range []string{"alone", "refusing", "all"} {
-				name := fmt.Sprintf("%d sidecars, %d servers, members known %v, %s", size.sidecars, size.servers, known, way)
+			for _, scenario := range []string{"alone", "refusing", "all"} {
+				name := fmt.Sprintf("%d sidecars, %d servers, members known %v, %s", size.sidecars, size.servers, known, scenario)
 				t.Run(name, func(t *testing.T) {
-					checkWarmUpBudget(t, size.sidecars, size.servers, known, way)
+					checkWarmUpBudget(t, size.sidecars, size.servers, known, scenario)
 				})
 			}
 		}
@@ -163,46 +163,46 @@
 }
 
 // checkWarmUpBudget simulates the return of an endpoint in one of the ways of TestWarmUpBudgetAddsUp and checks its requests.
-func checkWarmUpBudget(t *testing.T, sidecars, servers int, known bool, way string) {
+func checkWarmUpBudget(t *testing.T, sidecars, servers int, known bool, scenario string) {
 	t.Helper()
 	const capacity, load = 20, 0.8
-	list := fleet(servers)
-	play := newSimulatedFleet(t, sidecars, list, load*capacity*float64(servers))
-	play.run(play.now + 13*time.Second)
+	list := endpointList(servers)
+	simulated := newSimulatedFleet(t, sidecars, list, load*capacity*float64(servers))
+	simulated.run(simulated.now + 13*time.Second)
 	if known {
-		play.introduce()
+		simulated.setMembers()
 	}
-	from := play.now
+	from := simulated.now
 	for i := range list {
-		if way == "all" || i == 0 {
-			list[i].Started = play.now
+		if scenario == "all" || i == 0 {
+			list[i].Started = simulated.now
 		}
 	}
-	if way == "refusing" {
-		play.bad = list[0].ID
+	if scenario == "refusing" {
+		simulated.refusing = list[0].ID
 	}
-	for _, b := range play.sidecars {
-		b.Endpoints(play.now, ListFull, list)
+	for _, b := range simulated.sidecars {
+		b.Endpoints(simulated.now, ListFull, list)
 	}
-	play.run(play.now + 5*time.Second)
-	play.bad = ""
-	play.run(play.now + 5*time.Second)
-	var over, got float64
+	simulated.run(simulated.now + 5*time.Second)
+	simulated.refusing = ""
+	simulated.run(simulated.now + 5*time.Second)
+	var worst, got float64
 	for _, e := range list {
 		if e.Started != 0 {
-			over = max(over, play.worstExcess(e.ID, from, capacity))
+			worst = max(worst, simulated.worstExcess(e.ID, from, capacity))
 		}
 	}
-	for _, at := range play.sent[list[0].ID] {
+	for _, at := range simulated.sent[list[0].ID] {
 		if at >= from {
 			got++
 		}
 	}
-	t.Logf("at most %.2f of the requests that an endpoint may get, %4.0f requests in 10 s", over, got)
-	if over > 1 {
-		t.Errorf("an endpoint that is warming up got %.2f times the requests that it may get", over)
+	t.Logf("at most %.2f of the requests that an endpoint may get, %4.0f requests in 10 s", worst, got)
+	if worst > 1 {
+		t.Errorf("an endpoint that is warming up got %.2f times the requests that it may get", worst)
 	}
-	if even := capacity * 10 * (1 + settings().StartCapacity) / 2; way != "refusing" && got < even/2 {
+	if even := capacity * 10 * (1 + settings().StartCapacity) / 2; scenario != "refusing" && got < even/2 {
 		t.Errorf("an endpoint that is warming up got %.0f requests in 10 s, and could handle %.0f", got, even)
 	}
 }
