--- a/internal/system/quota/availability_test.go
+++ b/internal/system/quota/availability_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// healthy is a fleet of six zones in two regions without faults.
+// healthy returns the options of a fleet without faults: six zones in two regions.
 func healthy() simulationOptions {
 	return simulationOptions{limiters: 6, allocators: 1, delay: 35 * time.Millisecond, jitter: 20 * time.Millisecond, drift: true}
 }
@@ -20,7 +20,8 @@
 	}
 }
 
-// TestSmallTenantsAreServed: of small tenants that ask in all zones for 0.62 of their limit, less than 1 in 100 requests is refused.
+// TestSmallTenantsAreServed checks that small tenants whose demand in all zones
+// together is 0.62 of their limit have less than 1 in 100 requests refused.
 func TestSmallTenantsAreServed(t *testing.T) {
 	asked, refused, waited, calls := 0, 0, 0, 0
 	for seed := range uint64(10) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// TestLoneHotLimiter: a tenant that asks for five times its limit at one limiter alone gets at least 95% of the limit.
+// TestLoneHotLimiter checks that a tenant that requests five times its limit at a single limiter gets at least 95% of the limit.
 func TestLoneHotLimiter(t *testing.T) {
 	for _, limit := range []Limit{{3, 3}, {10, 10}, {100, 100}, {100, 10}, {1000, 300}} {
 		sim := newSimulation(1, healthy())
@@ -62,8 +63,8 @@
 	}
 }
 
-// TestDemandThatMoves: a tenant's demand of 0.8 of its limit moves from one limiter to another within a moment. From 1.2 s later on it is
-// served as by a single bucket of the whole limit that is empty then, but for 1 in 50 requests.
+// TestDemandThatMoves checks a tenant whose demand of 0.8 of its limit moves instantly from one limiter to another. From 1.2 s
+// later on, at most 1 in 50 requests more are refused than by a single bucket of the whole limit that is empty at that time.
 func TestDemandThatMoves(t *testing.T) {
 	for _, limit := range []Limit{{10, 10}, {100, 100}, {100, 10}, {1000, 300}} {
 		asked, refused, reference := 0, 0, 0
@@ -80,7 +81,7 @@
 	}
 }
 
-// playMove returns the tenant after 5 s that begin 1.2 s after its demand moved.
+// playMove returns the tenant with its counts for a period of 5 s that begins 1.2 s after its demand moved.
 func playMove(seed uint64, limit Limit) *simTenant {
 	sim := newSimulation(seed, healthy())
 	sim.run(8 * time.Second)
@@ -96,7 +97,8 @@
 	return tenant
 }
 
-// TestTakeoverStarvesNobody: while an allocator dies and its successor learns, no size of tenant is served less than a quarter as often as all.
+// TestTakeoverStarvesNobody checks that from the crash of an allocator until its successor has learned what
+// is outstanding, tenants of each size have at least a quarter of the overall fraction of requests served.
 func TestTakeoverStarvesNobody(t *testing.T) {
 	served, asked := map[float64]int{}, map[float64]int{}
 	allServed, allAsked := 0, 0
@@ -117,8 +119,8 @@
 	}
 }
 
-// playTakeover returns tenants that ask for 0.62 of their limits in all zones, after 11.5 s from the death of the allocator on; a view
-// names its successor after 1.5 s.
+// playTakeover returns tenants whose demand in all zones together is 0.62 of their limits, with their
+// counts for the 11.5 s after the crash of the allocator. A view names its successor after 1.5 s.
 func playTakeover(seed uint64) []*simTenant {
 	options := healthy()
 	options.allocators = 2
--- a/internal/system/quota/benchmark_test.go
+++ b/internal/system/quota/benchmark_test.go
@@ -9,7 +9,7 @@
 
 const manyTenants = 14_000
 
-// manyTenantNames are as long as those of deployments.
+// manyTenantNames returns names that are as long as those in deployments.
 func manyTenantNames() []string {
 	names := make([]string, manyTenants)
 	for i := range names {
@@ -18,7 +18,7 @@
 	return names
 }
 
-// heapBytes returns the bytes that live on the heap.
+// heapBytes returns the number of live bytes on the heap after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -26,7 +26,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkAllocator has six limiters renew all of many tenants, and reports the allocator's bytes a tenant.
+// BenchmarkAllocator makes six limiters renew the leases of many tenants, and reports the allocator's bytes per tenant.
 func BenchmarkAllocator(b *testing.B) {
 	limits := func(string) (Limit, bool) { return Limit{RatePerSecond: 10, Burst: 10}, true }
 	names := manyTenantNames()
@@ -54,7 +54,7 @@
 	runtime.KeepAlive(requests)
 }
 
-// BenchmarkLimiter takes from many tenants with leases in turn, and reports the limiter's bytes a tenant.
+// BenchmarkLimiter takes tokens of many leased tenants in turn, and reports the limiter's bytes per tenant.
 func BenchmarkLimiter(b *testing.B) {
 	limit := Limit{RatePerSecond: 10, Burst: 10}
 	names := manyTenantNames()
--- a/internal/system/quota/golden_trace_test.go
+++ b/internal/system/quota/golden_trace_test.go
@@ -7,10 +7,10 @@
 	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
-// goldenFile holds a line "scenario seed steps digest" for each play; GRADEUSHER_WRITE_GOLDEN=1 writes it anew.
+// goldenFile has a line "scenario seed steps digest" for each run; GRADEUSHER_WRITE_GOLDEN=1 regenerates it.
 const goldenFile = "testdata/golden_trace.txt"
 
-// goldenTrace digests what goes out of limiters and allocators: messages, and requests that are admitted.
+// goldenTrace computes a digest of the outputs of limiters and allocators: their messages and the admitted requests.
 type goldenTrace struct{ *golden.Digest }
 
 func (g goldenTrace) attach(sim *simulation) {
@@ -62,8 +62,7 @@
 	sim.run(20 * time.Second)
 }
 
-// TestGoldenTrace holds limiters and allocators to the recorded digests of all that goes out of them. A change of form alone leaves them as
-// they are.
+// TestGoldenTrace compares the outputs of limiters and allocators with recorded digests, which must not change in a refactoring.
 func TestGoldenTrace(t *testing.T) {
 	var scenarios []golden.Scenario
 	for seed := range uint64(3) {
--- a/internal/system/quota/late_reply_test.go
+++ b/internal/system/quota/late_reply_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLateReplyOfNewAllocator guards against a share that is renewed by a call of before the lease ended: the limiter was paused, so that the
-// reply comes when the former allocator has leased the share to another limiter.
+// TestLateReplyOfNewAllocator guards against renewing a share by a call that was sent before the lease expired. The
+// limiter is paused, so that the reply arrives after the former allocator has leased the share to another limiter.
 func TestLateReplyOfNewAllocator(t *testing.T) {
 	withAndWithout(t, TestingKnobs{TakeLateReplies: true}, func(played script) {
 		const base = 10 * time.Second
--- a/internal/system/quota/limiter_test.go
+++ b/internal/system/quota/limiter_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// TestWaitingIsBounded: requests wait up to a quarter of MaxWaiting for one tenant, and up to MaxWaiting in all.
+// TestWaitingIsBounded checks that at most a quarter of MaxWaiting requests wait for one tenant, and at most MaxWaiting in total.
 func TestWaitingIsBounded(t *testing.T) {
 	limiter := NewLimiter(LimiterOptions{Bounds: testBounds, MaxWaiting: 40})
 	waiting := 0
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestLeavingLimiterFreesItsShares: what a limiter gives back when it leaves is leased to another at once.
+// TestLeavingLimiterFreesItsShares checks that the shares a leaving limiter returns can immediately be leased to another limiter.
 func TestLeavingLimiterFreesItsShares(t *testing.T) {
 	play := newScript(t, TestingKnobs{})
 	node, leaving, other := play.allocator(0), play.limiter("leaving"), play.limiter("other")
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestFailedCallIsRepeated: requests that wait are asked for again after a call that failed.
+// TestFailedCallIsRepeated checks that tokens for waiting requests are requested again after a failed call.
 func TestFailedCallIsRepeated(t *testing.T) {
 	play := newScript(t, TestingKnobs{})
 	node, limiter := play.allocator(0), play.limiter("proxy")
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestAllocatorRejectsCallsBeforeItsTerm: an allocator that never began grants nothing.
+// TestAllocatorRejectsCallsBeforeItsTerm checks that an allocator that never began a term grants nothing.
 func TestAllocatorRejectsCallsBeforeItsTerm(t *testing.T) {
 	play := newScript(t, TestingKnobs{})
 	node := NewAllocator(AllocatorOptions{Bounds: testBounds})
@@ -130,7 +130,7 @@
 	}
 }
 
-// TestInvalidSharesAreIgnored: a call that claims an impossible share gets no grant.
+// TestInvalidSharesAreIgnored checks that a call that reports an invalid held share gets no grant.
 func TestInvalidSharesAreIgnored(t *testing.T) {
 	play := newScript(t, TestingKnobs{})
 	node := play.allocator(0)
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestFirstWaiterIsAnnounced: where nothing was scheduled, requests that begin to wait say so, although the call that they need was wanted
-// before.
+// TestFirstWaiterIsAnnounced checks that requests that begin to wait while nothing is
+// scheduled set NeedsLease, even though the call that they need was already wanted before.
 func TestFirstWaiterIsAnnounced(t *testing.T) {
 	limiter := NewLimiter(LimiterOptions{Bounds: testBounds})
 	limit := Limit{RatePerSecond: 10, Burst: 10}
--- a/internal/system/quota/properties_test.go
+++ b/internal/system/quota/properties_test.go
@@ -19,7 +19,8 @@
 	return Limit{RatePerSecond: rapid.Float64Range(0.01, 10_000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 10_000).Draw(t, "burst")}
 }
 
-// TestBudgetKeepsTheBound: filling for a window and for the life of a token, and all depth, sum to no more than the bound.
+// TestBudgetKeepsTheBound checks that the tokens filled during a window and the lifetime
+// of a one-shot token, plus the total bucket depth, sum to no more than the bound.
 func TestBudgetKeepsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds, limit := drawBounds(t), drawLimit(t)
@@ -31,7 +32,8 @@
 	})
 }
 
-// TestBucketGivesWhatItHeldAndFilled: whatever is done to a bucket, it gives no more than it held at the start and what its rates filled.
+// TestBucketGivesWhatItHeldAndFilled checks that no sequence of operations takes
+// more tokens from a bucket than it held at the start plus what its rates filled.
 func TestBucketGivesWhatItHeldAndFilled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		subject := bucket{level: 10, depth: 10, rate: 1}
@@ -55,8 +57,8 @@
 	})
 }
 
-// TestAllocatorKeepsToTheWhole: whatever limiters report that they hold of what they were granted, what is outstanding stays within what may
-// be leased.
+// TestAllocatorKeepsToTheWhole checks that the outstanding shares stay within
+// what may be leased, whichever of their grants limiters report as held.
 func TestAllocatorKeepsToTheWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := drawLimit(t)
--- a/internal/system/quota/protections_test.go
+++ b/internal/system/quota/protections_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// hostile is a fleet with a faulty network, whose faults are drawn by playFaults.
+// hostile returns the options of a fleet with a faulty network. playFaults adds process faults and partitions.
 func hostile(knobs TestingKnobs) simulationOptions {
 	return simulationOptions{
 		limiters: 5, allocators: 3, knobs: knobs, drift: true,
@@ -17,7 +17,7 @@
 
 const faultySpan = 20 * time.Second
 
-// playFaults plays a seed with all faults and returns what broke.
+// playFaults runs the simulation of a seed with all faults and returns the violations.
 func playFaults(seed uint64, options simulationOptions) []string {
 	sim := newSimulation(seed, options)
 	sim.addFaultyTenants()
@@ -28,7 +28,7 @@
 	return sim.violations
 }
 
-// addFaultyTenants adds tenants of several sizes that ask for more than their limits at changing limiters.
+// addFaultyTenants adds tenants of several sizes whose demand at changing limiters exceeds their limits.
 func (s *simulation) addFaultyTenants() {
 	for _, limit := range []Limit{{RatePerSecond: 60, Burst: 40}, {RatePerSecond: 10, Burst: 30}, {RatePerSecond: 3, Burst: 3}} {
 		s.addTenant(fmt.Sprint("tenant-", len(s.tenants)), limit)
@@ -38,7 +38,7 @@
 	}
 }
 
-// changeDemand draws the demand of a tenant, and draws it again some seconds later.
+// changeDemand sets a random demand of a tenant, and sets another one some seconds later.
 func (s *simulation) changeDemand(tenant *simTenant) {
 	for i := range tenant.rates {
 		tenant.rates[i] = 0
@@ -49,7 +49,7 @@
 	s.after(s.randomUpTo(6*time.Second), func() { s.changeDemand(tenant) })
 }
 
-// scheduleFaults draws faults over faultySpan.
+// scheduleFaults schedules random faults within faultySpan.
 func (s *simulation) scheduleFaults() {
 	kinds := []func(){
 		s.moveAllocator, s.moveAllocator, s.freezeAllocator, s.freezeLimiter, s.restartAllocator, s.restartLimiter, s.cutLimiter,
@@ -67,7 +67,8 @@
 
 func (s *simulation) freezeLimiter() { s.freeze(&s.anyLimiter().simProcess) }
 
-// freeze has a process stand still for up to 5 s. A freeze that is under way is not shortened: what waits for its end would still wait.
+// freeze pauses a process for up to 5 s. It does not shorten a freeze already in
+// progress, because events already waiting for its end would not run earlier.
 func (s *simulation) freeze(process *simProcess) {
 	process.frozenUntil = max(process.frozenUntil, s.now+s.randomUpTo(5*time.Second))
 }
@@ -88,7 +89,7 @@
 	})
 }
 
-// leaveLimiter has a limiter give up its leases and start again.
+// leaveLimiter makes a limiter give up its leases and restart.
 func (s *simulation) leaveLimiter() {
 	node := s.anyLimiter()
 	if !node.alive || s.now < node.frozenUntil {
@@ -100,7 +101,7 @@
 	s.startLimiter(node)
 }
 
-// cutLimiter cuts a limiter off from all allocators.
+// cutLimiter partitions a limiter from all allocators.
 func (s *simulation) cutLimiter() {
 	node := s.anyLimiter()
 	for _, target := range s.allocators {
@@ -108,7 +109,7 @@
 	}
 }
 
-// cutBridge cuts some limiters off from the allocator, which others still reach.
+// cutBridge partitions some limiters from the current allocator while others still reach it.
 func (s *simulation) cutBridge() {
 	for _, node := range s.limiters {
 		if s.rng.IntN(2) == 0 {
@@ -122,7 +123,7 @@
 	s.after(duration, func() { delete(s.cut, path) })
 }
 
-// lowerLimit lowers the limit of the largest tenant to a quarter, which each process learns in its own time.
+// lowerLimit lowers the limit of the largest tenant to a quarter. Each process receives the new limit at a different time.
 func (s *simulation) lowerLimit() {
 	tenant := s.tenants[0]
 	limit := tenant.limits[0]
@@ -138,7 +139,8 @@
 
 func (s *simulation) anyLimiter() *simLimiter { return s.limiters[s.rng.IntN(len(s.limiters))] }
 
-// TestBoundHoldsUnderFaults: under all faults no window admits more than the bound, and shares sum to what may be leased.
+// TestBoundHoldsUnderFaults checks that under all faults no window admits
+// more than the bound, and that the shares sum to no more than may be leased.
 func TestBoundHoldsUnderFaults(t *testing.T) {
 	const parts, seedsOfPart = 2, 500
 	for part := range uint64(parts) {
@@ -153,8 +155,8 @@
 	}
 }
 
-// TestProtections: without any one of these protections the same plays break the bound or the sum of shares. takeover_test.go has the controls
-// of the others.
+// TestProtections checks that without any one of these protections the same runs violate the bound or the limit on the
+// sum of shares. takeover_test.go, late_reply_test.go and resume_test.go have the controls of the other protections.
 func TestProtections(t *testing.T) {
 	for name, knobs := range map[string]TestingKnobs{
 		"EarlyExpiry":       {EarlyExpiry: true},
--- a/internal/system/quota/quotarpc/allocation_server_test.go
+++ b/internal/system/quota/quotarpc/allocation_server_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// chainOfTwo are two addresses, the first of which owns Role.
+// chainOfTwo returns the addresses of a chain of two nodes, of which owner owns Role.
 func chainOfTwo() (owner, other string) {
 	owner = ownership.Owner(Role, []string{"10.0.0.1", "10.0.0.2"})
 	if owner == "10.0.0.1" {
@@ -23,14 +23,14 @@
 	return NewAllocationServer(AllocationOptions{Self: self, Chain: chain, Bounds: testBounds, Log: discardLogger(), Knobs: knobs})
 }
 
-// lease makes a lease call of a limiter with demand for tenant t.
+// lease makes a lease call as a limiter with demand for tenant t.
 func lease(t *testing.T, server *AllocationServer, sequence uint64) (*quotapb.LeaseReply, error) {
 	t.Helper()
 	return server.Lease(t.Context(), &quotapb.LeaseRequest{Call: 7, Node: "p", Incarnation: 1, Sequence: sequence,
 		Demands: []*quotapb.Demand{{Tenant: "t", RatePerSecond: 10}}})
 }
 
-// TestOnlyTheConfirmedOwnerAnswers: a node grants nothing unless it owns the role in an epoch that is confirmed.
+// TestOnlyTheConfirmedOwnerAnswers checks that a node grants nothing unless it owns the role in a confirmed epoch.
 func TestOnlyTheConfirmedOwnerAnswers(t *testing.T) {
 	owner, other := chainOfTwo()
 	for _, test := range []struct {
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestOwnerThatIsNotCurrentControl: without the check, a node answers that may have been replaced.
+// TestOwnerThatIsNotCurrentControl checks that without the check for Current, a node answers that may have been replaced.
 func TestOwnerThatIsNotCurrentControl(t *testing.T) {
 	owner, other := chainOfTwo()
 	chain := newFakeChain(nil, owner, other)
@@ -67,7 +67,7 @@
 	}
 }
 
-// termSteps are views that follow each other, and whether a new term begins with the last.
+// termSteps are sequences of views, each with whether a new term begins at the last view.
 var termSteps = []struct {
 	name   string
 	views  func(enter func(epoch uint64, addresses ...string), owner, other string)
@@ -90,7 +90,7 @@
 	}, false},
 }
 
-// TestTermOfAuthority: a node that may have been replaced meanwhile learns anew what is outstanding.
+// TestTermOfAuthority checks that a node that may have been replaced in the meantime learns again what is outstanding.
 func TestTermOfAuthority(t *testing.T) {
 	owner, other := chainOfTwo()
 	for _, knobs := range []TestingKnobs{{}, {KeepTerm: true}} {
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestTermBeginsWithoutACall: a node that becomes the allocator learns from then on, though nobody calls.
+// TestTermBeginsWithoutACall checks that a node that becomes the allocator begins its term without waiting for a call.
 func TestTermBeginsWithoutACall(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		fleet := newTestFleet(t, nil)
@@ -127,7 +127,7 @@
 	})
 }
 
-// TestLimitsComeFromTheCommittedConfiguration: a tenant that the newest configuration does not have gets nothing.
+// TestLimitsComeFromTheCommittedConfiguration checks that a tenant that is not in the newest configuration gets no grant.
 func TestLimitsComeFromTheCommittedConfiguration(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		chain := newFakeChain([]*config.Tenant{limitedTenant("other", 10, 10)}, "10.0.0.1")
--- a/internal/system/quota/quotarpc/batcher_test.go
+++ b/internal/system/quota/quotarpc/batcher_test.go
@@ -11,9 +11,9 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// countingLimiter decides at random and counts what it says.
+// countingLimiter makes random decisions and counts them.
 type countingLimiter struct {
-	random *rand.Rand // the batcher calls for one tenant at a time
+	random *rand.Rand // needs no lock, because the batcher makes one call per tenant at a time
 	calls  int
 	asked  int
 	said   Taken
@@ -30,7 +30,7 @@
 	return taken
 }
 
-// playBatches sends requests of one tenant at random times, and returns what the limiter said and what the requests got.
+// playBatches sends requests of one tenant at random times, and returns the limiter's decisions and the verdicts on the requests.
 func playBatches(t *testing.T, seed uint64, knobs TestingKnobs) (*countingLimiter, *verdicts) {
 	t.Helper()
 	const requests = 300
@@ -51,7 +51,8 @@
 	return limiter, &outcome
 }
 
-// TestBatchesCountEachRequestOnce: the requests get exactly what the limiter said, in fewer calls than there are requests.
+// TestBatchesCountEachRequestOnce checks that the verdicts on requests add up
+// to exactly what the limiter decided, in fewer calls than there are requests.
 func TestBatchesCountEachRequestOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		bubble.Test(t, func(t *testing.T) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// TestBatchesControl: where a batch is admitted as a whole, more requests run than the limiter has counted.
+// TestBatchesControl checks that if entire batches are admitted, more requests are admitted than the limiter has counted.
 func TestBatchesControl(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		limiter, outcome := playBatches(t, 1, TestingKnobs{AdmitEntireBatch: true})
@@ -77,7 +78,7 @@
 	})
 }
 
-// TestCancelledRequestsAreNotAskedFor: a request whose client went away while it waited for the next call costs no token.
+// TestCancelledRequestsAreNotAskedFor checks that a request that is cancelled while it waits for the next call costs no token.
 func TestCancelledRequestsAreNotAskedFor(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		asked := 0
@@ -102,7 +103,7 @@
 	})
 }
 
-// TestWaitingRequestsAreBounded: beyond maxWaitingPerTenant, requests are turned away at once.
+// TestWaitingRequestsAreBounded checks that requests beyond maxWaitingPerTenant are rejected immediately.
 func TestWaitingRequestsAreBounded(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		batches := newBatcher(func(_ string, count int) Taken {
--- a/internal/system/quota/quotarpc/bench_test.go
+++ b/internal/system/quota/quotarpc/bench_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/quota/quotapb"
 )
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the CPU time used by this process.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -17,7 +17,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkAdmit reports what a request costs whose limiter is at another proxy, both ends together, over loopback.
+// BenchmarkAdmit reports the cost of a request whose limiter is at another proxy: client and server together, over loopback.
 func BenchmarkAdmit(b *testing.B) {
 	transport := NewTransport()
 	b.Cleanup(transport.CloseIdleConnections)
--- a/internal/system/quota/quotarpc/client_test.go
+++ b/internal/system/quota/quotarpc/client_test.go
@@ -24,14 +24,14 @@
 	return peers
 }
 
-// scriptedZone records which limiters a client asks. Each says what its script does.
+// scriptedZone is a zone of scripted limiters. It records which of them a client asks.
 type scriptedZone struct {
 	network *memorynet.Network
 	mu      sync.Mutex
 	asked   []string
 }
 
-// newScriptedZone returns a client in a zone where all other limiters do as take does, and the own one admits all.
+// newScriptedZone returns a client in a zone where all other limiters behave as take, and the own one admits all requests.
 func newScriptedZone(t *testing.T, knobs TestingKnobs, take limitingFunc) (*scriptedZone, *Client) {
 	t.Helper()
 	zone := &scriptedZone{network: memorynet.New(nil)}
@@ -65,7 +65,7 @@
 	return asked
 }
 
-// tenantOwnedByOthers returns a tenant whose first limiters are others than this proxy.
+// tenantOwnedByOthers returns a tenant whose limiters do not include this proxy, and the nodes of those limiters.
 func tenantOwnedByOthers() (tenant string, owners []string) {
 	for tenant := 'a'; ; tenant++ {
 		owners := ownership.Owners(string(tenant), zoneNodes, limitersPerTenant)
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestCandidateOrder: the limiters of the highest rendezvous weights are asked, then the own one, and those that failed are passed over
-// for a second.
+// TestCandidateOrder checks that the limiters with the highest rendezvous weights are
+// asked first, then the own one, and that limiters that failed are skipped for a second.
 func TestCandidateOrder(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		zone, client := newScriptedZone(t, TestingKnobs{}, func(ctx context.Context, _ *quotapb.TakeRequest) (*quotapb.TakeReply, error) {
@@ -106,7 +106,7 @@
 	})
 }
 
-// TestCandidateOrderControl: without rendezvous hashing the proxies of a zone ask limiters that do not depend on the tenant.
+// TestCandidateOrderControl checks that without rendezvous hashing, which limiters are asked does not depend on the tenant.
 func TestCandidateOrderControl(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		zone, client := newScriptedZone(t, TestingKnobs{AnyCandidate: true}, admitAll)
@@ -118,8 +118,8 @@
 	})
 }
 
-// TestUndecidedGoToTheNextLimiter: what one limiter could not decide on, the next one does, unless the limiter has waited long for the
-// allocator.
+// TestUndecidedGoToTheNextLimiter checks that requests that one limiter could not
+// decide on go to the next one, unless the first has waited long for the allocator.
 func TestUndecidedGoToTheNextLimiter(t *testing.T) {
 	tenant, owners := tenantOwnedByOthers()
 	for _, test := range []struct {
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestLateAdmissionIsNotUsed: a process that was paused between the question and the answer does not use the answer.
+// TestLateAdmissionIsNotUsed checks that a process that is paused between asking a limiter and getting its answer does not use the answer.
 func TestLateAdmissionIsNotUsed(t *testing.T) {
 	for _, knobs := range []TestingKnobs{{}, {UseLateAdmissions: true}} {
 		bubble.Test(t, func(t *testing.T) {
@@ -161,7 +161,7 @@
 	}
 }
 
-// TestMismatchedReplyIsRejected: a limiter whose replies belong to other calls admits nothing.
+// TestMismatchedReplyIsRejected checks that replies that belong to other calls admit nothing.
 func TestMismatchedReplyIsRejected(t *testing.T) {
 	for _, knobs := range []TestingKnobs{{}, {AcceptAnyReply: true}} {
 		bubble.Test(t, func(t *testing.T) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// TestReplyAdmitsNoMoreThanAsked: a limiter that claims more than it was asked for admits what was asked for.
+// TestReplyAdmitsNoMoreThanAsked checks that a reply that admits more requests than it was asked about is cut to that number.
 func TestReplyAdmitsNoMoreThanAsked(t *testing.T) {
 	taken := takenFromProto(3, &quotapb.TakeReply{Admitted: 5, Unavailable: 5})
 	if taken != (Taken{Admitted: 3}) {
@@ -189,7 +189,7 @@
 	}
 }
 
-// TestClosedClient: no goroutine is left, and later requests are not admitted.
+// TestClosedClient checks that no goroutine is left after Close, and that later requests are not admitted.
 func TestClosedClient(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		_, client := newScriptedZone(t, TestingKnobs{}, admitAll)
--- a/internal/system/quota/quotarpc/fleet_test.go
+++ b/internal/system/quota/quotarpc/fleet_test.go
@@ -9,7 +9,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestTenantWithinItsLimit: a tenant that stays within its limit is not refused once its limiter has a share.
+// TestTenantWithinItsLimit checks that a tenant that stays within its limit
+// has at least 98% of its requests admitted once its limiter has a share.
 func TestTenantWithinItsLimit(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
@@ -22,7 +23,7 @@
 	})
 }
 
-// TestHotTenantGetsItsLimit: a tenant that asks for many times its limit gets about its limit, and never more than the bound.
+// TestHotTenantGetsItsLimit checks that a tenant that requests several times its limit gets about its limit, and no more than the bound.
 func TestHotTenantGetsItsLimit(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
@@ -40,7 +41,7 @@
 	})
 }
 
-// TestOneLimiterServesATenant: whichever proxy the requests come to, one limiter of the zone holds the lease.
+// TestOneLimiterServesATenant checks that one limiter of the zone holds the lease, whichever proxies receive the requests.
 func TestOneLimiterServesATenant(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
@@ -64,7 +65,7 @@
 	})
 }
 
-// TestNoLimitCostsNothing: without a limit there is no call to a limiter or to the allocator.
+// TestNoLimitCostsNothing checks that requests of an unlimited tenant cause no calls to a limiter or to the allocator.
 func TestNoLimitCostsNothing(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 0, 50)
@@ -77,7 +78,7 @@
 	})
 }
 
-// TestLimiterIsLost: requests go to the next limiter, which gets a lease of its own.
+// TestLimiterIsLost checks that when a limiter crashes, requests go to the next one, which gets a lease of its own.
 func TestLimiterIsLost(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
@@ -93,8 +94,8 @@
 	})
 }
 
-// TestLeaveGivesLeasesBack: after a limiter has left, the next one needs not wait until its lease ends. The control is a limiter that ends
-// without a word.
+// TestLeaveGivesLeasesBack checks that after a limiter has left, the next one does not have
+// to wait until the lease expires. The control is a limiter that stops without leaving.
 func TestLeaveGivesLeasesBack(t *testing.T) {
 	for _, leaves := range []bool{true, false} {
 		bubble.Test(t, func(t *testing.T) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestPausedLimiterUsesNoExpiredLease: a limiter that was paused for longer than its lease lasts admits nothing by it when it wakes, though
-// nothing in it has run since.
+// TestPausedLimiterUsesNoExpiredLease checks that a limiter that was paused for longer than its lease
+// lasts admits nothing with that lease when it resumes, even though Run has not made another step yet.
 func TestPausedLimiterUsesNoExpiredLease(t *testing.T) {
 	for _, knobs := range []TestingKnobs{{}, {TakeAtLastStep: true}} {
 		bubble.Test(t, func(t *testing.T) {
@@ -137,7 +138,8 @@
 	}
 }
 
-// firstAndLast returns the proxy that is the first limiter of a tenant, and one that is no limiter of it but in the last place.
+// firstAndLast returns the proxy that is the first limiter of a tenant, and
+// one that is not a limiter of the tenant except as its own last candidate.
 func firstAndLast(fleet *testFleet, tenant string) (first, last string) {
 	candidates := fleet.proxies["a"].client.candidates.inOrder(time.Now(), tenant)
 	first = candidates[0].Node
--- a/internal/system/quota/quotarpc/lease_caller_test.go
+++ b/internal/system/quota/quotarpc/lease_caller_test.go
@@ -15,20 +15,20 @@
 	"gradeusher.example/gradeusher/internal/testsupport/memorynet"
 )
 
-// allocationFunc is the end of a control-plane node.
+// allocationFunc implements quotapb.Allocation.
 type allocationFunc func(request *quotapb.LeaseRequest) (*quotapb.LeaseReply, error)
 
 func (f allocationFunc) Lease(_ context.Context, request *quotapb.LeaseRequest) (*quotapb.LeaseReply, error) {
 	return f(request)
 }
 
-// scriptedNodes are control-plane nodes: each refers to another or, where that is empty, answers as the allocator.
+// scriptedNodes are control-plane nodes. Each refers callers to the owner set for it, or answers as the allocator if that is empty.
 type scriptedNodes struct {
 	owners map[string]string
 	asked  []string
 }
 
-// newLeaseCaller returns a caller that follows the node "n1".
+// newLeaseCaller returns a caller that follows node "n1".
 func (n *scriptedNodes) newLeaseCaller(knobs TestingKnobs) *leaseCaller {
 	network := memorynet.New(nil)
 	for node := range n.owners {
@@ -43,7 +43,7 @@
 	return &leaseCaller{followed: func() string { return "n1" }, controlPlanePort: 1, http: &http.Client{Transport: network}, knobs: knobs}
 }
 
-// TestLeaseCallFindsTheAllocator: referrals are followed, the allocator is remembered, and forgotten once a call to it fails.
+// TestLeaseCallFindsTheAllocator checks that referrals are followed and that the allocator is cached until a call to it fails.
 func TestLeaseCallFindsTheAllocator(t *testing.T) {
 	nodes := &scriptedNodes{owners: map[string]string{"n1": "n2", "n2": "", "n3": ""}}
 	caller := nodes.newLeaseCaller(TestingKnobs{})
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestMismatchedLeaseReplyIsRejected: the reply to another call brings no lease.
+// TestMismatchedLeaseReplyIsRejected checks that a reply to another call grants no lease.
 func TestMismatchedLeaseReplyIsRejected(t *testing.T) {
 	for _, knobs := range []TestingKnobs{{}, {AcceptAnyReply: true}} {
 		network := memorynet.New(map[string]http.Handler{"n1": quotapb.NewAllocationServer(allocationFunc(func(request *quotapb.LeaseRequest) (*quotapb.LeaseReply, error) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestNoNodeIsFollowed: without a control-plane node there is no call.
+// TestNoNodeIsFollowed checks that a lease call fails if no control-plane node is known.
 func TestNoNodeIsFollowed(t *testing.T) {
 	caller := &leaseCaller{followed: func() string { return "" }, http: &http.Client{Transport: memorynet.New(nil)}}
 	if _, err := caller.lease(t.Context(), quota.LeaseRequest{}); !errors.Is(err, ErrNotReferred) {
--- a/internal/system/quota/quotarpc/loopback_test.go
+++ b/internal/system/quota/quotarpc/loopback_test.go
@@ -31,8 +31,8 @@
 	return listener.Addr().String()
 }
 
-// TestOverLoopback: a request reaches the limiter of another proxy, and that one the allocator, over TCP. The allocator has just begun
-// its term, so that nothing can be granted yet and the verdict is that there is none. No goroutine is left.
+// TestOverLoopback checks that a request reaches the limiter of another proxy over TCP, and that this limiter reaches the allocator.
+// The allocator has just begun its term, so it cannot grant anything yet and the verdict is Unavailable. No goroutine may be left.
 func TestOverLoopback(t *testing.T) {
 	t.Cleanup(func() { goleak.VerifyNone(t) })
 	tenant := limitedTenant("t", 100, 50)
--- a/internal/system/quota/quotarpc/refusals_test.go
+++ b/internal/system/quota/quotarpc/refusals_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestRefusals: an operator sees why and when requests of a tenant were refused, and which limiter decides.
+// TestRefusals checks that Refusals reports why and when requests of a tenant were refused, and which limiter decides.
 func TestRefusals(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		said := []Taken{{OverLimit: 1}, {OverLimit: 1}, {Unavailable: 1}, {Admitted: 1}}
@@ -32,7 +32,7 @@
 	})
 }
 
-// TestUsage: the allocator shows what its limiters hold, as the limiters see it.
+// TestUsage checks that the usage reported by the allocator matches what its limiters hold.
 func TestUsage(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
--- a/internal/system/quota/quotarpc/roster_test.go
+++ b/internal/system/quota/quotarpc/roster_test.go
@@ -14,7 +14,7 @@
 
 var errDiskFull = errors.New("disk full")
 
-// memoryRoster is a store that fails at will.
+// memoryRoster is an in-memory store whose Save can be made to fail.
 type memoryRoster struct {
 	stored  Roster
 	found   bool
@@ -35,7 +35,7 @@
 	return newRosterRecorder(store, "disk-1", &log.Logger{Handler: discard.New()})
 }
 
-// TestRosterCoversBeforeLease: once a roster is kept, a node gets a lease only after every roster that may be stored names it.
+// TestRosterCoversBeforeLease checks that once a roster is kept, a node gets a lease only after every roster that may be stored names it.
 func TestRosterCoversBeforeLease(t *testing.T) {
 	store := &memoryRoster{}
 	keeper, now := newTestKeeper(store), time.Now()
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestRosterForgetsBeforeSaving: a node that the next roster lacks gets no lease from when that may be stored.
+// TestRosterForgetsBeforeSaving checks that a node that the next roster does not name gets no lease once that roster may be stored.
 func TestRosterForgetsBeforeSaving(t *testing.T) {
 	store := &memoryRoster{}
 	keeper, now := newTestKeeper(store), time.Now()
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestRosterOfAnotherTermIsNotResumed: between the roster's epoch and the present one another node may have been the owner.
+// TestRosterOfAnotherTermIsNotResumed guards against resuming from a roster when
+// another node may have been the owner between the roster's epoch and the current one.
 func TestRosterOfAnotherTermIsNotResumed(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -96,7 +97,7 @@
 	}
 }
 
-// TestRosterFile: what was saved last is loaded; nothing, and a damaged file, are told apart.
+// TestRosterFile checks that Load returns the roster saved last, and distinguishes a missing file from a damaged one.
 func TestRosterFile(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "quota")
 	file := NewRosterFile(folder)
@@ -120,7 +121,7 @@
 	}
 }
 
-// TestNoLeaseBetweenRecordAndSave guards against a lease at a node that the roster to be stored lacks.
+// TestNoLeaseBetweenRecordAndSave guards against granting a lease to a node that the roster about to be stored does not name.
 func TestNoLeaseBetweenRecordAndSave(t *testing.T) {
 	store := &memoryRoster{}
 	keeper, now := newTestKeeper(store), time.Now()
@@ -134,7 +135,8 @@
 	}
 }
 
-// TestNodeIsRecordedAfterFailedSave guards against a node that waits for good, as the roster that names it counts as stored.
+// TestNodeIsRecordedAfterFailedSave guards against a node that never gets a lease
+// because, after a failed save, the roster that names it wrongly counts as stored.
 func TestNodeIsRecordedAfterFailedSave(t *testing.T) {
 	store := &memoryRoster{}
 	keeper, now := newTestKeeper(store), time.Now()
@@ -152,7 +154,7 @@
 	}
 }
 
-// TestRecordedNodeHasTimeToCall guards against a node that is dropped from the roster before it could call again.
+// TestRecordedNodeHasTimeToCall guards against removing a node from the roster before it has had time to call again.
 func TestRecordedNodeHasTimeToCall(t *testing.T) {
 	keeper, now := newTestKeeper(&memoryRoster{}), time.Now()
 	keeper.record(now, 7, []string{"a"})
--- a/internal/system/quota/quotarpc/testfleet_test.go
+++ b/internal/system/quota/quotarpc/testfleet_test.go
@@ -18,10 +18,10 @@
 	"gradeusher.example/gradeusher/internal/testsupport/memorynet"
 )
 
-// testBounds are those of the deployments.
+// testBounds are the bounds used in deployments.
 var testBounds = quota.Bounds{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
 
-// learningTime is longer than an allocator learns after the start of its term.
+// learningTime is longer than the learning phase of an allocator after the start of its term.
 const learningTime = 7 * time.Second
 
 func discardLogger() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
@@ -30,7 +30,7 @@
 	return &config.Tenant{Name: name, RatePerSecond: rate, Burst: burst}
 }
 
-// fakeChain is the view and the control state of a node.
+// fakeChain implements Chain with a view and a control state that tests set.
 type fakeChain struct {
 	mu        sync.Mutex
 	epoch     uint64
@@ -63,7 +63,7 @@
 
 func (c *fakeChain) Committed() (*controlstate.State, <-chan struct{}) { return c.state, nil }
 
-// enter has the chain be in a view.
+// enter sets the current view.
 func (c *fakeChain) enter(epoch uint64, addresses ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,25 +77,25 @@
 	stop    context.CancelFunc
 }
 
-// testFleet is one zone of proxies, and one control-plane node that is the allocator, in one bubble.
+// testFleet is one zone of proxies and one control-plane node that is the allocator, all in one bubble.
 type testFleet struct {
 	network   *memorynet.Network
 	chain     *fakeChain
 	allocator *AllocationServer
 	proxies   map[string]*fleetProxy
 	running   sync.WaitGroup
-	knobs     TestingKnobs // of the limiters
+	knobs     TestingKnobs // knobs of the limiters
 }
 
 const allocatorHost = "10.0.0.1"
 
-// newTestFleet starts the proxies, each with its name as its host. The allocator has learnt what is outstanding when it returns.
+// newTestFleet starts the proxies, each with its name as its host. When it returns, the allocator has learned what is outstanding.
 func newTestFleet(t *testing.T, tenants []*config.Tenant, names ...string) *testFleet {
 	t.Helper()
 	return newTestFleetWith(t, TestingKnobs{}, tenants, names...)
 }
 
-// newTestFleetWith starts a fleet whose limiters have the knobs.
+// newTestFleetWith starts a fleet whose limiters use the given knobs.
 func newTestFleetWith(t *testing.T, knobs TestingKnobs, tenants []*config.Tenant, names ...string) *testFleet {
 	t.Helper()
 	fleet := &testFleet{knobs: knobs, network: memorynet.New(nil), chain: newFakeChain(tenants, allocatorHost), proxies: map[string]*fleetProxy{}}
@@ -139,7 +139,7 @@
 	f.proxies[name] = &fleetProxy{limiter: limiter, client: client, stop: stop}
 }
 
-// peers are the proxies with the names.
+// peers returns the proxies with the given names as peers.
 func (f *testFleet) peers(names ...string) []Peer {
 	var peers []Peer
 	for _, name := range names {
@@ -148,7 +148,7 @@
 	return peers
 }
 
-// verdicts counts the verdicts on requests.
+// verdicts counts the verdicts on requests. It is safe for concurrent use.
 type verdicts struct {
 	mu     sync.Mutex
 	counts map[quota.Verdict]int
@@ -169,14 +169,14 @@
 	return fmt.Sprintf("%d admitted, %d over the limit, %d unavailable", v.counts[quota.Admitted], v.counts[quota.OverLimit], v.counts[quota.Unavailable])
 }
 
-// count is how often there was a verdict.
+// count returns how often a verdict was given.
 func (v *verdicts) count(verdict quota.Verdict) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.counts[verdict]
 }
 
-// offer sends requests of a tenant to a proxy at a steady rate for a duration, and returns when each has its verdict.
+// offer sends requests of a tenant to a proxy at a steady rate for a duration, and returns once all of them have a verdict.
 func (f *testFleet) offer(t *testing.T, name string, tenant *config.Tenant, perSecond int, duration time.Duration) *verdicts {
 	t.Helper()
 	var outcome verdicts
@@ -190,24 +190,24 @@
 	return &outcome
 }
 
-// ownLimiterFunc is an OwnLimiter.
+// ownLimiterFunc implements OwnLimiter.
 type ownLimiterFunc func(count int) Taken
 
 func (f ownLimiterFunc) Decide(_ context.Context, _ string, count int, _ time.Duration) Taken {
 	return f(count)
 }
 
-// limitingFunc is a limiter of another proxy.
+// limitingFunc implements quotapb.Limiting as the limiter of another proxy.
 type limitingFunc func(ctx context.Context, request *quotapb.TakeRequest) (*quotapb.TakeReply, error)
 
 func (f limitingFunc) Take(ctx context.Context, request *quotapb.TakeRequest) (*quotapb.TakeReply, error) {
 	return f(ctx, request)
 }
 
-// limitingHandler serves a limiter of another proxy.
+// limitingHandler returns the handler of another proxy's limiter.
 func limitingHandler(take limitingFunc) http.Handler { return quotapb.NewLimitingServer(take) }
 
-// admitAll is a limiter that admits all.
+// admitAll is a limitingFunc that admits all requests.
 func admitAll(_ context.Context, request *quotapb.TakeRequest) (*quotapb.TakeReply, error) {
 	return &quotapb.TakeReply{Call: request.GetCall(), Admitted: request.GetCount()}, nil
 }
--- a/internal/system/quota/resume_test.go
+++ b/internal/system/quota/resume_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// resumed returns an allocator whose former process may have leased to limiters of some nodes.
+// resumed returns an allocator whose previous process may have granted leases to limiters of the given nodes.
 func (s script) resumed(begin time.Duration, nodes ...string) *Allocator {
 	node := NewAllocator(AllocatorOptions{Bounds: testBounds, Knobs: s.knobs})
 	node.Resume(begin, nodes)
 	return node
 }
 
-// TestRestartedAllocatorWaitsForHolders: an allocator that is started anew leases nothing while a limiter that may hold a lease has not told.
+// TestRestartedAllocatorWaitsForHolders checks that a restarted allocator leases
+// nothing until every limiter that may hold a lease has reported what it holds.
 func TestRestartedAllocatorWaitsForHolders(t *testing.T) {
 	withAndWithout(t, TestingKnobs{ForgetAwaited: true}, func(s script) {
 		former := s.allocator(0)
@@ -26,8 +27,8 @@
 	})
 }
 
-// TestRestartedAllocatorKnowsAllOnceAllTold: with all limiters started anew nothing is outstanding, and an allocator that has heard so from each
-// leases at once.
+// TestRestartedAllocatorKnowsAllOnceAllTold checks that an allocator leases immediately once each
+// limiter has reported what it holds. All limiters have restarted, so nothing is outstanding.
 func TestRestartedAllocatorKnowsAllOnceAllTold(t *testing.T) {
 	played := newScript(t, TestingKnobs{})
 	restarted := played.resumed(10*time.Second, "a", "b")
@@ -48,7 +49,8 @@
 	}
 }
 
-// TestLimiterTellsAllToLearningAllocator: a call that names some leases only is followed at once by one that names all.
+// TestLimiterTellsAllToLearningAllocator checks that a call that names only some
+// leases is immediately followed by one that names all, if the allocator is learning.
 func TestLimiterTellsAllToLearningAllocator(t *testing.T) {
 	played := newScript(t, TestingKnobs{})
 	limiter := played.limiter("a")
@@ -70,7 +72,8 @@
 	}
 }
 
-// TestRemovedNodeIsAwaitedOnce guards against a roster that names a node for good: what it held has ended when the grace period has.
+// TestRemovedNodeIsAwaitedOnce guards against a roster that names a removed node
+// forever. The leases of that node have expired by the end of the grace period.
 func TestRemovedNodeIsAwaitedOnce(t *testing.T) {
 	played := newScript(t, TestingKnobs{})
 	restarted := played.resumed(0, "gone")
--- a/internal/system/quota/simulation_processes_test.go
+++ b/internal/system/quota/simulation_processes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// arrive has requests arrive at a limiter, and then again.
+// arrive generates the requests that arrive at a limiter, and schedules the next arrivals.
 func (s *simulation) arrive(node *simLimiter) {
 	interval := s.options.takeInterval
 	s.after(interval/2+s.randomUpTo(interval), func() { s.arrive(node) })
@@ -19,7 +19,7 @@
 	}
 }
 
-// poisson draws a number of arrivals.
+// poisson returns a Poisson-distributed number of arrivals.
 func (s *simulation) poisson(mean float64) int {
 	limit, product, count := math.Exp(-mean), s.rng.Float64(), 0
 	for product > limit {
@@ -80,7 +80,7 @@
 	}
 }
 
-// schedule wakes a limiter when it next has something to do.
+// schedule sets a timer for the next time that a limiter has something to do.
 func (s *simulation) schedule(node *simLimiter) {
 	local := node.clock.read(s.now)
 	at, scheduled := node.limiter.NextCall(local)
@@ -98,7 +98,7 @@
 	})
 }
 
-// drive does what a limiter has due.
+// drive performs the actions that are due at a limiter.
 func (s *simulation) drive(node *simLimiter) {
 	local := node.clock.read(s.now)
 	s.resolve(node, node.limiter.Expire(local))
@@ -108,7 +108,7 @@
 	s.schedule(node)
 }
 
-// send carries a limiter's request to the allocator that it believes in.
+// send sends a limiter's request to the allocator named by the view that the limiter knows.
 func (s *simulation) send(node *simLimiter, request LeaseRequest) {
 	s.calls++
 	if s.onRequest != nil {
@@ -128,7 +128,7 @@
 	})
 }
 
-// serve reads the clock, checks the authority, possibly stands still, and answers.
+// serve makes an allocator read its clock, check its authority, possibly freeze, and answer a request.
 func (s *simulation) serve(node *simLimiter, nodeRun int, target *simAllocator, request LeaseRequest) {
 	readAt := target.clock.read(s.now)
 	if !s.hasAuthority(target) {
@@ -157,7 +157,7 @@
 	s.schedule(node)
 }
 
-// limits returns the limits as an allocator has them.
+// limits returns a function that looks up the limits known to an allocator.
 func (s *simulation) limits(node *simAllocator) func(string) (Limit, bool) {
 	return func(name string) (Limit, bool) {
 		for _, tenant := range s.tenants {
@@ -169,7 +169,7 @@
 	}
 }
 
-// checkShares checks that the shares which limiters hold sum to no more than may be leased.
+// checkShares checks that the shares held by limiters sum to no more than may be leased.
 func (s *simulation) checkShares() {
 	for _, tenant := range s.tenants {
 		var sum Share
@@ -202,7 +202,8 @@
 	}
 }
 
-// bound returns what may be admitted in the window that ends at the given time: the over-admission bound, or what the budget leaves of it.
+// bound returns how much may be admitted in the window that ends at the given time: the over-admission bound, or the budget
+// if that is smaller. Until one window after the limit was lowered, the larger of the old and the new limit's values applies.
 func (s *simulation) bound(tenant *simTenant, end time.Duration) float64 {
 	newest := len(tenant.limits) - 1
 	if newest > 0 && end < tenant.lowered+s.options.bounds.Window {
@@ -211,7 +212,7 @@
 	return s.budget(tenant.limits[newest])
 }
 
-// budget is the sum of the package's proof, with clocks that run up to 1 in 1,000 fast.
+// budget returns the sum in the package's proof, for clocks that run up to 1 in 1,000 fast, but at most the over-admission bound.
 func (s *simulation) budget(limit Limit) float64 {
 	bounds := s.options.bounds
 	filled := 1.001 * limit.RatePerSecond * (bounds.Window + bounds.TokenTTL()).Seconds()
--- a/internal/system/quota/simulation_test.go
+++ b/internal/system/quota/simulation_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// simulation runs limiters and allocators over a faulty network, each process on a clock of its own. Views name one allocator after
-// another; a former one keeps its authority for a while, as it does in the fleet.
+// simulation runs limiters and allocators over a faulty network, each process with its own clock. Views name
+// one allocator after another. A former allocator keeps its authority for a while, as it does in a real fleet.
 type simulation struct {
 	options    simulationOptions
 	rng        *rand.Rand
@@ -30,17 +30,17 @@
 	calls      int
 }
 
-// simulationOptions describe a play.
+// simulationOptions configure a simulation.
 type simulationOptions struct {
 	limiters, allocators int
 	knobs                TestingKnobs
 	bounds               Bounds
-	delay                time.Duration // one way, least
-	jitter               time.Duration // further, at most, as a rule
+	delay                time.Duration // minimum one-way delay
+	jitter               time.Duration // maximum additional delay, except for late messages
 	loss, duplication    float64
-	late                 float64 // part of messages that take up to 6 s
+	late                 float64 // fraction of messages that take up to 6 s longer
 	drift                bool
-	takeInterval         time.Duration // between batches of arrivals at one limiter; 0: 50 ms
+	takeInterval         time.Duration // between batches of arrivals at one limiter; 0 means 50 ms
 }
 
 // simView is the newest agreed view.
@@ -50,11 +50,11 @@
 	since time.Duration
 }
 
-// simTenant is a tenant, its demand and what was admitted.
+// simTenant is a tenant with its demand and the outcomes of its requests.
 type simTenant struct {
 	name     string
-	limits   []Limit       // by version; only the last counts once all have it
-	lowered  time.Duration // when all have the newest limit
+	limits   []Limit       // by version; only the last one applies once all processes have it
+	lowered  time.Duration // when all processes have the newest limit
 	rates    []float64     // arrivals a second by limiter
 	admitted []simTake
 	asked    int
@@ -63,7 +63,7 @@
 	waited   int
 	failed   int
 
-	reference        *bucket // a single bucket that gets the same requests, where there is one
+	reference        *bucket // optional: a single bucket that gets the same requests for comparison
 	referenceRefused int
 }
 
@@ -72,16 +72,16 @@
 	count int
 }
 
-// simTicket is requests that wait at a limiter.
+// simTicket is a group of requests that wait at a limiter.
 type simTicket struct {
 	tenant *simTenant
 	since  time.Duration
 }
 
-// simPath is the way from one process to another.
+// simPath is the network path between a limiter and an allocator.
 type simPath struct{ limiter, allocator int }
 
-// simClock is a process's own clock.
+// simClock is the local clock of a process.
 type simClock struct {
 	offset time.Duration
 	speed  float64
@@ -91,10 +91,10 @@
 	return c.offset + time.Duration(float64(now)*c.speed)
 }
 
-// simProcess is what limiters and allocators have in common.
+// simProcess is the state that limiters and allocators have in common.
 type simProcess struct {
 	clock       simClock
-	run         int // rises with each start
+	run         int // increases with each start
 	alive       bool
 	frozenUntil time.Duration
 }
@@ -105,17 +105,17 @@
 	incarnation uint64
 	limiter     *Limiter
 	knownView   simView
-	version     int // of the limits
+	version     int // version of the limits that this process has
 	tickets     map[Ticket]simTicket
-	wake        time.Duration // of the newest timer
-	awaits      uint64        // sequence of the call under way
+	wake        time.Duration // time of the newest timer
+	awaits      uint64        // sequence of the call in flight
 }
 
 type simAllocator struct {
 	simProcess
 	index     int
 	allocator *Allocator
-	begunFor  int // epoch
+	begunFor  int // epoch of the newest term begun
 	version   int
 }
 
@@ -143,7 +143,7 @@
 var testBounds = Bounds{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
 
 const (
-	simAuthorityEnd = 600 * time.Millisecond // after a view that names another owner
+	simAuthorityEnd = 600 * time.Millisecond // how long a former owner keeps its authority after a view that names another one
 	simCallTimeout  = 300 * time.Millisecond
 	simWaitRounding = time.Millisecond
 )
@@ -187,7 +187,7 @@
 	heap.Push(&s.queue, simEvent{at: s.now + wait, order: s.eventCount, do: do})
 }
 
-// run plays until duration has passed.
+// run runs the simulation for the given duration.
 func (s *simulation) run(duration time.Duration) {
 	end := s.now + duration
 	for len(s.queue) > 0 && s.queue[0].at <= end {
@@ -233,7 +233,7 @@
 	}
 }
 
-// changeView agrees on a view with another owner, of which each process learns in its own time.
+// changeView installs a view with the given owner. Each process learns of it at a different time.
 func (s *simulation) changeView(owner int) {
 	s.view = simView{epoch: s.view.epoch + 1, owner: owner, since: s.now}
 	view := s.view
@@ -251,7 +251,7 @@
 	}
 }
 
-// begin starts the term of an owner, unless a later view names another.
+// begin starts the term of an owner, unless there is a later view.
 func (s *simulation) begin(node *simAllocator, epoch int) {
 	if s.view.epoch == epoch && node.begunFor < epoch {
 		node.begunFor = epoch
@@ -259,7 +259,8 @@
 	}
 }
 
-// hasAuthority is whether an allocator counts as the owner: of the newest view, or of one that ended less than simAuthorityEnd ago.
+// hasAuthority reports whether an allocator counts as the owner: either of the
+// newest view, or of the previous one if that ended less than simAuthorityEnd ago.
 func (s *simulation) hasAuthority(node *simAllocator) bool {
 	if node.begunFor == s.view.epoch {
 		return true
@@ -267,7 +268,7 @@
 	return node.begunFor == s.view.epoch-1 && node.begunFor > 0 && s.now < s.view.since+simAuthorityEnd
 }
 
-// whenAwake does something at a process now, or once it is not frozen any more; nothing if the run has ended by then.
+// whenAwake calls do now, or when the process is no longer frozen. It does nothing if that run of the process has ended by then.
 func (s *simulation) whenAwake(process *simProcess, run int, do func()) {
 	if !process.alive || process.run != run {
 		return
@@ -279,7 +280,7 @@
 	do()
 }
 
-// deliver carries a message between a limiter and an allocator.
+// deliver sends a message between a limiter and an allocator, subject to the network faults.
 func (s *simulation) deliver(path simPath, arrive func()) {
 	copies := 1
 	if s.rng.Float64() < s.options.loss {
--- a/internal/system/quota/takeover_test.go
+++ b/internal/system/quota/takeover_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// script plays limiters and allocators by hand, all on one clock.
+// script drives limiters and allocators step by step, all with the same clock.
 type script struct {
 	t     *testing.T
 	limit Limit
@@ -28,7 +28,7 @@
 
 func (s script) limits(string) (Limit, bool) { return s.limit, true }
 
-// call has a limiter ask at sent for far more than the limit and get the reply at arrived.
+// call makes a limiter request far more than the limit at time sent and receive the reply at time arrived.
 func (s script) call(from *Limiter, to *Allocator, sent, arrived time.Duration) []Resolution {
 	s.t.Helper()
 	from.Take(sent, "tenant", s.limit, 200)
@@ -39,7 +39,7 @@
 	return from.Receive(arrived, to.Receive(sent, request, s.limits))
 }
 
-// held returns the sum of the fractions that limiters hold.
+// held returns the sum of the fractions that the limiters hold.
 func (s script) held(now time.Duration, limiters ...*Limiter) float64 {
 	sum := 0.0
 	for _, l := range limiters {
@@ -48,7 +48,8 @@
 	return sum
 }
 
-// checkHeld fails where what is held does not show the protection, or what is held without it does not show what it is for.
+// checkHeld fails the test if the held fractions exceed what may be leased although
+// all protections are enabled, or do not exceed it although one is disabled.
 func (s script) checkHeld(sum float64) {
 	s.t.Helper()
 	broken := sum > leasableFraction+fractionRounding
@@ -57,14 +58,14 @@
 	}
 }
 
-// withAndWithout plays a script with all protections and without one.
+// withAndWithout runs a script once with all protections and once with one of them disabled.
 func withAndWithout(t *testing.T, without TestingKnobs, play func(script)) {
 	t.Run("protected", func(t *testing.T) { play(newScript(t, TestingKnobs{})) })
 	t.Run("unprotected", func(t *testing.T) { play(newScript(t, without)) })
 }
 
-// TestNewAllocatorLetsFormerOneEnd: a limiter that lost sight of the former allocator is renewed by its successor only after the former one,
-// which has seen its lease end, can lease the share to another limiter no more.
+// TestNewAllocatorLetsFormerOneEnd checks that a limiter partitioned from the former allocator is not renewed by the
+// successor while the former one, which has seen the lease expire, can still lease the share to another limiter.
 func TestNewAllocatorLetsFormerOneEnd(t *testing.T) {
 	withAndWithout(t, TestingKnobs{NoHandover: true}, func(s script) {
 		former := s.allocator(0)
@@ -77,7 +78,7 @@
 	})
 }
 
-// TestLeaseCountsFromSending: a reply that is long under way brings a lease that is by so much shorter.
+// TestLeaseCountsFromSending checks that the longer a reply takes to arrive, the shorter its lease lasts.
 func TestLeaseCountsFromSending(t *testing.T) {
 	withAndWithout(t, TestingKnobs{LateExpiry: true}, func(s script) {
 		node := s.allocator(0)
@@ -88,7 +89,7 @@
 	})
 }
 
-// TestLateTokensAreDropped: one-shot tokens that come later than Bounds.TokenTTL after the sending of the call serve nobody.
+// TestLateTokensAreDropped checks that one-shot tokens that arrive later than Bounds.TokenTTL after the call was sent are not used.
 func TestLateTokensAreDropped(t *testing.T) {
 	withAndWithout(t, TestingKnobs{KeepTokens: true}, func(s script) {
 		resolutions := s.call(s.limiter("slow"), s.allocator(0), 10*time.Second, 10301*time.Millisecond)
@@ -102,7 +103,7 @@
 	})
 }
 
-// TestLowerLimitEmptiesBuckets: what a bucket got under a higher limit is not spent under a lower one.
+// TestLowerLimitEmptiesBuckets checks that tokens that a bucket gained under a higher limit are not spent under a lower one.
 func TestLowerLimitEmptiesBuckets(t *testing.T) {
 	withAndWithout(t, TestingKnobs{IgnoreLimitChange: true}, func(s script) {
 		limiter, node := s.limiter("hot"), s.allocator(0)
@@ -116,14 +117,15 @@
 	})
 }
 
-// TestGraceServesFromReserve: a successor that does not know yet what is outstanding still gives tokens from the part that is never leased.
+// TestGraceServesFromReserve checks that a successor that does not know yet
+// what is outstanding still gives tokens from the part that is never leased.
 func TestGraceServesFromReserve(t *testing.T) {
 	s := newScript(t, TestingKnobs{})
 	node := s.allocator(0)
 	limiter := s.limiter("new")
 	resolutions := s.call(limiter, node, HandoverTime+2*time.Second, HandoverTime+2050*time.Millisecond)
 	resolutions = append(resolutions, limiter.Expire(HandoverTime+3*time.Second)...)
-	// In the 2 s since the handover the reserve has filled to its depth.
+	// In the 2 s since the handover ended, the reserve has filled to its depth.
 	reserve := int(allocatorFraction*testBounds.Depth(s.limit)) + testBounds.ExtraTokens() - testBounds.leasableExtra()
 	if len(resolutions) != 1 || resolutions[0].Granted != reserve || resolutions[0].Unavailable != 200-reserve {
 		t.Errorf("resolutions %+v, want %d requests served and the others unavailable", resolutions, reserve)
@@ -133,7 +135,8 @@
 	}
 }
 
-// TestRestartedLimiterDoesNotVoidItsFormerRun: what a former run of a process holds is outstanding until it ends, since that run may go on.
+// TestRestartedLimiterDoesNotVoidItsFormerRun checks that the leases of an earlier run
+// of a process stay outstanding until they expire, because that run may still be active.
 func TestRestartedLimiterDoesNotVoidItsFormerRun(t *testing.T) {
 	s := newScript(t, TestingKnobs{})
 	node := s.allocator(0)
