--- a/internal/system/quota/allocation.go
+++ b/internal/system/quota/allocation.go
@@ -22,7 +22,7 @@
 	ratePerSecond float64
 }
 
-// allocation returns the record of a tenant, and creates it where there is none. A new
+// allocation returns the record of a tenant, creating it if needed. A new
 // record has the bucket of a tenant whose limit was neither leased nor used in this term.
 func (a *Allocator) allocation(name string, limit Limit) *allocation {
 	tenant := a.allocated[name]
@@ -117,8 +117,7 @@
 	t.holders = slices.DeleteFunc(t.holders, func(h holder) bool { return h.from == from })
 }
 
-// holder returns the record of a limiter, and creates it where there is
-// none. It returns nil where the tenant already has maxHolders others.
+// holder returns the record of a limiter, creating it if needed. It returns nil if the tenant already has maxHolders others.
 func (t *allocation) holder(from *caller) *holder {
 	for i := range t.holders {
 		if t.holders[i].from == from {
@@ -203,7 +202,7 @@
 }
 
 // weight returns the fraction of the limit that a limiter's demand requires:
-// more than 1 where the demand exceeds the limit, 0 without demand.
+// more than 1 if the demand exceeds the limit, 0 without demand.
 func (h *holder) weight(limit Limit) float64 {
 	if h.ratePerSecond <= 0 {
 		return 0
--- a/internal/system/quota/allocator.go
+++ b/internal/system/quota/allocator.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// DefaultTTL is how long a lease lasts after the sending of the call that obtained it.
+	// DefaultTTL is how long a lease lasts, counted from the sending of the call that obtained it.
 	DefaultTTL = 5 * time.Second
 	// expiryMargin is by how much longer an allocator counts a lease than its holder does, so that clock speeds may differ by 1 in 100.
 	expiryMargin = 100 * time.Millisecond
-	// HandoverTime is for how long an allocator that begins a term grants nothing at all. A former allocator's authority lasts up to 600
-	// ms after the view that ends it. The remaining time is the longest interruption of a term that may be treated as no interruption.
+	// HandoverTime is for how long an allocator that begins a term grants nothing at all. It is longer than the 600 ms for which a former
+	// allocator's authority lasts after the view that ends it, so that a short interruption of a term need not end the term: see
+	// maxInterruption in package quotarpc.
 	HandoverTime  = 2 * time.Second
 	sweepInterval = time.Second
 	// maxHolders is the maximum number of limiters that are tracked per tenant.
@@ -145,7 +146,7 @@
 }
 
 // allocate records what the caller holds of a tenant's limit and decides what to grant.
-// It returns false where the caller's lease is not renewed and runs until it expires.
+// It returns false if the caller's lease is not renewed and runs until it expires.
 func (a *Allocator) allocate(from *caller, demand Demand, limit Limit) (Grant, bool) {
 	tenant := a.allocation(demand.Tenant, limit)
 	tenant.expire(a.now)
@@ -207,8 +208,8 @@
 
 func (a *Allocator) advance(now time.Duration) { a.now = max(a.now, now) }
 
-// caller returns the record of a limiter, and creates it where there is none. Each incarnation of a node is a separate
-// limiter: what an earlier one held is outstanding until it expires, because the earlier process may still be running.
+// caller returns the record of a limiter, creating it if needed. Each incarnation of a node is a separate limiter:
+// what an earlier one held is outstanding until it expires, because the earlier process may still be running.
 func (a *Allocator) caller(id LimiterID) *caller {
 	key := id
 	if a.knobs.IgnoreIncarnation {
@@ -232,7 +233,7 @@
 	}
 }
 
-// sweep deletes, once a second, limiters and tenants without outstanding leases.
+// sweep deletes, once a second, the records of limiters and tenants that are no longer needed.
 func (a *Allocator) sweep() {
 	if a.now < a.sweptAt+sweepInterval {
 		return
--- a/internal/system/quota/bounds.go
+++ b/internal/system/quota/bounds.go
@@ -24,7 +24,7 @@
 
 const (
 	maxTokenTTL = 300 * time.Millisecond
-	// tokenTTLShare is the fraction of the excess on a window's rate that late one-shot tokens may use.
+	// tokenTTLShare is the fraction of what Excess adds to a window's rate that late one-shot tokens may use.
 	tokenTTLShare = 0.6
 	// budgetShare is the fraction of the excess that is given out as bucket depth. The rest covers clocks that run up to 1 in 1,000 fast.
 	budgetShare = 0.8
--- a/internal/system/quota/demand.go
+++ b/internal/system/quota/demand.go
@@ -27,7 +27,7 @@
 type demandEstimate struct {
 	slow, fast float64 // arrivals, weighted by their age
 	decayedAt  time.Duration
-	begunAt    time.Duration // first arrival since demand was last gone
+	begunAt    time.Duration // first arrival since arrivals last stopped
 	lastAt     time.Duration // newest arrival
 }
 
--- a/internal/system/quota/limiter.go
+++ b/internal/system/quota/limiter.go
@@ -36,7 +36,7 @@
 	Denied      int           // requests beyond the limit
 	Unavailable int           // requests that can be neither decided on nor queued
 	Waiting     int           // requests that wait for the Resolution of Ticket
-	Ticket      Ticket        // 0 where none wait
+	Ticket      Ticket        // 0 if none wait
 	RetryAfter  time.Duration // for the denied requests
 	NeedsLease  bool          // NextCall may now return an earlier time than before
 }
@@ -94,8 +94,7 @@
 	}
 }
 
-// lease returns the record of a tenant, and creates it where there is none.
-// It returns nil after Leave, and where no further tenant can be tracked.
+// lease returns the record of a tenant, creating it if needed. It returns nil after Leave, and if no further tenant can be tracked.
 func (l *Limiter) lease(tenant string) *lease {
 	if l.left {
 		return nil
--- a/internal/system/quota/limiter_calls.go
+++ b/internal/system/quota/limiter_calls.go
@@ -14,7 +14,7 @@
 	announceInterval = time.Second
 	// askPause is for how long no tokens are requested after a reply with too few of them, or after a failed call.
 	askPause = 100 * time.Millisecond
-	// reportAge is the time after which a lease is renewed although nothing has changed, as a fraction of DefaultTTL.
+	// reportAge is the time after which a lease is renewed although nothing has changed: three tenths of DefaultTTL.
 	reportAge = 3 * DefaultTTL / 10
 	// A change of demand is reported before reportAge if it exceeds reportChange
 	// of the last reported demand plus reportChangeOfLimit of the limit.
@@ -39,7 +39,7 @@
 }
 
 // wantAt schedules a call that names a tenant, no earlier than at. It reports whether the schedule
-// has changed: false where such a call is already scheduled for that time or an earlier one.
+// has changed: false if such a call is already scheduled for that time or an earlier one.
 func (c *callSchedule) wantAt(held *lease, at time.Duration) bool {
 	if held.wanted && held.wantedAt <= at {
 		return false
@@ -74,7 +74,7 @@
 }
 
 // NextCall returns the earliest time at which NextRequest may return a request or Expire a resolution, and
-// false where neither will before another method is called. It returns now for anything that is overdue.
+// false if neither will before another method is called. It returns now for anything that is overdue.
 func (l *Limiter) NextCall(now time.Duration) (at time.Duration, scheduled bool) {
 	at = math.MaxInt64
 	if len(l.waiters.waiters) > 0 {
--- a/internal/system/quota/quotarpc/allocation_server.go
+++ b/internal/system/quota/quotarpc/allocation_server.go
@@ -207,8 +207,8 @@
 	return newest == epoch
 }
 
-// enterEpoch begins a new term, because another node may have granted leases since the last one. It continues the current term if this
-// node was the owner in this epoch or the one before it, or had authority within the last maxInterruption. The caller must hold mu.
+// enterEpoch continues the current term if this node was the owner in this epoch or the one before it, or had authority within the last
+// maxInterruption. Otherwise it begins a new term, because another node may have granted leases in between. The caller must hold mu.
 func (s *AllocationServer) enterEpoch(now time.Duration, epoch uint64) {
 	isFirst := s.epoch == 0
 	continues := !isFirst && (epoch == s.epoch || epoch == s.epoch+1 || s.options.Knobs.KeepTerm ||
--- a/internal/system/quota/quotarpc/doc.go
+++ b/internal/system/quota/quotarpc/doc.go
@@ -14,8 +14,9 @@
 //
 // # Guarantees
 //
-//   - Only leases permit requests. Each take reads the clock under the same lock under which it spends tokens, so that a process that
-//     was paused finds its leases expired. Which limiter a client asks affects how much of the limit can be used, but never the bound.
+//   - Requests are admitted only against leases. Each take reads the clock under the same lock under which
+//     it spends tokens, so that a process that was paused finds its leases expired. Which limiter a client
+//     asks affects how much of the limit can be used, but never the bound.
 //   - An allocation server answers only in an epoch whose view names its node as the owner and which a majority of
 //     the voters confirmed within the last 600 ms; this is checked after the call has arrived. See AllocationServer.
 //   - A reply is accepted only for the call whose id it repeats; otherwise the connection is closed.
--- a/internal/system/quota/quotarpc/roster.go
+++ b/internal/system/quota/quotarpc/roster.go
@@ -65,8 +65,9 @@
 	}
 }
 
-// resume returns the nodes at which leases may be outstanding, and false unless the stored roster is that of the last allocator
-// before the given epoch. It is if this node was the owner in the roster's epoch and that is the given epoch or the one before it.
+// resume returns the nodes at which leases may be outstanding, and false unless the stored
+// roster is that of the last allocator before the given epoch. That is the case if this node was
+// the owner in the roster's epoch, and the roster's epoch is the given one or the one before it.
 func (k *rosterRecorder) resume(epoch uint64) (nodes []string, known bool) {
 	roster, found, err := k.store.Load()
 	if err != nil {
