--- a/internal/system/quota/allocation.go
+++ b/internal/system/quota/allocation.go
@@ -27,20 +27,20 @@
 func (a *Allocator) allocation(name string, limit Limit) *allocation {
 	tenant := a.allocated[name]
 	if tenant == nil {
-		tenant = &allocation{limit: limit, bucket: a.untouchedBucket(limit)}
+		tenant = &allocation{limit: limit, bucket: a.initialBucket(limit)}
 		a.allocated[name] = tenant
 	}
 	return tenant
 }
 
-// untouchedBucket returns the bucket of a tenant that no limiter has asked for since the term began:
+// initialBucket returns the bucket of a tenant that no limiter has asked for since the term began:
 // empty at the end of the handover, and filled since then at the rate that is known not to be leased.
-func (a *Allocator) untouchedBucket(limit Limit) bucket {
+func (a *Allocator) initialBucket(limit Limit) bucket {
 	fresh := bucket{filledAt: a.handoverEnd()}
 	if a.now < fresh.filledAt {
 		return bucket{filledAt: fresh.filledAt}
 	}
-	a.sizeBucket(&fresh, limit, a.certainlyFree(), fresh.filledAt)
+	a.sizeBucket(&fresh, limit, a.reservedShare(), fresh.filledAt)
 	if a.now < a.graceEnd() {
 		fresh.fill(a.now)
 		return fresh
@@ -50,8 +50,8 @@
 	return fresh
 }
 
-// certainlyFree returns the part of each limit that no allocator ever leases.
-func (a *Allocator) certainlyFree() Share {
+// reservedShare returns the part of each limit that no allocator ever leases.
+func (a *Allocator) reservedShare() Share {
 	return Share{Fraction: allocatorFraction, Extra: a.bounds.ExtraTokens() - a.bounds.leasableExtra()}
 }
 
@@ -59,10 +59,10 @@
 	b.resize(at, free.Fraction*limit.RatePerSecond, free.Fraction*a.bounds.Depth(limit)+float64(free.Extra))
 }
 
-// free returns the part of a tenant's limit that belongs to the allocator's own bucket.
-func (t *allocation) free(a *Allocator) Share {
+// unleasedShare returns the part of a tenant's limit that belongs to the allocator's own bucket.
+func (t *allocation) unleasedShare(a *Allocator) Share {
 	if a.now < a.graceEnd() {
-		return a.certainlyFree()
+		return a.reservedShare()
 	}
 	leased := t.outstanding(nil)
 	return Share{
@@ -84,11 +84,11 @@
 		t.bucket.rate *= limit.RatePerSecond / t.limit.RatePerSecond
 	}
 	t.limit = limit
-	a.sizeBucket(&t.bucket, limit, t.free(a), max(a.now, t.bucket.filledAt))
+	a.sizeBucket(&t.bucket, limit, t.unleasedShare(a), max(a.now, t.bucket.filledAt))
 }
 
-// isAsNew reports whether the record can be deleted because a newly created one would be the same.
-func (t *allocation) isAsNew(a *Allocator) bool {
+// isDiscardable reports whether the record can be deleted because a newly created one would be the same.
+func (t *allocation) isDiscardable(a *Allocator) bool {
 	if a.now < a.graceEnd() {
 		return false
 	}
@@ -140,8 +140,8 @@
 	steadyRate  = 8 // requests a second
 	// minWeight is the fraction of the limit that is added for any limiter with demand, as far as the limit suffices.
 	minWeight = 0.04
-	// keepWithin is the relative difference to its target up to which a share is left unchanged, because a change costs calls.
-	keepWithin = 0.15
+	// targetTolerance is the relative difference to its target up to which a share is left unchanged, because a change costs calls.
+	targetTolerance = 0.15
 )
 
 // decideShare returns the share that replaces the one a limiter holds: its target, limited
@@ -180,7 +180,7 @@
 	if sum > leasableFraction {
 		fraction = leasableFraction * weight / sum
 	}
-	if math.Abs(fraction-held.Fraction) <= keepWithin*held.Fraction {
+	if math.Abs(fraction-held.Fraction) <= targetTolerance*held.Fraction {
 		fraction = held.Fraction
 	}
 	extra := max(1, leasableExtra/claimants)
--- a/internal/system/quota/allocator.go
+++ b/internal/system/quota/allocator.go
@@ -150,34 +150,34 @@
 func (a *Allocator) allocate(from *caller, demand Demand, limit Limit) (Grant, bool) {
 	tenant := a.allocation(demand.Tenant, limit)
 	tenant.expire(a.now)
-	former := tenant.holder(from)
-	if former == nil {
+	entry := tenant.holder(from)
+	if entry == nil {
 		return Grant{}, false
 	}
-	former.ratePerSecond = max(0, demand.RatePerSecond)
-	former.expiresAt = a.now + a.countedTTL()
-	former.seenAt = a.now
+	entry.ratePerSecond = max(0, demand.RatePerSecond)
+	entry.expiresAt = a.now + a.outstandingTTL()
+	entry.seenAt = a.now
 	if a.inHandover() {
-		former.share = demand.Held
+		entry.share = demand.Held
 		return Grant{}, false
 	}
 	grant := Grant{Tenant: demand.Tenant, Tokens: tenant.takeTokens(a, limit, demand.Waiting)}
-	grant.Share = a.decideShare(tenant, former, demand.Held, limit)
-	a.record(former, demand.Held, grant.Share)
+	grant.Share = a.decideShare(tenant, entry, demand.Held, limit)
+	a.recordOutstanding(entry, demand.Held, grant.Share)
 	tenant.resizeBucket(a, limit)
 	return grant, true
 }
 
-// record sets what counts as outstanding at a limiter: at least what the limiter reported, until it confirms that it holds less.
-func (a *Allocator) record(to *holder, held, granted Share) {
+// recordOutstanding sets what counts as outstanding at a limiter: at least what the limiter reported, until it confirms that it holds less.
+func (a *Allocator) recordOutstanding(to *holder, held, granted Share) {
 	to.share = held.atLeast(granted)
 	if a.knobs.TrustShrink {
 		to.share = granted
 	}
 }
 
-// countedTTL returns for how long after a call the leases of its limiter count as outstanding.
-func (a *Allocator) countedTTL() time.Duration {
+// outstandingTTL returns for how long after a call the leases of its limiter count as outstanding.
+func (a *Allocator) outstandingTTL() time.Duration {
 	if a.knobs.EarlyExpiry {
 		return a.ttl / 2
 	}
@@ -242,10 +242,10 @@
 	if latest := a.beganAt + a.ttl + HandoverTime; a.resumed && len(a.awaited) > 0 && a.now >= latest {
 		a.awaited, a.learnedAt = nil, latest // the leases of the nodes still awaited have expired
 	}
-	maps.DeleteFunc(a.callers, func(_ LimiterID, c *caller) bool { return a.now >= c.calledAt+a.countedTTL() })
+	maps.DeleteFunc(a.callers, func(_ LimiterID, c *caller) bool { return a.now >= c.calledAt+a.outstandingTTL() })
 	maps.DeleteFunc(a.allocated, func(_ string, tenant *allocation) bool {
 		tenant.expire(a.now)
-		return len(tenant.holders) == 0 && tenant.isAsNew(a)
+		return len(tenant.holders) == 0 && tenant.isDiscardable(a)
 	})
 }
 
--- a/internal/system/quota/availability_test.go
+++ b/internal/system/quota/availability_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// healthy returns the options of a fleet without faults: six zones in two regions.
-func healthy() simulationOptions {
+// healthyFleet returns the options of a fleet without faults: six zones in two regions.
+func healthyFleet() simulationOptions {
 	return simulationOptions{limiters: 6, allocators: 1, delay: 35 * time.Millisecond, jitter: 20 * time.Millisecond, drift: true}
 }
 
 func (tenant *simTenant) reset() {
-	tenant.asked, tenant.granted, tenant.denied, tenant.waited, tenant.failed = 0, 0, 0, 0, 0
+	tenant.requested, tenant.granted, tenant.denied, tenant.waited, tenant.failed = 0, 0, 0, 0, 0
 }
 
 func (tenant *simTenant) setRates(rate float64) {
@@ -25,7 +25,7 @@
 func TestSmallTenantsAreServed(t *testing.T) {
 	asked, refused, waited, calls := 0, 0, 0, 0
 	for seed := range uint64(10) {
-		sim := newSimulation(seed, healthy())
+		sim := newSimulation(seed, healthyFleet())
 		sim.run(8 * time.Second)
 		for range 10 {
 			sim.addTenant(string(rune('a'+len(sim.tenants))), Limit{RatePerSecond: 3, Burst: 3}).setRates(0.62 * 3 / 6)
@@ -33,7 +33,7 @@
 		sim.run(10 * time.Minute)
 		calls += sim.calls
 		for _, tenant := range sim.tenants {
-			asked += tenant.asked
+			asked += tenant.requested
 			refused += tenant.denied + tenant.failed
 			waited += tenant.waited
 		}
@@ -47,7 +47,7 @@
 // TestLoneHotLimiter checks that a tenant that requests five times its limit at a single limiter gets at least 95% of the limit.
 func TestLoneHotLimiter(t *testing.T) {
 	for _, limit := range []Limit{{3, 3}, {10, 10}, {100, 100}, {100, 10}, {1000, 300}} {
-		sim := newSimulation(1, healthy())
+		sim := newSimulation(1, healthyFleet())
 		sim.run(8 * time.Second)
 		tenant := sim.addTenant("hot", limit)
 		tenant.rates[2] = 5 * limit.RatePerSecond
@@ -63,14 +63,14 @@
 	}
 }
 
-// TestDemandThatMoves checks a tenant whose demand of 0.8 of its limit moves instantly from one limiter to another. From 1.2 s
+// TestMovingDemand checks a tenant whose demand of 0.8 of its limit moves instantly from one limiter to another. From 1.2 s
 // later on, at most 1 in 50 requests more are refused than by a single bucket of the whole limit that is empty at that time.
-func TestDemandThatMoves(t *testing.T) {
+func TestMovingDemand(t *testing.T) {
 	for _, limit := range []Limit{{10, 10}, {100, 100}, {100, 10}, {1000, 300}} {
 		asked, refused, reference := 0, 0, 0
 		for seed := range uint64(20) {
-			tenant := playMove(seed, limit)
-			asked += tenant.asked
+			tenant := runMovingDemand(seed, limit)
+			asked += tenant.requested
 			refused += tenant.denied + tenant.failed
 			reference += tenant.referenceRefused
 		}
@@ -81,9 +81,9 @@
 	}
 }
 
-// playMove returns the tenant with its counts for a period of 5 s that begins 1.2 s after its demand moved.
-func playMove(seed uint64, limit Limit) *simTenant {
-	sim := newSimulation(seed, healthy())
+// runMovingDemand returns the tenant with its counts for a period of 5 s that begins 1.2 s after its demand moved.
+func runMovingDemand(seed uint64, limit Limit) *simTenant {
+	sim := newSimulation(seed, healthyFleet())
 	sim.run(8 * time.Second)
 	tenant := sim.addTenant("moving", limit)
 	tenant.rates[0] = 0.8 * limit.RatePerSecond
@@ -97,18 +97,18 @@
 	return tenant
 }
 
-// TestTakeoverStarvesNobody checks that from the crash of an allocator until its successor has learned what
+// TestTakeoverServesAllTenantSizes checks that from the crash of an allocator until its successor has learned what
 // is outstanding, tenants of each size have at least a quarter of the overall fraction of requests served.
-func TestTakeoverStarvesNobody(t *testing.T) {
+func TestTakeoverServesAllTenantSizes(t *testing.T) {
 	served, asked := map[float64]int{}, map[float64]int{}
 	allServed, allAsked := 0, 0
 	for seed := range uint64(12) {
-		for _, tenant := range playTakeover(seed) {
+		for _, tenant := range runTakeover(seed) {
 			rate := tenant.limits[0].RatePerSecond
 			served[rate] += tenant.granted
-			asked[rate] += tenant.asked
+			asked[rate] += tenant.requested
 			allServed += tenant.granted
-			allAsked += tenant.asked
+			allAsked += tenant.requested
 		}
 	}
 	for rate := range served {
@@ -119,10 +119,10 @@
 	}
 }
 
-// playTakeover returns tenants whose demand in all zones together is 0.62 of their limits, with their
+// runTakeover returns tenants whose demand in all zones together is 0.62 of their limits, with their
 // counts for the 11.5 s after the crash of the allocator. A view names its successor after 1.5 s.
-func playTakeover(seed uint64) []*simTenant {
-	options := healthy()
+func runTakeover(seed uint64) []*simTenant {
+	options := healthyFleet()
 	options.allocators = 2
 	sim := newSimulation(seed, options)
 	sim.run(8 * time.Second)
--- a/internal/system/quota/demand.go
+++ b/internal/system/quota/demand.go
@@ -8,8 +8,8 @@
 const (
 	slowMeanAge = 4 * time.Second
 	fastMeanAge = 500 * time.Millisecond
-	// deviations is by how many standard deviations of its count the fast estimate must differ from the slow one to override it.
-	deviations = 2
+	// maxDeviations is by how many standard deviations of its count the fast estimate must differ from the slow one to override it.
+	maxDeviations = 2
 	// minAge limits how far the first arrivals can raise the estimate.
 	minAge = time.Second
 	// idleArrivals is the expected number of arrivals in a period for which there is a 1 in 20 chance of seeing none.
@@ -33,7 +33,7 @@
 
 // observe counts arrivals.
 func (d *demandEstimate) observe(now time.Duration, count int) {
-	if d.lastAt == 0 || d.gone(now) {
+	if d.lastAt == 0 || d.hasStopped(now) {
 		*d = demandEstimate{decayedAt: now, begunAt: now}
 	}
 	d.decay(now)
@@ -45,21 +45,21 @@
 // perSecond returns the estimated arrivals a second.
 func (d *demandEstimate) perSecond(now time.Duration) float64 {
 	d.decay(now)
-	lowest := (d.fast - deviations*math.Sqrt(d.fast)) / fastMeanAge.Seconds()
-	highest := (d.fast + deviations*math.Sqrt(d.fast+1) + 1) / fastMeanAge.Seconds()
-	steady := d.slow / d.slowSpan(now).Seconds()
-	return min(max(0, lowest, min(steady, highest)), d.highestWhileIdle(now))
+	lower := (d.fast - maxDeviations*math.Sqrt(d.fast)) / fastMeanAge.Seconds()
+	upper := (d.fast + maxDeviations*math.Sqrt(d.fast+1) + 1) / fastMeanAge.Seconds()
+	steady := d.slow / d.slowPeriod(now).Seconds()
+	return min(max(0, lower, min(steady, upper)), d.idleUpperBound(now))
 }
 
-// slowSpan returns the period that the slow average covers: slowMeanAge, or less shortly after the first arrival.
-func (d *demandEstimate) slowSpan(now time.Duration) time.Duration {
+// slowPeriod returns the period that the slow average covers: slowMeanAge, or less shortly after the first arrival.
+func (d *demandEstimate) slowPeriod(now time.Duration) time.Duration {
 	age := max(minAge, now-d.begunAt)
 	return time.Duration(float64(slowMeanAge) * (1 - math.Exp(-age.Seconds()/slowMeanAge.Seconds())))
 }
 
-// highestWhileIdle returns an upper bound of the rate, given the time since the last arrival: at that rate there is a 1 in 20
+// idleUpperBound returns an upper bound of the rate, given the time since the last arrival: at that rate there is a 1 in 20
 // chance of seeing no arrival for that long. Idle times below batchInterval set no bound, because requests may come in batches.
-func (d *demandEstimate) highestWhileIdle(now time.Duration) float64 {
+func (d *demandEstimate) idleUpperBound(now time.Duration) float64 {
 	idle := now - d.lastAt
 	if idle < batchInterval {
 		return math.Inf(1)
@@ -67,10 +67,10 @@
 	return idleArrivals / idle.Seconds()
 }
 
-// gone reports whether arrivals have stopped. The lower the recent rate of arrivals, the longer the time without any must be.
-func (d *demandEstimate) gone(now time.Duration) bool {
+// hasStopped reports whether arrivals have stopped. The lower the recent rate of arrivals, the longer the time without any must be.
+func (d *demandEstimate) hasStopped(now time.Duration) bool {
 	idle := now - d.lastAt
-	expected := d.slow / d.slowSpan(now).Seconds() * idle.Seconds()
+	expected := d.slow / d.slowPeriod(now).Seconds() * idle.Seconds()
 	switch {
 	case idle < minIdle:
 		return false
--- a/internal/system/quota/golden_trace_test.go
+++ b/internal/system/quota/golden_trace_test.go
@@ -45,7 +45,7 @@
 }
 
 func traceFaults(_ *testing.T, digest *golden.Digest, seed uint64) {
-	sim := newSimulation(seed, hostile(TestingKnobs{}))
+	sim := newSimulation(seed, faultyFleet(TestingKnobs{}))
 	goldenTrace{digest}.attach(sim)
 	sim.addFaultyTenants()
 	sim.run(7 * time.Second)
@@ -54,7 +54,7 @@
 }
 
 func traceNormal(_ *testing.T, digest *golden.Digest, seed uint64) {
-	sim := newSimulation(seed, healthy())
+	sim := newSimulation(seed, healthyFleet())
 	goldenTrace{digest}.attach(sim)
 	sim.run(8 * time.Second)
 	sim.addTenant("small", Limit{RatePerSecond: 3, Burst: 3}).setRates(0.3)
--- a/internal/system/quota/invariants_test.go
+++ b/internal/system/quota/invariants_test.go
@@ -9,7 +9,7 @@
 
 func TestMain(m *testing.M) { invarianttest.Main(m, nil) }
 
-func TestSharesInvariantSeesGrantsBeyondTheWhole(t *testing.T) {
+func TestSharesInvariantDetectsExcessGrants(t *testing.T) {
 	invarianttest.Expect(t, sharesWithinLimit, func() {
 		s := newScript(t, TestingKnobs{IgnoreOthers: true})
 		node := s.allocator(0)
@@ -18,7 +18,7 @@
 	})
 }
 
-func TestTakesInvariantSeesOverdrawnBuckets(t *testing.T) {
+func TestTakesInvariantDetectsOverdrawnBuckets(t *testing.T) {
 	invarianttest.Expect(t, takesWithinBucket, func() {
 		overdrawn := bucket{level: -1}
 		overdrawn.take(1)
--- a/internal/system/quota/limiter.go
+++ b/internal/system/quota/limiter.go
@@ -24,8 +24,8 @@
 type Limiter struct {
 	options LimiterOptions
 	now     time.Duration // never decreases
-	left    bool
-	tenants map[string]*lease
+	hasLeft bool
+	tenants map[string]*tenantState
 	waiters waitQueue
 	calls   callSchedule
 }
@@ -45,7 +45,7 @@
 func NewLimiter(options LimiterOptions) *Limiter {
 	options.MaxTenants = cmp.Or(options.MaxTenants, defaultMaxTenants)
 	options.MaxWaiting = cmp.Or(options.MaxWaiting, defaultMaxWaiting)
-	return &Limiter{options: options, tenants: map[string]*lease{}}
+	return &Limiter{options: options, tenants: map[string]*tenantState{}}
 }
 
 // Take requests count tokens for a tenant with the given limit. An unlimited tenant always gets them.
@@ -55,79 +55,79 @@
 	if limit.Unlimited() {
 		return Decision{Granted: count}
 	}
-	held := l.lease(tenant)
-	if held == nil {
+	state := l.tenantState(tenant)
+	if state == nil {
 		return Decision{Unavailable: count}
 	}
-	held.demand.observe(l.now, count)
-	held.advance(l, limit)
-	decision := Decision{Granted: held.bucket.take(count)}
-	l.decideRest(held, count-decision.Granted, &decision)
+	state.demand.observe(l.now, count)
+	state.advance(l, limit)
+	decision := Decision{Granted: state.bucket.take(count)}
+	l.decideRemaining(state, count-decision.Granted, &decision)
 	return decision
 }
 
-// decideRest decides on the requests for which the bucket has no token.
-func (l *Limiter) decideRest(held *lease, missing int, decision *Decision) {
+// decideRemaining decides on the requests for which the bucket has no token.
+func (l *Limiter) decideRemaining(state *tenantState, missing int, decision *Decision) {
 	switch {
 	case missing == 0:
-	case held.overLimit && l.now < held.askAgainAt:
+	case state.overLimit && l.now < state.nextTokenRequestAt:
 		decision.Denied = missing
-		decision.RetryAfter = held.retryAfter(l.now)
+		decision.RetryAfter = state.retryAfter(l.now)
 	default:
-		decision.Waiting = min(missing, l.waitCapacity(held))
-		decision.Ticket = l.wait(held, decision.Waiting)
-		wanted := l.calls.wantAt(held, max(l.now, held.askAgainAt))
+		decision.Waiting = min(missing, l.waitCapacity(state))
+		decision.Ticket = l.enqueue(state, decision.Waiting)
+		wanted := l.calls.scheduleCall(state, max(l.now, state.nextTokenRequestAt))
 		decision.NeedsLease = wanted || len(l.waiters.waiters) == 1
-		l.rejectOverflow(held, missing-decision.Waiting, decision)
+		l.rejectOverflow(state, missing-decision.Waiting, decision)
 	}
 }
 
 // rejectOverflow decides on the requests that do not fit into the wait queue.
-func (l *Limiter) rejectOverflow(held *lease, overflow int, decision *Decision) {
-	if held.share.IsZero() {
+func (l *Limiter) rejectOverflow(state *tenantState, overflow int, decision *Decision) {
+	if state.share.IsZero() {
 		decision.Unavailable = overflow
 		return
 	}
 	decision.Denied = overflow
 	if overflow > 0 {
-		decision.RetryAfter = held.retryAfter(l.now)
+		decision.RetryAfter = state.retryAfter(l.now)
 	}
 }
 
-// lease returns the record of a tenant, creating it if needed. It returns nil after Leave, and if no further tenant can be tracked.
-func (l *Limiter) lease(tenant string) *lease {
-	if l.left {
+// tenantState returns the record of a tenant, creating it if needed. It returns nil after Leave, and if no further tenant can be tracked.
+func (l *Limiter) tenantState(tenant string) *tenantState {
+	if l.hasLeft {
 		return nil
 	}
-	held := l.tenants[tenant]
-	if held == nil {
+	state := l.tenants[tenant]
+	if state == nil {
 		if len(l.tenants) >= l.options.MaxTenants {
 			return nil
 		}
-		held = &lease{tenant: tenant}
-		l.tenants[tenant] = held
+		state = &tenantState{tenant: tenant}
+		l.tenants[tenant] = state
 	}
-	return held
+	return state
 }
 
 // Leave gives up all leases and returns the request that reports this to the allocator. All
 // waiting requests are resolved as unavailable, and so are those of later calls of Take.
 func (l *Limiter) Leave(now time.Duration) (LeaseRequest, []Resolution) {
 	l.advance(now)
-	l.left = true
-	l.tenants = map[string]*lease{}
-	resolutions := l.waiters.giveUp(l.waiters.all())
+	l.hasLeft = true
+	l.tenants = map[string]*tenantState{}
+	resolutions := l.waiters.resolveUnavailable(l.waiters.all())
 	l.calls = callSchedule{sequence: l.calls.sequence + 1}
 	return LeaseRequest{Limiter: l.options.ID, Sequence: l.calls.sequence, Leaving: true}, resolutions
 }
 
 // Held returns the share of a tenant that the limiter holds.
 func (l *Limiter) Held(now time.Duration, tenant string) Share {
-	held := l.tenants[tenant]
-	if held == nil || max(now, l.now) >= held.expiresAt {
+	state := l.tenants[tenant]
+	if state == nil || max(now, l.now) >= state.expiresAt {
 		return Share{}
 	}
-	return held.share
+	return state.share
 }
 
 func (l *Limiter) advance(now time.Duration) { l.now = max(l.now, now) }
--- a/internal/system/quota/limiter_calls.go
+++ b/internal/system/quota/limiter_calls.go
@@ -12,8 +12,8 @@
 	minCallInterval = 20 * time.Millisecond
 	// announceInterval is the maximum time between two calls of a limiter that announces itself.
 	announceInterval = time.Second
-	// askPause is for how long no tokens are requested after a reply with too few of them, or after a failed call.
-	askPause = 100 * time.Millisecond
+	// tokenRetryDelay is for how long no tokens are requested after a reply with too few of them, or after a failed call.
+	tokenRetryDelay = 100 * time.Millisecond
 	// reportAge is the time after which a lease is renewed although nothing has changed: three tenths of DefaultTTL.
 	reportAge = 3 * DefaultTTL / 10
 	// A change of demand is reported before reportAge if it exceeds reportChange
@@ -25,50 +25,50 @@
 // callSchedule holds when a limiter makes its next call, and the state of the call in flight.
 type callSchedule struct {
 	sequence  uint64 // number of the newest call
-	underWay  bool
-	sentAt    time.Duration // when the newest call was sent
-	renewedAt time.Duration // when all tenants were last checked for renewal
-	named     []*lease      // tenants named by the call in flight
-	wanted    []*lease      // tenants whose calls do not wait for the next renewal
-	wantedAt  time.Duration // earliest time of those calls
-	announces bool          // calls are made even if there is nothing to report
-	complete  bool          // the newest call named every tenant of which a share is held
-	reportAll bool          // the next call must name every tenant of which a share is held
+	inFlight  bool
+	sentAt    time.Duration  // when the newest call was sent
+	renewedAt time.Duration  // when all tenants were last checked for renewal
+	named     []*tenantState // tenants named by the call in flight
+	wanted    []*tenantState // tenants whose calls do not wait for the next renewal
+	wantedAt  time.Duration  // earliest time of those calls
+	announces bool           // calls are made even if there is nothing to report
+	complete  bool           // the newest call named every tenant of which a share is held
+	reportAll bool           // the next call must name every tenant of which a share is held
 
-	earlier map[uint64]time.Duration // sending times of all calls, only kept for TestingKnobs.AcceptOldReplies
+	sendTimes map[uint64]time.Duration // sending times of all calls, only kept for TestingKnobs.AcceptOldReplies
 }
 
-// wantAt schedules a call that names a tenant, no earlier than at. It reports whether the schedule
+// scheduleCall schedules a call that names a tenant, no earlier than at. It reports whether the schedule
 // has changed: false if such a call is already scheduled for that time or an earlier one.
-func (c *callSchedule) wantAt(held *lease, at time.Duration) bool {
-	if held.wanted && held.wantedAt <= at {
+func (c *callSchedule) scheduleCall(state *tenantState, at time.Duration) bool {
+	if state.wanted && state.wantedAt <= at {
 		return false
 	}
 	if len(c.wanted) == 0 || at < c.wantedAt {
 		c.wantedAt = at
 	}
-	if !held.wanted {
-		c.wanted = append(c.wanted, held)
+	if !state.wanted {
+		c.wanted = append(c.wanted, state)
 	}
-	held.wanted, held.wantedAt = true, at
+	state.wanted, state.wantedAt = true, at
 	return true
 }
 
-// takeWanted removes and returns the tenants whose scheduled calls are due.
-func (c *callSchedule) takeWanted(now time.Duration) []*lease {
-	var due, later []*lease
-	for _, held := range c.wanted {
-		if held.wantedAt <= now {
-			held.wanted = false
-			due = append(due, held)
+// takeDue removes and returns the tenants whose scheduled calls are due.
+func (c *callSchedule) takeDue(now time.Duration) []*tenantState {
+	var due, later []*tenantState
+	for _, state := range c.wanted {
+		if state.wantedAt <= now {
+			state.wanted = false
+			due = append(due, state)
 		} else {
-			later = append(later, held)
+			later = append(later, state)
 		}
 	}
 	c.wanted = nil
-	for _, held := range later {
-		held.wanted = false
-		c.wantAt(held, held.wantedAt)
+	for _, state := range later {
+		state.wanted = false
+		c.scheduleCall(state, state.wantedAt)
 	}
 	return due
 }
@@ -78,16 +78,16 @@
 func (l *Limiter) NextCall(now time.Duration) (at time.Duration, scheduled bool) {
 	at = math.MaxInt64
 	if len(l.waiters.waiters) > 0 {
-		at = l.waiters.waiters[0].until
+		at = l.waiters.waiters[0].deadline
 	}
-	if !l.calls.underWay && !l.left {
-		at = min(at, l.nextSending())
+	if !l.calls.inFlight && !l.hasLeft {
+		at = min(at, l.nextSendTime())
 	}
 	return max(at, now), at != math.MaxInt64
 }
 
-// nextSending returns when the next call may be due.
-func (l *Limiter) nextSending() time.Duration {
+// nextSendTime returns when the next call may be due.
+func (l *Limiter) nextSendTime() time.Duration {
 	at := time.Duration(math.MaxInt64)
 	if len(l.tenants) > 0 {
 		at = l.calls.renewedAt + renewInterval
@@ -123,120 +123,120 @@
 // now before it sends the request. No further request is due until Receive or Fail reports the outcome.
 func (l *Limiter) NextRequest(now time.Duration) (request LeaseRequest, due bool) {
 	l.advance(now)
-	if l.left || l.calls.underWay || l.now < l.nextSending() {
+	if l.hasLeft || l.calls.inFlight || l.now < l.nextSendTime() {
 		return LeaseRequest{}, false
 	}
-	named := l.calls.takeWanted(l.now)
+	named := l.calls.takeDue(l.now)
 	if l.now >= l.calls.renewedAt+renewInterval {
 		named = append(named, l.dueForRenewal(named)...)
 	}
 	if l.calls.reportAll {
-		named = append(named, l.unnamedHeld(named)...)
+		named = append(named, l.unnamedWithShare(named)...)
 	}
 	announces := l.calls.announces && l.now >= l.nextAnnouncement()
 	if len(named) == 0 && !announces && !l.calls.reportAll {
 		return LeaseRequest{}, false
 	}
-	slices.SortFunc(named, func(a, b *lease) int { return cmp.Compare(a.tenant, b.tenant) })
+	slices.SortFunc(named, func(a, b *tenantState) int { return cmp.Compare(a.tenant, b.tenant) })
 	return l.send(named), true
 }
 
 // dueForRenewal returns the tenants, other than those already named, that are due to
 // be reported to the allocator. It deletes those that have neither demand nor a lease.
-func (l *Limiter) dueForRenewal(named []*lease) []*lease {
+func (l *Limiter) dueForRenewal(named []*tenantState) []*tenantState {
 	l.calls.renewedAt = l.now
-	already := leaseSet(named)
-	var due []*lease
-	for name, held := range l.tenants {
-		held.advance(l, held.limit)
+	already := tenantSet(named)
+	var due []*tenantState
+	for name, state := range l.tenants {
+		state.advance(l, state.limit)
 		switch {
-		case already[held]:
-		case held.idle(l.now):
+		case already[state]:
+		case state.idle(l.now):
 			delete(l.tenants, name)
-		case held.dueForRenewal(l.now):
-			due = append(due, held)
+		case state.dueForRenewal(l.now):
+			due = append(due, state)
 		}
 	}
 	return due
 }
 
-// unnamedHeld returns the tenants of which a share is held, except for those already named.
-func (l *Limiter) unnamedHeld(named []*lease) []*lease {
-	already := leaseSet(named)
-	var unnamed []*lease
-	for _, held := range l.tenants {
-		held.advance(l, held.limit)
-		if !held.share.IsZero() && !already[held] {
-			unnamed = append(unnamed, held)
+// unnamedWithShare returns the tenants of which a share is held, except for those already named.
+func (l *Limiter) unnamedWithShare(named []*tenantState) []*tenantState {
+	already := tenantSet(named)
+	var unnamed []*tenantState
+	for _, state := range l.tenants {
+		state.advance(l, state.limit)
+		if !state.share.IsZero() && !already[state] {
+			unnamed = append(unnamed, state)
 		}
 	}
 	return unnamed
 }
 
-// namesAllHeld reports whether the call in flight names every tenant of which a share is held.
-func (l *Limiter) namesAllHeld() bool {
-	for _, held := range l.tenants {
-		held.advance(l, held.limit)
-		if !held.share.IsZero() && !held.inCall {
+// isCallComplete reports whether the call in flight names every tenant of which a share is held.
+func (l *Limiter) isCallComplete() bool {
+	for _, state := range l.tenants {
+		state.advance(l, state.limit)
+		if !state.share.IsZero() && !state.inCall {
 			return false
 		}
 	}
 	return true
 }
 
-func leaseSet(leases []*lease) map[*lease]bool {
-	set := make(map[*lease]bool, len(leases))
-	for _, held := range leases {
-		set[held] = true
+func tenantSet(states []*tenantState) map[*tenantState]bool {
+	set := make(map[*tenantState]bool, len(states))
+	for _, state := range states {
+		set[state] = true
 	}
 	return set
 }
 
 // idle reports whether the record of the tenant can be deleted.
-func (h *lease) idle(now time.Duration) bool {
-	return h.share.IsZero() && h.waiting == 0 && !h.wanted && !h.unconfirmed && h.demand.gone(now)
+func (t *tenantState) idle(now time.Duration) bool {
+	return t.share.IsZero() && t.waiting == 0 && !t.wanted && !t.unconfirmed && t.demand.hasStopped(now)
 }
 
 // dueForRenewal reports whether the tenant is due to be reported to the allocator.
-func (h *lease) dueForRenewal(now time.Duration) bool {
-	if h.unconfirmed || h.share.IsZero() || now >= h.reportedAt+reportAge || h.demand.gone(now) {
+func (t *tenantState) dueForRenewal(now time.Duration) bool {
+	if t.unconfirmed || t.share.IsZero() || now >= t.reportedAt+reportAge || t.demand.hasStopped(now) {
 		return true
 	}
-	change := math.Abs(h.demand.perSecond(now) - h.reportedRate)
-	return change > reportChange*h.reportedRate+reportChangeOfLimit*h.limit.RatePerSecond
+	change := math.Abs(t.demand.perSecond(now) - t.reportedRate)
+	return change > reportChange*t.reportedRate+reportChangeOfLimit*t.limit.RatePerSecond
 }
 
 // send returns the request of a call that names the given tenants, and marks that call as in flight.
-func (l *Limiter) send(named []*lease) LeaseRequest {
+func (l *Limiter) send(named []*tenantState) LeaseRequest {
 	l.calls.sequence++
-	l.calls.underWay, l.calls.sentAt, l.calls.named = true, l.now, named
+	l.calls.inFlight, l.calls.sentAt, l.calls.named = true, l.now, named
 	if l.options.Knobs.AcceptOldReplies {
-		l.rememberSending()
+		l.recordSendTime()
 	}
 	request := LeaseRequest{Limiter: l.options.ID, Sequence: l.calls.sequence, Demands: make([]Demand, 0, len(named))}
-	for _, held := range named {
-		demand := held.demandLine(l)
-		held.reportedAt, held.reportedRate = l.now, demand.RatePerSecond
-		held.asked, held.inCall, held.unconfirmed = demand.Waiting, true, false
+	for _, state := range named {
+		demand := state.demandReport(l)
+		state.reportedAt, state.reportedRate = l.now, demand.RatePerSecond
+		state.waitingAtCall, state.inCall, state.unconfirmed = demand.Waiting, true, false
 		request.Demands = append(request.Demands, demand)
 	}
-	l.calls.complete, l.calls.reportAll = l.namesAllHeld(), false
+	l.calls.complete, l.calls.reportAll = l.isCallComplete(), false
 	request.Complete = l.calls.complete
 	return request
 }
 
-func (l *Limiter) rememberSending() {
-	if l.calls.earlier == nil {
-		l.calls.earlier = map[uint64]time.Duration{}
+func (l *Limiter) recordSendTime() {
+	if l.calls.sendTimes == nil {
+		l.calls.sendTimes = map[uint64]time.Duration{}
 	}
-	l.calls.earlier[l.calls.sequence] = l.now
+	l.calls.sendTimes[l.calls.sequence] = l.now
 }
 
 // Fail reports that the call with the given sequence got no reply in time, or that
 // there was no allocator to send it to. A reply that arrives later is ignored.
 func (l *Limiter) Fail(now time.Duration, sequence uint64) []Resolution {
 	l.advance(now)
-	if l.calls.underWay && sequence == l.calls.sequence {
+	if l.calls.inFlight && sequence == l.calls.sequence {
 		l.endCall()
 	}
 	return l.Expire(now)
@@ -245,17 +245,17 @@
 // endCall ends the call in flight. Tenants that it named and that got no grant are named again by a later call.
 func (l *Limiter) endCall() {
 	named := l.calls.named
-	l.calls.underWay, l.calls.named = false, nil
-	for _, held := range named {
-		if !held.inCall {
+	l.calls.inFlight, l.calls.named = false, nil
+	for _, state := range named {
+		if !state.inCall {
 			continue
 		}
-		held.inCall = false
-		held.unconfirmed = true
-		if held.waiting > 0 {
-			held.overLimit = false
-			held.askAgainAt = l.now + askPause
-			l.calls.wantAt(held, held.askAgainAt)
+		state.inCall = false
+		state.unconfirmed = true
+		if state.waiting > 0 {
+			state.overLimit = false
+			state.nextTokenRequestAt = l.now + tokenRetryDelay
+			l.calls.scheduleCall(state, state.nextTokenRequestAt)
 		}
 	}
 }
--- a/internal/system/quota/limiter_test.go
+++ b/internal/system/quota/limiter_test.go
@@ -60,50 +60,50 @@
 
 // TestLeavingLimiterFreesItsShares checks that the shares a leaving limiter returns can immediately be leased to another limiter.
 func TestLeavingLimiterFreesItsShares(t *testing.T) {
-	play := newScript(t, TestingKnobs{})
-	node, leaving, other := play.allocator(0), play.limiter("leaving"), play.limiter("other")
-	play.call(leaving, node, 10*time.Second, 10*time.Second)
-	leaving.Take(10*time.Second, "second", play.limit, 3)
+	scenario := newScript(t, TestingKnobs{})
+	node, leaving, other := scenario.allocator(0), scenario.limiter("leaving"), scenario.limiter("other")
+	scenario.call(leaving, node, 10*time.Second, 10*time.Second)
+	leaving.Take(10*time.Second, "second", scenario.limit, 3)
 	request, resolutions := leaving.Leave(10100 * time.Millisecond)
 	if len(resolutions) != 1 || resolutions[0].Unavailable != 3 {
 		t.Errorf("resolutions %+v, want the 3 waiting requests unavailable", resolutions)
 	}
-	if decision := leaving.Take(10200*time.Millisecond, "tenant", play.limit, 1); decision.Unavailable != 1 {
+	if decision := leaving.Take(10200*time.Millisecond, "tenant", scenario.limit, 1); decision.Unavailable != 1 {
 		t.Errorf("decision %+v after leaving, want 1 request unavailable", decision)
 	}
-	node.Receive(10100*time.Millisecond, request, play.limits)
-	play.call(other, node, 10200*time.Millisecond, 10200*time.Millisecond)
-	if held := play.held(10200*time.Millisecond, other); held < leasableFraction-fractionRounding {
+	node.Receive(10100*time.Millisecond, request, scenario.limits)
+	scenario.call(other, node, 10200*time.Millisecond, 10200*time.Millisecond)
+	if held := scenario.held(10200*time.Millisecond, other); held < leasableFraction-fractionRounding {
 		t.Errorf("the other limiter holds %.2f of the limit, want everything that may be leased", held)
 	}
 }
 
 // TestFailedCallIsRepeated checks that tokens for waiting requests are requested again after a failed call.
 func TestFailedCallIsRepeated(t *testing.T) {
-	play := newScript(t, TestingKnobs{})
-	node, limiter := play.allocator(0), play.limiter("proxy")
-	limiter.Take(10*time.Second, "tenant", play.limit, 5)
+	scenario := newScript(t, TestingKnobs{})
+	node, limiter := scenario.allocator(0), scenario.limiter("proxy")
+	limiter.Take(10*time.Second, "tenant", scenario.limit, 5)
 	first, _ := limiter.NextRequest(10 * time.Second)
 	limiter.Fail(10050*time.Millisecond, first.Sequence)
 	at, scheduled := limiter.NextCall(10050 * time.Millisecond)
-	if !scheduled || at != 10050*time.Millisecond+askPause {
+	if !scheduled || at != 10050*time.Millisecond+tokenRetryDelay {
 		t.Fatalf("next call at %v, scheduled %v, want it after askPause", at, scheduled)
 	}
 	second, due := limiter.NextRequest(at)
 	if !due || second.Sequence != first.Sequence+1 || second.Demands[0].Waiting != 5 {
 		t.Fatalf("second request %+v, due %v, want the next sequence and 5 waiting requests", second, due)
 	}
-	limiter.Receive(at, node.Receive(10*time.Second, first, play.limits))
-	resolutions := limiter.Receive(at, node.Receive(at, second, play.limits))
+	limiter.Receive(at, node.Receive(10*time.Second, first, scenario.limits))
+	resolutions := limiter.Receive(at, node.Receive(at, second, scenario.limits))
 	if len(resolutions) != 1 || resolutions[0].Granted != 5 {
 		t.Errorf("resolutions %+v, want 5 granted", resolutions)
 	}
 }
 
 func TestUsageDescribesHolders(t *testing.T) {
-	play := newScript(t, TestingKnobs{})
-	node, limiter := play.allocator(0), play.limiter("proxy")
-	play.call(limiter, node, 10*time.Second, 10*time.Second)
+	scenario := newScript(t, TestingKnobs{})
+	node, limiter := scenario.allocator(0), scenario.limiter("proxy")
+	scenario.call(limiter, node, 10*time.Second, 10*time.Second)
 	usages := node.Describe(12 * time.Second)
 	if len(usages) != 1 || usages[0].Tenant != "tenant" || len(usages[0].Holders) != 1 {
 		t.Fatalf("usages %+v, want one tenant with one holder", usages)
@@ -122,20 +122,20 @@
 
 // TestAllocatorRejectsCallsBeforeItsTerm checks that an allocator that never began a term grants nothing.
 func TestAllocatorRejectsCallsBeforeItsTerm(t *testing.T) {
-	play := newScript(t, TestingKnobs{})
+	scenario := newScript(t, TestingKnobs{})
 	node := NewAllocator(AllocatorOptions{Bounds: testBounds})
 	request := LeaseRequest{Limiter: LimiterID{Node: "proxy"}, Sequence: 1, Demands: []Demand{{Tenant: "tenant", RatePerSecond: 5, Waiting: 1}}}
-	if reply := node.Receive(time.Second, request, play.limits); !reply.Rejected || len(reply.Grants) != 0 {
+	if reply := node.Receive(time.Second, request, scenario.limits); !reply.Rejected || len(reply.Grants) != 0 {
 		t.Errorf("reply %+v, want a rejection without grants", reply)
 	}
 }
 
 // TestInvalidSharesAreIgnored checks that a call that reports an invalid held share gets no grant.
 func TestInvalidSharesAreIgnored(t *testing.T) {
-	play := newScript(t, TestingKnobs{})
-	node := play.allocator(0)
+	scenario := newScript(t, TestingKnobs{})
+	node := scenario.allocator(0)
 	request := LeaseRequest{Limiter: LimiterID{Node: "proxy"}, Sequence: 1, Demands: []Demand{{Tenant: "tenant", Held: Share{Fraction: 1.5}}}}
-	if reply := node.Receive(10*time.Second, request, play.limits); len(reply.Grants) != 0 {
+	if reply := node.Receive(10*time.Second, request, scenario.limits); len(reply.Grants) != 0 {
 		t.Errorf("reply %+v, want no grants", reply)
 	}
 }
--- a/internal/system/quota/properties_test.go
+++ b/internal/system/quota/properties_test.go
@@ -19,9 +19,9 @@
 	return Limit{RatePerSecond: rapid.Float64Range(0.01, 10_000).Draw(t, "rate"), Burst: rapid.Float64Range(0, 10_000).Draw(t, "burst")}
 }
 
-// TestBudgetKeepsTheBound checks that the tokens filled during a window and the lifetime
+// TestBudgetStaysWithinBound checks that the tokens filled during a window and the lifetime
 // of a one-shot token, plus the total bucket depth, sum to no more than the bound.
-func TestBudgetKeepsTheBound(t *testing.T) {
+func TestBudgetStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds, limit := drawBounds(t), drawLimit(t)
 		filled := limit.RatePerSecond * (bounds.Window + bounds.TokenTTL()).Seconds()
@@ -32,9 +32,9 @@
 	})
 }
 
-// TestBucketGivesWhatItHeldAndFilled checks that no sequence of operations takes
+// TestBucketGivesAtMostHeldAndFilled checks that no sequence of operations takes
 // more tokens from a bucket than it held at the start plus what its rates filled.
-func TestBucketGivesWhatItHeldAndFilled(t *testing.T) {
+func TestBucketGivesAtMostHeldAndFilled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		subject := bucket{level: 10, depth: 10, rate: 1}
 		now, allowed, taken := time.Duration(0), 10.0, 0
@@ -57,9 +57,9 @@
 	})
 }
 
-// TestAllocatorKeepsToTheWhole checks that the outstanding shares stay within
+// TestAllocatorStaysWithinLeasableShare checks that the outstanding shares stay within
 // what may be leased, whichever of their grants limiters report as held.
-func TestAllocatorKeepsToTheWhole(t *testing.T) {
+func TestAllocatorStaysWithinLeasableShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := drawLimit(t)
 		node := NewAllocator(AllocatorOptions{Bounds: testBounds})
--- a/internal/system/quota/protections_test.go
+++ b/internal/system/quota/protections_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// hostile returns the options of a fleet with a faulty network. playFaults adds process faults and partitions.
-func hostile(knobs TestingKnobs) simulationOptions {
+// faultyFleet returns the options of a fleet with a faulty network. runFaults adds process faults and partitions.
+func faultyFleet(knobs TestingKnobs) simulationOptions {
 	return simulationOptions{
 		limiters: 5, allocators: 3, knobs: knobs, drift: true,
 		delay: time.Millisecond, jitter: 60 * time.Millisecond, loss: 0.05, duplication: 0.05, late: 0.02,
@@ -17,8 +17,8 @@
 
 const faultySpan = 20 * time.Second
 
-// playFaults runs the simulation of a seed with all faults and returns the violations.
-func playFaults(seed uint64, options simulationOptions) []string {
+// runFaults runs the simulation of a seed with all faults and returns the violations.
+func runFaults(seed uint64, options simulationOptions) []string {
 	sim := newSimulation(seed, options)
 	sim.addFaultyTenants()
 	sim.run(7 * time.Second)
@@ -52,8 +52,8 @@
 // scheduleFaults schedules random faults within faultySpan.
 func (s *simulation) scheduleFaults() {
 	kinds := []func(){
-		s.moveAllocator, s.moveAllocator, s.freezeAllocator, s.freezeLimiter, s.restartAllocator, s.restartLimiter, s.cutLimiter,
-		s.cutBridge, s.leaveLimiter,
+		s.moveAllocator, s.moveAllocator, s.freezeAllocator, s.freezeLimiter, s.restartAllocator, s.restartLimiter, s.partitionLimiter,
+		s.partitionSomeLimiters, s.leaveLimiter,
 	}
 	for range 12 {
 		s.after(s.randomUpTo(faultySpan), kinds[s.rng.IntN(len(kinds))])
@@ -65,7 +65,7 @@
 
 func (s *simulation) freezeAllocator() { s.freeze(&s.allocators[s.view.owner].simProcess) }
 
-func (s *simulation) freezeLimiter() { s.freeze(&s.anyLimiter().simProcess) }
+func (s *simulation) freezeLimiter() { s.freeze(&s.randomLimiter().simProcess) }
 
 // freeze pauses a process for up to 5 s. It does not shorten a freeze already in
 // progress, because events already waiting for its end would not run earlier.
@@ -80,7 +80,7 @@
 }
 
 func (s *simulation) restartLimiter() {
-	node := s.anyLimiter()
+	node := s.randomLimiter()
 	node.alive = false
 	s.after(s.randomUpTo(2*time.Second), func() {
 		if !node.alive {
@@ -91,7 +91,7 @@
 
 // leaveLimiter makes a limiter give up its leases and restart.
 func (s *simulation) leaveLimiter() {
-	node := s.anyLimiter()
+	node := s.randomLimiter()
 	if !node.alive || s.now < node.frozenUntil {
 		return
 	}
@@ -101,26 +101,26 @@
 	s.startLimiter(node)
 }
 
-// cutLimiter partitions a limiter from all allocators.
-func (s *simulation) cutLimiter() {
-	node := s.anyLimiter()
+// partitionLimiter partitions a limiter from all allocators.
+func (s *simulation) partitionLimiter() {
+	node := s.randomLimiter()
 	for _, target := range s.allocators {
-		s.cutFor(simPath{node.index, target.index}, s.randomUpTo(8*time.Second))
+		s.partitionFor(simPath{node.index, target.index}, s.randomUpTo(8*time.Second))
 	}
 }
 
-// cutBridge partitions some limiters from the current allocator while others still reach it.
-func (s *simulation) cutBridge() {
+// partitionSomeLimiters partitions some limiters from the current allocator while others still reach it.
+func (s *simulation) partitionSomeLimiters() {
 	for _, node := range s.limiters {
 		if s.rng.IntN(2) == 0 {
-			s.cutFor(simPath{node.index, s.view.owner}, s.randomUpTo(8*time.Second))
+			s.partitionFor(simPath{node.index, s.view.owner}, s.randomUpTo(8*time.Second))
 		}
 	}
 }
 
-func (s *simulation) cutFor(path simPath, duration time.Duration) {
-	s.cut[path] = true
-	s.after(duration, func() { delete(s.cut, path) })
+func (s *simulation) partitionFor(path simPath, duration time.Duration) {
+	s.partitioned[path] = true
+	s.after(duration, func() { delete(s.partitioned, path) })
 }
 
 // lowerLimit lowers the limit of the largest tenant to a quarter. Each process receives the new limit at a different time.
@@ -137,7 +137,7 @@
 	}
 }
 
-func (s *simulation) anyLimiter() *simLimiter { return s.limiters[s.rng.IntN(len(s.limiters))] }
+func (s *simulation) randomLimiter() *simLimiter { return s.limiters[s.rng.IntN(len(s.limiters))] }
 
 // TestBoundHoldsUnderFaults checks that under all faults no window admits
 // more than the bound, and that the shares sum to no more than may be leased.
@@ -147,8 +147,8 @@
 		t.Run(fmt.Sprint(part), func(t *testing.T) {
 			t.Parallel()
 			for seed := part * seedsOfPart; seed < (part+1)*seedsOfPart; seed++ {
-				if broken := playFaults(seed, hostile(TestingKnobs{})); len(broken) > 0 {
-					t.Fatalf("seed %d: %v", seed, broken)
+				if violations := runFaults(seed, faultyFleet(TestingKnobs{})); len(violations) > 0 {
+					t.Fatalf("seed %d: %v", seed, violations)
 				}
 			}
 		})
@@ -170,8 +170,8 @@
 		t.Run(name, func(t *testing.T) {
 			const seeds = 2000
 			for seed := range uint64(seeds) {
-				if broken := playFaults(seed, hostile(knobs)); len(broken) > 0 {
-					t.Logf("seed %d: %s", seed, broken[0])
+				if violations := runFaults(seed, faultyFleet(knobs)); len(violations) > 0 {
+					t.Logf("seed %d: %s", seed, violations[0])
 					return
 				}
 			}
--- a/internal/system/quota/quotarpc/allocation_server.go
+++ b/internal/system/quota/quotarpc/allocation_server.go
@@ -166,7 +166,7 @@
 	}
 	s.counters.leases.Add(1)
 	if state, _ := s.options.Chain.Committed(); state != nil {
-		s.limits.use(state.Config)
+		s.limits.update(state.Config)
 	}
 	reply := s.allocator.Receive(now, leaseRequestFromProto(message), s.limits.limit)
 	return leaseReplyToProto(message.GetCall(), reply), nil
@@ -224,7 +224,7 @@
 	}
 	s.options.Log.WithField("epoch", epoch).Info("quota: this node is now the allocator; learning which leases are outstanding")
 	if s.roster != nil {
-		s.roster.forget()
+		s.roster.clearCovered()
 	}
 	s.resumed = false
 	s.allocator.Begin(now)
--- a/internal/system/quota/quotarpc/batcher.go
+++ b/internal/system/quota/quotarpc/batcher.go
@@ -12,14 +12,14 @@
 
 // ticket is a request that is waiting for its admission.
 type ticket struct {
-	gone      <-chan struct{}      // closed when the request is no longer waiting
+	done      <-chan struct{}      // closed when the request is no longer waiting
 	admission chan quota.Admission // has capacity for one value
 }
 
 // isCancelled reports whether the request is no longer waiting.
 func (t ticket) isCancelled() bool {
 	select {
-	case <-t.gone:
+	case <-t.done:
 		return true
 	default:
 		return false
@@ -30,7 +30,7 @@
 //
 // Invariant: a ticket is in at most one batch, and the number of tickets admitted in a batch is the number that its call admitted.
 type batcher struct {
-	take  func(tenant string, count int) Taken // decides on count requests, in bounded time
+	take  func(tenant string, count int) TakeResult // decides on count requests, in bounded time
 	knobs TestingKnobs
 
 	mu      sync.Mutex
@@ -39,13 +39,13 @@
 	calls   sync.WaitGroup
 }
 
-func newBatcher(take func(tenant string, count int) Taken, knobs TestingKnobs) *batcher {
+func newBatcher(take func(tenant string, count int) TakeResult, knobs TestingKnobs) *batcher {
 	return &batcher{take: take, knobs: knobs, waiting: map[string][]ticket{}}
 }
 
 // admit waits for the admission of one request until ctx ends.
 func (b *batcher) admit(ctx context.Context, tenant string) quota.Admission {
-	waiting := ticket{gone: ctx.Done(), admission: make(chan quota.Admission, 1)}
+	waiting := ticket{done: ctx.Done(), admission: make(chan quota.Admission, 1)}
 	if !b.enqueue(tenant, waiting) {
 		return quota.Admission{Verdict: quota.Unavailable}
 	}
@@ -67,13 +67,13 @@
 	}
 	b.waiting[tenant] = append(tickets, waiting)
 	if !calling {
-		b.calls.Go(func() { b.callWhileWaiting(tenant) })
+		b.calls.Go(func() { b.makeCalls(tenant) })
 	}
 	return true
 }
 
-// callWhileWaiting makes calls for a tenant's tickets until none are waiting.
-func (b *batcher) callWhileWaiting(tenant string) {
+// makeCalls makes calls for a tenant's tickets until none are waiting.
+func (b *batcher) makeCalls(tenant string) {
 	for {
 		batch, found := b.nextBatch(tenant)
 		if !found {
@@ -111,7 +111,7 @@
 }
 
 // deliver sends each ticket of a batch its verdict.
-func (b *batcher) deliver(batch []ticket, taken Taken) {
+func (b *batcher) deliver(batch []ticket, taken TakeResult) {
 	if b.knobs.AdmitEntireBatch && taken.Admitted > 0 {
 		taken.Admitted = len(batch)
 	}
--- a/internal/system/quota/quotarpc/batcher_test.go
+++ b/internal/system/quota/quotarpc/batcher_test.go
@@ -13,25 +13,25 @@
 
 // countingLimiter makes random decisions and counts them.
 type countingLimiter struct {
-	random *rand.Rand // needs no lock, because the batcher makes one call per tenant at a time
-	calls  int
-	asked  int
-	said   Taken
+	random  *rand.Rand // needs no lock, because the batcher makes one call per tenant at a time
+	calls   int
+	asked   int
+	decided TakeResult
 }
 
-func (l *countingLimiter) take(_ string, count int) Taken {
+func (l *countingLimiter) take(_ string, count int) TakeResult {
 	time.Sleep(time.Duration(l.random.IntN(20)) * time.Millisecond)
-	taken := Taken{Admitted: l.random.IntN(count + 1)}
+	taken := TakeResult{Admitted: l.random.IntN(count + 1)}
 	taken.OverLimit = l.random.IntN(count - taken.Admitted + 1)
 	taken.Unavailable = count - taken.Admitted - taken.OverLimit
 	l.calls++
 	l.asked += count
-	l.said = l.said.plus(taken)
+	l.decided = l.decided.plus(taken)
 	return taken
 }
 
-// playBatches sends requests of one tenant at random times, and returns the limiter's decisions and the verdicts on the requests.
-func playBatches(t *testing.T, seed uint64, knobs TestingKnobs) (*countingLimiter, *verdicts) {
+// runBatches sends requests of one tenant at random times, and returns the limiter's decisions and the verdicts on the requests.
+func runBatches(t *testing.T, seed uint64, knobs TestingKnobs) (*countingLimiter, *verdicts) {
 	t.Helper()
 	const requests = 300
 	limiter := &countingLimiter{random: rand.New(rand.NewPCG(seed, 1))}
@@ -56,10 +56,10 @@
 func TestBatchesCountEachRequestOnce(t *testing.T) {
 	for seed := range uint64(20) {
 		bubble.Test(t, func(t *testing.T) {
-			limiter, outcome := playBatches(t, seed, TestingKnobs{})
-			got := Taken{Admitted: outcome.count(quota.Admitted), OverLimit: outcome.count(quota.OverLimit), Unavailable: outcome.count(quota.Unavailable)}
-			if got != limiter.said {
-				t.Errorf("seed %d: the limiter decided %+v, but the requests got %+v", seed, limiter.said, got)
+			limiter, outcome := runBatches(t, seed, TestingKnobs{})
+			got := TakeResult{Admitted: outcome.count(quota.Admitted), OverLimit: outcome.count(quota.OverLimit), Unavailable: outcome.count(quota.Unavailable)}
+			if got != limiter.decided {
+				t.Errorf("seed %d: the limiter decided %+v, but the requests got %+v", seed, limiter.decided, got)
 			}
 			if limiter.calls >= limiter.asked {
 				t.Errorf("seed %d: %d calls for %d requests", seed, limiter.calls, limiter.asked)
@@ -71,9 +71,9 @@
 // TestBatchesControl checks that if entire batches are admitted, more requests are admitted than the limiter has counted.
 func TestBatchesControl(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		limiter, outcome := playBatches(t, 1, TestingKnobs{AdmitEntireBatch: true})
-		if outcome.count(quota.Admitted) <= limiter.said.Admitted {
-			t.Errorf("requests got %v, the limiter decided %+v, want more requests admitted", outcome, limiter.said)
+		limiter, outcome := runBatches(t, 1, TestingKnobs{AdmitEntireBatch: true})
+		if outcome.count(quota.Admitted) <= limiter.decided.Admitted {
+			t.Errorf("requests got %v, the limiter decided %+v, want more requests admitted", outcome, limiter.decided)
 		}
 	})
 }
@@ -82,10 +82,10 @@
 func TestCancelledRequestsAreNotAskedFor(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		asked := 0
-		batches := newBatcher(func(_ string, count int) Taken {
+		batches := newBatcher(func(_ string, count int) TakeResult {
 			asked += count
 			time.Sleep(100 * time.Millisecond)
-			return Taken{Admitted: count}
+			return TakeResult{Admitted: count}
 		}, TestingKnobs{})
 		var wg sync.WaitGroup
 		wg.Go(func() { batches.admit(t.Context(), "t") })
@@ -106,9 +106,9 @@
 // TestWaitingRequestsAreBounded checks that requests beyond maxWaitingPerTenant are rejected immediately.
 func TestWaitingRequestsAreBounded(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		batches := newBatcher(func(_ string, count int) Taken {
+		batches := newBatcher(func(_ string, count int) TakeResult {
 			time.Sleep(time.Second)
-			return Taken{Admitted: count}
+			return TakeResult{Admitted: count}
 		}, TestingKnobs{})
 		var outcome verdicts
 		var wg sync.WaitGroup
--- a/internal/system/quota/quotarpc/client.go
+++ b/internal/system/quota/quotarpc/client.go
@@ -19,9 +19,9 @@
 	// remoteWait is how long a called limiter may wait for the allocator: less than the timeout of
 	// the call, so that a limiter that is waiting can be distinguished from an unreachable one.
 	remoteWait = 400 * time.Millisecond
-	// maxVainWait is the longest time that a limiter may take without deciding on all requests for the next one still to be
+	// maxUndecidedWait is the longest time that a limiter may take without deciding on all requests for the next one still to be
 	// asked. If it takes longer, the allocator does not answer, and asking another limiter would only delay the refusal.
-	maxVainWait = remoteWait / 2
+	maxUndecidedWait = remoteWait / 2
 	// maxAdmissionWait is the maximum time that a request waits for its admission.
 	maxAdmissionWait = time.Second
 	// maxAdmissionAge is the maximum time between a request's call of Admit and the use of its admission. An admission comes later
@@ -32,7 +32,7 @@
 // OwnLimiter is the limiter of this proxy.
 type OwnLimiter interface {
 	// Decide decides on count requests of a tenant. It waits for the allocator no longer than maxWait.
-	Decide(ctx context.Context, tenant string, count int, maxWait time.Duration) Taken
+	Decide(ctx context.Context, tenant string, count int, maxWait time.Duration) TakeResult
 }
 
 // ClientOptions configure a Client. Self, Limiter and Log are required.
@@ -112,15 +112,15 @@
 }
 
 // decideBatch decides on the requests of one batch.
-func (c *Client) decideBatch(tenant string, count int) Taken {
+func (c *Client) decideBatch(tenant string, count int) TakeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), maxAdmissionWait)
 	defer cancel()
 	return c.askInOrder(ctx, c.candidates.inOrder(time.Now(), tenant), tenant, count)
 }
 
 // askInOrder asks the candidates one after the other, each about the requests that the previous ones have not decided on.
-func (c *Client) askInOrder(ctx context.Context, candidates []Peer, tenant string, count int) Taken {
-	var decided Taken
+func (c *Client) askInOrder(ctx context.Context, candidates []Peer, tenant string, count int) TakeResult {
+	var decided TakeResult
 	undecided := count
 	for _, candidate := range candidates {
 		askedAt := time.Now()
@@ -135,7 +135,7 @@
 		undecided = taken.Unavailable
 		taken.Unavailable = 0
 		decided = decided.plus(taken)
-		if undecided == 0 || time.Since(askedAt) > maxVainWait {
+		if undecided == 0 || time.Since(askedAt) > maxUndecidedWait {
 			break
 		}
 	}
@@ -143,7 +143,7 @@
 }
 
 // ask asks one limiter: the own one directly, any other one by a call.
-func (c *Client) ask(ctx context.Context, candidate Peer, tenant string, count int) (Taken, error) {
+func (c *Client) ask(ctx context.Context, candidate Peer, tenant string, count int) (TakeResult, error) {
 	if candidate.Node == c.options.Self {
 		return c.options.Limiter.Decide(ctx, tenant, count, maxAdmissionWait), nil
 	}
@@ -158,7 +158,7 @@
 }
 
 // call makes one call to the limiter of another proxy.
-func (c *Client) call(ctx context.Context, candidate Peer, tenant string, count int) (Taken, error) {
+func (c *Client) call(ctx context.Context, candidate Peer, tenant string, count int) (TakeResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, limiterCallTimeout)
 	defer cancel()
 	c.counters.calls.Add(1)
@@ -170,11 +170,11 @@
 	}
 	reply, err := quotapb.NewLimitingProtobufClient("http://"+candidate.Address, c.http).Take(ctx, request)
 	if err != nil {
-		return Taken{}, err
+		return TakeResult{}, err
 	}
 	if err := rpc.CheckReply(request.GetCall(), reply.GetCall()); err != nil && !c.options.Knobs.AcceptAnyReply {
 		c.http.CloseIdleConnections()
-		return Taken{}, err
+		return TakeResult{}, err
 	}
-	return takenFromProto(count, reply), nil
+	return takeResultFromProto(count, reply), nil
 }
--- a/internal/system/quota/quotarpc/client_test.go
+++ b/internal/system/quota/quotarpc/client_test.go
@@ -41,9 +41,9 @@
 			return take(ctx, request)
 		}))
 	}
-	own := ownLimiterFunc(func(count int) Taken {
+	own := ownLimiterFunc(func(count int) TakeResult {
 		zone.record("self")
-		return Taken{Admitted: count}
+		return TakeResult{Admitted: count}
 	})
 	client := NewClient(ClientOptions{Self: "self", Limiter: own, Transport: zone.network, Log: discardLogger(), Knobs: knobs})
 	client.SetPeers(zonePeers())
@@ -148,9 +148,9 @@
 func TestLateAdmissionIsNotUsed(t *testing.T) {
 	for _, knobs := range []TestingKnobs{{}, {UseLateAdmissions: true}} {
 		bubble.Test(t, func(t *testing.T) {
-			paused := ownLimiterFunc(func(count int) Taken {
+			paused := ownLimiterFunc(func(count int) TakeResult {
 				time.Sleep(5 * time.Second) // the process is paused
-				return Taken{Admitted: count}
+				return TakeResult{Admitted: count}
 			})
 			client := NewClient(ClientOptions{Self: "self", Limiter: paused, Transport: memorynet.New(nil), Log: discardLogger(), Knobs: knobs})
 			defer client.Close()
@@ -184,8 +184,8 @@
 
 // TestReplyAdmitsNoMoreThanAsked checks that a reply that admits more requests than it was asked about is cut to that number.
 func TestReplyAdmitsNoMoreThanAsked(t *testing.T) {
-	taken := takenFromProto(3, &quotapb.TakeReply{Admitted: 5, Unavailable: 5})
-	if taken != (Taken{Admitted: 3}) {
+	taken := takeResultFromProto(3, &quotapb.TakeReply{Admitted: 5, Unavailable: 5})
+	if taken != (TakeResult{Admitted: 3}) {
 		t.Errorf("outcome %+v, want 3 requests admitted", taken)
 	}
 }
--- a/internal/system/quota/quotarpc/fleet_test.go
+++ b/internal/system/quota/quotarpc/fleet_test.go
@@ -15,8 +15,8 @@
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
 		fleet := newTestFleet(t, []*config.Tenant{tenant}, "a", "b", "c")
-		fleet.offer(t, "a", tenant, 50, 2*time.Second)
-		outcome := fleet.offer(t, "a", tenant, 50, 10*time.Second)
+		fleet.sendRequests(t, "a", tenant, 50, 2*time.Second)
+		outcome := fleet.sendRequests(t, "a", tenant, 50, 10*time.Second)
 		if outcome.count(quota.Admitted) < 500*98/100 {
 			t.Errorf("outcome of 500 requests at half the limit: %v", outcome)
 		}
@@ -28,8 +28,8 @@
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
 		fleet := newTestFleet(t, []*config.Tenant{tenant}, "a", "b", "c")
-		fleet.offer(t, "a", tenant, 500, 2*time.Second)
-		outcome := fleet.offer(t, "b", tenant, 500, 10*time.Second)
+		fleet.sendRequests(t, "a", tenant, 500, 2*time.Second)
+		outcome := fleet.sendRequests(t, "b", tenant, 500, 10*time.Second)
 		allowed := 2 * testBounds.MaxAdmitted(quota.Limit{RatePerSecond: 100, Burst: 50})
 		admitted := outcome.count(quota.Admitted)
 		if admitted < 880 || float64(admitted) > allowed {
@@ -47,7 +47,7 @@
 		tenant := limitedTenant("t", 100, 50)
 		fleet := newTestFleet(t, []*config.Tenant{tenant}, "a", "b", "c")
 		for _, name := range []string{"a", "b", "c"} {
-			fleet.offer(t, name, tenant, 30, time.Second)
+			fleet.sendRequests(t, name, tenant, 30, time.Second)
 		}
 		holders, deciders := 0, 0
 		for _, proxy := range fleet.proxies {
@@ -65,12 +65,12 @@
 	})
 }
 
-// TestNoLimitCostsNothing checks that requests of an unlimited tenant cause no calls to a limiter or to the allocator.
-func TestNoLimitCostsNothing(t *testing.T) {
+// TestUnlimitedTenantMakesNoCalls checks that requests of an unlimited tenant cause no calls to a limiter or to the allocator.
+func TestUnlimitedTenantMakesNoCalls(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 0, 50)
 		fleet := newTestFleet(t, []*config.Tenant{tenant}, "a", "b")
-		outcome := fleet.offer(t, "a", tenant, 100, time.Second)
+		outcome := fleet.sendRequests(t, "a", tenant, 100, time.Second)
 		calls := fleet.proxies["a"].client.counters.calls.Load() + fleet.proxies["a"].limiter.counters.leaseCalls.Load()
 		if outcome.count(quota.Admitted) != 100 || calls != 0 {
 			t.Errorf("outcome %v with %d calls, want 100 requests admitted without calls", outcome, calls)
@@ -78,17 +78,17 @@
 	})
 }
 
-// TestLimiterIsLost checks that when a limiter crashes, requests go to the next one, which gets a lease of its own.
-func TestLimiterIsLost(t *testing.T) {
+// TestLimiterCrashFallsBack checks that when a limiter crashes, requests go to the next one, which gets a lease of its own.
+func TestLimiterCrashFallsBack(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
 		fleet := newTestFleet(t, []*config.Tenant{tenant}, "a", "b", "c")
 		lost, other := firstAndLast(fleet, "t")
-		fleet.offer(t, other, tenant, 50, 3*time.Second)
+		fleet.sendRequests(t, other, tenant, 50, 3*time.Second)
 		fleet.network.Set(lost, nil)
 		fleet.proxies[lost].stop()
-		fleet.offer(t, other, tenant, 50, 7*time.Second)
-		if outcome := fleet.offer(t, other, tenant, 50, 4*time.Second); outcome.count(quota.Admitted) < 190 {
+		fleet.sendRequests(t, other, tenant, 50, 7*time.Second)
+		if outcome := fleet.sendRequests(t, other, tenant, 50, 4*time.Second); outcome.count(quota.Admitted) < 190 {
 			t.Errorf("outcome of 200 requests at half the limit: %v", outcome)
 		}
 	})
@@ -102,7 +102,7 @@
 			tenant := limitedTenant("t", 100, 50)
 			fleet := newTestFleet(t, []*config.Tenant{tenant}, "a", "b", "c")
 			ending, other := firstAndLast(fleet, "t")
-			fleet.offer(t, other, tenant, 70, 3*time.Second)
+			fleet.sendRequests(t, other, tenant, 70, 3*time.Second)
 			if leaves {
 				if err := fleet.proxies[ending].limiter.Leave(t.Context()); err != nil {
 					t.Fatal(err)
@@ -110,8 +110,8 @@
 			}
 			fleet.proxies[ending].stop()
 			fleet.network.Set(ending, nil)
-			fleet.offer(t, other, tenant, 70, time.Second)
-			outcome := fleet.offer(t, other, tenant, 70, 2*time.Second)
+			fleet.sendRequests(t, other, tenant, 70, time.Second)
+			outcome := fleet.sendRequests(t, other, tenant, 70, 2*time.Second)
 			if isServed := outcome.count(quota.Admitted) >= 130; isServed != leaves {
 				t.Errorf("leaves %t: outcome of 140 requests within the limit: %v", leaves, outcome)
 			}
@@ -126,7 +126,7 @@
 		bubble.Test(t, func(t *testing.T) {
 			tenant := limitedTenant("t", 100, 50)
 			fleet := newTestFleetWith(t, knobs, []*config.Tenant{tenant}, "a")
-			fleet.offer(t, "a", tenant, 50, 2*time.Second)
+			fleet.sendRequests(t, "a", tenant, 50, 2*time.Second)
 			fleet.proxies["a"].stop()
 			fleet.network.Set(allocatorHost, nil)
 			time.Sleep(quota.DefaultTTL)
--- a/internal/system/quota/quotarpc/lease_caller.go
+++ b/internal/system/quota/quotarpc/lease_caller.go
@@ -22,8 +22,8 @@
 	maxReferrals = 3
 )
 
-// ErrNotReferred is returned by lease calls that found no allocator.
-var ErrNotReferred = errors.New("quota: no allocator was found; check that the control plane has a current node")
+// ErrAllocatorNotFound is returned by lease calls that found no allocator.
+var ErrAllocatorNotFound = errors.New("quota: no allocator was found; check that the control plane has a current node")
 
 // leaseCaller calls the allocator. It learns the allocator's address from the
 // control-plane node that the proxy follows, and caches it until a call fails.
@@ -50,17 +50,17 @@
 		}
 		reply, err := c.call(ctx, address, message)
 		if err != nil {
-			c.remember("")
+			c.cacheAllocator("")
 			return quota.LeaseReply{}, err
 		}
 		if reply.GetOwner() == "" {
-			c.remember(address)
+			c.cacheAllocator(address)
 			return leaseReplyFromProto(reply), nil
 		}
 		address = reply.GetOwner()
 	}
-	c.remember("")
-	return quota.LeaseReply{}, ErrNotReferred
+	c.cacheAllocator("")
+	return quota.LeaseReply{}, ErrAllocatorNotFound
 }
 
 // call sends a request to one node and returns the reply, after checking that it is the reply to this request.
@@ -95,8 +95,8 @@
 	return c.followed()
 }
 
-// remember caches the address of the allocator; empty means not known.
-func (c *leaseCaller) remember(address string) {
+// cacheAllocator caches the address of the allocator; empty means not known.
+func (c *leaseCaller) cacheAllocator(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.allocator = address
--- a/internal/system/quota/quotarpc/lease_caller_test.go
+++ b/internal/system/quota/quotarpc/lease_caller_test.go
@@ -85,7 +85,7 @@
 // TestNoNodeIsFollowed checks that a lease call fails if no control-plane node is known.
 func TestNoNodeIsFollowed(t *testing.T) {
 	caller := &leaseCaller{followed: func() string { return "" }, http: &http.Client{Transport: memorynet.New(nil)}}
-	if _, err := caller.lease(t.Context(), quota.LeaseRequest{}); !errors.Is(err, ErrNotReferred) {
+	if _, err := caller.lease(t.Context(), quota.LeaseRequest{}); !errors.Is(err, ErrAllocatorNotFound) {
 		t.Error(err)
 	}
 }
--- a/internal/system/quota/quotarpc/limiter_server.go
+++ b/internal/system/quota/quotarpc/limiter_server.go
@@ -41,7 +41,7 @@
 	mu        sync.Mutex // guards the fields below
 	limiter   *quota.Limiter
 	waiting   map[quota.Ticket]chan<- quota.Resolution // each has capacity 1
-	left      bool
+	hasLeft   bool
 	steppedAt time.Duration // time of the last step of Run
 }
 
@@ -72,7 +72,7 @@
 
 // SetConfig applies the limits of a configuration, which must not be modified afterwards. A nil configuration is ignored.
 func (s *LimiterServer) SetConfig(newest *config.Config) {
-	if !s.limits.use(newest) {
+	if !s.limits.update(newest) {
 		return
 	}
 	s.mu.Lock()
@@ -86,26 +86,26 @@
 	s.counters.takes.Add(1)
 	count := int(min(message.GetCount(), maxWaitingPerTenant))
 	taken := s.Decide(ctx, message.GetTenant(), count, durationFromMilliseconds(uint64(message.GetWaitMs())))
-	return takenToProto(message.GetCall(), taken), nil
+	return takeResultToProto(message.GetCall(), taken), nil
 }
 
 // Decide decides on count requests of a tenant. Requests for which the allocator must be asked wait until maxWait or 400 ms have passed or
 // ctx ends, whichever comes first. All requests are Unavailable if the newest configuration known here has no such tenant, and after Leave.
-func (s *LimiterServer) Decide(ctx context.Context, tenant string, count int, maxWait time.Duration) Taken {
+func (s *LimiterServer) Decide(ctx context.Context, tenant string, count int, maxWait time.Duration) TakeResult {
 	limit, known := s.limits.limit(tenant)
 	switch {
 	case !known:
 		return unavailable(count)
 	case limit.Unlimited():
-		return Taken{Admitted: count}
+		return TakeResult{Admitted: count}
 	}
 	decision, resolved := s.take(tenant, limit, count)
 	if decision.NeedsLease {
 		s.requestStep()
 	}
-	taken := takenFromDecision(decision)
+	taken := resultFromDecision(decision)
 	if decision.Waiting > 0 {
-		taken = taken.plus(s.await(ctx, decision, resolved, maxWait))
+		taken = taken.plus(s.awaitResolution(ctx, decision, resolved, maxWait))
 	}
 	s.counters.count(taken)
 	return taken
@@ -115,10 +115,10 @@
 func (s *LimiterServer) take(tenant string, limit quota.Limit, count int) (quota.Decision, <-chan quota.Resolution) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left {
+	if s.hasLeft {
 		return quota.Decision{Unavailable: count}, nil
 	}
-	decision := s.limiter.Take(s.takeTime(), tenant, limit, count)
+	decision := s.limiter.Take(s.decisionTime(), tenant, limit, count)
 	if decision.Waiting == 0 {
 		return decision, nil
 	}
@@ -127,14 +127,14 @@
 	return decision, resolved
 }
 
-// await waits for the resolution of the waiting requests. Those that are not decided
+// awaitResolution waits for the resolution of the waiting requests. Those that are not decided
 // on in time are Unavailable; tokens that the limiter grants them later are lost.
-func (s *LimiterServer) await(ctx context.Context, decision quota.Decision, resolved <-chan quota.Resolution, maxWait time.Duration) Taken {
+func (s *LimiterServer) awaitResolution(ctx context.Context, decision quota.Decision, resolved <-chan quota.Resolution, maxWait time.Duration) TakeResult {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
 	case resolution := <-resolved:
-		return takenFromResolution(resolution)
+		return resultFromResolution(resolution)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -241,10 +241,10 @@
 func (s *LimiterServer) beginLeave() (quota.LeaseRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left {
+	if s.hasLeft {
 		return quota.LeaseRequest{}, false
 	}
-	s.left = true
+	s.hasLeft = true
 	request, resolutions := s.limiter.Leave(s.now())
 	s.resolve(resolutions)
 	return request, s.counters.leaseCalls.Load() > 0
@@ -258,9 +258,9 @@
 	}
 }
 
-// takeTime returns the time as of which requests are decided on. It is the current
+// decisionTime returns the time as of which requests are decided on. It is the current
 // time, because a paused process may resume at any point. The caller must hold mu.
-func (s *LimiterServer) takeTime() time.Duration {
+func (s *LimiterServer) decisionTime() time.Duration {
 	if s.options.Knobs.TakeAtLastStep {
 		return s.steppedAt
 	}
--- a/internal/system/quota/quotarpc/limits.go
+++ b/internal/system/quota/quotarpc/limits.go
@@ -19,9 +19,9 @@
 	limits map[string]quota.Limit
 }
 
-// use rebuilds the table from a configuration, and reports whether that is a
+// update rebuilds the table from a configuration, and reports whether that is a
 // different one than before. The configuration must not be modified afterwards.
-func (t *limitTable) use(newest *config.Config) (changed bool) {
+func (t *limitTable) update(newest *config.Config) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if newest == nil || newest == t.config {
--- a/internal/system/quota/quotarpc/messages.go
+++ b/internal/system/quota/quotarpc/messages.go
@@ -103,8 +103,8 @@
 	return quota.Share{Fraction: message.GetFraction(), Extra: int(message.GetExtra())}
 }
 
-// takenToProto converts the outcome of a call about requests.
-func takenToProto(call uint32, taken Taken) *quotapb.TakeReply {
+// takeResultToProto converts the outcome of a call about requests.
+func takeResultToProto(call uint32, taken TakeResult) *quotapb.TakeReply {
 	return &quotapb.TakeReply{
 		Call:         call,
 		Admitted:     countToProto(taken.Admitted),
@@ -113,11 +113,11 @@
 	}
 }
 
-// takenFromProto is the inverse of takenToProto for a call about count requests. A reply cannot admit more than count.
-func takenFromProto(count int, message *quotapb.TakeReply) Taken {
+// takeResultFromProto is the inverse of takeResultToProto for a call about count requests. A reply cannot admit more than count.
+func takeResultFromProto(count int, message *quotapb.TakeReply) TakeResult {
 	admitted := min(int(message.GetAdmitted()), count)
 	unavailable := min(int(message.GetUnavailable()), count-admitted)
-	return Taken{
+	return TakeResult{
 		Admitted:    admitted,
 		Unavailable: unavailable,
 		OverLimit:   count - admitted - unavailable,
--- a/internal/system/quota/quotarpc/metrics.go
+++ b/internal/system/quota/quotarpc/metrics.go
@@ -39,7 +39,7 @@
 }
 
 // count counts the outcome of requests.
-func (c *limiterCounters) count(taken Taken) {
+func (c *limiterCounters) count(taken TakeResult) {
 	c.granted.Add(int64(taken.Admitted))
 	c.denied.Add(int64(taken.OverLimit))
 }
--- a/internal/system/quota/quotarpc/refusals_test.go
+++ b/internal/system/quota/quotarpc/refusals_test.go
@@ -13,10 +13,10 @@
 // TestRefusals checks that Refusals reports why and when requests of a tenant were refused, and which limiter decides.
 func TestRefusals(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		said := []Taken{{OverLimit: 1}, {OverLimit: 1}, {Unavailable: 1}, {Admitted: 1}}
-		own := ownLimiterFunc(func(int) Taken {
-			taken := said[0]
-			said = said[1:]
+		decisions := []TakeResult{{OverLimit: 1}, {OverLimit: 1}, {Unavailable: 1}, {Admitted: 1}}
+		own := ownLimiterFunc(func(int) TakeResult {
+			taken := decisions[0]
+			decisions = decisions[1:]
 			return taken
 		})
 		client := NewClient(ClientOptions{Self: "self", Limiter: own, Log: discardLogger()})
@@ -37,7 +37,7 @@
 	bubble.Test(t, func(t *testing.T) {
 		tenant := limitedTenant("t", 100, 50)
 		fleet := newTestFleet(t, []*config.Tenant{tenant}, "a", "b", "c")
-		fleet.offer(t, "a", tenant, 50, 2*time.Second)
+		fleet.sendRequests(t, "a", tenant, 50, 2*time.Second)
 		usages, learning := fleet.allocator.Usage()
 		if learning || len(usages) != 1 || len(usages[0].Holders) != 1 {
 			t.Fatalf("usages %+v, learning %t, want one holder of one tenant", usages, learning)
--- a/internal/system/quota/quotarpc/roster.go
+++ b/internal/system/quota/quotarpc/roster.go
@@ -68,78 +68,78 @@
 // resume returns the nodes at which leases may be outstanding, and false unless the stored
 // roster is that of the last allocator before the given epoch. That is the case if this node was
 // the owner in the roster's epoch, and the roster's epoch is the given one or the one before it.
-func (k *rosterRecorder) resume(epoch uint64) (nodes []string, known bool) {
-	roster, found, err := k.store.Load()
+func (r *rosterRecorder) resume(epoch uint64) (nodes []string, known bool) {
+	roster, found, err := r.store.Load()
 	if err != nil {
-		k.log.WithError(err).Warn("quota: cannot read the stored roster; waiting until leases of the former allocator have expired")
+		r.log.WithError(err).Warn("quota: cannot read the stored roster; waiting until leases of the former allocator have expired")
 		return nil, false
 	}
-	if !found || roster.Identity != k.identity || epoch < roster.Epoch || epoch > roster.Epoch+1 {
+	if !found || roster.Identity != r.identity || epoch < roster.Epoch || epoch > roster.Epoch+1 {
 		return nil, false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.tracking, k.stored, k.wanted = true, roster, roster
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.tracking, r.stored, r.wanted = true, roster, roster
 	for _, node := range roster.Nodes {
-		k.covered[node] = true
+		r.covered[node] = true
 	}
 	return roster.Nodes, true
 }
 
-// forget marks all nodes as not covered, because a term begins whose leases the stored roster does not describe.
-func (k *rosterRecorder) forget() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.tracking, k.covered = false, map[string]bool{}
+// clearCovered marks all nodes as not covered, because a term begins whose leases the stored roster does not describe.
+func (r *rosterRecorder) clearCovered() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.tracking, r.covered = false, map[string]bool{}
 }
 
 // covers reports whether a node may get a lease. If not, it requests that the node be added to the roster.
-func (k *rosterRecorder) covers(now time.Time, node string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.tracking || k.covered[node] {
+func (r *rosterRecorder) covers(now time.Time, node string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.tracking || r.covered[node] {
 		return true
 	}
-	k.requested[node] = now
-	k.requestSave()
+	r.requested[node] = now
+	r.requestSave()
 	return false
 }
 
 // record sets the roster to be stored: the nodes at which leases may be outstanding, and those that have requested a lease.
-func (k *rosterRecorder) record(now time.Time, epoch uint64, holders []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	maps.DeleteFunc(k.requested, func(_ string, at time.Time) bool { return now.Sub(at) > requestedTTL })
+func (r *rosterRecorder) record(now time.Time, epoch uint64, holders []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	maps.DeleteFunc(r.requested, func(_ string, at time.Time) bool { return now.Sub(at) > requestedTTL })
 	nodes := map[string]bool{}
 	for _, node := range holders {
 		nodes[node] = true
 	}
-	for node := range k.requested {
+	for node := range r.requested {
 		nodes[node] = true
 	}
-	k.wanted = Roster{Identity: k.identity, Epoch: epoch, Nodes: slices.Sorted(maps.Keys(nodes))}
-	if !k.tracking {
-		k.tracking = true
-		k.covered = maps.Clone(nodes) // no roster of this term has been stored yet
+	r.wanted = Roster{Identity: r.identity, Epoch: epoch, Nodes: slices.Sorted(maps.Keys(nodes))}
+	if !r.tracking {
+		r.tracking = true
+		r.covered = maps.Clone(nodes) // no roster of this term has been stored yet
 		return
 	}
 	// Done here and not when the roster is saved, because the caller's lock prevents a lease from being granted in between.
-	maps.DeleteFunc(k.covered, func(node string, _ bool) bool { return !nodes[node] })
+	maps.DeleteFunc(r.covered, func(node string, _ bool) bool { return !nodes[node] })
 }
 
 // requestSave makes run check whether there is something to save.
-func (k *rosterRecorder) requestSave() {
+func (r *rosterRecorder) requestSave() {
 	select {
-	case k.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run saves changes of the roster until ctx ends. It calls refresh before each check, so that refresh can record the newest nodes.
-func (k *rosterRecorder) run(ctx context.Context, refresh func()) {
+func (r *rosterRecorder) run(ctx context.Context, refresh func()) {
 	for {
 		refresh()
-		failed := !k.save()
+		failed := !r.save()
 		var retry <-chan time.Time
 		if failed {
 			retry = time.After(rosterRetryInterval)
@@ -148,39 +148,39 @@
 		case <-ctx.Done():
 			return
 		case <-retry:
-		case <-k.wake:
+		case <-r.wake:
 		}
 	}
 }
 
 // save stores the wanted roster if it differs from the stored one. It returns false on failure.
-func (k *rosterRecorder) save() bool {
-	next, changed := k.beginSave()
+func (r *rosterRecorder) save() bool {
+	next, changed := r.beginSave()
 	if !changed {
 		return true
 	}
-	if err := k.store.Save(next); err != nil {
-		k.mu.Lock()
-		k.stored = Roster{} // what is stored is not known, so the next wanted roster must be saved
-		k.mu.Unlock()
-		k.log.WithError(err).Warn("quota: cannot save the roster; new limiters get no lease until it is saved")
+	if err := r.store.Save(next); err != nil {
+		r.mu.Lock()
+		r.stored = Roster{} // what is stored is not known, so the next wanted roster must be saved
+		r.mu.Unlock()
+		r.log.WithError(err).Warn("quota: cannot save the roster; new limiters get no lease until it is saved")
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stored = next
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.stored = next
 	for _, node := range next.Nodes {
-		k.covered[node] = true
+		r.covered[node] = true
 	}
 	return true
 }
 
 // beginSave returns the roster to be saved, and false if there is none. Nodes that this roster does not name are already not covered.
-func (k *rosterRecorder) beginSave() (next Roster, changed bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	next = k.wanted
-	if !k.tracking || next.Epoch == k.stored.Epoch && slices.Equal(next.Nodes, k.stored.Nodes) {
+func (r *rosterRecorder) beginSave() (next Roster, changed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	next = r.wanted
+	if !r.tracking || next.Epoch == r.stored.Epoch && slices.Equal(next.Nodes, r.stored.Nodes) {
 		return Roster{}, false
 	}
 	return next, true
--- a/internal/system/quota/quotarpc/roster_test.go
+++ b/internal/system/quota/quotarpc/roster_test.go
@@ -31,28 +31,28 @@
 	return nil
 }
 
-func newTestKeeper(store RosterStore) *rosterRecorder {
+func newTestRecorder(store RosterStore) *rosterRecorder {
 	return newRosterRecorder(store, "disk-1", &log.Logger{Handler: discard.New()})
 }
 
 // TestRosterCoversBeforeLease checks that once a roster is kept, a node gets a lease only after every roster that may be stored names it.
 func TestRosterCoversBeforeLease(t *testing.T) {
 	store := &memoryRoster{}
-	keeper, now := newTestKeeper(store), time.Now()
-	if !keeper.covers(now, "a") {
+	recorder, now := newTestRecorder(store), time.Now()
+	if !recorder.covers(now, "a") {
 		t.Error("a node gets no lease although no roster is kept")
 	}
-	keeper.record(now, 7, []string{"a"})
-	if keeper.covers(now, "b") {
+	recorder.record(now, 7, []string{"a"})
+	if recorder.covers(now, "b") {
 		t.Error("a node that is not in the roster may get a lease")
 	}
-	keeper.record(now, 7, []string{"a"})
+	recorder.record(now, 7, []string{"a"})
 	store.failing = true
-	if keeper.save() || keeper.covers(now, "b") {
+	if recorder.save() || recorder.covers(now, "b") {
 		t.Error("a node counts as recorded although the roster was not stored")
 	}
 	store.failing = false
-	if !keeper.save() || !keeper.covers(now, "b") || !slices.Equal(store.stored.Nodes, []string{"a", "b"}) {
+	if !recorder.save() || !recorder.covers(now, "b") || !slices.Equal(store.stored.Nodes, []string{"a", "b"}) {
 		t.Errorf("stored roster %v after a node had requested a lease", store.stored)
 	}
 }
@@ -60,13 +60,13 @@
 // TestRosterForgetsBeforeSaving checks that a node that the next roster does not name gets no lease once that roster may be stored.
 func TestRosterForgetsBeforeSaving(t *testing.T) {
 	store := &memoryRoster{}
-	keeper, now := newTestKeeper(store), time.Now()
-	keeper.record(now, 7, []string{"a", "b"})
-	keeper.save()
-	keeper.record(now, 7, []string{"b"})
+	recorder, now := newTestRecorder(store), time.Now()
+	recorder.record(now, 7, []string{"a", "b"})
+	recorder.save()
+	recorder.record(now, 7, []string{"b"})
 	store.failing = true
-	keeper.save()
-	if keeper.covers(now, "a") || !keeper.covers(now, "b") {
+	recorder.save()
+	if recorder.covers(now, "a") || !recorder.covers(now, "b") {
 		t.Error("want node a not covered and node b covered while either roster may be stored")
 	}
 }
@@ -89,7 +89,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			store := &memoryRoster{stored: Roster{Identity: test.identity, Epoch: 7, Nodes: []string{"a"}}, found: true}
-			nodes, known := newTestKeeper(store).resume(test.epoch)
+			nodes, known := newTestRecorder(store).resume(test.epoch)
 			if known != test.known || known && !slices.Equal(nodes, []string{"a"}) {
 				t.Errorf("resumed with nodes %q, known %v", nodes, known)
 			}
@@ -124,12 +124,12 @@
 // TestNoLeaseBetweenRecordAndSave guards against granting a lease to a node that the roster about to be stored does not name.
 func TestNoLeaseBetweenRecordAndSave(t *testing.T) {
 	store := &memoryRoster{}
-	keeper, now := newTestKeeper(store), time.Now()
-	keeper.record(now, 7, []string{"a", "b"})
-	keeper.save()
-	keeper.record(now, 7, []string{"b"})
-	granted := keeper.covers(now, "a")
-	keeper.save()
+	recorder, now := newTestRecorder(store), time.Now()
+	recorder.record(now, 7, []string{"a", "b"})
+	recorder.save()
+	recorder.record(now, 7, []string{"b"})
+	granted := recorder.covers(now, "a")
+	recorder.save()
 	if granted && !slices.Contains(store.stored.Nodes, "a") {
 		t.Errorf("node a may get a lease, but the stored roster is %v", store.stored.Nodes)
 	}
@@ -139,30 +139,30 @@
 // because, after a failed save, the roster that names it wrongly counts as stored.
 func TestNodeIsRecordedAfterFailedSave(t *testing.T) {
 	store := &memoryRoster{}
-	keeper, now := newTestKeeper(store), time.Now()
-	keeper.record(now, 7, []string{"a", "b"})
-	keeper.save()
-	keeper.record(now, 7, []string{"b"})
+	recorder, now := newTestRecorder(store), time.Now()
+	recorder.record(now, 7, []string{"a", "b"})
+	recorder.save()
+	recorder.record(now, 7, []string{"b"})
 	store.failing = true
-	keeper.save()
+	recorder.save()
 	store.failing = false
-	keeper.covers(now, "a")
-	keeper.record(now, 7, []string{"b"})
-	keeper.save()
-	if !keeper.covers(now, "a") {
+	recorder.covers(now, "a")
+	recorder.record(now, 7, []string{"b"})
+	recorder.save()
+	if !recorder.covers(now, "a") {
 		t.Errorf("node a still gets no lease, the stored roster is %v", store.stored.Nodes)
 	}
 }
 
 // TestRecordedNodeHasTimeToCall guards against removing a node from the roster before it has had time to call again.
 func TestRecordedNodeHasTimeToCall(t *testing.T) {
-	keeper, now := newTestKeeper(&memoryRoster{}), time.Now()
-	keeper.record(now, 7, []string{"a"})
-	keeper.covers(now, "b")
-	keeper.record(now, 7, []string{"a"})
-	keeper.save()
-	keeper.record(now.Add(time.Second), 7, []string{"a"})
-	if !keeper.covers(now.Add(time.Second), "b") {
+	recorder, now := newTestRecorder(&memoryRoster{}), time.Now()
+	recorder.record(now, 7, []string{"a"})
+	recorder.covers(now, "b")
+	recorder.record(now, 7, []string{"a"})
+	recorder.save()
+	recorder.record(now.Add(time.Second), 7, []string{"a"})
+	if !recorder.covers(now.Add(time.Second), "b") {
 		t.Error("a node that was recorded a second ago gets no lease")
 	}
 }
--- a/internal/system/quota/quotarpc/taken.go
+++ b/internal/system/quota/quotarpc/taken.go
@@ -6,8 +6,8 @@
 	"gradeusher.example/gradeusher/internal/system/quota"
 )
 
-// Taken is the outcome for a number of requests of one tenant, each of which is counted once.
-type Taken struct {
+// TakeResult is the outcome for a number of requests of one tenant, each of which is counted once.
+type TakeResult struct {
 	Admitted    int           // requests that are admitted
 	OverLimit   int           // requests that exceed the tenant's limit
 	Unavailable int           // requests that could not be decided on in time
@@ -15,11 +15,11 @@
 }
 
 // unavailable returns the outcome for requests that no limiter decided on.
-func unavailable(count int) Taken { return Taken{Unavailable: count} }
+func unavailable(count int) TakeResult { return TakeResult{Unavailable: count} }
 
-// takenFromDecision converts an immediate decision of a limiter.
-func takenFromDecision(decision quota.Decision) Taken {
-	return Taken{
+// resultFromDecision converts an immediate decision of a limiter.
+func resultFromDecision(decision quota.Decision) TakeResult {
+	return TakeResult{
 		Admitted:    decision.Granted,
 		OverLimit:   decision.Denied,
 		Unavailable: decision.Unavailable,
@@ -27,9 +27,9 @@
 	}
 }
 
-// takenFromResolution converts a limiter's decision on requests that waited.
-func takenFromResolution(resolution quota.Resolution) Taken {
-	return Taken{
+// resultFromResolution converts a limiter's decision on requests that waited.
+func resultFromResolution(resolution quota.Resolution) TakeResult {
+	return TakeResult{
 		Admitted:    resolution.Granted,
 		OverLimit:   resolution.Denied,
 		Unavailable: resolution.Unavailable,
@@ -38,8 +38,8 @@
 }
 
 // plus returns the combined outcome of t and other, which must be for different requests.
-func (t Taken) plus(other Taken) Taken {
-	return Taken{
+func (t TakeResult) plus(other TakeResult) TakeResult {
+	return TakeResult{
 		Admitted:    t.Admitted + other.Admitted,
 		OverLimit:   t.OverLimit + other.OverLimit,
 		Unavailable: t.Unavailable + other.Unavailable,
@@ -48,7 +48,7 @@
 }
 
 // admission returns the verdict on the request at an index: admitted requests come first, then those over the limit, then unavailable ones.
-func (t Taken) admission(index int) quota.Admission {
+func (t TakeResult) admission(index int) quota.Admission {
 	switch {
 	case index < t.Admitted:
 		return quota.Admission{Verdict: quota.Admitted}
--- a/internal/system/quota/quotarpc/testfleet_test.go
+++ b/internal/system/quota/quotarpc/testfleet_test.go
@@ -176,8 +176,8 @@
 	return v.counts[verdict]
 }
 
-// offer sends requests of a tenant to a proxy at a steady rate for a duration, and returns once all of them have a verdict.
-func (f *testFleet) offer(t *testing.T, name string, tenant *config.Tenant, perSecond int, duration time.Duration) *verdicts {
+// sendRequests sends requests of a tenant to a proxy at a steady rate for a duration, and returns once all of them have a verdict.
+func (f *testFleet) sendRequests(t *testing.T, name string, tenant *config.Tenant, perSecond int, duration time.Duration) *verdicts {
 	t.Helper()
 	var outcome verdicts
 	var requests sync.WaitGroup
@@ -191,9 +191,9 @@
 }
 
 // ownLimiterFunc implements OwnLimiter.
-type ownLimiterFunc func(count int) Taken
+type ownLimiterFunc func(count int) TakeResult
 
-func (f ownLimiterFunc) Decide(_ context.Context, _ string, count int, _ time.Duration) Taken {
+func (f ownLimiterFunc) Decide(_ context.Context, _ string, count int, _ time.Duration) TakeResult {
 	return f(count)
 }
 
--- a/internal/system/quota/simulation_processes_test.go
+++ b/internal/system/quota/simulation_processes_test.go
@@ -33,9 +33,9 @@
 	limit := tenant.limits[min(node.version, len(tenant.limits)-1)]
 	decision := node.limiter.Take(node.clock.read(s.now), tenant.name, limit, count)
 	if sum := decision.Granted + decision.Denied + decision.Unavailable + decision.Waiting; sum != count {
-		s.violate("%d requests were passed to Take, its decision accounts for %d", count, sum)
+		s.addViolation("%d requests were passed to Take, its decision accounts for %d", count, sum)
 	}
-	tenant.asked += count
+	tenant.requested += count
 	tenant.denied += decision.Denied
 	tenant.failed += decision.Unavailable
 	tenant.waited += decision.Waiting
@@ -66,12 +66,12 @@
 	for _, r := range resolutions {
 		ticket, waits := node.tickets[r.Ticket]
 		if !waits {
-			s.violate("ticket %d was resolved twice", r.Ticket)
+			s.addViolation("ticket %d was resolved twice", r.Ticket)
 			continue
 		}
 		delete(node.tickets, r.Ticket)
 		if waited := s.now - ticket.since; waited > maxWait+simWaitRounding && node.frozenUntil < ticket.since {
-			s.violate("ticket %d waited for %v", r.Ticket, waited)
+			s.addViolation("ticket %d waited for %v", r.Ticket, waited)
 		}
 		tenant := ticket.tenant
 		tenant.denied += r.Denied
@@ -179,7 +179,7 @@
 			}
 		}
 		if sum.Fraction > leasableFraction+1e-6 || sum.Extra > s.options.bounds.leasableExtra() {
-			s.violate("shares of %s sum to %+v", tenant.name, sum)
+			s.addViolation("shares of %s sum to %+v", tenant.name, sum)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 				first++
 			}
 			if bound := s.bound(tenant, take.at); float64(sum) > bound {
-				s.violate("%d requests of %s admitted in the window that ends at %.3f s, the bound is %.1f",
+				s.addViolation("%d requests of %s admitted in the window that ends at %.3f s, the bound is %.1f",
 					sum, tenant.name, take.at.Seconds(), bound)
 				break
 			}
--- a/internal/system/quota/simulation_test.go
+++ b/internal/system/quota/simulation_test.go
@@ -18,16 +18,16 @@
 	queue      simEvents
 	eventCount int
 
-	limiters   []*simLimiter
-	allocators []*simAllocator
-	view       simView
-	tenants    []*simTenant
-	cut        map[simPath]bool
-	violations []string
-	onRequest  func(*simLimiter, LeaseRequest)
-	onReply    func(*simAllocator, LeaseReply)
-	onTake     func(*simLimiter, *simTenant, int)
-	calls      int
+	limiters    []*simLimiter
+	allocators  []*simAllocator
+	view        simView
+	tenants     []*simTenant
+	partitioned map[simPath]bool
+	violations  []string
+	onRequest   func(*simLimiter, LeaseRequest)
+	onReply     func(*simAllocator, LeaseReply)
+	onTake      func(*simLimiter, *simTenant, int)
+	calls       int
 }
 
 // simulationOptions configure a simulation.
@@ -52,16 +52,16 @@
 
 // simTenant is a tenant with its demand and the outcomes of its requests.
 type simTenant struct {
-	name     string
-	limits   []Limit       // by version; only the last one applies once all processes have it
-	lowered  time.Duration // when all processes have the newest limit
-	rates    []float64     // arrivals a second by limiter
-	admitted []simTake
-	asked    int
-	granted  int
-	denied   int
-	waited   int
-	failed   int
+	name      string
+	limits    []Limit       // by version; only the last one applies once all processes have it
+	lowered   time.Duration // when all processes have the newest limit
+	rates     []float64     // arrivals a second by limiter
+	admitted  []simTake
+	requested int
+	granted   int
+	denied    int
+	waited    int
+	failed    int
 
 	reference        *bucket // optional: a single bucket that gets the same requests for comparison
 	referenceRefused int
@@ -115,7 +115,7 @@
 	simProcess
 	index     int
 	allocator *Allocator
-	begunFor  int // epoch of the newest term begun
+	termEpoch int // epoch of the newest term begun
 	version   int
 }
 
@@ -153,7 +153,7 @@
 		options.bounds = testBounds
 	}
 	options.takeInterval = cmp.Or(options.takeInterval, 50*time.Millisecond)
-	sim := &simulation{options: options, rng: rand.New(rand.NewPCG(seed, 7)), cut: map[simPath]bool{}}
+	sim := &simulation{options: options, rng: rand.New(rand.NewPCG(seed, 7)), partitioned: map[simPath]bool{}}
 	for index := range options.allocators {
 		node := &simAllocator{index: index}
 		sim.allocators = append(sim.allocators, node)
@@ -198,7 +198,7 @@
 	s.now = end
 }
 
-func (s *simulation) violate(format string, values ...any) {
+func (s *simulation) addViolation(format string, values ...any) {
 	if len(s.violations) < 5 {
 		s.violations = append(s.violations, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, values...))
 	}
@@ -227,7 +227,7 @@
 	node.run++
 	node.alive, node.frozenUntil, node.clock = true, 0, s.newClock()
 	node.allocator = NewAllocator(AllocatorOptions{Bounds: s.options.bounds, Knobs: s.options.knobs})
-	node.begunFor = 0
+	node.termEpoch = 0
 	if s.view.epoch > 0 && s.view.owner == node.index {
 		s.begin(node, s.view.epoch)
 	}
@@ -253,8 +253,8 @@
 
 // begin starts the term of an owner, unless there is a later view.
 func (s *simulation) begin(node *simAllocator, epoch int) {
-	if s.view.epoch == epoch && node.begunFor < epoch {
-		node.begunFor = epoch
+	if s.view.epoch == epoch && node.termEpoch < epoch {
+		node.termEpoch = epoch
 		node.allocator.Begin(node.clock.read(s.now))
 	}
 }
@@ -262,10 +262,10 @@
 // hasAuthority reports whether an allocator counts as the owner: either of the
 // newest view, or of the previous one if that ended less than simAuthorityEnd ago.
 func (s *simulation) hasAuthority(node *simAllocator) bool {
-	if node.begunFor == s.view.epoch {
+	if node.termEpoch == s.view.epoch {
 		return true
 	}
-	return node.begunFor == s.view.epoch-1 && node.begunFor > 0 && s.now < s.view.since+simAuthorityEnd
+	return node.termEpoch == s.view.epoch-1 && node.termEpoch > 0 && s.now < s.view.since+simAuthorityEnd
 }
 
 // whenAwake calls do now, or when the process is no longer frozen. It does nothing if that run of the process has ended by then.
@@ -295,7 +295,7 @@
 			delay += s.randomUpTo(6 * time.Second)
 		}
 		s.after(delay, func() {
-			if !s.cut[path] {
+			if !s.partitioned[path] {
 				arrive()
 			}
 		})
--- a/internal/system/quota/takeover_test.go
+++ b/internal/system/quota/takeover_test.go
@@ -59,14 +59,14 @@
 }
 
 // withAndWithout runs a script once with all protections and once with one of them disabled.
-func withAndWithout(t *testing.T, without TestingKnobs, play func(script)) {
-	t.Run("protected", func(t *testing.T) { play(newScript(t, TestingKnobs{})) })
-	t.Run("unprotected", func(t *testing.T) { play(newScript(t, without)) })
+func withAndWithout(t *testing.T, without TestingKnobs, run func(script)) {
+	t.Run("protected", func(t *testing.T) { run(newScript(t, TestingKnobs{})) })
+	t.Run("unprotected", func(t *testing.T) { run(newScript(t, without)) })
 }
 
-// TestNewAllocatorLetsFormerOneEnd checks that a limiter partitioned from the former allocator is not renewed by the
+// TestNewAllocatorWaitsForHandover checks that a limiter partitioned from the former allocator is not renewed by the
 // successor while the former one, which has seen the lease expire, can still lease the share to another limiter.
-func TestNewAllocatorLetsFormerOneEnd(t *testing.T) {
+func TestNewAllocatorWaitsForHandover(t *testing.T) {
 	withAndWithout(t, TestingKnobs{NoHandover: true}, func(s script) {
 		former := s.allocator(0)
 		cutOff, other := s.limiter("cut-off"), s.limiter("other")
@@ -135,9 +135,9 @@
 	}
 }
 
-// TestRestartedLimiterDoesNotVoidItsFormerRun checks that the leases of an earlier run
+// TestRestartedLimiterKeepsLeasesOfEarlierRun checks that the leases of an earlier run
 // of a process stay outstanding until they expire, because that run may still be active.
-func TestRestartedLimiterDoesNotVoidItsFormerRun(t *testing.T) {
+func TestRestartedLimiterKeepsLeasesOfEarlierRun(t *testing.T) {
 	s := newScript(t, TestingKnobs{})
 	node := s.allocator(0)
 	former := s.limiter("proxy")
--- a/internal/system/quota/testing_knobs.go
+++ b/internal/system/quota/testing_knobs.go
@@ -28,6 +28,6 @@
 	IgnoreLimitChange bool
 	// ForgetAwaited makes an allocator that resumes its role not wait for the limiters that may hold leases of its previous process.
 	ForgetAwaited bool
-	// TakeLateReplies makes a limiter accept the reply to its newest call no matter how late it arrives.
-	TakeLateReplies bool
+	// AcceptLateReplies makes a limiter accept the reply to its newest call no matter how late it arrives.
+	AcceptLateReplies bool
 }
--- a/internal/system/quota/waiting.go
+++ b/internal/system/quota/waiting.go
@@ -22,11 +22,11 @@
 
 // waiter holds the counts of the requests of one ticket.
 type waiter struct {
-	ticket  Ticket
-	held    *lease
-	until   time.Duration
-	waiting int // requests not decided on yet
-	granted int
+	ticket   Ticket
+	tenant   *tenantState
+	deadline time.Duration
+	waiting  int // requests not decided on yet
+	granted  int
 }
 
 // waitQueue holds all waiting requests, oldest first.
@@ -37,21 +37,21 @@
 }
 
 // waitCapacity returns how many further requests of a tenant may wait.
-func (l *Limiter) waitCapacity(held *lease) int {
-	ofTenant := max(1, l.options.MaxWaiting/4) - held.waiting
+func (l *Limiter) waitCapacity(state *tenantState) int {
+	ofTenant := max(1, l.options.MaxWaiting/4) - state.waiting
 	return max(0, min(ofTenant, l.options.MaxWaiting-l.waiters.total))
 }
 
-// wait adds requests to the queue and returns their ticket, 0 for none.
-func (l *Limiter) wait(held *lease, count int) Ticket {
+// enqueue adds requests to the queue and returns their ticket, 0 for none.
+func (l *Limiter) enqueue(state *tenantState, count int) Ticket {
 	if count == 0 {
 		return 0
 	}
 	queue := &l.waiters
 	queue.newest++
 	queue.total += count
-	held.waiting += count
-	queue.waiters = append(queue.waiters, &waiter{ticket: queue.newest, held: held, until: l.now + maxWait, waiting: count})
+	state.waiting += count
+	queue.waiters = append(queue.waiters, &waiter{ticket: queue.newest, tenant: state, deadline: l.now + maxWait, waiting: count})
 	return queue.newest
 }
 
@@ -61,23 +61,23 @@
 	l.advance(now)
 	var ended []*waiter
 	for _, w := range l.waiters.waiters {
-		if l.now < w.until {
+		if l.now < w.deadline {
 			break
 		}
-		w.held.advance(l, w.held.limit)
-		l.waiters.grant(w, w.held.bucket.take(w.waiting))
+		w.tenant.advance(l, w.tenant.limit)
+		l.waiters.grant(w, w.tenant.bucket.take(w.waiting))
 		ended = append(ended, w)
 	}
-	return l.waiters.giveUp(ended)
+	return l.waiters.resolveUnavailable(ended)
 }
 
 // grantTo admits up to count requests of a tenant, oldest first.
-func (q *waitQueue) grantTo(held *lease, count int) {
-	if held.waiting == 0 || count == 0 {
+func (q *waitQueue) grantTo(state *tenantState, count int) {
+	if state.waiting == 0 || count == 0 {
 		return
 	}
 	for _, w := range q.waiters {
-		if w.held == held {
+		if w.tenant == state {
 			admitted := min(w.waiting, count)
 			q.grant(w, admitted)
 			count -= admitted
@@ -87,27 +87,27 @@
 
 func (q *waitQueue) grant(w *waiter, count int) {
 	w.granted += count
-	q.reduce(w, count)
+	q.subtract(w, count)
 }
 
-// reduce subtracts requests that were decided on from the counts.
-func (q *waitQueue) reduce(w *waiter, count int) {
+// subtract subtracts requests that were decided on from the counts.
+func (q *waitQueue) subtract(w *waiter, count int) {
 	w.waiting -= count
-	w.held.waiting -= count
+	w.tenant.waiting -= count
 	q.total -= count
 }
 
 // all returns all waiters.
 func (q *waitQueue) all() []*waiter { return slices.Clone(q.waiters) }
 
-// of returns the waiters of a tenant.
-func (q *waitQueue) of(held *lease) []*waiter {
-	return q.filter(func(w *waiter) bool { return w.held == held })
+// waitersOf returns the waiters of a tenant.
+func (q *waitQueue) waitersOf(state *tenantState) []*waiter {
+	return q.filter(func(w *waiter) bool { return w.tenant == state })
 }
 
-// complete returns the waiters of a tenant whose requests have all been admitted.
-func (q *waitQueue) complete(held *lease) []*waiter {
-	return q.filter(func(w *waiter) bool { return w.held == held && w.waiting == 0 })
+// fullyGranted returns the waiters of a tenant whose requests have all been admitted.
+func (q *waitQueue) fullyGranted(state *tenantState) []*waiter {
+	return q.filter(func(w *waiter) bool { return w.tenant == state && w.waiting == 0 })
 }
 
 func (q *waitQueue) filter(wanted func(*waiter) bool) []*waiter {
@@ -120,29 +120,29 @@
 	return found
 }
 
-// giveUp ends waiters whose remaining requests are unavailable.
-func (q *waitQueue) giveUp(ended []*waiter) []Resolution {
-	return q.end(ended, func(w *waiter) Resolution {
+// resolveUnavailable ends waiters whose remaining requests are unavailable.
+func (q *waitQueue) resolveUnavailable(ended []*waiter) []Resolution {
+	return q.resolve(ended, func(w *waiter) Resolution {
 		return Resolution{Ticket: w.ticket, Granted: w.granted, Unavailable: w.waiting}
 	})
 }
 
-// deny ends waiters whose remaining requests are beyond the limit.
-func (q *waitQueue) deny(ended []*waiter, retryAfter time.Duration) []Resolution {
-	return q.end(ended, func(w *waiter) Resolution {
+// resolveDenied ends waiters whose remaining requests are beyond the limit.
+func (q *waitQueue) resolveDenied(ended []*waiter, retryAfter time.Duration) []Resolution {
+	return q.resolve(ended, func(w *waiter) Resolution {
 		return Resolution{Ticket: w.ticket, Granted: w.granted, Denied: w.waiting, RetryAfter: retryAfter}
 	})
 }
 
-// end removes waiters and returns their resolutions.
-func (q *waitQueue) end(ended []*waiter, describe func(*waiter) Resolution) []Resolution {
+// resolve removes waiters and returns their resolutions.
+func (q *waitQueue) resolve(ended []*waiter, describe func(*waiter) Resolution) []Resolution {
 	if len(ended) == 0 {
 		return nil
 	}
 	resolutions := make([]Resolution, 0, len(ended))
 	for _, w := range ended {
 		resolutions = append(resolutions, describe(w))
-		q.reduce(w, w.waiting)
+		q.subtract(w, w.waiting)
 		w.ticket = 0
 	}
 	q.waiters = slices.DeleteFunc(q.waiters, func(w *waiter) bool { return w.ticket == 0 })
