--- a/internal/system/replication/acceptor.go
+++ b/internal/system/replication/acceptor.go
@@ -6,7 +6,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// proposalNumber orders the proposals of one epoch. The ID makes the numbers of two proposers differ.
+// proposalNumber orders the proposals of one epoch. The ID makes the numbers of different proposers distinct.
 type proposalNumber struct {
 	round uint64
 	id    ID
@@ -24,15 +24,16 @@
 	return proposalNumber{round: p.GetRound(), id: ID(p.GetId())}
 }
 
-// acceptorState is what a node must remember across a restart: its vote, and the epochs in which its log may stand for the chain's.
+// acceptorState is what a node must remember across a restart: its vote, and the epochs in which its log counts as the log of the
+// chain.
 type acceptorState struct {
 	identity     Member
-	view         *View          // newest chosen view known
+	view         *View          // newest known chosen view
 	activeEpoch  uint64         // newest epoch in which this replica was active
-	sealedEpoch  uint64         // epoch in which it will never be active
+	sealedEpoch  uint64         // epoch in which this replica will never be active
 	promised     proposalNumber // for the epoch after view's
 	accepted     proposalNumber
-	acceptedView *View // accepted, perhaps chosen
+	acceptedView *View // accepted under that number, possibly chosen
 }
 
 func (s *acceptorState) pb() *replicationpb.Register {
@@ -54,28 +55,28 @@
 }
 
 // acceptor is this node's vote in the agreement on views. The view of epoch e+1 is the value of a single-decree Paxos among the
-// voters of e (Lamport 2001). The acceptor answers only after its promise or acceptance is on disk, so that a restart forgets neither.
-// It also knows which of its epochs are on disk, which is all that its heartbeats may say of it.
+// voters of e (Lamport 2001). The acceptor answers only after its promise or acceptance is on disk, so that neither is lost in a
+// restart. It also tracks which of its epochs are on disk; heartbeats may report only those.
 type acceptor struct {
 	*environment
 	acceptorState
 	identityDurable bool // the identity is on disk
-	// viewDurable: the view is on disk and this node has entered it (Core.adoptView). It comes later than durableViewEpoch does: other calls
-	// that waited for the same write run between, and with SendBeforeWrite it does not wait for the disk at all.
+	// viewDurable: the view is on disk and this node has entered it (Core.adoptView). It is set later than durableViewEpoch: other
+	// callbacks that waited for the same write run in between, and with SendBeforeWrite it does not wait for the disk at all.
 	viewDurable        bool
-	durableActiveEpoch uint64 // activeEpoch, sealedEpoch and view.Epoch as they are on disk, which heartbeats report
+	durableActiveEpoch uint64 // activeEpoch, sealedEpoch and view.Epoch as stored on disk, which heartbeats report
 	durableSealedEpoch uint64
 	durableViewEpoch   uint64
 
 	writer    *diskWriter
 	liveness  *liveness
-	adoptView func(*View) // takes up a view that is chosen
+	adoptView func(*View) // adopts a chosen view
 
-	yieldProposal func() // is called before this node promises to another proposer
-	announce      func() // tells the others of this node's state
+	yieldProposal func() // called before this node promises to another proposer
+	announce      func() // reports this node's state to the others
 }
 
-// restart takes up the state that is on disk.
+// restart restores the state that is on disk.
 func (ac *acceptor) restart(state acceptorState) {
 	ac.acceptorState = state
 	ac.identityDurable, ac.viewDurable = true, state.view.Epoch > 0
@@ -94,19 +95,20 @@
 	return ok
 }
 
-// isInitialVoter reports whether this node votes on the first view: it is a seed at the first start of all, and has a disk unless none has.
+// isInitialVoter reports whether this node votes on the first view: it must be a seed in the initial bootstrap, and have a disk
+// unless no seed has one.
 func (ac *acceptor) isInitialVoter() bool {
 	return ac.cfg.Bootstrap && slices.Contains(ac.cfg.Seeds, ac.self.Addr) && (!ac.cfg.Observer || ac.liveness.noSeedHasDisk())
 }
 
-// sendNewerView tells a sender that is at an earlier epoch of the present view, once that is on disk.
+// sendNewerView sends the current view to a sender that is at an earlier epoch, once that view is on disk.
 func (ac *acceptor) sendNewerView(to ID, epoch uint64) {
 	if epoch < ac.view.Epoch && ac.viewDurable {
 		ac.send(to, chosenMessage(ac.view))
 	}
 }
 
-// syncViewWithProposer brings this node to the view that a proposer builds on; false when it is at another one.
+// syncViewWithProposer brings this node to the view that a proposer builds on. It returns false if this node is at a different view.
 func (ac *acceptor) syncViewWithProposer(from ID, current *View) bool {
 	if current == nil {
 		return false
@@ -126,13 +128,13 @@
 	ac.writer.persist(then)
 }
 
-// accept accepts a view under number, and runs then once that is on disk.
+// accept accepts a view under number, and runs then once the acceptance is on disk.
 func (ac *acceptor) accept(number proposalNumber, value *View, then func()) {
 	ac.accepted, ac.acceptedView = number, value
 	ac.writer.persist(then)
 }
 
-// promiseReply is what this node answers to Prepare: its promise, and what it has accepted before.
+// promiseReply returns this node's answer to Prepare: its promise, and the view that it has accepted before.
 func (ac *acceptor) promiseReply(number proposalNumber) *replicationpb.Promise {
 	return &replicationpb.Promise{
 		Epoch: ac.view.Epoch, Ballot: proposalNumberPB(number), Accepted: proposalNumberPB(ac.accepted),
@@ -159,7 +161,7 @@
 	})
 }
 
-// handleAccept is phase 2b of Paxos. The voters of the view that is proposed vote on it too, see proposer.isChosen.
+// handleAccept is phase 2b of Paxos. The voters of the proposed view vote on it too, see proposer.isChosen.
 func (ac *acceptor) handleAccept(from ID, msg *replicationpb.Accept) {
 	value := viewOf(msg.GetView())
 	if value == nil || !ac.syncViewWithProposer(from, viewOf(msg.GetCurrent())) || value.Epoch != ac.view.Epoch+1 {
@@ -182,15 +184,16 @@
 	})
 }
 
-// hasAcceptedLater reports whether this voter has accepted a view after the present one. It then no longer confirms the present epoch:
-// the later view may be chosen and its chain acknowledge changes while a majority of the present voters, this one among them, has
-// not learned of it. That it was chosen is not enough to ask for. The majority need not meet the later chain where a replica of
-// that chain is new among the voters, or where a chain shorter than a majority may acknowledge. Scenario "an accepted view" plays it.
+// hasAcceptedLater reports whether this voter has accepted a view after the current one. It then no longer confirms the current
+// epoch: the later view may be chosen, and its chain may acknowledge changes, while a majority of the current voters, including this
+// one, has not learned of it. It is not sufficient to check whether the later view is known to be chosen. The majority need not
+// intersect the later chain if a replica of that chain is new among the voters, or if a chain shorter than a majority may
+// acknowledge. The scenario "an accepted view" covers this.
 func (ac *acceptor) hasAcceptedLater() bool {
 	return ac.acceptedView != nil && !ac.cfg.knobs.ConfirmAfterAccept
 }
 
-// handleSeal promises that this replica will never be active in the present epoch, unless it is already.
+// handleSeal promises that this replica will never be active in the current epoch, unless it is active already.
 func (ac *acceptor) handleSeal(m *replicationpb.Seal) {
 	epoch := ac.view.Epoch
 	if m.GetEpoch() != epoch || ac.view.chainIndex(ac.self.ID) < 0 {
@@ -204,11 +207,11 @@
 	ac.writer.persist(ac.announce)
 }
 
-// enterEpoch takes up the chosen view v, and begins the vote on the one after it.
+// enterEpoch adopts the chosen view v, and opens the vote on the next one.
 func (ac *acceptor) enterEpoch(v *View) {
 	ac.view, ac.viewDurable = v, false
 	ac.promised, ac.accepted, ac.acceptedView = proposalNumber{}, proposalNumber{}, nil
-	// The head must hold all that was acknowledged, see planner.mayLead.
+	// The head must hold everything that was acknowledged, see planner.mayLead.
 	if v.Head() == ac.self.ID && (ac.activeEpoch >= v.minHeadEpoch || ac.cfg.knobs.AllowAnyHead) {
 		ac.activeEpoch = v.Epoch
 	}
--- a/internal/system/replication/capacity.go
+++ b/internal/system/replication/capacity.go
@@ -1,20 +1,20 @@
 package replication
 
-// Capacity compares the nodes that exist with those that the tolerance needs.
+// Capacity compares the nodes that exist with the nodes that the configured tolerance needs.
 type Capacity struct {
 	Nodes                 int    // alive, with a disk
 	Observers             int    // alive, without a disk
-	Voters                int    // of the present view
-	TimedOutVoters        int    // of those, not alive: they count as part of what may be lost
-	VotersDesired         int    // so that a majority is left after any loss that must be tolerated
-	ChainReplicas         int    // of the present view
+	Voters                int    // of the current view
+	TimedOutVoters        int    // of those, not alive: they count towards the losses that must be tolerated
+	VotersDesired         int    // so that a majority remains after any loss that must be tolerated
+	ChainReplicas         int    // of the current view
 	ChainReplicasRequired int    // a shorter chain acknowledges no change
 	ChainReplicasDesired  int    // so that after the loss of one, changes need not wait until another has caught up
-	ToleranceMet          bool   // a majority of the voters and a chain replica are left after any loss that must be tolerated
-	Remedy                string // in one line what is missing and what to do, empty when nothing is
+	ToleranceMet          bool   // a majority of the voters and a chain replica remain after any loss that must be tolerated
+	Remedy                string // one line that states what is missing and what to do; empty if nothing is missing
 }
 
-// Capacity of the fleet as this core sees it.
+// Capacity returns the capacity of the fleet as seen by this core.
 func (c *Core) Capacity() Capacity {
 	v := c.acceptor.view
 	replicas := v.chainMembers()
@@ -33,7 +33,7 @@
 	return have
 }
 
-// countNodes counts those that are alive, with this one.
+// countNodes counts the nodes that are alive, including this one.
 func (c *Core) countNodes() (withDisk, observers int) {
 	if c.cfg.Observer {
 		observers++
@@ -52,7 +52,7 @@
 	return withDisk, observers
 }
 
-// isLike reports whether two capacities ask the operator for the same.
+// isLike reports whether two capacities need the same action by the operator.
 func (c *Capacity) isLike(other Capacity) bool {
 	return c.ToleranceMet == other.ToleranceMet && c.Remedy == other.Remedy
 }
--- a/internal/system/replication/capacity_remedy.go
+++ b/internal/system/replication/capacity_remedy.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// remedy is text for operators, in the words of their pages. It is part of the status JSON.
+// remedy returns a text for operators, in the terms of their runbooks. It is part of the status JSON.
 func (c *Core) remedy(have Capacity) string {
 	view := c.acceptor.view
 	switch {
--- a/internal/system/replication/capacity_reporter.go
+++ b/internal/system/replication/capacity_reporter.go
@@ -8,16 +8,17 @@
 
 const (
 	capacityInterval   = time.Second     // between two checks
-	capacityStableTime = 5 * time.Second // a change is logged after so long: a repair takes less
+	capacityStableTime = 5 * time.Second // a change must last this long before it is logged; a repair takes less
 )
 
-// capacityReporter logs whether the tolerated losses are covered, when that has changed for good. The zero value is ready for use.
+// capacityReporter logs whether the tolerated losses are covered, whenever that has changed for longer than capacityStableTime. The
+// zero value is ready for use.
 type capacityReporter struct {
 	checkedAt, changedAt time.Duration
 	current, logged      Capacity
 }
 
-// report checks the capacity when that is due, and logs it when it is to be logged.
+// report checks the capacity every capacityInterval, and logs it if it has changed and is stable.
 func (r *capacityReporter) report(now time.Duration, c *Core, logger log.Interface) {
 	if now-r.checkedAt < capacityInterval {
 		return
--- a/internal/system/replication/capacity_test.go
+++ b/internal/system/replication/capacity_test.go
@@ -9,13 +9,14 @@
 	"github.com/apex/log/handlers/memory"
 )
 
-// TestCapacitySaysWhatIsMissing: danger: two nodes may be lost, three nodes run, and nobody is told until it happens.
+// TestCapacitySaysWhatIsMissing guards against a deployment whose nodes are too few or badly placed for the configured tolerance,
+// such as three nodes where two may be lost, without an operator being informed before a loss occurs.
 func TestCapacitySaysWhatIsMissing(t *testing.T) {
 	for _, test := range []struct {
 		name            string
 		layout          []int
 		machines, zones int
-		remedy          string // part of it; empty: all is well
+		remedy          string // expected substring; empty: nothing is missing
 	}{
 		{"one a zone", []int{1, 1, 1}, 1, 1, ""},
 		{"two a zone", []int{2, 2, 2}, 2, 1, ""},
@@ -37,7 +38,7 @@
 	}
 }
 
-// TestCapacityIsLoggedOnceItLasts: a repair is no news, a node that stays away is.
+// TestCapacityIsLoggedOnceItLasts checks that a short repair is not logged, and that the capacity is logged once it is stable.
 func TestCapacityIsLoggedOnceItLasts(t *testing.T) {
 	members := placed([]int{1, 1, 1})
 	cluster := sizedCluster(t, members, 1, 1)
--- a/internal/system/replication/chain_receive.go
+++ b/internal/system/replication/chain_receive.go
@@ -6,9 +6,10 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// This file is the receiving side of the chain: replicas and learners receive records or snapshots from the replica upstream.
+// This file contains the receiving side of the chain: replicas and learners receive records or snapshots from the replica upstream.
 
-// isUpstream reports whether id sends this node the log of the epoch: its predecessor, or for a learner any replica.
+// isUpstream reports whether id may send this node the log of the epoch. For a replica that is its predecessor, for a learner any
+// replica.
 func (cr *chainReplica) isUpstream(id ID, epoch uint64, learner bool) bool {
 	if cr.err != nil {
 		return false
@@ -26,7 +27,7 @@
 	return learner && cr.acceptor.view.chainIndex(id) >= 0
 }
 
-// sendMismatch asks the replica upstream for records, and says what the log here holds.
+// sendMismatch requests records from the replica upstream, with a summary of the log here.
 func (cr *chainReplica) sendMismatch(to ID) {
 	sum := cr.log.summary()
 	cr.send(to, ackMessage(&replicationpb.Ack{
@@ -34,7 +35,7 @@
 	}))
 }
 
-// sendAck tells the predecessor what is on disk here and what is committed.
+// sendAck reports to the predecessor what is on disk here and what is committed.
 func (cr *chainReplica) sendAck() {
 	predecessor := cr.predecessor()
 	if predecessor == "" || !cr.upstreamMatched || !cr.acceptor.viewDurable || cr.err != nil {
@@ -47,7 +48,7 @@
 	}))
 }
 
-// tickPredecessor repeats the acknowledgement, or asks for records where none have come yet.
+// tickPredecessor resends the acknowledgement, or requests records if none have arrived yet.
 func (cr *chainReplica) tickPredecessor() {
 	interval := resendTimeout
 	if !cr.upstreamMatched {
@@ -65,7 +66,7 @@
 	}
 }
 
-// handleAppend takes up records, or the news that there are none to send.
+// handleAppend handles new records, or the information that there are none to send.
 func (cr *chainReplica) handleAppend(from ID, msg *replicationpb.Append) {
 	if !cr.isUpstream(from, msg.GetEpoch(), msg.GetLearner()) {
 		return
@@ -74,7 +75,7 @@
 	last := prev + uint64(len(entries))
 	switch epoch, ok := cr.log.epochAt(prev); {
 	case prev < cr.log.base:
-		// What is below base is committed, so it is the same here.
+		// Records below base are committed, so they are the same here.
 		entries = entries[min(uint64(len(entries)), cr.log.base-prev):]
 	case !ok || epoch != msg.GetPrevEpoch():
 		cr.sendMismatch(from)
@@ -94,13 +95,13 @@
 	if cr.acceptor.activeEpoch != cr.acceptor.view.Epoch {
 		cr.alignEnd(msg)
 	}
-	// Needed though nothing may have been written: after a start of all nodes, all replicas may hold the same log, and no write follows
-	// upon which the tail would commit it.
+	// This is needed even if nothing was written: after a start of all nodes, all replicas may hold the same log, and no write follows
+	// on whose completion the tail would commit it.
 	cr.onDurableChange()
 }
 
-// appendEntries adds the records that the log lacks, in place of those of other epochs. It returns false where they do not continue the
-// log, or contradict what cannot be truncated.
+// appendEntries appends the records that the log lacks, and replaces those of other epochs. It returns false if the records do not
+// continue the log, or contradict records that cannot be truncated.
 func (cr *chainReplica) appendEntries(entries []*replicationpb.Entry) bool {
 	for _, rec := range entries {
 		seq := rec.GetSeq()
@@ -122,15 +123,16 @@
 	return true
 }
 
-// canTruncate reports whether the record seq and those above it may never have been acknowledged: it is not committed, and this replica
-// does not vouch for its log yet.
+// canTruncate reports whether the record seq and those above it may be discarded: the record is not committed, and this replica is
+// not active yet, so no acknowledgement depends on its log.
 func (cr *chainReplica) canTruncate(seq uint64) bool {
 	return seq > cr.commitIndex && (!cr.isActive() || cr.cfg.knobs.AcceptAnyEpoch)
 }
 
-// followUpstream has a learner commit what is committed upstream.
+// followUpstream makes a learner commit what is committed upstream.
 func (cr *chainReplica) followUpstream(from ID, m *replicationpb.Append) {
-	// The answer counts from when its request was sent: what was in flight while this process was stalled proves nothing of now.
+	// The answer counts from when its request was sent: an answer that was in flight while this process was stalled proves nothing about
+	// the present.
 	if sentAt, ok := cr.liveness.sentTime(m.GetFollow()); ok {
 		cr.caughtUp, cr.caughtUpAt = true, max(cr.caughtUpAt, sentAt)
 	}
@@ -139,9 +141,9 @@
 	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: m.GetEpoch(), Matched: cr.durableIndex()}))
 }
 
-// alignEnd drops what a replica that is not active holds beyond the log of its predecessor, where that is of an old epoch: it was never
-// acknowledged. A predecessor that has just started may not know yet where its log ends; all that was acknowledged is at most
-// epochStartIndex in any case, so less is never dropped.
+// alignEnd truncates the records of an old epoch that an inactive replica holds beyond the log of its predecessor: they were never
+// acknowledged. A predecessor that has just started may not know yet where its log ends. Everything that was acknowledged is at most
+// epochStartIndex in any case, so the log is never truncated below that.
 func (cr *chainReplica) alignEnd(m *replicationpb.Append) {
 	cr.epochStartIndex = m.GetStart()
 	end := m.GetEnd()
@@ -153,7 +155,7 @@
 	}
 }
 
-// tryActivate makes this replica active once all of its predecessor's log from before the epoch is on its disk.
+// tryActivate makes this replica active once its disk holds the complete log that its predecessor had before the epoch.
 func (cr *chainReplica) tryActivate() {
 	if !cr.mayActivate() || !cr.holdsEpochStart() {
 		return
@@ -167,7 +169,7 @@
 	})
 }
 
-// mayActivate reports whether this replica takes part in the epoch, has not sealed it and is not active yet. The head is made active by
+// mayActivate reports whether this replica takes part in the epoch, has not sealed it and is not active yet. The head is activated by
 // acceptor.enterEpoch.
 func (cr *chainReplica) mayActivate() bool {
 	ac := cr.acceptor
@@ -175,12 +177,12 @@
 	return cr.err == nil && ac.viewDurable && isOpen && cr.upstreamMatched && cr.predecessor() != ""
 }
 
-// holdsEpochStart reports whether the log up to where the epoch began is the predecessor's, and on disk.
+// holdsEpochStart reports whether the log up to the start of the epoch matches the predecessor's, and is on disk.
 func (cr *chainReplica) holdsEpochStart() bool {
 	return cr.matchIndex >= cr.epochStartIndex && cr.writer.durableEnd >= cr.epochStartIndex && cr.writer.isLogClean()
 }
 
-// handleInstall takes up a snapshot.
+// handleInstall replaces the log with a snapshot.
 func (cr *chainReplica) handleInstall(from ID, msg *replicationpb.Install) {
 	if !cr.isUpstream(from, msg.GetEpoch(), msg.GetLearner()) || cr.isActive() || msg.GetSeq() <= cr.commitIndex {
 		return
@@ -195,8 +197,8 @@
 		cr.fail(err)
 		return
 	}
-	// What was here may have been acknowledged, and is gone until the records above the snapshot come: this log does not stand for
-	// earlier epochs any more. That is on disk before the log is dropped there.
+	// The records here may have been acknowledged, and are missing until the records above the snapshot arrive: this log no longer
+	// counts as the chain's log of earlier epochs. That is written to disk before the log on disk is removed.
 	cr.acceptor.activeEpoch = 0
 	cr.writer.persist(nil)
 	cr.log = memoryLog{base: msg.GetSeq(), baseEpoch: msg.GetSeqEpoch()}
@@ -206,8 +208,8 @@
 	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: msg.GetEpoch(), Matched: msg.GetSeq()}))
 }
 
-// sendFollow asks the last active replica for what is committed, when this node is outside the chain. The request goes with each
-// heartbeat and has its number.
+// sendFollow requests committed records from the last active replica, if this node is outside the chain. The request is sent with
+// each heartbeat and has its number.
 func (cr *chainReplica) sendFollow() {
 	v := cr.acceptor.view
 	if v.Epoch == 0 || !cr.acceptor.viewDurable || cr.isInChain() {
--- a/internal/system/replication/chain_receive_test.go
+++ b/internal/system/replication/chain_receive_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestCatchUpWhileUpstreamIsLost brings back a member that was away for 400 and for 2,000 changes, as a former replica and
-// as a spare, through a replica of 2 MB/s, while changes go on at 20 a second; the tail, which feeds it, ends at each of some
-// moments on the way. Danger: it starts anew for ever, or is never a replica again.
+// TestCatchUpWhileUpstreamIsLost restarts a member that was down for 400 and for 2,000 changes, as a former replica and as a spare.
+// It catches up over a network of 2 MB/s, while 20 changes per second continue. The tail, from which it receives records, is stopped
+// at several points in the meantime. It guards against a node that keeps restarting its catch-up, or never becomes a replica again.
 func TestCatchUpWhileUpstreamIsLost(t *testing.T) {
 	const each = 10 << 10
 	var longest time.Duration
@@ -20,7 +20,7 @@
 			for i, a := range addrs {
 				cluster.start(Config{
 					Self: Member{Addr: a, Zone: "zone " + addrs[i], Region: "r"}, MachineLosses: 2, Seeds: addrs[:3], Bootstrap: true,
-					compactRecords: 300, // the 400 changes are behind a snapshot too
+					compactRecords: 300, // the 400 changes also extend beyond a snapshot
 				})
 			}
 			cluster.until(8*time.Second, "the first view", func() bool { return cluster.complete(5, 5) })
--- a/internal/system/replication/chain_replica.go
+++ b/internal/system/replication/chain_replica.go
@@ -15,10 +15,10 @@
 
 const (
 	resendTimeout         = 250 * time.Millisecond
-	catchUpInterval       = 50 * time.Millisecond // between a replica's requests: after a start of all nodes, each waits for its predecessor
+	catchUpInterval       = 50 * time.Millisecond // between a replica's requests; after a start of all nodes, each waits for its predecessor
 	snapshotResendTimeout = time.Second
 	stalledTimeout        = time.Second
-	activationTimeout     = 3 * time.Second // for a successor to catch up after a change of the view
+	activationTimeout     = 3 * time.Second // for a successor to catch up after a view change
 	maxAppendBytes        = 256 << 10
 	maxInFlightBytes      = 1 << 20     // of records to one node
 	transferTimePerMB     = time.Second // on a slow network
@@ -26,22 +26,22 @@
 	learnerTTL            = 2 * time.Second // after its last request
 )
 
-// chainReplica is this node's log and its place in the chain: it receives records from its predecessor, sends them to its successor once
-// they are on disk, and knows what is committed. Outside the chain it catches up as a learner.
+// chainReplica is this node's log and its position in the chain: it receives records from its predecessor, sends them to its
+// successor once they are on disk, and tracks what is committed. Outside the chain it catches up as a learner.
 type chainReplica struct {
 	*environment
 	machine             Machine
 	log                 memoryLog
 	state               State // after commitIndex
 	commitIndex         uint64
-	matchIndex          uint64        // up to here the log is known to be the predecessor's, in this epoch
+	matchIndex          uint64        // in this epoch, the log is known to match the predecessor's up to here
 	upstreamCommitIndex uint64        // commit index of the replica that a learner follows
-	caughtUpAt          time.Duration // when a learner sent the newest request that has been answered
+	caughtUpAt          time.Duration // when a learner sent the newest request that was answered
 	caughtUp            bool          // a learner's request has been answered in this epoch
 	upstreamMatched     bool          // an append of the predecessor has matched, in this epoch and incarnation
-	minReadIndex        uint64        // records up to here may have been acknowledged: no read rests on less
+	minReadIndex        uint64        // records up to here may have been acknowledged: no read may use an older state
 	epochStartIndex     uint64        // where the head's log ended when it entered the epoch
-	uncommittedStates   []State       // the head's: after each record above commitIndex
+	uncommittedStates   []State       // on the head: the states after each record above commitIndex
 	downstream          map[ID]*progress
 	ackSentAt           time.Duration
 
@@ -57,7 +57,7 @@
 	completeReads()
 }
 
-// successor is the replica after this one, empty at the tail and outside the chain.
+// successor returns the replica after this one, or an empty ID at the tail and outside the chain.
 func (cr *chainReplica) successor() ID {
 	v := cr.acceptor.view
 	if i := v.chainIndex(cr.self.ID); i >= 0 && i+1 < len(v.Chain) {
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// predecessor is the replica before this one, empty at the head and outside the chain.
+// predecessor returns the replica before this one, or an empty ID at the head and outside the chain.
 func (cr *chainReplica) predecessor() ID {
 	v := cr.acceptor.view
 	if i := v.chainIndex(cr.self.ID); i > 0 {
@@ -75,10 +75,10 @@
 	return ""
 }
 
-// isInChain reports whether this node is a replica of the present chain, active or not.
+// isInChain reports whether this node is a replica of the current chain, active or not.
 func (cr *chainReplica) isInChain() bool { return cr.acceptor.view.chainIndex(cr.self.ID) >= 0 }
 
-// isActive reports whether this replica takes part: it has on disk that it holds all that was acknowledged before its view.
+// isActive reports whether this replica replicates: its disk records that it holds everything acknowledged before its view.
 func (cr *chainReplica) isActive() bool {
 	epoch := cr.acceptor.view.Epoch
 	isUsable := cr.err == nil && cr.acceptor.viewDurable
@@ -92,7 +92,7 @@
 
 func (cr *chainReplica) isTail() bool { return cr.isActive() && cr.acceptor.view.Tail() == cr.self.ID }
 
-// isActiveToTail reports whether this replica and all after it are active, so that no log of an old epoch is left among them.
+// isActiveToTail reports whether this replica and all replicas after it are active, so that none of them has a log of an old epoch.
 func (cr *chainReplica) isActiveToTail() bool {
 	if !cr.isActive() || cr.isTail() {
 		return cr.isActive()
@@ -101,7 +101,7 @@
 	return p != nil && p.activeToTail
 }
 
-// leaveEpoch forgets what was known of the chain of the epoch that has ended.
+// leaveEpoch forgets what was known of the chain of the previous epoch.
 func (cr *chainReplica) leaveEpoch() {
 	cr.matchIndex, cr.upstreamMatched = 0, false
 	cr.upstreamCommitIndex, cr.caughtUp = 0, false
@@ -110,7 +110,7 @@
 	cr.uncommittedStates = nil
 }
 
-// enterView starts this replica's part in a view that is on disk.
+// enterView starts this replica's participation in a view that is on disk.
 func (cr *chainReplica) enterView() error {
 	if !cr.isActive() {
 		return nil
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// enterAsHead computes the states after the records that are not known to be committed. The epoch starts with what is on disk: nothing
-// beyond it was sent on.
+// enterAsHead computes the states after the records that are not known to be committed. The epoch starts with what is on disk:
+// records beyond it were never sent to another replica.
 func (cr *chainReplica) enterAsHead() error {
 	cr.epochStartIndex = cr.writer.durableEnd
 	cr.minReadIndex = max(cr.minReadIndex, cr.writer.durableEnd)
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// speculativeState is the state after the whole log, on which the head decides.
+// speculativeState returns the state after the complete log, on which the head decides.
 func (cr *chainReplica) speculativeState() State {
 	if n := len(cr.uncommittedStates); n > 0 {
 		return cr.uncommittedStates[n-1]
@@ -148,13 +148,14 @@
 	return cr.state
 }
 
-// appendAsHead adds a record that the head has accepted, with the state after it.
+// appendAsHead appends a record that the head has accepted, with the state after it.
 func (cr *chainReplica) appendAsHead(rec entry, next State) {
 	cr.uncommittedStates = append(cr.uncommittedStates, next)
 	cr.log.entries = append(cr.log.entries, rec)
 }
 
-// onDurableChange follows a change of what is on disk: it may make this replica active, commit records, or have them to send on.
+// onDurableChange handles a change of what is on disk, which may make this replica active, commit records, or allow it to send more
+// of them.
 func (cr *chainReplica) onDurableChange() {
 	cr.tryActivate()
 	if cr.acceptor.view.Epoch == 0 || !cr.acceptor.viewDurable {
@@ -171,7 +172,7 @@
 	cr.sendAck()
 }
 
-// durableIndex is the end of what is on disk and known to be the log of this epoch's chain.
+// durableIndex returns the end of the log that is on disk and known to be the log of this epoch's chain.
 func (cr *chainReplica) durableIndex() uint64 {
 	if cr.isHead() {
 		return cr.writer.durableEnd
@@ -179,8 +180,9 @@
 	return min(cr.matchIndex, cr.writer.durableEnd)
 }
 
-// commitAsTail commits at the tail, where the chain is long enough (invariant 2 of the package). A record that arrived here went through
-// every replica, each of which had it on disk before it sent it on; and every replica is active, since only an active one sends on.
+// commitAsTail commits at the tail, if the chain is long enough (invariant 2 of the package). A record that has arrived here has
+// passed through every replica, each of which had it on disk before it sent it on. Every replica is active, since only an active
+// replica sends records on.
 func (cr *chainReplica) commitAsTail() {
 	commitsHere := cr.isTail() || cr.cfg.knobs.AcknowledgeAtHead && cr.isHead()
 	if commitsHere && len(cr.acceptor.view.Chain) >= cr.cfg.minChainLength() {
@@ -188,12 +190,12 @@
 	}
 }
 
-// commitAsLearner commits what is committed upstream and on disk here.
+// commitAsLearner commits the records that are committed upstream and on disk here.
 func (cr *chainReplica) commitAsLearner() {
 	cr.advanceCommitIndex(min(cr.upstreamCommitIndex, cr.matchIndex, cr.writer.durableEnd))
 }
 
-// advanceCommitIndex applies the records up to seq, and tells those who wait for them.
+// advanceCommitIndex applies the records up to seq, and notifies the calls and learners that wait for them.
 func (cr *chainReplica) advanceCommitIndex(seq uint64) {
 	if seq <= cr.commitIndex {
 		return
@@ -218,7 +220,7 @@
 	}
 }
 
-// nextState returns the state after the record above the commit index. The head has computed it already.
+// nextState returns the state after the first record above the commit index. The head has already computed it.
 func (cr *chainReplica) nextState() (State, error) {
 	if len(cr.uncommittedStates) == 0 {
 		return cr.state.Apply(cr.log.at(cr.commitIndex + 1).rec)
@@ -228,14 +230,14 @@
 	return next, nil
 }
 
-// holdsAcknowledged reports whether this replica knows to be committed all that may have been acknowledged before it came to its place, in
-// its present incarnation.
+// holdsAcknowledged reports whether this replica knows everything to be committed that may have been acknowledged before it took its
+// position, in its current incarnation.
 func (cr *chainReplica) holdsAcknowledged() bool {
 	return cr.commitIndex >= cr.minReadIndex || cr.cfg.knobs.SkipMinReadIndex
 }
 
-// isUpToDate reports whether this node, in the chain, knows all to be committed that may have been acknowledged before its epoch; or,
-// outside the chain, has received what was committed within the window.
+// isUpToDate reports, for a replica of the chain, whether it knows everything to be committed that may have been acknowledged before
+// its epoch. For a node outside the chain, it reports whether the node has received what was committed within the window.
 func (cr *chainReplica) isUpToDate(window time.Duration) bool {
 	if cr.isInChain() {
 		return cr.acceptor.durableActiveEpoch == cr.acceptor.view.Epoch && cr.holdsAcknowledged()
@@ -243,7 +245,7 @@
 	return cr.caughtUp && cr.now-cr.caughtUpAt <= window && cr.commitIndex >= cr.upstreamCommitIndex
 }
 
-// tickChain repeats what may have been lost on its way to the neighbours.
+// tickChain resends what may have been lost on its way to the neighbors.
 func (cr *chainReplica) tickChain() {
 	if !cr.acceptor.viewDurable {
 		return
@@ -255,17 +257,17 @@
 	}
 }
 
-// truncateLog drops the records above after from memory and disk.
+// truncateLog removes the records above after from memory and disk.
 func (cr *chainReplica) truncateLog(after uint64) {
 	cr.log.truncate(after)
 	cr.matchIndex = min(cr.matchIndex, after)
 	cr.writer.truncated(after)
 }
 
-// compactMemory forgets records below a snapshot, but for those that a node which is a little behind may need: at most retainedRecords,
-// of minRetainedBytes or twice the size of the snapshot. That much is enough for a node that was sent a snapshot to go on from there:
-// while the snapshot was in flight, changes took less of the network than the snapshot did, or else the network could not carry the
-// changes at all.
+// compactMemory removes the records below a snapshot from memory, except those that a node slightly behind may need: at most
+// retainedRecords, of at most minRetainedBytes or twice the size of the snapshot. That is enough for a node that was sent a snapshot
+// to continue from there: while the snapshot was in flight, changes took less of the network's bandwidth than the snapshot did, or
+// else the network could not carry the changes at all.
 func (cr *chainReplica) compactMemory(snap wal.Snapshot) {
 	budget, retained := max(minRetainedBytes, 2*len(snap.Data)), uint64(0)
 	for seq := min(snap.Seq, cr.log.end()); seq > cr.log.base && retained < cr.cfg.retainedRecords; seq-- {
@@ -277,7 +279,7 @@
 	cr.log.compact(snap.Seq - retained)
 }
 
-// loadLog takes up what the disk holds: a snapshot, and the records after it.
+// loadLog restores what the disk holds: a snapshot, and the records after it.
 func (cr *chainReplica) loadLog(snap wal.Snapshot, entries []wal.Entry) error {
 	if snap.Seq > 0 {
 		if err := cr.loadSnapshot(snap); err != nil {
--- a/internal/system/replication/chain_send.go
+++ b/internal/system/replication/chain_send.go
@@ -8,38 +8,40 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// This file is the sending side of the chain: a replica sends records or snapshots to its successor, and to learners.
+// This file contains the sending side of the chain: a replica sends records or snapshots to its successor and to learners.
 
-// progress is how far a downstream node has come: the successor, or a learner.
+// progress tracks the replication to a downstream node: the successor, or a learner.
 type progress struct {
 	learner          bool
 	followNumber     uint64 // of a learner's newest request
-	matchKnown       bool   // whether match is
-	match            uint64 // up to here the node has on disk the same log as this one
-	next             uint64 // to send
+	matchKnown       bool   // whether match is known
+	match            uint64 // up to here the node has the same log on disk as this one
+	next             uint64 // next record to send
 	lastSentAt       time.Duration
-	resendAt         time.Duration // when what was sent and not acknowledged counts as lost
-	advancedAt       time.Duration // when it last acknowledged anything new, or had nothing to acknowledge
+	resendAt         time.Duration // when records that were sent and not acknowledged count as lost
+	advancedAt       time.Duration // when it last acknowledged something new, or had nothing to acknowledge
 	lastContactAt    time.Duration
 	active           bool
-	activeToTail     bool // it and all replicas after it are active
+	activeToTail     bool // the node and all replicas after it are active
 	snapshotInFlight bool
 }
 
-// recordSent puts off the next resend by what so many bytes take, after those that are in flight.
+// recordSent postpones the next resend by the time that the given number of bytes takes, after the bytes already in flight.
 func (p *progress) recordSent(now time.Duration, bytes int) {
 	p.resendAt = max(p.resendAt, now+resendTimeout) + transferTime(bytes)
 }
 
-// transferTime is how long bytes may take on a slow network.
+// transferTime returns how long the given number of bytes may take on a slow network.
 func transferTime(bytes int) time.Duration { return time.Duration(bytes) * transferTimePerMB >> 20 }
 
-// canReplicate reports whether this replica may send records on: it is active, and knows since its start how far its log is the chain's.
+// canReplicate reports whether this replica may send records on: it is active, and has learned since its start how much of its log is
+// the chain's.
 func (cr *chainReplica) canReplicate() bool {
 	return cr.isActive() && (cr.isHead() || cr.upstreamMatched)
 }
 
-// replicationLimit is the last record that may be sent: to the successor what is on disk here, to learners what is committed.
+// replicationLimit returns the last record that may be sent: to the successor the last one on disk here, to learners the last
+// committed one.
 func (cr *chainReplica) replicationLimit(p *progress) uint64 {
 	if p.learner {
 		return cr.commitIndex
@@ -47,7 +49,7 @@
 	return cr.durableIndex()
 }
 
-// replicateTo sends what the downstream node lacks, as far as the window allows.
+// replicateTo sends the records that the downstream node lacks, as far as the window of bytes in flight allows.
 func (cr *chainReplica) replicateTo(id ID) {
 	target := cr.downstream[id]
 	if target == nil {
@@ -60,7 +62,7 @@
 	limit := cr.replicationLimit(target)
 	if !target.matchKnown {
 		if cr.now-target.lastSentAt >= resendTimeout {
-			cr.sendAppend(id, target, limit, nil) // the answer says where the logs match
+			cr.sendAppend(id, target, limit, nil) // the answer contains where the logs match
 		}
 		return
 	}
@@ -81,7 +83,7 @@
 	}
 }
 
-// sendAppend sends the entries after the record prev, or none to tell how far the log here goes and is committed.
+// sendAppend sends the entries after the record prev, or no entries to report how far the log here extends and is committed.
 func (cr *chainReplica) sendAppend(id ID, p *progress, prev uint64, entries []*replicationpb.Entry) {
 	epoch, ok := cr.log.epochAt(prev)
 	if !ok {
@@ -94,7 +96,7 @@
 	}))
 }
 
-// sendInstall sends the committed state, unless one is in flight.
+// sendInstall sends the committed state as a snapshot, unless one is in flight.
 func (cr *chainReplica) sendInstall(id ID, p *progress) {
 	if p.snapshotInFlight && cr.now < p.resendAt {
 		return
@@ -111,7 +113,7 @@
 	}))
 }
 
-// handleAck takes up what a downstream node has on disk, and at a replica what is committed.
+// handleAck records what a downstream node has on disk and, from the successor, what is committed.
 func (cr *chainReplica) handleAck(from ID, m *replicationpb.Ack) {
 	p := cr.downstream[from]
 	if p == nil || m.GetEpoch() != cr.acceptor.view.Epoch || !cr.acceptor.viewDurable {
@@ -129,10 +131,10 @@
 	cr.replicateTo(from)
 }
 
-// handleMismatch sends a downstream node records from where its log matches.
+// handleMismatch sends records to a downstream node, starting where its log matches.
 func (cr *chainReplica) handleMismatch(from ID, p *progress, m *replicationpb.Ack) {
 	if !cr.canReplicate() {
-		return // how much of the log here is the chain's is not known yet; the node asks again
+		return // it is not known yet how much of the log here is the chain's; the node asks again
 	}
 	cr.locateMatch(p, logSummary{base: m.GetBase(), baseEpoch: m.GetBaseEpoch(), runs: m.GetRuns()})
 	if limit := cr.replicationLimit(p); p.next > limit && p.matchKnown {
@@ -142,7 +144,7 @@
 	cr.replicateTo(from)
 }
 
-// recordMatch takes up how far a downstream node has the log on disk.
+// recordMatch records how much of the log a downstream node has on disk.
 func (cr *chainReplica) recordMatch(p *progress, match uint64) {
 	if p.matchKnown && match <= p.match {
 		return
@@ -153,7 +155,7 @@
 	p.resendAt = cr.now + resendTimeout + transferTime(cr.log.size(p.match+1, p.next-1))
 }
 
-// handleActiveSuccessor takes up that the successor is active, and commits what it says is committed.
+// handleActiveSuccessor records that the successor is active, and commits what it reports as committed.
 func (cr *chainReplica) handleActiveSuccessor(from ID, p *progress, m *replicationpb.Ack) {
 	if m.GetComplete() && !p.activeToTail {
 		p.activeToTail = true
@@ -168,8 +170,8 @@
 	}
 }
 
-// locateMatch finds where a downstream node's log matches this one; where it nowhere does, a snapshot is needed, unless the whole log
-// is in memory.
+// locateMatch finds where a downstream node's log matches this one. If it matches nowhere, a snapshot is needed, unless the complete
+// log is in memory.
 func (cr *chainReplica) locateMatch(p *progress, theirs logSummary) {
 	if match, ok := cr.log.lastCommon(theirs); ok {
 		p.next, p.match, p.matchKnown = match+1, match, true
@@ -182,7 +184,7 @@
 	}
 }
 
-// handleFollow sends a node outside the chain what is committed.
+// handleFollow sends committed records to a node outside the chain.
 func (cr *chainReplica) handleFollow(from ID, msg *replicationpb.Follow) {
 	if !cr.canServeLearner(from, msg.GetEpoch()) {
 		return
@@ -196,7 +198,7 @@
 		cr.downstream[from] = learner
 	}
 	learner.lastContactAt, learner.followNumber = cr.now, msg.GetNumber()
-	// Every request tells what the learner has. What is in flight to it is not sent again before its time.
+	// Every request states what the learner has. Records in flight to it are not sent again before their resend time.
 	snapshotInFlight, next := learner.snapshotInFlight, learner.next
 	cr.locateMatch(learner, logSummary{base: msg.GetBase(), baseEpoch: msg.GetBaseEpoch(), runs: msg.GetRuns()})
 	learner.snapshotInFlight = snapshotInFlight
@@ -206,18 +208,18 @@
 	before := learner.lastSentAt
 	cr.replicateTo(from)
 	if sentNothing := learner.lastSentAt != cr.now || before == cr.now; sentNothing {
-		// The request is answered all the same, by which the learner knows that it lacks nothing.
+		// Answer the request even so, which tells the learner that it lacks nothing.
 		cr.sendAppend(from, learner, min(learner.match, cr.commitIndex), nil)
 	}
 }
 
-// canServeLearner reports whether this replica has all that was acknowledged for a node outside the chain of the epoch.
+// canServeLearner reports whether this replica holds everything acknowledged, and id is outside the chain of the epoch.
 func (cr *chainReplica) canServeLearner(id ID, epoch uint64) bool {
 	v := cr.acceptor.view
 	return cr.isActive() && cr.holdsAcknowledged() && epoch == v.Epoch && v.chainIndex(id) < 0
 }
 
-// forgetLearners drops the learners that have not asked for long.
+// forgetLearners removes the learners that have not sent a request for learnerTTL.
 func (cr *chainReplica) forgetLearners() {
 	for _, id := range slices.Sorted(maps.Keys(cr.downstream)) {
 		if p := cr.downstream[id]; p.learner && cr.now-p.lastContactAt > learnerTTL {
@@ -226,7 +228,7 @@
 	}
 }
 
-// tickSuccessor repeats to the successor what may have been lost.
+// tickSuccessor resends to the successor what may have been lost.
 func (cr *chainReplica) tickSuccessor() {
 	id := cr.successor()
 	if id == "" {
@@ -243,13 +245,13 @@
 	cr.replicateTo(id)
 }
 
-// hasAcknowledgedAll reports whether the successor has nothing to acknowledge that it was sent.
+// hasAcknowledgedAll reports whether the successor has acknowledged everything that it was sent.
 func (cr *chainReplica) hasAcknowledgedAll(p *progress) bool {
 	return !cr.canReplicate() || p.active && p.match >= cr.durableIndex()
 }
 
-// lacksAck reports whether an acknowledgement of the successor may have been lost: that records are committed which it has, or that it is
-// active though it has the whole log.
+// lacksAck reports whether an acknowledgement of the successor may have been lost: records that it has are not known to be committed,
+// or it has the complete log and is not known to be active.
 func (cr *chainReplica) lacksAck(p *progress) bool {
 	if cr.hasAcknowledgedAll(p) {
 		return cr.commitIndex < cr.durableIndex()
@@ -257,7 +259,7 @@
 	return p.matchKnown && !p.active && p.match >= cr.durableIndex()
 }
 
-// stalledSuccessor is the successor when it has not acknowledged what it was sent for too long, else empty.
+// stalledSuccessor returns the successor if it has not acknowledged for too long what it was sent, otherwise an empty ID.
 func (cr *chainReplica) stalledSuccessor() ID {
 	id := cr.successor()
 	p := cr.downstream[id]
--- a/internal/system/replication/chain_send_test.go
+++ b/internal/system/replication/chain_send_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// blobState is a state that is replaced as a whole by each change with a body, as a configuration is.
+// blobState is a state that each change with a body replaces completely, as with a configuration.
 type blobState struct {
 	seq  uint64
 	body []byte
@@ -37,7 +37,7 @@
 	return controlstate.Change{Op: controlstate.OpReplace, Body: make([]byte, bytes)}
 }
 
-// inMemory is what the log of a core takes.
+// inMemory returns the size of a core's log in memory.
 func inMemory(c *Core) int {
 	n := 0
 	for i := range c.chain.log.entries {
@@ -46,7 +46,7 @@
 	return n
 }
 
-// flow asks for a change of so many bytes at addr, 20 times a second, until the clock shows end.
+// flow submits a change of the given size at addr 20 times a second, until the clock reaches end.
 func (cluster *scriptedCluster) flow(addr string, end time.Duration, bytes int, each func()) {
 	for next := cluster.now; cluster.now < end; {
 		if cluster.now >= next {
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestTheLogInMemoryIsBounded has hundreds of large changes acknowledged. Danger: the records that are kept for those who
-// follow are counted and not weighed, and the process goes over its memory.
+// TestTheLogInMemoryIsBounded commits hundreds of large changes. It guards against bounding the records retained for nodes that are
+// behind only by count and not by size, which lets the process exceed its memory.
 func TestTheLogInMemoryIsBounded(t *testing.T) {
 	cluster := newScriptedCluster(t)
 	cluster.machine = blobMachine{}
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestTheLogOnDiskIsBounded lets writes take so long that new records wait at the end of each. Danger: the next append
-// always goes before a snapshot, and the log grows until the load ends.
+// TestTheLogOnDiskIsBounded lets writes take so long that new records wait at the end of each. It guards against appends always
+// preceding a snapshot, so that the log grows until the load ends.
 func TestTheLogOnDiskIsBounded(t *testing.T) {
 	cluster := newScriptedCluster(t)
 	cluster.machine = blobMachine{}
@@ -96,7 +96,7 @@
 	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
 	cluster.run(time.Second)
 	most := 0
-	for range 2000 { // a change each step: a write takes one
+	for range 2000 { // a change in each step, which is the duration of a write
 		cluster.submit("a", evacuating("x"), 2*time.Second)
 		cluster.step()
 		for _, n := range cluster.nodes {
@@ -109,15 +109,15 @@
 	}
 }
 
-// TestSnapshotInFlightIsNotResent: danger: a large snapshot takes longer than the wait for its receipt, and the replica is
-// filled with copies of it.
+// TestSnapshotInFlightIsNotResent guards against resending a large snapshot that takes longer than the resend timeout, which would
+// flood the replica with copies of it.
 func TestSnapshotInFlightIsNotResent(t *testing.T) {
 	cluster := newScriptedCluster(t)
 	cluster.machine = blobMachine{}
 	formThreeNodes(cluster, 1, TestingKnobs{})
 	id := cluster.submit("a", sized(4<<20), 2*time.Second)
 	cluster.until(2*time.Second, "a large change", func() bool { return cluster.answered(id) })
-	cluster.flow("a", cluster.now+3*time.Second, 300<<10, nil) // 18 MB: the first records are behind a snapshot
+	cluster.flow("a", cluster.now+3*time.Second, 300<<10, nil) // 18 MB: the first records are covered by a snapshot
 	id = cluster.submit("a", sized(4<<20), 2*time.Second)
 	cluster.until(2*time.Second, "a large change", func() bool { return cluster.answered(id) })
 	cluster.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestSlowNetworkIsNotFilledWithDuplicates brings a node that was away for 400 and for 2,000 changes up to date through a network
-// of 1 MB/s, while changes go on at 20 a second. Danger: what is in flight is sent again and again, and never ends.
+// TestSlowNetworkIsNotFilledWithDuplicates lets a node that was down for 400 and for 2,000 changes catch up over a network of 1 MB/s,
+// while 20 changes per second continue. It guards against resending what is still in flight, so that the catch-up never completes.
 func TestSlowNetworkIsNotFilledWithDuplicates(t *testing.T) {
 	for _, away := range []time.Duration{20 * time.Second, 100 * time.Second} {
 		cluster := newScriptedCluster(t)
--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -13,12 +13,12 @@
 	maxChanges = 4096
 )
 
-// changeDecider is the head's side of changes: it decides on each forwarded change once, by the state after the whole log, appends what is
-// accepted, and answers when the record that the verdict rests on is committed.
+// changeDecider is the head's side of changes: it decides on each forwarded change once, by the state after the complete log, appends
+// accepted changes, and answers when the record that the verdict depends on is committed.
 type changeDecider struct {
 	*environment
 	changes map[changeKey]*pendingChange
-	pending []*pendingChange // decided, the verdict not final yet, in the order of pendingChange.seq
+	pending []*pendingChange // decided, the verdict not final yet, ordered by pendingChange.seq
 
 	acceptor     *acceptor
 	writer       *diskWriter
@@ -27,7 +27,7 @@
 	confirmation *readConfirmation
 }
 
-// changeKey names a change among all that were ever forwarded.
+// changeKey identifies a change among all that were ever forwarded.
 type changeKey struct {
 	from                    ID
 	incarnation, callNumber uint64 // of the sender
@@ -37,14 +37,14 @@
 type pendingChange struct {
 	key       changeKey
 	verdict   controlstate.Verdict
-	seq       uint64 // the verdict stands when this record is committed
-	confirmed bool   // the verdict needs no confirmation of the epoch any more
+	seq       uint64 // the verdict is final when this record is committed
+	confirmed bool   // the verdict needs no further confirmation of the epoch
 	done      bool
 	outcome   CallOutcome
 	closedAt  time.Duration
 }
 
-// handleForward decides on a change, unless it has already.
+// handleForward decides on a change, unless it has already been decided.
 func (cd *changeDecider) handleForward(from ID, msg *replicationpb.Forward) {
 	key := changeKey{from: from, incarnation: msg.GetLife(), callNumber: msg.GetId()}
 	if known := cd.changes[key]; known != nil && !cd.cfg.knobs.SkipDeduplication {
@@ -54,7 +54,7 @@
 		return
 	}
 	if msg.GetHeadLife() != cd.cfg.Incarnation && !cd.cfg.knobs.AcceptAnyHeadIncarnation {
-		return // it was for a former incarnation: its sender notices by the heartbeats
+		return // it was sent to a previous incarnation; its sender learns of the restart from the heartbeats
 	}
 	if len(cd.changes) >= maxChanges {
 		// Not Refused: the key is not kept, so a duplicate of this message may be accepted once there is capacity.
@@ -74,8 +74,8 @@
 	cd.completeChanges()
 }
 
-// canDecide reports whether this node is the head that the change was sent to, in the epoch of the change, can append it, and the caller
-// still waits.
+// canDecide reports whether this node is the head that the change was sent to, in the epoch of the change, can append it, and the
+// caller still waits.
 func (cd *changeDecider) canDecide(from ID, msg *replicationpb.Forward) bool {
 	isSameEpoch := msg.GetEpoch() == cd.acceptor.view.Epoch || cd.cfg.knobs.AcceptForwardsOfEarlierEpochs
 	return cd.chain.isHead() && isSameEpoch && cd.canAppend() && cd.isBeforeDeadline(from, msg)
@@ -89,9 +89,10 @@
 
 // isBeforeDeadline reports whether the caller of a forwarded change still waits for it (invariant 6 of the package).
 //
-// The message says how much time was left when it was sent, and it may have been in flight for long. Let it be sent at s with time t left.
-// Its sender had by then received the head's heartbeat h, so s ≥ sent(h), which the head knows by its own clock. The change is accepted
-// at n only if n − sent(h) < t; then n < s + t. The cost is the time since h. It assumes that clocks run at one rate, not that they agree.
+// The message states how much time was left when it was sent, and it may have been in flight for long. Let it be sent at s with time
+// t left. Its sender had by then received the head's heartbeat h, so s ≥ sent(h), which the head knows by its own clock. The change
+// is accepted at n only if n − sent(h) < t; then n < s + t. The cost is the time since h, by which the deadline is effectively
+// shortened. This assumes that clocks run at the same rate, not that they agree.
 func (cd *changeDecider) isBeforeDeadline(from ID, msg *replicationpb.Forward) bool {
 	timeLeft := time.Duration(msg.GetTtlUs()) * time.Microsecond
 	if from == cd.self.ID || cd.cfg.knobs.AcceptLateForwards {
@@ -101,7 +102,8 @@
 	return ok && cd.now-sentAt < timeLeft
 }
 
-// decide decides on a change by the state after the whole log, and appends it when it is accepted. The verdict rests on that whole log.
+// decide decides on a change by the state after the complete log, and appends the change if it is accepted. The verdict depends on
+// that complete log.
 func (cd *changeDecider) decide(change *pendingChange, p *replicationpb.Entry) {
 	if cd.tryAppend(change, p) {
 		change.confirmed = true // the epoch is confirmed when the record is committed
@@ -113,7 +115,7 @@
 	}
 }
 
-// tryAppend appends the change when it is accepted, and sets the verdict.
+// tryAppend sets the verdict, and appends the change if it is accepted.
 func (cd *changeDecider) tryAppend(change *pendingChange, p *replicationpb.Entry) bool {
 	wanted := controlstate.Change{Op: controlstate.Op(p.GetOp()), Base: p.GetBase(), Body: p.GetBody(), Zone: p.GetZone()}
 	state := cd.chain.speculativeState()
@@ -130,7 +132,8 @@
 	return true
 }
 
-// confirmVerdict asks the voters before a verdict that appends nothing is given: a deposed head must not decide by what it holds.
+// confirmVerdict asks the voters for confirmation before a verdict that appends nothing is returned: a deposed head must not decide
+// by its state.
 func (cd *changeDecider) confirmVerdict(change *pendingChange) {
 	cd.confirmation.confirmEpoch(func(confirmed bool) {
 		if change.done {
@@ -155,7 +158,7 @@
 	}))
 }
 
-// completeChanges answers the changes whose verdict stands.
+// completeChanges answers the changes whose verdict is final.
 func (cd *changeDecider) completeChanges() {
 	cd.pending = slices.DeleteFunc(cd.pending, func(change *pendingChange) bool {
 		if !change.done && cd.isFinal(change) {
@@ -165,8 +168,8 @@
 	})
 }
 
-// isFinal reports whether the verdict rests on what is committed alone. One that appends nothing needs the whole chain to be active as well:
-// a replica that is not may still hold a log of an old epoch with records that the head lacks.
+// isFinal reports whether the verdict depends only on what is committed. A verdict that appends nothing also needs the complete chain
+// to be active: an inactive replica may still hold a log of an old epoch with records that the head lacks.
 func (cd *changeDecider) isFinal(change *pendingChange) bool {
 	if !change.confirmed || change.seq > cd.chain.commitIndex {
 		return false
@@ -174,8 +177,8 @@
 	return change.verdict.Kind == controlstate.Accepted || cd.chain.isActiveToTail() || cd.cfg.knobs.SkipVerdictConfirmation
 }
 
-// abandonChanges ends what a head that is about to enter another view cannot answer any more. A head that remains the head keeps its log,
-// so what is in it may still be committed.
+// abandonChanges ends the changes that a head about to enter another view can no longer answer. A head that remains the head keeps
+// its log, so records in it may still be committed.
 func (cd *changeDecider) abandonChanges() {
 	remainsHead := cd.acceptor.view.Head() == cd.self.ID && cd.acceptor.activeEpoch == cd.acceptor.view.Epoch
 	cd.confirmation.failConfirmations()
@@ -191,7 +194,7 @@
 	})
 }
 
-// forgetChanges drops the changes that were answered so long ago that no duplicate of them can be accepted any more.
+// forgetChanges removes the changes that were answered so long ago that no duplicate of them can be accepted any more.
 func (cd *changeDecider) forgetChanges() {
 	for key, change := range cd.changes {
 		if change.done && cd.now-change.closedAt > changeTTL {
--- a/internal/system/replication/change_decider_test.go
+++ b/internal/system/replication/change_decider_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestOverloadedHeadAnswersAtOnce: a head that remembers as many changes as it may tells so. Danger: silence, for which callers wait
-// until their deadlines.
+// TestOverloadedHeadAnswersAtOnce checks that a head that remembers the maximum number of changes answers Unknown immediately.
+// Without an answer, callers would wait until their deadlines.
 func TestOverloadedHeadAnswersAtOnce(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	head, sender := cluster.replica(0), cluster.replica(2)
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -14,13 +14,13 @@
 	maxPendingCalls    = 1024
 )
 
-// CallOutcome says what became of a change or read.
+// CallOutcome is the outcome of a change or read.
 type CallOutcome uint8
 
-// The outcomes. Their numbers are on the wire.
+// The outcomes. Their numbers are sent on the wire.
 const (
-	Answered CallOutcome = 1 // the verdict stands
-	Refused  CallOutcome = 2 // it was not applied, nor will be
+	Answered CallOutcome = 1 // the verdict is final
+	Refused  CallOutcome = 2 // it was not applied and will not be
 	Unknown  CallOutcome = 3 // it may or may not be applied
 )
 
@@ -29,13 +29,13 @@
 	ID      uint64 // as passed to Submit or Read
 	Read    bool
 	Outcome CallOutcome
-	Verdict controlstate.Verdict // on a change that was answered
-	Seq     uint64               // the record that verdict or state rests on, committed
+	Verdict controlstate.Verdict // for a change that was answered
+	Seq     uint64               // the committed record that the verdict or state depends on
 	State   State
 }
 
-// clientCalls are the changes and reads asked for at this node. It forwards changes to the head and asks the tail for reads, until they are
-// answered or their time has passed.
+// clientCalls tracks the changes and reads requested at this node. It forwards changes to the head and sends reads to the tail, until
+// they are answered or time out.
 type clientCalls struct {
 	*environment
 	submits        map[uint64]*pendingSubmit // by the caller's id
@@ -47,27 +47,27 @@
 	chain    *chainReplica
 }
 
-// pendingSubmit is a change asked for here.
+// pendingSubmit is a change requested at this node.
 type pendingSubmit struct {
-	id                uint64 // the caller's
+	id                uint64 // the caller's number
 	change            controlstate.Change
 	deadline          time.Duration
-	callNumber        uint64 // on the wire: a new one for each attempt that must not be taken for a duplicate of an earlier one
-	attemptInProgress bool   // an attempt is in progress
-	uncertain         bool   // an earlier attempt may yet be applied
+	callNumber        uint64 // on the wire; each attempt that must not be taken for a duplicate of an earlier one gets a new number
+	attemptInProgress bool
+	uncertain         bool // an earlier attempt may still be applied
 	sentAt            time.Duration
-	retryAt           time.Duration // no new attempt before
+	retryAt           time.Duration // no new attempt before this time
 	epoch             uint64        // in which the attempt was sent
 	head              ID            // to which it was sent
 	headIncarnation   uint64
 }
 
-// idempotent reports whether the state machine recognizes a change that is applied twice.
+// idempotent reports whether the state machine detects a change that is applied twice.
 func idempotent(change controlstate.Change) bool {
 	return change.Op == controlstate.OpReplace || change.Op == controlstate.OpAmend
 }
 
-// startSubmit takes up a change asked for here; where too many are pending it completes it as Refused and returns false.
+// startSubmit starts a change requested at this node. If too many are pending, it completes the change as Refused and returns false.
 func (cc *clientCalls) startSubmit(id uint64, change controlstate.Change, ttl time.Duration) bool {
 	if len(cc.submits) >= maxPendingCalls {
 		cc.complete(Completion{ID: id, Outcome: Refused})
@@ -85,7 +85,7 @@
 	delete(cc.reads, id)
 }
 
-// tryForward starts an attempt where there is a head, or repeats the message of the one in progress.
+// tryForward starts an attempt if there is a head, or resends the message of the attempt in progress.
 func (cc *clientCalls) tryForward(call *pendingSubmit) {
 	if call.attemptInProgress {
 		if cc.now-call.sentAt >= callResendInterval {
@@ -137,8 +137,8 @@
 	return Refused
 }
 
-// isHeadReplaced reports whether the head that an attempt was sent to is not the head any more, or has restarted. A head that remains the head
-// keeps what it was asked.
+// isHeadReplaced reports whether the head that an attempt was sent to is no longer the head, or has restarted. A head that remains
+// the head keeps the changes that it was sent.
 func (cc *clientCalls) isHeadReplaced(s *pendingSubmit) bool {
 	if !s.attemptInProgress {
 		return false
@@ -157,7 +157,7 @@
 	cc.out.Completions = append(cc.out.Completions, done)
 }
 
-// handleAnswer ends an attempt, and with it the change unless another attempt may follow.
+// handleAnswer ends an attempt, and also the change unless another attempt may follow.
 func (cc *clientCalls) handleAnswer(msg *replicationpb.Answer) {
 	if !cc.isThisIncarnation(msg.GetLife()) {
 		return
@@ -176,7 +176,7 @@
 	}
 }
 
-// submitOf finds the change whose attempt in progress has the number, nil for none.
+// submitOf returns the change whose attempt in progress has the number, or nil.
 func (cc *clientCalls) submitOf(callNumber uint64) *pendingSubmit {
 	for _, s := range cc.submits {
 		if s.attemptInProgress && s.callNumber == callNumber {
@@ -186,17 +186,17 @@
 	return nil
 }
 
-// pendingRead is a linearizable pendingRead asked for here. It rests on two things: the tail's commit index, and the confirmation of a majority, given
-// after the pendingRead was asked for, that no later view can have acknowledged anything before.
+// pendingRead is a linearizable read requested at this node. It depends on two things: the tail's commit index, and the confirmation
+// of a majority, given after the read was requested, that no later view can have acknowledged anything before the read.
 type pendingRead struct {
 	id         uint64
 	deadline   time.Duration
 	sentAt     time.Duration
 	readIndex  uint64 // the state must be at least after this record
-	indexKnown bool   // whether readIndex is
+	indexKnown bool   // whether readIndex is known
 }
 
-// startRead takes up a read asked for here; where too many are pending it completes it as Refused and returns false.
+// startRead starts a read requested at this node. If too many are pending, it completes the read as Refused and returns false.
 func (cc *clientCalls) startRead(id uint64, ttl time.Duration) bool {
 	if len(cc.reads) >= maxPendingCalls {
 		cc.complete(Completion{ID: id, Read: true, Outcome: Refused})
@@ -208,7 +208,7 @@
 	return true
 }
 
-// sendReadIndex asks the tail for the read index, again after callResendInterval.
+// sendReadIndex requests the read index from the tail, and repeats the request after callResendInterval.
 func (cc *clientCalls) sendReadIndex(r *pendingRead) {
 	if r.indexKnown || cc.now-r.sentAt < callResendInterval || cc.acceptor.view.Epoch == 0 {
 		return
@@ -219,7 +219,7 @@
 	}))
 }
 
-// tickReads ends the reads whose time has passed, and repeats the others.
+// tickReads ends the reads that have timed out, and resends the others.
 func (cc *clientCalls) tickReads() {
 	for _, id := range slices.Sorted(maps.Keys(cc.reads)) {
 		r := cc.reads[id]
@@ -239,7 +239,7 @@
 	}
 }
 
-// completeReads answers the reads for which enough is committed here.
+// completeReads answers the reads whose read index is committed here.
 func (cc *clientCalls) completeReads() {
 	for _, id := range slices.Sorted(maps.Keys(cc.reads)) {
 		if r := cc.reads[id]; r.indexKnown && r.readIndex <= cc.chain.commitIndex {
--- a/internal/system/replication/client_calls_abandon_test.go
+++ b/internal/system/replication/client_calls_abandon_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestAbandonedCallIsNotResent ends the caller's context while the head is not heard. Danger: the node goes on
-// sending the change to whoever leads, until a deadline that its caller does not wait for.
+// TestAbandonedCallIsNotResent cancels the caller's context while the head is unreachable. It guards against a node that keeps
+// sending the change to the current head, until a deadline that its caller does not wait for.
 func TestAbandonedCallIsNotResent(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		group := newFleet(t)
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -18,31 +18,31 @@
 	Msg  *replicationpb.Message
 }
 
-// Outputs is what the core wants done.
+// Outputs is the work that the core requests.
 type Outputs struct {
-	Messages    []Envelope   // send them, in order; any may be lost
-	Disk        *DiskOp      // run it and report its end with DiskDone; nil: none
-	Completions []Completion // of Submit and Read
-	LogEvents   []string     // for people
+	Messages    []Envelope   // to send, in order; any of them may be lost
+	Disk        *DiskOp      // to run; report its result with DiskDone. nil: none
+	Completions []Completion // of calls to Submit and Read
+	LogEvents   []string     // lines for the log
 }
 
-// Core is one node's part of the chain and of the agreement on views. It is a pure state machine: it routes messages, ticks and the
-// results of writes to its parts and hands out by Ready what they want done. Its times are since the start of the process, from a
+// Core is one node's part in the chain and in the agreement on views. It is a pure state machine: it routes messages, ticks and the
+// results of writes to its parts, and Ready returns the work that they request. Its times count from the start of the process, on a
 // monotonic clock. It is not safe for concurrent use.
 type Core struct {
 	*environment
 	acceptor     *acceptor         // this node's vote on views
-	proposer     *proposer         // has views chosen
-	planner      *planner          // works out the next view
+	proposer     *proposer         // gets views chosen
+	planner      *planner          // computes the next view
 	chain        *chainReplica     // log, commit index, neighbours
-	confirmation *readConfirmation // asks the voters whether the epoch still stands
-	calls        *clientCalls      // asked here
-	decider      *changeDecider    // asked of the head
-	liveness     *liveness         // peers and their heartbeats
+	confirmation *readConfirmation // asks the voters whether the epoch is still current
+	calls        *clientCalls      // calls made at this node
+	decider      *changeDecider    // changes forwarded to this node as the head
+	liveness     *liveness         // tracks peers by their heartbeats
 	writer       *diskWriter       // writes to disk, one at a time
 }
 
-// newCore makes a core of which nothing is on disk yet, and connects its parts.
+// newCore creates a core with nothing on disk yet, and connects its parts.
 func newCore(cfg Config, machine Machine) *Core {
 	cfg.applyDefaults()
 	env := &environment{cfg: cfg, self: cfg.Self, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation))} //nolint:gosec // jitter
@@ -65,7 +65,7 @@
 	return core
 }
 
-// connect gives each part those that it asks.
+// connect gives each part references to the parts that it uses.
 func (c *Core) connect() {
 	c.addressOf = c.liveness.addressOf
 	c.acceptor.writer, c.acceptor.liveness, c.acceptor.adoptView = c.writer, c.liveness, c.adoptView
@@ -86,7 +86,7 @@
 
 func (c *Core) completeReads() { c.calls.completeReads() }
 
-// NewCore makes a core from what the disk holds. Call Tick soon and then every few tens of milliseconds.
+// NewCore creates a core from the contents of the disk. Call Tick soon afterwards, and then every few tens of milliseconds.
 func NewCore(cfg Config, machine Machine, meta map[string][]byte, snap wal.Snapshot, entries []wal.Entry) (*Core, error) {
 	core := newCore(cfg, machine)
 	if data, ok := meta[metaAcceptor]; ok {
@@ -97,7 +97,7 @@
 	if err := core.chain.loadLog(snap, entries); err != nil {
 		return nil, err
 	}
-	// The log of a replica that was active goes beyond where the head's ended when the epoch began.
+	// The log of a replica that was active may extend beyond where the head's log ended when the epoch began.
 	core.chain.minReadIndex, core.chain.epochStartIndex = core.chain.log.end(), core.chain.log.end()
 	core.liveness.startGrace(core.cfg.SuspectTimeout + core.cfg.HeartbeatInterval)
 	if !core.acceptor.identityDurable {
@@ -109,7 +109,7 @@
 	return core, nil
 }
 
-// loadAcceptor takes up the acceptor's state from disk.
+// loadAcceptor restores the acceptor's state from disk.
 func (c *Core) loadAcceptor(data []byte) error {
 	const what = "the register"
 	var p replicationpb.Register
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// Leave makes the others remove this node from the chain, as soon as enough others hold what was acknowledged. Departed tells when that is
-// done.
+// Leave makes the other nodes remove this node from the chain, as soon as enough of them hold what was acknowledged. Departed reports
+// when that is done.
 func (c *Core) Leave(now time.Duration) {
 	c.advance(now)
 	c.liveness.draining = true
@@ -135,21 +135,22 @@
 	c.flush()
 }
 
-// announce tells the others of this node's state, and asks to be sent records where it is outside the chain.
+// announce reports this node's state to the others, and requests records if this node is outside the chain.
 func (c *Core) announce() {
 	c.liveness.sendHeartbeats()
 	c.chain.sendFollow()
 }
 
-// Ready hands over what is to be done, once.
+// Ready returns the requested work and clears it.
 func (c *Core) Ready() Outputs {
 	out := c.out
 	c.out = Outputs{}
 	return out
 }
 
-// advance moves the core's clock on; it never goes back. Ticks come every few tens of milliseconds, so a leap means that the process was
-// stalled: what others sent meanwhile has yet to be read, and nobody is to be suspected for it.
+// advance moves the core's clock forward; it never goes backwards. Ticks come every few tens of milliseconds, so a jump means that
+// the process was stalled. Messages that others sent in the meantime have not been read yet, so no peer must be suspected because of
+// the gap.
 func (c *Core) advance(now time.Duration) {
 	if now-c.now > c.cfg.SuspectTimeout/2 {
 		c.liveness.startGrace(now + c.cfg.SuspectTimeout)
@@ -157,7 +158,7 @@
 	c.now = max(c.now, now)
 }
 
-// Tick moves the clock on, and does what has become due.
+// Tick moves the clock forward, and does everything that has become due.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
 	c.writer.superviseWrites()
@@ -174,7 +175,7 @@
 	c.flush()
 }
 
-// Receive takes a message from another node. The core keeps m.
+// Receive handles a message from another node. The core retains m.
 func (c *Core) Receive(now time.Duration, m *replicationpb.Message) {
 	c.advance(now)
 	isForAnother := m.GetTo() != "" && ID(m.GetTo()) != c.self.ID
@@ -185,7 +186,8 @@
 	c.flush()
 }
 
-// flush delivers what this node has sent to itself, and starts the next write. Nothing leaves a node before its identity is on disk.
+// flush delivers the messages that this node has sent to itself, and starts the next write. No message leaves a node before its
+// identity is on disk.
 func (c *Core) flush() {
 	for len(c.loopback) > 0 {
 		m := c.loopback[0]
@@ -200,7 +202,7 @@
 	}
 }
 
-// step routes a message to the part that it is for.
+// step routes a message to the part that handles it.
 func (c *Core) step(m *replicationpb.Message) {
 	from := ID(m.GetFrom())
 	switch b := m.GetBody().(type) {
@@ -243,7 +245,7 @@
 	}
 }
 
-// Submit asks for a change. A Completion with id follows within ttl.
+// Submit requests a change. A Completion with id follows within ttl.
 func (c *Core) Submit(now time.Duration, id uint64, ch controlstate.Change, ttl time.Duration) {
 	c.advance(now)
 	if c.calls.startSubmit(id, ch, ttl) {
@@ -251,7 +253,7 @@
 	}
 }
 
-// Read asks for the state after all that was acknowledged before. A Completion with id follows within ttl.
+// Read requests the state after everything that was acknowledged before the call. A Completion with id follows within ttl.
 func (c *Core) Read(now time.Duration, id uint64, ttl time.Duration) {
 	c.advance(now)
 	if c.calls.startRead(id, ttl) {
@@ -259,12 +261,13 @@
 	}
 }
 
-// Abandon ends a Submit or Read without a Completion: nobody waits for it. It is not sent again; what was sent may yet be applied.
+// Abandon ends a Submit or Read without a Completion, because its caller no longer waits. The call is not sent again; what was
+// already sent may still be applied.
 func (c *Core) Abandon(id uint64) {
 	c.calls.abandonCall(id)
 }
 
-// DiskDone tells that the operation with the token has ended, and how.
+// DiskDone reports the result of the operation with the token.
 func (c *Core) DiskDone(now time.Duration, token uint64, err error) {
 	c.advance(now)
 	if !c.writer.finishWrite(token, err) {
@@ -274,15 +277,16 @@
 	c.flush()
 }
 
-// adoptView makes a chosen view this node's own, unless it has a later one. It takes part in it once the view is on disk. The steps, in
-// this order:
+// adoptView makes a chosen view this node's own, unless this node has a later one. The node takes part in the view once it is on
+// disk. The steps, in this order:
 //
-//  1. chainReplica.discardRestoredLog: a node that does not lead its first view empties a restored log, and adopts the view once that is on disk.
-//  2. acceptor.enterEpoch: the view becomes the present one, and the vote on the next one is open. A head becomes active here.
-//  3. proposer.reset, and the planner waits anew: what was proposed for the former epoch is void.
-//  4. chainReplica.leaveEpoch: what was known of the former epoch's neighbours is forgotten.
-//  5. changeDecider.abandonChanges: unless this node remains the head, it answers the changes that it cannot decide any more.
-//  6. diskWriter.persist: the view and the acceptor state are written. All that follows waits for it.
+//  1. chainReplica.discardRestoredLog: a node that does not lead its first view empties a restored log, and adopts the view once the
+//     empty log is on disk.
+//  2. acceptor.enterEpoch: the view becomes the current one, and the vote on the next one opens. A head becomes active here.
+//  3. proposer.reset, and the planner restarts its wait for a head: proposals of the previous epoch are void.
+//  4. chainReplica.leaveEpoch: what was known of the previous epoch's neighbors is forgotten.
+//  5. changeDecider.abandonChanges: unless this node remains the head, it answers the changes that it can no longer decide.
+//  6. diskWriter.persist: the view and the acceptor state are written. Everything that follows waits for this write.
 //  7. chainReplica.enterView, with enterAsHead at the head: the replica takes part.
 func (c *Core) adoptView(v *View) {
 	if v == nil || v.Epoch <= c.acceptor.view.Epoch || c.chain.discardRestoredLog(v) {
@@ -302,7 +306,7 @@
 			c.fail(err)
 		}
 		if c.cfg.Observer {
-			c.announce() // its next heartbeat is far off, and calls wait for a contact with the new head
+			c.announce() // its next heartbeat is far off, and calls wait for contact with the new head
 		}
 	})
 }
--- a/internal/system/replication/core_status.go
+++ b/internal/system/replication/core_status.go
@@ -8,20 +8,21 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// Self is this node; its ID is the one on disk.
+// Self returns this node; its ID is the one on disk.
 func (c *Core) Self() Member { return c.self }
 
-// View is the newest view known.
+// View returns the newest known view.
 func (c *Core) View() *View { return c.acceptor.view }
 
-// Committed is the newest number known to be committed and the state after it.
+// Committed returns the newest number known to be committed and the state after it.
 func (c *Core) Committed() (uint64, State) { return c.chain.commitIndex, c.chain.state }
 
-// Err tells why the core takes no part any more: a bug, or a disk that does not keep what it has synced. It is nil as long as all is
-// well.
+// Err returns why the core no longer takes part: a bug, or a disk that does not keep what it has synced. It is nil while the core
+// works.
 func (c *Core) Err() error { return c.err }
 
-// RecordsAfter lists the committed records after seq, at most limit of them; false where they are no longer or not yet known.
+// RecordsAfter returns the committed records after seq, at most limit of them. It returns false if they are no longer or not yet
+// known.
 func (c *Core) RecordsAfter(seq uint64, limit int) ([]controlstate.Record, bool) {
 	if seq < c.chain.log.base || seq > c.chain.commitIndex {
 		return nil, false
@@ -33,8 +34,8 @@
 	return records, true
 }
 
-// Departed reports whether nobody relies on this node any more: it is no chain replica, and enough replicas that are alive hold what was
-// acknowledged. The disk of a replica that is not alive may be lost.
+// Departed reports whether the other nodes no longer rely on this node: it is not a chain replica, and enough replicas that are alive
+// hold what was acknowledged. Replicas that are not alive do not count, since their disks may be lost.
 func (c *Core) Departed() bool {
 	v := c.acceptor.view
 	if v.chainIndex(c.self.ID) >= 0 {
@@ -52,8 +53,8 @@
 	return c.planner.countHolders(alive) >= c.cfg.minChainLength()
 }
 
-// Current reports whether what this node holds can be passed on as new: within the last moments a majority of the voters confirmed that
-// they know of no later epoch than its own, and it is a chain replica or a learner that has caught up.
+// Current reports whether the state that this node holds may be served as up to date: within Config.currentWindow a majority of the
+// voters confirmed that they know of no later epoch than its own, and this node is a chain replica or a learner that has caught up.
 func (c *Core) Current(now time.Duration) bool {
 	c.advance(now)
 	if c.acceptor.view.Epoch == 0 || !c.acceptor.viewDurable || c.err != nil {
@@ -75,8 +76,8 @@
 	return c.acceptor.isQuorum(c.acceptor.view, confirmed)
 }
 
-// confirmsEpoch reports whether a voter said, in answer to a heartbeat sent within the window, that it is in the present epoch and has
-// accepted no later view.
+// confirmsEpoch reports whether a voter has stated, in answer to a heartbeat sent within the window, that it is in the current epoch
+// and has accepted no later view.
 func (c *Core) confirmsEpoch(voter ID, window time.Duration) bool {
 	if voter == c.self.ID {
 		return !c.acceptor.hasAcceptedLater()
@@ -88,7 +89,8 @@
 	return p.heartbeat.GetAccepted() <= c.acceptor.view.Epoch || c.cfg.knobs.ConfirmAfterAccept
 }
 
-// WaitsFor says what a change that is asked for here waits for, as part of a sentence; empty where nothing known here is in its way.
+// WaitsFor describes what a change requested at this node waits for, as part of a sentence. It is empty if this node knows of no
+// obstacle.
 func (c *Core) WaitsFor() string {
 	var reasons []string
 	switch view := c.acceptor.view; {
@@ -107,12 +109,13 @@
 	return strings.Join(reasons, ", and ")
 }
 
-// Partitioned reports whether a change asked for here cannot be accepted, as there has been no way to the chain for long. It is for callers
-// that should rather ask another node at once; Submit and Read do not rest on it.
+// Partitioned reports whether a change requested at this node cannot be accepted because the chain has been unreachable for
+// partitionedTimeout. It is for callers that should switch to another node immediately; Submit and Read do not depend on it.
 //
-// It is false for a node that exchanges heartbeats with the head, and a change is forwarded only while the head is alive here (see
-// liveness.headIncarnation). A lost head is replaced by a majority of the voters, so while a majority is alive here the repair is waited
-// for, however long it takes. What is asked for while Partitioned is true can thus be accepted only if the way comes back meanwhile.
+// It is false for a node that exchanges heartbeats with the head, and a change is forwarded only while this node considers the head
+// alive (see liveness.headIncarnation). A lost head is replaced by a majority of the voters, so while this node considers a majority
+// alive it waits for the repair, however long that takes. A change requested while Partitioned is true can therefore be accepted only
+// if the chain becomes reachable again in the meantime.
 func (c *Core) Partitioned(now time.Duration) bool {
 	c.advance(now)
 	c.liveness.observeReach()
--- a/internal/system/replication/cpu_quota_test.go
+++ b/internal/system/replication/cpu_quota_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestCPUQuota has nodes run at full speed for a part of each tenth of a second and not at all for the rest, as a quota of a core does. They form
-// a view, take changes in time, and take nobody for failed.
+// TestCPUQuota runs nodes at full speed for a part of each tenth of a second and suspends them for the rest, as a CPU quota does.
+// They must form a view, accept changes in time, and suspect no node.
 func TestCPUQuota(t *testing.T) {
 	const (
 		changes     = 20
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -14,16 +14,16 @@
 	metaAcceptor = "register" // name of the acceptor's state on disk
 
 	diskRetryInterval      = 500 * time.Millisecond
-	slowDiskPenalty        = 4 * diskRetryInterval // a disk that was slow counts as unhealthy for so long
-	slowWriteDivisor       = 5                     // a write of more than this part of SlowDiskTimeout delays the agreement on views
-	maxAppendOpBytes       = 1 << 20               // a write of records stops growing there
-	defaultCompactRecords  = 2000                  // a snapshot is taken after so many records
-	compactThresholdBytes  = 8 << 20               // or so many bytes of them
+	slowDiskPenalty        = 4 * diskRetryInterval // how long a disk that was slow counts as unhealthy
+	slowWriteDivisor       = 5                     // a write longer than SlowDiskTimeout divided by this delays the agreement on views
+	maxAppendOpBytes       = 1 << 20               // no further records are added to a write of this size
+	defaultCompactRecords  = 2000                  // a snapshot is taken after this many records
+	compactThresholdBytes  = 8 << 20               // or this many bytes of them
 	defaultRetainedRecords = 20000                 // kept in memory below a snapshot for nodes that are behind, within minRetainedBytes
 	minRetainedBytes       = 4 << 20
 )
 
-// DiskKind says what a DiskOp does.
+// DiskKind is the kind of a DiskOp.
 type DiskKind uint8
 
 // The disk operations, named after the methods of wal.Disk.
@@ -42,11 +42,11 @@
 	Name     string       // of DiskSaveMeta
 	Data     []byte       // of DiskSaveMeta
 	Entries  []wal.Entry  // of DiskAppend
-	After    uint64       // of DiskTruncate: the last record that stays
+	After    uint64       // of DiskTruncate: the last record that is kept
 	Snapshot wal.Snapshot // of DiskCompact and DiskInstall
 }
 
-// Do runs the operation, and returns the error of the disk.
+// Do runs the operation and returns the disk's error.
 func (op *DiskOp) Do(d wal.Disk) error {
 	switch op.Kind {
 	case DiskSaveMeta:
@@ -63,8 +63,8 @@
 	return errors.AssertionFailedf("replication: disk operation %d is not known: update the node", op.Kind)
 }
 
-// diskWriter orders the writes of a core: one at a time, the acceptor's state before anything else. It knows which part of the log is on disk,
-// and whether the disk is healthy.
+// diskWriter orders the writes of a core: one at a time, the acceptor's state before anything else. It tracks which part of the log
+// is on disk, and whether the disk is healthy.
 type diskWriter struct {
 	*environment
 	acceptor *acceptor
@@ -75,24 +75,24 @@
 	startedAt      time.Duration // when op began
 	token          uint64
 	retryAt        time.Duration
-	unhealthy      bool          // the disk failed or was slow the last time
+	unhealthy      bool          // the last operation failed or was slow
 	refusing       bool          // the last write failed
-	lastWriteTime  time.Duration // that the last write took
-	unhealthyUntil time.Duration // no earlier than this it counts as healthy again
-	probeWanted    bool          // a write is wanted to find out whether it is healthy again
+	lastWriteTime  time.Duration // duration of the last write
+	unhealthyUntil time.Duration // the disk counts as unhealthy at least until then
+	probeWanted    bool          // a write is wanted to find out whether the disk is healthy again
 
 	acceptorDirty bool     // the acceptor's state differs from what is on disk
-	waiters       []func() // run when the acceptor's state as it is now is on disk
+	waiters       []func() // to run when the acceptor's current state is on disk
 
 	durableEnd     uint64        // newest record on disk that is the same in memory
 	truncateNeeded bool          // there may be other records above durableEnd: truncate first
-	pendingInstall *wal.Snapshot // to take the place of the log on disk
+	pendingInstall *wal.Snapshot // to replace the log on disk
 	snapshotSeq    uint64        // newest snapshot on disk
 	loggedBytes    int           // since that snapshot
-	appendRefused  bool          // the last append, with no compaction since
+	appendRefused  bool          // the last append failed, with no compaction since
 }
 
-// persist writes the acceptor's state and then runs then, unless the process ends before.
+// persist writes the acceptor's state and then runs then, unless the process ends first.
 func (dw *diskWriter) persist(then func()) {
 	dw.acceptorDirty = true
 	if then == nil {
@@ -105,24 +105,24 @@
 	dw.waiters = append(dw.waiters, then)
 }
 
-// truncated follows a truncation of the log in memory.
+// truncated records that the log in memory was truncated, so that the disk follows.
 func (dw *diskWriter) truncated(after uint64) {
 	if after < dw.durableEnd {
 		dw.durableEnd, dw.truncateNeeded = after, true
 	} else if dw.op != nil && dw.op.Kind == DiskAppend {
-		dw.truncateNeeded = true // the records may be among those that are being written
+		dw.truncateNeeded = true // the records may be among those being written
 	}
 }
 
-// install has a snapshot take the place of the log on disk.
+// install requests that a snapshot replace the log on disk.
 func (dw *diskWriter) install(snap *wal.Snapshot) {
 	dw.pendingInstall, dw.durableEnd, dw.truncateNeeded = snap, 0, false
 }
 
-// isLogClean reports whether the log on disk holds nothing that is to be replaced.
+// isLogClean reports whether the log on disk holds nothing that must be replaced.
 func (dw *diskWriter) isLogClean() bool { return !dw.truncateNeeded && dw.pendingInstall == nil }
 
-// startWrite starts the write that is wanted most, unless one is in progress.
+// startWrite starts the most urgent write, unless one is in progress.
 func (dw *diskWriter) startWrite() {
 	if dw.op != nil || dw.now < dw.retryAt {
 		return
@@ -141,7 +141,7 @@
 	}
 }
 
-// nextWrite returns the kind of write that is wanted most, 0 where none is.
+// nextWrite returns the kind of the most urgent write, or 0 if there is none.
 func (dw *diskWriter) nextWrite() DiskKind {
 	switch {
 	case dw.acceptorDirty || dw.probeWanted:
@@ -150,7 +150,7 @@
 		return DiskInstall
 	case dw.truncateNeeded:
 		return DiskTruncate
-	case dw.isCompactionDue(2) && dw.canCompact(): // goes before more records, which under load wait at the end of each write
+	case dw.isCompactionDue(2) && dw.canCompact(): // before more records, which under load are waiting at the end of each write
 		return DiskCompact
 	case dw.isLogPerhapsFull() && dw.canCompact():
 		return DiskCompact
@@ -162,15 +162,16 @@
 	return 0
 }
 
-// durableCommitIndex is the newest record that is committed and on disk.
+// durableCommitIndex returns the newest record that is committed and on disk.
 func (dw *diskWriter) durableCommitIndex() uint64 { return min(dw.chain.commitIndex, dw.durableEnd) }
 
-// isLogPerhapsFull reports whether an append failed that a snapshot may make room for.
+// isLogPerhapsFull reports whether an append failed that a snapshot may free space for.
 func (dw *diskWriter) isLogPerhapsFull() bool {
 	return dw.appendRefused && dw.durableCommitIndex() > dw.snapshotSeq
 }
 
-// isCompactionDue reports whether so many times the records or bytes are committed on disk after which a snapshot is taken.
+// isCompactionDue reports whether the committed records or bytes on disk have reached the given multiple of the threshold for a
+// snapshot.
 func (dw *diskWriter) isCompactionDue(times uint64) bool {
 	index := dw.durableCommitIndex()
 	hasRecords := index >= dw.snapshotSeq+times*dw.cfg.compactRecords
@@ -201,7 +202,7 @@
 	})
 }
 
-// startInstall writes a snapshot that takes the place of the log.
+// startInstall writes a snapshot that replaces the log.
 func (dw *diskWriter) startInstall() {
 	snap := dw.pendingInstall
 	dw.beginWrite(&DiskOp{Kind: DiskInstall, Snapshot: *snap}, func(err error) {
@@ -213,7 +214,7 @@
 	})
 }
 
-// startTruncate drops from disk the records that may differ from those in memory.
+// startTruncate removes from disk the records that may differ from those in memory.
 func (dw *diskWriter) startTruncate() {
 	after := dw.durableEnd
 	dw.beginWrite(&DiskOp{Kind: DiskTruncate, After: after}, func(err error) {
@@ -253,13 +254,13 @@
 	})
 }
 
-// canCompact reports whether the epoch of the committed state is known, which a snapshot names.
+// canCompact reports whether the epoch of the committed state, which a snapshot contains, is known.
 func (dw *diskWriter) canCompact() bool {
 	_, ok := dw.chain.log.epochAt(dw.chain.commitIndex)
 	return ok
 }
 
-// startCompact starts to write the committed state as a snapshot.
+// startCompact starts writing the committed state as a snapshot.
 func (dw *diskWriter) startCompact() {
 	epoch, _ := dw.chain.log.epochAt(dw.chain.commitIndex)
 	snap, err := encodeImage(dw.chain.commitIndex, epoch, dw.chain.state)
@@ -269,7 +270,7 @@
 	}
 	op := &DiskOp{Kind: DiskCompact, Snapshot: snap}
 	if dw.chain.commitIndex > dw.durableEnd {
-		op.Kind = DiskInstall // the snapshot goes beyond the log on disk, and takes its place
+		op.Kind = DiskInstall // the snapshot extends beyond the log on disk, and replaces it
 	}
 	dw.beginWrite(op, func(err error) {
 		dw.appendRefused = false
@@ -281,7 +282,7 @@
 	})
 }
 
-// encodeImage makes a snapshot of the state after the record seq, which was accepted in the epoch.
+// encodeImage encodes a snapshot of the state after the record seq, which was accepted in the epoch.
 func encodeImage(seq, epoch uint64, s State) (wal.Snapshot, error) {
 	data, err := proto.Marshal(&replicationpb.Image{Epoch: epoch, State: s.Encode()})
 	if err != nil {
@@ -290,7 +291,7 @@
 	return wal.Snapshot{Seq: seq, Data: data}, nil
 }
 
-// beginWrite hands a write out; onDone runs when it has ended.
+// beginWrite outputs a write; onDone runs when it has ended.
 func (dw *diskWriter) beginWrite(op *DiskOp, onDone func(error)) {
 	dw.token++
 	op.Token = dw.token
@@ -298,7 +299,7 @@
 	dw.out.Disk = op
 }
 
-// finishWrite takes up the result of the write that is in progress, false where it is not that of the token.
+// finishWrite handles the result of the write in progress. It returns false if the token is not that write's.
 func (dw *diskWriter) finishWrite(token uint64, err error) bool {
 	if dw.op == nil || dw.op.Token != token {
 		return false
@@ -310,7 +311,8 @@
 	return true
 }
 
-// writeTime is how long a write takes here: the last one, or the one in progress where that has taken longer already.
+// writeTime returns how long a write takes here: the duration of the last one, or of the one in progress if that has already taken
+// longer.
 func (dw *diskWriter) writeTime() time.Duration {
 	if dw.op == nil {
 		return dw.lastWriteTime
@@ -318,7 +320,7 @@
 	return max(dw.lastWriteTime, dw.now-dw.startedAt)
 }
 
-// slowness is how long a write takes here if that is long enough to count in the agreement on views, else 0.
+// slowness returns how long a write takes here if that is long enough to affect the agreement on views, otherwise 0.
 func (dw *diskWriter) slowness() time.Duration {
 	took := dw.writeTime()
 	if took <= dw.cfg.SlowDiskTimeout/slowWriteDivisor || dw.cfg.knobs.FixedTimeouts {
@@ -327,7 +329,8 @@
 	return took
 }
 
-// observeWrite takes up what the end of a write says of the disk. A slow disk counts as unhealthy, since others would wait for it.
+// observeWrite updates the health of the disk at the end of a write. A slow disk counts as unhealthy, since other nodes would wait
+// for it.
 func (dw *diskWriter) observeWrite(err error) {
 	dw.refusing, dw.lastWriteTime = err != nil, dw.now-dw.startedAt
 	wasSlow := dw.lastWriteTime > dw.cfg.SlowDiskTimeout
@@ -346,7 +349,7 @@
 	}
 }
 
-// superviseWrites notices a write that takes too long, and asks for one when the disk may be healthy again.
+// superviseWrites marks the disk as unhealthy when a write takes too long, and requests a probe when the disk may be healthy again.
 func (dw *diskWriter) superviseWrites() {
 	if dw.op != nil && dw.now-dw.startedAt > dw.cfg.SlowDiskTimeout {
 		dw.unhealthy, dw.unhealthyUntil = true, dw.now+diskRetryInterval
--- a/internal/system/replication/disk_writer_test.go
+++ b/internal/system/replication/disk_writer_test.go
@@ -12,14 +12,14 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// singleNode is one node whose chain is itself, on a log in a folder.
+// singleNode is a node that is the only replica of its chain, with a log in a directory.
 type singleNode struct {
 	t    *testing.T
 	core *Core
 	log  *wal.Log
 	now  time.Duration
 	done map[uint64]Completion
-	peak int // bytes of records in memory, at most
+	peak int // maximum size of the records in memory
 }
 
 func newSingleNode(t *testing.T, machine Machine, folder string) *singleNode {
@@ -41,7 +41,7 @@
 	return &singleNode{t: t, core: core, log: log, done: map[uint64]Completion{}}
 }
 
-// until goes on until ok, for limit at most; a write takes no time.
+// until runs the node until ok returns true, for at most limit; a write takes no time.
 func (a *singleNode) until(limit time.Duration, what string, ok func() bool) {
 	a.t.Helper()
 	for end := a.now + limit; !ok(); a.now += clusterStep {
@@ -65,7 +65,7 @@
 	}
 }
 
-// change submits changes of so many bytes, all at once, and waits for them.
+// change submits count changes of the given size concurrently, and waits for them.
 func (a *singleNode) change(first, count uint64, size int) {
 	a.t.Helper()
 	for id := first; id < first+count; id++ {
@@ -86,7 +86,7 @@
 	}
 }
 
-// largeStateMachine is a toyMachine whose states take so many bytes on disk.
+// largeStateMachine is a toyMachine whose states take the given number of bytes on disk.
 type largeStateMachine struct {
 	toyMachine
 	bytes int
@@ -113,8 +113,8 @@
 	return largeState{next, h.bytes}, err
 }
 
-// TestFullLogIsCompacted has more in flight than the log may hold beside its snapshot. Danger: the log is full of what is
-// committed, each append is refused, and the compaction that would make room waits behind them for good.
+// TestFullLogIsCompacted has more records in flight than the log can hold in addition to its snapshot. It guards against a log full
+// of committed records in which every append fails, while the compaction that would free space waits behind the appends forever.
 func TestFullLogIsCompacted(t *testing.T) {
 	const size = 15 << 20
 	a := newSingleNode(t, largeStateMachine{bytes: size}, t.TempDir())
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestCompactionBeyondTheLog is due to compact while what is committed is not all on its own disk yet, as on a node that is
-// caught up under load. Danger: the log refuses a snapshot beyond its end, and the compaction is tried again for good.
+// TestCompactionBeyondTheLog makes a compaction due while not all committed records are on the node's own disk yet, as on a node that
+// is catching up under load. It guards against retrying forever a snapshot beyond the end of the log, which the log rejects.
 func TestCompactionBeyondTheLog(t *testing.T) {
 	a := newSingleNode(t, toyMachine{}, t.TempDir())
 	a.change(1, 3, 100)
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestSupersededNodeFails opens the log in another process while the node runs. Danger: it tries again for good, and nobody is
-// told that two nodes run on one data directory.
+// TestSupersededNodeFails opens the log a second time while the node runs, as another process would. It guards against a node that
+// retries forever without reporting that two nodes use one data directory.
 func TestSupersededNodeFails(t *testing.T) {
 	folder := t.TempDir()
 	single := newSingleNode(t, toyMachine{}, folder)
--- a/internal/system/replication/first_view_planner.go
+++ b/internal/system/replication/first_view_planner.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// firstViewDelay is how long the first view waits for a missing seed.
+// firstViewDelay is how long the formation of the first view waits for a missing seed.
 const firstViewDelay = 2 * time.Second
 
 // This file plans the first view, which the seeds choose.
 
-// planFirst returns the first view: the seeds with a disk, and other nodes up to the number of voters aimed at.
+// planFirst returns the first view: the seeds with a disk, and other nodes up to the target number of voters.
 func (pl *planner) planFirst() (first *View, rank int) {
 	if pl.peerHasView() {
-		return nil, 0 // it will be sent here
+		return nil, 0 // the peer will send it
 	}
 	seeds := pl.seedsWithDisk()
 	members := pl.completeInitialVoters(seeds)
@@ -32,7 +32,7 @@
 	return nil, 0
 }
 
-// peerHasView reports whether a node has entered a view already.
+// peerHasView reports whether a peer has already entered a view.
 func (pl *planner) peerHasView() bool {
 	for _, p := range pl.liveness.peers {
 		if p.heartbeat.GetEpoch() > 0 {
@@ -42,7 +42,7 @@
 	return false
 }
 
-// canFormFirstView reports whether there are members for the first view, and votes of the seeds to choose it.
+// canFormFirstView reports whether there are members for the first view, and enough votes of the seeds to choose it.
 func (pl *planner) canFormFirstView(seeds, members []Member) bool {
 	if len(members) == 0 {
 		return false
@@ -57,8 +57,8 @@
 	return pl.acceptor.isQuorum(pl.acceptor.view, known)
 }
 
-// isInitialVoterMissing reports whether a seed is worth waiting for: it has not been heard from, or, where no seed has a disk, there are too
-// few nodes that have one.
+// isInitialVoterMissing reports whether it is worth waiting for more nodes: a seed has not been heard from or, if no seed has a disk,
+// too few nodes have one.
 func (pl *planner) isInitialVoterMissing(seeds, members []Member) bool {
 	if pl.liveness.noSeedHasDisk() {
 		return len(members) < pl.cfg.targetVoters()
@@ -66,7 +66,7 @@
 	return len(seeds)+pl.liveness.observerSeeds() < len(pl.cfg.Seeds)
 }
 
-// firstChain picks the first chain out of the members, with a head that has the longest log.
+// firstChain selects the first chain from the members, with a head that has the longest log.
 func (pl *planner) firstChain(members []Member) []ID {
 	heads := pl.longestLogs(members)
 	replicas := []Member{heads[0]}
@@ -77,7 +77,7 @@
 	return idsOfMembers(replicas)
 }
 
-// firstViewRank is this node's turn to propose the first view.
+// firstViewRank returns this node's turn to propose the first view.
 func (pl *planner) firstViewRank(members []Member) int {
 	if pl.cfg.Observer {
 		return max(slices.Index(pl.cfg.Seeds, pl.self.Addr), 0)
@@ -85,7 +85,7 @@
 	return max(slices.IndexFunc(members, func(m Member) bool { return m.ID == pl.self.ID }), 0)
 }
 
-// seedsWithDisk lists the seeds that may be initial voters and are alive, in the order of the seeds.
+// seedsWithDisk returns the seeds that may be initial voters and are alive, in the order of the seeds.
 func (pl *planner) seedsWithDisk() []Member {
 	var members []Member
 	if !pl.cfg.Observer {
@@ -103,8 +103,8 @@
 	return slices.CompactFunc(members, func(a, b Member) bool { return a.Addr == b.Addr })
 }
 
-// completeInitialVoters adds nodes that are no seeds to the voters of the first view, up to the number aimed at. The view is chosen by a
-// majority of the seeds, and of its own voters as any other.
+// completeInitialVoters adds nodes that are not seeds to the voters of the first view, up to the target number. Like any other view,
+// it is chosen by a majority of the current voters, here the seeds, and of its own voters.
 func (pl *planner) completeInitialVoters(members []Member) []Member {
 	var others []Member
 	for _, id := range slices.Sorted(maps.Keys(pl.liveness.peers)) {
@@ -122,7 +122,7 @@
 	return members
 }
 
-// longestLogs lists those of the members with the longest log: before the first view, what was restored.
+// longestLogs returns the members with the longest log. Before the first view, a log holds only what was restored.
 func (pl *planner) longestLogs(members []Member) []Member {
 	logEnd := func(m Member) uint64 {
 		if m.ID == pl.self.ID {
--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -10,20 +10,20 @@
 	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
-// goldenFile holds a line "scenario seed steps digest" for each play; GRADEUSHER_WRITE_GOLDEN=1 writes it anew.
+// goldenFile has a line "scenario seed steps digest" for each run; GRADEUSHER_WRITE_GOLDEN=1 regenerates it.
 const goldenFile = "testdata/golden_trace.txt"
 
-// goldenTrace is the digest of all that goes out of the cores of a simulation, in the order of the simulation. It takes wire
-// bytes, numbers and fixed tags, and no name of the code nor text meant for people. Nothing is sorted here: a play runs in one
-// goroutine, on the clock and the random numbers of its simulation, and the cores put out all in an order of their own. The digests
-// also rest on what the harness draws: a change of the simulation, of its faults or of the toy state needs them written anew.
+// goldenTrace is the digest of all outputs of the cores of a simulation, in the order of the simulation. It covers wire bytes,
+// numbers and fixed tags, but no names of the code or texts for people. Nothing is sorted here: a run uses one goroutine, and the
+// clock and random numbers of its simulation, and the cores produce all outputs in a deterministic order. The digests also depend on
+// the random choices of the test harness: a change of the simulation, of its faults or of the toy state requires regenerating them.
 type goldenTrace struct {
 	*golden.Digest
 	t     *testing.T
 	epoch map[*Core]uint64 // of the view last recorded
 }
 
-// newGoldenTrace digests what the cores of a simulation put out from now on.
+// newGoldenTrace digests the outputs of the cores of a simulation from now on.
 func newGoldenTrace(t *testing.T, digest *golden.Digest, w *clusterSim) *goldenTrace {
 	t.Helper()
 	g := &goldenTrace{Digest: digest, t: t, epoch: map[*Core]uint64{}}
@@ -40,7 +40,7 @@
 	g.Bytes(data)
 }
 
-// step records one Take of a core: when, whose, what it wants done, and what it holds then.
+// step records one call of Ready on a core: the time, the node, the requested work, and the resulting state.
 func (g *goldenTrace) step(w *clusterSim, node *simNode, out *Outputs) {
 	g.TextStep("step", uint64(w.now), uint64(node.name), node.incarnation)
 	for _, e := range out.Messages {
@@ -55,7 +55,7 @@
 	g.core(node)
 }
 
-// message records a message without the reason of an answer, which is a text for people.
+// message records a message, excluding the reason of an answer, which is a text for people.
 func (g *goldenTrace) message(e Envelope) {
 	msg := e.Msg
 	if msg.GetAnswer().GetReason() != "" {
@@ -84,7 +84,7 @@
 	}
 }
 
-// done records the answer to a call by the numbers that go over the wire as well.
+// done records the answer to a call, using the numbers that are also sent on the wire.
 func (g *goldenTrace) done(d Completion) {
 	g.Text("done")
 	g.Uints(d.ID, uint64(d.Outcome), uint64(d.Verdict.Kind), d.Verdict.Seq, d.Seq)
@@ -109,7 +109,7 @@
 	}
 }
 
-// core records how far a core is, and its view when that is new.
+// core records the commit index of a core, and its view if it has changed.
 func (g *goldenTrace) core(m *simNode) {
 	seq, _ := m.core.Committed()
 	g.Uints(seq)
@@ -120,7 +120,7 @@
 	}
 }
 
-// end records what is left at the end of a play.
+// end records the final state of a run.
 func (g *goldenTrace) end(w *clusterSim) {
 	g.Text("end")
 	g.Uints(uint64(w.now), uint64(len(w.truth)), w.acked, w.newestRead)
@@ -134,17 +134,17 @@
 	g.Bytes(w.states[len(w.states)-1].Encode())
 }
 
-// goldenScenario is a shape and the faults that it is played with.
+// goldenScenario is a topology and the faults that are injected into it.
 type goldenScenario struct {
 	name  string
 	seeds []uint64
 	topology
 	faults  []fault
-	joiners int           // nodes that join, each in a zone of its own
+	joiners int           // nodes that join, each in its own zone
 	until   time.Duration // the end of the faults
 }
 
-// goldenScenarios are played in turn. Without a shape, shape and faults are those of the seed.
+// goldenScenarios are run in order. Without a topology, the seed determines topology and faults.
 var goldenScenarios = []goldenScenario{
 	{name: "normal", seeds: []uint64{1, 2}, topology: topology{3, 0, 1, 3, 0, 0}, until: 10 * time.Second},
 	{name: "cuts", seeds: []uint64{1, 2}, topology: topology{5, 1, 2, 3, 0, 0}, until: 16 * time.Second, faults: []fault{
@@ -183,7 +183,7 @@
 	{name: "random", seeds: []uint64{1, 3, 5, 16, 27, 117, zoneSeeds + 1}}, // 117: replicas seal an epoch
 }
 
-// trace plays the scenario and digests what goes out.
+// trace runs the scenario and digests its outputs.
 func (s goldenScenario) trace(t *testing.T, digest *golden.Digest, seed uint64) {
 	if s.diskNodes == 0 {
 		s.topology, s.faults, s.until = topologyOf(seed), seedFaults(seed), faultsUntil(seed)
@@ -211,8 +211,8 @@
 	traced.end(w)
 }
 
-// TestGoldenTrace holds the cores to the recorded digests of all that goes out of them, step by step. A change of form alone,
-// such as of names, leaves them as they are.
+// TestGoldenTrace compares the outputs of the cores, step by step, with the recorded digests. A refactoring, such as a renaming, must
+// not change them.
 func TestGoldenTrace(t *testing.T) {
 	var scenarios []golden.Scenario
 	for _, s := range goldenScenarios {
--- a/internal/system/replication/head_eligibility.go
+++ b/internal/system/replication/head_eligibility.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-const maxEarlierChains = 64 // that a view remembers
+const maxEarlierChains = 64 // number of chains that a view remembers
 
 // durableEpochs is what a node has on disk about the epochs in which it was a chain replica.
 type durableEpochs struct {
-	known  bool   // a heartbeat of the node has said so
+	known  bool   // a heartbeat of the node has reported it
 	active uint64 // newest epoch in which it was active
 	sealed uint64 // epoch in which it will never be active
 	epoch  uint64 // of its view
 }
 
-// isInactiveIn reports whether the node was not active in the epoch by its newest heartbeat.
+// isInactiveIn reports whether, according to its newest heartbeat, the node was not active in the epoch.
 func (e durableEpochs) isInactiveIn(epoch uint64) bool { return e.known && e.active < epoch }
 
-// cannotActivateIn reports whether a node that was not active in the epoch never will be: it is in a later one, or has sealed it.
+// cannotActivateIn reports whether a node that was not active in the epoch never will be: it is in a later epoch, or has sealed this
+// one.
 func (e durableEpochs) cannotActivateIn(epoch uint64) bool {
 	return e.epoch > epoch || e.sealed == epoch
 }
 
-// durableEpochsOf returns what the newest heartbeat of a node says. The numbers may have changed since, but only upwards.
+// durableEpochsOf returns what the newest heartbeat of a node reports. The numbers may have changed since, but they only increase.
 func (lv *liveness) durableEpochsOf(id ID) durableEpochs {
 	if id == lv.self.ID {
 		return durableEpochs{known: true, active: lv.acceptor.durableActiveEpoch, sealed: lv.acceptor.durableSealedEpoch, epoch: lv.acceptor.durableViewEpoch}
@@ -34,23 +35,23 @@
 	return durableEpochs{}
 }
 
-// sealing says what mayLead assumes of replicas that have not sealed the present epoch.
+// sealing selects what mayLead assumes of replicas that have not sealed the current epoch.
 type sealing bool
 
 const (
-	asSealed       sealing = false // by their heartbeats
-	assumingSealed sealing = true  // those that are alive count as sealed, since they can be asked to
+	asSealed       sealing = false // count only the seals that heartbeats report
+	assumingSealed sealing = true  // count replicas that are alive as sealed, since they can be asked to seal
 )
 
-// mayLead reports whether the candidate holds everything that the present and earlier chains have acknowledged and ever will
+// mayLead reports whether the candidate holds everything that the current and earlier chains have acknowledged and ever will
 // (invariant 3 of the package).
 //
-// Proof. A replica that was active in epoch f holds what was acknowledged up to f: it had all that its predecessor had when f began,
-// by induction all that the head had, and the head of f held all that was acknowledged before. An acknowledgement in a later epoch g
-// requires each replica of g to be active in g, since only active replicas replicate further. So when one replica of g was not active
-// in g and never will be, g has acknowledged nothing and never will (cannotHaveAcknowledged). When that holds for all epochs
-// after f up to the present one, the candidate holds everything. The candidate itself needs no seal: it leaves the present epoch by
-// entering the next as its head, before anything can be acknowledged there.
+// Proof. A replica that was active in epoch f holds what was acknowledged up to f: it had everything that its predecessor had when f
+// began, by induction everything that the head had, and the head of f held everything that was acknowledged before. An
+// acknowledgement in a later epoch g requires each replica of g to be active in g, since only active replicas replicate further. So
+// if one replica of g was not active in g and never will be, g has acknowledged nothing and never will (cannotHaveAcknowledged). If
+// that is true of all epochs after f up to the current one, the candidate holds everything. The candidate itself needs no seal: it
+// leaves the current epoch by entering the next one as its head, before anything can be acknowledged there.
 func (pl *planner) mayLead(candidate ID, seals sealing) bool {
 	if pl.cfg.knobs.AllowAnyHead {
 		return true
@@ -67,9 +68,9 @@
 	return true
 }
 
-// cannotHaveAcknowledged reports whether the epoch is known to have acknowledged nothing, for good, provided that the candidate leads
-// next. One replica of its chain that was not active and cannot become so is enough. An epoch whose chain is not remembered any
-// more may have acknowledged.
+// cannotHaveAcknowledged reports whether it is known that the epoch has acknowledged nothing and never will, provided that the
+// candidate leads next. One replica of its chain that was not active and cannot become active is sufficient. An epoch whose chain is
+// no longer remembered may have acknowledged something.
 func (pl *planner) cannotHaveAcknowledged(epoch uint64, candidate ID, seals sealing) bool {
 	return slices.ContainsFunc(pl.acceptor.view.chainOf(epoch), func(id ID) bool {
 		reported := pl.liveness.durableEpochsOf(id)
@@ -86,12 +87,12 @@
 	return epoch == pl.acceptor.view.Epoch && pl.liveness.isAlive(id)
 }
 
-// earlierChains lists the chains that the next view must remember for mayLead.
+// earlierChains returns the chains that the next view must remember for mayLead.
 func (pl *planner) earlierChains() map[uint64][]ID {
 	current := pl.acceptor.view
 	chains := map[uint64][]ID{}
 	if pl.liveness.durableEpochsOf(current.Tail()).active == current.Epoch {
-		return chains // the tail is active only after all others, so earlier chains do not matter any more
+		return chains // the tail becomes active only after all others, so earlier chains no longer matter
 	}
 	maps.Copy(chains, current.earlierChains)
 	chains[current.Epoch] = current.Chain
--- a/internal/system/replication/late_messages_test.go
+++ b/internal/system/replication/late_messages_test.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// playLateForward holds up a change on its way to the head for 20 s, while nothing else happens to the nodes. Its caller
-// has long been told that there is no clear answer, and a later change was acknowledged. Danger: it undoes the later one.
+// playLateForward delays a change on its way to the head by 20 s, while nothing else happens to the nodes. Its caller has long
+// received an Unknown outcome, and a later change was acknowledged. The danger is that the delayed change undoes the later one.
 func playLateForward(t *testing.T, h TestingKnobs) string {
 	cluster := threeNodes(t, 1, h)
 	head, sender := cluster.replica(0), cluster.replica(2)
@@ -34,7 +34,8 @@
 	return ""
 }
 
-// TestForwardedChangeHasDeadline: a change that comes within its time is taken, also one that was in flight for a while.
+// TestForwardedChangeHasDeadline checks that a change that arrives before its deadline is accepted, even if it was in flight for
+// long.
 func TestForwardedChangeHasDeadline(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	head, sender := cluster.replica(0), cluster.replica(2)
@@ -54,8 +55,9 @@
 	cluster.until(500*time.Millisecond, "the change that was under way for 3.5 of its 4 s", func() bool { return cluster.answered(id) })
 }
 
-// TestCatchUpOfFormerIncarnationProvesNothing delivers to a node outside the chain, right after its restart, what it was caught up
-// before. Danger: the answer to a call of its former incarnation passes for one to a call of now, and the past for the newest.
+// TestCatchUpOfFormerIncarnationProvesNothing delivers to a node outside the chain, right after its restart, the appends that it
+// received before the restart. It guards against mistaking the answer to a request of a previous incarnation for a current one, and
+// thereby a stale state for the newest.
 func TestCatchUpOfFormerIncarnationProvesNothing(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	spare := Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}}
@@ -96,12 +98,12 @@
 	})
 }
 
-// TestLateDuplicateIsRefused delivers a change a second time, 20 s after it was taken, when its key is forgotten.
-// Danger: it is taken again.
+// TestLateDuplicateIsRefused delivers a change a second time, 20 s after it was accepted, when its key has been forgotten. It guards
+// against accepting it twice.
 func TestLateDuplicateIsRefused(t *testing.T) {
 	play := func(h TestingKnobs) uint64 {
 		cluster := newScriptedCluster(t)
-		cluster.machine = blobMachine{} // takes everything
+		cluster.machine = blobMachine{} // accepts every change
 		formThreeNodes(cluster, 1, h)
 		head, sender := cluster.replica(0), cluster.replica(2)
 		var double Envelope
--- a/internal/system/replication/leave_test.go
+++ b/internal/system/replication/leave_test.go
@@ -29,7 +29,7 @@
 	cluster.collect(addr)
 }
 
-// submitMany has count changes acknowledged, through addr.
+// submitMany submits count changes through addr, and waits until each is acknowledged.
 func (cluster *scriptedCluster) submitMany(addr string, count int) {
 	cluster.t.Helper()
 	for range count {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestDrainingNodeWaitsForEnoughReplicas has a replica leave while another is away. Danger: it goes, and what was acknowledged is
-// left on a single disk, though a node may be lost at any time.
+// TestDrainingNodeWaitsForEnoughReplicas drains a replica while another is down. It guards against the replica leaving while the
+// acknowledged records are on a single other disk, although a node may be lost at any time.
 func TestDrainingNodeWaitsForEnoughReplicas(t *testing.T) {
 	for index, name := range []string{"head", "tail"} {
 		t.Run(name, func(t *testing.T) { playLeaveWhileAnotherIsAway(t, index) })
@@ -72,7 +72,7 @@
 	if cluster.nodes[leaver].core.Departed() {
 		t.Fatal("it has left, and nobody could take its place")
 	}
-	// Who comes back hears the others, but it takes long to catch up.
+	// The node that returns receives messages of the others, but takes long to catch up.
 	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
 		return to != "c" || m.GetAppend() == nil && m.GetInstall() == nil
 	}
@@ -88,7 +88,8 @@
 	t.Logf("it left %v after the other had caught up", took)
 }
 
-// TestDrainingNodeHandsOverOnlyReplica: a single replica leaves and another node is there. Danger: it never hands over.
+// TestDrainingNodeHandsOverOnlyReplica drains the only replica while another node is available. It guards against a handover that
+// never completes.
 func TestDrainingNodeHandsOverOnlyReplica(t *testing.T) {
 	cluster := threeNodes(t, 0, TestingKnobs{})
 	cluster.nodes["b"].core, cluster.nodes["c"].core = nil, nil
@@ -105,8 +106,8 @@
 	}
 }
 
-// TestDrainingNodeLeadsWhenNobodyElseCan loses the only other copy while a replica waits to leave. Danger: the changes are on the
-// leaving node's disk alone, nobody else may lead, and it does not any more.
+// TestDrainingNodeLeadsWhenNobodyElseCan loses the only other copy while a replica waits to leave. It guards against a deadlock: the
+// changes are only on the draining node's disk, no other node may lead, and the draining node no longer does.
 func TestDrainingNodeLeadsWhenNobodyElseCan(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	cluster.nodes["c"].core = nil
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// heartbeatHistory is how many heartbeats this node remembers the time of; an echo of an older one proves nothing.
+	// heartbeatHistory is the number of heartbeats whose send times this node remembers; an echo of an older one proves nothing.
 	heartbeatHistory = 512
 
-	peerTTL  = 10 * time.Second // without contact, for those who do not vote
+	peerTTL  = 10 * time.Second // without contact, for peers that are not voters
 	maxPeers = 64
 )
 
-// liveness is what this node knows of its peers by their heartbeats: who is alive, who could be a chain replica, and whether a change can
-// reach the chain from here. Each heartbeat echoes the numbers of those received, so that both directions are known to work. A peer is
-// suspected by time-out alone; no safety rests on that.
+// liveness is what this node knows of its peers from their heartbeats: which are alive, which could be a chain replica, and whether a
+// change can reach the chain from here. Each heartbeat echoes the numbers of those received, so that both directions are known to
+// work. A peer is suspected by timeout alone; no safety property depends on that.
 type liveness struct {
 	*environment
 	peers               map[ID]*peer
 	heartbeatNumber     uint64                          // of the last heartbeat sent
 	heartbeatSentAt     [heartbeatHistory]time.Duration // by number modulo heartbeatHistory
 	lastHeartbeatSentAt time.Duration
-	graceUntil          time.Duration // until then nobody is suspected
+	graceUntil          time.Duration // no peer is suspected until then
 	chainReachedAt      time.Duration // when the chain was last reachable; not before graceUntil
 	draining            bool          // this node is about to leave
 
@@ -34,42 +34,44 @@
 	replica  replicaStatus
 }
 
-// replicaStatus is what heartbeats say of this node's replica.
+// replicaStatus is what heartbeats report about this node's replica.
 type replicaStatus interface {
 	isHead() bool
-	committed() uint64    // index of the newest record that is known to be committed
-	stalledSuccessor() ID // that does not acknowledge what it is sent; empty: none
+	committed() uint64    // index of the newest record known to be committed
+	stalledSuccessor() ID // the successor if it does not acknowledge what it is sent, otherwise empty
 }
 
-// peer is what this node knows of another.
+// peer is what this node knows of another node.
 type peer struct {
 	member          Member
 	incarnation     uint64
 	heartbeatNumber uint64 // of its newest heartbeat
 	lastContactAt   time.Duration
 	echoedAt        time.Duration // when this node sent the newest heartbeat that the peer has echoed; negative: never
-	eligibleSince   time.Duration // since when it has been eligible without a break; negative: it is not
+	eligibleSince   time.Duration // since when it has been continuously eligible; negative: it is not eligible
 	heartbeat       *replicationpb.Heartbeat
 }
 
-// isEligibleFor reports whether the peer has been eligible for so long.
+// isEligibleFor reports whether the peer has been eligible for at least d.
 func (p *peer) isEligibleFor(d, now time.Duration) bool {
 	return p.eligibleSince >= 0 && now-p.eligibleSince >= d
 }
 
-// firstHeartbeatNumber is where an incarnation begins to number its heartbeats: far from where the former ones did, so that an echo of
-// a former incarnation's heartbeat, in flight since then, does not pass for one of this incarnation's.
+// firstHeartbeatNumber returns the number from which an incarnation counts its heartbeats. It is far from the numbers of previous
+// incarnations, so that an echo of a previous incarnation's heartbeat that is still in flight is not mistaken for one of this
+// incarnation's.
 func firstHeartbeatNumber(incarnation uint64) uint64 {
-	const golden = 0x9e3779b97f4a7c15 // odd, with its ones and zeros well mixed
+	const golden = 0x9e3779b97f4a7c15 // odd, with well-mixed ones and zeros
 	return incarnation * golden >> 16
 }
 
-// startGrace has nobody suspected, and the chain count as reachable, until then.
+// startGrace prevents peers from being suspected, and counts the chain as reachable, until the given time.
 func (lv *liveness) startGrace(until time.Duration) {
 	lv.graceUntil, lv.chainReachedAt = until, until
 }
 
-// sentTime returns when the heartbeat of a number was sent; false where it is not one of the last heartbeatHistory of this incarnation.
+// sentTime returns when the heartbeat with the number was sent. It returns false if it is not one of the last heartbeatHistory
+// heartbeats of this incarnation.
 func (lv *liveness) sentTime(number uint64) (time.Duration, bool) {
 	if number == 0 || number > lv.heartbeatNumber || number+heartbeatHistory <= lv.heartbeatNumber {
 		return 0, false
@@ -77,7 +79,7 @@
 	return lv.heartbeatSentAt[number%heartbeatHistory], true
 }
 
-// newHeartbeat makes the next heartbeat of this node, with the echoes given. What it says of this node is on disk.
+// newHeartbeat returns this node's next heartbeat, with the given echoes. It reports only state that is on disk.
 func (lv *liveness) newHeartbeat(echoes []*replicationpb.Echo) *replicationpb.Heartbeat {
 	lv.heartbeatNumber++
 	lv.heartbeatSentAt[lv.heartbeatNumber%heartbeatHistory] = lv.now
@@ -93,7 +95,8 @@
 	return heartbeat
 }
 
-// echoes of the members that have lately been in contact. Those of an observer matter to it alone and go into the reply to it.
+// echoes returns the echoes of members with recent contact. Those of an observer matter only to the observer and are sent in the
+// reply to it.
 func (lv *liveness) echoes() []*replicationpb.Echo {
 	var all []*replicationpb.Echo
 	for _, id := range slices.Sorted(maps.Keys(lv.peers)) {
@@ -104,7 +107,7 @@
 	return all
 }
 
-// echo names the newest heartbeat of a peer, none where the peer has timed out.
+// echo returns the echo of a peer's newest heartbeat, or none if the peer has timed out.
 func (lv *liveness) echo(id ID) []*replicationpb.Echo {
 	p := lv.peers[id]
 	if lv.now-p.lastContactAt >= lv.suspectTimeout(p) {
@@ -113,7 +116,7 @@
 	return []*replicationpb.Echo{{Id: string(id), Number: p.heartbeatNumber}}
 }
 
-// sendHeartbeats sends this node's state to all members. Observers get a reply to their own heartbeats.
+// sendHeartbeats sends this node's state to all members. Observers get replies to their own heartbeats instead.
 func (lv *liveness) sendHeartbeats() {
 	lv.lastHeartbeatSentAt = lv.now
 	lv.forgetPeers()
@@ -132,7 +135,7 @@
 	}
 }
 
-// heartbeatTargets lists the addresses that heartbeats go to: voters, seeds and all peers but observers.
+// heartbeatTargets returns the addresses that heartbeats are sent to: voters, seeds and all peers except observers.
 func (lv *liveness) heartbeatTargets() []string {
 	addrs := map[string]bool{}
 	for _, addr := range lv.cfg.Seeds {
@@ -177,7 +180,7 @@
 	}
 }
 
-// peerOf returns the peer that a heartbeat is of, nil where the heartbeat arrived out of order or there are too many peers.
+// peerOf returns the peer that sent a heartbeat, or nil if the heartbeat arrived out of order or there are too many peers.
 func (lv *liveness) peerOf(id ID, m *replicationpb.Heartbeat) *peer {
 	p := lv.peers[id]
 	switch {
@@ -194,7 +197,7 @@
 	return p
 }
 
-// observeEchoes takes up which of this node's heartbeats the peer has received.
+// observeEchoes records which of this node's heartbeats the peer has received.
 func (lv *liveness) observeEchoes(p *peer) {
 	for _, echo := range p.heartbeat.GetEchoes() {
 		if ID(echo.GetId()) != lv.self.ID {
@@ -206,7 +209,7 @@
 	}
 }
 
-// isAlive reports whether messages have lately gone both ways between this node and id.
+// isAlive reports whether messages have recently been delivered in both directions between this node and id.
 func (lv *liveness) isAlive(id ID) bool {
 	if id == lv.self.ID {
 		return true
@@ -219,13 +222,13 @@
 	return lv.now-p.lastContactAt < timeout && lv.now-p.echoedAt < timeout+2*lv.heartbeatInterval()
 }
 
-// isLost reports whether a voter has been without contact for long.
+// isLost reports whether there has been no contact with a voter for longer than replaceVoterTimeout.
 func (lv *liveness) isLost(m Member) bool {
 	p := lv.peers[m.ID]
 	return m.ID != lv.self.ID && !lv.isAlive(m.ID) && (p == nil || lv.now-p.lastContactAt > replaceVoterTimeout)
 }
 
-// isHealthy reports whether id could be a chain replica: it is alive and has a disk that works.
+// isHealthy reports whether id could be a chain replica: it is alive and its disk works.
 func (lv *liveness) isHealthy(id ID) bool {
 	if id == lv.self.ID {
 		return !lv.writer.unhealthy && lv.err == nil && !lv.cfg.Observer
@@ -233,7 +236,7 @@
 	return lv.isAlive(id) && !lv.peers[id].heartbeat.GetObserver() && !lv.peers[id].heartbeat.GetDiskBad()
 }
 
-// isEligible reports whether id is fit to become a chain replica: it is healthy and not about to leave.
+// isEligible reports whether id may become a chain replica: it is healthy and not about to leave.
 func (lv *liveness) isEligible(id ID) bool {
 	if id == lv.self.ID {
 		return lv.isHealthy(id) && !lv.draining
@@ -241,8 +244,8 @@
 	return lv.isHealthy(id) && !lv.peers[id].heartbeat.GetLeaving()
 }
 
-// isFit reports whether this node may propose views and decide on changes: its disk is healthy, or it is slow and so are those of so many voters
-// that the others could not form a chain. Nobody would do this node's part any faster then.
+// isFit reports whether this node may propose views and decide on changes: its disk is healthy, or it is slow while the disks of so
+// many voters are unhealthy that the others could not form a chain. In that case no other node would be any faster.
 func (lv *liveness) isFit() bool {
 	if !lv.writer.unhealthy {
 		return true
@@ -250,7 +253,8 @@
 	return !lv.cfg.knobs.FixedTimeouts && !lv.writer.refusing && lv.countHealthyVoters() < lv.cfg.minChainLength()
 }
 
-// countHealthyVoters counts the voters that could be chain replicas; before the first view, the seeds that could be initial voters.
+// countHealthyVoters counts the voters that could be chain replicas or, before the first view, the seeds that could be initial
+// voters.
 func (lv *liveness) countHealthyVoters() (n int) {
 	if lv.acceptor.view.Epoch > 0 {
 		for _, m := range lv.acceptor.view.Voters {
@@ -271,7 +275,7 @@
 	return n
 }
 
-// hasUnhealthyVoter reports whether a peer that is alive says that its disk is unhealthy.
+// hasUnhealthyVoter reports whether a peer that is alive reports an unhealthy disk.
 func (lv *liveness) hasUnhealthyVoter() bool {
 	for id, p := range lv.peers {
 		if p.heartbeat.GetDiskBad() && lv.isAlive(id) {
@@ -281,7 +285,7 @@
 	return false
 }
 
-// countSeedsAlive counts the seeds that are alive, with this node if it is one.
+// countSeedsAlive counts the seeds that are alive, including this node if it is a seed.
 func (lv *liveness) countSeedsAlive() (n int) {
 	if slices.Contains(lv.cfg.Seeds, lv.self.Addr) {
 		n++
@@ -294,7 +298,7 @@
 	return n
 }
 
-// receivesFrom reports whether receiver lately got messages of sender, as receiver itself says.
+// receivesFrom reports whether receiver, according to its own heartbeats, has recently received messages from sender.
 func (lv *liveness) receivesFrom(receiver, sender ID) bool {
 	if receiver == sender {
 		return true
@@ -306,7 +310,7 @@
 	return p != nil && slices.ContainsFunc(p.heartbeat.GetEchoes(), func(e *replicationpb.Echo) bool { return ID(e.GetId()) == sender })
 }
 
-// haveContact reports whether messages lately went both ways between a and b.
+// haveContact reports whether messages have recently been delivered in both directions between a and b.
 func (lv *liveness) haveContact(a, b ID) bool { return lv.receivesFrom(a, b) && lv.receivesFrom(b, a) }
 
 // hasMajorityAlive reports whether a majority of the voters is alive.
@@ -320,7 +324,7 @@
 	return alive > len(voters)/2
 }
 
-// lastHeartbeatNumberFrom is the number of the newest heartbeat of a peer, 0 if there was none.
+// lastHeartbeatNumberFrom returns the number of the newest heartbeat of a peer, or 0 if there was none.
 func (lv *liveness) lastHeartbeatNumberFrom(id ID) uint64 {
 	if p := lv.peers[id]; p != nil {
 		return p.heartbeatNumber
@@ -328,7 +332,7 @@
 	return 0
 }
 
-// headIncarnation returns the incarnation of the head, false where the head is not alive or not in the present epoch.
+// headIncarnation returns the incarnation of the head. It returns false if the head is not alive or not in the current epoch.
 func (lv *liveness) headIncarnation() (uint64, bool) {
 	head := lv.acceptor.view.Head()
 	if head == lv.self.ID {
@@ -341,7 +345,7 @@
 	return p.incarnation, true
 }
 
-// addressOf returns the address of a node by its heartbeat, or by the views, empty where it is not known.
+// addressOf returns the address of a node from its heartbeat or from the views, or an empty address if it is not known.
 func (lv *liveness) addressOf(id ID) string {
 	if p := lv.peers[id]; p != nil {
 		return p.member.Addr
--- a/internal/system/replication/memory_log.go
+++ b/internal/system/replication/memory_log.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// entry is a record and the epoch in which the head accepted it. The two numbers together name one record, and the whole log below it,
-// among all nodes: an epoch has one head, which sends on only what it has on disk.
+// entry is a record and the epoch in which the head accepted it. Across all nodes, the two numbers together identify one record and
+// the complete log below it: an epoch has one head, which sends on only what it has on disk.
 type entry struct {
 	epoch uint64
 	rec   controlstate.Record
@@ -28,10 +28,10 @@
 
 func (e *entry) size() int { return 32 + len(e.rec.Body) + len(e.rec.Zone) }
 
-// maxReportedRuns bounds what a node tells of its log.
+// maxReportedRuns bounds the summary that a node sends of its log.
 const maxReportedRuns = 64
 
-// memoryLog is the log in memory: the records above base, which is in a snapshot. The zero value is empty.
+// memoryLog is the log in memory: the records above base, which is covered by a snapshot. The zero value is empty.
 type memoryLog struct {
 	base      uint64
 	baseEpoch uint64
@@ -42,7 +42,7 @@
 
 func (l *memoryLog) at(seq uint64) *entry { return &l.entries[seq-l.base-1] }
 
-// epochAt returns the epoch of the record seq, false where it is not here.
+// epochAt returns the epoch of the record seq. It returns false if the record is not in memory.
 func (l *memoryLog) epochAt(seq uint64) (uint64, bool) {
 	switch {
 	case seq < l.base || seq > l.end():
@@ -53,14 +53,14 @@
 	return l.at(seq).epoch, true
 }
 
-// truncate drops the records above after, which must not be below base.
+// truncate removes the records above after, which must not be below base.
 func (l *memoryLog) truncate(after uint64) {
 	if after < l.end() {
 		l.entries = l.entries[: after-l.base : after-l.base]
 	}
 }
 
-// compact forgets the records up to seq.
+// compact removes the records up to seq from memory.
 func (l *memoryLog) compact(seq uint64) {
 	if seq <= l.base || seq > l.end() {
 		return
@@ -70,7 +70,7 @@
 	l.base, l.baseEpoch = seq, epoch
 }
 
-// between copies the records from..to, as many as fit into maxBytes and one at least.
+// between returns copies of the records from..to, as many as fit into maxBytes and at least one.
 func (l *memoryLog) between(from, to uint64, maxBytes int) []*replicationpb.Entry {
 	var out []*replicationpb.Entry
 	for seq := from; seq <= to && seq <= l.end(); seq++ {
@@ -83,7 +83,7 @@
 	return out
 }
 
-// size is the number of bytes that the records from..to take, as far as they are here.
+// size returns the number of bytes of those records from..to that are in memory.
 func (l *memoryLog) size(from, to uint64) int {
 	total := 0
 	for seq := max(from, l.base+1); seq <= to && seq <= l.end(); seq++ {
@@ -92,13 +92,14 @@
 	return total
 }
 
-// logSummary tells what a log holds: the record base, all below it, and runs of records of one epoch above it, the oldest first.
+// logSummary describes the contents of a log: the record base and everything below it, and runs of records of one epoch above it, the
+// oldest first.
 type logSummary struct {
 	base, baseEpoch uint64
 	runs            []*replicationpb.Run
 }
 
-// summary describes the newest maxReportedRuns runs.
+// summary returns a summary with the newest maxReportedRuns runs.
 func (l *memoryLog) summary() logSummary {
 	sum := logSummary{base: l.base, baseEpoch: l.baseEpoch}
 	for i := range l.entries {
@@ -116,8 +117,8 @@
 	return sum
 }
 
-// lastCommon finds the newest record that both this log and the one described hold; false when none is in sight. Epoch and number name a
-// record and the log below it, so the logs agree up to there.
+// lastCommon finds the newest record that is in both this log and the one described. It returns false if there is none as far as is
+// known. Epoch and number identify a record and the log below it, so the logs agree up to that record.
 func (l *memoryLog) lastCommon(theirs logSummary) (uint64, bool) {
 	for i, run := range slices.Backward(theirs.runs) {
 		first := theirs.base + 1
@@ -134,7 +135,7 @@
 	return 0, false
 }
 
-// lastOf finds the newest record of the epoch among first..last.
+// lastOf finds the newest record of the epoch among the records first..last.
 func (l *memoryLog) lastOf(wanted, first, last uint64) (uint64, bool) {
 	for seq := min(last, l.end()); seq >= first && seq >= l.base; seq-- {
 		if epoch, ok := l.epochAt(seq); ok && epoch == wanted {
--- a/internal/system/replication/memory_log_test.go
+++ b/internal/system/replication/memory_log_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// reread is e as it comes back from the log on disk or from another node.
+// reread returns e as decoded from the log on disk or from another node.
 func reread(t rapid.TB, e *entry) entry {
 	t.Helper()
 	data, err := proto.Marshal(e.pb())
@@ -30,7 +30,7 @@
 		a.rec.Zone == b.rec.Zone && bytes.Equal(a.rec.Body, b.rec.Body)
 }
 
-// TestEntryEncoding: a record comes back as it was written, whatever its fields are.
+// TestEntryEncoding checks that a record with arbitrary field values is decoded as it was encoded.
 func TestEntryEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := entry{epoch: rapid.Uint64().Draw(t, "epoch"), rec: controlstate.Record{Seq: rapid.Uint64().Draw(t, "seq"),
@@ -42,7 +42,7 @@
 	})
 }
 
-// FuzzEntry: bytes are refused, or are a record that comes back as it was read.
+// FuzzEntry checks that arbitrary bytes are either rejected, or decode to a record that survives another encoding.
 func FuzzEntry(f *testing.F) {
 	for _, e := range []entry{
 		{epoch: 7, rec: controlstate.Record{Seq: 1 << 60, Op: controlstate.OpAmend, Base: 1 << 40, Body: []byte("body"), Zone: "zone"}},
--- a/internal/system/replication/messages.go
+++ b/internal/system/replication/messages.go
@@ -2,7 +2,7 @@
 
 import "gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 
-// The functions of this file wrap the body of a message. Sender and receiver are set by environment.send.
+// The functions in this file wrap the body of a message. environment.send sets the sender and the receiver.
 
 func prepareMessage(body *replicationpb.Prepare) *replicationpb.Message {
 	return &replicationpb.Message{Body: &replicationpb.Message_Prepare{Prepare: body}}
--- a/internal/system/replication/node.go
+++ b/internal/system/replication/node.go
@@ -14,8 +14,8 @@
 
 const tickInterval = 25 * time.Millisecond
 
-// Node drives a Core with a clock, a disk and a network: one member of the chain, or an observer. Its methods may be called by several
-// goroutines at once.
+// Node drives a Core with a clock, a disk and a network. It is a member of the chain or an observer. Its methods may be called
+// concurrently.
 type Node struct {
 	began     time.Time
 	opt       Options
@@ -29,15 +29,15 @@
 	core             *Core
 	stopped          bool
 	lastCallID       uint64
-	waiters          map[uint64]chan Completion // by call
-	seq              uint64                     // committed, as last published
+	waiters          map[uint64]chan Completion // by call ID
+	seq              uint64                     // newest committed record, as last published
 	changed          chan struct{}              // closed when the committed state changes
 	loggedView       *View
 	capacityReporter capacityReporter
 }
 
-// Start reads the disk and starts the node. It ends with ctx or Stop. The error is ErrNoDisk, or marked wal.ErrDamaged where the disk is to be
-// replaced.
+// Start reads the disk and starts the node, which runs until ctx ends or Stop is called. The error is ErrNoDisk, or is marked
+// wal.ErrDamaged if the disk's contents must be replaced.
 func Start(ctx context.Context, opt Options) (*Node, error) {
 	if err := opt.applyDefaults(); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	return n, nil
 }
 
-// now is the core's clock: the time since the start, from a monotonic clock.
+// now returns the core's clock: the time since the start, from a monotonic clock.
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
 // runClock ticks until ctx ends.
@@ -99,7 +99,7 @@
 	}
 }
 
-// update has the core take up an event and carries out what it wants. It does nothing once the node is stopped.
+// update passes an event to the core and executes the work that it requests. It does nothing once the node is stopped.
 func (n *Node) update(event func(*Core)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// execute carries out what the core wants. The caller holds mu.
+// execute executes the work that the core requests. The caller holds mu.
 func (n *Node) execute(out Outputs) {
 	for _, event := range out.LogEvents {
 		n.log.Info(event)
@@ -125,7 +125,7 @@
 		n.transport.send(e)
 	}
 	if out.Disk != nil {
-		n.disk <- out.Disk // does not block: the core has one operation in progress at most
+		n.disk <- out.Disk // does not block: the core has at most one operation in progress
 	}
 	for _, done := range out.Completions {
 		if waiter := n.waiters[done.ID]; waiter != nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// publishState tells those who wait for a change of the committed state. The caller holds mu.
+// publishState notifies those who wait for a change of the committed state. The caller holds mu.
 func (n *Node) publishState() {
 	if seq, _ := n.core.Committed(); seq != n.seq {
 		n.seq = seq
@@ -155,14 +155,14 @@
 	}
 }
 
-// Stop ends the node's goroutines and waits for them, at most as long as a disk write takes.
+// Stop stops the node's goroutines and waits for them, for at most the duration of a disk write.
 func (n *Node) Stop() {
 	n.cancel()
 	n.wg.Wait()
 }
 
-// Leave tells the others that this node is about to stop, and waits until it is out of the chain and enough other replicas hold what was
-// acknowledged, or until ctx ends. Only then may its disk go.
+// Leave informs the other nodes that this node is about to stop, and waits until it is out of the chain and enough other replicas
+// hold what was acknowledged, or until ctx ends. Only in the first case may its disk be removed.
 func (n *Node) Leave(ctx context.Context) {
 	n.update(func(c *Core) { c.Leave(n.now()) })
 	ticker := time.NewTicker(tickInterval)
@@ -182,7 +182,7 @@
 	return n.stopped || n.core.Departed()
 }
 
-// Handler serves what other nodes send. Mount it at PathPrefix on the inner port.
+// Handler serves the messages of other nodes. Mount it at PathPrefix on the inner port.
 func (n *Node) Handler() http.Handler {
 	srv := replicationpb.NewReplicationServer(deliverer{n})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -191,12 +191,12 @@
 	})
 }
 
-// PathPrefix is where Handler belongs.
+// PathPrefix is the path at which to mount Handler.
 const PathPrefix = replicationpb.ReplicationPathPrefix
 
 type deliverer struct{ node *Node }
 
-// Deliver takes messages of another node.
+// Deliver passes messages of another node to the core.
 func (d deliverer) Deliver(_ context.Context, b *replicationpb.Batch) (*replicationpb.Empty, error) {
 	d.node.update(func(c *Core) {
 		for _, m := range b.GetMessages() {
--- a/internal/system/replication/node_calls.go
+++ b/internal/system/replication/node_calls.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// call has the core take up a call and waits for its completion.
+// call starts a call in the core and waits for its completion.
 func (n *Node) call(ctx context.Context, start func(c *Core, id uint64, ttl time.Duration)) (Completion, error) {
 	ttl := n.opt.AckTimeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -45,9 +45,10 @@
 	}
 }
 
-// Submit asks for a change and waits until what becomes of it is committed: acknowledged by enough disks. The verdict's Seq is the committed
-// record that it rests on. Submit may be called on any node. Without a deadline of ctx it waits for Options.AckTimeout. Errors are marked ErrUnavailable, and ErrNotApplied too when the change is certain not to
-// be applied; after Stop the error is ErrStopped.
+// Submit requests a change and waits until its outcome is committed, that is, acknowledged by enough disks. The verdict's Seq is the
+// committed record that it depends on. Submit may be called on any node. If ctx has no deadline, it waits for Options.AckTimeout.
+// Errors are marked ErrUnavailable, and also ErrNotApplied if it is certain that the change will not be applied; after Stop the error
+// is ErrStopped.
 func (n *Node) Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error) {
 	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Submit(n.now(), id, change, ttl) })
 	if err != nil {
@@ -64,8 +65,8 @@
 	return controlstate.Verdict{}, ErrUnavailable
 }
 
-// Read returns the state after all that was acknowledged before the call, and perhaps later changes. It may be called on any node. Errors are
-// marked ErrUnavailable; after Stop the error is ErrStopped.
+// Read returns the state after everything that was acknowledged before the call, and possibly later changes. It may be called on any
+// node. Errors are marked ErrUnavailable; after Stop the error is ErrStopped.
 func (n *Node) Read(ctx context.Context) (*controlstate.State, error) {
 	done, err := n.call(ctx, func(c *Core, id uint64, ttl time.Duration) { c.Read(n.now(), id, ttl) })
 	if err != nil {
--- a/internal/system/replication/node_observer_test.go
+++ b/internal/system/replication/node_observer_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestNodeWithoutDisk starts an observer beside three nodes: it needs no disk, and passes calls on.
+// TestNodeWithoutDisk starts an observer along with three nodes. It needs no disk, and forwards calls.
 func TestNodeWithoutDisk(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		group := newFleet(t)
--- a/internal/system/replication/node_test.go
+++ b/internal/system/replication/node_test.go
@@ -60,7 +60,7 @@
 	seeds []string
 }
 
-// newFleet is three nodes that have yet to be started.
+// newFleet returns a fleet of three nodes that are not started yet.
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{t: t, net: &memorynet.Network{Delay: time.Millisecond}, disks: map[string]*memDisk{}}
 	for i := range 3 {
@@ -116,7 +116,7 @@
 		}
 		group.replaceHeadsDisk(nodes)
 		group.checkEvacuated(nodes, "a")
-		// A goodbye takes a node out of the chain at once.
+		// Leave removes a node from the chain without a timeout.
 		began := time.Now()
 		nodes[group.seeds[1]].Leave(context.Background())
 		if d := time.Since(began); d > 300*time.Millisecond {
@@ -131,7 +131,7 @@
 	})
 }
 
-// replaceHeadsDisk restarts the head on an empty disk, and checks that another identity takes its place.
+// replaceHeadsDisk restarts the head on an empty disk, and checks that another identity replaces it.
 func (f *fleet) replaceHeadsDisk(nodes map[string]*Node) {
 	f.t.Helper()
 	lost := string(nodes[f.seeds[0]].View().Head())
--- a/internal/system/replication/observer.go
+++ b/internal/system/replication/observer.go
@@ -9,17 +9,17 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// An observer is a node on a machine without a disk. It follows the chain as a learner, knows the view, and forwards changes to the head
-// and reads to the tail. It is no voter, no chain replica and no part of a quorum: what it would promise or hold is gone when its
-// process ends. The one exception is the first view where no seed has a disk, see acceptor.isQuorum.
+// An observer is a node on a machine without a disk. It follows the chain as a learner, knows the view, and forwards changes to the
+// head and reads to the tail. It is not a voter, a chain replica or part of a quorum: what it would promise or hold is lost when its
+// process ends. The one exception is the first view if no seed has a disk, see acceptor.isQuorum.
 //
-// Members send it heartbeats only in reply to its own, which are rarer than theirs, and observers that know each other exchange none, so
-// that many observers cost the members little.
+// Members send heartbeats to an observer only in reply to its own, which are rarer than theirs, and observers that know of each other
+// exchange none, so that many observers cost the members little.
 
-// observerSlowdown is how many times rarer an observer's heartbeats are than a member's.
+// observerSlowdown is the ratio of an observer's heartbeat interval to a member's.
 const observerSlowdown = 5
 
-// heartbeatInterval is the time between two heartbeats of this node.
+// heartbeatInterval returns the time between two heartbeats of this node.
 func (lv *liveness) heartbeatInterval() time.Duration {
 	if lv.cfg.Observer {
 		return observerSlowdown * lv.cfg.HeartbeatInterval
@@ -27,7 +27,8 @@
 	return lv.cfg.HeartbeatInterval
 }
 
-// suspectTimeout is the time without contact after which p is suspected. Where either side is an observer, one heartbeat may be lost.
+// suspectTimeout returns the time without contact after which p is suspected. If either side is an observer, one heartbeat may be
+// lost.
 func (lv *liveness) suspectTimeout(p *peer) time.Duration {
 	if lv.cfg.Observer || p.heartbeat.GetObserver() {
 		return lv.cfg.SuspectTimeout + observerSlowdown*lv.cfg.HeartbeatInterval
@@ -35,7 +36,7 @@
 	return lv.cfg.SuspectTimeout
 }
 
-// observerSeeds counts the seeds that have said that they are observers.
+// observerSeeds counts the seeds that have reported that they are observers.
 func (lv *liveness) observerSeeds() int {
 	isObserver := map[string]bool{}
 	if lv.cfg.Observer {
@@ -55,7 +56,7 @@
 	return observers
 }
 
-// noSeedHasDisk reports whether all seeds have said that they are observers.
+// noSeedHasDisk reports whether all seeds have reported that they are observers.
 func (lv *liveness) noSeedHasDisk() bool {
 	return len(lv.cfg.Seeds) > 0 && lv.observerSeeds() == len(lv.distinctSeeds())
 }
@@ -64,7 +65,7 @@
 	return slices.Compact(slices.Sorted(slices.Values(lv.cfg.Seeds)))
 }
 
-// replyToObserver answers a heartbeat of an observer, which this node sends none by itself.
+// replyToObserver replies to a heartbeat of an observer, to which this node sends no heartbeats on its own.
 func (lv *liveness) replyToObserver(from ID, m *replicationpb.Heartbeat) {
 	if !m.GetObserver() || m.GetReply() {
 		return
@@ -83,7 +84,7 @@
 	}
 }
 
-// nullDisk stands in for the disk of an observer: nothing that it writes is ever read again.
+// nullDisk takes the place of the disk of an observer: nothing that is written to it is ever read.
 type nullDisk struct{}
 
 func (nullDisk) Load() (wal.Contents, error)   { return wal.Contents{}, nil }
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// observed is a node's configuration at addr, one of those without a disk when it is in observers.
+// observed returns the configuration of the node at addr, which has no disk if it is one of the observers.
 func observed(addr string, seeds, observers []string) Config {
 	return Config{
 		Self: Member{Addr: addr, Zone: "z" + addr[len(addr)-1:], Region: "r"}, MachineLosses: 1, Seeds: seeds, Bootstrap: true,
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestFirstViewWithSeedsThatAreObservers starts five nodes, of which the first three are seeds and 0 to 2 of these have
-// no disk. Danger: the seeds with a disk are no majority of the seeds, and no first view is formed.
+// TestFirstViewWithSeedsThatAreObservers starts five nodes, of which the first three are seeds and 0 to 2 of these have no disk. It
+// guards against no first view being formed because the seeds with a disk are not a majority of the seeds.
 func TestFirstViewWithSeedsThatAreObservers(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3", "k4", "k5"}
 	for observers := range 3 {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestTimedOutSeedsAreNoObservers: only a seed that has said so is left out. Danger: one seed of three that hears
-// nobody forms a view alone, and the two others form one too.
+// TestTimedOutSeedsAreNoObservers checks that only a seed that has reported to be an observer is excluded from the quorum. It guards
+// against one seed of three that receives no messages forming a view alone, while the two others form one too.
 func TestTimedOutSeedsAreNoObservers(t *testing.T) {
 	seeds := []string{"k1", "k2", "k3"}
 	cluster := newScriptedCluster(t)
@@ -78,7 +78,8 @@
 	cluster.until(5*time.Second, "a view by both", func() bool { return cluster.complete(2, 2) })
 }
 
-// TestAnObserverNeverJoins keeps observers beside a chain that lacks a replica. Danger: one without a disk is taken in.
+// TestAnObserverNeverJoins runs observers along with a chain that lacks a replica. It guards against a node without a disk becoming a
+// voter.
 func TestAnObserverNeverJoins(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
 	cluster := newScriptedCluster(t)
@@ -98,7 +99,7 @@
 	}
 	id := cluster.submit("o1", evacuating("a"), time.Second)
 	cluster.until(time.Second, "a change through an observer", func() bool { return cluster.answered(id) })
-	// It is told of another head at once, not with its next heartbeat.
+	// An observer learns of a new head immediately, not with its next heartbeat.
 	cluster.start(observed("k2", addrs, nil))
 	cluster.until(5*time.Second, "three links", func() bool { return cluster.complete(3, 3) })
 	head, _ := cluster.view().Voter(cluster.view().Head())
@@ -111,7 +112,8 @@
 	}
 }
 
-// TestLateNodeKnowsObserversOnly starts a node whose seeds are all observers. Danger: it never learns of the others.
+// TestLateNodeKnowsObserversOnly starts a node whose seeds are all observers. It guards against the node never learning of the
+// members.
 func TestLateNodeKnowsObserversOnly(t *testing.T) {
 	addrs := []string{"k1", "k2", "k3"}
 	observers := []string{"o1", "o2", "o3"}
@@ -170,8 +172,8 @@
 	}
 }
 
-// TestAllSeedsAreObservers: no seed has a disk; the nodes that do are formed into the first view by the seeds, at any
-// number of them. Danger: nobody may form it, and the system never starts.
+// TestAllSeedsAreObservers starts a cluster in which no seed has a disk. The seeds must form a first view of the nodes that have one,
+// for any number of such nodes. It guards against a system that never starts because no node may form the first view.
 func TestAllSeedsAreObservers(t *testing.T) {
 	seeds := []string{"o1", "o2", "o3"}
 	for keepers := 1; keepers <= 4; keepers++ {
@@ -192,8 +194,8 @@
 	}
 }
 
-// TestSeedsWithoutADiskFormOneView cuts the three seeds, all observers, from each other in turn while two groups of nodes
-// are there, and restarts one of them. Danger: two first views.
+// TestSeedsWithoutADiskFormOneView partitions each of the three seeds, all observers, from the others in turn while two groups of
+// nodes are running, and restarts one of the seeds. It guards against two different first views.
 func TestSeedsWithoutADiskFormOneView(t *testing.T) {
 	seeds := []string{"o1", "o2", "o3"}
 	for round := range 60 {
@@ -211,7 +213,7 @@
 		}
 		cluster.run(partitionStart)
 		again := observed(seeds[(round+1)%3], seeds, seeds)
-		again.Bootstrap = false // a start that is not the first of all
+		again.Bootstrap = false // not the initial bootstrap
 		again.Self.ID = "again"
 		cluster.start(again)
 		cluster.run(6 * time.Second)
--- a/internal/system/replication/options.go
+++ b/internal/system/replication/options.go
@@ -16,26 +16,26 @@
 
 const defaultAckTimeout = 5 * time.Second
 
-// Options are what a Node is started with.
+// Options configures a Node.
 type Options struct {
-	Addr, Zone, Region string            // of this machine; Addr is its IP address
+	Addr, Zone, Region string            // location of this machine; Addr is its IP address
 	Port               int               // inner port, the same on all machines
 	Seeds              []string          // IP addresses of the nodes that form the first view
-	Bootstrap          bool              // this node may take part in forming it
+	Bootstrap          bool              // this node may take part in forming the first view
 	MachineLosses      int               // disks that may be lost at once
-	ZoneLosses         int               // zones that may be lost at once, all of their nodes with them
-	RegionLosses       int               // regions, likewise
-	AckTimeout         time.Duration     // a change must be acknowledged within it; repair times are derived from it. 0: 5 s
-	Disk               wal.Disk          // used by this node alone until Stop has returned; nil for an observer
-	Observer           bool              // the machine has no disk: follows and forwards calls, never a voter nor a chain replica
-	Transport          http.RoundTripper // nil: connections of its own
+	ZoneLosses         int               // zones that may be lost at once, each with all of its nodes
+	RegionLosses       int               // regions that may be lost at once, each with all of its nodes
+	AckTimeout         time.Duration     // time within which a change must be acknowledged; repair times are derived from it. 0: 5 s
+	Disk               wal.Disk          // used only by this node until Stop has returned; nil for an observer
+	Observer           bool              // the machine has no disk: follows and forwards calls, and is never a voter or a chain replica
+	Transport          http.RoundTripper // nil: the node opens its own connections
 	Log                log.Interface     // nil: the standard logger
 }
 
-// applyDefaults fills in what is not set, and checks that there is a disk.
+// applyDefaults sets the defaults, and checks that there is a disk.
 func (o *Options) applyDefaults() error {
 	if o.Observer {
-		o.Disk = nullDisk{} // an identity that has voted before must not be taken up by one that cannot vote
+		o.Disk = nullDisk{} // a node that cannot vote must not use an identity that has voted before
 	}
 	if o.Disk == nil {
 		return ErrNoDisk
--- a/internal/system/replication/partition.go
+++ b/internal/system/replication/partition.go
@@ -1,18 +1,18 @@
 package replication
 
-// observeReach remembers when the chain was last reachable.
+// observeReach records when the chain was last reachable.
 func (lv *liveness) observeReach() {
 	if lv.reachesChain() {
 		lv.chainReachedAt = max(lv.chainReachedAt, lv.now)
 	}
 }
 
-// isPartitioned reports whether the chain has been out of reach for long.
+// isPartitioned reports whether the chain has been unreachable for at least partitionedTimeout.
 func (lv *liveness) isPartitioned() bool {
 	return lv.now-lv.chainReachedAt >= lv.cfg.partitionedTimeout()
 }
 
-// reachesChain reports whether a change asked for here may be accepted by the present chain, or by one that a repair makes.
+// reachesChain reports whether a change requested at this node may be accepted by the current chain, or by one formed by a repair.
 func (lv *liveness) reachesChain() bool {
 	v := lv.acceptor.view
 	if v.Epoch == 0 {
@@ -30,7 +30,7 @@
 	return false
 }
 
-// reachesHead reports whether this node exchanges messages with the head, or as the head with its successor.
+// reachesHead reports whether this node exchanges messages with the head or, if it is the head, with its successor.
 func (lv *liveness) reachesHead(v *View) bool {
 	if v.Head() != lv.self.ID {
 		return lv.isAlive(v.Head())
--- a/internal/system/replication/partition_test.go
+++ b/internal/system/replication/partition_test.go
@@ -8,16 +8,17 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// partitionDirections tell which messages are lost while a node is partitioned.
+// partitionDirections state which messages are lost while a node is partitioned.
 var partitionDirections = map[string]func(from, to, partitioned string) bool{
 	"both ways": func(from, to, partitioned string) bool { return from == partitioned || to == partitioned },
 	"from it":   func(from, _, partitioned string) bool { return from == partitioned },
 	"to it":     func(_, to, partitioned string) bool { return to == partitioned },
 }
 
-// TestPartitionOf20Seconds partitions one replica of three for 20 s, both ways or one, with all that was in flight delivered late, at
-// the end. It is asked for reads and changes all the while, and changes go on at the others. Danger: it gives the past for
-// new, refuses what it cannot decide, or takes long to be a replica again.
+// TestPartitionOf20Seconds partitions one replica of three for 20 s, in both directions or one, and delivers all messages in flight
+// late, at the end. Reads and changes are requested at this replica all the time, and changes continue at the others. It guards
+// against the replica returning stale state as current, rejecting changes that it cannot decide, or taking long to become a replica
+// again.
 func TestPartitionOf20Seconds(t *testing.T) {
 	var longest, longestCurrent time.Duration
 	for name, stops := range partitionDirections {
@@ -36,15 +37,15 @@
 	cluster     *scriptedCluster
 	direction   string
 	partitioned string // address of the replica
-	other       string // where changes go on
+	other       string // node at which changes continue
 	began       time.Duration
 	acked       uint64 // newest record acknowledged at the others
 
-	change, read, here uint64 // calls in progress: at the other, and a read and a change at the partitioned replica
+	change, read, here uint64 // calls in progress: a change at the other node, and a read and a change at the partitioned replica
 	rev                int64
 }
 
-// play returns how long after the partition there are three replicas again, and how long until the one is current.
+// play returns how long after the partition there are three replicas again, and how long until the partitioned one is current.
 func (p *replicaPartition) play(index int, stops func(from, to, partitioned string) bool) (rejoined, current time.Duration) {
 	p.t.Helper()
 	p.partitioned, p.other = p.cluster.replica(index), p.cluster.replica((index+1)%3)
@@ -76,7 +77,7 @@
 	return rejoined, current
 }
 
-// ended reports whether a call is over, or none was made.
+// ended reports whether a call has completed, or none was made.
 func (p *replicaPartition) ended(id uint64) bool { return id == 0 || p.cluster.done[id].ID != 0 }
 
 func (p *replicaPartition) callOthers() {
@@ -104,7 +105,7 @@
 	p.here = p.cluster.submit(p.partitioned, replacing(p.cluster.nodes[p.partitioned].core.chain.state.(*toy).rev, "at the cut one"), time.Second)
 }
 
-// check holds what the partitioned replica gives against what was acknowledged, from 2 s after the beginning.
+// check compares what the partitioned replica returns with what was acknowledged, from 2 s after the start of the partition.
 func (p *replicaPartition) check() {
 	if p.cluster.now-p.began < 2*time.Second {
 		return
--- a/internal/system/replication/partitioned_node_test.go
+++ b/internal/system/replication/partitioned_node_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// reachCluster is three replicas, a spare and an observer.
+// reachCluster starts three replicas, a spare and an observer.
 func reachCluster(t *testing.T) *scriptedCluster {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	seeds := []string{"a", "b", "c"}
@@ -25,8 +25,9 @@
 	return n.core.Partitioned(cluster.clock(n))
 }
 
-// TestPartitioned partitions each kind of node, both ways or one. Danger: it is not noticed, or lasts on after the partition, or nodes
-// that it does not concern count as partitioned too. While it is told, what is asked of the node is not answered.
+// TestPartitioned partitions each kind of node, in both directions or one. It guards against a partition that is not detected, that
+// is still reported after it has ended, or that is reported by other nodes. While a node reports it, changes requested there must not
+// be answered.
 func TestPartitioned(t *testing.T) {
 	for name, stops := range partitionDirections {
 		for place := range 5 {
@@ -48,8 +49,8 @@
 	}
 }
 
-// checkPartitioned asks the partitioned node for a change, which must not be answered within 20 steps, and checks at each that it alone of
-// the nodes counts as partitioned.
+// checkPartitioned requests a change from the partitioned node, which must not be answered within 20 steps, and checks in each step
+// that this node is the only one that reports being partitioned.
 func (cluster *scriptedCluster) checkPartitioned(name string, nodes []string, partitioned string) {
 	cluster.t.Helper()
 	id := cluster.submit(partitioned, evacuating("z"), 700*time.Millisecond)
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestNotPartitionedWhileChangesAreAccepted: danger: a change is refused that the chain would take, since a few heartbeats were lost,
-// the head was lost, the process was paused, or no voter but the head is reached. Changes are asked for at all nodes.
+// TestNotPartitionedWhileChangesAreAccepted requests changes from all nodes. It guards against refusing a change that the chain would
+// accept, because a few heartbeats were lost, the head was lost, the process was paused, or no voter except the head is reachable.
 func TestNotPartitionedWhileChangesAreAccepted(t *testing.T) {
 	const lasts = 20 * time.Second
 	for name, prepare := range map[string]func(*scriptedCluster){
@@ -113,7 +114,8 @@
 	}
 }
 
-// callAllFor asks every node that runs for a change each 200 ms, and checks that none counts as partitioned. It returns the calls by address.
+// callAllFor requests a change from every running node every 200 ms, and checks that none reports being partitioned. It returns the
+// calls by address.
 func (cluster *scriptedCluster) callAllFor(length time.Duration) map[string][]uint64 {
 	cluster.t.Helper()
 	calls := map[string][]uint64{}
@@ -140,7 +142,8 @@
 	cluster.nodes[addr].paused = false
 }
 
-// TestNotPartitionedOverSlowNetwork: danger: nodes 150 ms apart count as partitioned between two heartbeats.
+// TestNotPartitionedOverSlowNetwork guards against nodes with a latency of 150 ms being reported as partitioned between two
+// heartbeats.
 func TestNotPartitionedOverSlowNetwork(t *testing.T) {
 	cluster := reachCluster(t)
 	var underWay []arrival
@@ -162,7 +165,8 @@
 	}
 }
 
-// TestPartitionedBeforeAnyView: a node that hears nobody and knows of no view is partitioned, one that hears another waits.
+// TestPartitionedBeforeAnyView checks that a node that receives no messages and knows of no view is partitioned, while one in contact
+// with another node waits.
 func TestPartitionedBeforeAnyView(t *testing.T) {
 	for others := range 2 {
 		cluster := newScriptedCluster(t)
--- a/internal/system/replication/paused_test.go
+++ b/internal/system/replication/paused_test.go
@@ -7,8 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// TestPausedVoterWaitsBeforeItPlans pauses the voter that would propose first for 20 s. When it wakes, one message waits
-// in its sockets, and nobody else has been heard for 20 s. Danger: it takes the others for gone and cuts them out.
+// TestPausedVoterWaitsBeforeItPlans pauses the voter that would propose first for 20 s. When it resumes, one message is waiting in
+// its sockets, and it has not heard from any other node for 20 s. It guards against the voter suspecting all others and removing them
+// from the view.
 func TestPausedVoterWaitsBeforeItPlans(t *testing.T) {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	n := cluster.nodes["a"]
--- a/internal/system/replication/placement.go
+++ b/internal/system/replication/placement.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// exposure says how many nodes the worst tolerated losses take, and how unevenly the nodes are placed over failure domains: regions and
-// zones. Of two sets of one size the lesser is better.
+// exposure states how many nodes are lost in the worst tolerated losses, and how unevenly the nodes are distributed over failure
+// domains (regions and zones). Of two sets of the same size, the one with the lower exposure is better.
 type exposure struct {
-	regionExposure int // nodes lost with the worst loss of as many regions as must be tolerated
-	zoneExposure   int // nodes lost with the worst loss of as many zones, at least one
-	unevenness     int // sum of the squares of the nodes per zone
+	regionExposure int // nodes lost in the worst loss of the number of regions that must be tolerated
+	zoneExposure   int // nodes lost in the worst loss of the number of zones that must be tolerated, at least one
+	unevenness     int // sum of the squares of the node counts per zone
 }
 
 func (e exposure) compare(other exposure) int {
@@ -38,7 +38,7 @@
 	return counts
 }
 
-// worstLoss is how many of the members go with the worst loss of so many domains.
+// worstLoss returns how many of the members are lost in the worst loss of the given number of domains.
 func worstLoss(members []Member, domain func(Member) string, domains int) int {
 	lost := 0
 	counts := domainCounts(members, domain)
@@ -48,7 +48,8 @@
 	return lost
 }
 
-// exposure of the members to losses. A zone counts as one that may be lost even where none must be tolerated: it costs nothing.
+// exposure returns the exposure of the members to losses. It counts the loss of a zone even if none must be tolerated, since taking
+// it into account costs nothing.
 func (c *Config) exposure(members []Member) exposure {
 	e := exposure{
 		regionExposure: worstLoss(members, regionOf, c.RegionLosses),
@@ -60,23 +61,23 @@
 	return e
 }
 
-// worstToleratedLoss is how many of the members may be lost at once.
+// worstToleratedLoss returns how many of the members may be lost at once.
 func (c *Config) worstToleratedLoss(members []Member) int {
 	return max(c.MachineLosses, worstLoss(members, zoneOf, c.ZoneLosses), worstLoss(members, regionOf, c.RegionLosses))
 }
 
-// votersTolerateLosses reports whether a majority of the voters is left after any loss that must be tolerated.
+// votersTolerateLosses reports whether a majority of the voters remains after any loss that must be tolerated.
 func (c *Config) votersTolerateLosses(voters []Member) bool {
 	return len(voters)-c.worstToleratedLoss(voters) > len(voters)/2
 }
 
-// chainToleratesLosses reports whether a replica is left after any loss that must be tolerated.
+// chainToleratesLosses reports whether a replica remains after any loss that must be tolerated.
 func (c *Config) chainToleratesLosses(replicas []Member) bool {
 	return len(replicas) > c.worstToleratedLoss(replicas)
 }
 
-// minChainLength is the least number of replicas of a chain that may acknowledge. That they stand in enough zones is aimed at and not
-// enforced: where a zone is lost, those that are left may be all in one, and must go on.
+// minChainLength returns the minimum number of replicas of a chain that may acknowledge. Placing them in enough zones is a goal, but
+// it is not enforced: after the loss of a zone, the remaining replicas may all be in one zone, and must continue.
 func (c *Config) minChainLength() int {
 	if c.knobs.AllowShortChain {
 		return 1
@@ -84,20 +85,20 @@
 	return c.MachineLosses + 1
 }
 
-// targetChainLength is the number of replicas aimed at: more than the minimum, so that after the loss of one, changes need not wait until
-// another has caught up.
+// targetChainLength returns the target number of replicas: more than the minimum, so that after the loss of one, changes need not
+// wait until another has caught up.
 func (c *Config) targetChainLength() int {
 	return max(defaultChainLength, c.MachineLosses+1, c.ZoneLosses+1, c.RegionLosses+1)
 }
 
-// targetVoters is the number of voters aimed at, always odd: a majority is left when any machines, zones or regions that may be lost at
-// once are, provided that the voters are placed in enough of them.
+// targetVoters returns the target number of voters, which is always odd: a majority remains after the loss of any machines, zones or
+// regions that may be lost at once, provided that the voters are placed in enough of them.
 func (c *Config) targetVoters() int {
 	return 2*max(1, c.MachineLosses, c.ZoneLosses, c.RegionLosses) + 1
 }
 
-// addBestSpread adds the candidate that leaves the members best spread, the first of those that are alike. It returns false where none is
-// allowed.
+// addBestSpread adds the candidate that leaves the members best spread; among equals, the first one. It returns false if no candidate
+// is allowed.
 func (c *Config) addBestSpread(members, candidates []Member, isAllowed func(Member) bool) ([]Member, bool) {
 	var best []Member
 	for _, m := range candidates {
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// sizes are how many nodes stand in each zone.
+// sizes lists layouts by the number of nodes in each zone.
 var sizes = [][]int{
 	{1}, {2}, {1, 1}, {3}, {2, 1}, {1, 1, 1}, {2, 2}, {3, 1}, {2, 1, 1}, {1, 1, 1, 1}, {3, 2}, {3, 1, 1}, {2, 2, 1}, {2, 1, 1, 1},
 	{1, 1, 1, 1, 1}, {3, 3}, {2, 2, 2}, {4, 1, 1}, {2, 2, 1, 1}, {3, 2, 2}, {5, 1, 1}, {2, 2, 2, 1}, {4, 4}, {3, 3, 2}, {2, 2, 2, 2},
 	{3, 3, 3}, {5, 2, 2}, {3, 2, 2, 2}, {2, 2, 2, 2, 1},
 }
 
-// layouts are the sizes, under the race detector a part of them: each takes ten times as long.
+// layouts returns the sizes, or with the race detector a part of them: each takes ten times as long.
 func layouts() [][]int {
 	if !raceDetector {
 		return sizes
@@ -26,7 +26,7 @@
 	return out
 }
 
-// placed are the members of a layout; the nodes of a zone do not follow each other in the order of their identities.
+// placed returns the members of a layout; the nodes of a zone are not adjacent in the order of their identities.
 func placed(layout []int) []Member {
 	var out []Member
 	for k := 0; len(out) < sum(layout); k++ {
@@ -46,7 +46,7 @@
 	return n
 }
 
-// subsets calls f with each choice of n members until it returns true.
+// subsets calls f with each choice of n members until f returns true.
 func subsets(members []Member, n int, f func([]Member) bool) bool {
 	var choose func(from int, chosen []Member) bool
 	choose = func(from int, chosen []Member) bool {
@@ -63,7 +63,7 @@
 	return choose(0, nil)
 }
 
-// sizedCluster starts the members, of which the first three are the seeds.
+// sizedCluster starts the members; the first three are the seeds.
 func sizedCluster(t *testing.T, members []Member, machines, zones int) *scriptedCluster {
 	cluster := newScriptedCluster(t)
 	var addrs []string
@@ -76,9 +76,9 @@
 	return cluster
 }
 
-// TestSizesFollowTheTolerance forms each layout under each tolerance, and holds voters and replicas against what the best
-// choice among the nodes would tolerate. Danger: as many nodes as are needed run, and a loss that is tolerated ends the
-// system, because those who vote stand in the wrong places.
+// TestSizesFollowTheTolerance forms a view for each layout and each tolerance, and compares its voters and replicas with what the
+// best choice among the nodes would tolerate. It guards against a deployment with enough nodes that a tolerated loss stops, because
+// the voters are badly placed.
 func TestSizesFollowTheTolerance(t *testing.T) {
 	for _, layout := range layouts() {
 		for machines := range 5 {
@@ -89,7 +89,7 @@
 	}
 }
 
-// checkSizes forms a view of the layout that is to tolerate the loss of so many machines or zones.
+// checkSizes forms a view of the layout that must tolerate the loss of the given number of machines or zones.
 func checkSizes(t *testing.T, layout []int, machines, zones int) {
 	t.Helper()
 	members := placed(layout)
@@ -98,13 +98,13 @@
 	wantVoters := min(len(members), cfg.targetVoters())
 	wantReplicas := min(wantVoters, cfg.targetChainLength())
 	if wantReplicas < cfg.minChainLength() {
-		// What exists may not acknowledge. It still forms a view of all voters.
+		// The existing nodes are too few to acknowledge. They still form a view of all voters.
 		cluster.until(8*time.Second, fmt.Sprint(layout, machines, zones), func() bool { return len(cluster.view().Voters) == wantVoters })
 		return
 	}
 	name := fmt.Sprintf("zones %v, losses of %d machines or %d zones", layout, machines, zones)
 	cluster.until(8*time.Second, name, func() bool { return cluster.complete(wantReplicas, wantVoters) })
-	cluster.run(3 * time.Second) // voters that work may yet be exchanged
+	cluster.run(3 * time.Second) // working voters may still be replaced
 	v := cluster.view()
 	if can := subsets(members, wantVoters, cfg.votersTolerateLosses); can != cfg.votersTolerateLosses(v.Voters) {
 		t.Errorf("%s: tolerable %v, but the voters are %v", name, can, v)
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestToleratedLossIsSurvived takes from each layout that can tolerate it what may be lost at once, the head first, with the
-// disks, and asks for a change.
+// TestToleratedLossIsSurvived removes from each sufficiently tolerant layout the nodes that may be lost at once, including their
+// disks and starting with the head, and then requests a change.
 func TestToleratedLossIsSurvived(t *testing.T) {
 	var longest time.Duration
 	runs := 0
@@ -140,7 +140,8 @@
 	t.Logf("%d losses; the longest wait for a change was %v", runs, longest)
 }
 
-// playToleratedLoss loses the members, or the first replicas of the chain where there are none, and returns how long a change then waits.
+// playToleratedLoss loses the members, or the first replicas of the chain if there are none, and returns how long a change then
+// waits.
 func playToleratedLoss(t *testing.T, name string, members, lost []Member, machines int) time.Duration {
 	t.Helper()
 	cfg := Config{MachineLosses: machines, ZoneLosses: 1}
@@ -167,8 +168,8 @@
 	return took
 }
 
-// TestVotersAreRebalanced: three voters of which two stand in one zone, since the third zone's node came late, are
-// exchanged, and never below what may acknowledge. Danger: the loss of that zone takes the majority.
+// TestVotersAreRebalanced starts with three voters of which two are in one zone, since the third zone's node started late. Voters
+// must be replaced, without ever falling below what may acknowledge. It guards against a loss of that zone taking the majority.
 func TestVotersAreRebalanced(t *testing.T) {
 	members := []Member{
 		{ID: "a1", Addr: "a1", Zone: "a", Region: "r"}, {ID: "a2", Addr: "a2", Zone: "a", Region: "r"}, {ID: "b1", Addr: "b1", Zone: "b", Region: "r"},
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -8,15 +8,15 @@
 
 const (
 	defaultChainLength = 5
-	minEligibleTime    = 300 * time.Millisecond // a node is eligible for this long before it becomes a chain replica
-	maxCaughtUpLag     = 64                     // records that a new chain replica may lack
+	minEligibleTime    = 300 * time.Millisecond // a node must be eligible for this long before it becomes a chain replica
+	maxCaughtUpLag     = 64                     // number of records that a new chain replica may lack
 )
 
-// planner works out the view that this node would have instead of the present one, from what heartbeats say of the others. It sends
-// nothing and decides nothing: mayLead sees to it that a head holds what was acknowledged, and the acceptors decide what is chosen.
+// planner computes the view that this node would have in place of the current one, from the heartbeats of the other nodes. It sends
+// nothing and decides nothing: mayLead ensures that a head holds what was acknowledged, and the acceptors decide what is chosen.
 type planner struct {
 	*environment
-	headlessSince     time.Duration // when it was first seen that no chain replica may lead; negative: one may
+	headlessSince     time.Duration // when it was first found that no chain replica may lead; negative: one may
 	seedMajoritySince time.Duration // when a majority of the seeds was first known; negative: never
 
 	acceptor *acceptor
@@ -24,14 +24,14 @@
 	chain    *chainReplica
 }
 
-// viewPlan is what a planner works out.
+// viewPlan is the result of the planner.
 type viewPlan struct {
-	next        *View // that this node would have instead of the present one; nil: all is well or nothing can be done
-	rank        int   // its turn to propose next, among the nodes that see the same
-	sealsWanted bool  // replicas are to seal the present epoch, so that a head is found later
+	next        *View // view to replace the current one; nil: no change is needed or possible
+	rank        int   // this node's turn to propose next, among the nodes that plan the same view
+	sealsWanted bool  // replicas should seal the current epoch, so that a head can be found later
 }
 
-// plan works out the next view. It sends nothing, but remembers since when there has been no replica that may lead.
+// plan computes the next view. It sends nothing, but records since when there has been no replica that may lead.
 func (pl *planner) plan() viewPlan {
 	current := pl.acceptor.view
 	if current.Epoch == 0 {
@@ -69,9 +69,9 @@
 	return rank
 }
 
-// planChain picks the chain: the present replicas that are fit to stay, and voters that have caught up. It is nil when no chain that
-// may acknowledge can be formed, and sealsWanted says whether seals may help. replaced is the voter that planVoters gives up, empty for
-// none.
+// planChain selects the chain: the current replicas that are fit to stay, and voters that have caught up. The chain is nil if no
+// chain that may acknowledge can be formed, and sealsWanted reports whether seals may help. replaced is the voter that planVoters
+// replaces, or empty.
 func (pl *planner) planChain(voters []Member, replaced ID) (chain []ID, sealsWanted bool) {
 	replicas := pl.stayingReplicas(replaced)
 	heads := pl.possibleHeads(replicas)
@@ -98,7 +98,7 @@
 	return idsOfMembers(replicas), false
 }
 
-// keepHead puts the present head in front where the chain keeps its members and the head may lead: to change a head that works costs
+// keepHead moves the current head to the front if the chain keeps its members and the head may lead: replacing a working head costs
 // more than a better placed one gains.
 func (pl *planner) keepHead(replicas, heads []Member) {
 	current := pl.acceptor.view
@@ -110,7 +110,7 @@
 	replicas[0], replicas[i] = replicas[i], replicas[0]
 }
 
-// possibleHeads lists the replicas that may lead, without those that are about to leave where others are left.
+// possibleHeads returns the replicas that may lead. It excludes those that are about to leave, unless no others remain.
 func (pl *planner) possibleHeads(replicas []Member) []Member {
 	heads := slices.DeleteFunc(slices.Clone(replicas), func(m Member) bool { return !pl.mayLead(m.ID, asSealed) })
 	isEligible := func(m Member) bool { return pl.liveness.isEligible(m.ID) }
@@ -120,8 +120,8 @@
 	return slices.DeleteFunc(heads, func(m Member) bool { return !isEligible(m) })
 }
 
-// stayingReplicas lists the present replicas that stay in the chain, with those that are about to leave as long as too few others hold
-// what was acknowledged.
+// stayingReplicas returns the current replicas that stay in the chain. It includes those that are about to leave as long as too few
+// others hold what was acknowledged.
 func (pl *planner) stayingReplicas(replaced ID) []Member {
 	stalled := pl.stalledReplicas()
 	replicas := pl.remainingReplicas(replaced, stalled, pl.liveness.isEligible)
@@ -131,7 +131,7 @@
 	return pl.remainingReplicas(replaced, stalled, pl.liveness.isHealthy)
 }
 
-// stalledReplicas lists the replicas of which their predecessors say that they do not acknowledge what they are sent.
+// stalledReplicas returns the replicas whose predecessors report that they do not acknowledge what they are sent.
 func (pl *planner) stalledReplicas() map[ID]bool {
 	current := pl.acceptor.view
 	stalled := map[ID]bool{}
@@ -146,7 +146,7 @@
 	return stalled
 }
 
-// remainingReplicas lists the present replicas that are fit, not stalled and mutually reachable.
+// remainingReplicas returns the current replicas that are fit, not stalled and mutually reachable.
 func (pl *planner) remainingReplicas(replaced ID, stalled map[ID]bool, isFit func(ID) bool) []Member {
 	var replicas []Member
 	for _, id := range pl.acceptor.view.Chain {
@@ -157,7 +157,7 @@
 	return pl.mutuallyReachable(replicas)
 }
 
-// countHolders counts the replicas that hold all that the present chain and those before it have acknowledged.
+// countHolders counts the replicas that hold everything that the current chain and those before it have acknowledged.
 func (pl *planner) countHolders(replicas []Member) int {
 	n := 0
 	for _, m := range replicas {
@@ -168,8 +168,8 @@
 	return n
 }
 
-// addReplicas adds voters to the replicas that stay: those that have caught up, up to the length aimed at, and others only where too few
-// would be left.
+// addReplicas adds voters to the replicas that stay: those that have caught up, up to the target length, and others only if too few
+// replicas would remain.
 func (pl *planner) addReplicas(replicas, heads, voters []Member) []Member {
 	for more := true; more && len(replicas) < pl.cfg.targetChainLength(); {
 		replicas, more = pl.cfg.addBestSpread(replicas, voters, func(m Member) bool { return pl.canJoin(replicas, m) && pl.isCaughtUp(m.ID) })
@@ -189,8 +189,8 @@
 		!slices.ContainsFunc(replicas, func(r Member) bool { return !pl.liveness.haveContact(r.ID, m.ID) })
 }
 
-// spreadReplicas exchanges one replica for a voter elsewhere, where one tolerated loss would take the whole chain and no more replicas
-// may be added.
+// spreadReplicas exchanges one replica for a voter in another failure domain, where one tolerated loss would take the complete chain
+// and no more replicas may be added.
 func (pl *planner) spreadReplicas(replicas, heads, voters []Member) []Member {
 	best := replicas
 	for i, replica := range replicas {
@@ -208,8 +208,8 @@
 	return best
 }
 
-// mutuallyReachable drops replicas until all that are left exchange messages with each other: first the one that lacks contact with the
-// most, of two alike one that may not lead, then the later one.
+// mutuallyReachable removes replicas until all that remain exchange messages with each other: first the one that lacks contact with
+// the most others; among equals one that may not lead, then the later one.
 func (pl *planner) mutuallyReachable(replicas []Member) []Member {
 	for {
 		worst, maxScore := -1, 0
@@ -225,8 +225,8 @@
 	}
 }
 
-// isolationScore is zero for a replica that exchanges messages with all others: else two for each that it does not, and one where it may
-// not lead.
+// isolationScore returns zero for a replica that exchanges messages with all others. Otherwise it adds two for each that it does not
+// exchange messages with, and one if the replica may not lead.
 func (pl *planner) isolationScore(m Member, replicas []Member) int {
 	score := 0
 	for _, other := range replicas {
@@ -240,7 +240,7 @@
 	return score
 }
 
-// isCaughtUp reports whether a node outside the chain has nearly all that is committed.
+// isCaughtUp reports whether a node outside the chain has nearly everything that is committed.
 func (pl *planner) isCaughtUp(id ID) bool {
 	if id == pl.self.ID {
 		return pl.chain.caughtUp
@@ -271,8 +271,8 @@
 	return ids
 }
 
-// arrange orders a chain: in front the first of the heads that is in the region of the most replicas, the rest of its region next, and
-// replicas of one region side by side, so that a record crosses each border once.
+// arrange orders a chain: first the one of the heads that is in the region of the most replicas, then the other replicas of its
+// region, then the replicas of each other region next to each other, so that a record crosses each border once.
 func arrange(replicas, heads []Member) {
 	inRegion := map[string]int{}
 	for _, m := range replicas {
