--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -12,8 +12,8 @@
 const (
 	proposalTimeout    = 800 * time.Millisecond // of the first proposal of an epoch, on healthy disks
 	maxProposalTimeout = 5 * time.Minute
-	// proposalWrites is how many writes a proposal waits for, one after the other: the promise and the acceptance, of this node and then of
-	// the others, each after a write that may be in progress.
+	// proposalWrites is the number of sequential writes that a proposal waits for: the promise and the acceptance, of this node and then
+	// of the others, each after a write that may be in progress.
 	proposalWrites   = 8
 	rankDelay        = 150 * time.Millisecond // between the turns of two proposers
 	planInterval     = 50 * time.Millisecond
@@ -21,15 +21,15 @@
 	proposerJitter   = 500 * time.Millisecond
 )
 
-// proposer has views chosen, as the proposer of Paxos: it asks the planner for a view, waits its turn, and runs both phases. For
-// liveness alone, proposers take turns by rank and back off at random; any of them may propose at any time.
+// proposer gets views chosen, as the proposer of Paxos: it asks the planner for a view, waits for its turn, and runs both phases. For
+// liveness only, proposers take turns by rank and back off randomly; any of them may propose at any time.
 type proposer struct {
 	*environment
 	proposal         *proposal     // in progress, nil: none
-	proposeAt        time.Duration // when the next proposal starts; negative: none is wanted
+	proposeAt        time.Duration // when the next proposal starts; negative: none is scheduled
 	backoffUntil     time.Duration
-	slowBackoffUntil time.Duration // the same while the own disk is slow
-	slowTurn         bool          // proposeAt counts on a slow disk
+	slowBackoffUntil time.Duration // the same while this node's disk is slow
+	slowTurn         bool          // proposeAt was computed for a slow disk
 	lastPlannedAt    time.Duration
 	highestRoundSeen uint64
 	timeouts         int // proposals of this epoch that have timed out
@@ -38,7 +38,7 @@
 	writer    *diskWriter
 	liveness  *liveness
 	planner   *planner
-	adoptView func(*View) // takes up a view that is chosen
+	adoptView func(*View) // adopts a chosen view
 }
 
 // proposal is an attempt of this node to have a view chosen.
@@ -53,12 +53,12 @@
 	acceptedBy          voterSet
 }
 
-// isFor reports whether an answer of an acceptor is for this proposal.
+// isFor reports whether an acceptor's answer is for this proposal.
 func (p *proposal) isFor(epoch uint64, ballot *replicationpb.Ballot) bool {
 	return epoch == p.current.Epoch && proposalNumberOf(ballot) == p.number
 }
 
-// observeAccepted remembers the view accepted under the highest number, which phase two must propose.
+// observeAccepted records the view accepted under the highest number, which phase two must propose.
 func (p *proposal) observeAccepted(m *replicationpb.Promise) {
 	number := proposalNumberOf(m.GetAccepted())
 	if m.GetView() != nil && p.highestAccepted.less(number) {
@@ -74,7 +74,7 @@
 		pr.backOff()
 	}
 	if pr.slowTurn && pr.writer.slowness() == 0 {
-		pr.slowTurn, pr.proposeAt = false, -1 // the disk is well again: take the usual turn
+		pr.slowTurn, pr.proposeAt = false, -1 // the disk has recovered: take the usual turn
 	}
 	if !pr.canPropose() || !pr.isDue() || pr.now-pr.lastPlannedAt < planInterval {
 		return
@@ -87,7 +87,7 @@
 	}
 	if pr.proposeAt < 0 {
 		slowness := pr.writer.slowness()
-		turn := rankDelay + 2*slowness // in which the one before has sent its Prepare, after a write that may be in progress
+		turn := rankDelay + 2*slowness // in which the previous proposer has sent its Prepare, after a write that may be in progress
 		pr.slowTurn = slowness > 0
 		pr.proposeAt = pr.now + time.Duration(rank)*turn + pr.jitter(rankDelay/3)
 	}
@@ -96,9 +96,9 @@
 	}
 }
 
-// timeout is how long a proposal may take: as long as its writes do on a disk like this node's, and twice as long as the one before that has timed
-// out, as the disks of others may be slower. A fixed one would end every proposal of a fleet of slow disks. Where no disk is known to be slow, messages
-// that were lost are the likelier reason, and the time-out doubles maxBlindDoublings times only.
+// timeout returns how long a proposal may take: as long as its writes take on a disk like this node's, doubled for each proposal that
+// has timed out, since the disks of others may be slower. A fixed timeout would end every proposal of a fleet of slow disks. If no
+// disk is known to be slow, lost messages are the more likely reason, and the timeout doubles only maxBlindDoublings times.
 func (pr *proposer) timeout() time.Duration {
 	if pr.cfg.knobs.FixedTimeouts {
 		return proposalTimeout
@@ -112,8 +112,8 @@
 }
 
 const (
-	maxBlindDoublings   = 2 // to 3.2 s: others whose disks are not unhealthy yet take up to 0.5 s for each of the writes
-	maxTimeoutDoublings = 9 // after which the time-out has reached maxProposalTimeout
+	maxBlindDoublings   = 2 // to 3.2 s: other nodes whose disks are not unhealthy yet take up to 0.5 s for each of the writes
+	maxTimeoutDoublings = 9 // after which the timeout has reached maxProposalTimeout
 )
 
 // canPropose reports whether this node votes and can write its promises.
@@ -121,23 +121,23 @@
 	return pr.err == nil && pr.acceptor.identityDurable && pr.liveness.isFit() && pr.acceptor.isVoter(pr.acceptor.view)
 }
 
-// isDue reports whether no proposal is in progress, and neither back-off nor a grace period lasts.
+// isDue reports whether no proposal is in progress, and neither a backoff nor a grace period is pending.
 func (pr *proposer) isDue() bool {
 	isSlowBackoffOver := pr.now >= pr.slowBackoffUntil || pr.writer.slowness() == 0
 	return pr.proposal == nil && pr.now >= pr.liveness.graceUntil && pr.now >= pr.backoffUntil && isSlowBackoffOver
 }
 
-// wantedView returns the view to propose, nil when none is, and this node's turn.
+// wantedView returns the view to propose, or nil if there is none, and this node's turn.
 func (pr *proposer) wantedView() (next *View, rank int) {
 	if wanted := pr.plan(); wanted.next != nil || pr.acceptor.acceptedView == nil {
 		return wanted.next, wanted.rank
 	}
-	// A proposal that ended halfway keeps the voters from confirming this epoch: complete it.
+	// A proposal that was left incomplete keeps the voters from confirming this epoch: complete it.
 	index := slices.IndexFunc(pr.acceptor.view.Voters, func(m Member) bool { return m.ID == pr.self.ID })
 	return pr.acceptor.acceptedView, 1 + index
 }
 
-// plan asks the planner, and the replicas for the seals that it wants.
+// plan asks the planner for a plan, and requests the seals that it wants from the replicas.
 func (pr *proposer) plan() viewPlan {
 	wanted := pr.planner.plan()
 	if wanted.sealsWanted {
@@ -146,24 +146,24 @@
 	return wanted
 }
 
-// backOff keeps two proposers from preempting each other for ever.
+// backOff prevents two proposers from preempting each other forever.
 func (pr *proposer) backOff() {
 	pr.backoffUntil = pr.now + minProposerDelay + pr.jitter(proposerJitter)
 	pr.slowBackoffUntil = pr.backoffUntil + proposalWrites*pr.writer.slowness()
 	pr.proposeAt = -1
 }
 
-// yield leaves another proposer, which this node has promised to, the time for its proposal where the disk is slow. On a healthy disk that is so
-// short that the turns by rank suffice.
+// yield gives another proposer, to which this node has promised, time to complete its proposal if the disk is slow. On a healthy disk
+// that time is so short that taking turns by rank is sufficient.
 func (pr *proposer) yield() {
 	if pr.writer.slowness() == 0 {
 		return
 	}
-	pr.proposal = nil // the promise is above its number
+	pr.proposal = nil // the promise has a higher number
 	pr.backOff()
 }
 
-// propose starts phase one. This node promises first, so that after a restart it does not use the number again.
+// propose starts phase one. This node promises first, so that it does not reuse the number after a restart.
 func (pr *proposer) propose(next *View) {
 	current := pr.acceptor.view
 	number := proposalNumber{round: max(pr.acceptor.promised.round, pr.highestRoundSeen) + 1, id: pr.self.ID}
@@ -180,8 +180,9 @@
 	})
 }
 
-// broadcastToVoters sends to the voters of both views except this node, by identity. The view of epoch 0 has no voters: the seeds that
-// take part in the bootstrap vote in their place. Each receiver gets a message of its own, since environment.send sets its To.
+// broadcastToVoters sends a message to the voters of both views except this node, ordered by identity. The view of epoch 0 has no
+// voters: the seeds that take part in the bootstrap vote in their place. Each receiver gets its own message, since environment.send
+// sets its To field.
 func (pr *proposer) broadcastToVoters(current, next *View, newMessage func() *replicationpb.Message) {
 	receivers := map[ID]bool{}
 	if current.Epoch == 0 {
@@ -205,7 +206,7 @@
 	}
 }
 
-// sendToVoter sends to a voter that may be known from the next view alone.
+// sendToVoter sends a message to a voter that may be known only from the next view.
 func (pr *proposer) sendToVoter(id ID, next *View, m *replicationpb.Message) {
 	if pr.liveness.addressOf(id) != "" || next == nil {
 		pr.send(id, m)
@@ -237,7 +238,7 @@
 		attempt.value = pr.plan().next
 	}
 	if attempt.value == nil {
-		pr.proposal = nil // the reason for the proposal has passed
+		pr.proposal = nil // the reason for the proposal no longer exists
 		return
 	}
 	pr.requestAccept(attempt)
@@ -277,8 +278,8 @@
 }
 
 // isChosen reports whether majorities of the voters of both views have accepted. The old majority decides, as in any Paxos. The new
-// one sees to it that a majority of the voters who decide on the next view knows the view that it starts from. Phase one needs the
-// old majority only: it meets every old majority that may have accepted.
+// one ensures that a majority of the voters who decide on the next view knows the view that it starts from. Phase one needs only the
+// old majority, which intersects every old majority that may have accepted.
 func (pr *proposer) isChosen(p *proposal) bool {
 	return pr.acceptor.isQuorum(p.current, p.acceptedBy) && pr.acceptor.isQuorum(p.value, p.acceptedBy)
 }
@@ -292,7 +293,7 @@
 	}
 }
 
-// reset drops a proposal that has been overtaken by a chosen view.
+// reset discards a proposal that is obsolete because a view was chosen.
 func (pr *proposer) reset() {
 	pr.proposal, pr.proposeAt, pr.highestRoundSeen, pr.timeouts = nil, -1, 0, 0
 }
--- a/internal/system/replication/quorum.go
+++ b/internal/system/replication/quorum.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// voterSet is nodes that promised, accepted or confirmed, with their addresses. The addresses count in epoch 0 alone, where the seeds vote,
-// which are known by address; readConfirmation, which asks nobody before there is a view, leaves them empty.
+// voterSet is a set of nodes that have promised, accepted or confirmed, with their addresses. The addresses matter only in epoch 0,
+// where the seeds vote, which are known by address. readConfirmation, which asks no voters before there is a view, leaves them empty.
 type voterSet map[ID]string
 
-// isQuorum reports whether the nodes of the set are a majority of v's voters. In epoch 0 the seeds vote, by address, without those that
-// are known to be observers.
+// isQuorum reports whether the nodes of the set are a majority of v's voters. In epoch 0 the seeds vote, identified by address,
+// except those that are known to be observers.
 //
-// That two quorums of epoch 0 meet: let D be the seeds with a disk, which alone vote, and K the observers among the seeds that a
-// proposer knows of. K and D have no member in common, so the proposer counts over at least |D| seeds and needs more than |D|/2 votes,
-// all of them out of D. Whatever another proposer knows, it needs as many. To know of fewer observers makes the quorum larger, never
-// smaller. This assumes that a seed does not turn from observer to voter before the first view: Config.Bootstrap is set only at the
-// first start of all, and Config.Observer is a property of the machine.
+// Two quorums of epoch 0 intersect: let D be the seeds with a disk, which are the only ones that vote, and K the observers among the
+// seeds that a proposer knows of. K and D are disjoint, so the proposer counts over at least |D| seeds and needs more than |D|/2
+// votes, all of them from D. The same holds for any other proposer, whichever observers it knows of. Knowing of fewer observers makes
+// the quorum larger, never smaller. This assumes that a seed does not turn from observer to voter before the first view:
+// Config.Bootstrap is set only in the initial bootstrap, and Config.Observer is a property of the machine.
 //
-// Where all seeds have said that they are observers, D is empty, and the seeds vote for the first view all the same: a majority of all
-// of them, with their promises in memory. A process that ends has no vote afterwards, since it starts without Config.Bootstrap, so
-// nobody votes twice. They name nodes with a disk, and do not vote once there is a view.
+// If all seeds have reported that they are observers, D is empty, and the seeds vote for the first view nevertheless: a majority of
+// all of them is required, with their promises in memory. A process that ends has no vote afterwards, since it starts without
+// Config.Bootstrap, so no node votes twice. The seeds name nodes with a disk, and do not vote once there is a view.
 func (ac *acceptor) isQuorum(v *View, set voterSet) bool {
 	if v.Epoch == 0 {
 		return ac.isSeedQuorum(set)
--- a/internal/system/replication/race_test.go
+++ b/internal/system/replication/race_test.go
@@ -2,5 +2,5 @@
 
 package replication
 
-// raceDetector tells that everything takes several times as long.
+// raceDetector reports whether the race detector, which slows tests down several times, is enabled.
 const raceDetector = true
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -9,8 +9,8 @@
 
 const confirmTimeout = 1500 * time.Millisecond
 
-// readConfirmation asks the voters in rounds whether the epoch still stands (invariant 5 of the package). A request that comes during a round
-// waits for the next one, since the voters may have answered before it came.
+// readConfirmation asks the voters in rounds whether the epoch is still current (invariant 5 of the package). A request that arrives
+// during a round waits for the next one, since the voters may have answered before it arrived.
 type readConfirmation struct {
 	*environment
 	number      uint64 // of the round, 0 before the first
@@ -18,16 +18,16 @@
 	startedAt   time.Duration
 	sentAt      time.Duration
 	confirmedBy voterSet
-	waiters     []func(confirmed bool) // of the round; none: no round is in progress
+	waiters     []func(confirmed bool) // for the current round; empty: no round is in progress
 	queued      []func(confirmed bool) // for the next round
 
 	acceptor *acceptor
 	chain    *chainReplica
 }
 
-// confirmEpoch calls then once a majority of the voters has confirmed, asked from now on, that they know of no view after this one and have
-// accepted none. A later view is chosen only when a majority has accepted it, so none is yet. then gets false where the epoch ends or
-// the round times out.
+// confirmEpoch calls then with true once a majority of the voters, asked after this call, has confirmed that they know of no view
+// after this one and have accepted none. A later view is chosen only when a majority has accepted it, so none has been chosen yet. It
+// calls then with false if the epoch ends or the round times out.
 func (rc *readConfirmation) confirmEpoch(then func(confirmed bool)) {
 	if rc.cfg.knobs.SkipReadConfirmation {
 		then(true)
@@ -43,7 +43,7 @@
 	}
 }
 
-// startRound asks the voters for those that are queued.
+// startRound asks the voters on behalf of the queued requests.
 func (rc *readConfirmation) startRound() {
 	if len(rc.queued) == 0 {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// tickConfirmation ends a round that takes too long, and repeats its messages.
+// tickConfirmation ends a round that takes too long, or resends its messages.
 func (rc *readConfirmation) tickConfirmation() {
 	if len(rc.waiters) == 0 {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// endRound tells those who wait for the round.
+// endRound reports the result to those who wait for the round.
 func (rc *readConfirmation) endRound(confirmed bool) {
 	waiters := rc.waiters
 	rc.waiters = nil
@@ -89,7 +89,7 @@
 	}
 }
 
-// failConfirmations ends the round and what is queued, when the epoch ends.
+// failConfirmations fails the current round and the queued requests when the epoch ends.
 func (rc *readConfirmation) failConfirmations() {
 	rc.waiters, rc.queued = slices.Concat(rc.waiters, rc.queued), nil
 	rc.endRound(false)
@@ -128,8 +128,8 @@
 	}
 }
 
-// handleReadIndex answers a read as the tail, with the commit index, once the epoch is confirmed. Where it does not answer, the reader asks
-// again.
+// handleReadIndex answers a read as the tail, with the commit index, once the epoch is confirmed. If it does not answer, the reader
+// asks again.
 func (rc *readConfirmation) handleReadIndex(from ID, m *replicationpb.ReadIndex) {
 	if m.GetEpoch() != rc.acceptor.view.Epoch || !rc.chain.isTail() {
 		return
@@ -142,8 +142,8 @@
 	})
 }
 
-// canAnswerReads reports whether this node is the tail and knows to be committed what an earlier tail, or this one in a former incarnation,
-// may have acknowledged.
+// canAnswerReads reports whether this node is the tail and knows everything to be committed that an earlier tail, or this one in a
+// previous incarnation, may have acknowledged.
 func (rc *readConfirmation) canAnswerReads() bool {
 	return rc.chain.isTail() && rc.chain.holdsAcknowledged()
 }
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -10,7 +10,7 @@
 // catchUp is how long after its return a node may still count as lost.
 const catchUp = 4 * time.Second
 
-// awaitRepair runs a simulation without faults until its view is whole.
+// awaitRepair runs a simulation without faults until its view is complete.
 func awaitRepair(t *testing.T, w *clusterSim, limit time.Duration) time.Duration {
 	t.Helper()
 	began := w.now
@@ -25,8 +25,8 @@
 	return w.now - began
 }
 
-// TestLostDiskIsRepairedInTime wipes, replaces or restarts one node after another. Danger: the next one is lost
-// catch_up_s after the return of the one before, and that would be one too many.
+// TestLostDiskIsRepairedInTime wipes, replaces or restarts one node after another. The next one may be lost catch_up_s after the
+// return of the previous one; if the repair took longer, that would be one loss too many.
 func TestLostDiskIsRepairedInTime(t *testing.T) {
 	longest := map[string]time.Duration{}
 	seeds := uint64(24)
@@ -75,8 +75,8 @@
 	t.Logf("whole again after at most %v", longest)
 }
 
-// TestChangesWaitOnlyForTheRepair measures the longest time in which no change is acknowledged when one replica goes.
-// Danger: it comes near ack_ms, and an operator's change is refused though only one node was lost.
+// TestChangesWaitOnlyForTheRepair measures the longest time without an acknowledged change after the loss of one replica. It guards
+// against a wait close to ack_ms, with which an operator's change would be refused although only one node was lost.
 func TestChangesWaitOnlyForTheRepair(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(30) {
@@ -118,7 +118,8 @@
 	}
 }
 
-// TestAChangeOfVotersNeedsBothMajorities: so that a majority of the next register's voters knows the view it starts from.
+// TestAChangeOfVotersNeedsBothMajorities checks that a majority of the voters who decide on the next view knows the view that it
+// starts from.
 func TestAChangeOfVotersNeedsBothMajorities(t *testing.T) {
 	a, b, x, y := Member{ID: "a"}, Member{ID: "b"}, Member{ID: "x"}, Member{ID: "y"}
 	c := newCore(Config{}, toyMachine{})
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -12,8 +12,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestAllNodesRestartFromTheirLogs ends all nodes at the same moment and starts them again on their own files. Danger:
-// what was acknowledged is on disk, and nobody answers for it.
+// TestAllNodesRestartFromTheirLogs stops all nodes at the same moment and restarts them from their own files. It guards against
+// acknowledged changes that are on disk but that no node serves.
 func TestAllNodesRestartFromTheirLogs(t *testing.T) {
 	folders := map[string]string{}
 	bubble.Test(t, func(t *testing.T) {
@@ -25,10 +25,10 @@
 			for _, a := range fleet.seeds {
 				fleet.nodes[a] = fleet.start(a, round == 0)
 			}
-			if round > 0 { // after a start of all, what is on disk is committed anew before any call
+			if round > 0 { // after a start of all nodes, what is on disk is committed again before any call
 				fleet.checkCommitted(round)
 			}
-			if round == 2 { // one is away for long enough that the others go on without it
+			if round == 2 { // one node is down for long enough that the others continue without it
 				away := fleet.seeds[round%3]
 				fleet.stop(away, fleet.nodes[away])
 				time.Sleep(3 * time.Second)
@@ -43,7 +43,7 @@
 	})
 }
 
-// restartedFleet is nodes on logs of their own, which are started again and again.
+// restartedFleet is a fleet of nodes with logs on disk, which are restarted several times.
 type restartedFleet struct {
 	*fleet
 	folders map[string]string
@@ -66,7 +66,7 @@
 	return node
 }
 
-// checkCommitted checks that all nodes soon know so many evacuations to be committed.
+// checkCommitted checks that all nodes soon know the given number of evacuations to be committed.
 func (f *restartedFleet) checkCommitted(evacuations int) {
 	f.t.Helper()
 	time.Sleep(250 * time.Millisecond)
@@ -77,7 +77,7 @@
 	}
 }
 
-// evacuateOneMore reads the evacuations of the rounds before at one node, adds one, and reads it at another.
+// evacuateOneMore reads the evacuations of the previous rounds at one node, adds one, and reads it at another node.
 func (f *restartedFleet) evacuateOneMore(round int, zone string) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -7,9 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// RestoredSnapshot returns the snapshot for the empty disk of a node that is to begin with s. The disk gets no acceptor state, so the node gets
-// a new identity, and the nodes form a first view, whose head is one with the longest log. The other replicas receive what the head has,
-// and nodes that come later what the chain has.
+// RestoredSnapshot returns the snapshot for the empty disk of a node that is to start with s. The disk gets no acceptor state, so the
+// node gets a new identity, and the nodes form a first view, whose head is one with the longest log. The other replicas receive what
+// the head has, and nodes that join later receive what the chain has.
 func RestoredSnapshot(s *controlstate.State) (wal.Snapshot, error) {
 	if s.Seq == 0 {
 		return wal.Snapshot{}, errors.New("replication: the state holds no record: start the nodes without it")
@@ -17,8 +17,7 @@
 	return encodeImage(s.Seq, 0, controlState{s}) // epoch 0: from before the first view
 }
 
-// RecoverState returns the state after all records that a node's disk holds. The last of them may never have been
-// acknowledged.
+// RecoverState returns the state after all records on a node's disk. The last of them may never have been acknowledged.
 func RecoverState(snap wal.Snapshot, entries []wal.Entry) (*controlstate.State, error) {
 	core, err := NewCore(Config{}, controlMachine{}, nil, snap, entries)
 	if err != nil {
@@ -38,10 +37,10 @@
 	return recovered.State, nil
 }
 
-// discardRestoredLog empties the log of a node whose first view is v, unless it leads there, and reports whether v has to wait for that.
-// What was restored here is no part of the chain's log, which may have begun with something else, or with nothing; records are
-// compared by number and epoch only, and below a snapshot not at all. The log is empty on disk before the view is there, so that no
-// restart comes between.
+// discardRestoredLog empties the log of a node whose first view is v, unless the node leads it, and reports whether v has to wait for
+// that. Records that were restored here are not part of the chain's log, which may have begun with something else, or with nothing.
+// Records are compared only by number and epoch, and below a snapshot not at all. The log is empty on disk before the view is on
+// disk, so that a restart in between cannot combine the view with the restored log.
 func (cr *chainReplica) discardRestoredLog(v *View) bool {
 	if cr.acceptor.view.Epoch > 0 || v.Head() == cr.self.ID {
 		return false
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -14,7 +14,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// restored is a state of n records, of which the first evacuates the zone mark.
+// restored returns a state of n records, of which the first evacuates the zone mark.
 func restored(t *testing.T, mark string, n int) *controlstate.State {
 	t.Helper()
 	state := controlstate.Empty()
@@ -35,7 +35,7 @@
 	return state
 }
 
-// restoredFleet is nodes on real files.
+// restoredFleet is a fleet of nodes with logs on disk.
 type restoredFleet struct {
 	*fleet
 	folders map[string]string
@@ -93,7 +93,7 @@
 	}
 }
 
-// serves checks that every node holds the records of want, and that a further change comes about on all.
+// serves checks that every node holds the records of want, and that a further change is applied on all of them.
 func (f *restoredFleet) serves(when string, want *controlstate.State, next string) *controlstate.State {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -126,8 +126,8 @@
 	return after
 }
 
-// TestRestoredNodesFormFirstView restores some of three nodes. Danger: the head is one that holds nothing, and the
-// others go on with another log below the same numbers.
+// TestRestoredNodesFormFirstView restores some of three nodes. It guards against a head that holds nothing, and against other nodes
+// continuing with a different log under the same numbers.
 func TestRestoredNodesFormFirstView(t *testing.T) {
 	long, short, other := restored(t, "long", 700), restored(t, "long", 300), restored(t, "other", 500)
 	for _, test := range []struct {
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestRestoredNodeThatStartsLate starts it when the others have formed a view and taken changes. Danger: its log, which
-// is longer, is taken for the chain's.
+// TestRestoredNodeThatStartsLate starts a restored node after the others have formed a view and accepted changes. It guards against
+// its log, which is longer, being taken for the chain's.
 func TestRestoredNodeThatStartsLate(t *testing.T) {
 	folders := map[string]string{}
 	for _, a := range newFleet(t).seeds {
@@ -197,8 +197,8 @@
 	})
 }
 
-// TestRestoredStateIsGoneBeforeTheViewIsThere looks at the order of the writes. Danger: a crash between them leaves a
-// view over a log that is not the chain's.
+// TestRestoredStateIsGoneBeforeTheViewIsThere checks the order of the writes. It guards against a crash between them that leaves a
+// view on top of a log that is not the chain's.
 func TestRestoredStateIsGoneBeforeTheViewIsThere(t *testing.T) {
 	image, err := RestoredSnapshot(restored(t, "old", 9))
 	if err != nil {
--- a/internal/system/replication/scenarios_test.go
+++ b/internal/system/replication/scenarios_test.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// scenarios play one course of events each that random faults hardly ever meet. They give what was broken, empty when
-// nothing was. With the protection taken out something must be.
+// scenarios each play one specific sequence of events that random faults rarely produce. They return which invariant was violated, or
+// an empty string. Without the protection, an invariant must be violated.
 var scenarios = []struct {
 	name  string
 	knobs TestingKnobs
@@ -19,7 +19,7 @@
 	{"a change that was under way for longer than its caller waits", TestingKnobs{AcceptLateForwards: true}, playLateForward},
 }
 
-// scenarioKnobs are those that random faults hardly ever show, so that a scenario must.
+// scenarioKnobs disable the protections whose absence random faults rarely reveal, so that a scenario must.
 var scenarioKnobs = TestingKnobs{ConfirmAfterAccept: true, AcceptForwardsOfEarlierEpochs: true, AcceptLateForwards: true}
 
 func TestScenariosNeedTheirProtections(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// threeNodes starts nodes a, b and c in a zone each and waits until all are replicas.
+// threeNodes starts nodes a, b and c in separate zones and waits until all are replicas.
 func threeNodes(t *testing.T, machines int, h TestingKnobs) *scriptedCluster {
 	return formThreeNodes(newScriptedCluster(t), machines, h)
 }
@@ -64,12 +64,12 @@
 	return m.Addr
 }
 
-// between reports whether a message goes from one of the two to the other.
+// between reports whether a message is from one of the two addresses to the other.
 func between(from, to, a, b string) bool { return from == a && to == b || from == b && to == a }
 
-// playAcceptedView cuts the tail from the head. The voter between them accepts the next view and is
-// not told that it is chosen; it is no replica of it, since it is about to leave. Then the new chain acknowledges while tail
-// and voter are a majority of the former view. Danger: together they answer a read with the past.
+// playAcceptedView partitions the tail from the head. The voter between them accepts the next view but does not learn that it is
+// chosen; it is not a replica of that view, since it is about to leave. Then the new chain acknowledges a change while the tail and
+// the voter are a majority of the previous view. The danger is that they together answer a read with stale state.
 func playAcceptedView(t *testing.T, h TestingKnobs) string {
 	cluster := threeNodes(t, 0, h)
 	voter := cluster.replica(1)
@@ -85,11 +85,11 @@
 		}
 		if from == head && to == voter && cluster.nodes[head].core.acceptor.view.Epoch > before || m.GetChosen() != nil && to == voter {
 			told = true
-			return false // not a word of the new view
+			return false // no information about the new view
 		}
 		return true
 	}
-	cluster.nodes[tail].core.liveness.graceUntil, cluster.nodes[voter].core.liveness.graceUntil = time.Hour, time.Hour // the head proposes
+	cluster.nodes[tail].core.liveness.graceUntil, cluster.nodes[voter].core.liveness.graceUntil = time.Hour, time.Hour // only the head proposes
 	cluster.until(5*time.Second, "the head goes on alone", func() bool {
 		return cluster.nodes[head].core.acceptor.view.Epoch > before && cluster.nodes[head].core.chain.isTail()
 	})
@@ -99,7 +99,7 @@
 		t.Fatalf("it did not come about: told %v, views %v and %v", told, cluster.nodes[voter].core.acceptor.view, cluster.nodes[tail].core.acceptor.view)
 	}
 	read, current := cluster.read(tail, 2*time.Second), false
-	cluster.run(time.Second) // what the voter said before it accepted may be taken for current for that long
+	cluster.run(time.Second) // for that long, what the voter stated before it accepted may count as current
 	for range 300 {
 		cluster.step()
 		current = current || cluster.nodes[tail].core.Current(cluster.clock(cluster.nodes[tail]))
@@ -115,12 +115,12 @@
 	return ""
 }
 
-// playForwardOfAnEarlierEpoch holds up a change on its way to the head. Its caller gets no clear answer when another becomes
-// the head, a second change is acknowledged, the former head leads again, and then the first arrives, still within its
-// time. Danger: it undoes the second.
+// playForwardOfAnEarlierEpoch delays a change on its way to the head. Its caller gets an Unknown outcome when another node becomes
+// the head, a second change is acknowledged, the previous head leads again, and then the first change arrives, still before its
+// deadline. The danger is that it undoes the second one.
 func playForwardOfAnEarlierEpoch(t *testing.T, h TestingKnobs) string {
 	cluster := threeNodes(t, 0, h)
-	sender := cluster.replica(2) // votes on, but is no replica any more, so that the two others lead in turn
+	sender := cluster.replica(2) // still votes, but is no longer a replica, so that the two others lead in turn
 	n := cluster.nodes[sender]
 	n.core.Leave(cluster.clock(n))
 	cluster.until(3*time.Second, "a chain of two", func() bool { return cluster.complete(2, 3) })
--- a/internal/system/replication/scripted_cluster_test.go
+++ b/internal/system/replication/scripted_cluster_test.go
@@ -12,25 +12,26 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// clusterStep is how long a message and a write take in a cluster.
+// clusterStep is how long a message and a write take in a scriptedCluster.
 const clusterStep = 5 * time.Millisecond
 
-// scriptedCluster drives cores without faults of its own: a test scripts who runs, what is held back and when it arrives.
+// scriptedCluster drives cores without random faults: a test controls which nodes run, which messages are delayed, and when they
+// arrive.
 type scriptedCluster struct {
 	t            *testing.T
 	now          time.Duration
 	nodes        map[string]*scriptedNode // by address
 	sent         []Envelope
-	filter       func(from, to string, m *replicationpb.Message) bool // false: the message is lost; nil: none is
+	filter       func(from, to string, m *replicationpb.Message) bool // returns false for a message to be lost; nil: none is lost
 	lastCallID   uint64
 	done         map[uint64]Completion
 	machine      Machine
-	slowNetworks map[string]*slowNetwork  // by address: what arrives there through a slow link
-	quotas       map[string]cpuQuota      // by address; none: the node always runs
-	writeTimes   map[string]time.Duration // by address: how long each write of the disk takes; clusterStep where there is none
+	slowNetworks map[string]*slowNetwork  // by address: the slow link over which the node receives
+	quotas       map[string]cpuQuota      // by address; no entry: the node always runs
+	writeTimes   map[string]time.Duration // by address: duration of each write; no entry: clusterStep
 }
 
-// cpuQuota is a quota of a core: the node runs at full speed for a part of each quotaPeriod, and then not at all until the next one.
+// cpuQuota is a CPU quota: the node runs at full speed for a share of each quotaPeriod, and then not at all until the next one.
 type cpuQuota struct {
 	share float64
 	phase time.Duration // when its periods begin
@@ -38,17 +39,17 @@
 
 const quotaPeriod = 100 * time.Millisecond
 
-// isThrottled reports whether a node has spent its quota for the present period.
+// isThrottled reports whether a node has used up its quota for the current period.
 func (cluster *scriptedCluster) isThrottled(addr string) bool {
 	quota, ok := cluster.quotas[addr]
 	return ok && (cluster.now+quota.phase)%quotaPeriod >= time.Duration(quota.share*float64(quotaPeriod))
 }
 
-// slowNetwork is a slow link to a node, on which appends and snapshots wait for each other.
+// slowNetwork is a slow link to a node, on which appends and snapshots are queued.
 type slowNetwork struct {
-	bytesPerSecond float64 // bytes a second
+	bytesPerSecond float64
 	freeAt         time.Duration
-	sentBytes      int // bytes
+	sentBytes      int
 	arrivals       []arrival
 }
 
@@ -57,7 +58,7 @@
 	envelope Envelope
 }
 
-// transmits reports whether the message goes through the pipe; heartbeats have a connection of their own.
+// transmits reports whether the message is sent over the slow link; heartbeats have a connection of their own.
 func (p *slowNetwork) transmits(now time.Duration, e Envelope) bool {
 	if e.Msg.GetAppend() == nil && e.Msg.GetInstall() == nil {
 		return false
@@ -69,22 +70,22 @@
 	return true
 }
 
-// scriptedNode is one core and what its disk holds.
+// scriptedNode is one core and the contents of its disk.
 type scriptedNode struct {
-	core      *Core // nil: it does not run
+	core      *Core // nil: the node is stopped
 	cfg       Config
 	startedAt time.Duration
 	paused    bool
 	disk      *memDisk
 	pending   []*DiskOp
-	writtenAt time.Duration // when the write that is in progress ends
+	writtenAt time.Duration // when the write in progress ends
 }
 
 func newScriptedCluster(t *testing.T) *scriptedCluster {
 	return &scriptedCluster{t: t, nodes: map[string]*scriptedNode{}, done: map[uint64]Completion{}, machine: toyMachine{}, slowNetworks: map[string]*slowNetwork{}}
 }
 
-// start starts a node at cfg.Self.Addr, on the disk that it left there.
+// start starts a node at cfg.Self.Addr, on the disk that was last used there.
 func (cluster *scriptedCluster) start(cfg Config) {
 	cluster.t.Helper()
 	addr := cfg.Self.Addr
@@ -110,7 +111,7 @@
 	return cluster.now - n.startedAt
 }
 
-// collect takes what a core wants done.
+// collect executes the work that a core requests.
 func (cluster *scriptedCluster) collect(addr string) {
 	source := cluster.nodes[addr]
 	out := source.core.Ready()
@@ -131,7 +132,7 @@
 	}
 }
 
-// captureForwards takes the changes that sender passes on to head off the network from now on, until another filter is set.
+// captureForwards removes from the network the changes that sender forwards to head from now on, until another filter is set.
 func (cluster *scriptedCluster) captureForwards(sender, head string) *[]Envelope {
 	var held []Envelope
 	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
@@ -144,7 +145,7 @@
 	return &held
 }
 
-// deliver hands a message over at once, whether or not the filter would let it through.
+// deliver delivers a message immediately, regardless of the filter.
 func (cluster *scriptedCluster) deliver(e Envelope) {
 	if n := cluster.nodes[e.Addr]; n != nil && n.core != nil && !n.paused {
 		n.core.Receive(cluster.clock(n), e.Msg)
@@ -158,7 +159,7 @@
 	cluster.sent = nil
 	for _, e := range sent {
 		if cluster.isThrottled(e.Addr) {
-			cluster.sent = append(cluster.sent, e) // it waits in the node's socket
+			cluster.sent = append(cluster.sent, e) // the message waits in the node's socket
 			continue
 		}
 		if p := cluster.slowNetworks[e.Addr]; p == nil || !p.transmits(cluster.now, e) {
@@ -178,14 +179,14 @@
 			continue
 		}
 		cluster.finishWrites(n)
-		if cluster.quotas != nil || cluster.now%(25*time.Millisecond) == 0 { // a node under a quota may not run at such a time
+		if cluster.quotas != nil || cluster.now%(25*time.Millisecond) == 0 { // a node with a quota may be suspended at such a time
 			n.core.Tick(cluster.clock(n))
 		}
 		cluster.collect(addr)
 	}
 }
 
-// finishWrites ends the writes of a node whose time is over.
+// finishWrites completes the writes of a node that are due.
 func (cluster *scriptedCluster) finishWrites(writer *scriptedNode) {
 	if cluster.now < writer.writtenAt {
 		return
@@ -204,7 +205,7 @@
 	}
 }
 
-// until runs until ok, and fails the test when that takes longer than limit.
+// until runs until ok returns true, and fails the test if that takes longer than limit.
 func (cluster *scriptedCluster) until(limit time.Duration, what string, ok func() bool) time.Duration {
 	cluster.t.Helper()
 	began := cluster.now
@@ -223,7 +224,7 @@
 	return cluster.now - began
 }
 
-// submit asks for a change at addr and gives the number under which it ends.
+// submit submits a change at addr and returns the number of the call.
 func (cluster *scriptedCluster) submit(addr string, ch controlstate.Change, ttl time.Duration) uint64 {
 	cluster.lastCallID++
 	n := cluster.nodes[addr]
@@ -245,7 +246,7 @@
 	return ok && d.Outcome == Answered
 }
 
-// view is the newest view that any running core knows.
+// view returns the newest view that any running core knows.
 func (cluster *scriptedCluster) view() *View {
 	newest := &View{}
 	for _, n := range cluster.nodes {
@@ -256,7 +257,7 @@
 	return newest
 }
 
-// complete reports whether the newest view has that many replicas and voters, and all replicas are active.
+// complete reports whether the newest view has the given number of replicas and voters, and all replicas are active.
 func (cluster *scriptedCluster) complete(links, voters int) bool {
 	v := cluster.view()
 	if len(v.Chain) != links || len(v.Voters) != voters {
--- a/internal/system/replication/sealing.go
+++ b/internal/system/replication/sealing.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-const sealTimeout = time.Second // without a chain replica that may lead
+const sealTimeout = time.Second // time without a chain replica that may lead
 
-// findHead looks for a head outside the chain, when no replica of the chain may lead because all that were active are lost. Where a
-// voter could lead once the others have sealed the epoch, seals are wanted, once in sealTimeout, and the search goes on when they are there.
+// findHead looks for a head outside the chain when no replica of the chain may lead because all that were active are lost. If a voter
+// could lead once the others have sealed the epoch, it requests seals, once per sealTimeout, and continues the search when the seals
+// have been reported.
 func (pl *planner) findHead(voters []Member) (head []Member, sealsWanted bool) {
 	if pl.headlessSince < 0 {
 		pl.headlessSince = pl.now
@@ -38,7 +39,7 @@
 	}
 }
 
-// isSealed reports whether a replica has sealed the present epoch, so that it needs a successor whatever else is well.
+// isSealed reports whether a replica has sealed the current epoch, so that the epoch needs a successor even if nothing else is wrong.
 func (pl *planner) isSealed() bool {
 	return slices.ContainsFunc(pl.acceptor.view.Chain, func(id ID) bool {
 		return pl.liveness.durableEpochsOf(id).sealed == pl.acceptor.view.Epoch
--- a/internal/system/replication/sealing_test.go
+++ b/internal/system/replication/sealing_test.go
@@ -7,9 +7,9 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// playUnsealedEpoch has a chain of a and b in which b, whose disk is slow, is not active yet. What a handed on to it is under
-// way. Nobody hears a any more, and c, which was active in the epoch before, is to lead. While that is agreed, what was
-// in flight reaches b. It returns what c lacks of what was acknowledged, empty when it lacks nothing.
+// playUnsealedEpoch forms a chain of a and b in which b, whose disk is slow, is not active yet. The records that a has sent to it are
+// in flight. No node receives messages from a any more, and c, which was active in the previous epoch, is to lead. While the nodes
+// agree on that, the records in flight reach b. It returns which acknowledged changes c lacks, or an empty string if there are none.
 func playUnsealedEpoch(t *testing.T, h TestingKnobs) string {
 	cluster := newScriptedCluster(t)
 	for _, a := range []string{"a", "b", "c"} {
@@ -58,8 +58,8 @@
 	return ""
 }
 
-// TestEpochsAreSealedBeforeTheyCountAsEmpty: danger: a replica that was not active in an epoch when it was last heard is active
-// a moment later, and acknowledges what the next head does not hold.
+// TestEpochsAreSealedBeforeTheyCountAsEmpty guards against a replica that was not active in an epoch according to its last heartbeat,
+// but becomes active a moment later, and acknowledges records that the next head does not hold.
 func TestEpochsAreSealedBeforeTheyCountAsEmpty(t *testing.T) {
 	if broken := playUnsealedEpoch(t, TestingKnobs{}); broken != "" {
 		t.Error(broken)
--- a/internal/system/replication/second_loss_test.go
+++ b/internal/system/replication/second_loss_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// lossKinds are the ways in which the first node goes.
+// lossKinds are the ways in which the first node is lost.
 var lossKinds = []string{"killed", "wiped", "leaving", "replaced"}
 
-// five forms a chain of five nodes that bears the loss of two, and has three changes acknowledged.
+// five forms a chain of five nodes that tolerates the loss of two, with three acknowledged changes.
 func five(t *testing.T) *scriptedCluster {
 	cluster := newScriptedCluster(t)
 	var addrs []string
@@ -28,7 +28,7 @@
 	return cluster
 }
 
-// again starts a node with an empty disk, and so another identity, at addr.
+// again starts a node at addr with an empty disk, and therefore with another identity.
 func (cluster *scriptedCluster) again(addr string, cfg Config) {
 	cfg.Bootstrap = false
 	cfg.Self.Addr = addr
@@ -40,7 +40,7 @@
 	cluster.start(cfg)
 }
 
-// heal brings the first node back as its kind of loss has it.
+// heal brings the first lost node back according to its kind of loss.
 func (cluster *scriptedCluster) heal(kind, addr string) {
 	n := cluster.nodes[addr]
 	switch kind {
@@ -53,17 +53,17 @@
 	}
 }
 
-// secondLoss is a run in which one node of five is lost and comes back, and another is lost for good meanwhile.
+// secondLoss is a run in which one node of five is lost and returns, and another one is lost permanently in the meantime.
 type secondLoss struct {
 	kind   string        // of the first loss
 	first  int           // 0: the head, 1: the middle, 2: the tail
-	second int           // 0: the head, 1: the tail of what is then the view
+	second int           // 0: the head, 1: the tail of the view at that time
 	at     time.Duration // of the second loss, after the first
 }
 
-// TestSecondLossAtEachStepOfRepair loses one node of five, has it come back 1 s later, and loses a second one, with
-// its disk, at each step on the way: every REPLICATION_STEP_MS from the first loss until all is well again. A third is not
-// lost. Danger: at some step the system waits for the one that is lost next.
+// TestSecondLossAtEachStepOfRepair loses one node of five, which returns 1 s later, and loses a second one with its disk at each step
+// of the repair: every REPLICATION_STEP_MS from the first loss until the repair is complete. No third node is lost. It guards against
+// a step at which the system waits for the node that is lost next.
 func TestSecondLossAtEachStepOfRepair(t *testing.T) {
 	const until = 3 * time.Second
 	steps := time.Duration(envInt("REPLICATION_STEP_MS", 150)) * time.Millisecond
@@ -113,7 +113,7 @@
 	return cluster.changeAndReadBack(name, lost)
 }
 
-// changeAndReadBack asks a node that runs, other than the one that was lost, for a fourth change, and reads it back. It returns how long the
+// changeAndReadBack submits a fourth change to a running node other than the lost one, and reads it back. It returns how long the
 // change waits.
 func (cluster *scriptedCluster) changeAndReadBack(name, lost string) time.Duration {
 	cluster.t.Helper()
--- a/internal/system/replication/sim_change_history_test.go
+++ b/internal/system/replication/sim_change_history_test.go
@@ -8,15 +8,15 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// changeHistory is what is known of a change, over all its tries.
+// changeHistory is what is known of a change, over all its attempts.
 type changeHistory struct {
-	attempts int  // sent
-	refused  int  // of them, those that are certain not to have come about
-	rejected bool // was called stale or invalid, so it must never come about
+	attempts int  // number of attempts sent
+	refused  int  // of those, the ones that are certain not to be applied
+	rejected bool // was reported as stale or invalid, so it must never be applied
 	acked    bool
 }
 
-// keyOf names a change; the tries of one have the same name.
+// keyOf returns the key of a change; all attempts of one change have the same key.
 func keyOf(ch controlstate.Change) string {
 	switch ch.Op {
 	case controlstate.OpEvacuate, controlstate.OpReadmit:
@@ -38,7 +38,7 @@
 
 func (a *simCall) fail() bool { return strings.HasPrefix(string(a.change.Body), "bad") }
 
-// committed takes note of a record that was committed first just now.
+// committed records that a record has just been committed for the first time.
 func (w *clusterSim) committed(r controlstate.Record) {
 	key := keyOf(controlstate.Change{Op: r.Op, Base: r.Base, Body: r.Body, Zone: r.Zone})
 	if seq := w.acceptedAt[key]; seq > 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-// checkHistories holds what came about against what was refused.
+// checkHistories compares what was applied with what was refused.
 func (w *clusterSim) checkHistories() {
 	for key, l := range w.histories {
 		if l.attempts > 0 && l.refused == l.attempts && w.acceptedAt[key] > 0 {
--- a/internal/system/replication/sim_cluster_test.go
+++ b/internal/system/replication/sim_cluster_test.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// clusterSim is a seeded simulation of nodes, the proxies that follow them and the operators that call them, over a faulty
-// network, faulty disks and a clock of its own.
+// clusterSim is a seeded simulation of nodes, the proxies that follow them and the operators that call them, with a faulty network,
+// faulty disks and a simulated clock.
 type clusterSim struct {
 	rng    *rand.Rand
 	now    time.Duration
@@ -24,43 +24,43 @@
 
 	partitioned map[[2]string]*partitionedPath
 	loss        float64
-	extraDelay  time.Duration // more delay
+	extraDelay  time.Duration // maximum additional delay of messages
 	triggers    []*stepTrigger
-	onAck       []func()                   // armed faults
-	onAnswer    func(*simCall, Completion) // told every answer of a node
-	onStep      func(string, string)       // told every step and the address that takes it
-	onOutput    func(*simNode, *Outputs)   // told all that a core wants done, before any of it is
-	onReply     func(*simNode, *pollReply) // told every answer of a node to a proxy
-	eventAt     time.Duration              // of the last fault's begin or end
-
-	truth      []string // committed records, agreed by all
+	onAck       []func()                   // armed faults, which are injected at the next acknowledgement
+	onAnswer    func(*simCall, Completion) // called with every answer of a node
+	onStep      func(string, string)       // called with every step and the address of its node
+	onOutput    func(*simNode, *Outputs)   // called with all outputs of a core, before any is executed
+	onReply     func(*simNode, *pollReply) // called with every reply of a node to a proxy
+	eventAt     time.Duration              // when the last fault began or ended
+
+	truth      []string // committed records, agreed by all nodes
 	states     []*toy   // after each committed record
 	acceptedAt map[string]uint64
-	epochs     []uint64 // in which each record was committed first
+	epochs     []uint64 // in which each record was first committed
 	viewOf     map[uint64]string
 	newest     *View
 
 	acked           uint64 // newest number acknowledged
-	newestRead      uint64 // newest number that a read gave
+	newestRead      uint64 // newest number that a read returned
 	acks            []ack
-	lastChange      uint64            // of changes
-	evacuationZones []*evacuationZone // with an operator each
+	lastChange      uint64            // counter of changes
+	evacuationZones []*evacuationZone // each with its own operator
 	resendable      []controlstate.Change
 	histories       map[string]*changeHistory
 	proxies         []*proxy
 
-	lost        int           // disks lost since all was well
-	lostAt      time.Duration // when the last one was
+	lost        int           // disks lost since the view was last complete
+	lostAt      time.Duration // when the last one was lost
 	pending     int           // nodes that are about to be replaced
 	violation   error
 	clientsDone bool
-	ackDelay    time.Duration // the last fault, a change was acknowledged
-	faultsOver  bool          // faults are over
+	ackDelay    time.Duration // from the last fault until a change was acknowledged
+	faultsOver  bool
 	stats       stats
 	trace       func(string, ...any)
 }
 
-// stats count what came about in a run.
+// stats counts what happened in a run.
 type stats struct {
 	accepted, unknown, refused, already, stale, reads, views                    int
 	steps, lateMessages, polls, resent, joins, formerIncarnation, probes, zones int
@@ -110,7 +110,7 @@
 	heap.Push(&w.events, event{at: w.now + d, seq: w.order, do: do})
 }
 
-// recordDisturbance notes that a fault begins or ends.
+// recordDisturbance records that a fault begins or ends.
 func (w *clusterSim) recordDisturbance() { w.eventAt = w.now }
 
 func newClusterSim(seed uint64, layout topology, knobs TestingKnobs) *clusterSim {
@@ -147,7 +147,7 @@
 	return w
 }
 
-// runUntil lets the simulation go on.
+// runUntil advances the simulation to the time t.
 func (w *clusterSim) runUntil(t time.Duration) {
 	for w.violation == nil && len(w.events) > 0 && w.events[0].at <= t {
 		e := heap.Pop(&w.events).(event)
@@ -157,7 +157,7 @@
 	w.now = max(w.now, t)
 }
 
-// runWhile lets the simulation go on while cond holds, until the limit; it reports whether cond ended.
+// runWhile advances the simulation while cond returns true, for at most limit. It reports whether cond became false.
 func (w *clusterSim) runWhile(limit time.Duration, cond func() bool) bool {
 	for end := w.now + limit; cond(); {
 		if w.violation != nil || w.now >= end {
--- a/internal/system/replication/sim_disk_test.go
+++ b/internal/system/replication/sim_disk_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// simDisk is what would be left after a loss of power.
+// simDisk is what remains on a disk after a loss of power.
 type simDisk struct {
 	meta    map[string][]byte
 	snap    wal.Snapshot
@@ -58,7 +58,7 @@
 	}
 }
 
-// end is the number of the newest record on the disk.
+// end returns the number of the newest record on the disk.
 func (p *simDisk) end() uint64 {
 	if n := len(p.entries); n > 0 {
 		return p.entries[n-1].Seq
@@ -86,7 +86,7 @@
 		}
 		m.completedOp = op
 		if m.diskFull && op.Kind != DiskTruncate && (op.Kind != DiskSaveMeta || !m.acceptorReserve) {
-			if w.rng.IntN(3) == 0 && op.Kind == DiskAppend { // some of it came about
+			if w.rng.IntN(3) == 0 && op.Kind == DiskAppend { // a part of the write succeeded
 				m.disk.do(op, w.rng.IntN(len(op.Entries)+1))
 			}
 			m.run(core, func() { core.DiskDone(m.clock(), op.Token, errFull) })
--- a/internal/system/replication/sim_faults_apply_test.go
+++ b/internal/system/replication/sim_faults_apply_test.go
@@ -15,7 +15,7 @@
 	})
 }
 
-// apply has a fault come about now.
+// apply injects a fault now.
 func (w *clusterSim) apply(cause fault) {
 	if w.faultsOver {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// applyToNetwork applies partitions, losses and delays of messages.
+// applyToNetwork injects partitions, losses and delays of messages.
 func (w *clusterSim) applyToNetwork(cause fault, first, second *simNode) {
 	late := cause.n&4 != 0
 	switch cause.kind {
@@ -80,7 +80,7 @@
 	}
 }
 
-// applyToDisk applies disks that are full, slow or do not answer.
+// applyToDisk makes disks full, slow or unresponsive.
 func (w *clusterSim) applyToDisk(cause fault, node *simNode) {
 	switch cause.kind {
 	case faultDiskFull:
@@ -97,7 +97,7 @@
 	}
 }
 
-// applyGrouped applies the faults that strike several nodes, or later ones.
+// applyGrouped injects the faults that affect several nodes, or occur later.
 func (w *clusterSim) applyGrouped(cause fault, node *simNode) {
 	act := cause
 	act.kind = cause.act
@@ -128,7 +128,7 @@
 	}
 }
 
-// applyToAll applies a fault to each node that is chosen.
+// applyToAll injects a fault into each selected node.
 func (w *clusterSim) applyToAll(act fault, chosen func(*simNode) bool) {
 	for _, m := range slices.Clone(w.nodes) {
 		if chosen(m) && !m.removed {
@@ -138,7 +138,7 @@
 	}
 }
 
-// split partitions the nodes into two sides, by the bits of the fault.
+// split partitions the nodes into two sides, according to the bits of the fault.
 func (w *clusterSim) split(f fault) {
 	for _, x := range w.nodes {
 		for _, y := range w.nodes {
@@ -149,7 +149,7 @@
 	}
 }
 
-// fillDisksButOne fills all disks but that of one node, which is lost after the next acknowledgement.
+// fillDisksButOne fills all disks except that of one node, which is lost after the next acknowledgement.
 func (w *clusterSim) fillDisksButOne(f fault, one *simNode) {
 	for _, m := range w.nodes {
 		if m != one {
@@ -160,7 +160,7 @@
 	w.after(f.duration/2, func() { w.apply(fault{kind: faultWipeAfterAck, a: f.a, duration: f.duration}) })
 }
 
-// replaceTwice replaces a node, and soon its replacement.
+// replaceTwice replaces a node, and soon afterwards its replacement.
 func (w *clusterSim) replaceTwice(node *simNode, f fault) {
 	w.replace(node, f)
 	next := f
@@ -172,8 +172,8 @@
 	})
 }
 
-// isolate cuts a node off: all its replicas or one direction of them, or only those to other nodes, so that operators
-// and proxies still reach it. What it is sent meanwhile is gone, or comes after the cut.
+// isolate partitions a node: from all peers, in both directions or one, or only from other nodes, so that operators and proxies still
+// reach it. Messages sent to it in the meantime are lost, or arrive after the partition.
 func (w *clusterSim) isolate(node *simNode, isolation fault) {
 	others := []string{}
 	for _, m := range w.nodes {
@@ -195,7 +195,7 @@
 	}
 }
 
-// ackTimeout is how long a leaving node waits: half of them hardly do, as if they were killed soon after.
+// ackTimeout returns how long a leaving node waits: half of them wait hardly at all, as if they were killed soon afterwards.
 func (f fault) ackTimeout() time.Duration {
 	if f.n&2 != 0 {
 		return 200 * time.Millisecond
@@ -205,7 +205,7 @@
 
 func (m *simNode) restartAfter(d time.Duration) { m.sim.after(d, m.start) }
 
-// powerAll takes the power from all nodes; some lose their disks, as many as may.
+// powerAll cuts the power of all nodes; some lose their disks, as many as are tolerated.
 func (w *clusterSim) powerAll(f fault) {
 	for _, m := range w.nodes {
 		m.kill()
--- a/internal/system/replication/sim_faults_test.go
+++ b/internal/system/replication/sim_faults_test.go
@@ -27,12 +27,12 @@
 	faultPowerAfterAck
 	faultWipeAfterAck
 	faultDisksFullButOne
-	faultZone         // all nodes of a zone suffer the act
-	faultGroup        // some nodes suffer the act at once
-	faultStep         // the act comes at the n-th step of a name
-	faultReplaceTwice // a node, and soon its successor
-	faultJoin         // a node more
-	faultProxy        // a proxy restarts, pauses or is partitioned
+	faultZone         // all nodes of a zone are affected by act
+	faultGroup        // some nodes are affected by act at the same time
+	faultStep         // act is injected at the n-th step with a given name
+	faultReplaceTwice // replaces a node, and soon afterwards its successor
+	faultJoin         // adds a node
+	faultProxy        // restarts, pauses or partitions a proxy
 	faultKinds
 )
 
@@ -40,7 +40,7 @@
 	"slow disk", "stalled disk", "wipe", "replace", "leave", "power all after ack", "wipe after ack",
 	"full disks but one, which is wiped after ack", "zone", "group", "step", "replace twice", "join", "proxy"}
 
-// acts are the faults that may strike several nodes at once, or at a step.
+// acts are the faults that may affect several nodes at once, or be injected at a step.
 var acts = [...]faultKind{faultKill, faultPause, faultIsolate, faultWipe, faultPowerAll, faultReplace, faultLeave, faultDiskStall}
 
 type fault struct {
@@ -68,7 +68,7 @@
 // faultsFor draws the faults of a seed.
 func faultsFor(rng *rand.Rand, machines int, until time.Duration) []fault {
 	var out []fault
-	// Half of the seeds have their faults in bursts, so that one meets what the one before has not yet been repaired.
+	// Half of the seeds have their faults in bursts, so that a fault occurs before the previous one has been repaired.
 	bursts := []time.Duration{}
 	if rng.IntN(2) == 0 {
 		for range 1 + rng.IntN(4) {
@@ -99,7 +99,7 @@
 	return out
 }
 
-// longOutage is a node that is partitioned or away for 20 s and more.
+// longOutage returns a fault that partitions or stops a node for 20 s and more.
 func longOutage(rng *rand.Rand, machines int, until time.Duration) fault {
 	kinds := [...]faultKind{faultIsolate, faultIsolate, faultPartitionPair, faultPause, faultKill, faultSplit}
 	dur := 20*time.Second + time.Duration(rng.IntN(4000))*time.Millisecond
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// fromFormerIncarnation reports whether a message answers a call of a former incarnation of its addressee.
+// fromFormerIncarnation reports whether a message answers a call of a previous incarnation of its receiver.
 func fromFormerIncarnation(m *replicationpb.Message, life uint64) bool {
 	switch b := m.GetBody().(type) {
 	case *replicationpb.Message_Answer:
@@ -23,8 +23,8 @@
 	return false
 }
 
-// playAnswers has a node restart while answers to it lie on the way, so that they meet calls of its next life that have
-// the same numbers. It returns how many such answers arrived.
+// playAnswers restarts a node while answers to it are in flight, so that they arrive while calls of its next incarnation with the
+// same numbers are pending. It returns how many such answers arrived.
 func playAnswers(seed uint64, s topology, role string, h TestingKnobs) (int, error) {
 	w := newClusterSim(seed, s, h)
 	w.operate()
@@ -48,7 +48,7 @@
 	return w.stats.formerIncarnation, err
 }
 
-// askMixed asks a node for reads, changes and notes, twelve at once.
+// askMixed sends a node twelve concurrent calls: reads, changes and notes.
 func (w *clusterSim) askMixed(m *simNode, n int) {
 	for i := range 12 {
 		a := &simCall{node: m, first: w.acked, ttl: 3 * time.Second}
@@ -65,8 +65,8 @@
 	}
 }
 
-// playLateEvacuation has a call that may not be repeated reach the head, and its repetition by the sending node lie on the way
-// for 20 s. It returns how many repetitions arrived.
+// playLateEvacuation lets a call that must not be repeated reach the head, and delays its retransmission by the sending node by 20 s.
+// It returns how many retransmissions arrived.
 func playLateEvacuation(seed uint64, s topology, knobs TestingKnobs) (int, error) {
 	w := newClusterSim(seed, s, knobs)
 	w.runUntil(4 * time.Second)
@@ -91,8 +91,8 @@
 	return late, w.violation
 }
 
-// TestHardeningAnswersReachTheirCall: an answer completes the call that it is for and no other, and a call that may not be
-// repeated comes about once at most, however late its copies come.
+// TestHardeningAnswersReachTheirCall checks that an answer completes only the call that it is for, and that a call that must not be
+// repeated is applied at most once, no matter how late its copies arrive.
 func TestHardeningAnswersReachTheirCall(t *testing.T) {
 	roles := []string{"head", "second", "tail", "outsider", "late note"}
 	if raceDetector {
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestHardeningAnswersControls takes the protections out; some seed must then break.
+// TestHardeningAnswersControls disables protections; some seed must then violate an invariant.
 func TestHardeningAnswersControls(t *testing.T) {
 	for name, play := range map[string]func(seed uint64) (int, error){
 		"a change that comes twice is not recognised": func(seed uint64) (int, error) {
@@ -135,7 +135,7 @@
 		var err error
 		seed := uint64(0)
 		if name == "answers of a former life are taken" {
-			seed = 22 // it breaks at the next
+			seed = 22 // the next seed violates an invariant
 		}
 		for last := seed + 30; err == nil && seed < last; {
 			seed++
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -8,17 +8,17 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// leavePatience is how long a process that is told to end waits until it has left.
+// leavePatience is how long a process that is asked to stop waits until it has left.
 const leavePatience = 5 * time.Second
 
-// leave says goodbye and then ends: when enough others hold what it holds, at the latest after the patience.
+// leave drains the node and then ends it: when enough others hold what it holds, or at the latest after the timeout.
 func (m *simNode) leave(patience time.Duration, end func()) {
 	if !m.isRunning() || m.paused {
 		return
 	}
 	core, until := m.core, m.sim.now+patience
 	core.Leave(m.clock())
-	m.drain() // a fault aimed at what it sends may end the process here
+	m.drain() // a fault triggered by its messages may end the process here
 	var look func()
 	look = func() {
 		if m.core == core && m.sim.now < until && (m.paused || !core.Departed()) {
@@ -30,7 +30,7 @@
 	m.sim.after(20*time.Millisecond, look)
 }
 
-// checkLeft: who has left goes without anything being lost, since enough others hold all that was acknowledged.
+// checkLeft checks that a node that has left can stop without losing data, since enough others hold everything acknowledged.
 func (w *clusterSim) checkLeft(m *simNode) {
 	c := m.core
 	if c == nil || !c.liveness.draining || m.observer || w.now-w.lostAt < 3*time.Second || !c.Departed() || c.acceptor.view.Epoch == 0 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// playDrainingNode has a node leave for good that holds the only copy of what was acknowledged: one other was away meanwhile,
-// the third has just lost its disk. It returns how long the leaving node stayed.
+// playDrainingNode lets a node leave permanently that holds the only copy of what was acknowledged: one other node was down in the
+// meantime, and the third has just lost its disk. It returns how long the leaving node stayed.
 func playDrainingNode(seed uint64, patience time.Duration) (time.Duration, error) {
 	w := newClusterSim(seed, topology{3, 0, 1, 3, 0, 0}, TestingKnobs{})
 	w.operate()
@@ -87,8 +87,8 @@
 	return stayed, err
 }
 
-// TestHardeningDrainingNodeWithOnlyReplica: it goes when enough others hold what it holds, and not before. The control goes at
-// once.
+// TestHardeningDrainingNodeWithOnlyReplica checks that the node leaves when enough others hold what it holds, and not before. In the
+// control it leaves immediately.
 func TestHardeningDrainingNodeWithOnlyReplica(t *testing.T) {
 	var longest time.Duration
 	n := 40
@@ -119,7 +119,8 @@
 	t.Logf("control, the leaver goes at once: seed %d: %v", seed, err)
 }
 
-// TestDrainingNodeDoesNotCountTimedOutReplicas: what a replica said of itself long ago does not tell that its disk is still there.
+// TestDrainingNodeDoesNotCountTimedOutReplicas checks that an old heartbeat of a replica is not taken as proof that its disk still
+// exists.
 func TestDrainingNodeDoesNotCountTimedOutReplicas(t *testing.T) {
 	v := &View{Epoch: 3, Chain: []ID{"a", "b"}, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	c := newCore(Config{MachineLosses: 1, Self: Member{ID: "c"}}, toyMachine{})
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -9,20 +9,20 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// raceRun is what came about when two operators raced under one version.
+// raceRun is the result of two operators racing to change the same version.
 type raceRun struct {
-	inFlight    int // calls in flight at once
-	answered    int // tries of the race that got a clear answer
+	inFlight    int // concurrent calls
+	answered    int // attempts in the race that got a conclusive answer
 	lostAnswers int // answers that were lost
 	kills       int // nodes killed between the commit and the answer
-	changes     int // taken between the race and the repeats
-	snapshots   int // nodes whose log no longer holds the race
+	changes     int // accepted between the race and the retries
+	snapshots   int // nodes whose log no longer contains the race
 	retries     map[string][]string
 	err         error
 }
 
-// playRace sends two different changes of one version through every node at once, eight calls in all and more, loses
-// answers, kills nodes between commit and answer, and sends both again after hundreds of changes and a start of all.
+// playRace sends two different changes of one version through every node concurrently, in eight calls or more. It loses answers,
+// kills nodes between commit and answer, and sends both changes again after hundreds of changes and a restart of all nodes.
 func playRace(seed uint64, layout topology, between, history int, knobs TestingKnobs, forgetful bool) *raceRun {
 	out := &raceRun{retries: map[string][]string{}}
 	w := newClusterSim(seed, layout, knobs)
@@ -39,7 +39,7 @@
 			out.answerRace(w, call, done)
 		}
 	}
-	// Two nodes die when they have just written the record and nobody knows.
+	// Two nodes are killed when they have just written the record and no other node knows of it.
 	for range 2 {
 		w.arm(&stepTrigger{name: "wrote append", remaining: 1 + w.rng.IntN(layout.diskNodes), before: true, action: func(m *simNode) {
 			out.kills++
@@ -98,7 +98,7 @@
 		return
 	}
 	got.lostAnswers++
-	call.closed = true // the caller hears nothing and asks again
+	call.closed = true // the caller receives no answer and retries
 	again := &simCall{node: w.pickNode(), change: call.change, first: call.first}
 	w.after(300*time.Millisecond, func() {
 		if again.node != nil {
@@ -107,12 +107,12 @@
 	})
 }
 
-// write has changes made one after another, through any node that runs, with a pause between them.
+// write submits n changes one after another, through any running node, with a pause between them.
 func (w *clusterSim) write(n int, pause time.Duration) {
 	w.writeUnless(n, pause, nil)
 }
 
-// writeUnless is write, but never through the node not.
+// writeUnless is like write, but never uses the node excluded.
 func (w *clusterSim) writeUnless(n int, pause time.Duration, not *simNode) {
 	end := int64(n) + w.states[len(w.states)-1].rev
 	next := w.now
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestHardeningTwoOperatorsOneNumber: exactly one of two changes of one version is confirmed, and what was taken is never
-// refused, also after hundreds of changes, snapshots and a start of all.
+// TestHardeningTwoOperatorsOneNumber checks that exactly one of two changes of one version is confirmed, and that an accepted change
+// is never refused when it is repeated, even after hundreds of changes, snapshots and a restart of all nodes.
 func TestHardeningTwoOperatorsOneNumber(t *testing.T) {
 	for i, layout := range []topology{{3, 0, 1, 3, 0, 0}, {5, 1, 2, 3, 0, 0}, {4, 0, 1, 2, 1, 0}, {1, 0, 0, 1, 0, 0}} {
 		for j, between := range []int{10, 300, 300} {
@@ -152,7 +152,7 @@
 	}
 }
 
-// check holds a race against what must come of it, with so many changes between race and retries, and so many remembered.
+// check checks the result of a race with the given number of changes between race and retries, and of remembered changes.
 func (got *raceRun) check(t *testing.T, name string, between, history int) {
 	t.Helper()
 	switch {
@@ -173,7 +173,7 @@
 	}
 }
 
-// TestHardeningTwoOperatorsControls takes the protections out; some seed must then break.
+// TestHardeningTwoOperatorsControls disables protections; some seed must then violate an invariant.
 func TestHardeningTwoOperatorsControls(t *testing.T) {
 	for name, c := range map[string]struct {
 		TestingKnobs
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// levelBound is within what a member that was away for hundreds of changes is level, after the last fault.
+// levelBound is the time after the last fault within which a member that missed hundreds of changes must catch up.
 const levelBound = 5 * time.Second
 
-// awayModes are the ways to be away.
+// awayModes are the ways in which a node is unavailable.
 var awayModes = map[string]func(w *clusterSim, m *simNode) (back func()){
 	"killed": func(_ *clusterSim, m *simNode) func() {
 		m.kill()
@@ -57,7 +57,7 @@
 	},
 }
 
-// rejoin ends all cuts of a node's replicas.
+// rejoin ends all partitions of a node.
 func (w *clusterSim) rejoin(m *simNode) {
 	var ends [][2]string
 	for k := range w.partitioned {
@@ -70,19 +70,19 @@
 	}
 }
 
-// outageRun is what came about when a member was away.
+// outageRun is the result of a run in which a member is unavailable.
 type outageRun struct {
 	missed           uint64
 	installs         int // snapshots that it was sent after its return
-	upstreamLosses   int // lost while they caught up it
+	upstreamLosses   int // nodes that were lost while sending records or a snapshot to it
 	caughtUpAfter    time.Duration
 	longest          int // records in the longest log of any node
 	changesMeanwhile int // changes made while it caught up
 	err              error
 }
 
-// playOutage keeps a member away for n changes at 20 a second. While it comes back changes go on, and the first that sends
-// it a snapshot, or else the first that feeds it, is killed at that moment.
+// playOutage keeps a member unavailable for n changes at 20 a second. Changes continue while it returns, and the first node that
+// sends it a snapshot, or otherwise the first that sends it records, is killed at that moment.
 func playOutage(seed uint64, layout topology, role, mode string, changes int, knobs TestingKnobs) *outageRun {
 	out := &outageRun{}
 	w := newClusterSim(seed, layout, knobs)
@@ -132,10 +132,10 @@
 	return out
 }
 
-// watchLevel keeps the time when a member last became level: current, with all that was acknowledged a second ago.
+// watchLevel records the time when a member last caught up: it is current and has everything that was acknowledged a second ago.
 func (w *clusterSim) watchLevel(m *simNode) *time.Duration {
 	at, was := w.now, false
-	current := -time.Hour // when it was last; between a record and its write a learner is not, for some milliseconds
+	current := -time.Hour // when it was last current; a learner is not current for some milliseconds between a record and its write
 	target := w.acked
 	var look func()
 	look = func() {
@@ -155,14 +155,14 @@
 	return &at
 }
 
-// outageJob is one play of an outage.
+// outageJob is one run of an outage.
 type outageJob struct {
 	topology
 	role, mode string
 	seed       uint64
 }
 
-// outageJobs lists the plays: a third of them by default, all with REPLICATION_AWAY.
+// outageJobs returns the runs: a third of them by default, all with REPLICATION_AWAY.
 func outageJobs(changes int) []outageJob {
 	var jobs []outageJob
 	for i, layout := range []topology{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
@@ -181,7 +181,7 @@
 	return jobs
 }
 
-// check tells what is wrong with an outage of so many changes, empty for nothing.
+// check returns what is wrong with an outage of the given number of changes, or an empty string.
 func (run *outageRun) check(changes int) string {
 	switch {
 	case run.err != nil:
@@ -190,7 +190,7 @@
 		return fmt.Sprintf("it missed only %d changes", run.missed)
 	case run.caughtUpAfter > levelBound:
 		return fmt.Sprintf("caught up after %v only", run.caughtUpAfter)
-	case run.longest > 100: // snapshots each 20 records, 5 kept behind, and what is in flight
+	case run.longest > 100: // a snapshot every 20 records, 5 retained below it, and the records in flight
 		return fmt.Sprintf("a log of %d records", run.longest)
 	case run.changesMeanwhile < 20:
 		return fmt.Sprintf("only %d changes were made meanwhile", run.changesMeanwhile)
@@ -198,9 +198,10 @@
 	return ""
 }
 
-// TestHardeningOutageOfHundredsOfChanges: a member that missed hundreds of changes is level within levelBound after the last
-// fault, though changes go on and its feeder is lost; logs stay bounded. REPLICATION_AWAY=2000 for the deep run, 401 for all plays of the usual length.
-// Danger: it leads or feeds proxies with what it held before, or never catches up.
+// TestHardeningOutageOfHundredsOfChanges checks that a member that missed hundreds of changes catches up within levelBound
+// after the last fault, although changes continue and the node that sends it records is lost, and that logs stay bounded. It guards
+// against a member that leads or serves proxies with stale state, or never catches up. REPLICATION_AWAY=2000 selects the deep run,
+// 401 all runs of the usual length.
 func TestHardeningOutageOfHundredsOfChanges(t *testing.T) {
 	changes := envInt("REPLICATION_AWAY", 400)
 	jobs := outageJobs(changes)
@@ -225,7 +226,7 @@
 	}
 }
 
-// TestHardeningOutageControls takes the protections out; the same play must then break.
+// TestHardeningOutageControls disables protections; the same runs must then violate an invariant.
 func TestHardeningOutageControls(t *testing.T) {
 	for name, c := range map[string]struct {
 		role, mode string
--- a/internal/system/replication/sim_hardening_partition_test.go
+++ b/internal/system/replication/sim_hardening_partition_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// backBound is within what a node that was partitioned holds all again and counts as current.
+// backBound is the time within which a node must hold everything again and be current after a partition.
 const backBound = 3 * time.Second
 
 // partitionMode is how a node is partitioned.
 type partitionMode struct {
 	name      string
-	out, in   bool // the directions that are cut
-	late      bool // what was sent meanwhile comes after the cut
+	out, in   bool // the directions that are blocked
+	late      bool // messages sent in the meantime arrive after the partition
 	reachable bool // operators and proxies still reach it
-	paused    bool // instead of a cut, the process is paused
+	paused    bool // the process is paused instead of partitioned
 }
 
 var partitionModes = []partitionMode{
@@ -30,12 +30,12 @@
 	{name: "frozen", paused: true},
 }
 
-// nodeRoles are the nodes that are partitioned, as they stand when the cut begins.
+// nodeRoles select the node to partition, according to its role at the beginning of the partition.
 var nodeRoles = map[string]func(*clusterSim) *simNode{
 	"head":   func(w *clusterSim) *simNode { return w.replica(0) },
 	"second": func(w *clusterSim) *simNode { return w.replica(1) },
 	"tail":   func(w *clusterSim) *simNode { return w.replica(-1) },
-	"outsider": func(w *clusterSim) *simNode { // no replica: a spare or an observer
+	"outsider": func(w *clusterSim) *simNode { // not a replica: a spare or an observer
 		for _, m := range w.nodes {
 			if m.isRunning() && w.newest.chainIndex(m.core.self.ID) < 0 {
 				return m
@@ -45,11 +45,11 @@
 	},
 }
 
-// partitionRun cuts a node off for 20 s while operators go on everywhere, and checks what it answers meanwhile.
+// partitionRun is the result of partitioning a node for 20 s while operators continue everywhere.
 type partitionRun struct {
-	asked         int // calls that reached it during the cut
-	answered      int // of these, those that it answered with a clear answer
-	changes       int // acknowledged elsewhere during the cut
+	asked         int // calls that reached the node during the partition
+	answered      int // of those, the calls that it answered conclusively
+	changes       int // acknowledged elsewhere during the partition
 	rejoinedAfter time.Duration
 	err           error
 }
@@ -76,7 +76,7 @@
 		}
 	}
 	w.partitionNode(node, mode, length)
-	// Whoever is partitioned is asked all the while; the others are by the operators.
+	// Calls are sent to the partitioned node all the time; the operators call the others.
 	for i := range 60 {
 		w.after(time.Duration(i)*length/60, func() {
 			w.ask(&simCall{node: node, read: i%2 == 0, change: w.newChange(100 + i)})
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestHardeningPartitionOfTwentySeconds cuts each kind of node off in each way. Danger: it answers operators or proxies by
-// what it held, refuses what it cannot know, or is not back in force soon after.
+// TestHardeningPartitionOfTwentySeconds partitions each kind of node in each way. It guards against a node that answers operators or
+// proxies with stale state, refuses what it cannot know, or takes long to be in service again.
 func TestHardeningPartitionOfTwentySeconds(t *testing.T) {
 	type job struct {
 		topology
@@ -165,7 +165,7 @@
 	t.Logf("%d plays: %d changes elsewhere, %d calls ended without a clear answer, back in force after at most %v", len(jobs), changes, asked, longest)
 }
 
-// TestHardeningPartitionControls takes the protections out; the same plays must then break.
+// TestHardeningPartitionControls disables protections; the same runs must then violate an invariant.
 func TestHardeningPartitionControls(t *testing.T) {
 	keepersOnly := partitionModes[4]
 	for name, c := range map[string]struct {
--- a/internal/system/replication/sim_invariants_test.go
+++ b/internal/system/replication/sim_invariants_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// dump shows what every node knows.
+// dump traces the state of every node.
 func (w *clusterSim) dump() {
 	w.trace("truth %d, acked %d, lost %d, whole %v", len(w.truth), w.acked, w.lost, w.isFullyReplicated())
 	for _, m := range w.nodes {
@@ -51,7 +51,7 @@
 	return v.Epoch
 }
 
-// check holds the node's view and committed log against those of all others.
+// check compares the node's view and committed log with those of all others.
 func (w *clusterSim) check(node *simNode) {
 	core := node.core
 	if core == nil || w.violation != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// checkRecord holds a committed record against what others have committed under its number.
+// checkRecord compares a committed record with what others have committed under its number.
 func (w *clusterSim) checkRecord(node *simNode, seq uint64) {
 	rec := node.core.chain.log.at(seq)
 	id := fmt.Sprintf("%d %d %d %s %s", rec.epoch, rec.rec.Op, rec.rec.Base, rec.rec.Body, rec.rec.Zone)
@@ -129,7 +129,7 @@
 	}
 }
 
-// checkActive holds what an active replica has on disk against what was acknowledged up to its epoch.
+// checkActive checks that an active replica has on disk what was acknowledged up to its epoch.
 func (w *clusterSim) checkActive(m *simNode) {
 	c := m.core
 	if c.acceptor.durableActiveEpoch == 0 || c.acceptor.activeEpoch == 0 {
@@ -141,13 +141,13 @@
 	}
 }
 
-// ack is the newest record acknowledged at a time.
+// ack is the newest acknowledged record at a given time.
 type ack struct {
 	at  time.Duration
 	seq uint64
 }
 
-// checkCurrent holds a node that would pass on what it has as new against what was acknowledged long before.
+// checkCurrent checks that a node that counts as current holds everything that was acknowledged more than currentBound ago.
 func (w *clusterSim) checkCurrent(m *simNode) {
 	c := m.core
 	if c == nil || w.violation != nil || !c.Current(m.clock()) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// ended holds an answer against what is committed.
+// ended compares an answer with what is committed.
 func (w *clusterSim) ended(call *simCall, done Completion) {
 	if w.violation != nil {
 		return
@@ -179,7 +179,7 @@
 	w.answer(call, done)
 }
 
-// checkRead: a read gives a committed state, with all that was acknowledged or read before it was asked for.
+// checkRead checks that a read returns a committed state, with everything that was acknowledged or read before it was requested.
 func (w *clusterSim) checkRead(a *simCall, d Completion) {
 	if d.Outcome != Answered {
 		return
@@ -193,7 +193,7 @@
 	w.newestRead = max(w.newestRead, d.Seq)
 }
 
-// checkAnswer holds the answer to a change against what is committed, and notes what it promises.
+// checkAnswer compares the answer to a change with what is committed, and records what the answer promises.
 func (w *clusterSim) checkAnswer(call *simCall, done Completion) {
 	key := keyOf(call.change)
 	l := w.entryOf(key)
@@ -240,7 +240,7 @@
 	case call.fail():
 		w.fail(fmt.Errorf("%s was acknowledged", key))
 	case zone && already:
-		// It was in force at some time between the question and the answer.
+		// The zone was in the requested state at some time between the request and the answer.
 		found := false
 		for s := call.acked; s <= uint64(len(w.truth)); s++ {
 			found = found || w.states[s].zones[call.change.Zone].Evacuated == (call.change.Op == controlstate.OpEvacuate)
--- a/internal/system/replication/sim_losses_test.go
+++ b/internal/system/replication/sim_losses_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// lose empties the disk of a node, when the number of disks that may be lost allows it.
+// lose empties the disk of a node, if the number of disks that may be lost permits it.
 func (w *clusterSim) lose(m *simNode) bool {
 	if m.removed || m.observer || !w.canLoseDisk() {
 		return false
@@ -20,7 +20,7 @@
 	return true
 }
 
-// replace ends a node for good and starts another, at a new address and with an empty disk.
+// replace permanently stops a node and starts another one, at a new address and with an empty disk.
 func (w *clusterSim) replace(node *simNode, cause fault) {
 	if node.removed || node.observer || !w.canLoseDisk() || len(w.nodes) > 40 {
 		return
@@ -47,10 +47,10 @@
 	end()
 }
 
-// successor makes a node in the place of a.
+// successor creates a node that replaces a.
 func (w *clusterSim) successor(a *simNode, f fault) *simNode {
 	m := w.newNode(fmt.Sprintf("10.0.2.%d", len(w.nodes)), a.member.Zone, a.member.Region)
-	m.seeds = nil // the operator's list as it is now, three of them
+	m.seeds = nil // three nodes of the operator's current list
 	for i := range w.nodes {
 		if n := w.nodes[(i+f.n)%len(w.nodes)]; !n.removed && n != m && len(m.seeds) < 3 {
 			m.seeds = append(m.seeds, n.member.Addr)
@@ -59,7 +59,7 @@
 	return m
 }
 
-// durableState is what the node's disk says of it.
+// durableState returns the acceptor state on the node's disk.
 func (m *simNode) durableState() (acceptorState, bool) {
 	data, ok := m.disk.meta[metaAcceptor]
 	if !ok || m.removed {
@@ -72,7 +72,7 @@
 	return acceptorStateOf(&p), true
 }
 
-// isFullyReplicated reports whether the newest view stands on disks that are all there, as many as it should.
+// isFullyReplicated reports whether all disks that the newest view relies on exist, and are as many as required.
 func (w *clusterSim) isFullyReplicated() bool {
 	view := w.newest
 	if view == nil || len(view.Chain) <= w.losses || len(view.Voters) < 2*w.losses+1 {
@@ -93,7 +93,7 @@
 		return false
 	}
 	for _, m := range view.Voters {
-		// A view that is accepted but not chosen names disks of its own, on which the next one depends.
+		// A view that is accepted but not chosen relies on other disks, on which the next view depends.
 		if r, ok := disks[m.ID]; !ok || r.view.Epoch != view.Epoch || r.acceptedView != nil {
 			return false
 		}
@@ -101,7 +101,7 @@
 	return true
 }
 
-// toleratesLosses reports whether enough voters and a replica are left whatever zones are lost of those that may be.
+// toleratesLosses reports whether enough voters and a replica remain after the loss of any zones that may be lost.
 func (w *clusterSim) toleratesLosses(v *View) bool {
 	c := Config{MachineLosses: w.losses, ZoneLosses: w.zoneLosses}
 	var links []Member
@@ -112,7 +112,7 @@
 	return w.zoneLosses == 0 || c.votersTolerateLosses(v.Voters) && c.chainToleratesLosses(links)
 }
 
-// loseZoneDisks empties all disks of a zone at once, where that must be borne.
+// loseZoneDisks empties all disks of a zone at once, if that must be tolerated.
 func (w *clusterSim) loseZoneDisks(zone string, f fault) bool {
 	if w.zoneLosses == 0 || !w.canLoseDisk() || w.lost > 0 {
 		return false
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -8,16 +8,16 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// outside is the address of everyone who is neither node nor proxy: operators and their clients.
+// outside is the address of all processes that are neither node nor proxy: operators and their clients.
 const outside = "outside"
 
-// maxDelayedMessages is how many messages a partitioned path holds back, as the buffers of its connections do.
+// maxDelayedMessages is how many messages a partitioned path retains, like the buffers of its connections.
 const maxDelayedMessages = 200
 
-// partitionedPath is one direction between two addresses, which carries nothing.
+// partitionedPath is one direction between two addresses in which no messages are delivered.
 type partitionedPath struct {
 	until   time.Duration
-	late    bool // what is sent meanwhile arrives after the cut
+	late    bool // messages sent in the meantime arrive after the partition
 	delayed []func()
 }
 
@@ -43,12 +43,12 @@
 	})
 }
 
-// beyond reports whether the address is no node's.
+// beyond reports whether the address is not a node's.
 func (w *clusterSim) beyond(addr string) bool {
 	return addr == outside || strings.HasPrefix(addr, proxyPrefix)
 }
 
-// healPath ends a cut.
+// healPath ends the partition of a path.
 func (w *clusterSim) healPath(k [2]string) {
 	l := w.partitioned[k]
 	if l == nil {
@@ -64,12 +64,12 @@
 	}
 }
 
-// connected reports whether nothing is cut between two addresses.
+// connected reports whether neither direction between two addresses is partitioned.
 func (w *clusterSim) connected(a, b string) bool {
 	return w.partitioned[[2]string{a, b}] == nil && w.partitioned[[2]string{b, a}] == nil
 }
 
-// carry brings something from one address to another, unless the replica is cut or loses it.
+// carry delivers something from one address to another, unless the path is partitioned or loses it.
 func (w *clusterSim) carry(from, to string, delay time.Duration, onArrival func()) {
 	if l := w.partitioned[[2]string{from, to}]; l != nil {
 		if l.late && len(l.delayed) < maxDelayedMessages {
@@ -143,7 +143,7 @@
 
 func kindOf(m *replicationpb.Message) string { return messageKinds[reflect.TypeOf(m.GetBody())] }
 
-// messageNames lists the kinds of messages in the order of their definition.
+// messageNames returns the kinds of messages in the order of their definition.
 func messageNames() []string {
 	fields := (&replicationpb.Message{}).ProtoReflect().Descriptor().Oneofs().ByName("body").Fields()
 	var out []string
--- a/internal/system/replication/sim_node_test.go
+++ b/internal/system/replication/sim_node_test.go
@@ -9,33 +9,33 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// simNode is one node: its process, its disk and its place.
+// simNode is one node: its process, its disk and its location.
 type simNode struct {
 	sim             *clusterSim
 	name            int
 	member          Member
-	removed         bool // for good
+	removed         bool // permanently
 	core            *Core
 	incarnation     uint64
 	startedAt       time.Duration
 	disk            simDisk
 	diskFull        bool
-	acceptorReserve bool // a full disk has room for the register
+	acceptorReserve bool // a full disk has space for the acceptor state
 	diskStalled     bool
 	diskDelay       time.Duration
 	paused          bool
 	resumedAt       time.Duration // 0: never
 	inbox           []func()
-	lastCallID      uint64              // of the calls to this life, as Node numbers them
-	calls           map[uint64]*simCall // not yet ended
+	lastCallID      uint64              // of the calls to this incarnation, as Node numbers them
+	calls           map[uint64]*simCall // not completed yet
 	bootstrap       bool                // may form the first view
-	observer        bool                // an observer: it has no disk
+	observer        bool                // has no disk
 	seeds           []string
-	polls           []*poll // of proxies, held
+	polls           []*poll // pending polls of proxies
 
 	committed   uint64
 	checked     State
-	completedOp *DiskOp // has ended, whether or not the process knows
+	completedOp *DiskOp // has completed, whether or not the process knows
 	view        *View
 }
 
@@ -47,7 +47,7 @@
 
 func (m *simNode) isRunning() bool { return m.core != nil }
 
-// healthy reports whether the process runs undisturbed on a disk that works.
+// healthy reports whether the process runs undisturbed on a working disk.
 func (m *simNode) healthy() bool {
 	return m.isRunning() && !m.paused && !m.diskFull && !m.diskStalled && m.diskDelay == 0
 }
@@ -100,7 +100,7 @@
 	m.sim.after(25*time.Millisecond+time.Duration(m.sim.rng.IntN(5))*time.Millisecond, func() { m.tick(core) })
 }
 
-// run has the process do something when it is not paused.
+// run runs do in the process, after a pause if the process is paused.
 func (m *simNode) run(core *Core, do func()) {
 	if m.core != core || core == nil {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// kill ends the process; with it goes what is not on disk. A write in flight may or may not have come about.
+// kill ends the process and loses everything that is not on disk. A write in flight may or may not take effect.
 func (m *simNode) kill() {
 	if m.core == nil {
 		return
@@ -169,7 +169,7 @@
 	if !m.sim.knobs.KeepIdentityOfLostDisk {
 		m.disk = simDisk{meta: map[string][]byte{}}
 	} else {
-		// The identity survives, its promises do not.
+		// The identity survives, but its promises do not.
 		if core, err := NewCore(Config{Self: m.member}, toyMachine{}, m.disk.meta, wal.Snapshot{}, nil); err == nil {
 			core.acceptor.promised, core.acceptor.accepted, core.acceptor.acceptedView = proposalNumber{}, proposalNumber{}, nil
 			core.acceptor.view, core.acceptor.activeEpoch = &View{}, 0
@@ -183,7 +183,7 @@
 	m.diskFull, m.diskStalled, m.diskDelay = false, false, 0
 }
 
-// drain carries out what the core wants.
+// drain executes the work that the core requests.
 func (m *simNode) drain() {
 	w, core := m.sim, m.core
 	out := core.Ready()
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -7,22 +7,22 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// simCall is a change or read that goes to one node, and what was known when it was asked for.
+// simCall is a change or read that is sent to one node, and what was known when it was requested.
 type simCall struct {
 	node   *simNode
 	read   bool
 	change controlstate.Change
-	fenced bool          // the node that takes it up fills in the fence: the newest record that it knows
-	ttl    time.Duration // 0: drawn
+	fenced bool          // the node that receives it fills in the fence: the newest record that it knows
+	ttl    time.Duration // 0: chosen at random
 	sent   time.Duration
-	acked  uint64 // newest record acknowledged or read when this try was sent
-	first  uint64 // and when the first try was
+	acked  uint64 // newest record acknowledged or read when this attempt was sent
+	first  uint64 // the same when the first attempt was sent
 	onDone func(Completion)
-	inside func(Completion) // instead: the node's own read, on behalf of a call
+	inside func(Completion) // for a read that the node makes itself on behalf of a call; replaces onDone
 	closed bool             // the caller has an answer, or has given up
 }
 
-// ask sends a change or read to a.at. The caller is told an outcome once, Unknown when none came in time.
+// ask sends a change or read to its node. The caller receives exactly one outcome, Unknown if none arrives in time.
 func (w *clusterSim) ask(call *simCall) {
 	call.acked, call.sent = max(w.acked, w.newestRead), w.now
 	if call.ttl == 0 {
@@ -46,7 +46,7 @@
 	})
 }
 
-// submit takes up a call at the node. Its time to live begins here, however long it lay in a socket.
+// submit starts a call at the node. Its time to live begins here, regardless of how long it waited in a socket.
 func (m *simNode) submit(a *simCall) {
 	if a.fenced {
 		m.submitFenced(a)
@@ -60,18 +60,18 @@
 	m.core.Submit(m.clock(), id, a.change, a.ttl)
 }
 
-// number files a call under a number of its own, as Node does in each life anew.
+// number assigns a number to a call, starting again in each incarnation as Node does.
 func (m *simNode) number(a *simCall) uint64 {
 	m.lastCallID++
 	m.calls[m.lastCallID] = a
 	return m.lastCallID
 }
 
-// stallFence is how long after a stall of the process orders of zones are refused, see control.StallDetector.
+// stallFence is how long after a stall of the process zone changes are refused, see control.StallDetector.
 const stallFence = time.Second
 
-// submitFenced takes up an order of a zone as control does: the fence is the newest record known when the order came; then
-// the node reads, and passes the order on if its caller is still there.
+// submitFenced starts a zone change as control does: the fence is the newest record known when the request arrived; then the node
+// reads, and submits the change if its caller still waits.
 func (m *simNode) submitFenced(call *simCall) {
 	w, core := m.sim, m.core
 	if m.resumedAt > 0 && w.now-m.resumedAt < stallFence {
@@ -88,7 +88,7 @@
 		w.after(0, func() {
 			m.run(core, func() {
 				if call.closed {
-					return // the end of the caller's connection has been read by now
+					return // the end of the caller's connection has been detected by now
 				}
 				w.entryOf(keyOf(call.change)).attempts++
 				core.Submit(m.clock(), m.number(call), call.change, call.ttl)
@@ -98,7 +98,7 @@
 	core.Read(m.clock(), m.number(read), call.ttl)
 }
 
-// answer brings an answer back to the caller, unless it is lost on its way.
+// answer delivers an answer to the caller, unless it is lost.
 func (w *clusterSim) answer(a *simCall, d Completion) {
 	if a.node.core == nil {
 		a.close(d) // the connection is reset
@@ -117,12 +117,12 @@
 	}
 }
 
-// isConclusive reports whether an answer isConclusive what became of a change.
+// isConclusive reports whether an answer states definitively whether a change was applied.
 func isConclusive(d Completion) bool {
 	return d.Outcome == Answered && d.Verdict.Kind != controlstate.Uncertain && d.Verdict.Kind != controlstate.Superseded
 }
 
-// pickNode draws a node that runs; it may be paused or partitioned.
+// pickNode picks a random running node, which may be paused or partitioned.
 func (w *clusterSim) pickNode() *simNode {
 	for range 8 {
 		if m := w.nodes[w.rng.IntN(len(w.nodes))]; m.isRunning() {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// client asks for one thing after another.
+// client sends one call after another.
 func (w *clusterSim) client(number int) {
 	if w.violation != nil || w.clientsDone {
 		return
@@ -159,8 +159,8 @@
 	})
 }
 
-// newChange draws a change of the register. What an operator knows is at best as new as the last answer, and may be what
-// a node has not yet confirmed.
+// newChange returns a random change of the register. The version that an operator knows is at most as new as the last answer, and may
+// not be confirmed by a node yet.
 func (w *clusterSim) newChange(n int) controlstate.Change {
 	base := w.states[len(w.states)-1].rev
 	if w.rng.IntN(5) == 0 {
@@ -174,7 +174,7 @@
 	return controlstate.Change{Op: op, Base: base, Body: fmt.Appendf(nil, "c%d-%d", n, w.lastChange)}
 }
 
-// submitUntilDone asks, and asks again elsewhere as long as the answer is not clear and tries are left.
+// submitUntilDone sends a call, and retries at other nodes while the answer is not conclusive and attempts remain.
 func (w *clusterSim) submitUntilDone(a *simCall, tries int, done func()) {
 	a.onDone = func(d Completion) {
 		if !a.read && a.change.Op != controlstate.OpNone && !isConclusive(d) && tries > 1 {
@@ -189,7 +189,7 @@
 	w.ask(a)
 }
 
-// resubmit asks as before, through whichever node runs then.
+// resubmit sends the call again, through any node that runs then.
 func (w *clusterSim) resubmit(a *simCall, tries int, done func()) {
 	if w.clientsDone {
 		return
@@ -203,7 +203,7 @@
 	})
 }
 
-// operator sends up to eight orders at once: one or several changes of the same version, each through several nodes.
+// operator sends up to eight concurrent calls: one or several changes of the same version, each through several nodes.
 func (w *clusterSim) operator(n int) {
 	if w.violation != nil || w.clientsDone {
 		return
@@ -231,7 +231,7 @@
 	}
 }
 
-// repeater sends orders of long ago again, whatever became of them: what was taken is never refused.
+// repeater resends old changes, regardless of their outcome: an accepted change must never be refused.
 func (w *clusterSim) repeater() {
 	if w.violation != nil || w.clientsDone {
 		return
@@ -245,11 +245,11 @@
 	w.ask(&simCall{node: m, change: w.resendable[w.rng.IntN(len(w.resendable))]})
 }
 
-// evacuationZone is evacuated and taken back by an operator of its own, one order after the other.
+// evacuationZone is evacuated and readmitted by its own operator, one change after the other.
 type evacuationZone struct {
 	name         string
 	wanted       controlstate.Op
-	acknowledged bool // the last order was acknowledged, and the next has not been sent
+	acknowledged bool // the last change was acknowledged, and the next has not been sent
 }
 
 func (w *clusterSim) zoneOf(name string) *evacuationZone {
@@ -261,7 +261,7 @@
 	return nil
 }
 
-// zoneOperator sends the order that its zone waits for through one node after another until it is acknowledged.
+// zoneOperator sends the change that its zone waits for through one node after another until it is acknowledged.
 func (w *clusterSim) zoneOperator(zone *evacuationZone) {
 	if w.violation != nil || w.clientsDone {
 		return
@@ -285,7 +285,7 @@
 	w.ask(a)
 }
 
-// operate sets clients and operators to work.
+// operate starts clients and operators.
 func (w *clusterSim) operate() {
 	for i := range 3 {
 		w.after(2*time.Second, func() { w.client(i) })
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -10,16 +10,16 @@
 	"gradeusher.example/gradeusher/internal/system/distribution/catchup"
 )
 
-// The figures of distribution.Subscriber and Server, which this file models: see subscriber_poll.go and server_follow.go there.
-// What a server replies and what a subscriber makes of it are decided by distribution/catchup's own functions.
+// The values of distribution.Subscriber and Server, which this file models: see subscriber_poll.go and server_follow.go there. What a
+// server replies and how a subscriber applies it is decided by distribution/catchup's own functions.
 const (
 	proxyPrefix       = "10.1."
 	longPollTimeout   = time.Second
-	pollTimeoutMargin = 400 * time.Millisecond // beyond the hold, until another node is taken
+	pollTimeoutMargin = 400 * time.Millisecond // in addition to the hold time, before another node is tried
 	seekTimeout       = 1200 * time.Millisecond
 	seekStagger       = 50 * time.Millisecond
 	avoidTime         = 2 * time.Second
-	maxPollRecords    = 64 // in one answer
+	maxPollRecords    = 64 // per reply
 )
 
 // proxy is a process that follows the nodes, as distribution.Subscriber does.
@@ -31,29 +31,29 @@
 	running     bool
 	paused      bool
 	inbox       []func()
-	eventAt     time.Duration // of the last fault's begin or end here
+	eventAt     time.Duration // when the last fault at this proxy began or ended
 
 	seq        uint64
 	state      *toy
-	knownNodes []string // nodes
+	knownNodes []string
 	failed     map[string]time.Duration
-	freshAt    time.Duration // when it was certainly so that nothing newer had been acknowledged; negative: never
+	freshAt    time.Duration // newest time for which it is certain that nothing newer had been acknowledged; negative: never
 	calls      uint64
-	inFlight   map[uint64]func(*pollReply) // calls in flight
+	inFlight   map[uint64]func(*pollReply) // by call
 }
 
-// poll is a proxy's call that a node holds.
+// poll is a proxy's call that a node keeps pending.
 type poll struct {
 	seq          uint64
 	start, until time.Duration
 	reply        func(*pollReply)
 }
 
-// pollReply is a node's answer; nil stands for silence.
+// pollReply is a node's reply; nil means that there was none.
 type pollReply struct {
 	current  bool
-	newest   uint64        // that the node knows to be committed
-	checked  time.Duration // how long it waited before it asked whether it is current
+	newest   uint64        // newest record that the node knows to be committed
+	checked  time.Duration // how long it waited before it checked whether it is current
 	records  []controlstate.Record
 	snapshot []byte
 	snapSeq  uint64
@@ -85,7 +85,7 @@
 	p.eventAt = p.w.now
 }
 
-// run has the process of a life do something, when it is not paused.
+// run runs do in the given incarnation of the process, after a pause if the process is paused.
 func (p *proxy) run(life int, do func()) {
 	switch {
 	case p.incarnation != life || !p.running:
@@ -119,7 +119,7 @@
 	}
 }
 
-// call polls a node; done is told the answer, or nil when the node is silent.
+// call polls a node; done receives the reply, or nil if there is none in time.
 func (p *proxy) call(keeper string, hold, patience time.Duration, done func(*pollReply)) {
 	w := p.w
 	p.calls++
@@ -153,8 +153,8 @@
 	})
 }
 
-// serve answers a poll as Hub.Follow does: at once where the node is not current or has something newer, otherwise when
-// that comes about, at the latest when the hold ends.
+// serve answers a poll as Hub.Follow does: immediately if the node is not current or has something newer, otherwise when that becomes
+// true, at the latest when the hold time ends.
 func (m *simNode) serve(p *poll) {
 	core := m.core
 	if !core.Current(m.clock()) {
@@ -165,7 +165,7 @@
 	m.sim.after(max(0, p.until-m.sim.now), func() { m.run(core, func() {}) })
 }
 
-// wakePolls answers the held polls that are due.
+// wakePolls answers the pending polls that are due.
 func (m *simNode) wakePolls() {
 	if m.core == nil || len(m.polls) == 0 {
 		return
@@ -180,7 +180,7 @@
 	})
 }
 
-// answerPoll answers with the records after what the proxy holds, or a snapshot where those are gone.
+// answerPoll answers with the records after those that the proxy holds, or a snapshot if they are no longer available.
 func (m *simNode) answerPoll(request *poll, current bool) *pollReply {
 	m.sim.stats.polls++
 	seq, state := m.core.Committed()
@@ -205,7 +205,7 @@
 	return r
 }
 
-// offer is what an answer says of the control state.
+// offer returns what a reply offers of the control state.
 func (r *pollReply) offer(age time.Duration) catchup.Offer {
 	o := catchup.Offer{Current: r.current, Newest: r.newest, Snapshot: r.snapSeq, Age: age}
 	if n := len(r.records); n > 0 {
@@ -214,7 +214,7 @@
 	return o
 }
 
-// applyReply takes in an answer to a call that was sent at asked, and reports whether it came in time.
+// applyReply applies the reply to a call that was sent at asked, and reports whether it arrived in time.
 func (p *proxy) applyReply(r *pollReply, asked time.Duration) bool {
 	checked := asked + r.checked
 	offer := r.offer(p.w.now - checked)
@@ -249,7 +249,7 @@
 	return !offer.Expired()
 }
 
-// findNode tries the nodes, those that just failed last, until one that is current has answered.
+// findNode tries the nodes, those that failed recently last, until one that is current has replied.
 func (p *proxy) findNode() {
 	nodes := p.rankNodes()
 	search := &nodeSearch{proxy: p, open: len(nodes)}
@@ -262,7 +262,7 @@
 type nodeSearch struct {
 	*proxy
 	found bool
-	open  int // nodes that have neither answered nor failed
+	open  int // nodes that have neither replied nor failed
 }
 
 func (s *nodeSearch) try(node string) {
@@ -287,7 +287,7 @@
 	})
 }
 
-// rankNodes returns the nodes to try. The seeds stay known, in case all others are gone.
+// rankNodes returns the nodes to try. The seeds are always included, in case all other nodes are lost.
 func (p *proxy) rankNodes() []string {
 	list := slices.Clone(p.knownNodes)
 	for _, s := range p.w.seeds {
@@ -305,7 +305,7 @@
 	return ok && p.w.now-at < avoidTime
 }
 
-// follow polls one node until it is silent or not current.
+// follow polls one node until it does not reply or is not current.
 func (p *proxy) follow(node string) {
 	p.call(node, longPollTimeout, pollTimeoutMargin, func(r *pollReply) {
 		if r == nil || !r.current {
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	currentBound = time.Second // what a node that is current may lack, see checkCurrent
+	currentBound = time.Second // how much a current node may lag, see checkCurrent
 
-	// freshBound is how old what a proxy holds may be while it counts as fresh.
+	// freshBound is the maximum age of the state of a proxy that counts as fresh.
 	freshBound = catchup.FreshnessTTL + currentBound
-	// contact is how long a proxy and the nodes must have been undisturbed for the proxy to count as in touch.
+	// contact is how long a proxy and the nodes must have been undisturbed for the proxy to count as connected.
 	contact = 5 * time.Second
-	// touchBound is within what a proxy in touch holds what was acknowledged.
+	// touchBound is the time within which a connected proxy must hold what was acknowledged.
 	touchBound = 3 * time.Second
 )
 
-// checkState holds what a proxy has taken against what is committed.
+// checkState compares the state of a proxy with what is committed.
 func (p *proxy) checkState(before uint64) {
 	w := p.w
 	switch {
@@ -34,7 +34,7 @@
 	}
 }
 
-// watch holds what clients of the proxy get against what was acknowledged, again and again.
+// watch periodically compares what the proxy's clients get with what was acknowledged.
 func (p *proxy) watch(life int) {
 	if p.incarnation != life || !p.running {
 		return
@@ -43,12 +43,12 @@
 	p.w.after(100*time.Millisecond, func() { p.watch(life) })
 }
 
-// isFresh reports whether a node's word that there is nothing newer still counts.
+// isFresh reports whether a node's statement that there is nothing newer is still valid.
 func (p *proxy) isFresh() bool {
 	return p.freshAt >= 0 && p.w.now-p.freshAt <= catchup.FreshnessTTL
 }
 
-// checkAge: a proxy that counts as fresh, or that is in touch, does not serve what is too old.
+// checkAge checks that a proxy that is fresh or connected does not serve a state that is too old.
 func (p *proxy) checkAge() {
 	w := p.w
 	if w.violation != nil || p.paused {
@@ -66,7 +66,7 @@
 	}
 }
 
-// ackedBefore is the newest record that was acknowledged at the time.
+// ackedBefore returns the newest record that was acknowledged by the given time.
 func (w *clusterSim) ackedBefore(at time.Duration) uint64 {
 	i := sort.Search(len(w.acks), func(i int) bool { return w.acks[i].at > at })
 	if i == 0 {
@@ -75,7 +75,8 @@
 	return w.acks[i-1].seq
 }
 
-// hasContact: the proxy and the nodes have been undisturbed for long, and it reaches all that are well connected.
+// hasContact reports whether the proxy and the nodes have been undisturbed for contact, and the proxy reaches all
+// well-connected nodes.
 func (p *proxy) hasContact() bool {
 	w := p.w
 	if w.now-p.eventAt < contact || !w.stable() {
@@ -89,8 +90,8 @@
 	return true
 }
 
-// knownView is the newest view that a healthy node holds which reaches most of the others. One that only a node
-// holds which is partitioned makes no loss good.
+// knownView returns the newest view of a healthy node that reaches most of the others. A view that only a partitioned node holds does
+// not repair a loss.
 func (w *clusterSim) knownView() *View {
 	var newest *View
 	for _, node := range w.nodes {
@@ -113,7 +114,7 @@
 	return newest
 }
 
-// core lists the healthy nodes that reach a majority of the voters both ways.
+// core returns the healthy nodes that are connected with a majority of the voters in both directions.
 func (w *clusterSim) core() []*simNode {
 	var out []*simNode
 	view := w.knownView()
@@ -137,7 +138,7 @@
 	return out
 }
 
-// stable reports whether nothing has disturbed the nodes of late and no more are in fault than may be lost.
+// stable reports whether nothing has recently disturbed the nodes and no more are faulty than may be lost.
 func (w *clusterSim) stable() bool {
 	view := w.knownView()
 	if w.now-w.eventAt < contact || w.loss > 0 || w.extraDelay > 0 || view == nil {
@@ -147,7 +148,7 @@
 	for i, a := range well {
 		for _, b := range well[i+1:] {
 			if !w.connected(a.member.Addr, b.member.Addr) {
-				return false // a part of the core only: who is in it depends on who is asked
+				return false // partially connected: the result depends on which node is asked
 			}
 		}
 	}
@@ -164,11 +165,11 @@
 	return missing <= w.losses && len(well) > w.losses
 }
 
-// progressBound is within what a change is acknowledged that comes to a node while the nodes are stable.
+// progressBound is the time within which a change must be acknowledged that reaches a node while the nodes are stable.
 const progressBound = 4 * time.Second
 
-// watchProgress asks for a change through a node of the core, again and again while the nodes are stable: it must be
-// acknowledged, unless something disturbs them meanwhile.
+// watchProgress periodically submits a change through a well-connected node while the nodes are stable: it must be acknowledged,
+// unless something disturbs the nodes in the meantime.
 func (w *clusterSim) watchProgress() {
 	if w.violation != nil || w.clientsDone {
 		return
@@ -193,7 +194,7 @@
 	w.ask(a)
 }
 
-// disturbProxy restarts, pauses or cuts off a proxy.
+// disturbProxy restarts, pauses or partitions a proxy.
 func (w *clusterSim) disturbProxy(cause fault) {
 	target := w.proxies[cause.n%len(w.proxies)]
 	switch cause.n / 2 % 3 {
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// firstLoss is something that the nodes repair, or a planned change of who they are.
+// firstLoss is a fault that the nodes repair, or a planned change of the membership.
 type firstLoss struct {
 	name  string
 	shape topology
 	start func(*clusterSim)
 }
 
-// incidents are those whose every step meets a second fault. In the first four a second disk may be lost on the way, in
-// the others only after the repair.
+// incidents are the first losses during which a second fault is injected at every step. In the first four a second disk may be lost
+// during the repair, in the others only afterwards.
 var incidents = []firstLoss{
 	{"a lost head", topology{5, 0, 2, 3, 0, 0}, func(w *clusterSim) { w.replica(0).loseFor(w, time.Second) }},
 	{"a lost tail", topology{5, 0, 2, 3, 0, 0}, func(w *clusterSim) { w.replica(-1).loseFor(w, time.Second) }},
@@ -31,10 +31,10 @@
 	{"a start of all", topology{3, 0, 1, 3, 0, 0}, func(w *clusterSim) { w.powerAll(fault{}) }},
 }
 
-// secondFaults strike at a step of a first loss.
+// secondFaults are injected at a step of a first loss.
 var secondFaults = []faultKind{faultKill, faultPause, faultIsolate, faultWipe, faultPowerAll}
 
-// replica is the node of a replica, counted from the end when i is negative.
+// replica returns the node of a replica, counted from the end if i is negative.
 func (w *clusterSim) replica(i int) *simNode {
 	v := w.newest
 	if i < 0 {
@@ -44,14 +44,14 @@
 	return w.at(m.Addr)
 }
 
-// loseFor empties the disk of a node, which is away for a while.
+// loseFor empties the disk of a node, which is down for a while.
 func (m *simNode) loseFor(w *clusterSim, away time.Duration) {
 	if w.lose(m) {
 		m.restartAfter(away)
 	}
 }
 
-// startIn runs a first loss's simulation up to where it begins, with clients at work.
+// startIn runs the simulation of a first loss up to its beginning, with clients running.
 func (i firstLoss) startIn(seed uint64, h TestingKnobs) *clusterSim {
 	w := newClusterSim(seed, i.shape, h)
 	w.operate()
@@ -60,11 +60,11 @@
 }
 
 const (
-	repairBound = 4 * time.Second // catchUp: a first loss alone is over by then
-	maxNth      = 3               // of the same step of a first loss
+	repairBound = 4 * time.Second // catchUp: a first loss alone is repaired by then
+	maxNth      = 3               // occurrences of the same step of a first loss
 )
 
-// steps lists what happens between the beginning of a first loss and its end: each step and how often it is taken.
+// steps returns the steps between the beginning of a first loss and the end of its repair, and how often each occurs.
 func (i firstLoss) steps(seed uint64) (map[string]int, error) {
 	w := i.startIn(seed, TestingKnobs{})
 	count := map[string]int{}
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("%s, %s at %q number %d, before %v", t.first.name, faultNames[t.second], t.step, t.nth, t.before)
 }
 
-// play runs a trial and reports whether the fault came about.
+// play runs a trial and reports whether the second fault was injected.
 func (t repairTrial) play(seed uint64, h TestingKnobs) (bool, error) {
 	w := t.first.startIn(seed, h)
 	struck := false
@@ -111,7 +111,7 @@
 	return struck, err
 }
 
-// trials lists all second troubles at all steps of the incidents.
+// trials returns all second faults at all steps of the incidents.
 func trials(t *testing.T) []repairTrial {
 	var out []repairTrial
 	for _, i := range incidents {
@@ -130,9 +130,9 @@
 	return out
 }
 
-// TestHardeningSecondLossAtEachStepOfARepair brings about a second fault at the steps of repairs, replacements, joinings
-// and leavings: a message of a kind goes out or comes in, a write begins or has come about. REPLICATION_STRIDE=1 plays all.
-// Danger: what was acknowledged is gone, or nothing is acknowledged any more.
+// TestHardeningSecondLossAtEachStepOfARepair injects a second fault at the steps of repairs, replacements, joins and departures: a
+// message of a given kind is sent or received, or a write begins or has completed. It guards against the loss of acknowledged
+// changes, and against a system that no longer acknowledges any. REPLICATION_STRIDE=1 runs all trials.
 func TestHardeningSecondLossAtEachStepOfARepair(t *testing.T) {
 	all := trials(t)
 	stride := envInt("REPLICATION_STRIDE", 40)
@@ -159,12 +159,12 @@
 	}
 }
 
-// TestHardeningSecondLossControls takes protections out; some step must then break.
+// TestHardeningSecondLossControls disables protections; some step must then violate an invariant.
 func TestHardeningSecondLossControls(t *testing.T) {
 	all := trials(t)
 	for name, c := range map[string]struct {
 		TestingKnobs
-		known int // a trial that breaks
+		known int // a trial that violates an invariant
 	}{
 		"the head acknowledges what it alone holds":     {TestingKnobs{AcknowledgeAtHead: true}, 0},
 		"a wiped disk keeps its vote":                   {TestingKnobs{KeepIdentityOfLostDisk: true}, 0},
@@ -183,7 +183,7 @@
 	}
 }
 
-// TestHardeningSecondLossRightAfterARepair loses each replica in turn at the very moment when the loss before is made good.
+// TestHardeningSecondLossRightAfterARepair loses each replica in turn at the moment when the previous loss has been repaired.
 func TestHardeningSecondLossRightAfterARepair(t *testing.T) {
 	lost := 0
 	for _, first := range incidents {
--- a/internal/system/replication/sim_seeds_test.go
+++ b/internal/system/replication/sim_seeds_test.go
@@ -17,12 +17,12 @@
 
 const (
 	faultsEnd        = 20 * time.Second
-	longFaultsEnd    = 45 * time.Second // of the seeds with cuts of 20 s and more
+	longFaultsEnd    = 45 * time.Second // of the seeds with partitions of 20 s and more
 	ackBound         = 10 * time.Second // after the last fault, until a change is acknowledged
-	convergenceBound = 16 * time.Second // after the last fault, until all nodes and proxies are level
+	convergenceBound = 16 * time.Second // after the last fault, until all nodes and proxies have caught up
 )
 
-// faultsUntil is when the faults of a seed end: one in five has long ones.
+// faultsUntil returns when the faults of a seed end: one seed in five has long ones.
 func faultsUntil(seed uint64) time.Duration {
 	if seed%5 == 4 {
 		return longFaultsEnd
@@ -30,7 +30,7 @@
 	return faultsEnd
 }
 
-// simulateSeed runs a seed with the faults; the error is what was broken.
+// simulateSeed runs a seed with the faults; the error is the first violation.
 func simulateSeed(seed uint64, faults []fault, h TestingKnobs, trace func(string, ...any)) (*clusterSim, error) {
 	w := newClusterSim(seed, topologyOf(seed), h)
 	if trace != nil {
@@ -52,8 +52,8 @@
 	return w, w.converge(end + convergenceBound - w.now)
 }
 
-// converge has clients ask for nothing more, lets the nodes run on for d, and checks that all of them hold the same then. It
-// returns what was broken, then or before.
+// converge stops the clients, runs the nodes for d, and checks that all of them then hold the same state. It returns the first
+// violation, which may be an earlier one.
 func (w *clusterSim) converge(d time.Duration) error {
 	w.clientsDone = true
 	w.runUntil(w.now + d)
@@ -63,7 +63,7 @@
 	return w.violation
 }
 
-// expectAck runs until a change is acknowledged, and fails where none is within the bound. when completes the failure.
+// expectAck runs until a change is acknowledged, and fails if none is acknowledged within ackBound. when completes the error message.
 func (w *clusterSim) expectAck(when string) {
 	before := w.stats.accepted
 	w.runWhile(ackBound, func() bool { return w.stats.accepted == before })
@@ -91,13 +91,13 @@
 	}
 }
 
-// sortedPaths puts replicas in an order that is the same in each run.
+// sortedPaths sorts paths into an order that is the same in each run.
 func sortedPaths(links [][2]string) [][2]string {
 	slices.SortFunc(links, func(a, b [2]string) int { return cmp.Or(cmp.Compare(a[0], b[0]), cmp.Compare(a[1], b[1])) })
 	return links
 }
 
-// checkConverged checks what must hold some time after the last fault and change.
+// checkConverged checks what must be true some time after the last fault and change.
 func (w *clusterSim) checkConverged() {
 	if !w.isFullyReplicated() {
 		w.fail(fmt.Errorf("the view has not been made whole: %v", w.newest))
@@ -128,7 +128,7 @@
 	return faultsFor(rand.New(rand.NewPCG(seed, 2)), topologyOf(seed).machines(), faultsUntil(seed))
 }
 
-// shrinkFaults drops faults as long as the rest still breaks something.
+// shrinkFaults removes faults as long as the remaining ones still cause a violation.
 func shrinkFaults(seed uint64, faults []fault, h TestingKnobs) []fault {
 	for again := true; again; {
 		again = false
@@ -150,17 +150,17 @@
 	return or
 }
 
-// topologyTally is what the runs of a shape came to.
+// topologyTally summarizes the runs of a topology.
 type topologyTally struct {
 	seeds, broken int
 	slowest       time.Duration // from the last fault to the next acknowledgement
 	stats         stats
 }
 
-// sweepResults collects what the seeds of a sweep came to.
+// sweepResults collects the results of the seeds of a sweep.
 type sweepResults struct {
 	mu    sync.Mutex
-	seed  uint64 // the first that broke
+	seed  uint64 // the lowest one with a violation
 	err   error
 	shape map[topology]*topologyTally
 }
@@ -190,7 +190,7 @@
 	return r.err != nil
 }
 
-// inParallel does n things, several at once.
+// inParallel calls do n times, with several calls at once.
 func inParallel(n int, do func(i int)) {
 	var next atomic.Int64
 	defer debug.SetGCPercent(debug.SetGCPercent(400)) // the simulations are small, and there are many
@@ -205,7 +205,7 @@
 	wg.Wait()
 }
 
-// sweep runs n seeds; with stop, until one breaks.
+// sweep runs n seeds; with stop, until one has a violation.
 func sweep(first, n uint64, h TestingKnobs, stop bool) *sweepResults {
 	r := &sweepResults{shape: map[topology]*topologyTally{}}
 	inParallel(int(n), func(i int) {
@@ -219,11 +219,11 @@
 	return r
 }
 
-// TestSeeds plays the fixed part of the seeds; CI needs no more. The deep run:
+// TestSeeds runs a fixed set of seeds, which is sufficient for CI. The deep run:
 //
 //	REPLICATION_SEEDS=10000 REPLICATION_WORKERS=4 go test -run 'TestSeeds$' -timeout 60m -v ./internal/system/replication
 //
-// REPLICATION_FIRST gives the first seed, REPLICATION_TRACE=1 the trace of the one that broke, with its faults shrunk.
+// REPLICATION_FIRST sets the first seed, REPLICATION_TRACE=1 logs the trace of the seed with a violation, with its faults shrunk.
 func TestSeeds(t *testing.T) {
 	n := 120
 	if testing.Short() || raceDetector {
@@ -232,7 +232,7 @@
 	playSeeds(t, uint64(envInt("REPLICATION_FIRST", 1)), uint64(envInt("REPLICATION_SEEDS", n)))
 }
 
-// TestSeedsLosingZones plays the shapes that must bear the loss of a whole zone, whose disks then go at once.
+// TestSeedsLosingZones runs the topologies that must tolerate the loss of a complete zone, all of whose disks are lost at once.
 func TestSeedsLosingZones(t *testing.T) {
 	n := 40
 	if testing.Short() || raceDetector {
@@ -241,7 +241,7 @@
 	playSeeds(t, zoneSeeds+uint64(envInt("REPLICATION_FIRST", 1)), uint64(envInt("REPLICATION_SEEDS", n)))
 }
 
-// playSeeds plays seeds, and tells what they came to and, where one broke, what broke it.
+// playSeeds runs seeds and logs the results. If there is a violation, it logs the faults that cause it.
 func playSeeds(t *testing.T, first, n uint64) {
 	t.Helper()
 	r := sweep(first, n, TestingKnobs{}, true)
--- a/internal/system/replication/sim_step_triggers_test.go
+++ b/internal/system/replication/sim_step_triggers_test.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// A step is a moment in the protocol: a message of a kind goes out or comes in ("send append", "receive promise"), a write
-// to disk begins or has come about ("write register", "wrote install").
+// A step is a moment in the protocol: a message of a given kind is sent or received ("send append", "receive promise"), or a write to
+// disk begins or has completed ("write register", "wrote install").
 
-// stepTrigger has something done at the n-th step of a name.
+// stepTrigger runs an action at the n-th step with a given name.
 type stepTrigger struct {
 	name      string
 	remaining int
-	node      *simNode // only there; nil: anywhere
+	node      *simNode // only at this node; nil: at any
 	to        string   // only messages to this address; empty: to any
-	before    bool     // before the step has its effect, otherwise right after it
+	before    bool     // before the step takes effect, otherwise right after it
 	action    func(*simNode)
 }
 
-// arm waits for the n-th step of a name from now on.
+// arm activates a trigger, which counts steps from now on.
 func (w *clusterSim) arm(s *stepTrigger) { w.triggers = append(w.triggers, s) }
 
 func (w *clusterSim) step(name string, node *simNode, to string) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// stepNames lists all steps there are.
+// stepNames returns the names of all steps.
 func stepNames() []string {
 	var out []string
 	fields := messageNames()
--- a/internal/system/replication/sim_topology_test.go
+++ b/internal/system/replication/sim_topology_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// topology is the size and the spread of a simulated system.
+// topology is the size and the placement of a simulated system.
 type topology struct {
 	diskNodes, spares int
 	losses            int // disks that may be lost at once
@@ -11,14 +11,14 @@
 	zoneLosses        int // zones that may be lost at once, with all their disks
 }
 
-// shapes are played in turn, by seed.
+// shapes are used in turn, by seed.
 var shapes = [...]topology{
 	{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 0, 0}, {1, 0, 0, 1, 0, 0}, {4, 0, 1, 2, 0, 0}, {6, 0, 2, 3, 0, 0}, {3, 1, 1, 3, 0, 0}, {7, 0, 3, 4, 0, 0},
 	{5, 1, 2, 3, 0, 0}, {9, 0, 3, 3, 0, 0}, {3, 2, 1, 1, 0, 0}, {4, 1, 1, 4, 0, 0}, {3, 0, 0, 1, 0, 0}, {6, 1, 2, 2, 0, 0}, {5, 2, 1, 2, 0, 0},
 	{7, 1, 2, 3, 0, 0}, {1, 1, 0, 2, 0, 0}, {3, 0, 1, 2, 2, 0}, {5, 0, 2, 1, 0, 0}, {9, 0, 2, 4, 0, 0}, {4, 2, 1, 3, 1, 0},
 }
 
-// zoneSeeds is the first seed of those that play the shapes that must bear the loss of a zone.
+// zoneSeeds is the first of the seeds that use the topologies that must tolerate the loss of a zone.
 const zoneSeeds = 1 << 32
 
 var zoneShapes = [...]topology{{6, 0, 1, 3, 0, 1}, {3, 0, 1, 3, 0, 1}, {6, 1, 2, 3, 0, 1}, {9, 0, 3, 3, 0, 1}, {7, 0, 1, 4, 1, 1}}
@@ -30,7 +30,7 @@
 	return shapes[seed%uint64(len(shapes))]
 }
 
-// zoneLossTopologies are those that must bear the loss of a disk.
+// zoneLossTopologies returns the topologies that must tolerate the loss of a disk.
 func zoneLossTopologies() []topology {
 	var out []topology
 	for _, s := range shapes {
--- a/internal/system/replication/slow_disk_test.go
+++ b/internal/system/replication/slow_disk_test.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	firstChangeWrites = 12              // that the first change waits for, one after the other; see firstChangeBound
-	firstChangeBase   = 3 * time.Second // besides
+	firstChangeWrites = 12              // number of sequential writes that the first change waits for; see firstChangeBound
+	firstChangeBase   = 3 * time.Second // for everything else
 )
 
 // callTTL is how long one call of the operator waits for the chain (operatorapi.chainTimeout).
 const callTTL = 700 * time.Millisecond
 
-// firstChangeBound is within which a change is acknowledged after a start of all nodes with empty disks, if each write of a disk takes so long: the
-// writes of the first view (a node's identity, promises, acceptances, the view, and each replica's activation) and those of the change at
-// each replica, and what is waited for besides. docs/hardening/replication.md has the same figures.
+// firstChangeBound is the time within which a change must be acknowledged after a start of all nodes with empty disks, if each write
+// takes the given time. It covers the writes of the first view (a node's identity, promises, acceptances, the view, and each
+// replica's activation), those of the change at each replica, and firstChangeBase for everything else. docs/hardening/replication.md
+// has the same figures.
 func firstChangeBound(write time.Duration) time.Duration {
 	return firstChangeBase + firstChangeWrites*write
 }
 
-// TestFirstChangeOnSlowDisks checks that a fleet whose disks are slow forms its first view and takes the first change within a bound, as no change
-// of the configuration can be made before. A caller asks again each second, as the operator does.
+// TestFirstChangeOnSlowDisks checks that nodes with slow disks form their first view and accept the first change within a bound, as
+// no configuration change is possible before that. A caller retries every second, as the operator does.
 func TestFirstChangeOnSlowDisks(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	for _, write := range []time.Duration{clusterStep, 100 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond, time.Second, 5 * time.Second, 30 * time.Second} {
@@ -41,7 +42,7 @@
 	}
 }
 
-// TestFirstChangeOnSlowDisksControl checks that without account of slow disks no first view is formed at all.
+// TestFirstChangeOnSlowDisksControl checks that no first view is formed at all if slow disks are not taken into account.
 func TestFirstChangeOnSlowDisksControl(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	for _, write := range []time.Duration{600 * time.Millisecond, 5 * time.Second} {
@@ -53,11 +54,11 @@
 	}
 }
 
-// startOnSlowDisks starts nodes with empty disks, of which some are slow.
+// startOnSlowDisks starts nodes with empty disks, some of which are slow.
 func startOnSlowDisks(t *testing.T, nodes, slow []string, write time.Duration, seed uint64, knobs TestingKnobs) *scriptedCluster {
 	t.Helper()
 	cluster := newScriptedCluster(t)
-	cluster.lastCallID = seed * 1000 // of which start draws the jitter
+	cluster.lastCallID = seed * 1000 // start derives the seed of the jitter from it
 	cluster.writeTimes = map[string]time.Duration{}
 	for _, addr := range slow {
 		cluster.writeTimes[addr] = write
@@ -68,7 +69,7 @@
 	return cluster
 }
 
-// playFirstChange starts nodes, of which some have slow disks, and returns when the first change was acknowledged.
+// playFirstChange starts nodes, some of which have slow disks, and returns when the first change was acknowledged.
 func playFirstChange(t *testing.T, nodes, slow []string, write time.Duration, seed uint64) (took time.Duration, epoch uint64) {
 	t.Helper()
 	cluster := startOnSlowDisks(t, nodes, slow, write, seed, TestingKnobs{})
@@ -89,7 +90,7 @@
 	return took, cluster.view().Epoch
 }
 
-// TestWaitsFor checks that a node names what a change waits for: the first view and a slow disk at first, and nothing in the end.
+// TestWaitsFor checks that a node reports what a change waits for: first the first view and a slow disk, finally nothing.
 func TestWaitsFor(t *testing.T) {
 	all := []string{"a", "b", "c"}
 	cluster := startOnSlowDisks(t, all, []string{"a"}, 400*time.Millisecond, 1, TestingKnobs{})
@@ -112,8 +113,8 @@
 	cluster.until(2*time.Second, "the head is missed", func() bool { return strings.Contains(waitsFor(other), "the head of the chain") })
 }
 
-// TestSlownessDelaysNoRepairAfterwards has all disks be slow for some seconds, in the midst of which the head is lost. Once they are fast again, the next view comes as
-// soon as on healthy disks: what was waited for on their account ends with it.
+// TestSlownessDelaysNoRepairAfterwards makes all disks slow for some seconds, during which the head is lost. Once the disks are fast
+// again, the next view must be formed as soon as on healthy disks: the delays due to slow disks end with the slowness.
 func TestSlownessDelaysNoRepairAfterwards(t *testing.T) {
 	const (
 		repairBound = 2500 * time.Millisecond
@@ -142,8 +143,9 @@
 	}
 }
 
-// TestSlowBackoffEndsWithSlowness has a proposer yield to another one while its disk is slow: it waits for as long as a proposal may take on such a disk, but only
-// as long as the disk is slow. Without a slow disk, proposals that time out, as where messages are lost, wait little longer each time.
+// TestSlowBackoffEndsWithSlowness makes a proposer yield to another one while its disk is slow: it must wait for as long as a
+// proposal may take on such a disk, but only while the disk is slow. Without a slow disk, proposals that time out, for example
+// because messages are lost, wait only a little longer each time.
 func TestSlowBackoffEndsWithSlowness(t *testing.T) {
 	const slow, fast = 3 * time.Second, 5 * time.Millisecond
 	cluster := threeNodes(t, 1, TestingKnobs{})
--- a/internal/system/replication/testing_knobs.go
+++ b/internal/system/replication/testing_knobs.go
@@ -1,63 +1,63 @@
 package replication
 
-// TestingKnobs take one protection of the protocol out each, so that tests can show that the protection is needed: with the
-// knob set, a simulated cluster must violate an invariant (TestEveryProtectionIsNeeded, TestScenariosNeedTheirProtections).
-// The zero value leaves all protections in place. No other package can set them, since Config carries them unexported.
+// TestingKnobs disable one protection of the protocol each, so that tests can show that the protection is needed: with the knob set,
+// a simulated cluster must violate an invariant (TestEveryProtectionIsNeeded, TestScenariosNeedTheirProtections). The zero value
+// leaves all protections in place. Other packages cannot set them, since Config has them in an unexported field.
 type TestingKnobs struct {
 	// Agreement on the view.
 
-	// KeepIdentityOfLostDisk lets a node whose disk was wiped vote again under its former identity, which has forgotten its
-	// promises. The cluster simulation acts on it.
+	// KeepIdentityOfLostDisk lets a node whose disk was wiped vote again under its former identity, although its promises are lost. The
+	// cluster simulation implements this.
 	KeepIdentityOfLostDisk bool
-	// IgnoreAcceptedViews has a proposer disregard the views that promises report as accepted (phase one of Paxos).
+	// IgnoreAcceptedViews makes a proposer disregard the views that promises report as accepted (phase one of Paxos).
 	IgnoreAcceptedViews bool
-	// SendBeforeWrite sends messages before the write of the acceptor state on which they rest.
+	// SendBeforeWrite sends messages before the write of the acceptor state that they depend on.
 	SendBeforeWrite bool
 
-	// FixedTimeouts has proposers take no account of slow disks, and slow nodes take no part though all are slow.
+	// FixedTimeouts makes proposers ignore slow disks, and excludes slow nodes even if all are slow.
 	FixedTimeouts bool
 
 	// Choice of the head.
 
-	// AllowAnyHead lets any chain replica become the head, whatever it holds.
+	// AllowAnyHead lets any chain replica become the head, regardless of what it holds.
 	AllowAnyHead bool
-	// PresumeUnacknowledged counts epochs as without acknowledgements though no chain replica has sealed them.
+	// PresumeUnacknowledged treats epochs as having acknowledged nothing even if no chain replica has sealed them.
 	PresumeUnacknowledged bool
 
 	// Replication along the chain.
 
-	// AcknowledgeAtHead has the head commit records that only it holds.
+	// AcknowledgeAtHead makes the head commit records that only it holds.
 	AcknowledgeAtHead bool
-	// AllowShortChain lets a chain of fewer replicas than MachineLosses+1 acknowledge.
+	// AllowShortChain lets a chain of fewer than MachineLosses+1 replicas acknowledge.
 	AllowShortChain bool
-	// TruncateOnJoin has a replica that joins discard all records that its predecessor has not just sent.
+	// TruncateOnJoin makes a joining replica discard all records that its predecessor has not just sent.
 	TruncateOnJoin bool
-	// AcceptAnyEpoch has chain replicas accept records that were sent in another epoch.
+	// AcceptAnyEpoch makes chain replicas accept records that were sent in another epoch.
 	AcceptAnyEpoch bool
 
 	// Reads and soft reads.
 
-	// SkipReadConfirmation has the tail answer reads without asking a majority of the voters.
+	// SkipReadConfirmation makes the tail answer reads without asking a majority of the voters.
 	SkipReadConfirmation bool
-	// ConfirmAfterAccept has voters confirm an epoch though they have accepted the view of a later one.
+	// ConfirmAfterAccept makes voters confirm an epoch even if they have accepted the view of a later one.
 	ConfirmAfterAccept bool
-	// SkipMinReadIndex answers reads before all that earlier tails may have acknowledged is known to be committed.
+	// SkipMinReadIndex answers reads before everything that earlier tails may have acknowledged is known to be committed.
 	SkipMinReadIndex bool
-	// SkipCurrentMajority counts a node as current without the heartbeats of a majority.
+	// SkipCurrentMajority treats a node as current without the heartbeats of a majority.
 	SkipCurrentMajority bool
 
 	// Changes and their answers.
 
-	// SkipVerdictConfirmation answers Already and Stale before the state on which they rest is committed.
+	// SkipVerdictConfirmation returns Already and Stale before the state that they depend on is committed.
 	SkipVerdictConfirmation bool
-	// SkipDeduplication has the head decide on a forwarded change once for each time that it arrives.
+	// SkipDeduplication makes the head decide on a forwarded change each time that it arrives.
 	SkipDeduplication bool
-	// AcceptAnyIncarnation accepts answers to calls of a former incarnation of this process.
+	// AcceptAnyIncarnation accepts answers to calls of a previous incarnation of this process.
 	AcceptAnyIncarnation bool
-	// AcceptAnyHeadIncarnation has the head accept changes that were forwarded to its former incarnation.
+	// AcceptAnyHeadIncarnation makes the head accept changes that were forwarded to its previous incarnation.
 	AcceptAnyHeadIncarnation bool
-	// AcceptForwardsOfEarlierEpochs has the head accept changes that were forwarded in an earlier epoch.
+	// AcceptForwardsOfEarlierEpochs makes the head accept changes that were forwarded in an earlier epoch.
 	AcceptForwardsOfEarlierEpochs bool
-	// AcceptLateForwards has the head accept changes whose caller may have stopped waiting.
+	// AcceptLateForwards makes the head accept changes whose caller may have stopped waiting.
 	AcceptLateForwards bool
 }
--- a/internal/system/replication/testing_knobs_test.go
+++ b/internal/system/replication/testing_knobs_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// controls take one protection out each; the harness must then find a violation. The seed is where it did last, so
-// that the search is short: bring it up to date when a change of the core makes this slow.
+// controls disable one protection each; the simulation must then find a violation. The seed is the one that found it last, so that
+// the search is short: update it if a change of the core makes this slow.
 var controls = map[string]struct {
 	knobs TestingKnobs
 	seed  uint64
@@ -29,7 +29,7 @@
 }
 
 func TestEveryProtectionIsNeeded(t *testing.T) {
-	// Chance hardly meets these: see TestEpochsAreSealedBeforeTheyCountAsEmpty and TestFirstChangeOnSlowDisks.
+	// Random faults rarely reveal these: see TestEpochsAreSealedBeforeTheyCountAsEmpty and TestFirstChangeOnSlowDisks.
 	covered := TestingKnobs{PresumeUnacknowledged: true, FixedTimeouts: true}
 	for name, c := range controls {
 		covered = covered.with(c.knobs)
@@ -56,7 +56,7 @@
 	}
 }
 
-// with returns the knobs that are set in either.
+// with returns the knobs that are set in either of the two.
 func (k TestingKnobs) with(others TestingKnobs) TestingKnobs {
 	set, added := reflect.ValueOf(&k).Elem(), reflect.ValueOf(others)
 	for i := range added.NumField() {
--- a/internal/system/replication/toy_state_test.go
+++ b/internal/system/replication/toy_state_test.go
@@ -15,9 +15,9 @@
 // toyHistory is how many changes a toy remembers; controlstate.MaxHistory is 4,096.
 const toyHistory = 24
 
-// toy is a small state node under the contract of controlstate.State: a register with versions (OpReplace, OpAmend) that
-// knows its last changes again, zones whose changes carry a fence (OpEvacuate, OpReadmit), and notes that nothing protects
-// from coming about twice but the core (OpNone).
+// toy is a small state that follows the contract of controlstate.State: a versioned register (OpReplace, OpAmend) that recognizes its
+// last changes when they are repeated, zones whose changes carry a fence (OpEvacuate, OpReadmit), and notes (OpNone), which only the
+// core protects from being applied twice.
 type toy struct {
 	seq      uint64
 	rev      int64
@@ -49,7 +49,7 @@
 	Seq       uint64 `json:"Seq"` // of the record that last changed it
 }
 
-// registerKey names a change of the register.
+// registerKey returns the key of a change of the register.
 func registerKey(op controlstate.Op, base int64, body []byte) string {
 	return fmt.Sprintf("%d %d %s", op, base, body)
 }
@@ -80,7 +80,7 @@
 	return controlstate.Verdict{Kind: controlstate.Stale}
 }
 
-// checkZone accepts an order also when it is in force: the record fences what came before.
+// checkZone also accepts a change that is already in effect, since its record fences earlier changes.
 func (s *toy) checkZone(ch controlstate.Change) controlstate.Verdict {
 	z := s.zones[ch.Zone]
 	switch {
@@ -127,8 +127,8 @@
 }
 
 type toyMachine struct {
-	forgetful bool // a protection taken out: no change is known again
-	history   int  // changes remembered; 0: toyHistory
+	forgetful bool // disables a protection: no change is recognized when it is repeated
+	history   int  // number of remembered changes; 0: toyHistory
 }
 
 func (m toyMachine) Empty() State { return &toy{machine: m} }
@@ -141,7 +141,7 @@
 	return &toy{seq: im.Seq, rev: im.Rev, hash: im.Hash, applied: im.Taken, zones: im.Zones, lastZone: im.LastZone, machine: m}, nil
 }
 
-// describe tells states apart.
+// describe returns a text that distinguishes states.
 func describe(s *toy) string {
 	return fmt.Sprintf("record %d version %d hash %x", s.seq, s.rev, s.hash)
 }
--- a/internal/system/replication/transport.go
+++ b/internal/system/replication/transport.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	maxBatchBytes     = 64 << 20 // of a request that is received
-	targetBatchBytes  = 1 << 20  // of a request that is sent; one message may be larger
-	maxQueuedMessages = 1024     // to an address
+	maxBatchBytes     = 64 << 20 // of a received request
+	targetBatchBytes  = 1 << 20  // of a sent request; a single message may be larger
+	maxQueuedMessages = 1024     // per address
 	maxQueuedBytes    = 8 << 20
-	messageTTL        = 500 * time.Millisecond // older messages are dropped: nodes repeat what still matters
-	sendersPerPeer    = 3                      // requests in flight to an address, so that a long round trip does not hold up the next
+	messageTTL        = 500 * time.Millisecond // older messages are dropped: nodes resend what still matters
+	sendersPerPeer    = 3                      // requests in flight to an address, so that a long round trip does not delay the next request
 	requestTimeout    = 800 * time.Millisecond
 	requestTimePerMB  = 2 * time.Second // added for large batches
 	maxOutboxes       = 32
 	outboxIdleTimeout = 30 * time.Second
 )
 
-// transport sends messages to other nodes, to each address by an outbox of its own. Messages may be lost, and come out of order.
+// transport sends messages to other nodes, with one outbox per address. Messages may be lost, and may arrive out of order.
 type transport struct {
 	port         int
-	roundTripper http.RoundTripper                   // nil: each outbox has connections of its own
-	stopped      <-chan struct{}                     // closed when no outbox may be opened any more
+	roundTripper http.RoundTripper                   // nil: each outbox opens its own connections
+	stopped      <-chan struct{}                     // closed when no more outboxes may be opened
 	runSenders   func(run func(ctx context.Context)) // runs goroutines that end with the transport
 
 	mu       sync.Mutex
 	outboxes map[string]*outbox // by address
 }
 
-// outbox is the bounded queue to one address. Its senders end when nothing has been sent for outboxIdleTimeout.
+// outbox is the bounded queue of messages to one address. Its senders end when nothing has been sent for outboxIdleTimeout.
 type outbox struct {
 	owner                *transport
 	addr                 string
@@ -57,7 +57,7 @@
 	enqueuedAt time.Time
 }
 
-// newTransport makes a transport whose goroutines end with ctx and are counted in wg.
+// newTransport creates a transport whose goroutines end with ctx and are counted in wg.
 func newTransport(ctx context.Context, wg *sync.WaitGroup, port int, roundTripper http.RoundTripper) *transport {
 	runSenders := func(run func(ctx context.Context)) {
 		ctx, cancel := context.WithCancel(ctx)
@@ -72,7 +72,7 @@
 	return &transport{port: port, roundTripper: roundTripper, stopped: ctx.Done(), runSenders: runSenders, outboxes: map[string]*outbox{}}
 }
 
-// send queues a message. It drops it where there are too many outboxes, or the transport has ended.
+// send queues a message. The message is dropped if there are too many outboxes, or the transport has stopped.
 func (t *transport) send(e Envelope) {
 	t.mu.Lock()
 	box := t.outboxes[e.Addr]
@@ -94,7 +94,7 @@
 	}
 }
 
-// open starts an outbox. The caller holds mu.
+// open opens an outbox and starts its senders. The caller holds mu.
 func (t *transport) open(addr string) *outbox {
 	roundTripper, closeIdleConnections := t.roundTripper, func() {}
 	if roundTripper == nil {
@@ -115,7 +115,7 @@
 	return box
 }
 
-// enqueue queues a message for the senders. A queue that is full is emptied first: what it holds is late.
+// enqueue queues a message for the senders. A full queue is emptied first, since its messages are late already.
 func (b *outbox) enqueue(msg *replicationpb.Message) {
 	size := proto.Size(msg)
 	b.mu.Lock()
@@ -132,7 +132,8 @@
 	}
 }
 
-// dequeueBatch takes from the queue as much as one request carries, without what is too old, and gives its size in bytes.
+// dequeueBatch removes from the queue as many messages as one request may carry, discards those older than messageTTL, and returns
+// the others with their size in bytes.
 func (b *outbox) dequeueBatch() ([]*replicationpb.Message, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -153,7 +154,7 @@
 	return batch, size
 }
 
-// run sends what is queued until ctx ends or the outbox is idle.
+// run sends queued messages until ctx ends or the outbox is idle.
 func (b *outbox) run(ctx context.Context) {
 	defer b.closeIdleConnections()
 	idle := time.NewTimer(outboxIdleTimeout)
@@ -192,7 +193,7 @@
 	}
 }
 
-// closeIfIdle removes an outbox that nothing was sent to for long, and reports whether it did.
+// closeIfIdle removes the outbox if nothing was sent to it for outboxIdleTimeout, and reports whether it did.
 func (b *outbox) closeIfIdle() bool {
 	b.owner.mu.Lock()
 	defer b.owner.mu.Unlock()
--- a/internal/system/replication/transport_test.go
+++ b/internal/system/replication/transport_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/resetserver"
 )
 
-// TestMessagesAreSentOnce has a peer take every second request on its connections and break them without an answer: the
-// transport beneath sends none a second time by itself, as a POST that was written may have been taken.
+// TestMessagesAreSentOnce uses a peer that receives every second request on its connections and then breaks them without an answer.
+// The underlying HTTP transport must not resend a request on its own, since a POST that was written may have been processed.
 func TestMessagesAreSentOnce(t *testing.T) {
 	came := make(chan string, 100)
 	peer, err := resetserver.Listen(func(body []byte) {
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	replaceVoterTimeout      = 1500 * time.Millisecond // without contact, until another node may replace a voter
-	minRebalanceEligibleTime = 600 * time.Millisecond  // a node is eligible for this long before it replaces a voter that works
+	replaceVoterTimeout      = 1500 * time.Millisecond // time without contact until another node may replace a voter
+	minRebalanceEligibleTime = 600 * time.Millisecond  // a node must be eligible for this long before it replaces a working voter
 )
 
-// replacement puts a joiner in a voter's place.
+// replacement replaces a voter with a joiner.
 type replacement struct {
 	index  int // of the voter
 	joiner Member
 }
 
-// planVoters takes in one node at most: in the place of a voter that is lost, as one more, or in the place of a voter that works where
-// the voters do not tolerate the loss of a zone. One exchange a view keeps quorums of consecutive views overlapping. It also gives the
-// voter whose place is taken, empty for none.
+// planVoters adds at most one node: in place of a lost voter, as an additional voter, or in place of a working voter if the voters do
+// not tolerate the loss of a zone. One exchange per view ensures that the quorums of consecutive views overlap. It also returns the
+// voter that is replaced, or an empty ID.
 func (pl *planner) planVoters() (voters []Member, replaced ID) {
 	voters = slices.Clone(pl.acceptor.view.Voters)
 	joiners := pl.joiners()
@@ -38,7 +38,8 @@
 	return pl.rebalanceVoters(voters, joiners)
 }
 
-// joiners lists the nodes that could become voters, by identity; where no voter may lead, those that may.
+// joiners returns the nodes that could become voters, ordered by identity. If no voter may lead, it returns only those that may lead,
+// if there are any.
 func (pl *planner) joiners() []Member {
 	var all, heads []Member
 	for _, id := range slices.Sorted(maps.Keys(pl.liveness.peers)) {
@@ -60,8 +61,8 @@
 // isHeadless reports whether no chain replica may lead.
 func (pl *planner) isHeadless() bool { return pl.headlessSince >= 0 }
 
-// replaceLostVoter finds a voter that is lost and the joiner that takes its place: at its machine's address, or else where it leaves
-// the voters best spread. Where no voter can lead, a joiner that can takes the place of any.
+// replaceLostVoter finds a lost voter and the joiner that replaces it: a joiner at the same address or, if there is none, the one
+// that leaves the voters best spread. If no voter can lead, a joiner that can may replace any of them.
 func (pl *planner) replaceLostVoter(joiners []Member) (replacement, bool) {
 	voters := pl.acceptor.view.Voters
 	for _, joiner := range joiners {
@@ -81,8 +82,8 @@
 	return replacement{}, false
 }
 
-// bestReplacement finds the replacement, of the voters that may go, that leaves the voters best spread; the first of those that are
-// alike.
+// bestReplacement finds the replacement, among the voters that may be replaced, that leaves the voters best spread; among equals, the
+// first one.
 func (pl *planner) bestReplacement(voters, joiners []Member, mayGo func(Member) bool) (best replacement, found bool) {
 	var bestExposure exposure
 	for i, voter := range voters {
@@ -100,8 +101,8 @@
 	return best, found
 }
 
-// rebalanceVoters puts a joiner in the place of a voter that works, where the loss of a zone or region would take the majority and this
-// makes it smaller. It never replaces the head, nor a replica that the chain cannot spare.
+// rebalanceVoters replaces a working voter with a joiner, if the loss of a zone or region would take the majority and this reduces
+// the exposure. It never replaces the head, nor a replica that the chain needs.
 func (pl *planner) rebalanceVoters(voters, joiners []Member) ([]Member, ID) {
 	if pl.cfg.votersTolerateLosses(voters) || pl.isHeadless() || !pl.isStable() {
 		return voters, ""
@@ -121,13 +122,13 @@
 	return with, voters[best.index].ID
 }
 
-// isSpare reports whether the chain can do without a voter.
+// isSpare reports whether the chain does not need the voter.
 func (pl *planner) isSpare(m Member) bool {
 	v := pl.acceptor.view
 	return m.ID != v.Head() && (v.chainIndex(m.ID) < 0 || len(v.Chain) > pl.cfg.minChainLength())
 }
 
-// isStable reports whether every voter is eligible and every chain replica active in the present epoch.
+// isStable reports whether every voter is eligible and every chain replica is active in the current epoch.
 func (pl *planner) isStable() bool {
 	v := pl.acceptor.view
 	return !slices.ContainsFunc(v.Voters, func(m Member) bool { return !pl.liveness.isEligible(m.ID) }) &&
--- a/internal/system/replication/wire.go
+++ b/internal/system/replication/wire.go
@@ -7,7 +7,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// The functions of this file convert members and views to and from their messages.
+// The functions in this file convert members and views to and from their messages.
 
 func memberPB(m Member) *replicationpb.Member {
 	return &replicationpb.Member{Id: string(m.ID), Addr: m.Addr, Zone: m.Zone, Region: m.Region}
