--- a/internal/system/replication/chain_receive_test.go
+++ b/internal/system/replication/chain_receive_test.go
@@ -47,13 +47,13 @@
 			t.Logf("away for %v, its upstream lost after %v: a replica again after %v, %.1f MB sent", away, lostAfter, level,
 				float64(cluster.slowNetworks[member].sentBytes)/(1<<20))
 			if level == 0 {
-				t.Errorf("away for %v, its upstream lost after %v: it is no replica again within 10 s", away, lostAfter)
+				t.Errorf("away for %v, its upstream lost after %v: it is not a replica again within 10 s", away, lostAfter)
 			}
 			longest = max(longest, level)
 			if n := inMemory(cluster.nodes[member].core); n > compactThresholdBytes+2*minRetainedBytes {
-				t.Errorf("its log takes %d bytes in memory", n)
+				t.Errorf("the log of the member takes %d bytes in memory", n)
 			}
 		}
 	}
-	t.Logf("a replica again after %v at most", longest)
+	t.Logf("a replica again after at most %v", longest)
 }
--- a/internal/system/replication/chain_send_test.go
+++ b/internal/system/replication/chain_send_test.go
@@ -105,7 +105,7 @@
 	}
 	t.Logf("at most %d records on disk", most)
 	if most > 4*50 {
-		t.Errorf("%d records on disk, a snapshot is due after 50", most)
+		t.Errorf("%d records on disk, but a snapshot is due after 50", most)
 	}
 }
 
@@ -129,10 +129,10 @@
 		return true
 	}
 	cluster.start(Config{Self: Member{Addr: "d", Zone: "zone d", Region: "r"}, MachineLosses: 1, Seeds: []string{"a", "b", "c"}})
-	took := cluster.until(15*time.Second, "the spare is level", func() bool {
+	took := cluster.until(15*time.Second, "the spare to catch up", func() bool {
 		return cluster.nodes["d"].core.chain.commitIndex == cluster.nodes["a"].core.chain.commitIndex
 	})
-	t.Logf("level after %v, %d snapshots sent", took, sent)
+	t.Logf("caught up after %v, %d snapshots sent", took, sent)
 	if sent > 2 {
 		t.Errorf("%d snapshots were sent", sent)
 	}
@@ -160,9 +160,9 @@
 			}
 		})
 		offered := float64(cluster.slowNetworks["d"].sentBytes) / (1 << 20)
-		t.Logf("away for %v: level after %v, %.1f MB sent in 15 s", away, level, offered)
+		t.Logf("away for %v: caught up after %v, %.1f MB sent in 15 s", away, level, offered)
 		if level == 0 || offered > 15 {
-			t.Errorf("away for %v: level after %v, %.1f MB sent in 15 s through a network of 1 MB/s", away, level, offered)
+			t.Errorf("away for %v: caught up after %v, %.1f MB sent in 15 s through a network of 1 MB/s", away, level, offered)
 		}
 	}
 }
--- a/internal/system/replication/change_decider_test.go
+++ b/internal/system/replication/change_decider_test.go
@@ -17,9 +17,9 @@
 	id := cluster.submit(sender, evacuating("one too many"), 3*time.Second)
 	cluster.until(time.Second, "an answer", func() bool { return cluster.done[id].ID != 0 })
 	if got := cluster.done[id].Outcome; got != Unknown {
-		t.Errorf("the outcome is %d, not Unknown", got)
+		t.Errorf("the outcome is %d, want Unknown", got)
 	}
 	if len(changes) > maxChanges {
-		t.Errorf("%d changes are remembered, %d at most", len(changes), maxChanges)
+		t.Errorf("%d changes are remembered, want at most %d", len(changes), maxChanges)
 	}
 }
--- a/internal/system/replication/client_calls_abandon_test.go
+++ b/internal/system/replication/client_calls_abandon_test.go
@@ -34,13 +34,13 @@
 			cancel()
 		}()
 		if _, err := k.Submit(ctx, evacuate("a")); !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrNotApplied) {
-			t.Errorf("a change that was given up ended with %v", err)
+			t.Errorf("an abandoned change ended with %v", err)
 		}
 		k.mu.Lock()
 		left := len(k.core.calls.submits)
 		k.mu.Unlock()
 		if left != 0 {
-			t.Errorf("%d changes are still asked for", left)
+			t.Errorf("%d changes are still pending", left)
 		}
 		for _, a := range group.seeds {
 			nodes[a].Stop()
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -111,14 +111,14 @@
 
 // loadAcceptor restores the acceptor's state from disk.
 func (c *Core) loadAcceptor(data []byte) error {
-	const what = "the register"
+	const what = "the acceptor state"
 	var p replicationpb.Register
 	if err := proto.Unmarshal(data, &p); err != nil {
 		return damagedDataError(err, what)
 	}
 	state := acceptorStateOf(&p)
 	if state.identity.ID == "" {
-		return damagedDataError(errors.New("it names no identity"), what)
+		return damagedDataError(errors.New("it contains no identity"), what)
 	}
 	c.self.ID = state.identity.ID
 	state.identity = c.self
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -184,7 +184,7 @@
 	dw.acceptorDirty, dw.probeWanted = false, false
 	data, err := proto.Marshal(dw.acceptor.pb())
 	if err != nil {
-		dw.fail(errors.Wrap(err, "replication: register"))
+		dw.fail(errors.Wrap(err, "replication: acceptor state cannot be encoded"))
 		return
 	}
 	waiters := dw.waiters
@@ -231,7 +231,7 @@
 	for seq := dw.durableEnd + 1; seq <= dw.chain.log.end() && bytes < maxAppendOpBytes; seq++ {
 		data, err := proto.Marshal(dw.chain.log.at(seq).pb())
 		if err != nil {
-			dw.fail(errors.Wrap(err, "replication: record"))
+			dw.fail(errors.Wrap(err, "replication: record cannot be encoded"))
 			return
 		}
 		entries = append(entries, wal.Entry{Seq: seq, Data: data})
@@ -286,7 +286,7 @@
 func encodeImage(seq, epoch uint64, s State) (wal.Snapshot, error) {
 	data, err := proto.Marshal(&replicationpb.Image{Epoch: epoch, State: s.Encode()})
 	if err != nil {
-		return wal.Snapshot{}, errors.Wrap(err, "replication: snapshot")
+		return wal.Snapshot{}, errors.Wrap(err, "replication: snapshot cannot be encoded")
 	}
 	return wal.Snapshot{Seq: seq, Data: data}, nil
 }
@@ -336,7 +336,7 @@
 	wasSlow := dw.lastWriteTime > dw.cfg.SlowDiskTimeout
 	switch {
 	case errors.Is(err, wal.ErrSuperseded): // no retry can succeed
-		dw.fail(errors.Wrap(err, "replication: this node takes no part any more"))
+		dw.fail(errors.Wrap(err, "replication: this node no longer takes part"))
 	case err != nil:
 		dw.unhealthy, dw.retryAt = true, dw.now+diskRetryInterval
 		dw.unhealthyUntil = dw.now + diskRetryInterval
--- a/internal/system/replication/disk_writer_test.go
+++ b/internal/system/replication/disk_writer_test.go
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	single.core.Submit(single.now, 2, controlstate.Change{Op: controlstate.OpNone, Zone: "late"}, 5*time.Second)
-	single.until(2*time.Second, "the end", func() bool { return single.core.Err() != nil })
+	single.until(2*time.Second, "the failure of the node", func() bool { return single.core.Err() != nil })
 	if err := single.core.Err(); !errors.Is(err, wal.ErrSuperseded) {
 		t.Error(err)
 	}
--- a/internal/system/replication/errors.go
+++ b/internal/system/replication/errors.go
@@ -35,7 +35,7 @@
 // damagedDataError marks err as wal.ErrDamaged: the disk returned the data intact, but a node does not write such data.
 func damagedDataError(err error, what string) error {
 	if err == nil {
-		err = errors.New("its number is not the next one")
+		err = errors.New("its number does not follow the previous record's")
 	}
 	err = errors.Wrapf(err, "replication: %s on disk cannot be read: move the log away and start under a new identity", what)
 	return errors.Mark(err, wal.ErrDamaged)
--- a/internal/system/replication/late_messages_test.go
+++ b/internal/system/replication/late_messages_test.go
@@ -14,9 +14,9 @@
 	head, sender := cluster.replica(0), cluster.replica(2)
 	held := cluster.captureForwards(sender, head)
 	first := cluster.submit(sender, evacuating("first"), 4*time.Second)
-	cluster.until(5*time.Second, "the first change ends", func() bool { return cluster.done[first].ID != 0 })
+	cluster.until(5*time.Second, "the end of the first change", func() bool { return cluster.done[first].ID != 0 })
 	if got := cluster.done[first].Outcome; got != Unknown || len(*held) == 0 {
-		t.Fatalf("the first change ended with outcome %d, %d messages are held", got, len(*held))
+		t.Fatalf("the first change ended with outcome %d, %d messages are delayed", got, len(*held))
 	}
 	cluster.filter = nil
 	second := cluster.submit(head, evacuating("second"), 3*time.Second)
@@ -26,10 +26,10 @@
 	cluster.deliver((*held)[0])
 	cluster.run(200 * time.Millisecond)
 	if cluster.view().Epoch != epoch {
-		t.Fatal("the view has changed: the scenario shows nothing")
+		t.Fatal("the view has changed: the scenario proves nothing")
 	}
 	if note := cluster.nodes[head].core.chain.state.(*toy).lastZone; note != "second" {
-		return "the change " + note + " undoes a later one"
+		return "the change " + note + " undid a later one"
 	}
 	return ""
 }
@@ -52,7 +52,7 @@
 	cluster.run(3500 * time.Millisecond)
 	slow = false
 	cluster.deliver(held[0])
-	cluster.until(500*time.Millisecond, "the change that was under way for 3.5 of its 4 s", func() bool { return cluster.answered(id) })
+	cluster.until(500*time.Millisecond, "the change that was in flight for 3.5 of its 4 s", func() bool { return cluster.answered(id) })
 }
 
 // TestCatchUpOfFormerIncarnationProvesNothing delivers to a node outside the chain, right after its restart, the appends that it
@@ -71,7 +71,7 @@
 	}
 	cluster.run(3 * time.Second)
 	if len(old) == 0 {
-		t.Fatal("the spare does not catch up")
+		t.Fatal("the spare received no appends")
 	}
 	cluster.nodes["d"].core = nil
 	fresh := false
@@ -88,11 +88,11 @@
 			cluster.deliver(e)
 		}
 		if n := cluster.nodes["d"]; n.core.Current(cluster.clock(n)) {
-			t.Fatalf("%v after its start the node counts as current with %d of 1 records", cluster.clock(n), n.core.chain.commitIndex)
+			t.Fatalf("%v after its start the node is current with %d of 1 records", cluster.clock(n), n.core.chain.commitIndex)
 		}
 	}
 	fresh = true
-	cluster.until(2*time.Second, "the spare is current once it is fed", func() bool {
+	cluster.until(2*time.Second, "the spare to be current once it receives appends", func() bool {
 		n := cluster.nodes["d"]
 		return n.core.Current(cluster.clock(n)) && n.core.chain.commitIndex == 1
 	})
@@ -121,9 +121,9 @@
 		return cluster.nodes[head].core.chain.commitIndex
 	}
 	if n := play(TestingKnobs{}); n != 1 {
-		t.Errorf("%d records are committed", n)
+		t.Errorf("%d records are committed, want 1", n)
 	}
 	if n := play(TestingKnobs{AcceptLateForwards: true}); n != 2 {
-		t.Errorf("without the fence %d records are committed: the scenario shows nothing", n)
+		t.Errorf("without the deadline check %d records are committed, want 2: the scenario proves nothing", n)
 	}
 }
--- a/internal/system/replication/leave_test.go
+++ b/internal/system/replication/leave_test.go
@@ -57,20 +57,20 @@
 	leaver := cluster.replica(index)
 	cluster.submitMany("b", 40)
 	acked := cluster.nodes["b"].core.chain.commitIndex
-	hasLeft := func(danger string) bool {
+	hasLeft := func(failure string) bool {
 		left := cluster.nodes[leaver].core.Departed()
 		if left && cluster.holders(acked, leaver) < 2 {
-			t.Fatal(danger)
+			t.Fatal(failure)
 		}
 		return left
 	}
 	cluster.leave(leaver)
 	for range 1000 {
 		cluster.step()
-		hasLeft("it has left, and what was acknowledged is on a single disk beside its own")
+		hasLeft("the node has left, but only one other disk holds the acknowledged records")
 	}
 	if cluster.nodes[leaver].core.Departed() {
-		t.Fatal("it has left, and nobody could take its place")
+		t.Fatal("the node has left although no other node could replace it")
 	}
 	// The node that returns receives messages of the others, but takes long to catch up.
 	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
@@ -79,13 +79,13 @@
 	cluster.start(away.cfg)
 	for range 600 {
 		cluster.step()
-		hasLeft("it has left for one that has yet to catch up")
+		hasLeft("the node has left in favor of one that has not caught up yet")
 	}
 	cluster.filter = nil
-	took := cluster.until(5*time.Second, "it has left", func() bool {
-		return hasLeft("it has left, and what was acknowledged is on a single disk beside its own")
+	took := cluster.until(5*time.Second, "the node to leave", func() bool {
+		return hasLeft("the node has left, but only one other disk holds the acknowledged records")
 	})
-	t.Logf("it left %v after the other had caught up", took)
+	t.Logf("the node left %v after the other had caught up", took)
 }
 
 // TestDrainingNodeHandsOverOnlyReplica drains the only replica while another node is available. It guards against a handover that
@@ -100,9 +100,9 @@
 	head := cluster.replica(0)
 	cluster.submitMany(head, 3)
 	cluster.leave(head)
-	cluster.until(3*time.Second, "it has left", func() bool { return cluster.nodes[head].core.Departed() })
+	cluster.until(3*time.Second, "the node to leave", func() bool { return cluster.nodes[head].core.Departed() })
 	if n := cluster.holders(3, head); n < 1 {
-		t.Fatalf("%d others hold the changes", n)
+		t.Fatalf("%d other nodes hold the changes", n)
 	}
 }
 
@@ -123,8 +123,8 @@
 	cfg := cluster.nodes["b"].cfg
 	cfg.Bootstrap, cfg.Self.ID = false, "b again"
 	cluster.start(cfg)
-	cluster.until(8*time.Second, "it has left", func() bool { return cluster.nodes["a"].core.Departed() })
+	cluster.until(8*time.Second, "the node to leave", func() bool { return cluster.nodes["a"].core.Departed() })
 	if n := cluster.holders(5, "a"); n < 2 {
-		t.Fatalf("%d others hold the changes", n)
+		t.Fatalf("%d other nodes hold the changes", n)
 	}
 }
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -41,7 +41,7 @@
 			for _, a := range addrs {
 				cluster.start(observed(a, addrs[:3], addrs[:observers]))
 			}
-			took := cluster.until(5*time.Second, "a view that bears a loss", func() bool {
+			took := cluster.until(5*time.Second, "a view that tolerates a loss", func() bool {
 				noObserverInViews(t, cluster)
 				return cluster.complete(3, 3)
 			})
@@ -75,7 +75,7 @@
 		t.Fatalf("one of two seeds that may vote has formed %v", v)
 	}
 	cluster.start(observed("k3", seeds, nil))
-	cluster.until(5*time.Second, "a view by both", func() bool { return cluster.complete(2, 2) })
+	cluster.until(5*time.Second, "a view formed by both", func() bool { return cluster.complete(2, 2) })
 }
 
 // TestAnObserverNeverJoins runs observers along with a chain that lacks a replica. It guards against a node without a disk becoming a
@@ -101,11 +101,11 @@
 	cluster.until(time.Second, "a change through an observer", func() bool { return cluster.answered(id) })
 	// An observer learns of a new head immediately, not with its next heartbeat.
 	cluster.start(observed("k2", addrs, nil))
-	cluster.until(5*time.Second, "three links", func() bool { return cluster.complete(3, 3) })
+	cluster.until(5*time.Second, "three replicas", func() bool { return cluster.complete(3, 3) })
 	head, _ := cluster.view().Voter(cluster.view().Head())
 	cluster.nodes[head.Addr].core = nil
 	id = cluster.submit("o2", replacing(0, "b"), 3*time.Second)
-	took := cluster.until(3*time.Second, "a change through an observer after the head is gone", func() bool { return cluster.answered(id) })
+	took := cluster.until(3*time.Second, "a change through an observer after the loss of the head", func() bool { return cluster.answered(id) })
 	t.Logf("%s was the head; the change took %v", head.Addr, took)
 	if took > 1500*time.Millisecond {
 		t.Errorf("an observer takes %v to find the next head", took)
@@ -130,7 +130,7 @@
 	cfg := observed("k4", observers, nil)
 	cfg.Bootstrap = false
 	cluster.start(cfg)
-	took := cluster.until(5*time.Second, "the newcomer is a link", func() bool {
+	took := cluster.until(5*time.Second, "the new node to be a replica", func() bool {
 		return cluster.complete(3, 3) && slices.Contains(cluster.view().Chain, ID("k4"))
 	})
 	t.Logf("a replica after %v", took)
--- a/internal/system/replication/options.go
+++ b/internal/system/replication/options.go
@@ -51,7 +51,7 @@
 func (o *Options) coreConfig() (Config, error) {
 	var random [24]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return Config{}, errors.Wrap(err, "replication: no random numbers")
+		return Config{}, errors.Wrap(err, "replication: random numbers cannot be read")
 	}
 	identity, incarnation := random[:16], random[16:]
 	return Config{
--- a/internal/system/replication/partition_test.go
+++ b/internal/system/replication/partition_test.go
@@ -28,7 +28,7 @@
 			longest, longestCurrent = max(longest, rejoined), max(longestCurrent, current)
 		}
 	}
-	t.Logf("a replica again after %v at most, current after %v at most", longest, longestCurrent)
+	t.Logf("a replica again after at most %v, current after at most %v", longest, longestCurrent)
 }
 
 // replicaPartition is a run in which one of three replicas is partitioned.
@@ -70,7 +70,7 @@
 		p.cluster.deliver(e)
 	}
 	rejoined = p.cluster.until(5*time.Second, p.direction+" of "+p.partitioned+": three replicas", func() bool { return p.cluster.complete(3, 3) })
-	current = rejoined + p.cluster.until(5*time.Second, "it is current", func() bool {
+	current = rejoined + p.cluster.until(5*time.Second, "the replica to be current", func() bool {
 		node := p.cluster.nodes[p.partitioned]
 		return node.core.Current(p.cluster.clock(node)) && node.core.chain.commitIndex >= p.acked
 	})
@@ -100,7 +100,7 @@
 	}
 	d := p.cluster.done[p.here]
 	if d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
-		p.t.Fatalf("%s of %s: a change at it ended with %v", p.direction, p.partitioned, d.Verdict)
+		p.t.Fatalf("%s of %s: a change at the partitioned replica ended with %v", p.direction, p.partitioned, d.Verdict)
 	}
 	p.here = p.cluster.submit(p.partitioned, replacing(p.cluster.nodes[p.partitioned].core.chain.state.(*toy).rev, "at the cut one"), time.Second)
 }
@@ -111,10 +111,10 @@
 		return
 	}
 	if d := p.cluster.done[p.read]; d.Outcome == Answered && d.Seq+1 < p.acked {
-		p.t.Fatalf("%s of %s: a read gave record %d, %d was acknowledged", p.direction, p.partitioned, d.Seq, p.acked)
+		p.t.Fatalf("%s of %s: a read returned record %d, but record %d was acknowledged", p.direction, p.partitioned, d.Seq, p.acked)
 	}
 	node := p.cluster.nodes[p.partitioned]
 	if node.core.Current(p.cluster.clock(node)) && node.core.chain.commitIndex+1 < p.acked {
-		p.t.Fatalf("%s of %s: it counts as current with record %d of %d", p.direction, p.partitioned, node.core.chain.commitIndex, p.acked)
+		p.t.Fatalf("%s of %s: the replica is current with record %d of %d", p.direction, p.partitioned, node.core.chain.commitIndex, p.acked)
 	}
 }
--- a/internal/system/replication/partitioned_node_test.go
+++ b/internal/system/replication/partitioned_node_test.go
@@ -35,16 +35,16 @@
 			nodes := []string{cluster.replica(0), cluster.replica(1), cluster.replica(2), "s", "o"}
 			partitioned := nodes[place]
 			cluster.filter = func(from, to string, _ *replicationpb.Message) bool { return !stops(from, to, partitioned) }
-			noticed := cluster.until(2500*time.Millisecond, "it is noticed", func() bool { return cluster.partition(partitioned) })
+			noticed := cluster.until(2500*time.Millisecond, "the node to report the partition", func() bool { return cluster.partition(partitioned) })
 			if noticed < time.Second {
-				t.Errorf("%s, place %d: partitioned after %v, within which a node may be silent", name, place, noticed)
+				t.Errorf("%s, place %d: reported as partitioned after %v, less than a node may be silent", name, place, noticed)
 			}
 			for range 100 {
 				cluster.checkPartitioned(fmt.Sprintf("%s, place %d", name, place), nodes, partitioned)
 			}
 			cluster.filter = nil
-			ended := cluster.until(1500*time.Millisecond, "its end is noticed", func() bool { return !cluster.partition(partitioned) })
-			t.Logf("%s, place %d: noticed after %v, its end after %v", name, place, noticed, ended)
+			ended := cluster.until(1500*time.Millisecond, "the node to report the end of the partition", func() bool { return !cluster.partition(partitioned) })
+			t.Logf("%s, place %d: detected after %v, its end after %v", name, place, noticed, ended)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 		cluster.step()
 		for _, other := range nodes {
 			if got := cluster.partition(other); got != (other == partitioned) {
-				cluster.t.Fatalf("%s: partitioned %v at %s while %s is cut", name, got, other, partitioned)
+				cluster.t.Fatalf("%s: partitioned = %v at %s while %s is partitioned", name, got, other, partitioned)
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 				continue
 			}
 			if cluster.partition(addr) {
-				cluster.t.Fatalf("%s counts as partitioned after %v", addr, cluster.now-began)
+				cluster.t.Fatalf("%s reports being partitioned after %v", addr, cluster.now-began)
 			}
 			if (cluster.now-began)%(200*time.Millisecond) == 0 {
 				calls[addr] = append(calls[addr], cluster.submit(addr, evacuating("z"), 700*time.Millisecond))
@@ -159,7 +159,7 @@
 		}
 		for addr := range cluster.nodes {
 			if cluster.partition(addr) {
-				t.Fatalf("%s counts as partitioned after %v", addr, cluster.now-began)
+				t.Fatalf("%s reports being partitioned after %v", addr, cluster.now-began)
 			}
 		}
 	}
--- a/internal/system/replication/paused_test.go
+++ b/internal/system/replication/paused_test.go
@@ -25,6 +25,6 @@
 	n.paused, cluster.filter = false, nil
 	cluster.deliver(waiting[len(waiting)-1])
 	if grace := n.core.liveness.graceUntil - cluster.clock(n); grace <= 0 {
-		t.Errorf("it may plan at once: grace %v", grace)
+		t.Errorf("the voter may plan immediately: grace %v", grace)
 	}
 }
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -107,10 +107,10 @@
 	cluster.run(3 * time.Second) // working voters may still be replaced
 	v := cluster.view()
 	if can := subsets(members, wantVoters, cfg.votersTolerateLosses); can != cfg.votersTolerateLosses(v.Voters) {
-		t.Errorf("%s: tolerable %v, but the voters are %v", name, can, v)
+		t.Errorf("%s: a tolerant choice exists: %v, but the voters are %v", name, can, v)
 	}
 	if can := subsets(v.Voters, wantReplicas, cfg.chainToleratesLosses); can != cfg.chainToleratesLosses(v.chainMembers()) {
-		t.Errorf("%s: tolerable %v, but the replicas are %v", name, can, v)
+		t.Errorf("%s: a tolerant choice exists: %v, but the replicas are %v", name, can, v)
 	}
 }
 
@@ -163,7 +163,7 @@
 	id := cluster.submit(members[at].Addr, replacing(1, "second"), 10*time.Second)
 	took := cluster.until(5*time.Second, name+": a change", func() bool { return cluster.answered(id) })
 	if seq := cluster.nodes[members[at].Addr].core.chain.commitIndex; seq < 2 {
-		t.Errorf("%s: %d records are left", name, seq)
+		t.Errorf("%s: only %d records remain", name, seq)
 	}
 	return took
 }
@@ -178,9 +178,9 @@
 	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
 	cluster.run(time.Second)
 	cluster.start(Config{Self: Member{ID: "c1", Addr: "c1", Zone: "c", Region: "r"}, MachineLosses: 1, ZoneLosses: 1, Seeds: []string{"a1"}})
-	took := cluster.until(5*time.Second, "one voter a zone", func() bool {
+	took := cluster.until(5*time.Second, "one voter per zone", func() bool {
 		if v := cluster.view(); len(v.Chain) < 2 || len(v.Voters) != 3 {
-			t.Fatalf("on the way: %v", v)
+			t.Fatalf("too few replicas or voters in between: %v", v)
 		}
 		cfg := Config{MachineLosses: 1, ZoneLosses: 1}
 		return cluster.complete(3, 3) && cfg.votersTolerateLosses(cluster.view().Voters)
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -18,7 +18,7 @@
 		if w.now-began > limit || w.violation != nil {
 			w.trace = t.Logf
 			w.dump()
-			t.Fatalf("not whole after %v: %v, %v", w.now-began, w.newest, w.violation)
+			t.Fatalf("view not complete after %v: %v, %v", w.now-began, w.newest, w.violation)
 		}
 		w.runUntil(w.now + 20*time.Millisecond)
 	}
@@ -72,7 +72,7 @@
 			w.runUntil(w.now + time.Second)
 		}
 	}
-	t.Logf("whole again after at most %v", longest)
+	t.Logf("view complete again after at most %v", longest)
 }
 
 // TestChangesWaitOnlyForTheRepair measures the longest time without an acknowledged change after the loss of one replica. It guards
--- a/internal/system/replication/restart_test.go
+++ b/internal/system/replication/restart_test.go
@@ -72,7 +72,7 @@
 	time.Sleep(250 * time.Millisecond)
 	for _, a := range f.seeds {
 		if s, _ := f.nodes[a].Committed(); len(s.Evacuated) != evacuations {
-			f.t.Errorf("round %d: %s knows of %d changes after 250 ms: replicas ask too seldom to catch up", evacuations, a, len(s.Evacuated))
+			f.t.Errorf("round %d: %s knows of %d changes after 250 ms: replicas request records too rarely", evacuations, a, len(s.Evacuated))
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if s, err := f.nodes[f.seeds[round%3]].Read(ctx); err != nil || len(s.Evacuated) != round {
-		f.t.Fatalf("round %d: before anything new: %v %v", round, s, err)
+		f.t.Fatalf("round %d: before the new change: %v %v", round, s, err)
 	}
 	if _, err := f.nodes[f.seeds[round%3]].Submit(ctx, evacuate(zone)); err != nil {
 		f.t.Fatalf("round %d: %v", round, err)
--- a/internal/system/replication/restore.go
+++ b/internal/system/replication/restore.go
@@ -12,7 +12,7 @@
 // the head has, and nodes that join later receive what the chain has.
 func RestoredSnapshot(s *controlstate.State) (wal.Snapshot, error) {
 	if s.Seq == 0 {
-		return wal.Snapshot{}, errors.New("replication: the state holds no record: start the nodes without it")
+		return wal.Snapshot{}, errors.New("replication: the state contains no records: start the nodes without it")
 	}
 	return encodeImage(s.Seq, 0, controlState{s}) // epoch 0: from before the first view
 }
@@ -32,7 +32,7 @@
 	}
 	recovered, ok := state.(controlState)
 	if !ok {
-		return nil, errors.AssertionFailedf("replication: a state of type %T: report it", state)
+		return nil, errors.AssertionFailedf("replication: unexpected state type %T: report this as a bug", state)
 	}
 	return recovered.State, nil
 }
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -120,7 +120,7 @@
 	time.Sleep(time.Second)
 	for _, a := range f.seeds {
 		if !f.nodes[a].Current() || len(f.nodes[a].View().Chain) != len(f.seeds) {
-			f.t.Errorf("%s: %s is not current, or the chain is not whole: %v", when, a, f.nodes[a].View())
+			f.t.Errorf("%s: %s is not current, or the chain is not complete: %v", when, a, f.nodes[a].View())
 		}
 	}
 	return after
@@ -221,11 +221,11 @@
 		}
 		gone = gone || op.Kind == DiskInstall && op.Snapshot.Seq == 0
 		if op.Kind == DiskSaveMeta && core.View().Epoch > 0 && !gone {
-			t.Fatal("the view is written while the restored log is there")
+			t.Fatal("the view is written before the restored log is removed")
 		}
 		core.DiskDone(0, op.Token, nil)
 	}
 	if n, _ := core.Committed(); !gone || core.View().Epoch != 1 || n != 0 {
-		t.Errorf("the log is gone: %v, view %d, record %d", gone, core.View().Epoch, n)
+		t.Errorf("the log is removed: %v, view %d, record %d", gone, core.View().Epoch, n)
 	}
 }
--- a/internal/system/replication/scenarios_test.go
+++ b/internal/system/replication/scenarios_test.go
@@ -31,14 +31,14 @@
 				t.Error(broken)
 			}
 			if broken := s.play(t, s.knobs); broken == "" {
-				t.Error("without the protection nothing is broken: the scenario shows nothing")
+				t.Error("no invariant is violated without the protection: the scenario proves nothing")
 			} else {
 				t.Log("without the protection: " + broken)
 			}
 		})
 	}
 	if covered != scenarioKnobs {
-		t.Errorf("the scenarios take out %+v, they must take out %+v", covered, scenarioKnobs)
+		t.Errorf("the scenarios disable %+v, want %+v", covered, scenarioKnobs)
 	}
 }
 
@@ -90,13 +90,13 @@
 		return true
 	}
 	cluster.nodes[tail].core.liveness.graceUntil, cluster.nodes[voter].core.liveness.graceUntil = time.Hour, time.Hour // only the head proposes
-	cluster.until(5*time.Second, "the head goes on alone", func() bool {
+	cluster.until(5*time.Second, "the head to continue alone", func() bool {
 		return cluster.nodes[head].core.acceptor.view.Epoch > before && cluster.nodes[head].core.chain.isTail()
 	})
 	id := cluster.submit(head, replacing(0, "newer"), time.Second)
 	cluster.until(time.Second, "a change in the new view", func() bool { return cluster.answered(id) })
 	if !told || cluster.nodes[voter].core.acceptor.view.Epoch != before || cluster.nodes[tail].core.acceptor.view.Epoch != before {
-		t.Fatalf("it did not come about: told %v, views %v and %v", told, cluster.nodes[voter].core.acceptor.view, cluster.nodes[tail].core.acceptor.view)
+		t.Fatalf("the scenario did not occur: messages suppressed %v, views %v and %v", told, cluster.nodes[voter].core.acceptor.view, cluster.nodes[tail].core.acceptor.view)
 	}
 	read, current := cluster.read(tail, 2*time.Second), false
 	cluster.run(time.Second) // for that long, what the voter stated before it accepted may count as current
@@ -106,11 +106,11 @@
 	}
 	switch stale := cluster.answered(read) && cluster.done[read].State.(*toy).rev == 0; {
 	case stale && current:
-		return "a read gave the past, and the past counts as current"
+		return "a read returned stale state, and the stale state counts as current"
 	case stale:
-		return "a read gave the past"
+		return "a read returned stale state"
 	case current:
-		return "the past counts as current"
+		return "stale state counts as current"
 	}
 	return ""
 }
@@ -131,23 +131,23 @@
 	off := head
 	cluster.filter = func(from, to string, _ *replicationpb.Message) bool { return from != off && to != off }
 	leads := func(addr string) bool { c := cluster.nodes[addr].core; return c.chain.isHead() && c.chain.isTail() }
-	cluster.until(3*time.Second, "the other leads", func() bool { return leads(other) })
-	cluster.until(time.Second, "the first change ends", func() bool { return cluster.done[first].ID != 0 })
+	cluster.until(3*time.Second, "the other node to lead", func() bool { return leads(other) })
+	cluster.until(time.Second, "the end of the first change", func() bool { return cluster.done[first].ID != 0 })
 	if got := cluster.done[first].Outcome; got != Unknown || len(*held) == 0 {
-		t.Fatalf("the first change ended with outcome %d, %d messages are held", got, len(*held))
+		t.Fatalf("the first change ended with outcome %d, %d messages are delayed", got, len(*held))
 	}
 	off = ""
 	second := cluster.submit(other, evacuating("second"), 3*time.Second)
 	cluster.until(3*time.Second, "the second change", func() bool { return cluster.answered(second) })
 	cluster.until(5*time.Second, "a chain of two", func() bool { return cluster.complete(2, 3) })
 	off = other
-	cluster.until(5*time.Second, "the first head leads again", func() bool { return leads(head) })
+	cluster.until(5*time.Second, "the first head to lead again", func() bool { return leads(head) })
 	for _, e := range *held {
 		cluster.deliver(e)
 	}
 	cluster.run(200 * time.Millisecond)
 	if note := cluster.nodes[head].core.chain.state.(*toy).lastZone; note != "second" {
-		return "the change " + note + " undoes a later one"
+		return "the change " + note + " undid a later one"
 	}
 	return ""
 }
--- a/internal/system/replication/sealing_test.go
+++ b/internal/system/replication/sealing_test.go
@@ -42,7 +42,7 @@
 	cluster.run(300 * time.Millisecond)
 	lost = func(from, _ string) bool { return from == "a" }
 	b.writer.unhealthy, b.writer.unhealthyUntil = true, time.Hour
-	cluster.until(5*time.Second, "another view is proposed", func() bool { return len(accepts) > 0 })
+	cluster.until(5*time.Second, "a proposal of another view", func() bool { return len(accepts) > 0 })
 	for _, e := range underWay {
 		cluster.deliver(e)
 	}
@@ -50,10 +50,10 @@
 	for _, e := range accepts {
 		cluster.deliver(e)
 	}
-	cluster.until(5*time.Second, "c leads", func() bool { return cluster.nodes["c"].core.chain.isHead() })
+	cluster.until(5*time.Second, "c to lead", func() bool { return cluster.nodes["c"].core.chain.isHead() })
 	cluster.run(time.Second)
 	if cluster.answered(change) && cluster.nodes["c"].core.chain.log.end() == 0 {
-		return "a change was acknowledged in an epoch that counted as empty, and its successor lacks it"
+		return "a change was acknowledged in an epoch that was presumed to have acknowledged nothing, and the next head lacks it"
 	}
 	return ""
 }
@@ -65,6 +65,6 @@
 		t.Error(broken)
 	}
 	if broken := playUnsealedEpoch(t, TestingKnobs{PresumeUnacknowledged: true}); broken == "" {
-		t.Error("without the protection nothing is broken: the scenario shows nothing")
+		t.Error("no invariant is violated without the protection: the scenario proves nothing")
 	}
 }
--- a/internal/system/replication/second_loss_test.go
+++ b/internal/system/replication/second_loss_test.go
@@ -80,7 +80,7 @@
 			}
 		}
 	}
-	t.Logf("%d courses; a change waited %v at most", runs, longest)
+	t.Logf("%d runs; a change waited at most %v", runs, longest)
 }
 
 // play returns how long a change waits after the second loss.
@@ -92,7 +92,7 @@
 	lost := cluster.replica(2 * l.first)
 	if l.kind == "leaving" {
 		cluster.leave(lost)
-		cluster.until(2*time.Second, name+": it has left", func() bool { return cluster.nodes[lost].core.Departed() })
+		cluster.until(2*time.Second, name+": the node to leave", func() bool { return cluster.nodes[lost].core.Departed() })
 	}
 	cluster.nodes[lost].core = nil
 	returned := false
@@ -129,7 +129,7 @@
 	read := cluster.read(at, 2*time.Second)
 	cluster.until(2*time.Second, name+": a read", func() bool { return cluster.answered(read) })
 	if rev := cluster.done[read].State.(*toy).rev; rev != 4 {
-		cluster.t.Fatalf("%s: version %d is read back, %d is held", name, rev, newest)
+		cluster.t.Fatalf("%s: version %d was read back, but the node holds version %d", name, rev, newest)
 	}
 	return took
 }
--- a/internal/system/replication/sim_change_history_test.go
+++ b/internal/system/replication/sim_change_history_test.go
@@ -42,15 +42,15 @@
 func (w *clusterSim) committed(r controlstate.Record) {
 	key := keyOf(controlstate.Change{Op: r.Op, Base: r.Base, Body: r.Body, Zone: r.Zone})
 	if seq := w.acceptedAt[key]; seq > 0 {
-		w.fail(fmt.Errorf("%s came about twice, as records %d and %d", key, seq, r.Seq))
+		w.fail(fmt.Errorf("%s was applied twice, as records %d and %d", key, seq, r.Seq))
 	}
 	w.acceptedAt[key] = r.Seq
 	l := w.entryOf(key)
 	if l.rejected {
-		w.fail(fmt.Errorf("%s was called stale or invalid and came about", key))
+		w.fail(fmt.Errorf("%s was reported as stale or invalid, but was applied", key))
 	}
 	if z := w.zoneOf(r.Zone); z != nil && z.acknowledged && z.wanted != r.Op {
-		w.fail(fmt.Errorf("%s, an old one, undid the later change of its zone that was acknowledged", key))
+		w.fail(fmt.Errorf("%s, an old change, undid a later acknowledged change of its zone", key))
 	}
 }
 
@@ -58,10 +58,10 @@
 func (w *clusterSim) checkHistories() {
 	for key, l := range w.histories {
 		if l.attempts > 0 && l.refused == l.attempts && w.acceptedAt[key] > 0 {
-			w.fail(fmt.Errorf("all %d tries of %s were refused, and it came about", l.attempts, key))
+			w.fail(fmt.Errorf("all %d attempts of %s were refused, but it was applied", l.attempts, key))
 		}
 		if l.acked && w.acceptedAt[key] == 0 && !strings.Contains(key, "zone") {
-			w.fail(fmt.Errorf("%s was acknowledged and is gone", key))
+			w.fail(fmt.Errorf("%s was acknowledged, but is lost", key))
 		}
 	}
 	bases := map[int64][]string{}
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -32,7 +32,7 @@
 	for round := range 6 {
 		m := nodeRoles[role](w)
 		if m == nil {
-			return 0, fmt.Errorf("there is no %s: %w", role, w.violation)
+			return 0, fmt.Errorf("there is no node in the role %s: %w", role, w.violation)
 		}
 		for _, o := range w.nodes {
 			w.block(o.member.Addr, m.member.Addr, 500*time.Millisecond, true)
@@ -112,9 +112,9 @@
 			}
 			sum.Add(int64(n))
 		})
-		t.Logf("%v: %d answers to calls of former lives arrived, %d changes 20 s late", layout, former.Load(), late.Load())
+		t.Logf("%v: %d answers to calls of previous incarnations arrived, %d changes 20 s late", layout, former.Load(), late.Load())
 		if former.Load() == 0 || late.Load() == 0 {
-			t.Errorf("%v: it did not come about: %d, %d", layout, former.Load(), late.Load())
+			t.Errorf("%v: late answers did not arrive: %d to previous incarnations, %d changes", layout, former.Load(), late.Load())
 		}
 	}
 }
@@ -142,7 +142,7 @@
 			_, err = play(seed)
 		}
 		if err == nil {
-			t.Errorf("%s: nothing broke", name)
+			t.Errorf("%s: no invariant was violated", name)
 			continue
 		}
 		t.Logf("%s: seed %d: %v", name, seed, err)
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -54,7 +54,7 @@
 	w.operate()
 	w.runUntil(4 * time.Second)
 	if !w.canLoseDisk() {
-		return 0, fmt.Errorf("there is no whole view: %w", w.violation)
+		return 0, fmt.Errorf("there is no complete view: %w", w.violation)
 	}
 	head, middle, tail := w.replica(0), w.replica(1), w.replica(2)
 	if seed%2 == 0 {
@@ -82,7 +82,7 @@
 		})
 	})
 	w.runUntil(w.now + leavePatience + 2*time.Second)
-	w.expectAck("after the leaver has gone")
+	w.expectAck("after the draining node has left")
 	err := w.converge(8 * time.Second)
 	return stayed, err
 }
@@ -103,9 +103,9 @@
 		}
 		longest = max(longest, stays[i])
 	}
-	t.Logf("%d leavers with the only copy stayed for at most %v", n, longest)
+	t.Logf("%d draining nodes with the only copy stayed for at most %v", n, longest)
 	if longest == 0 || longest >= leavePatience {
-		t.Errorf("the leavers stayed for up to %v", longest)
+		t.Errorf("the draining nodes stayed for up to %v", longest)
 	}
 	var err error
 	seed := uint64(0)
@@ -114,9 +114,9 @@
 		_, err = playDrainingNode(seed, 0)
 	}
 	if err == nil {
-		t.Error("nothing broke where the leaver went at once")
+		t.Error("no invariant was violated when the draining node left immediately")
 	}
-	t.Logf("control, the leaver goes at once: seed %d: %v", seed, err)
+	t.Logf("control, the draining node leaves immediately: seed %d: %v", seed, err)
 }
 
 // TestDrainingNodeDoesNotCountTimedOutReplicas checks that an old heartbeat of a replica is not taken as proof that its disk still
@@ -129,11 +129,11 @@
 		c.liveness.peers[id] = &peer{member: Member{ID: id}, heartbeat: &replicationpb.Heartbeat{Epoch: 3, Active: 3}}
 	}
 	if !c.Departed() {
-		t.Error("two replicas that are alive hold all, and the leaver does not go")
+		t.Error("two replicas that are alive hold everything, but the draining node has not departed")
 	}
 	c.now = 20 * time.Second
 	c.liveness.peers["a"].lastContactAt, c.liveness.peers["a"].echoedAt = c.now, c.now
 	if c.Departed() {
-		t.Error("one of two replicas is silent, and the leaver goes")
+		t.Error("one of two replicas has timed out, but the draining node has departed")
 	}
 }
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -142,10 +142,10 @@
 			history := []int{toyHistory, toyHistory, 500}[j]
 			for seed := range uint64(envInt("REPLICATION_RACES", 2)) {
 				got := playRace(seed+1, layout, between, history, TestingKnobs{}, false)
-				name := fmt.Sprintf("%v, %d changes between, %d known again, seed %d", layout, between, history, seed+1)
+				name := fmt.Sprintf("%v, %d changes between, %d remembered, seed %d", layout, between, history, seed+1)
 				got.check(t, name, between, history)
 				if seed == 0 {
-					t.Logf("%s: %d calls at once, %d clear answers, %d lost, %d kills, then %v", name, got.inFlight, got.answered, got.lostAnswers, got.kills, got.retries)
+					t.Logf("%s: %d concurrent calls, %d conclusive answers, %d lost, %d kills, then %v", name, got.inFlight, got.answered, got.lostAnswers, got.kills, got.retries)
 				}
 			}
 		}
@@ -159,16 +159,16 @@
 	case got.err != nil:
 		t.Errorf("%s: %v", name, got.err)
 	case got.inFlight < 8 || got.answered < 4 || got.lostAnswers == 0 || got.kills == 0 || got.changes < between:
-		t.Errorf("%s: it did not come about: %+v", name, got)
+		t.Errorf("%s: the race did not take place as intended: %+v", name, got)
 	case between > 100 && got.snapshots == 0:
-		t.Errorf("%s: no snapshot was taken over the race", name)
+		t.Errorf("%s: no snapshot covers the race", name)
 	case len(got.retries["taken"]) == 0 || len(got.retries["lost"]) == 0:
-		t.Errorf("%s: the repeats were %v", name, got.retries)
+		t.Errorf("%s: the retries were %v", name, got.retries)
 	}
 	for _, r := range got.retries["taken"] {
 		known, unclear := "outcome 1 kind 1", "outcome 1 kind 4"
 		if history > between && r != known || history <= between && r != unclear {
-			t.Errorf("%s: what was taken got %s when it came again", name, r)
+			t.Errorf("%s: an accepted change got %s when it was repeated", name, r)
 		}
 	}
 }
@@ -190,7 +190,7 @@
 			err = playRace(seed, topology{3, 0, 1, 3, 0, 0}, 10, toyHistory, c.TestingKnobs, c.forgetful).err
 		}
 		if err == nil {
-			t.Errorf("%s: nothing broke", name)
+			t.Errorf("%s: no invariant was violated", name)
 			continue
 		}
 		t.Logf("%s: seed %d: %v", name, seed, err)
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -94,7 +94,7 @@
 	}
 	absent := nodeRoles[role](w)
 	if absent == nil {
-		out.err = fmt.Errorf("there is no %s", role)
+		out.err = fmt.Errorf("there is no node in the role %s", role)
 		return out
 	}
 	held := absent.core.chain.commitIndex
@@ -189,11 +189,11 @@
 	case run.missed < uint64(changes):
 		return fmt.Sprintf("it missed only %d changes", run.missed)
 	case run.caughtUpAfter > levelBound:
-		return fmt.Sprintf("caught up after %v only", run.caughtUpAfter)
+		return fmt.Sprintf("caught up only after %v", run.caughtUpAfter)
 	case run.longest > 100: // a snapshot every 20 records, 5 retained below it, and the records in flight
 		return fmt.Sprintf("a log of %d records", run.longest)
 	case run.changesMeanwhile < 20:
-		return fmt.Sprintf("only %d changes were made meanwhile", run.changesMeanwhile)
+		return fmt.Sprintf("only %d changes were made in the meantime", run.changesMeanwhile)
 	}
 	return ""
 }
@@ -219,7 +219,7 @@
 		sum.installs += run.installs
 		sum.upstreamLosses += run.upstreamLosses
 	}
-	t.Logf("%d plays, away for %d changes: level after at most %v, %d snapshots sent, %d upstream losses meanwhile, logs of at most %d records",
+	t.Logf("%d runs, away for %d changes: caught up after at most %v, %d snapshots sent, %d upstream losses meanwhile, logs of at most %d records",
 		len(jobs), changes, sum.caughtUpAfter, sum.installs, sum.upstreamLosses, sum.longest)
 	if sum.installs == 0 || sum.upstreamLosses == 0 {
 		t.Error("no snapshot was sent, or no upstream was lost")
@@ -243,7 +243,7 @@
 			err = playOutage(seed, topology{3, 1, 1, 3, 0, 0}, c.role, c.mode, 60, c.TestingKnobs).err
 		}
 		if err == nil {
-			t.Errorf("%s: nothing broke", name)
+			t.Errorf("%s: no invariant was violated", name)
 			continue
 		}
 		t.Logf("%s: seed %d: %v", name, seed, err)
--- a/internal/system/replication/sim_hardening_partition_test.go
+++ b/internal/system/replication/sim_hardening_partition_test.go
@@ -62,7 +62,7 @@
 	w.runUntil(5 * time.Second)
 	node := nodeRoles[role](w)
 	if node == nil {
-		out.err = fmt.Errorf("there is no %s", role)
+		out.err = fmt.Errorf("there is no node in the role %s", role)
 		return out
 	}
 	began, before := w.now, w.stats.accepted
@@ -71,7 +71,7 @@
 			out.asked++
 			if d.Outcome == Answered {
 				out.answered++
-				w.trace("%v CLEAR answer of the machine that is cut off: %s read %v %+v", w.now, keyOf(a.change), a.read, d)
+				w.trace("%v CONCLUSIVE answer of the partitioned machine: %s read %v %+v", w.now, keyOf(a.change), a.read, d)
 			}
 		}
 	}
@@ -151,18 +151,18 @@
 		case run.err != nil:
 			t.Errorf("%s: %v", name, run.err)
 		case run.changes < 20:
-			t.Errorf("%s: only %d changes were acknowledged meanwhile", name, run.changes)
+			t.Errorf("%s: only %d changes were acknowledged in the meantime", name, run.changes)
 		case jobs[i].mode.reachable && run.asked < 20:
-			t.Errorf("%s: only %d calls reached it", name, run.asked)
+			t.Errorf("%s: only %d calls reached the node", name, run.asked)
 		case run.answered > 0:
-			t.Errorf("%s: it gave %d clear answers", name, run.answered)
+			t.Errorf("%s: the partitioned node gave %d conclusive answers", name, run.answered)
 		case run.rejoinedAfter > backBound:
-			t.Errorf("%s: back after %v only", name, run.rejoinedAfter)
+			t.Errorf("%s: in service again only after %v", name, run.rejoinedAfter)
 		}
 		longest = max(longest, run.rejoinedAfter)
 		asked, changes = asked+run.asked, changes+run.changes
 	}
-	t.Logf("%d plays: %d changes elsewhere, %d calls ended without a clear answer, back in force after at most %v", len(jobs), changes, asked, longest)
+	t.Logf("%d runs: %d changes elsewhere, %d calls ended without a conclusive answer, in service again after at most %v", len(jobs), changes, asked, longest)
 }
 
 // TestHardeningPartitionControls disables protections; the same runs must then violate an invariant.
@@ -179,9 +179,9 @@
 	} {
 		got := playPartition(4, topology{3, 1, 1, 3, 0, 0}, c.role, c.mode, c.TestingKnobs)
 		if got.err == nil && got.answered == 0 {
-			t.Errorf("%s: nothing broke", name)
+			t.Errorf("%s: no invariant was violated", name)
 			continue
 		}
-		t.Logf("%s: %v, %d clear answers", name, got.err, got.answered)
+		t.Logf("%s: %v, %d conclusive answers", name, got.err, got.answered)
 	}
 }
--- a/internal/system/replication/sim_invariants_test.go
+++ b/internal/system/replication/sim_invariants_test.go
@@ -11,36 +11,36 @@
 func (w *clusterSim) fail(err error) {
 	if w.violation == nil {
 		w.violation = fmt.Errorf("%v: %w", w.now, err)
-		w.trace("%v BROKEN %v", w.now, err)
+		w.trace("%v VIOLATION %v", w.now, err)
 		w.dump()
 	}
 }
 
 // dump traces the state of every node.
 func (w *clusterSim) dump() {
-	w.trace("truth %d, acked %d, lost %d, whole %v", len(w.truth), w.acked, w.lost, w.isFullyReplicated())
+	w.trace("truth %d, acked %d, lost %d, complete %v", len(w.truth), w.acked, w.lost, w.isFullyReplicated())
 	for _, m := range w.nodes {
 		r, ok := m.durableState()
 		if !m.isRunning() {
-			w.trace("machine %d %s down, gone %v; disk %v %v view %d active %d", m.name, m.member.Addr, m.removed, ok, r.identity.ID, epochOf(r.view), r.activeEpoch)
+			w.trace("machine %d %s down, removed %v; disk %v %v view %d active %d", m.name, m.member.Addr, m.removed, ok, r.identity.ID, epochOf(r.view), r.activeEpoch)
 			continue
 		}
 		c := m.core
-		w.trace("machine %d %s %s frozen %v view %d %s entered %v base %d past %v active %d/%d sealed %d next %v promised %v",
+		w.trace("machine %d %s %s paused %v view %d %s durable %v min head epoch %d earlier chains %v active %d/%d sealed %d accepted %v promised %v",
 			m.name, m.member.Addr, c.self.ID, m.paused, c.acceptor.view.Epoch, c.acceptor.view, c.acceptor.viewDurable, c.acceptor.view.minHeadEpoch, c.acceptor.view.earlierChains,
 			c.acceptor.activeEpoch, c.acceptor.durableActiveEpoch, c.acceptor.sealedEpoch, c.acceptor.acceptedView, c.acceptor.promised)
-		w.trace("   log %d..%d disk %d unsure %v install %v bad %v; committed %d matched %d joined %v start %d floor %d fed %v quiet %v prop %v want %v now %v",
+		w.trace("   log %d..%d disk %d truncate %v install %v unhealthy %v; committed %d match %d upstream matched %v start %d min read %d caught up %v grace %v proposing %v propose at %v now %v",
 			c.chain.log.base, c.chain.log.end(), c.writer.durableEnd, c.writer.truncateNeeded, c.writer.pendingInstall != nil, c.writer.unhealthy, c.chain.commitIndex, c.chain.matchIndex, c.chain.upstreamMatched,
 			c.chain.epochStartIndex, c.chain.minReadIndex, c.chain.caughtUp, c.liveness.graceUntil, c.proposer.proposal != nil, c.proposer.proposeAt, c.now)
 		for id, p := range c.chain.downstream {
-			w.trace("   down %s %+v", id, *p)
+			w.trace("   downstream %s %+v", id, *p)
 		}
 		for id, p := range c.liveness.peers {
-			w.trace("   peer %s alive %v good %v since %v: %v", id, c.liveness.isAlive(id), c.liveness.isEligible(id), p.eligibleSince, p.heartbeat)
+			w.trace("   peer %s alive %v eligible %v since %v: %v", id, c.liveness.isAlive(id), c.liveness.isEligible(id), p.eligibleSince, p.heartbeat)
 		}
 	}
 	for _, p := range w.proxies {
-		w.trace("proxy %s up %v frozen %v record %d fresh at %v disturbed at %v", p.name, p.running, p.paused, p.seq, p.freshAt, p.eventAt)
+		w.trace("proxy %s running %v paused %v record %d fresh at %v disturbed at %v", p.name, p.running, p.paused, p.seq, p.freshAt, p.eventAt)
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 	node.committed, node.checked = seq, state
 	if seq >= uint64(len(w.states)) {
-		w.fail(fmt.Errorf("node %d is at record %d, which nobody has committed", node.name, seq))
+		w.fail(fmt.Errorf("node %d is at record %d, which no node has committed", node.name, seq))
 	} else if got, want := describe(state.(*toy)), describe(w.states[seq]); got != want {
 		w.fail(fmt.Errorf("node %d has %q after record %d, others %q", node.name, got, seq, want))
 	}
@@ -125,7 +125,7 @@
 		w.states = append(w.states, next.(*toy))
 		w.committed(rec.rec)
 	default:
-		w.fail(fmt.Errorf("node %d has committed record %d, but none has %d", node.name, seq, len(w.truth)+1))
+		w.fail(fmt.Errorf("node %d has committed record %d, but no node has committed %d", node.name, seq, len(w.truth)+1))
 	}
 }
 
@@ -186,9 +186,9 @@
 	}
 	w.stats.reads++
 	if d.Seq < a.acked {
-		w.fail(fmt.Errorf("a read at node %d gave record %d, but %d had been acknowledged or read", a.node.name, d.Seq, a.acked))
+		w.fail(fmt.Errorf("a read at node %d returned record %d, but %d had been acknowledged or read", a.node.name, d.Seq, a.acked))
 	} else if d.Seq > uint64(len(w.truth)) || describe(d.State.(*toy)) != describe(w.states[d.Seq]) {
-		w.fail(fmt.Errorf("a read gave %q at record %d", describe(d.State.(*toy)), d.Seq))
+		w.fail(fmt.Errorf("a read returned %q at record %d", describe(d.State.(*toy)), d.Seq))
 	}
 	w.newestRead = max(w.newestRead, d.Seq)
 }
@@ -210,7 +210,7 @@
 		w.stats.stale++
 		l.rejected = true
 		if taken > 0 {
-			w.fail(fmt.Errorf("%s is record %d and was refused when it came again: %v", key, taken, done.Verdict))
+			w.fail(fmt.Errorf("%s is record %d, but was refused when it was repeated: %v", key, taken, done.Verdict))
 		}
 		if done.Verdict.Kind == controlstate.Invalid && !call.fail() {
 			w.fail(fmt.Errorf("%s counts as invalid: %v", key, done.Verdict))
@@ -220,7 +220,7 @@
 			found = found || w.states[s].rev != call.change.Base
 		}
 		if !found {
-			w.fail(fmt.Errorf("%s was called stale, but its base was the newest version all the time", key))
+			w.fail(fmt.Errorf("%s was reported as stale, but its base was the newest version all the time", key))
 		}
 	default:
 		w.stats.unknown++
@@ -246,7 +246,7 @@
 			found = found || w.states[s].zones[call.change.Zone].Evacuated == (call.change.Op == controlstate.OpEvacuate)
 		}
 		if !found {
-			w.fail(fmt.Errorf("%s counts as in force, but is not", key))
+			w.fail(fmt.Errorf("%s was reported as already applied, but is not", key))
 		}
 		taken = call.acked
 	case taken == 0:
@@ -254,7 +254,7 @@
 	case !already && done.Seq != taken && !zone:
 		w.fail(fmt.Errorf("%s was acknowledged as record %d but is record %d", key, done.Seq, taken))
 	case !already && done.Seq <= call.first:
-		w.fail(fmt.Errorf("%s was acknowledged as record %d but first asked for after %d was acknowledged", key, done.Seq, call.first))
+		w.fail(fmt.Errorf("%s was acknowledged as record %d but first requested after %d was acknowledged", key, done.Seq, call.first))
 	}
 	if zone && !already {
 		taken = done.Seq
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -56,12 +56,12 @@
 	}
 	if p.isFresh() {
 		if seq := w.ackedBefore(w.now - freshBound); p.seq < seq {
-			w.fail(fmt.Errorf("proxy %s counts as fresh with record %d, but %d was acknowledged over %v ago", p.name, p.seq, seq, freshBound))
+			w.fail(fmt.Errorf("proxy %s is fresh with record %d, but %d was acknowledged over %v ago", p.name, p.seq, seq, freshBound))
 		}
 	}
 	if p.hasContact() {
 		if seq := w.ackedBefore(w.now - touchBound); p.seq < seq {
-			w.fail(fmt.Errorf("proxy %s is in touch with record %d, but %d was acknowledged over %v ago", p.name, p.seq, seq, touchBound))
+			w.fail(fmt.Errorf("proxy %s is connected with record %d, but %d was acknowledged over %v ago", p.name, p.seq, seq, touchBound))
 		}
 	}
 }
@@ -188,7 +188,7 @@
 	a := &simCall{node: m, change: controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("p%d", w.lastChange)}, first: w.acked, ttl: progressBound}
 	a.onDone = func(d Completion) {
 		if d.Outcome != Answered && w.eventAt == event && w.connected(outside, m.member.Addr) {
-			w.fail(fmt.Errorf("the nodes are stable, and a change that node %d got %v ago is not acknowledged", m.name, w.now-began))
+			w.fail(fmt.Errorf("the nodes are stable, but a change that node %d received %v ago is not acknowledged", m.name, w.now-began))
 		}
 	}
 	w.ask(a)
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -73,7 +73,7 @@
 	w.runUntil(w.now + 1500*time.Millisecond)
 	w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() })
 	if w.violation == nil && !w.isFullyReplicated() {
-		w.fail(fmt.Errorf("%s is not over within %v", i.name, repairBound))
+		w.fail(fmt.Errorf("%s is not repaired within %v", i.name, repairBound))
 	}
 	return count, w.violation
 }
@@ -106,7 +106,7 @@
 	t.first.start(w)
 	w.runUntil(w.now + 5*time.Second)
 	w.heal()
-	w.expectAck("after the trouble")
+	w.expectAck("after the second fault")
 	err := w.converge(8 * time.Second)
 	return struck, err
 }
@@ -153,9 +153,9 @@
 			t.Errorf("seed %d, %v: %v", 1+i%7, all[i], err)
 		}
 	})
-	t.Logf("%d steps with a trouble each, %d played, %d came about", len(all), played.Load(), struck.Load())
+	t.Logf("%d trials, %d run, %d with the second fault injected", len(all), played.Load(), struck.Load())
 	if struck.Load() < played.Load()/2 {
-		t.Error("most troubles did not come about")
+		t.Error("most second faults were not injected")
 	}
 }
 
@@ -178,7 +178,7 @@
 			}
 		}
 		if err == nil {
-			t.Errorf("%s: nothing broke", name)
+			t.Errorf("%s: no invariant was violated", name)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 			first.start(w)
 			w.runUntil(w.now + 1500*time.Millisecond)
 			if !w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() }) {
-				t.Fatalf("%s is not over within %v: %v", first.name, repairBound, w.violation)
+				t.Fatalf("%s is not repaired within %v: %v", first.name, repairBound, w.violation)
 			}
 			if place >= len(w.newest.Chain) {
 				continue
@@ -205,7 +205,7 @@
 			lost++
 			w.runUntil(w.now + 1500*time.Millisecond)
 			if !w.runWhile(repairBound, func() bool { return !w.isFullyReplicated() || w.acked == before }) {
-				t.Fatalf("%s, then replica %d: not over within %v: %v", first.name, place, repairBound, w.violation)
+				t.Fatalf("%s, then replica %d: not repaired within %v: %v", first.name, place, repairBound, w.violation)
 			}
 			if err := w.converge(6 * time.Second); err != nil {
 				t.Errorf("%s, then replica %d: %v", first.name, place, err)
--- a/internal/system/replication/sim_seeds_test.go
+++ b/internal/system/replication/sim_seeds_test.go
@@ -100,10 +100,10 @@
 // checkConverged checks what must be true some time after the last fault and change.
 func (w *clusterSim) checkConverged() {
 	if !w.isFullyReplicated() {
-		w.fail(fmt.Errorf("the view has not been made whole: %v", w.newest))
+		w.fail(fmt.Errorf("the view has not been repaired: %v", w.newest))
 	}
 	if uint64(len(w.truth)) < w.acked {
-		w.fail(fmt.Errorf("record %d was acknowledged, %d are left", w.acked, len(w.truth)))
+		w.fail(fmt.Errorf("record %d was acknowledged, but only %d remain", w.acked, len(w.truth)))
 	}
 	for _, m := range w.nodes {
 		if m.isRunning() && !m.core.Current(m.clock()) {
@@ -247,7 +247,7 @@
 	r := sweep(first, n, TestingKnobs{}, true)
 	for _, s := range slices.Concat(shapes[:], zoneShapes[:]) {
 		if ta := r.shape[s]; ta != nil {
-			t.Logf("%v: %d seeds, %d broken, acknowledged again after at most %v: %+v", s, ta.seeds, ta.broken, ta.slowest, ta.stats)
+			t.Logf("%v: %d seeds, %d with a violation, acknowledged again after at most %v: %+v", s, ta.seeds, ta.broken, ta.slowest, ta.stats)
 		}
 	}
 	if r.err == nil {
@@ -260,7 +260,7 @@
 	}
 	var lines []string
 	_, err := simulateSeed(r.seed, faults, TestingKnobs{}, func(s string, args ...any) { lines = append(lines, fmt.Sprintf(s, args...)) })
-	t.Logf("with these alone: %v", err)
+	t.Logf("with only these faults: %v", err)
 	if os.Getenv("REPLICATION_TRACE") != "" {
 		for _, l := range lines {
 			t.Log(l)
--- a/internal/system/replication/slow_disk_test.go
+++ b/internal/system/replication/slow_disk_test.go
@@ -110,7 +110,7 @@
 	head := cluster.replica(0)
 	cluster.nodes[head].paused = true
 	other := cluster.replica(1)
-	cluster.until(2*time.Second, "the head is missed", func() bool { return strings.Contains(waitsFor(other), "the head of the chain") })
+	cluster.until(2*time.Second, "the node to report that the head is unreachable", func() bool { return strings.Contains(waitsFor(other), "the head of the chain") })
 }
 
 // TestSlownessDelaysNoRepairAfterwards makes all disks slow for some seconds, during which the head is lost. Once the disks are fast
@@ -137,7 +137,7 @@
 				return len(view.Chain) == 2 && cluster.nodes[tail.Addr].core.acceptor.durableActiveEpoch == view.Epoch
 			})
 			if took > repairBound+write { // one write may be in progress
-				t.Errorf("writes of %v, seed %d: the next view came %v after them, bound %v", write, seed, took, repairBound+write)
+				t.Errorf("writes of %v, seed %d: the next view was formed %v after the disks recovered, bound %v", write, seed, took, repairBound+write)
 			}
 		}
 	}
@@ -155,20 +155,20 @@
 	proposer.yield()
 	core.now += proposalWrites*slow - time.Second
 	if proposer.isDue() {
-		t.Error("it proposes though another one has been promised, and disks are slow")
+		t.Error("the proposer is due although it has promised to another one, and its disk is slow")
 	}
 	writer.lastWriteTime = fast
 	if !proposer.isDue() {
-		t.Error("it waits for a disk that is fast again")
+		t.Error("the proposer still waits after its disk has recovered")
 	}
 	for timeouts, want := range []time.Duration{proposalTimeout, 2 * proposalTimeout, 4 * proposalTimeout, 4 * proposalTimeout, 4 * proposalTimeout} {
 		proposer.timeouts = timeouts
 		if got := proposer.timeout(); got != want {
-			t.Errorf("after %d time-outs on a fast disk: %v, want %v", timeouts, got, want)
+			t.Errorf("after %d timeouts on a fast disk: %v, want %v", timeouts, got, want)
 		}
 	}
 	writer.lastWriteTime = slow
 	if got := proposer.timeout(); got != min(proposalWrites*slow<<4, maxProposalTimeout) {
-		t.Errorf("after four time-outs on a slow disk: %v", got)
+		t.Errorf("after four timeouts on a slow disk: %v", got)
 	}
 }
--- a/internal/system/replication/testing_knobs_test.go
+++ b/internal/system/replication/testing_knobs_test.go
@@ -41,17 +41,17 @@
 				seed, err = r.seed, r.err
 			}
 			if err == nil {
-				t.Fatal("nothing broke without this protection")
+				t.Fatal("no invariant was violated without this protection")
 			}
 			t.Logf("seed %d: %v", seed, err)
 			if _, err := simulateSeed(seed, seedFaults(seed), TestingKnobs{}, nil); err != nil {
-				t.Errorf("it breaks with the protection too: %v", err)
+				t.Errorf("an invariant is violated with the protection too: %v", err)
 			}
 		})
 	}
 	for i, all := 0, reflect.ValueOf(covered.with(scenarioKnobs)); i < all.NumField(); i++ {
 		if !all.Field(i).Bool() {
-			t.Errorf("neither a control nor a scenario takes out %s", all.Type().Field(i).Name)
+			t.Errorf("neither a control nor a scenario disables %s", all.Type().Field(i).Name)
 		}
 	}
 }
--- a/internal/system/replication/transport_test.go
+++ b/internal/system/replication/transport_test.go
@@ -20,7 +20,7 @@
 	peer, err := resetserver.Listen(func(body []byte) {
 		var batch replicationpb.Batch
 		if err := proto.Unmarshal(body, &batch); err != nil {
-			t.Errorf("a body that is no batch: %v", err)
+			t.Errorf("body is not a batch: %v", err)
 		}
 		for _, m := range batch.GetMessages() {
 			came <- m.GetFrom()
@@ -39,17 +39,17 @@
 		select {
 		case got := <-came:
 			if got != want || seen[got] {
-				t.Fatalf("%q came, want %q, once", got, want)
+				t.Fatalf("%q arrived, want %q exactly once", got, want)
 			}
 			seen[got] = true
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%q did not come", want)
+			t.Fatalf("%q did not arrive", want)
 		}
 	}
 	cancel()
 	running.Wait()
 	peer.Close()
 	if len(came) > 0 {
-		t.Errorf("%q came again", <-came)
+		t.Errorf("%q arrived again", <-came)
 	}
 }
