--- a/internal/system/replication/capacity.go
+++ b/internal/system/replication/capacity.go
@@ -52,7 +52,7 @@
 	return withDisk, observers
 }
 
-// isLike reports whether two capacities need the same action by the operator.
-func (c *Capacity) isLike(other Capacity) bool {
+// needsSameAction reports whether two capacities need the same action by the operator.
+func (c *Capacity) needsSameAction(other Capacity) bool {
 	return c.ToleranceMet == other.ToleranceMet && c.Remedy == other.Remedy
 }
--- a/internal/system/replication/capacity_reporter.go
+++ b/internal/system/replication/capacity_reporter.go
@@ -25,11 +25,11 @@
 	}
 	r.checkedAt = now
 	have := c.Capacity()
-	if !have.isLike(r.current) {
+	if !have.needsSameAction(r.current) {
 		r.changedAt = now
 	}
 	r.current = have
-	if now-r.changedAt < capacityStableTime || have.isLike(r.logged) {
+	if now-r.changedAt < capacityStableTime || have.needsSameAction(r.logged) {
 		return
 	}
 	r.logged = have
--- a/internal/system/replication/capacity_test.go
+++ b/internal/system/replication/capacity_test.go
@@ -27,7 +27,7 @@
 		{"nothing need be borne", []int{1}, 0, 0, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			members := placed(test.layout)
+			members := membersOf(test.layout)
 			cluster := sizedCluster(t, members, test.machines, test.zones)
 			cluster.run(10 * time.Second)
 			have := cluster.nodes[members[0].Addr].core.Capacity()
@@ -40,7 +40,7 @@
 
 // TestCapacityIsLoggedOnceItLasts checks that a short repair is not logged, and that the capacity is logged once it is stable.
 func TestCapacityIsLoggedOnceItLasts(t *testing.T) {
-	members := placed([]int{1, 1, 1})
+	members := membersOf([]int{1, 1, 1})
 	cluster := sizedCluster(t, members, 1, 1)
 	handler := memory.New()
 	logger := &log.Logger{Handler: handler, Level: log.InfoLevel}
--- a/internal/system/replication/chain_receive.go
+++ b/internal/system/replication/chain_receive.go
@@ -93,7 +93,7 @@
 		return
 	}
 	if cr.acceptor.activeEpoch != cr.acceptor.view.Epoch {
-		cr.alignEnd(msg)
+		cr.truncateStaleSuffix(msg)
 	}
 	// This is needed even if nothing was written: after a start of all nodes, all replicas may hold the same log, and no write follows
 	// on whose completion the tail would commit it.
@@ -141,10 +141,10 @@
 	cr.send(from, ackMessage(&replicationpb.Ack{Epoch: m.GetEpoch(), Matched: cr.durableIndex()}))
 }
 
-// alignEnd truncates the records of an old epoch that an inactive replica holds beyond the log of its predecessor: they were never
+// truncateStaleSuffix truncates the records of an old epoch that an inactive replica holds beyond the log of its predecessor: they were never
 // acknowledged. A predecessor that has just started may not know yet where its log ends. Everything that was acknowledged is at most
 // epochStartIndex in any case, so the log is never truncated below that.
-func (cr *chainReplica) alignEnd(m *replicationpb.Append) {
+func (cr *chainReplica) truncateStaleSuffix(m *replicationpb.Append) {
 	cr.epochStartIndex = m.GetStart()
 	end := m.GetEnd()
 	if end < max(cr.epochStartIndex, cr.commitIndex) || end >= cr.log.end() {
--- a/internal/system/replication/chain_receive_test.go
+++ b/internal/system/replication/chain_receive_test.go
@@ -28,29 +28,29 @@
 			member := cluster.replica(4)
 			head := cluster.replica(0)
 			cluster.nodes[member].core = nil
-			cluster.flow(head, cluster.now+away, each, nil)
+			cluster.submitContinuously(head, cluster.now+away, each, nil)
 			cluster.slowNetworks[member] = &slowNetwork{bytesPerSecond: 2 << 20}
 			cluster.start(cluster.nodes[member].cfg)
-			began, level := cluster.now, time.Duration(0)
-			cluster.flow(head, cluster.now+lostAfter, each, nil)
+			began, rejoinedAfter := cluster.now, time.Duration(0)
+			cluster.submitContinuously(head, cluster.now+lostAfter, each, nil)
 			feeder := cluster.replica(len(cluster.view().Chain) - 1)
 			if feeder == member {
 				feeder = cluster.replica(len(cluster.view().Chain) - 2)
 			}
 			cluster.nodes[feeder].core = nil
-			cluster.flow(head, cluster.now+10*time.Second, each, func() {
+			cluster.submitContinuously(head, cluster.now+10*time.Second, each, func() {
 				v := cluster.view()
-				if level == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cluster.nodes[member].core.acceptor.durableActiveEpoch == v.Epoch {
-					level = cluster.now - began
+				if rejoinedAfter == 0 && slices.Contains(v.Chain, ID(member)) && len(v.Chain) == 4 && cluster.nodes[member].core.acceptor.durableActiveEpoch == v.Epoch {
+					rejoinedAfter = cluster.now - began
 				}
 			})
-			t.Logf("away for %v, its upstream lost after %v: a replica again after %v, %.1f MB sent", away, lostAfter, level,
+			t.Logf("away for %v, its upstream lost after %v: a replica again after %v, %.1f MB sent", away, lostAfter, rejoinedAfter,
 				float64(cluster.slowNetworks[member].sentBytes)/(1<<20))
-			if level == 0 {
+			if rejoinedAfter == 0 {
 				t.Errorf("away for %v, its upstream lost after %v: it is not a replica again within 10 s", away, lostAfter)
 			}
-			longest = max(longest, level)
-			if n := inMemory(cluster.nodes[member].core); n > compactThresholdBytes+2*minRetainedBytes {
+			longest = max(longest, rejoinedAfter)
+			if n := logBytesInMemory(cluster.nodes[member].core); n > compactThresholdBytes+2*minRetainedBytes {
 				t.Errorf("the log of the member takes %d bytes in memory", n)
 			}
 		}
--- a/internal/system/replication/chain_send.go
+++ b/internal/system/replication/chain_send.go
@@ -238,7 +238,7 @@
 		if cr.hasAcknowledgedAll(p) {
 			p.advancedAt = cr.now
 		}
-		if cr.lacksAck(p) && cr.now-p.lastSentAt >= resendTimeout {
+		if cr.mayHaveLostAck(p) && cr.now-p.lastSentAt >= resendTimeout {
 			cr.sendAppend(id, p, cr.durableIndex(), nil)
 		}
 	}
@@ -250,9 +250,9 @@
 	return !cr.canReplicate() || p.active && p.match >= cr.durableIndex()
 }
 
-// lacksAck reports whether an acknowledgement of the successor may have been lost: records that it has are not known to be committed,
+// mayHaveLostAck reports whether an acknowledgement of the successor may have been lost: records that it has are not known to be committed,
 // or it has the complete log and is not known to be active.
-func (cr *chainReplica) lacksAck(p *progress) bool {
+func (cr *chainReplica) mayHaveLostAck(p *progress) bool {
 	if cr.hasAcknowledgedAll(p) {
 		return cr.commitIndex < cr.durableIndex()
 	}
--- a/internal/system/replication/chain_send_test.go
+++ b/internal/system/replication/chain_send_test.go
@@ -33,12 +33,12 @@
 func (blobMachine) Empty() State                   { return &blobState{} }
 func (blobMachine) Decode(b []byte) (State, error) { return &blobState{body: b}, nil }
 
-func sized(bytes int) controlstate.Change {
+func changeOfSize(bytes int) controlstate.Change {
 	return controlstate.Change{Op: controlstate.OpReplace, Body: make([]byte, bytes)}
 }
 
-// inMemory returns the size of a core's log in memory.
-func inMemory(c *Core) int {
+// logBytesInMemory returns the size of a core's log in memory.
+func logBytesInMemory(c *Core) int {
 	n := 0
 	for i := range c.chain.log.entries {
 		n += c.chain.log.entries[i].size()
@@ -46,11 +46,11 @@
 	return n
 }
 
-// flow submits a change of the given size at addr 20 times a second, until the clock reaches end.
-func (cluster *scriptedCluster) flow(addr string, end time.Duration, bytes int, each func()) {
+// submitContinuously submits a change of the given size at addr 20 times a second, until the clock reaches end.
+func (cluster *scriptedCluster) submitContinuously(addr string, end time.Duration, bytes int, each func()) {
 	for next := cluster.now; cluster.now < end; {
 		if cluster.now >= next {
-			cluster.submit(addr, sized(bytes), 2*time.Second)
+			cluster.submit(addr, changeOfSize(bytes), 2*time.Second)
 			next += 50 * time.Millisecond
 		}
 		cluster.step()
@@ -68,9 +68,9 @@
 	formThreeNodes(cluster, 1, TestingKnobs{})
 	const each = 256 << 10
 	most := 0
-	cluster.flow("a", cluster.now+20*time.Second, each, func() {
+	cluster.submitContinuously("a", cluster.now+20*time.Second, each, func() {
 		for _, n := range cluster.nodes {
-			most = max(most, inMemory(n.core))
+			most = max(most, logBytesInMemory(n.core))
 		}
 	})
 	if seq := cluster.nodes["a"].core.chain.commitIndex; seq < 390 {
@@ -115,10 +115,10 @@
 	cluster := newScriptedCluster(t)
 	cluster.machine = blobMachine{}
 	formThreeNodes(cluster, 1, TestingKnobs{})
-	id := cluster.submit("a", sized(4<<20), 2*time.Second)
+	id := cluster.submit("a", changeOfSize(4<<20), 2*time.Second)
 	cluster.until(2*time.Second, "a large change", func() bool { return cluster.answered(id) })
-	cluster.flow("a", cluster.now+3*time.Second, 300<<10, nil) // 18 MB: the first records are covered by a snapshot
-	id = cluster.submit("a", sized(4<<20), 2*time.Second)
+	cluster.submitContinuously("a", cluster.now+3*time.Second, 300<<10, nil) // 18 MB: the first records are covered by a snapshot
+	id = cluster.submit("a", changeOfSize(4<<20), 2*time.Second)
 	cluster.until(2*time.Second, "a large change", func() bool { return cluster.answered(id) })
 	cluster.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
 	sent := 0
@@ -150,19 +150,19 @@
 		cluster.run(time.Second)
 		cluster.nodes["d"].core = nil
 		const each = 10 << 10
-		cluster.flow("a", cluster.now+away, each, nil)
+		cluster.submitContinuously("a", cluster.now+away, each, nil)
 		cluster.slowNetworks["d"] = &slowNetwork{bytesPerSecond: 1 << 20}
 		cluster.start(spare)
-		began, level := cluster.now, time.Duration(0)
-		cluster.flow("a", cluster.now+15*time.Second, each, func() {
-			if level == 0 && cluster.nodes["d"].core.chain.commitIndex+5 >= cluster.nodes["a"].core.chain.commitIndex {
-				level = cluster.now - began
+		began, caughtUpAfter := cluster.now, time.Duration(0)
+		cluster.submitContinuously("a", cluster.now+15*time.Second, each, func() {
+			if caughtUpAfter == 0 && cluster.nodes["d"].core.chain.commitIndex+5 >= cluster.nodes["a"].core.chain.commitIndex {
+				caughtUpAfter = cluster.now - began
 			}
 		})
 		offered := float64(cluster.slowNetworks["d"].sentBytes) / (1 << 20)
-		t.Logf("away for %v: caught up after %v, %.1f MB sent in 15 s", away, level, offered)
-		if level == 0 || offered > 15 {
-			t.Errorf("away for %v: caught up after %v, %.1f MB sent in 15 s through a network of 1 MB/s", away, level, offered)
+		t.Logf("away for %v: caught up after %v, %.1f MB sent in 15 s", away, caughtUpAfter, offered)
+		if caughtUpAfter == 0 || offered > 15 {
+			t.Errorf("away for %v: caught up after %v, %.1f MB sent in 15 s through a network of 1 MB/s", away, caughtUpAfter, offered)
 		}
 	}
 }
--- a/internal/system/replication/change_decider.go
+++ b/internal/system/replication/change_decider.go
@@ -83,7 +83,7 @@
 
 // canAppend reports whether a record appended now is likely to be committed, and there is capacity for it.
 func (cd *changeDecider) canAppend() bool {
-	isFit := cd.liveness.isFit() && !cd.liveness.draining
+	isFit := cd.liveness.hasUsableDisk() && !cd.liveness.draining
 	return isFit && len(cd.pending) < maxPendingCalls && len(cd.acceptor.view.Chain) >= cd.cfg.minChainLength()
 }
 
--- a/internal/system/replication/client_calls.go
+++ b/internal/system/replication/client_calls.go
@@ -162,7 +162,7 @@
 	if !cc.isThisIncarnation(msg.GetLife()) {
 		return
 	}
-	call := cc.submitOf(msg.GetId())
+	call := cc.findSubmit(msg.GetId())
 	if call == nil {
 		return
 	}
@@ -176,8 +176,8 @@
 	}
 }
 
-// submitOf returns the change whose attempt in progress has the number, or nil.
-func (cc *clientCalls) submitOf(callNumber uint64) *pendingSubmit {
+// findSubmit returns the change whose attempt in progress has the number, or nil.
+func (cc *clientCalls) findSubmit(callNumber uint64) *pendingSubmit {
 	for _, s := range cc.submits {
 		if s.attemptInProgress && s.callNumber == callNumber {
 			return s
--- a/internal/system/replication/core.go
+++ b/internal/system/replication/core.go
@@ -161,8 +161,8 @@
 // Tick moves the clock forward, and does everything that has become due.
 func (c *Core) Tick(now time.Duration) {
 	c.advance(now)
-	c.writer.superviseWrites()
-	c.liveness.observeReach()
+	c.writer.checkWriteProgress()
+	c.liveness.recordChainReachability()
 	if c.now-c.liveness.lastHeartbeatSentAt >= c.liveness.heartbeatInterval() {
 		c.announce()
 	}
--- a/internal/system/replication/core_status.go
+++ b/internal/system/replication/core_status.go
@@ -101,9 +101,9 @@
 	case c.liveness.durableEpochsOf(view.Tail()).active != view.Epoch:
 		reasons = append(reasons, fmt.Sprintf("the replicas of view %d to become active", view.Epoch))
 	}
-	if c.writer.refusing {
+	if c.writer.lastWriteFailed {
 		reasons = append(reasons, "this node's disk, which refuses writes")
-	} else if took := c.writer.slowness(); took > 0 {
+	} else if took := c.writer.slowWriteTime(); took > 0 {
 		reasons = append(reasons, fmt.Sprintf("this node's disk, of which a write takes %v", took.Round(time.Millisecond)))
 	}
 	return strings.Join(reasons, ", and ")
@@ -118,6 +118,6 @@
 // if the chain becomes reachable again in the meantime.
 func (c *Core) Partitioned(now time.Duration) bool {
 	c.advance(now)
-	c.liveness.observeReach()
+	c.liveness.recordChainReachability()
 	return c.liveness.isPartitioned()
 }
--- a/internal/system/replication/disk_writer.go
+++ b/internal/system/replication/disk_writer.go
@@ -70,26 +70,26 @@
 	acceptor *acceptor
 	chain    *chainReplica
 
-	op             *DiskOp // in progress, nil: none
-	onDone         func(err error)
-	startedAt      time.Duration // when op began
-	token          uint64
-	retryAt        time.Duration
-	unhealthy      bool          // the last operation failed or was slow
-	refusing       bool          // the last write failed
-	lastWriteTime  time.Duration // duration of the last write
-	unhealthyUntil time.Duration // the disk counts as unhealthy at least until then
-	probeWanted    bool          // a write is wanted to find out whether the disk is healthy again
+	op              *DiskOp // in progress, nil: none
+	onDone          func(err error)
+	startedAt       time.Duration // when op began
+	token           uint64
+	retryAt         time.Duration
+	unhealthy       bool          // the last operation failed or was slow
+	lastWriteFailed bool          // the last write failed
+	lastWriteTime   time.Duration // duration of the last write
+	unhealthyUntil  time.Duration // the disk counts as unhealthy at least until then
+	probeWanted     bool          // a write is wanted to find out whether the disk is healthy again
 
 	acceptorDirty bool     // the acceptor's state differs from what is on disk
 	waiters       []func() // to run when the acceptor's current state is on disk
 
-	durableEnd     uint64        // newest record on disk that is the same in memory
-	truncateNeeded bool          // there may be other records above durableEnd: truncate first
-	pendingInstall *wal.Snapshot // to replace the log on disk
-	snapshotSeq    uint64        // newest snapshot on disk
-	loggedBytes    int           // since that snapshot
-	appendRefused  bool          // the last append failed, with no compaction since
+	durableEnd       uint64        // newest record on disk that is the same in memory
+	truncateNeeded   bool          // there may be other records above durableEnd: truncate first
+	pendingInstall   *wal.Snapshot // to replace the log on disk
+	snapshotSeq      uint64        // newest snapshot on disk
+	loggedBytes      int           // since that snapshot
+	lastAppendFailed bool          // the last append failed, with no compaction since
 }
 
 // persist writes the acceptor's state and then runs then, unless the process ends first.
@@ -152,7 +152,7 @@
 		return DiskTruncate
 	case dw.isCompactionDue(2) && dw.canCompact(): // before more records, which under load are waiting at the end of each write
 		return DiskCompact
-	case dw.isLogPerhapsFull() && dw.canCompact():
+	case dw.isLogPossiblyFull() && dw.canCompact():
 		return DiskCompact
 	case dw.durableEnd < dw.chain.log.end():
 		return DiskAppend
@@ -165,9 +165,9 @@
 // durableCommitIndex returns the newest record that is committed and on disk.
 func (dw *diskWriter) durableCommitIndex() uint64 { return min(dw.chain.commitIndex, dw.durableEnd) }
 
-// isLogPerhapsFull reports whether an append failed that a snapshot may free space for.
-func (dw *diskWriter) isLogPerhapsFull() bool {
-	return dw.appendRefused && dw.durableCommitIndex() > dw.snapshotSeq
+// isLogPossiblyFull reports whether an append failed that a snapshot may free space for.
+func (dw *diskWriter) isLogPossiblyFull() bool {
+	return dw.lastAppendFailed && dw.durableCommitIndex() > dw.snapshotSeq
 }
 
 // isCompactionDue reports whether the committed records or bytes on disk have reached the given multiple of the threshold for a
@@ -242,7 +242,7 @@
 		if dw.pendingInstall != nil {
 			return
 		}
-		dw.appendRefused = err != nil
+		dw.lastAppendFailed = err != nil
 		if err != nil {
 			dw.truncateNeeded = true
 			return
@@ -273,7 +273,7 @@
 		op.Kind = DiskInstall // the snapshot extends beyond the log on disk, and replaces it
 	}
 	dw.beginWrite(op, func(err error) {
-		dw.appendRefused = false
+		dw.lastAppendFailed = false
 		if err != nil || dw.pendingInstall != nil {
 			return
 		}
@@ -320,8 +320,8 @@
 	return max(dw.lastWriteTime, dw.now-dw.startedAt)
 }
 
-// slowness returns how long a write takes here if that is long enough to affect the agreement on views, otherwise 0.
-func (dw *diskWriter) slowness() time.Duration {
+// slowWriteTime returns how long a write takes here if that is long enough to affect the agreement on views, otherwise 0.
+func (dw *diskWriter) slowWriteTime() time.Duration {
 	took := dw.writeTime()
 	if took <= dw.cfg.SlowDiskTimeout/slowWriteDivisor || dw.cfg.knobs.FixedTimeouts {
 		return 0
@@ -332,7 +332,7 @@
 // observeWrite updates the health of the disk at the end of a write. A slow disk counts as unhealthy, since other nodes would wait
 // for it.
 func (dw *diskWriter) observeWrite(err error) {
-	dw.refusing, dw.lastWriteTime = err != nil, dw.now-dw.startedAt
+	dw.lastWriteFailed, dw.lastWriteTime = err != nil, dw.now-dw.startedAt
 	wasSlow := dw.lastWriteTime > dw.cfg.SlowDiskTimeout
 	switch {
 	case errors.Is(err, wal.ErrSuperseded): // no retry can succeed
@@ -349,8 +349,8 @@
 	}
 }
 
-// superviseWrites marks the disk as unhealthy when a write takes too long, and requests a probe when the disk may be healthy again.
-func (dw *diskWriter) superviseWrites() {
+// checkWriteProgress marks the disk as unhealthy when a write takes too long, and requests a probe when the disk may be healthy again.
+func (dw *diskWriter) checkWriteProgress() {
 	if dw.op != nil && dw.now-dw.startedAt > dw.cfg.SlowDiskTimeout {
 		dw.unhealthy, dw.unhealthyUntil = true, dw.now+diskRetryInterval
 	}
--- a/internal/system/replication/first_view_planner.go
+++ b/internal/system/replication/first_view_planner.go
@@ -73,7 +73,7 @@
 	for more := true; more && len(replicas) < pl.cfg.targetChainLength(); {
 		replicas, more = pl.cfg.addBestSpread(replicas, members, func(Member) bool { return true })
 	}
-	arrange(replicas, slices.DeleteFunc(heads, func(m Member) bool { return !slices.Contains(replicas, m) }))
+	orderChain(replicas, slices.DeleteFunc(heads, func(m Member) bool { return !slices.Contains(replicas, m) }))
 	return idsOfMembers(replicas)
 }
 
--- a/internal/system/replication/golden_trace_test.go
+++ b/internal/system/replication/golden_trace_test.go
@@ -123,7 +123,7 @@
 // end records the final state of a run.
 func (g *goldenTrace) end(w *clusterSim) {
 	g.Text("end")
-	g.Uints(uint64(w.now), uint64(len(w.truth)), w.acked, w.newestRead)
+	g.Uints(uint64(w.now), uint64(len(w.committedRecords)), w.acked, w.newestRead)
 	for _, m := range w.nodes {
 		g.Bools(m.isRunning())
 		g.Uints(m.disk.end())
--- a/internal/system/replication/head_eligibility.go
+++ b/internal/system/replication/head_eligibility.go
@@ -35,12 +35,12 @@
 	return durableEpochs{}
 }
 
-// sealing selects what mayLead assumes of replicas that have not sealed the current epoch.
-type sealing bool
+// sealAssumption selects what mayLead assumes of replicas that have not sealed the current epoch.
+type sealAssumption bool
 
 const (
-	asSealed       sealing = false // count only the seals that heartbeats report
-	assumingSealed sealing = true  // count replicas that are alive as sealed, since they can be asked to seal
+	reportedSealsOnly sealAssumption = false // count only the seals that heartbeats report
+	assumeAliveSealed sealAssumption = true  // count replicas that are alive as sealed, since they can be asked to seal
 )
 
 // mayLead reports whether the candidate holds everything that the current and earlier chains have acknowledged and ever will
@@ -52,7 +52,7 @@
 // if one replica of g was not active in g and never will be, g has acknowledged nothing and never will (cannotHaveAcknowledged). If
 // that is true of all epochs after f up to the current one, the candidate holds everything. The candidate itself needs no seal: it
 // leaves the current epoch by entering the next one as its head, before anything can be acknowledged there.
-func (pl *planner) mayLead(candidate ID, seals sealing) bool {
+func (pl *planner) mayLead(candidate ID, seals sealAssumption) bool {
 	if pl.cfg.knobs.AllowAnyHead {
 		return true
 	}
@@ -71,14 +71,14 @@
 // cannotHaveAcknowledged reports whether it is known that the epoch has acknowledged nothing and never will, provided that the
 // candidate leads next. One replica of its chain that was not active and cannot become active is sufficient. An epoch whose chain is
 // no longer remembered may have acknowledged something.
-func (pl *planner) cannotHaveAcknowledged(epoch uint64, candidate ID, seals sealing) bool {
+func (pl *planner) cannotHaveAcknowledged(epoch uint64, candidate ID, seals sealAssumption) bool {
 	return slices.ContainsFunc(pl.acceptor.view.chainOf(epoch), func(id ID) bool {
 		reported := pl.liveness.durableEpochsOf(id)
 		if !reported.isInactiveIn(epoch) {
 			return false // it may be active
 		}
 		return id == candidate || reported.cannotActivateIn(epoch) || pl.cfg.knobs.PresumeUnacknowledged ||
-			seals == assumingSealed && pl.canBeAskedToSeal(id, epoch)
+			seals == assumeAliveSealed && pl.canBeAskedToSeal(id, epoch)
 	})
 }
 
--- a/internal/system/replication/leave_test.go
+++ b/internal/system/replication/leave_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// holders counts the nodes other than addr whose disk holds the records up to seq.
-func (cluster *scriptedCluster) holders(seq uint64, addr string) int {
+// countHolders counts the nodes other than addr whose disk holds the records up to seq.
+func (cluster *scriptedCluster) countHolders(seq uint64, addr string) int {
 	n := 0
 	for a, x := range cluster.nodes {
 		end := x.disk.p.snap.Seq
@@ -26,7 +26,7 @@
 func (cluster *scriptedCluster) leave(addr string) {
 	n := cluster.nodes[addr]
 	n.core.Leave(cluster.clock(n))
-	cluster.collect(addr)
+	cluster.processOutputs(addr)
 }
 
 // submitMany submits count changes through addr, and waits until each is acknowledged.
@@ -59,7 +59,7 @@
 	acked := cluster.nodes["b"].core.chain.commitIndex
 	hasLeft := func(failure string) bool {
 		left := cluster.nodes[leaver].core.Departed()
-		if left && cluster.holders(acked, leaver) < 2 {
+		if left && cluster.countHolders(acked, leaver) < 2 {
 			t.Fatal(failure)
 		}
 		return left
@@ -101,7 +101,7 @@
 	cluster.submitMany(head, 3)
 	cluster.leave(head)
 	cluster.until(3*time.Second, "the node to leave", func() bool { return cluster.nodes[head].core.Departed() })
-	if n := cluster.holders(3, head); n < 1 {
+	if n := cluster.countHolders(3, head); n < 1 {
 		t.Fatalf("%d other nodes hold the changes", n)
 	}
 }
@@ -124,7 +124,7 @@
 	cfg.Bootstrap, cfg.Self.ID = false, "b again"
 	cluster.start(cfg)
 	cluster.until(8*time.Second, "the node to leave", func() bool { return cluster.nodes["a"].core.Departed() })
-	if n := cluster.holders(5, "a"); n < 2 {
+	if n := cluster.countHolders(5, "a"); n < 2 {
 		t.Fatalf("%d other nodes hold the changes", n)
 	}
 }
--- a/internal/system/replication/liveness.go
+++ b/internal/system/replication/liveness.go
@@ -244,13 +244,13 @@
 	return lv.isHealthy(id) && !lv.peers[id].heartbeat.GetLeaving()
 }
 
-// isFit reports whether this node may propose views and decide on changes: its disk is healthy, or it is slow while the disks of so
+// canStay reports whether this node may propose views and decide on changes: its disk is healthy, or it is slow while the disks of so
 // many voters are unhealthy that the others could not form a chain. In that case no other node would be any faster.
-func (lv *liveness) isFit() bool {
+func (lv *liveness) hasUsableDisk() bool {
 	if !lv.writer.unhealthy {
 		return true
 	}
-	return !lv.cfg.knobs.FixedTimeouts && !lv.writer.refusing && lv.countHealthyVoters() < lv.cfg.minChainLength()
+	return !lv.cfg.knobs.FixedTimeouts && !lv.writer.lastWriteFailed && lv.countHealthyVoters() < lv.cfg.minChainLength()
 }
 
 // countHealthyVoters counts the voters that could be chain replicas or, before the first view, the seeds that could be initial
--- a/internal/system/replication/memory_log.go
+++ b/internal/system/replication/memory_log.go
@@ -125,7 +125,7 @@
 		if i > 0 {
 			first = theirs.runs[i-1].GetLast() + 1
 		}
-		if seq, ok := l.lastOf(run.GetEpoch(), first, run.GetLast()); ok {
+		if seq, ok := l.lastOfEpoch(run.GetEpoch(), first, run.GetLast()); ok {
 			return seq, true
 		}
 	}
@@ -135,8 +135,8 @@
 	return 0, false
 }
 
-// lastOf finds the newest record of the epoch among the records first..last.
-func (l *memoryLog) lastOf(wanted, first, last uint64) (uint64, bool) {
+// lastOfEpoch finds the newest record of the epoch among the records first..last.
+func (l *memoryLog) lastOfEpoch(wanted, first, last uint64) (uint64, bool) {
 	for seq := min(last, l.end()); seq >= first && seq >= l.base; seq-- {
 		if epoch, ok := l.epochAt(seq); ok && epoch == wanted {
 			return seq, true
--- a/internal/system/replication/observer_test.go
+++ b/internal/system/replication/observer_test.go
@@ -9,8 +9,8 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// observed returns the configuration of the node at addr, which has no disk if it is one of the observers.
-func observed(addr string, seeds, observers []string) Config {
+// nodeConfig returns the configuration of the node at addr, which has no disk if it is one of the observers.
+func nodeConfig(addr string, seeds, observers []string) Config {
 	return Config{
 		Self: Member{Addr: addr, Zone: "z" + addr[len(addr)-1:], Region: "r"}, MachineLosses: 1, Seeds: seeds, Bootstrap: true,
 		Observer: slices.Contains(observers, addr),
@@ -39,7 +39,7 @@
 		t.Run(fmt.Sprint(observers), func(t *testing.T) {
 			cluster := newScriptedCluster(t)
 			for _, a := range addrs {
-				cluster.start(observed(a, addrs[:3], addrs[:observers]))
+				cluster.start(nodeConfig(a, addrs[:3], addrs[:observers]))
 			}
 			took := cluster.until(5*time.Second, "a view that tolerates a loss", func() bool {
 				noObserverInViews(t, cluster)
@@ -68,13 +68,13 @@
 func TestTimedOutSeedsAreNoObservers(t *testing.T) {
 	seeds := []string{"k1", "k2", "k3"}
 	cluster := newScriptedCluster(t)
-	cluster.start(observed("k1", seeds, nil))
-	cluster.start(observed("k2", seeds, []string{"k2"}))
+	cluster.start(nodeConfig("k1", seeds, nil))
+	cluster.start(nodeConfig("k2", seeds, []string{"k2"}))
 	cluster.run(10 * time.Second)
 	if v := cluster.view(); v.Epoch != 0 {
 		t.Fatalf("one of two seeds that may vote has formed %v", v)
 	}
-	cluster.start(observed("k3", seeds, nil))
+	cluster.start(nodeConfig("k3", seeds, nil))
 	cluster.until(5*time.Second, "a view formed by both", func() bool { return cluster.complete(2, 2) })
 }
 
@@ -84,11 +84,11 @@
 	addrs := []string{"k1", "k2", "k3"}
 	cluster := newScriptedCluster(t)
 	for _, a := range addrs {
-		cluster.start(observed(a, addrs, nil))
+		cluster.start(nodeConfig(a, addrs, nil))
 	}
 	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
 	for _, a := range []string{"o1", "o2"} {
-		cluster.start(observed(a, addrs, []string{a}))
+		cluster.start(nodeConfig(a, addrs, []string{a}))
 	}
 	cluster.run(2 * time.Second)
 	cluster.nodes["k2"].core = nil
@@ -100,7 +100,7 @@
 	id := cluster.submit("o1", evacuating("a"), time.Second)
 	cluster.until(time.Second, "a change through an observer", func() bool { return cluster.answered(id) })
 	// An observer learns of a new head immediately, not with its next heartbeat.
-	cluster.start(observed("k2", addrs, nil))
+	cluster.start(nodeConfig("k2", addrs, nil))
 	cluster.until(5*time.Second, "three replicas", func() bool { return cluster.complete(3, 3) })
 	head, _ := cluster.view().Voter(cluster.view().Head())
 	cluster.nodes[head.Addr].core = nil
@@ -119,15 +119,15 @@
 	observers := []string{"o1", "o2", "o3"}
 	cluster := newScriptedCluster(t)
 	for _, a := range addrs {
-		cluster.start(observed(a, addrs, nil))
+		cluster.start(nodeConfig(a, addrs, nil))
 	}
 	for _, a := range observers {
-		cluster.start(observed(a, addrs, observers))
+		cluster.start(nodeConfig(a, addrs, observers))
 	}
 	cluster.until(5*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
 	cluster.run(time.Second)
 	cluster.nodes["k3"].core = nil
-	cfg := observed("k4", observers, nil)
+	cfg := nodeConfig("k4", observers, nil)
 	cfg.Bootstrap = false
 	cluster.start(cfg)
 	took := cluster.until(5*time.Second, "the new node to be a replica", func() bool {
@@ -143,7 +143,7 @@
 	seeds := []string{"k1", "o1", "o2"}
 	cluster := newScriptedCluster(t)
 	for _, a := range slices.Concat(members, observers) {
-		cluster.start(observed(a, seeds, observers))
+		cluster.start(nodeConfig(a, seeds, observers))
 	}
 	cluster.until(6*time.Second, "the first view", func() bool { return cluster.complete(3, 3) })
 	cluster.run(3 * time.Second)
@@ -179,7 +179,7 @@
 	for keepers := 1; keepers <= 4; keepers++ {
 		cluster := newScriptedCluster(t)
 		for _, a := range slices.Concat([]string{"k1", "k2", "k3", "k4"}[:keepers], seeds) {
-			cluster.start(observed(a, seeds, seeds))
+			cluster.start(nodeConfig(a, seeds, seeds))
 		}
 		took := cluster.until(8*time.Second, "the first view", func() bool {
 			noObserverInViews(t, cluster)
@@ -201,7 +201,7 @@
 	for round := range 60 {
 		cluster := newScriptedCluster(t)
 		for _, a := range slices.Concat([]string{"k1", "k2", "k3", "k4"}, seeds) {
-			cluster.start(observed(a, seeds, seeds))
+			cluster.start(nodeConfig(a, seeds, seeds))
 		}
 		off := seeds[round%3]
 		partitionStart := time.Duration(round) * 50 * time.Millisecond
@@ -212,7 +212,7 @@
 			return from != off && to != off || from == "k1" || to == "k1"
 		}
 		cluster.run(partitionStart)
-		again := observed(seeds[(round+1)%3], seeds, seeds)
+		again := nodeConfig(seeds[(round+1)%3], seeds, seeds)
 		again.Bootstrap = false // not the initial bootstrap
 		again.Self.ID = "again"
 		cluster.start(again)
--- a/internal/system/replication/partition.go
+++ b/internal/system/replication/partition.go
@@ -1,8 +1,8 @@
 package replication
 
-// observeReach records when the chain was last reachable.
-func (lv *liveness) observeReach() {
-	if lv.reachesChain() {
+// recordChainReachability records when the chain was last reachable.
+func (lv *liveness) recordChainReachability() {
+	if lv.canReachChain() {
 		lv.chainReachedAt = max(lv.chainReachedAt, lv.now)
 	}
 }
@@ -12,16 +12,16 @@
 	return lv.now-lv.chainReachedAt >= lv.cfg.partitionedTimeout()
 }
 
-// reachesChain reports whether a change requested at this node may be accepted by the current chain, or by one formed by a repair.
-func (lv *liveness) reachesChain() bool {
+// canReachChain reports whether a change requested at this node may be accepted by the current chain, or by one formed by a repair.
+func (lv *liveness) canReachChain() bool {
 	v := lv.acceptor.view
 	if v.Epoch == 0 {
-		return lv.reachesAnyone() // any peer may send a view
+		return lv.canReachAnyPeer() // any peer may send a view
 	}
-	return lv.reachesHead(v) || lv.hasMajorityAlive(v.Voters)
+	return lv.canReachHead(v) || lv.hasMajorityAlive(v.Voters)
 }
 
-func (lv *liveness) reachesAnyone() bool {
+func (lv *liveness) canReachAnyPeer() bool {
 	for id := range lv.peers {
 		if lv.isAlive(id) {
 			return true
@@ -30,8 +30,8 @@
 	return false
 }
 
-// reachesHead reports whether this node exchanges messages with the head or, if it is the head, with its successor.
-func (lv *liveness) reachesHead(v *View) bool {
+// canReachHead reports whether this node exchanges messages with the head or, if it is the head, with its successor.
+func (lv *liveness) canReachHead(v *View) bool {
 	if v.Head() != lv.self.ID {
 		return lv.isAlive(v.Head())
 	}
--- a/internal/system/replication/partition_test.go
+++ b/internal/system/replication/partition_test.go
@@ -41,8 +41,8 @@
 	began       time.Duration
 	acked       uint64 // newest record acknowledged at the others
 
-	change, read, here uint64 // calls in progress: a change at the other node, and a read and a change at the partitioned replica
-	rev                int64
+	otherChange, partitionedRead, partitionedChange uint64 // calls in progress: a change at the other node, and a read and a change at the partitioned replica
+	rev                                             int64
 }
 
 // play returns how long after the partition there are three replicas again, and how long until the partitioned one is current.
@@ -81,28 +81,28 @@
 func (p *replicaPartition) ended(id uint64) bool { return id == 0 || p.cluster.done[id].ID != 0 }
 
 func (p *replicaPartition) callOthers() {
-	if !p.ended(p.change) {
+	if !p.ended(p.otherChange) {
 		return
 	}
-	if p.cluster.answered(p.change) {
+	if p.cluster.answered(p.otherChange) {
 		p.rev++
-		p.acked = p.cluster.done[p.change].Seq
+		p.acked = p.cluster.done[p.otherChange].Seq
 	}
-	p.change = p.cluster.submit(p.other, replacing(p.rev, string(rune('a'+p.rev%26))+p.direction), 4*time.Second)
+	p.otherChange = p.cluster.submit(p.other, replacing(p.rev, string(rune('a'+p.rev%26))+p.direction), 4*time.Second)
 }
 
 func (p *replicaPartition) callPartitioned() {
-	if p.ended(p.read) {
-		p.read = p.cluster.read(p.partitioned, time.Second)
+	if p.ended(p.partitionedRead) {
+		p.partitionedRead = p.cluster.read(p.partitioned, time.Second)
 	}
-	if !p.ended(p.here) {
+	if !p.ended(p.partitionedChange) {
 		return
 	}
-	d := p.cluster.done[p.here]
+	d := p.cluster.done[p.partitionedChange]
 	if d.Outcome == Answered && d.Verdict.Kind != controlstate.Accepted && d.Verdict.Kind != controlstate.Stale {
 		p.t.Fatalf("%s of %s: a change at the partitioned replica ended with %v", p.direction, p.partitioned, d.Verdict)
 	}
-	p.here = p.cluster.submit(p.partitioned, replacing(p.cluster.nodes[p.partitioned].core.chain.state.(*toy).rev, "at the cut one"), time.Second)
+	p.partitionedChange = p.cluster.submit(p.partitioned, replacing(p.cluster.nodes[p.partitioned].core.chain.state.(*toy).rev, "at the cut one"), time.Second)
 }
 
 // check compares what the partitioned replica returns with what was acknowledged, from 2 s after the start of the partition.
@@ -110,7 +110,7 @@
 	if p.cluster.now-p.began < 2*time.Second {
 		return
 	}
-	if d := p.cluster.done[p.read]; d.Outcome == Answered && d.Seq+1 < p.acked {
+	if d := p.cluster.done[p.partitionedRead]; d.Outcome == Answered && d.Seq+1 < p.acked {
 		p.t.Fatalf("%s of %s: a read returned record %d, but record %d was acknowledged", p.direction, p.partitioned, d.Seq, p.acked)
 	}
 	node := p.cluster.nodes[p.partitioned]
--- a/internal/system/replication/partitioned_node_test.go
+++ b/internal/system/replication/partitioned_node_test.go
@@ -10,17 +10,17 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// reachCluster starts three replicas, a spare and an observer.
-func reachCluster(t *testing.T) *scriptedCluster {
+// clusterWithSpareAndObserver starts three replicas, a spare and an observer.
+func clusterWithSpareAndObserver(t *testing.T) *scriptedCluster {
 	cluster := threeNodes(t, 1, TestingKnobs{})
 	seeds := []string{"a", "b", "c"}
-	cluster.start(observed("s", seeds, nil))
-	cluster.start(observed("o", seeds, []string{"o"}))
+	cluster.start(nodeConfig("s", seeds, nil))
+	cluster.start(nodeConfig("o", seeds, []string{"o"}))
 	cluster.run(3 * time.Second)
 	return cluster
 }
 
-func (cluster *scriptedCluster) partition(addr string) bool {
+func (cluster *scriptedCluster) isPartitioned(addr string) bool {
 	n := cluster.nodes[addr]
 	return n.core.Partitioned(cluster.clock(n))
 }
@@ -31,11 +31,11 @@
 func TestPartitioned(t *testing.T) {
 	for name, stops := range partitionDirections {
 		for place := range 5 {
-			cluster := reachCluster(t)
+			cluster := clusterWithSpareAndObserver(t)
 			nodes := []string{cluster.replica(0), cluster.replica(1), cluster.replica(2), "s", "o"}
 			partitioned := nodes[place]
 			cluster.filter = func(from, to string, _ *replicationpb.Message) bool { return !stops(from, to, partitioned) }
-			noticed := cluster.until(2500*time.Millisecond, "the node to report the partition", func() bool { return cluster.partition(partitioned) })
+			noticed := cluster.until(2500*time.Millisecond, "the node to report the partition", func() bool { return cluster.isPartitioned(partitioned) })
 			if noticed < time.Second {
 				t.Errorf("%s, place %d: reported as partitioned after %v, less than a node may be silent", name, place, noticed)
 			}
@@ -43,7 +43,7 @@
 				cluster.checkPartitioned(fmt.Sprintf("%s, place %d", name, place), nodes, partitioned)
 			}
 			cluster.filter = nil
-			ended := cluster.until(1500*time.Millisecond, "the node to report the end of the partition", func() bool { return !cluster.partition(partitioned) })
+			ended := cluster.until(1500*time.Millisecond, "the node to report the end of the partition", func() bool { return !cluster.isPartitioned(partitioned) })
 			t.Logf("%s, place %d: detected after %v, its end after %v", name, place, noticed, ended)
 		}
 	}
@@ -57,7 +57,7 @@
 	for range 20 {
 		cluster.step()
 		for _, other := range nodes {
-			if got := cluster.partition(other); got != (other == partitioned) {
+			if got := cluster.isPartitioned(other); got != (other == partitioned) {
 				cluster.t.Fatalf("%s: partitioned = %v at %s while %s is partitioned", name, got, other, partitioned)
 			}
 		}
@@ -97,11 +97,11 @@
 		"a link stood still":      func(cluster *scriptedCluster) { cluster.pause(cluster.replica(1)) },
 		"the head stood still":    func(cluster *scriptedCluster) { cluster.pause(cluster.replica(0)) },
 		"an observer stood still": func(cluster *scriptedCluster) { cluster.pause("o") },
-		"an observer starts anew": func(cluster *scriptedCluster) { cluster.start(observed("o", []string{"a", "b", "c"}, []string{"o"})) },
-		"a spare starts anew":     func(cluster *scriptedCluster) { cluster.start(observed("s", []string{"a", "b", "c"}, nil)) },
+		"an observer starts anew": func(cluster *scriptedCluster) { cluster.start(nodeConfig("o", []string{"a", "b", "c"}, []string{"o"})) },
+		"a spare starts anew":     func(cluster *scriptedCluster) { cluster.start(nodeConfig("s", []string{"a", "b", "c"}, nil)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			cluster := reachCluster(t)
+			cluster := clusterWithSpareAndObserver(t)
 			prepare(cluster)
 			calls := cluster.callAllFor(lasts)
 			for addr, ids := range calls {
@@ -124,7 +124,7 @@
 			if cluster.nodes[addr].core == nil {
 				continue
 			}
-			if cluster.partition(addr) {
+			if cluster.isPartitioned(addr) {
 				cluster.t.Fatalf("%s reports being partitioned after %v", addr, cluster.now-began)
 			}
 			if (cluster.now-began)%(200*time.Millisecond) == 0 {
@@ -145,7 +145,7 @@
 // TestNotPartitionedOverSlowNetwork guards against nodes with a latency of 150 ms being reported as partitioned between two
 // heartbeats.
 func TestNotPartitionedOverSlowNetwork(t *testing.T) {
-	cluster := reachCluster(t)
+	cluster := clusterWithSpareAndObserver(t)
 	var underWay []arrival
 	cluster.filter = func(_, to string, m *replicationpb.Message) bool {
 		underWay = append(underWay, arrival{cluster.now + 150*time.Millisecond, Envelope{Addr: to, Msg: m}})
@@ -158,7 +158,7 @@
 			cluster.deliver(e)
 		}
 		for addr := range cluster.nodes {
-			if cluster.partition(addr) {
+			if cluster.isPartitioned(addr) {
 				t.Fatalf("%s reports being partitioned after %v", addr, cluster.now-began)
 			}
 		}
@@ -172,14 +172,14 @@
 		cluster := newScriptedCluster(t)
 		seeds := []string{"a", "b", "c"}
 		for _, a := range seeds[:1+others] {
-			cfg := observed(a, seeds, nil)
+			cfg := nodeConfig(a, seeds, nil)
 			cfg.Bootstrap = false
 			cluster.start(cfg)
 		}
 		cluster.run(time.Second)
-		early := cluster.partition("a")
+		early := cluster.isPartitioned("a")
 		cluster.run(9 * time.Second)
-		if late := cluster.partition("a"); early || late != (others == 0) {
+		if late := cluster.isPartitioned("a"); early || late != (others == 0) {
 			t.Errorf("%d others: partitioned %v after 1 s, %v after 10 s", others, early, late)
 		}
 	}
--- a/internal/system/replication/placement_test.go
+++ b/internal/system/replication/placement_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// placed returns the members of a layout; the nodes of a zone are not adjacent in the order of their identities.
-func placed(layout []int) []Member {
+// membersOf returns the members of a layout; the nodes of a zone are not adjacent in the order of their identities.
+func membersOf(layout []int) []Member {
 	var out []Member
 	for k := 0; len(out) < sum(layout); k++ {
 		for z, n := range layout {
@@ -46,8 +46,8 @@
 	return n
 }
 
-// subsets calls f with each choice of n members until f returns true.
-func subsets(members []Member, n int, f func([]Member) bool) bool {
+// anySubset calls f with each choice of n members until f returns true.
+func anySubset(members []Member, n int, f func([]Member) bool) bool {
 	var choose func(from int, chosen []Member) bool
 	choose = func(from int, chosen []Member) bool {
 		if len(chosen) == n {
@@ -92,7 +92,7 @@
 // checkSizes forms a view of the layout that must tolerate the loss of the given number of machines or zones.
 func checkSizes(t *testing.T, layout []int, machines, zones int) {
 	t.Helper()
-	members := placed(layout)
+	members := membersOf(layout)
 	cfg := Config{MachineLosses: machines, ZoneLosses: zones}
 	cluster := sizedCluster(t, members, machines, zones)
 	wantVoters := min(len(members), cfg.targetVoters())
@@ -106,10 +106,10 @@
 	cluster.until(8*time.Second, name, func() bool { return cluster.complete(wantReplicas, wantVoters) })
 	cluster.run(3 * time.Second) // working voters may still be replaced
 	v := cluster.view()
-	if can := subsets(members, wantVoters, cfg.votersTolerateLosses); can != cfg.votersTolerateLosses(v.Voters) {
+	if can := anySubset(members, wantVoters, cfg.votersTolerateLosses); can != cfg.votersTolerateLosses(v.Voters) {
 		t.Errorf("%s: a tolerant choice exists: %v, but the voters are %v", name, can, v)
 	}
-	if can := subsets(v.Voters, wantReplicas, cfg.chainToleratesLosses); can != cfg.chainToleratesLosses(v.chainMembers()) {
+	if can := anySubset(v.Voters, wantReplicas, cfg.chainToleratesLosses); can != cfg.chainToleratesLosses(v.chainMembers()) {
 		t.Errorf("%s: a tolerant choice exists: %v, but the replicas are %v", name, can, v)
 	}
 }
@@ -121,9 +121,9 @@
 	runs := 0
 	for _, layout := range layouts() {
 		for machines := range 5 {
-			members := placed(layout)
+			members := membersOf(layout)
 			cfg := Config{MachineLosses: machines, ZoneLosses: 1}
-			if !subsets(members, min(len(members), cfg.targetVoters()), cfg.votersTolerateLosses) {
+			if !anySubset(members, min(len(members), cfg.targetVoters()), cfg.votersTolerateLosses) {
 				continue
 			}
 			losses := [][]Member{nil} // nil: the first replicas and then voters
--- a/internal/system/replication/planner.go
+++ b/internal/system/replication/planner.go
@@ -90,7 +90,7 @@
 	if replicas = pl.addReplicas(replicas, heads, voters); len(replicas) < pl.cfg.minChainLength() {
 		return nil, false
 	}
-	arrange(replicas, heads)
+	orderChain(replicas, heads)
 	pl.keepHead(replicas, heads)
 	if current := pl.acceptor.view; isChainOf(replicas, current) && replicas[0].ID == current.Head() {
 		return current.Chain, false
@@ -112,7 +112,7 @@
 
 // possibleHeads returns the replicas that may lead. It excludes those that are about to leave, unless no others remain.
 func (pl *planner) possibleHeads(replicas []Member) []Member {
-	heads := slices.DeleteFunc(slices.Clone(replicas), func(m Member) bool { return !pl.mayLead(m.ID, asSealed) })
+	heads := slices.DeleteFunc(slices.Clone(replicas), func(m Member) bool { return !pl.mayLead(m.ID, reportedSealsOnly) })
 	isEligible := func(m Member) bool { return pl.liveness.isEligible(m.ID) }
 	if !slices.ContainsFunc(heads, isEligible) {
 		return heads
@@ -147,10 +147,10 @@
 }
 
 // remainingReplicas returns the current replicas that are fit, not stalled and mutually reachable.
-func (pl *planner) remainingReplicas(replaced ID, stalled map[ID]bool, isFit func(ID) bool) []Member {
+func (pl *planner) remainingReplicas(replaced ID, stalled map[ID]bool, canStay func(ID) bool) []Member {
 	var replicas []Member
 	for _, id := range pl.acceptor.view.Chain {
-		if m, ok := pl.acceptor.view.Voter(id); ok && id != replaced && isFit(id) && !stalled[id] {
+		if m, ok := pl.acceptor.view.Voter(id); ok && id != replaced && canStay(id) && !stalled[id] {
 			replicas = append(replicas, m)
 		}
 	}
@@ -234,7 +234,7 @@
 			score += 2
 		}
 	}
-	if score > 0 && !pl.mayLead(m.ID, asSealed) {
+	if score > 0 && !pl.mayLead(m.ID, reportedSealsOnly) {
 		score++
 	}
 	return score
@@ -271,9 +271,9 @@
 	return ids
 }
 
-// arrange orders a chain: first the one of the heads that is in the region of the most replicas, then the other replicas of its
+// orderChain orders a chain: first the one of the heads that is in the region of the most replicas, then the other replicas of its
 // region, then the replicas of each other region next to each other, so that a record crosses each border once.
-func arrange(replicas, heads []Member) {
+func orderChain(replicas, heads []Member) {
 	inRegion := map[string]int{}
 	for _, m := range replicas {
 		inRegion[m.Region]++
--- a/internal/system/replication/proposer.go
+++ b/internal/system/replication/proposer.go
@@ -73,7 +73,7 @@
 		pr.timeouts++
 		pr.backOff()
 	}
-	if pr.slowTurn && pr.writer.slowness() == 0 {
+	if pr.slowTurn && pr.writer.slowWriteTime() == 0 {
 		pr.slowTurn, pr.proposeAt = false, -1 // the disk has recovered: take the usual turn
 	}
 	if !pr.canPropose() || !pr.isDue() || pr.now-pr.lastPlannedAt < planInterval {
@@ -86,7 +86,7 @@
 		return
 	}
 	if pr.proposeAt < 0 {
-		slowness := pr.writer.slowness()
+		slowness := pr.writer.slowWriteTime()
 		turn := rankDelay + 2*slowness // in which the previous proposer has sent its Prepare, after a write that may be in progress
 		pr.slowTurn = slowness > 0
 		pr.proposeAt = pr.now + time.Duration(rank)*turn + pr.jitter(rankDelay/3)
@@ -98,32 +98,32 @@
 
 // timeout returns how long a proposal may take: as long as its writes take on a disk like this node's, doubled for each proposal that
 // has timed out, since the disks of others may be slower. A fixed timeout would end every proposal of a fleet of slow disks. If no
-// disk is known to be slow, lost messages are the more likely reason, and the timeout doubles only maxBlindDoublings times.
+// disk is known to be slow, lost messages are the more likely reason, and the timeout doubles only maxHealthyDoublings times.
 func (pr *proposer) timeout() time.Duration {
 	if pr.cfg.knobs.FixedTimeouts {
 		return proposalTimeout
 	}
 	first := max(proposalTimeout, proposalWrites*pr.writer.writeTime())
-	doublings := maxBlindDoublings
-	if pr.writer.slowness() > 0 || pr.liveness.hasUnhealthyVoter() {
+	doublings := maxHealthyDoublings
+	if pr.writer.slowWriteTime() > 0 || pr.liveness.hasUnhealthyVoter() {
 		doublings = maxTimeoutDoublings
 	}
 	return min(first<<min(pr.timeouts, doublings), maxProposalTimeout)
 }
 
 const (
-	maxBlindDoublings   = 2 // to 3.2 s: other nodes whose disks are not unhealthy yet take up to 0.5 s for each of the writes
+	maxHealthyDoublings = 2 // to 3.2 s: other nodes whose disks are not unhealthy yet take up to 0.5 s for each of the writes
 	maxTimeoutDoublings = 9 // after which the timeout has reached maxProposalTimeout
 )
 
 // canPropose reports whether this node votes and can write its promises.
 func (pr *proposer) canPropose() bool {
-	return pr.err == nil && pr.acceptor.identityDurable && pr.liveness.isFit() && pr.acceptor.isVoter(pr.acceptor.view)
+	return pr.err == nil && pr.acceptor.identityDurable && pr.liveness.hasUsableDisk() && pr.acceptor.isVoter(pr.acceptor.view)
 }
 
 // isDue reports whether no proposal is in progress, and neither a backoff nor a grace period is pending.
 func (pr *proposer) isDue() bool {
-	isSlowBackoffOver := pr.now >= pr.slowBackoffUntil || pr.writer.slowness() == 0
+	isSlowBackoffOver := pr.now >= pr.slowBackoffUntil || pr.writer.slowWriteTime() == 0
 	return pr.proposal == nil && pr.now >= pr.liveness.graceUntil && pr.now >= pr.backoffUntil && isSlowBackoffOver
 }
 
@@ -149,14 +149,14 @@
 // backOff prevents two proposers from preempting each other forever.
 func (pr *proposer) backOff() {
 	pr.backoffUntil = pr.now + minProposerDelay + pr.jitter(proposerJitter)
-	pr.slowBackoffUntil = pr.backoffUntil + proposalWrites*pr.writer.slowness()
+	pr.slowBackoffUntil = pr.backoffUntil + proposalWrites*pr.writer.slowWriteTime()
 	pr.proposeAt = -1
 }
 
 // yield gives another proposer, to which this node has promised, time to complete its proposal if the disk is slow. On a healthy disk
 // that time is so short that taking turns by rank is sufficient.
 func (pr *proposer) yield() {
-	if pr.writer.slowness() == 0 {
+	if pr.writer.slowWriteTime() == 0 {
 		return
 	}
 	pr.proposal = nil // the promise has a higher number
--- a/internal/system/replication/read_confirm.go
+++ b/internal/system/replication/read_confirm.go
@@ -106,13 +106,13 @@
 }
 
 func (rc *readConfirmation) handleConfirmed(from ID, m *replicationpb.Confirmed) {
-	if len(rc.waiters) > 0 && rc.isOfRound(m) && rc.epoch == rc.acceptor.view.Epoch {
+	if len(rc.waiters) > 0 && rc.isForCurrentRound(m) && rc.epoch == rc.acceptor.view.Epoch {
 		rc.recordConfirmation(from)
 	}
 }
 
-// isOfRound reports whether a confirmation answers the round in progress.
-func (rc *readConfirmation) isOfRound(m *replicationpb.Confirmed) bool {
+// isForCurrentRound reports whether a confirmation answers the round in progress.
+func (rc *readConfirmation) isForCurrentRound(m *replicationpb.Confirmed) bool {
 	return rc.isThisIncarnation(m.GetLife()) && m.GetRound() == rc.number && m.GetEpoch() == rc.epoch
 }
 
--- a/internal/system/replication/repair_test.go
+++ b/internal/system/replication/repair_test.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// catchUp is how long after its return a node may still count as lost.
-const catchUp = 4 * time.Second
+// catchUpTime is how long after its return a node may still count as lost.
+const catchUpTime = 4 * time.Second
 
 // awaitRepair runs a simulation without faults until its view is complete.
 func awaitRepair(t *testing.T, w *clusterSim, limit time.Duration) time.Duration {
@@ -34,7 +34,7 @@
 		seeds = 4
 	}
 	for seed := range seeds {
-		s := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
+		s := diskLossTopologies()[seed%uint64(len(diskLossTopologies()))]
 		w := newClusterSim(seed, s, TestingKnobs{})
 		awaitRepair(t, w, 6*time.Second)
 		w.after(0, func() { w.client(0) })
@@ -68,7 +68,7 @@
 				w.runUntil(w.now + away)
 				lost.start()
 			}
-			longest[what] = max(longest[what], awaitRepair(t, w, catchUp))
+			longest[what] = max(longest[what], awaitRepair(t, w, catchUpTime))
 			w.runUntil(w.now + time.Second)
 		}
 	}
@@ -80,7 +80,7 @@
 func TestChangesWaitOnlyForTheRepair(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(30) {
-		layout := zoneLossTopologies()[seed%uint64(len(zoneLossTopologies()))]
+		layout := diskLossTopologies()[seed%uint64(len(diskLossTopologies()))]
 		w := newClusterSim(seed, layout, TestingKnobs{})
 		awaitRepair(t, w, 6*time.Second)
 		m := w.nodes[seed%uint64(layout.diskNodes)]
@@ -101,7 +101,7 @@
 		a := &simCall{node: asker, change: controlstate.Change{Op: controlstate.OpReplace, Body: []byte("x")}, ttl: 5 * time.Second}
 		w.clientsDone = true
 		began := w.now
-		w.ask(a)
+		w.sendCall(a)
 		for w.acked+uint64(w.stats.already) == 0 && w.now-began < 5*time.Second && w.violation == nil {
 			w.runUntil(w.now + 10*time.Millisecond)
 		}
--- a/internal/system/replication/restore_test.go
+++ b/internal/system/replication/restore_test.go
@@ -14,8 +14,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// restored returns a state of n records, of which the first evacuates the zone mark.
-func restored(t *testing.T, mark string, n int) *controlstate.State {
+// restoredState returns a state of n records, of which the first evacuates the zone mark.
+func restoredState(t *testing.T, mark string, n int) *controlstate.State {
 	t.Helper()
 	state := controlstate.Empty()
 	for i := range n {
@@ -93,8 +93,8 @@
 	}
 }
 
-// serves checks that every node holds the records of want, and that a further change is applied on all of them.
-func (f *restoredFleet) serves(when string, want *controlstate.State, next string) *controlstate.State {
+// checkServes checks that every node holds the records of want, and that a further change is applied on all of them.
+func (f *restoredFleet) checkServes(when string, want *controlstate.State, next string) *controlstate.State {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -129,7 +129,7 @@
 // TestRestoredNodesFormFirstView restores some of three nodes. It guards against a head that holds nothing, and against other nodes
 // continuing with a different log under the same numbers.
 func TestRestoredNodesFormFirstView(t *testing.T) {
-	long, short, other := restored(t, "long", 700), restored(t, "long", 300), restored(t, "other", 500)
+	long, short, other := restoredState(t, "long", 700), restoredState(t, "long", 300), restoredState(t, "other", 500)
 	for _, test := range []struct {
 		what string
 		on   [3]*controlstate.State // nil: an empty disk
@@ -143,7 +143,7 @@
 		{"an older one on the first", [3]*controlstate.State{short, long, long}, long},
 		{"an older one on the last", [3]*controlstate.State{long, long, short}, long},
 		{"another system's on the second", [3]*controlstate.State{short, other, nil}, other},
-		{"as long ones of two systems", [3]*controlstate.State{other, restored(t, "third", 500), nil}, other},
+		{"as long ones of two systems", [3]*controlstate.State{other, restoredState(t, "third", 500), nil}, other},
 	} {
 		t.Run(test.what, func(t *testing.T) {
 			folders := map[string]string{}
@@ -158,13 +158,13 @@
 					}
 				}
 				group.runAll()
-				want := group.serves("at first", test.want, "new")
+				want := group.checkServes("at first", test.want, "new")
 				if slices.Contains(test.on[:], nil) && len(want.Evacuated) != len(test.want.Evacuated)+1 {
 					t.Error(want)
 				}
 				group.stopAll()
 				group.runAll()
-				group.serves("after a restart", want, "newer")
+				group.checkServes("after a restart", want, "newer")
 				group.stopAll()
 			})
 		})
@@ -180,7 +180,7 @@
 	}
 	bubble.Test(t, func(t *testing.T) {
 		group := &restoredFleet{fleet: newFleet(t), folders: folders, nodes: map[string]*Node{}}
-		group.restore(group.seeds[0], restored(t, "old", 700))
+		group.restore(group.seeds[0], restoredState(t, "old", 700))
 		group.run(group.seeds[1])
 		group.run(group.seeds[2])
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -190,7 +190,7 @@
 		}
 		group.run(group.seeds[0])
 		time.Sleep(5 * time.Second)
-		group.serves("late", restored(t, "x", 1), "y")
+		group.checkServes("late", restoredState(t, "x", 1), "y")
 		for _, a := range group.seeds {
 			group.stop(a, group.nodes[a])
 		}
@@ -200,7 +200,7 @@
 // TestRestoredStateIsGoneBeforeTheViewIsThere checks the order of the writes. It guards against a crash between them that leaves a
 // view on top of a log that is not the chain's.
 func TestRestoredStateIsGoneBeforeTheViewIsThere(t *testing.T) {
-	image, err := RestoredSnapshot(restored(t, "old", 9))
+	image, err := RestoredSnapshot(restoredState(t, "old", 9))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/replication/scenarios_test.go
+++ b/internal/system/replication/scenarios_test.go
@@ -64,8 +64,8 @@
 	return m.Addr
 }
 
-// between reports whether a message is from one of the two addresses to the other.
-func between(from, to, a, b string) bool { return from == a && to == b || from == b && to == a }
+// isBetween reports whether a message is from one of the two addresses to the other.
+func isBetween(from, to, a, b string) bool { return from == a && to == b || from == b && to == a }
 
 // playAcceptedView partitions the tail from the head. The voter between them accepts the next view but does not learn that it is
 // chosen; it is not a replica of that view, since it is about to leave. Then the new chain acknowledges a change while the tail and
@@ -78,13 +78,13 @@
 	cluster.until(3*time.Second, "a chain without the leaver", func() bool { return cluster.complete(2, 3) })
 	head, tail := cluster.replica(0), cluster.replica(1)
 	before := cluster.view().Epoch
-	told := false
+	suppressed := false
 	cluster.filter = func(from, to string, m *replicationpb.Message) bool {
-		if between(from, to, head, tail) {
+		if isBetween(from, to, head, tail) {
 			return false
 		}
 		if from == head && to == voter && cluster.nodes[head].core.acceptor.view.Epoch > before || m.GetChosen() != nil && to == voter {
-			told = true
+			suppressed = true
 			return false // no information about the new view
 		}
 		return true
@@ -95,8 +95,8 @@
 	})
 	id := cluster.submit(head, replacing(0, "newer"), time.Second)
 	cluster.until(time.Second, "a change in the new view", func() bool { return cluster.answered(id) })
-	if !told || cluster.nodes[voter].core.acceptor.view.Epoch != before || cluster.nodes[tail].core.acceptor.view.Epoch != before {
-		t.Fatalf("the scenario did not occur: messages suppressed %v, views %v and %v", told, cluster.nodes[voter].core.acceptor.view, cluster.nodes[tail].core.acceptor.view)
+	if !suppressed || cluster.nodes[voter].core.acceptor.view.Epoch != before || cluster.nodes[tail].core.acceptor.view.Epoch != before {
+		t.Fatalf("the scenario did not occur: messages suppressed %v, views %v and %v", suppressed, cluster.nodes[voter].core.acceptor.view, cluster.nodes[tail].core.acceptor.view)
 	}
 	read, current := cluster.read(tail, 2*time.Second), false
 	cluster.run(time.Second) // for that long, what the voter stated before it accepted may count as current
--- a/internal/system/replication/scripted_cluster_test.go
+++ b/internal/system/replication/scripted_cluster_test.go
@@ -104,15 +104,15 @@
 		cluster.t.Fatal(err)
 	}
 	started.core, started.cfg, started.startedAt, started.paused, started.pending = core, cfg, cluster.now, false, nil
-	cluster.collect(addr)
+	cluster.processOutputs(addr)
 }
 
 func (cluster *scriptedCluster) clock(n *scriptedNode) time.Duration {
 	return cluster.now - n.startedAt
 }
 
-// collect executes the work that a core requests.
-func (cluster *scriptedCluster) collect(addr string) {
+// processOutputs executes the work that a core requests.
+func (cluster *scriptedCluster) processOutputs(addr string) {
 	source := cluster.nodes[addr]
 	out := source.core.Ready()
 	for _, e := range out.Messages {
@@ -149,7 +149,7 @@
 func (cluster *scriptedCluster) deliver(e Envelope) {
 	if n := cluster.nodes[e.Addr]; n != nil && n.core != nil && !n.paused {
 		n.core.Receive(cluster.clock(n), e.Msg)
-		cluster.collect(e.Addr)
+		cluster.processOutputs(e.Addr)
 	}
 }
 
@@ -182,7 +182,7 @@
 		if cluster.quotas != nil || cluster.now%(25*time.Millisecond) == 0 { // a node with a quota may be suspended at such a time
 			n.core.Tick(cluster.clock(n))
 		}
-		cluster.collect(addr)
+		cluster.processOutputs(addr)
 	}
 }
 
@@ -229,7 +229,7 @@
 	cluster.lastCallID++
 	n := cluster.nodes[addr]
 	n.core.Submit(cluster.clock(n), cluster.lastCallID, ch, ttl)
-	cluster.collect(addr)
+	cluster.processOutputs(addr)
 	return cluster.lastCallID
 }
 
@@ -237,7 +237,7 @@
 	cluster.lastCallID++
 	n := cluster.nodes[addr]
 	n.core.Read(cluster.clock(n), cluster.lastCallID, ttl)
-	cluster.collect(addr)
+	cluster.processOutputs(addr)
 	return cluster.lastCallID
 }
 
--- a/internal/system/replication/sealing.go
+++ b/internal/system/replication/sealing.go
@@ -17,13 +17,13 @@
 	if pl.now-pl.headlessSince < sealTimeout {
 		return nil, false
 	}
-	canLead := func(seals sealing) func(Member) bool {
+	canLead := func(seals sealAssumption) func(Member) bool {
 		return func(m Member) bool { return pl.liveness.isHealthy(m.ID) && pl.mayLead(m.ID, seals) }
 	}
-	if i := slices.IndexFunc(voters, canLead(asSealed)); i >= 0 {
+	if i := slices.IndexFunc(voters, canLead(reportedSealsOnly)); i >= 0 {
 		return []Member{voters[i]}, false
 	}
-	if sealsWanted = slices.ContainsFunc(voters, canLead(assumingSealed)); sealsWanted {
+	if sealsWanted = slices.ContainsFunc(voters, canLead(assumeAliveSealed)); sealsWanted {
 		pl.headlessSince = pl.now
 	}
 	return nil, sealsWanted
--- a/internal/system/replication/second_loss_test.go
+++ b/internal/system/replication/second_loss_test.go
@@ -9,8 +9,8 @@
 // lossKinds are the ways in which the first node is lost.
 var lossKinds = []string{"killed", "wiped", "leaving", "replaced"}
 
-// five forms a chain of five nodes that tolerates the loss of two, with three acknowledged changes.
-func five(t *testing.T) *scriptedCluster {
+// newFiveNodeCluster forms a chain of five nodes that tolerates the loss of two, with three acknowledged changes.
+func newFiveNodeCluster(t *testing.T) *scriptedCluster {
 	cluster := newScriptedCluster(t)
 	var addrs []string
 	for i := range 5 {
@@ -28,8 +28,8 @@
 	return cluster
 }
 
-// again starts a node at addr with an empty disk, and therefore with another identity.
-func (cluster *scriptedCluster) again(addr string, cfg Config) {
+// startWithEmptyDisk starts a node at addr with an empty disk, and therefore with another identity.
+func (cluster *scriptedCluster) startWithEmptyDisk(addr string, cfg Config) {
 	cfg.Bootstrap = false
 	cfg.Self.Addr = addr
 	cluster.lastCallID++
@@ -40,16 +40,16 @@
 	cluster.start(cfg)
 }
 
-// heal brings the first lost node back according to its kind of loss.
-func (cluster *scriptedCluster) heal(kind, addr string) {
+// bringBack brings the first lost node back according to its kind of loss.
+func (cluster *scriptedCluster) bringBack(kind, addr string) {
 	n := cluster.nodes[addr]
 	switch kind {
 	case "killed", "leaving":
 		cluster.start(n.cfg)
 	case "wiped":
-		cluster.again(addr, n.cfg)
+		cluster.startWithEmptyDisk(addr, n.cfg)
 	case "replaced":
-		cluster.again(addr+" new", n.cfg)
+		cluster.startWithEmptyDisk(addr+" new", n.cfg)
 	}
 }
 
@@ -88,7 +88,7 @@
 	t.Helper()
 	const comesBack = time.Second
 	name := fmt.Sprintf("replica %d %s, after %v replica %d lost", 2*l.first, l.kind, l.at, l.second)
-	cluster := five(t)
+	cluster := newFiveNodeCluster(t)
 	lost := cluster.replica(2 * l.first)
 	if l.kind == "leaving" {
 		cluster.leave(lost)
@@ -98,7 +98,7 @@
 	returned := false
 	for began := cluster.now; cluster.now-began < l.at; {
 		if !returned && cluster.now-began >= comesBack {
-			cluster.heal(l.kind, lost)
+			cluster.bringBack(l.kind, lost)
 			returned = true
 		}
 		cluster.step()
@@ -108,7 +108,7 @@
 		n.core, n.disk = nil, newMemDisk()
 	}
 	if !returned {
-		cluster.heal(l.kind, lost)
+		cluster.bringBack(l.kind, lost)
 	}
 	return cluster.changeAndReadBack(name, lost)
 }
--- a/internal/system/replication/sim_change_history_test.go
+++ b/internal/system/replication/sim_change_history_test.go
@@ -27,7 +27,7 @@
 	return registerKey(ch.Op, ch.Base, ch.Body)
 }
 
-func (w *clusterSim) entryOf(key string) *changeHistory {
+func (w *clusterSim) historyOf(key string) *changeHistory {
 	l := w.histories[key]
 	if l == nil {
 		l = &changeHistory{}
@@ -36,7 +36,7 @@
 	return l
 }
 
-func (a *simCall) fail() bool { return strings.HasPrefix(string(a.change.Body), "bad") }
+func (a *simCall) isInvalid() bool { return strings.HasPrefix(string(a.change.Body), "bad") }
 
 // committed records that a record has just been committed for the first time.
 func (w *clusterSim) committed(r controlstate.Record) {
@@ -45,7 +45,7 @@
 		w.fail(fmt.Errorf("%s was applied twice, as records %d and %d", key, seq, r.Seq))
 	}
 	w.acceptedAt[key] = r.Seq
-	l := w.entryOf(key)
+	l := w.historyOf(key)
 	if l.rejected {
 		w.fail(fmt.Errorf("%s was reported as stale or invalid, but was applied", key))
 	}
--- a/internal/system/replication/sim_cluster_test.go
+++ b/internal/system/replication/sim_cluster_test.go
@@ -33,12 +33,12 @@
 	onReply     func(*simNode, *pollReply) // called with every reply of a node to a proxy
 	eventAt     time.Duration              // when the last fault began or ended
 
-	truth      []string // committed records, agreed by all nodes
-	states     []*toy   // after each committed record
-	acceptedAt map[string]uint64
-	epochs     []uint64 // in which each record was first committed
-	viewOf     map[uint64]string
-	newest     *View
+	committedRecords []string // committed records, agreed by all nodes
+	states           []*toy   // after each committed record
+	acceptedAt       map[string]uint64
+	epochs           []uint64 // in which each record was first committed
+	viewOf           map[uint64]string
+	newest           *View
 
 	acked           uint64 // newest number acknowledged
 	newestRead      uint64 // newest number that a read returned
--- a/internal/system/replication/sim_faults_apply_test.go
+++ b/internal/system/replication/sim_faults_apply_test.go
@@ -35,7 +35,7 @@
 	case faultDiskFull, faultDiskSlow, faultDiskStall, faultDisksFullButOne:
 		w.applyToDisk(cause, first)
 	case faultWipe:
-		if w.lose(first) {
+		if w.loseDisk(first) {
 			first.restartAfter(cause.duration)
 		}
 	case faultReplace:
@@ -49,7 +49,7 @@
 		w.onAck = append(w.onAck, func() { w.powerAll(cause) })
 	case faultWipeAfterAck:
 		w.onAck = append(w.onAck, func() {
-			if w.lose(first) {
+			if w.loseDisk(first) {
 				first.restartAfter(cause.duration)
 			}
 		})
@@ -212,7 +212,7 @@
 	}
 	if f.n&1 == 1 {
 		for i := range w.losses {
-			w.lose(w.nodes[(f.a+i*7)%len(w.nodes)])
+			w.loseDisk(w.nodes[(f.a+i*7)%len(w.nodes)])
 		}
 	}
 	for _, m := range w.nodes {
--- a/internal/system/replication/sim_hardening_answers_test.go
+++ b/internal/system/replication/sim_hardening_answers_test.go
@@ -11,14 +11,14 @@
 )
 
 // fromFormerIncarnation reports whether a message answers a call of a previous incarnation of its receiver.
-func fromFormerIncarnation(m *replicationpb.Message, life uint64) bool {
+func fromFormerIncarnation(m *replicationpb.Message, incarnation uint64) bool {
 	switch b := m.GetBody().(type) {
 	case *replicationpb.Message_Answer:
-		return b.Answer.GetLife() != life
+		return b.Answer.GetLife() != incarnation
 	case *replicationpb.Message_ReadAt:
-		return b.ReadAt.GetLife() != life
+		return b.ReadAt.GetLife() != incarnation
 	case *replicationpb.Message_Confirmed:
-		return b.Confirmed.GetLife() != life
+		return b.Confirmed.GetLife() != incarnation
 	}
 	return false
 }
@@ -37,19 +37,19 @@
 		for _, o := range w.nodes {
 			w.block(o.member.Addr, m.member.Addr, 500*time.Millisecond, true)
 		}
-		w.askMixed(m, round)
+		w.sendMixedCalls(m, round)
 		w.runUntil(w.now + 120*time.Millisecond)
 		m.kill()
 		m.start()
-		w.askMixed(m, round+100)
+		w.sendMixedCalls(m, round+100)
 		w.runUntil(w.now + 3*time.Second)
 	}
 	err := w.converge(8 * time.Second)
 	return w.stats.formerIncarnation, err
 }
 
-// askMixed sends a node twelve concurrent calls: reads, changes and notes.
-func (w *clusterSim) askMixed(m *simNode, n int) {
+// sendMixedCalls sends a node twelve concurrent calls: reads, changes and notes.
+func (w *clusterSim) sendMixedCalls(m *simNode, n int) {
 	for i := range 12 {
 		a := &simCall{node: m, first: w.acked, ttl: 3 * time.Second}
 		switch i % 3 {
@@ -61,7 +61,7 @@
 			w.lastChange++
 			a.change = controlstate.Change{Op: controlstate.OpNone, Zone: fmt.Sprintf("m%d", w.lastChange)}
 		}
-		w.ask(a)
+		w.sendCall(a)
 	}
 }
 
@@ -73,7 +73,7 @@
 	w.write(5, 50*time.Millisecond)
 	m, head := nodeRoles["outsider"](w), w.replica(0)
 	w.block(head.member.Addr, m.member.Addr, 20*time.Second, false)
-	w.askMixed(m, 0)
+	w.sendMixedCalls(m, 0)
 	w.runUntil(w.now + 100*time.Millisecond)
 	w.block(m.member.Addr, head.member.Addr, 20*time.Second, true)
 	w.runUntil(w.now + 19*time.Second)
--- a/internal/system/replication/sim_hardening_leave_test.go
+++ b/internal/system/replication/sim_hardening_leave_test.go
@@ -8,26 +8,26 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// leavePatience is how long a process that is asked to stop waits until it has left.
-const leavePatience = 5 * time.Second
+// leaveTimeout is how long a process that is asked to stop waits until it has left.
+const leaveTimeout = 5 * time.Second
 
 // leave drains the node and then ends it: when enough others hold what it holds, or at the latest after the timeout.
-func (m *simNode) leave(patience time.Duration, end func()) {
+func (m *simNode) leave(timeout time.Duration, end func()) {
 	if !m.isRunning() || m.paused {
 		return
 	}
-	core, until := m.core, m.sim.now+patience
+	core, until := m.core, m.sim.now+timeout
 	core.Leave(m.clock())
-	m.drain() // a fault triggered by its messages may end the process here
-	var look func()
-	look = func() {
+	m.executeOutputs() // a fault triggered by its messages may end the process here
+	var checkDeparted func()
+	checkDeparted = func() {
 		if m.core == core && m.sim.now < until && (m.paused || !core.Departed()) {
-			m.sim.after(20*time.Millisecond, look)
+			m.sim.after(20*time.Millisecond, checkDeparted)
 			return
 		}
 		end()
 	}
-	m.sim.after(20*time.Millisecond, look)
+	m.sim.after(20*time.Millisecond, checkDeparted)
 }
 
 // checkLeft checks that a node that has left can stop without losing data, since enough others hold everything acknowledged.
@@ -49,7 +49,7 @@
 
 // playDrainingNode lets a node leave permanently that holds the only copy of what was acknowledged: one other node was down in the
 // meantime, and the third has just lost its disk. It returns how long the leaving node stayed.
-func playDrainingNode(seed uint64, patience time.Duration) (time.Duration, error) {
+func playDrainingNode(seed uint64, timeout time.Duration) (time.Duration, error) {
 	w := newClusterSim(seed, topology{3, 0, 1, 3, 0, 0}, TestingKnobs{})
 	w.operate()
 	w.runUntil(4 * time.Second)
@@ -62,7 +62,7 @@
 	}
 	middle.kill()
 	w.writeUnless(60, 50*time.Millisecond, middle)
-	if !w.lose(tail) {
+	if !w.loseDisk(tail) {
 		return 0, fmt.Errorf("the second copy cannot be lost: %w", w.violation)
 	}
 	for _, o := range []*simNode{middle, tail} {
@@ -74,14 +74,14 @@
 	middle.restartAfter(300 * time.Millisecond)
 	tail.restartAfter(600 * time.Millisecond)
 	w.after(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() {
-		head.leave(patience, func() {
+		head.leave(timeout, func() {
 			stayed = w.now - began
 			head.kill()
 			head.removed = true
 			w.successor(head, fault{}).restartAfter(time.Second)
 		})
 	})
-	w.runUntil(w.now + leavePatience + 2*time.Second)
+	w.runUntil(w.now + leaveTimeout + 2*time.Second)
 	w.expectAck("after the draining node has left")
 	err := w.converge(8 * time.Second)
 	return stayed, err
@@ -96,7 +96,7 @@
 		n = 6
 	}
 	stays, errs := make([]time.Duration, n), make([]error, n)
-	inParallel(n, func(i int) { stays[i], errs[i] = playDrainingNode(uint64(i+1), leavePatience) })
+	inParallel(n, func(i int) { stays[i], errs[i] = playDrainingNode(uint64(i+1), leaveTimeout) })
 	for i, err := range errs {
 		if err != nil {
 			t.Errorf("seed %d: %v", i+1, err)
@@ -104,7 +104,7 @@
 		longest = max(longest, stays[i])
 	}
 	t.Logf("%d draining nodes with the only copy stayed for at most %v", n, longest)
-	if longest == 0 || longest >= leavePatience {
+	if longest == 0 || longest >= leaveTimeout {
 		t.Errorf("the draining nodes stayed for up to %v", longest)
 	}
 	var err error
--- a/internal/system/replication/sim_hardening_operators_test.go
+++ b/internal/system/replication/sim_hardening_operators_test.go
@@ -55,10 +55,10 @@
 		}
 	}
 	w.runUntil(w.now + 8*time.Second)
-	raced := uint64(len(w.truth))
+	raced := uint64(len(w.committedRecords))
 	w.onAnswer = nil
 	w.write(between, 50*time.Millisecond)
-	out.changes = len(w.truth) - int(raced)
+	out.changes = len(w.committedRecords) - int(raced)
 	w.powerAll(fault{})
 	w.runUntil(w.now + 5*time.Second)
 	for _, m := range w.nodes {
@@ -84,7 +84,7 @@
 			call.onDone = func(done Completion) {
 				got.retries[name] = append(got.retries[name], fmt.Sprintf("outcome %d kind %d", done.Outcome, done.Verdict.Kind))
 			}
-			w.after(time.Duration(i)*20*time.Millisecond, func() { w.ask(call) })
+			w.after(time.Duration(i)*20*time.Millisecond, func() { w.sendCall(call) })
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	again := &simCall{node: w.pickNode(), change: call.change, first: call.first}
 	w.after(300*time.Millisecond, func() {
 		if again.node != nil {
-			w.ask(again)
+			w.sendCall(again)
 		}
 	})
 }
@@ -113,7 +113,7 @@
 }
 
 // writeUnless is like write, but never uses the node excluded.
-func (w *clusterSim) writeUnless(n int, pause time.Duration, not *simNode) {
+func (w *clusterSim) writeUnless(n int, pause time.Duration, excluded *simNode) {
 	end := int64(n) + w.states[len(w.states)-1].rev
 	next := w.now
 	for limit := w.now + 4*time.Duration(n)*pause + 10*time.Second; w.violation == nil && w.now < limit; {
@@ -121,10 +121,10 @@
 		if rev >= end {
 			return
 		}
-		if m := w.pickNode(); m != nil && m != not && !m.paused {
+		if m := w.pickNode(); m != nil && m != excluded && !m.paused {
 			change := w.newChange(50)
 			change.Base = rev
-			w.ask(&simCall{node: m, change: change, first: w.acked, ttl: time.Second})
+			w.sendCall(&simCall{node: m, change: change, first: w.acked, ttl: time.Second})
 		}
 		next += pause
 		w.runUntil(next)
--- a/internal/system/replication/sim_hardening_outage_test.go
+++ b/internal/system/replication/sim_hardening_outage_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// levelBound is the time after the last fault within which a member that missed hundreds of changes must catch up.
-const levelBound = 5 * time.Second
+// outageCatchUpBound is the time after the last fault within which a member that missed hundreds of changes must catch up.
+const outageCatchUpBound = 5 * time.Second
 
-// awayModes are the ways in which a node is unavailable.
-var awayModes = map[string]func(w *clusterSim, m *simNode) (back func()){
+// outageModes are the ways in which a node is unavailable.
+var outageModes = map[string]func(w *clusterSim, m *simNode) (back func()){
 	"killed": func(_ *clusterSim, m *simNode) func() {
 		m.kill()
 		return m.start
@@ -98,7 +98,7 @@
 		return out
 	}
 	held := absent.core.chain.commitIndex
-	back := awayModes[mode](w, absent)
+	back := outageModes[mode](w, absent)
 	w.writeUnless(changes+5, 50*time.Millisecond, absent)
 	out.missed = w.acked - held
 	w.onStep = func(name, addr string) {
@@ -122,23 +122,23 @@
 		w.arm(&stepTrigger{name: "send append", remaining: 2, to: absent.member.Addr, action: kill})
 	})
 	back()
-	before := len(w.truth)
-	levelAt := w.watchLevel(absent)
+	before := len(w.committedRecords)
+	caughtUpAt := w.watchCatchUp(absent)
 	w.writeUnless(60, 50*time.Millisecond, absent)
-	out.changesMeanwhile = len(w.truth) - before
-	w.runUntil(w.now + 2*levelBound)
-	out.caughtUpAfter = max(0, *levelAt-w.eventAt)
+	out.changesMeanwhile = len(w.committedRecords) - before
+	w.runUntil(w.now + 2*outageCatchUpBound)
+	out.caughtUpAfter = max(0, *caughtUpAt-w.eventAt)
 	out.err = w.converge(8 * time.Second)
 	return out
 }
 
-// watchLevel records the time when a member last caught up: it is current and has everything that was acknowledged a second ago.
-func (w *clusterSim) watchLevel(m *simNode) *time.Duration {
+// watchCatchUp records the time when a member last caught up: it is current and has everything that was acknowledged a second ago.
+func (w *clusterSim) watchCatchUp(m *simNode) *time.Duration {
 	at, was := w.now, false
 	current := -time.Hour // when it was last current; a learner is not current for some milliseconds between a record and its write
 	target := w.acked
-	var look func()
-	look = func() {
+	var checkLevel func()
+	checkLevel = func() {
 		if m.core != nil && !m.paused && m.core.Current(m.clock()) {
 			current = w.now
 		}
@@ -148,10 +148,10 @@
 		}
 		was = is
 		if !w.clientsDone {
-			w.after(20*time.Millisecond, look)
+			w.after(20*time.Millisecond, checkLevel)
 		}
 	}
-	look()
+	checkLevel()
 	return &at
 }
 
@@ -167,7 +167,7 @@
 	var jobs []outageJob
 	for i, layout := range []topology{{3, 0, 1, 3, 0, 0}, {5, 0, 2, 3, 1, 0}, {4, 1, 1, 2, 0, 0}} {
 		for _, role := range []string{"head", "second", "tail", "outsider"} {
-			for _, mode := range slices.Sorted(maps.Keys(awayModes)) {
+			for _, mode := range slices.Sorted(maps.Keys(outageModes)) {
 				if role == "outsider" && layout.spares+layout.observers == 0 || (raceDetector || testing.Short()) && (i > 0 || mode != "killed") {
 					continue
 				}
@@ -188,7 +188,7 @@
 		return run.err.Error()
 	case run.missed < uint64(changes):
 		return fmt.Sprintf("it missed only %d changes", run.missed)
-	case run.caughtUpAfter > levelBound:
+	case run.caughtUpAfter > outageCatchUpBound:
 		return fmt.Sprintf("caught up only after %v", run.caughtUpAfter)
 	case run.longest > 100: // a snapshot every 20 records, 5 retained below it, and the records in flight
 		return fmt.Sprintf("a log of %d records", run.longest)
@@ -198,7 +198,7 @@
 	return ""
 }
 
-// TestHardeningOutageOfHundredsOfChanges checks that a member that missed hundreds of changes catches up within levelBound
+// TestHardeningOutageOfHundredsOfChanges checks that a member that missed hundreds of changes catches up within outageCatchUpBound
 // after the last fault, although changes continue and the node that sends it records is lost, and that logs stay bounded. It guards
 // against a member that leads or serves proxies with stale state, or never catches up. REPLICATION_AWAY=2000 selects the deep run,
 // 401 all runs of the usual length.
--- a/internal/system/replication/sim_hardening_partition_test.go
+++ b/internal/system/replication/sim_hardening_partition_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// backBound is the time within which a node must hold everything again and be current after a partition.
-const backBound = 3 * time.Second
+// rejoinBound is the time within which a node must hold everything again and be current after a partition.
+const rejoinBound = 3 * time.Second
 
 // partitionMode is how a node is partitioned.
 type partitionMode struct {
@@ -79,13 +79,13 @@
 	// Calls are sent to the partitioned node all the time; the operators call the others.
 	for i := range 60 {
 		w.after(time.Duration(i)*length/60, func() {
-			w.ask(&simCall{node: node, read: i%2 == 0, change: w.newChange(100 + i)})
+			w.sendCall(&simCall{node: node, read: i%2 == 0, change: w.newChange(100 + i)})
 		})
 	}
 	w.runUntil(began + length)
 	out.changes = w.stats.accepted - before
 	ended := w.now
-	w.runWhile(2*backBound, func() bool {
+	w.runWhile(2*rejoinBound, func() bool {
 		return node.core == nil || !node.core.Current(node.clock()) || node.core.chain.commitIndex < w.ackedBefore(ended)
 	})
 	out.rejoinedAfter = w.now - ended
@@ -156,7 +156,7 @@
 			t.Errorf("%s: only %d calls reached the node", name, run.asked)
 		case run.answered > 0:
 			t.Errorf("%s: the partitioned node gave %d conclusive answers", name, run.answered)
-		case run.rejoinedAfter > backBound:
+		case run.rejoinedAfter > rejoinBound:
 			t.Errorf("%s: in service again only after %v", name, run.rejoinedAfter)
 		}
 		longest = max(longest, run.rejoinedAfter)
--- a/internal/system/replication/sim_invariants_test.go
+++ b/internal/system/replication/sim_invariants_test.go
@@ -18,7 +18,7 @@
 
 // dump traces the state of every node.
 func (w *clusterSim) dump() {
-	w.trace("truth %d, acked %d, lost %d, complete %v", len(w.truth), w.acked, w.lost, w.isFullyReplicated())
+	w.trace("truth %d, acked %d, lost %d, complete %v", len(w.committedRecords), w.acked, w.lost, w.isFullyReplicated())
 	for _, m := range w.nodes {
 		r, ok := m.durableState()
 		if !m.isRunning() {
@@ -110,22 +110,22 @@
 	rec := node.core.chain.log.at(seq)
 	id := fmt.Sprintf("%d %d %d %s %s", rec.epoch, rec.rec.Op, rec.rec.Base, rec.rec.Body, rec.rec.Zone)
 	switch {
-	case seq <= uint64(len(w.truth)):
-		if w.truth[seq-1] != id {
-			w.fail(fmt.Errorf("node %d has committed record %d as %q, another as %q", node.name, seq, id, w.truth[seq-1]))
+	case seq <= uint64(len(w.committedRecords)):
+		if w.committedRecords[seq-1] != id {
+			w.fail(fmt.Errorf("node %d has committed record %d as %q, another as %q", node.name, seq, id, w.committedRecords[seq-1]))
 		}
-	case seq == uint64(len(w.truth))+1:
+	case seq == uint64(len(w.committedRecords))+1:
 		next, err := w.states[seq-1].Apply(rec.rec)
 		if err != nil {
 			w.fail(fmt.Errorf("node %d has committed record %d: %w", node.name, seq, err))
 			return
 		}
-		w.truth = append(w.truth, id)
+		w.committedRecords = append(w.committedRecords, id)
 		w.epochs = append(w.epochs, node.core.View().Epoch)
 		w.states = append(w.states, next.(*toy))
 		w.committed(rec.rec)
 	default:
-		w.fail(fmt.Errorf("node %d has committed record %d, but no node has committed %d", node.name, seq, len(w.truth)+1))
+		w.fail(fmt.Errorf("node %d has committed record %d, but no node has committed %d", node.name, seq, len(w.committedRecords)+1))
 	}
 }
 
@@ -158,8 +158,8 @@
 	}
 }
 
-// ended compares an answer with what is committed.
-func (w *clusterSim) ended(call *simCall, done Completion) {
+// checkCompletion compares an answer with what is committed.
+func (w *clusterSim) checkCompletion(call *simCall, done Completion) {
 	if w.violation != nil {
 		return
 	}
@@ -172,8 +172,8 @@
 		w.trace("%v answer to %s at machine %d: outcome %d %v record %d", w.now, keyOf(call.change), call.node.name, done.Outcome, done.Verdict, done.Seq)
 		w.checkAnswer(call, done)
 	}
-	if call.inside != nil {
-		call.inside(done)
+	if call.onInternalRead != nil {
+		call.onInternalRead(done)
 		return
 	}
 	w.answer(call, done)
@@ -187,7 +187,7 @@
 	w.stats.reads++
 	if d.Seq < a.acked {
 		w.fail(fmt.Errorf("a read at node %d returned record %d, but %d had been acknowledged or read", a.node.name, d.Seq, a.acked))
-	} else if d.Seq > uint64(len(w.truth)) || describe(d.State.(*toy)) != describe(w.states[d.Seq]) {
+	} else if d.Seq > uint64(len(w.committedRecords)) || describe(d.State.(*toy)) != describe(w.states[d.Seq]) {
 		w.fail(fmt.Errorf("a read returned %q at record %d", describe(d.State.(*toy)), d.Seq))
 	}
 	w.newestRead = max(w.newestRead, d.Seq)
@@ -196,7 +196,7 @@
 // checkAnswer compares the answer to a change with what is committed, and records what the answer promises.
 func (w *clusterSim) checkAnswer(call *simCall, done Completion) {
 	key := keyOf(call.change)
-	l := w.entryOf(key)
+	l := w.historyOf(key)
 	taken := w.acceptedAt[key]
 	switch {
 	case done.Outcome == Unknown:
@@ -212,11 +212,11 @@
 		if taken > 0 {
 			w.fail(fmt.Errorf("%s is record %d, but was refused when it was repeated: %v", key, taken, done.Verdict))
 		}
-		if done.Verdict.Kind == controlstate.Invalid && !call.fail() {
+		if done.Verdict.Kind == controlstate.Invalid && !call.isInvalid() {
 			w.fail(fmt.Errorf("%s counts as invalid: %v", key, done.Verdict))
 		}
-		found := call.fail()
-		for s := call.acked; s <= uint64(len(w.truth)); s++ {
+		found := call.isInvalid()
+		for s := call.acked; s <= uint64(len(w.committedRecords)); s++ {
 			found = found || w.states[s].rev != call.change.Base
 		}
 		if !found {
@@ -237,12 +237,12 @@
 	}
 	zone := call.change.Op == controlstate.OpEvacuate || call.change.Op == controlstate.OpReadmit
 	switch {
-	case call.fail():
+	case call.isInvalid():
 		w.fail(fmt.Errorf("%s was acknowledged", key))
 	case zone && already:
 		// The zone was in the requested state at some time between the request and the answer.
 		found := false
-		for s := call.acked; s <= uint64(len(w.truth)); s++ {
+		for s := call.acked; s <= uint64(len(w.committedRecords)); s++ {
 			found = found || w.states[s].zones[call.change.Zone].Evacuated == (call.change.Op == controlstate.OpEvacuate)
 		}
 		if !found {
--- a/internal/system/replication/sim_losses_test.go
+++ b/internal/system/replication/sim_losses_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/system/replication/replicationpb"
 )
 
-// lose empties the disk of a node, if the number of disks that may be lost permits it.
-func (w *clusterSim) lose(m *simNode) bool {
+// loseDisk empties the disk of a node, if the number of disks that may be lost permits it.
+func (w *clusterSim) loseDisk(m *simNode) bool {
 	if m.removed || m.observer || !w.canLoseDisk() {
 		return false
 	}
--- a/internal/system/replication/sim_network_test.go
+++ b/internal/system/replication/sim_network_test.go
@@ -23,10 +23,10 @@
 
 // block partitions one direction between two addresses.
 func (w *clusterSim) block(from, to string, length time.Duration, late bool) {
-	if from == to || w.beyond(from) && w.beyond(to) {
+	if from == to || w.isOutside(from) && w.isOutside(to) {
 		return
 	}
-	if !w.beyond(from) && !w.beyond(to) {
+	if !w.isOutside(from) && !w.isOutside(to) {
 		w.recordDisturbance()
 	}
 	k := [2]string{from, to}
@@ -43,8 +43,8 @@
 	})
 }
 
-// beyond reports whether the address is not a node's.
-func (w *clusterSim) beyond(addr string) bool {
+// isOutside reports whether the address is not a node's.
+func (w *clusterSim) isOutside(addr string) bool {
 	return addr == outside || strings.HasPrefix(addr, proxyPrefix)
 }
 
@@ -55,7 +55,7 @@
 		return
 	}
 	delete(w.partitioned, k)
-	if !w.beyond(k[0]) && !w.beyond(k[1]) {
+	if !w.isOutside(k[0]) && !w.isOutside(k[1]) {
 		w.recordDisturbance()
 	}
 	w.stats.lateMessages += len(l.delayed)
@@ -69,8 +69,8 @@
 	return w.partitioned[[2]string{a, b}] == nil && w.partitioned[[2]string{b, a}] == nil
 }
 
-// carry delivers something from one address to another, unless the path is partitioned or loses it.
-func (w *clusterSim) carry(from, to string, delay time.Duration, onArrival func()) {
+// transmit delivers something from one address to another, unless the path is partitioned or loses it.
+func (w *clusterSim) transmit(from, to string, delay time.Duration, onArrival func()) {
 	if l := w.partitioned[[2]string{from, to}]; l != nil {
 		if l.late && len(l.delayed) < maxDelayedMessages {
 			l.delayed = append(l.delayed, onArrival)
@@ -99,15 +99,15 @@
 	}
 	for range n {
 		d := time.Millisecond
-		if to := w.at(envelope.Addr); to != nil && to.member.Region != from.member.Region {
+		if to := w.nodeAt(envelope.Addr); to != nil && to.member.Region != from.member.Region {
 			d = 45 * time.Millisecond
 		}
-		w.carry(from.member.Addr, envelope.Addr, d, func() { w.arrive(envelope.Addr, kind, envelope.Msg) })
+		w.transmit(from.member.Addr, envelope.Addr, d, func() { w.receive(envelope.Addr, kind, envelope.Msg) })
 	}
 }
 
-func (w *clusterSim) arrive(addr, kind string, msg *replicationpb.Message) {
-	m := w.at(addr)
+func (w *clusterSim) receive(addr, kind string, msg *replicationpb.Message) {
+	m := w.nodeAt(addr)
 	if m == nil || m.core == nil {
 		return
 	}
@@ -119,7 +119,7 @@
 	m.run(core, func() { core.Receive(m.clock(), msg) })
 }
 
-func (w *clusterSim) at(addr string) *simNode {
+func (w *clusterSim) nodeAt(addr string) *simNode {
 	for _, m := range w.nodes {
 		if m.member.Addr == addr && !m.removed {
 			return m
--- a/internal/system/replication/sim_node_test.go
+++ b/internal/system/replication/sim_node_test.go
@@ -47,8 +47,8 @@
 
 func (m *simNode) isRunning() bool { return m.core != nil }
 
-// healthy reports whether the process runs undisturbed on a working disk.
-func (m *simNode) healthy() bool {
+// isHealthy reports whether the process runs undisturbed on a working disk.
+func (m *simNode) isHealthy() bool {
 	return m.isRunning() && !m.paused && !m.diskFull && !m.diskStalled && m.diskDelay == 0
 }
 
@@ -59,11 +59,11 @@
 	}
 	w.recordDisturbance()
 	m.incarnation++
-	life := m.incarnation<<8 | uint64(m.name)
+	incarnation := m.incarnation<<8 | uint64(m.name)
 	self := m.member
 	self.ID = ID(fmt.Sprintf("%s#%d-%x", self.Addr, m.incarnation, w.rng.Uint32()))
 	core, err := NewCore(Config{
-		Self: self, MachineLosses: w.losses, ZoneLosses: w.zoneLosses, Seeds: m.seeds, Bootstrap: m.bootstrap, Incarnation: life, Seed: uint64(m.name), Observer: m.observer,
+		Self: self, MachineLosses: w.losses, ZoneLosses: w.zoneLosses, Seeds: m.seeds, Bootstrap: m.bootstrap, Incarnation: incarnation, Seed: uint64(m.name), Observer: m.observer,
 		knobs: w.knobs, compactRecords: 20, retainedRecords: 5,
 	}, w.machine, clone(m.disk.meta), m.disk.snap, slices.Clone(m.disk.entries))
 	if err != nil {
@@ -74,7 +74,7 @@
 	m.committed, m.checked, m.view = 0, nil, nil
 	m.paused, m.inbox, m.polls = false, nil, nil
 	m.lastCallID, m.calls, m.resumedAt = 0, map[uint64]*simCall{}, 0
-	m.drain()
+	m.executeOutputs()
 	m.tick(core)
 }
 
@@ -94,7 +94,7 @@
 	}
 	if !m.paused {
 		core.Tick(m.clock())
-		m.drain()
+		m.executeOutputs()
 		m.sim.checkCurrent(m)
 	}
 	m.sim.after(25*time.Millisecond+time.Duration(m.sim.rng.IntN(5))*time.Millisecond, func() { m.tick(core) })
@@ -112,7 +112,7 @@
 		return
 	}
 	do()
-	m.drain()
+	m.executeOutputs()
 }
 
 func (m *simNode) pause(d time.Duration) {
@@ -136,7 +136,7 @@
 	m.inbox = nil
 	if m.sim.rng.IntN(2) == 0 && core != nil {
 		core.Tick(m.clock())
-		m.drain()
+		m.executeOutputs()
 	}
 	for _, do := range inbox {
 		m.run(core, do)
@@ -160,7 +160,7 @@
 	asked := m.calls
 	m.calls = nil
 	for _, id := range slices.Sorted(maps.Keys(asked)) {
-		m.sim.ended(asked[id], Completion{ID: id, Read: asked[id].read, Outcome: Unknown})
+		m.sim.checkCompletion(asked[id], Completion{ID: id, Read: asked[id].read, Outcome: Unknown})
 	}
 }
 
@@ -183,8 +183,8 @@
 	m.diskFull, m.diskStalled, m.diskDelay = false, false, 0
 }
 
-// drain executes the work that the core requests.
-func (m *simNode) drain() {
+// executeOutputs executes the work that the core requests.
+func (m *simNode) executeOutputs() {
 	w, core := m.sim, m.core
 	out := core.Ready()
 	if w.onOutput != nil {
@@ -208,7 +208,7 @@
 	for _, done := range out.Completions {
 		if a := m.calls[done.ID]; a != nil {
 			delete(m.calls, done.ID)
-			w.ended(a, done)
+			w.checkCompletion(a, done)
 		}
 	}
 	m.wakePolls()
--- a/internal/system/replication/sim_operators_test.go
+++ b/internal/system/replication/sim_operators_test.go
@@ -9,21 +9,21 @@
 
 // simCall is a change or read that is sent to one node, and what was known when it was requested.
 type simCall struct {
-	node   *simNode
-	read   bool
-	change controlstate.Change
-	fenced bool          // the node that receives it fills in the fence: the newest record that it knows
-	ttl    time.Duration // 0: chosen at random
-	sent   time.Duration
-	acked  uint64 // newest record acknowledged or read when this attempt was sent
-	first  uint64 // the same when the first attempt was sent
-	onDone func(Completion)
-	inside func(Completion) // for a read that the node makes itself on behalf of a call; replaces onDone
-	closed bool             // the caller has an answer, or has given up
+	node           *simNode
+	read           bool
+	change         controlstate.Change
+	fenced         bool          // the node that receives it fills in the fence: the newest record that it knows
+	ttl            time.Duration // 0: chosen at random
+	sent           time.Duration
+	acked          uint64 // newest record acknowledged or read when this attempt was sent
+	first          uint64 // the same when the first attempt was sent
+	onDone         func(Completion)
+	onInternalRead func(Completion) // for a read that the node makes itself on behalf of a call; replaces onDone
+	closed         bool             // the caller has an answer, or has given up
 }
 
-// ask sends a change or read to its node. The caller receives exactly one outcome, Unknown if none arrives in time.
-func (w *clusterSim) ask(call *simCall) {
+// sendCall sends a change or read to its node. The caller receives exactly one outcome, Unknown if none arrives in time.
+func (w *clusterSim) sendCall(call *simCall) {
 	call.acked, call.sent = max(w.acked, w.newestRead), w.now
 	if call.ttl == 0 {
 		call.ttl = 4 * time.Second
@@ -32,7 +32,7 @@
 		}
 	}
 	if !call.read && !call.fenced {
-		w.entryOf(keyOf(call.change)).attempts++
+		w.historyOf(keyOf(call.change)).attempts++
 	}
 	w.trace("%v asks machine %d: read %v, %s", w.now, call.node.name, call.read, keyOf(call.change))
 	m, core := call.node, call.node.core
@@ -41,7 +41,7 @@
 		return
 	}
 	w.after(call.ttl+time.Second, func() { call.close(Completion{Outcome: Unknown}) })
-	w.carry(outside, m.member.Addr, time.Millisecond, func() {
+	w.transmit(outside, m.member.Addr, time.Millisecond, func() {
 		m.run(core, func() { m.submit(call) })
 	})
 }
@@ -52,7 +52,7 @@
 		m.submitFenced(a)
 		return
 	}
-	id := m.number(a)
+	id := m.registerCall(a)
 	if a.read {
 		m.core.Read(m.clock(), id, a.ttl)
 		return
@@ -60,8 +60,8 @@
 	m.core.Submit(m.clock(), id, a.change, a.ttl)
 }
 
-// number assigns a number to a call, starting again in each incarnation as Node does.
-func (m *simNode) number(a *simCall) uint64 {
+// registerCall assigns a number to a call, starting again in each incarnation as Node does.
+func (m *simNode) registerCall(a *simCall) uint64 {
 	m.lastCallID++
 	m.calls[m.lastCallID] = a
 	return m.lastCallID
@@ -80,7 +80,7 @@
 	}
 	call.change.Base = int64(core.chain.commitIndex)
 	read := &simCall{node: m, read: true, acked: max(w.acked, w.newestRead)}
-	read.inside = func(d Completion) {
+	read.onInternalRead = func(d Completion) {
 		if d.Outcome != Answered {
 			w.answer(call, Completion{Outcome: Refused})
 			return
@@ -90,12 +90,12 @@
 				if call.closed {
 					return // the end of the caller's connection has been detected by now
 				}
-				w.entryOf(keyOf(call.change)).attempts++
-				core.Submit(m.clock(), m.number(call), call.change, call.ttl)
+				w.historyOf(keyOf(call.change)).attempts++
+				core.Submit(m.clock(), m.registerCall(call), call.change, call.ttl)
 			})
 		})
 	}
-	core.Read(m.clock(), m.number(read), call.ttl)
+	core.Read(m.clock(), m.registerCall(read), call.ttl)
 }
 
 // answer delivers an answer to the caller, unless it is lost.
@@ -104,7 +104,7 @@
 		a.close(d) // the connection is reset
 		return
 	}
-	w.carry(a.node.member.Addr, outside, time.Millisecond, func() { a.close(d) })
+	w.transmit(a.node.member.Addr, outside, time.Millisecond, func() { a.close(d) })
 }
 
 func (a *simCall) close(d Completion) {
@@ -186,7 +186,7 @@
 		}
 		done()
 	}
-	w.ask(a)
+	w.sendCall(a)
 }
 
 // resubmit sends the call again, through any node that runs then.
@@ -242,7 +242,7 @@
 		return
 	}
 	w.stats.resent++
-	w.ask(&simCall{node: m, change: w.resendable[w.rng.IntN(len(w.resendable))]})
+	w.sendCall(&simCall{node: m, change: w.resendable[w.rng.IntN(len(w.resendable))]})
 }
 
 // evacuationZone is evacuated and readmitted by its own operator, one change after the other.
@@ -282,7 +282,7 @@
 		}
 		w.after(time.Duration(100+w.rng.IntN(900))*time.Millisecond, func() { w.zoneOperator(zone) })
 	}
-	w.ask(a)
+	w.sendCall(a)
 }
 
 // operate starts clients and operators.
--- a/internal/system/replication/sim_proxies_test.go
+++ b/internal/system/replication/sim_proxies_test.go
@@ -77,7 +77,7 @@
 	p.knownNodes = slices.Clone(p.w.seeds)
 	p.failed, p.inFlight = map[string]time.Duration{}, map[uint64]func(*pollReply){}
 	p.findNode()
-	p.watch(p.incarnation)
+	p.watchAge(p.incarnation)
 }
 
 func (p *proxy) stop() {
@@ -86,9 +86,9 @@
 }
 
 // run runs do in the given incarnation of the process, after a pause if the process is paused.
-func (p *proxy) run(life int, do func()) {
+func (p *proxy) run(incarnation int, do func()) {
 	switch {
-	case p.incarnation != life || !p.running:
+	case p.incarnation != incarnation || !p.running:
 	case p.paused:
 		p.inbox = append(p.inbox, do)
 	default:
@@ -97,25 +97,25 @@
 }
 
 func (p *proxy) after(d time.Duration, do func()) {
-	life := p.incarnation
-	p.w.after(d, func() { p.run(life, do) })
+	incarnation := p.incarnation
+	p.w.after(d, func() { p.run(incarnation, do) })
 }
 
 func (p *proxy) pause(d time.Duration) {
-	life := p.incarnation
+	incarnation := p.incarnation
 	p.paused, p.eventAt = p.running, p.w.now
-	p.w.after(d, func() { p.resume(life) })
+	p.w.after(d, func() { p.resume(incarnation) })
 }
 
-func (p *proxy) resume(life int) {
-	if p.incarnation != life || !p.paused {
+func (p *proxy) resume(incarnation int) {
+	if p.incarnation != incarnation || !p.paused {
 		return
 	}
 	p.paused, p.eventAt = false, p.w.now
 	inbox := p.inbox
 	p.inbox = nil
 	for _, do := range inbox {
-		p.run(life, do)
+		p.run(incarnation, do)
 	}
 }
 
@@ -123,7 +123,7 @@
 func (p *proxy) call(keeper string, hold, patience time.Duration, done func(*pollReply)) {
 	w := p.w
 	p.calls++
-	id, life, seq, asked := p.calls, p.incarnation, p.seq, w.now
+	id, incarnation, seq, asked := p.calls, p.incarnation, p.seq, w.now
 	finish := func(r *pollReply) {
 		if p.inFlight[id] == nil {
 			return
@@ -136,8 +136,8 @@
 	}
 	p.inFlight[id] = finish
 	p.after(hold+patience, func() { finish(nil) })
-	w.carry(p.addr, keeper, time.Millisecond, func() {
-		m := w.at(keeper)
+	w.transmit(p.addr, keeper, time.Millisecond, func() {
+		m := w.nodeAt(keeper)
 		if m == nil || m.core == nil {
 			return
 		}
@@ -147,7 +147,7 @@
 				if w.onReply != nil {
 					w.onReply(m, r)
 				}
-				w.carry(keeper, p.addr, time.Millisecond, func() { p.run(life, func() { finish(r) }) })
+				w.transmit(keeper, p.addr, time.Millisecond, func() { p.run(incarnation, func() { finish(r) }) })
 			}})
 		})
 	})
--- a/internal/system/replication/sim_proxy_checks_test.go
+++ b/internal/system/replication/sim_proxy_checks_test.go
@@ -14,10 +14,10 @@
 
 	// freshBound is the maximum age of the state of a proxy that counts as fresh.
 	freshBound = catchup.FreshnessTTL + currentBound
-	// contact is how long a proxy and the nodes must have been undisturbed for the proxy to count as connected.
-	contact = 5 * time.Second
-	// touchBound is the time within which a connected proxy must hold what was acknowledged.
-	touchBound = 3 * time.Second
+	// undisturbedTime is how long a proxy and the nodes must have been undisturbed for the proxy to count as connected.
+	undisturbedTime = 5 * time.Second
+	// connectedLagBound is the time within which a connected proxy must hold what was acknowledged.
+	connectedLagBound = 3 * time.Second
 )
 
 // checkState compares the state of a proxy with what is committed.
@@ -28,19 +28,19 @@
 	case p.seq < before:
 		w.fail(fmt.Errorf("proxy %s went back from record %d to %d", p.name, before, p.seq))
 	case p.seq >= uint64(len(w.states)):
-		w.fail(fmt.Errorf("proxy %s holds record %d, but only %d are committed", p.name, p.seq, len(w.truth)))
+		w.fail(fmt.Errorf("proxy %s holds record %d, but only %d are committed", p.name, p.seq, len(w.committedRecords)))
 	case describe(p.state) != describe(w.states[p.seq]):
 		w.fail(fmt.Errorf("proxy %s holds %q after record %d, nodes %q", p.name, describe(p.state), p.seq, describe(w.states[p.seq])))
 	}
 }
 
-// watch periodically compares what the proxy's clients get with what was acknowledged.
-func (p *proxy) watch(life int) {
-	if p.incarnation != life || !p.running {
+// watchAge periodically compares what the proxy's clients get with what was acknowledged.
+func (p *proxy) watchAge(incarnation int) {
+	if p.incarnation != incarnation || !p.running {
 		return
 	}
 	p.checkAge()
-	p.w.after(100*time.Millisecond, func() { p.watch(life) })
+	p.w.after(100*time.Millisecond, func() { p.watchAge(incarnation) })
 }
 
 // isFresh reports whether a node's statement that there is nothing newer is still valid.
@@ -60,8 +60,8 @@
 		}
 	}
 	if p.hasContact() {
-		if seq := w.ackedBefore(w.now - touchBound); p.seq < seq {
-			w.fail(fmt.Errorf("proxy %s is connected with record %d, but %d was acknowledged over %v ago", p.name, p.seq, seq, touchBound))
+		if seq := w.ackedBefore(w.now - connectedLagBound); p.seq < seq {
+			w.fail(fmt.Errorf("proxy %s is connected with record %d, but %d was acknowledged over %v ago", p.name, p.seq, seq, connectedLagBound))
 		}
 	}
 }
@@ -75,14 +75,14 @@
 	return w.acks[i-1].seq
 }
 
-// hasContact reports whether the proxy and the nodes have been undisturbed for contact, and the proxy reaches all
+// hasContact reports whether the proxy and the nodes have been undisturbed for undisturbedTime, and the proxy reaches all
 // well-connected nodes.
 func (p *proxy) hasContact() bool {
 	w := p.w
-	if w.now-p.eventAt < contact || !w.stable() {
+	if w.now-p.eventAt < undisturbedTime || !w.stable() {
 		return false
 	}
-	for _, m := range w.core() {
+	for _, m := range w.wellConnectedNodes() {
 		if !w.connected(p.addr, m.member.Addr) {
 			return false
 		}
@@ -95,7 +95,7 @@
 func (w *clusterSim) knownView() *View {
 	var newest *View
 	for _, node := range w.nodes {
-		if !node.healthy() || newest != nil && node.core.acceptor.view.Epoch <= newest.Epoch {
+		if !node.isHealthy() || newest != nil && node.core.acceptor.view.Epoch <= newest.Epoch {
 			continue
 		}
 		reached, all := 0, 0
@@ -114,20 +114,20 @@
 	return newest
 }
 
-// core returns the healthy nodes that are connected with a majority of the voters in both directions.
-func (w *clusterSim) core() []*simNode {
+// wellConnectedNodes returns the healthy nodes that are connected with a majority of the voters in both directions.
+func (w *clusterSim) wellConnectedNodes() []*simNode {
 	var out []*simNode
 	view := w.knownView()
 	if view == nil {
 		return nil
 	}
 	for _, m := range w.nodes {
-		if !m.healthy() {
+		if !m.isHealthy() {
 			continue
 		}
 		n := 0
 		for _, v := range view.Voters {
-			if o := w.at(v.Addr); o != nil && o.healthy() && w.connected(m.member.Addr, v.Addr) && o.core.self.ID == v.ID {
+			if o := w.nodeAt(v.Addr); o != nil && o.isHealthy() && w.connected(m.member.Addr, v.Addr) && o.core.self.ID == v.ID {
 				n++
 			}
 		}
@@ -141,19 +141,19 @@
 // stable reports whether nothing has recently disturbed the nodes and no more are faulty than may be lost.
 func (w *clusterSim) stable() bool {
 	view := w.knownView()
-	if w.now-w.eventAt < contact || w.loss > 0 || w.extraDelay > 0 || view == nil {
+	if w.now-w.eventAt < undisturbedTime || w.loss > 0 || w.extraDelay > 0 || view == nil {
 		return false
 	}
-	well := w.core()
-	for i, a := range well {
-		for _, b := range well[i+1:] {
+	connected := w.wellConnectedNodes()
+	for i, a := range connected {
+		for _, b := range connected[i+1:] {
 			if !w.connected(a.member.Addr, b.member.Addr) {
 				return false // partially connected: the result depends on which node is asked
 			}
 		}
 	}
 	in := map[ID]bool{}
-	for _, m := range well {
+	for _, m := range connected {
 		in[m.core.self.ID] = true
 	}
 	missing := 0
@@ -162,7 +162,7 @@
 			missing++
 		}
 	}
-	return missing <= w.losses && len(well) > w.losses
+	return missing <= w.losses && len(connected) > w.losses
 }
 
 // progressBound is the time within which a change must be acknowledged that reaches a node while the nodes are stable.
@@ -178,8 +178,8 @@
 	if !w.stable() {
 		return
 	}
-	well, began, event := w.core(), w.now, w.eventAt
-	m := well[w.rng.IntN(len(well))]
+	connected, began, event := w.wellConnectedNodes(), w.now, w.eventAt
+	m := connected[w.rng.IntN(len(connected))]
 	if !w.connected(outside, m.member.Addr) {
 		return
 	}
@@ -191,7 +191,7 @@
 			w.fail(fmt.Errorf("the nodes are stable, but a change that node %d received %v ago is not acknowledged", m.name, w.now-began))
 		}
 	}
-	w.ask(a)
+	w.sendCall(a)
 }
 
 // disturbProxy restarts, pauses or partitions a proxy.
--- a/internal/system/replication/sim_repair_steps_test.go
+++ b/internal/system/replication/sim_repair_steps_test.go
@@ -41,12 +41,12 @@
 		i += len(v.Chain)
 	}
 	m, _ := v.Voter(v.Chain[i])
-	return w.at(m.Addr)
+	return w.nodeAt(m.Addr)
 }
 
 // loseFor empties the disk of a node, which is down for a while.
 func (m *simNode) loseFor(w *clusterSim, away time.Duration) {
-	if w.lose(m) {
+	if w.loseDisk(m) {
 		m.restartAfter(away)
 	}
 }
@@ -60,7 +60,7 @@
 }
 
 const (
-	repairBound = 4 * time.Second // catchUp: a first loss alone is repaired by then
+	repairBound = 4 * time.Second // catchUpTime: a first loss alone is repaired by then
 	maxNth      = 3               // occurrences of the same step of a first loss
 )
 
@@ -94,21 +94,21 @@
 // play runs a trial and reports whether the second fault was injected.
 func (t repairTrial) play(seed uint64, h TestingKnobs) (bool, error) {
 	w := t.first.startIn(seed, h)
-	struck := false
+	injected := false
 	w.arm(&stepTrigger{name: t.step, remaining: t.nth, before: t.before, action: func(m *simNode) {
 		if m.removed {
 			return
 		}
 		lost := w.lost
 		w.apply(fault{kind: t.second, a: m.name, duration: 1200 * time.Millisecond})
-		struck = t.second != faultWipe || w.lost > lost
+		injected = t.second != faultWipe || w.lost > lost
 	}})
 	t.first.start(w)
 	w.runUntil(w.now + 5*time.Second)
 	w.heal()
 	w.expectAck("after the second fault")
 	err := w.converge(8 * time.Second)
-	return struck, err
+	return injected, err
 }
 
 // trials returns all second faults at all steps of the incidents.
@@ -121,8 +121,8 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(steps)) {
 			for nth := 1; nth <= min(maxNth, steps[name]); nth++ {
-				for _, trouble := range secondFaults {
-					out = append(out, repairTrial{i, name, nth, true, trouble}, repairTrial{i, name, nth, false, trouble})
+				for _, second := range secondFaults {
+					out = append(out, repairTrial{i, name, nth, true, second}, repairTrial{i, name, nth, false, second})
 				}
 			}
 		}
@@ -139,22 +139,22 @@
 	if raceDetector {
 		stride *= 10
 	}
-	var struck, played atomic.Int64
+	var injected, completed atomic.Int64
 	inParallel((len(all)+stride-1)/stride, func(i int) {
 		if i *= stride; t.Failed() {
 			return
 		}
 		ok, err := all[i].play(uint64(1+i%7), TestingKnobs{})
-		played.Add(1)
+		completed.Add(1)
 		if ok {
-			struck.Add(1)
+			injected.Add(1)
 		}
 		if err != nil {
 			t.Errorf("seed %d, %v: %v", 1+i%7, all[i], err)
 		}
 	})
-	t.Logf("%d trials, %d run, %d with the second fault injected", len(all), played.Load(), struck.Load())
-	if struck.Load() < played.Load()/2 {
+	t.Logf("%d trials, %d run, %d with the second fault injected", len(all), completed.Load(), injected.Load())
+	if injected.Load() < completed.Load()/2 {
 		t.Error("most second faults were not injected")
 	}
 }
--- a/internal/system/replication/sim_seeds_test.go
+++ b/internal/system/replication/sim_seeds_test.go
@@ -102,20 +102,20 @@
 	if !w.isFullyReplicated() {
 		w.fail(fmt.Errorf("the view has not been repaired: %v", w.newest))
 	}
-	if uint64(len(w.truth)) < w.acked {
-		w.fail(fmt.Errorf("record %d was acknowledged, but only %d remain", w.acked, len(w.truth)))
+	if uint64(len(w.committedRecords)) < w.acked {
+		w.fail(fmt.Errorf("record %d was acknowledged, but only %d remain", w.acked, len(w.committedRecords)))
 	}
 	for _, m := range w.nodes {
 		if m.isRunning() && !m.core.Current(m.clock()) {
 			w.fail(fmt.Errorf("node %d is not current", m.name))
 		}
-		if m.isRunning() && m.core.chain.commitIndex != uint64(len(w.truth)) {
-			w.fail(fmt.Errorf("node %d has %d of %d records", m.name, m.core.chain.commitIndex, len(w.truth)))
+		if m.isRunning() && m.core.chain.commitIndex != uint64(len(w.committedRecords)) {
+			w.fail(fmt.Errorf("node %d has %d of %d records", m.name, m.core.chain.commitIndex, len(w.committedRecords)))
 		}
 	}
 	for _, p := range w.proxies {
-		if p.seq != uint64(len(w.truth)) {
-			w.fail(fmt.Errorf("proxy %s has %d of %d records", p.name, p.seq, len(w.truth)))
+		if p.seq != uint64(len(w.committedRecords)) {
+			w.fail(fmt.Errorf("proxy %s has %d of %d records", p.name, p.seq, len(w.committedRecords)))
 		}
 		if !p.isFresh() {
 			w.fail(fmt.Errorf("proxy %s is not fresh", p.name))
--- a/internal/system/replication/sim_topology_test.go
+++ b/internal/system/replication/sim_topology_test.go
@@ -30,8 +30,8 @@
 	return shapes[seed%uint64(len(shapes))]
 }
 
-// zoneLossTopologies returns the topologies that must tolerate the loss of a disk.
-func zoneLossTopologies() []topology {
+// diskLossTopologies returns the topologies that must tolerate the loss of a disk.
+func diskLossTopologies() []topology {
 	var out []topology
 	for _, s := range shapes {
 		if s.losses > 0 {
--- a/internal/system/replication/voter_planner.go
+++ b/internal/system/replication/voter_planner.go
@@ -48,7 +48,7 @@
 			continue
 		}
 		all = append(all, p.member)
-		if pl.isHeadless() && pl.mayLead(id, assumingSealed) {
+		if pl.isHeadless() && pl.mayLead(id, assumeAliveSealed) {
 			heads = append(heads, p.member)
 		}
 	}
@@ -74,9 +74,9 @@
 	if r, ok := pl.bestReplacement(voters, joiners, pl.liveness.isLost); ok {
 		return r, true
 	}
-	if pl.isHeadless() && len(voters) >= pl.cfg.targetVoters() && pl.mayLead(joiners[0].ID, assumingSealed) {
+	if pl.isHeadless() && len(voters) >= pl.cfg.targetVoters() && pl.mayLead(joiners[0].ID, assumeAliveSealed) {
 		return pl.bestReplacement(voters, joiners, func(m Member) bool {
-			return m.ID != pl.self.ID && !pl.mayLead(m.ID, assumingSealed)
+			return m.ID != pl.self.ID && !pl.mayLead(m.ID, assumeAliveSealed)
 		})
 	}
 	return replacement{}, false
@@ -84,10 +84,10 @@
 
 // bestReplacement finds the replacement, among the voters that may be replaced, that leaves the voters best spread; among equals, the
 // first one.
-func (pl *planner) bestReplacement(voters, joiners []Member, mayGo func(Member) bool) (best replacement, found bool) {
+func (pl *planner) bestReplacement(voters, joiners []Member, isReplaceable func(Member) bool) (best replacement, found bool) {
 	var bestExposure exposure
 	for i, voter := range voters {
-		if !mayGo(voter) {
+		if !isReplaceable(voter) {
 			continue
 		}
 		for _, joiner := range joiners {
