--- a/internal/system/proxy/pick/attempt.go
+++ b/internal/system/proxy/pick/attempt.go
@@ -1,28 +1,28 @@
 package pick
 
-// attempt is one request on its way to one server.
+// attempt is one request in flight to one server.
 type attempt struct {
 	ticket        uint64
 	server        *server
 	request       *Request
 	sentAt        Time
 	expectedAt    Time  // when the first event is expected
-	prefillTokens int64 // prompt tokens that it adds to the server's work
-	memoryTokens  int64 // that it takes of the server's memory
-	measuresRate  bool  // nothing waited at the server and nothing of the prompt was cached: it measures the server's prefill rate
-	isPending     bool  // its first event is still awaited
-	isRetry       bool  // it was counted as a retry
+	prefillTokens int64 // prompt tokens that the server has to prefill for it
+	memoryTokens  int64 // tokens of the server's memory that it takes
+	measuresRate  bool  // the server was idle and nothing of the prompt was cached, so the attempt measures the prefill rate
+	isPending     bool  // its first event has not arrived yet
+	isRetry       bool  // it was counted as a retry in the budget
 	next, prev    *attempt
 }
 
-// attemptTable has the attempts under way by ticket, and reuses those that are over.
+// attemptTable holds the attempts in flight by ticket, and reuses the memory of those that have ended.
 type attemptTable struct {
 	byTicket   map[uint64]*attempt
-	free       *attempt // linked by next
+	free       *attempt // free list, linked by next
 	lastTicket uint64
 }
 
-// start makes an attempt with a new ticket. Tickets begin at 1.
+// start creates an attempt with a new ticket. Tickets start at 1.
 func (t *attemptTable) start(now Time, r *Request, s *server) *attempt {
 	a := t.free
 	if a == nil {
@@ -36,13 +36,13 @@
 	return a
 }
 
-// release lets an attempt be reused that end has taken out.
+// release makes an attempt available for reuse. The caller has already removed it from byTicket.
 func (t *attemptTable) release(a *attempt) {
 	*a = attempt{next: t.free}
 	t.free = a
 }
 
-// pendingAttempts are own attempts at one server whose first event is awaited, oldest first.
+// pendingAttempts lists this proxy's attempts at one server that still await their first event, oldest first.
 type pendingAttempts struct{ oldest, newest *attempt }
 
 // add appends a.
@@ -57,7 +57,7 @@
 	l.newest = a
 }
 
-// remove takes a off the list, and reports whether it was on it.
+// remove removes an attempt from the list and reports whether it was on it.
 func (l *pendingAttempts) remove(ended *attempt) bool {
 	if !ended.isPending {
 		return false
@@ -77,7 +77,8 @@
 	return true
 }
 
-// endPending notes that the first event of a has come or is no longer awaited: its prompt is no work for the server any more.
+// endPending records that the first event of a has arrived or is no longer
+// awaited, so its prompt is no longer counted as work of the server.
 func (a *attempt) endPending() {
 	if a.server.pending.remove(a) {
 		a.server.load.own.Prefill -= a.prefillTokens
--- a/internal/system/proxy/pick/cluster_state.go
+++ b/internal/system/proxy/pick/cluster_state.go
@@ -10,42 +10,43 @@
 // Time is a reading of the caller's monotonic clock.
 type Time = time.Duration
 
-// Server is one incarnation of a server, as the platform's list describes it.
+// Server is one incarnation of a server, as described in the platform's list.
 type Server struct {
 	ID, Service, Address string
 	Zone, Region         string
-	Slots                int // requests that it runs at once; 0: not known
+	Slots                int // requests that it runs concurrently; 0: not known
 	Draining             bool
-	Remaining            time.Duration // of a server withdrawn at short notice: what is left to it; 0: not known
-	WarmUpMax            time.Duration // how much longer it warms up at most, counted from ClusterState.Age before the update; 0: it is warm
-	WarmUpMin            time.Duration // and at least
+	Remaining            time.Duration // for a server that is withdrawn at short notice: the time until then; 0: not known
+	WarmUpMax            time.Duration // maximum remaining warm-up time, as of ClusterState.Age before the update; 0: it is warm
+	WarmUpMin            time.Duration // minimum remaining warm-up time, as of the same moment
 }
 
-// ClusterState is what is known beside traffic. A new one replaces the former as a whole.
+// ClusterState is everything a Picker knows apart from traffic. A new state replaces the previous one as a whole.
 type ClusterState struct {
-	Age       time.Duration // since the durations in it were right
+	Age       time.Duration // since the durations in this state were current
 	Config    *config.Config
-	Evacuated map[string]bool // zones
+	Evacuated map[string]bool // by zone
 	Servers   []Server
-	// ContactAge is how long ago, at most, a current control-plane node published this state.
+	// ContactAge is the maximum time since an up-to-date control-plane node published this state.
 	ContactAge time.Duration
-	// ZoneChanges has for each zone the sequence number of the record of the control state that last evacuated it or ended its evacuation;
-	// 0: none did. ListCoversSeq is the number of the newest record before which all that happened to servers certainly shows in Servers.
+	// ZoneChanges holds, for each zone, the sequence number of the control-state record that last
+	// evacuated it or ended its evacuation; 0: there is none. ListCoversSeq is the number of the newest
+	// record such that everything that happened to servers before it is certain to show in Servers.
 	ZoneChanges   map[string]uint64
 	ListCoversSeq uint64
-	// Self is this proxy's name and Peers the names of all live proxies, this one included, sorted: quotas such as a warming server's are
-	// divided over them. A proxy that is not among them, or does not know them yet, sends nothing to warming servers.
+	// Self is this proxy's name. Peers are the names of all live proxies, including this one, sorted: quotas such as that of a warming
+	// server are divided among them. A proxy that is not among them, or does not know them yet, sends nothing to warming servers.
 	Self  string
 	Peers []string
-	// DownCount is how many proxies were given up lately, which may live on. Quotas are divided over them, too.
+	// DownCount is the number of proxies that were given up recently but may still be running. Quotas are divided among them, too.
 	DownCount int
-	// MembershipIncomplete says that Peers may lack live proxies, as no control-plane node that knows them all has published them yet.
+	// MembershipIncomplete is set if Peers may lack live proxies, because no control-plane node that knows them all has published them yet.
 	MembershipIncomplete bool
-	// Stale says that others may have given this proxy up by now, as it has not been heard from or has heard nothing.
+	// Stale is set if others may have given this proxy up by now, because they have not heard from it or it has not heard from them.
 	Stale bool
 }
 
-// service is what the configuration says of a service; nil: nothing.
+// service returns the configuration of a service; nil if there is none.
 func (c *ClusterState) service(name string) *config.Service {
 	if c.Config == nil {
 		return nil
@@ -53,7 +54,7 @@
 	return c.Config.Services[name]
 }
 
-// routes are the configured routes.
+// routes returns the configured routes.
 func (c *ClusterState) routes() []*config.Route {
 	if c.Config == nil {
 		return nil
@@ -61,11 +62,11 @@
 	return c.Config.Routes
 }
 
-// hasContactSince reports whether the state shows what the control plane knew at a time or later.
+// hasContactSince reports whether the control plane published the state at the time since or later.
 func (c *ClusterState) hasContactSince(now, since Time) bool { return now-c.ContactAge-c.Age >= since }
 
-// UpdateClusterState replaces what is known of configuration, servers, zones and proxies. Servers whose id, service and address stay keep
-// what was learned of them.
+// UpdateClusterState replaces the known configuration, servers, zones and proxies. What
+// was learned about a server is kept if its id, service and address are unchanged.
 func (p *Picker) UpdateClusterState(now Time, state ClusterState) {
 	if !p.hasState {
 		p.hasState, p.startedAt = true, now
@@ -81,7 +82,7 @@
 	}
 }
 
-// updateServers takes in the list of servers, and puts them into their groups in its order.
+// updateServers applies the list of servers, and adds them to their groups in list order.
 func (p *Picker) updateServers(now Time) {
 	for _, g := range p.groups {
 		g.servers, g.service = g.servers[:0], nil
@@ -89,7 +90,7 @@
 	listed := make(map[string]*server, len(p.state.Servers))
 	for _, entry := range p.state.Servers {
 		if listed[entry.ID] != nil {
-			continue // an id that is listed twice is one server
+			continue // duplicate ids are one server
 		}
 		s := p.serverFor(&entry)
 		p.updateServer(now, s, entry)
@@ -103,7 +104,8 @@
 	p.servers = listed
 }
 
-// serverFor is the known server that a list's entry describes, or a new one: where service or address changed, another server has the id.
+// serverFor returns the known server for a list entry, or a new one: if
+// the service or address has changed, the id belongs to another server.
 func (p *Picker) serverFor(entry *Server) *server {
 	known := p.servers[entry.ID]
 	if known != nil && known.Service == entry.Service && known.Address == entry.Address {
@@ -115,7 +117,7 @@
 	return &server{relativeSpeed: 1, hash: rendezvous.Hash(entry.ID)}
 }
 
-// updateServer takes in what the list says of one server.
+// updateServer applies the list entry of one server.
 func (p *Picker) updateServer(now Time, known *server, entry Server) {
 	if entry.Region == "" {
 		entry.Region = p.settings.Regions[entry.Zone]
@@ -134,7 +136,7 @@
 	known.group.servers = append(known.group.servers, known)
 }
 
-// updateGroups takes in the configured services, and forgets services that neither have servers nor are configured.
+// updateGroups applies the configured services, and deletes groups that have no servers and are not configured.
 func (p *Picker) updateGroups(now Time) {
 	if p.state.Config != nil {
 		for name, service := range p.state.Config.Services {
@@ -149,7 +151,7 @@
 	}
 }
 
-// regionTable gives regions small numbers, stable for a Picker's life. 0 is the region of the proxy itself.
+// regionTable assigns regions small indexes that are stable for the lifetime of a Picker. Index 0 is the region of the proxy itself.
 type regionTable struct {
 	indexes map[string]int
 	names   []string
@@ -159,7 +161,7 @@
 	return regionTable{indexes: map[string]int{own: 0}, names: []string{own}}
 }
 
-// index is the number of a region, a new one if need be.
+// index returns the index of a region, and assigns one if necessary.
 func (t *regionTable) index(name string) int {
 	index, ok := t.indexes[name]
 	if !ok {
--- a/internal/system/proxy/pick/cost.go
+++ b/internal/system/proxy/pick/cost.go
@@ -6,38 +6,38 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
-// Cost terms. All are milliseconds: times as they are estimated, and what else counts as its worth in time. Those of a crossing are in
-// network.go.
+// Cost terms, all in milliseconds: estimated times, and other penalties
+// expressed as time. The costs of crossing zones and regions are in network.go.
 const (
-	longOutsidePoolCost  = 300  // a long prompt outside its pool, beside its prefill
-	shortInsidePoolCost  = 150  // a short prompt inside the pool of long ones
+	longOutsidePoolCost  = 300  // a long prompt outside its pool, in addition to its prefill
+	shortInsidePoolCost  = 150  // a short prompt inside the pool for long ones
 	warmUpCost           = 100  // a warming server is among the last choices
-	drainHintCost        = 2000 // one that is about to leave is the last choice
-	fullCost             = 250  // it just said that it is full
-	memoryCost           = 500  // its memory would not hold the request
-	connectCost          = 30   // a new connection, beside the time that it takes
-	duplicatePrefillCost = 0.1  // for each token that some server is likely to have cached and another prefills again
-	fillCost             = 0.3  // of the service time, at a server without an engine whose slots are all taken
+	drainHintCost        = 2000 // a server that is about to leave is the last choice
+	fullCost             = 250  // the server recently reported that it is full
+	memoryCost           = 500  // the request would not fit into the server's memory
+	connectCost          = 30   // a new connection, in addition to the time that it takes
+	duplicatePrefillCost = 0.1  // for each token that another server is likely to have cached and this one would prefill again
+	fillCost             = 0.3  // fraction of the service time, at a server without an engine whose slots are all taken
 )
 
 const (
-	engineTolerance = 4 // milliseconds: costs this near to the least are left to the rotation
+	engineTolerance = 4 // milliseconds: costs this close to the lowest are left to the rotation
 	plainTolerance  = 3 // the same for servers without an engine
 
-	homeCertainty       = 0.9 // that a prefix's first home has it cached, where this proxy has not seen it
-	secondHomeCertainty = 0.1 // the same of its second home
+	homeCertainty       = 0.9 // probability that a prefix's first home has it cached if this proxy has not sent it there
+	secondHomeCertainty = 0.1 // the same for its second home
 
-	attentionMSPerMillionPairs = 0.4    // prefill time for a million pairs of a token and one before it
-	queuedAttentionMSPerToken  = 0.4e-2 // the same for each token that is waited for: the pairs of a prompt of 20,000 tokens
+	attentionMSPerMillionPairs = 0.4    // prefill time per million pairs of a token and a token before it
+	queuedAttentionMSPerToken  = 0.4e-2 // the same per token that is waited for: the pairs of a prompt of 20,000 tokens
 )
 
-// cost is what a server would cost a request.
+// cost is the estimated cost of sending a request to a server.
 type cost struct {
-	totalMS      float64 // what is compared; infinite: it can't be had
-	firstEventMS float64 // the estimated time to the first event, the network included
-	queueingMS   float64 // its part that is waiting for others
-	penaltyMS    float64 // what else counts, as its worth in milliseconds
-	requests     int     // that are estimated to be there
+	totalMS      float64 // the value that is compared; infinite: the server is not available
+	firstEventMS float64 // estimated time to the first event, including the network
+	queueingMS   float64 // the part of firstEventMS that is spent waiting for others
+	penaltyMS    float64 // everything else, expressed in milliseconds
+	requests     int     // requests estimated to be at the server
 }
 
 // addQueueing adds time that is spent waiting for others.
@@ -46,22 +46,22 @@
 	c.firstEventMS += waitMS
 }
 
-// costModel is what is worked out once for all servers of a group that a request may go to.
+// costModel holds what is computed once for all servers of a group that a request may go to.
 type costModel struct {
 	now         Time
 	request     *Request
 	network     *network
 	peerLoadsAt Time
-	toleranceMS float64 // costs this near to the least are left to the rotation
+	toleranceMS float64 // costs this close to the lowest are left to the rotation
 	hasEngine   bool
-	engine      engineCostModel // with hasEngine
+	engine      engineCostModel // valid if hasEngine is set
 }
 
-// engineCostModel is what it takes to estimate the prefill of a request's prompt at a model server.
+// engineCostModel holds the inputs for estimating the prefill of a request's prompt at a model server.
 type engineCostModel struct {
 	tokensPerMS  float64 // the fleet's prefill rate
-	stepMS       float64 // one decoding step
-	cacheTokens  int64   // of a server's memory; 0: not known
+	stepMS       float64 // duration of one decoding step
+	cacheTokens  int64   // size of a server's memory; 0: not known
 	tokensIn     int
 	maxTokensOut int
 	sharedTokens int // leading tokens that other requests may share
@@ -70,7 +70,7 @@
 	placement    promptPlacement
 }
 
-// initCostModel works out what the costs of a group's servers have in common. The model is valid until the next call.
+// initCostModel computes what the costs of a group's servers have in common. The model is valid until the next call.
 func (p *Picker) initCostModel(input *pickInput, members *group) *costModel {
 	model := &p.scratch.costModel
 	*model = costModel{now: input.now, request: input.request, network: &p.network, peerLoadsAt: p.peerLoadsAt, toleranceMS: plainTolerance}
@@ -93,7 +93,8 @@
 	return model
 }
 
-// estimate works out in total what a candidate would cost the request. The terms are summed in a fixed order, so that costs are the same to the bit.
+// estimate computes the total cost of sending the request to a candidate. The
+// terms are summed in a fixed order, so that the results are identical to the bit.
 func (m *costModel) estimate(candidate *server, total *cost) {
 	*total = cost{
 		firstEventMS: m.network.roundTripMS(candidate),
@@ -122,7 +123,7 @@
 	}
 }
 
-// slotQueueingMS is how long a further request waits for a slot of s.
+// slotQueueingMS returns how long one more request would wait for a slot of s.
 func (s *server) slotQueueingMS(requests int) float64 {
 	slots := s.slots()
 	excess := requests + 1 - slots
@@ -132,12 +133,12 @@
 	return s.group.serviceTimeMS * float64(excess) / float64(slots)
 }
 
-// fillPenaltyMS fills servers without an engine evenly, as some slow down when they are nearly full.
+// fillPenaltyMS is a penalty that fills servers without an engine evenly, because some slow down when they are nearly full.
 func (s *server) fillPenaltyMS(requests int) float64 {
 	return fillCost * s.group.serviceTimeMS * float64(requests) / float64(s.slots())
 }
 
-// addEngineTerms adds what a candidate costs as a model server.
+// addEngineTerms adds the cost terms that only model servers have.
 func (m *costModel) addEngineTerms(total *cost, candidate *server) {
 	load := candidate.load.outstanding(m.now, m.peerLoadsAt)
 	if !candidate.hasIdleConn(m.now) {
@@ -157,19 +158,19 @@
 	}
 }
 
-// cachedTokens is how many tokens of the prompt s is estimated to have cached, from what this proxy sent there.
+// cachedTokens returns how many tokens of the prompt s is estimated to have cached, based on what this proxy sent there.
 func (e *engineCostModel) cachedTokens(s *server) int {
 	return min(e.cached.CachedTokens(&s.prefixes), e.tokensIn)
 }
 
-// expectedPrefill is what of a prompt a server is expected to prefill, in tokens.
+// expectedPrefill is the part of a prompt that a server is expected to prefill, in tokens.
 type expectedPrefill struct {
 	tokens          float64
 	duplicateTokens float64 // of shared parts that are likely cached elsewhere
 }
 
-// expectedPrefill is what is left of the prompt beside the tokens that s has cached. The homes of a prefix are likely to have it cached
-// though this proxy has not sent it there.
+// expectedPrefill returns what remains of the prompt after the tokens that s has cached. The
+// homes of a prefix are likely to have it cached even if this proxy has not sent it there.
 func (e *engineCostModel) expectedPrefill(s *server, cachedTokens int) expectedPrefill {
 	tokens := float64(e.tokensIn - cachedTokens)
 	duplicate := float64(max(e.sharedTokens-cachedTokens, 0))
@@ -186,21 +187,22 @@
 	return expectedPrefill{tokens, duplicate}
 }
 
-// prefillMS is how long s takes to prefill that many tokens at the end of the prompt: a part that grows with the tokens, and attention,
-// which grows with the pairs of them and of tokens before them.
+// prefillMS returns how long s takes to prefill this many tokens at the end of the prompt: a part that is proportional
+// to the tokens, and attention, which is proportional to the pairs of one of these tokens and a token before it.
 func (e *engineCostModel) prefillMS(s *server, tokens float64) float64 {
 	return tokens/e.rateOf(s) + tokens*(float64(e.tokensIn)-tokens/2)/1e6*attentionMSPerMillionPairs
 }
 
-// queueingMS is how long s takes to prefill the tokens that are already there.
+// queueingMS returns how long s takes to prefill the tokens that are already waiting there.
 func (e *engineCostModel) queueingMS(s *server, tokens int64) float64 {
 	return float64(max(tokens, 0)) * (1/e.rateOf(s) + queuedAttentionMSPerToken)
 }
 
-// rateOf is the prefill rate of s, in tokens in a millisecond.
+// rateOf returns the prefill rate of s, in tokens per millisecond.
 func (e *engineCostModel) rateOf(s *server) float64 { return e.tokensPerMS * s.relativeSpeed }
 
-// poolPenaltyMS is for a server that is for prompts of the other kind. A long prompt delays what runs there by its prefill.
+// poolPenaltyMS is the penalty for a server that is meant for prompts of
+// the other kind. The prefill of a long prompt delays what runs there.
 func (e *engineCostModel) poolPenaltyMS(s *server, prefillMS float64) float64 {
 	switch {
 	case e.placement.matches(s):
@@ -211,7 +213,8 @@
 	return shortInsidePoolCost
 }
 
-// exceedsMemory reports whether a server with that many tokens in use and of the prompt cached could not hold the request.
+// exceedsMemory reports whether the request would not fit into the memory of a
+// server with this many tokens in use and this many tokens of the prompt cached.
 func (e *engineCostModel) exceedsMemory(usedTokens int64, cachedTokens int) bool {
 	return e.cacheTokens > 0 && usedTokens+int64(e.tokensIn-cachedTokens+e.maxTokensOut) > e.cacheTokens
 }
--- a/internal/system/proxy/pick/describe.go
+++ b/internal/system/proxy/pick/describe.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Describe tells an operator what each server may get and why one gets nothing, a line for each, in the order of ids.
+// Describe returns one line per server for operators, sorted by id: whether the server is eligible, or why not, and its load.
 func (p *Picker) Describe(now Time) string {
 	var b strings.Builder
 	input := &pickInput{now: now}
--- a/internal/system/proxy/pick/eligibility.go
+++ b/internal/system/proxy/pick/eligibility.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// eligibility says whether a server can get a request now, or why not.
+// eligibility is whether a server can get a request now, or the reason why not.
 type eligibility uint8
 
 const (
@@ -12,18 +12,18 @@
 	outsideHomeRegions
 	alreadyTried
 	misdirected
-	excludedByOutlier // it is ejected, or suspected and not to be probed by this request
-	warmUpPaced       // it warms up, and this proxy may send it nothing now
+	excludedByOutlier // ejected, or suspected and not to be probed by this request
+	warmUpPaced       // warming up, and this proxy may not send to it now
 )
 
-// String is for operators; the conformance tables pin it.
+// String returns the text that operators see; the conformance tables pin it.
 func (e eligibility) String() string {
 	return [...]string{"ready", "draining", "in an evacuated zone", "outside the home regions", "tried", "gone: its address answers for another",
 		"doubted", "cold: its allowance is used or held by others"}[e]
 }
 
-// eligibility says whether a candidate can get the request, or, with a nil request, any request. The first four reasons are rules and
-// never relaxed.
+// eligibility returns whether a candidate can get the request or, if the request
+// is nil, any request. The first four reasons are rules that are never relaxed.
 func (p *Picker) eligibility(input *pickInput, candidate *server) eligibility {
 	switch {
 	case candidate.Draining:
@@ -44,7 +44,7 @@
 	return eligible
 }
 
-// mayServeIn reports whether a request may go to a region.
+// mayServeIn reports whether a request may be served in a region.
 func (p *Picker) mayServeIn(region string, r *Request) bool {
 	if p.settings.TestingKnobs.IgnoreTenantHomes {
 		return isHome(r.Route.HomeRegions, region)
@@ -52,8 +52,8 @@
 	return r.allowsRegion(region)
 }
 
-// isExcludedByOutlier reports whether outlier detection keeps the request from a candidate: it is ejected, or it is suspected and this
-// request may not be its probe. Where no request is asked for, a suspected server counts as eligible, as some request may go there.
+// isExcludedByOutlier reports whether outlier detection excludes a candidate: it is ejected, or it is suspected and this request
+// may not be its probe. If input has no request, a suspected server counts as eligible, because some request may go there.
 func (input *pickInput) isExcludedByOutlier(candidate *server) bool {
 	if candidate.outlier.Ejected(input.now) {
 		return true
--- a/internal/system/proxy/pick/fleet_view.go
+++ b/internal/system/proxy/pick/fleet_view.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// fleetSizeTTL is how long a proxy that is no longer listed still counts for the parts of the others.
+// fleetSizeTTL is how long a proxy that is no longer listed still counts when quotas are divided.
 const fleetSizeTTL = 30 * time.Second
 
-// fleetView is what this proxy knows of the other proxies, and of its own contact with the control plane.
+// fleetView is what this proxy knows about the other proxies, and about its own contact with the control plane.
 type fleetView struct {
 	size           fleetSize
-	peersChangedAt Time // when the peers, or whether all are known, last changed
+	peersChangedAt Time // last change of Peers or MembershipIncomplete
 	staleSince     Time // when the cluster state last became Stale
-	resumedAt      Time // when this proxy was last Stale, without all peers, or stalled
+	resumedAt      Time // when this proxy last stopped being Stale, without all peers, or stalled
 	stalled        bool // the process was paused, and the control plane has not been in contact since
 	stalledAt      Time // the end of the last pause
 }
 
-// update takes in a cluster state in place of the one before.
+// update applies a new cluster state, which replaces the one before.
 func (v *fleetView) update(now Time, before, state *ClusterState) {
 	if !slices.Equal(before.Peers, state.Peers) || before.MembershipIncomplete != state.MembershipIncomplete {
 		v.peersChangedAt = now
@@ -38,20 +38,20 @@
 	}
 }
 
-// recordStall notes that the process was paused until now.
+// recordStall records that the process was paused until now.
 func (v *fleetView) recordStall(now Time) { v.stalled, v.stalledAt = true, now }
 
-// fleetSize is the highest number of proxies in fleetSizeTTL: where some seem to be gone, they may be partitioned and still use their
-// parts, so the others' parts do not grow at once.
+// fleetSize is the highest number of proxies within fleetSizeTTL: proxies that seem to be gone may
+// be partitioned and still use their quotas, so the quotas of the others must not grow immediately.
 type fleetSize struct {
 	current, highest int
-	highestAt        Time // when highest was last the current number
+	highestAt        Time // when the current number last equaled highest
 }
 
-// observe takes in how many proxies there are.
+// observe records the current number of proxies.
 func (f *fleetSize) observe(now Time, n int) {
 	if f.current >= f.highest {
-		f.highestAt = now // the highest number lasted until now
+		f.highestAt = now // the number was at its highest until now
 	}
 	f.current = max(n, 1)
 	if f.current >= f.highest || now-f.highestAt > fleetSizeTTL {
@@ -59,5 +59,5 @@
 	}
 }
 
-// count is the number of proxies that quotas are divided by, 1 at least.
+// count returns the number by which quotas are divided, at least 1.
 func (f *fleetSize) count() int { return max(f.highest, 1) }
--- a/internal/system/proxy/pick/homes.go
+++ b/internal/system/proxy/pick/homes.go
@@ -2,11 +2,12 @@
 
 import "gradeusher.example/gradeusher/internal/system/proxy/pick/rendezvous"
 
-// prefixHomes are the servers that are to cache a shared prefix, the same at all proxies; nil: none.
+// prefixHomes are the servers that should cache a shared prefix, the same for all proxies; nil: none.
 type prefixHomes struct{ first, second *server }
 
-// homesOf finds the homes of the prefix with a key: the first two by rendezvous hashing among the servers that the request may go to at all,
-// all regions together. A prefix that is prefilled in two regions is prefilled twice, which costs more than the way between them.
+// homesOf returns the homes of the prefix with this key: the first two by rendezvous hashing among
+// all servers that the request may go to, across all regions. A prefix that had a home in each of
+// two regions would be prefilled twice, which costs more than the network path between them.
 func (p *Picker) homesOf(key uint64, input *pickInput, g *group, placement *promptPlacement) (homes prefixHomes) {
 	var firstWeight, secondWeight uint64
 	for _, s := range g.servers {
@@ -24,7 +25,7 @@
 	return homes
 }
 
-// mayBeHome reports whether s can serve a request's prompt for as long as is known.
+// mayBeHome reports whether s can be expected to serve a request's prompt permanently.
 func (p *Picker) mayBeHome(s *server, input *pickInput, placement *promptPlacement) bool {
 	return p.isAvailable(s) && !s.warmingUp(input.now) && placement.matches(s) && input.request.allowsRegion(s.Region)
 }
--- a/internal/system/proxy/pick/idle_conns.go
+++ b/internal/system/proxy/pick/idle_conns.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// DefaultIdleTimeout is for how long idle connections are kept where no server has said for how long it keeps them.
+// DefaultIdleTimeout is how long idle connections are kept if no server has announced its own timeout.
 const DefaultIdleTimeout = 30 * time.Second
 
-// IdleTimeout is for how long idle connections are kept to a server that keeps them for announced. Danger: what crosses the close of a
-// connection that has idled too long is a reset that may have run. Half of the time keeps well clear of it.
+// IdleTimeout returns how long idle connections are kept to a server that keeps them for the announced
+// time. If a request is sent just as the server closes a connection that was idle for too long, the proxy
+// gets a reset and cannot know whether the request ran. Half of the announced time leaves a safe margin.
 func IdleTimeout(announced time.Duration) time.Duration { return announced / 2 }
 
-// idleConns are the idle connections of this proxy to one server, as far as its own requests show.
+// idleConns estimates the idle connections of this proxy to one server from its own requests.
 type idleConns struct {
 	count          int
-	lastReturnedAt Time // when one was last returned
+	lastReturnedAt Time // when a connection was last returned
 }
 
-// usable reports whether a connection is there that has not been idle for longer than timeout.
+// usable reports whether there is a connection that has not been idle for longer than timeout.
 func (c *idleConns) usable(now Time, timeout time.Duration) bool {
 	return c.count > 0 && now-c.lastReturnedAt <= timeout
 }
 
-// take uses one up, or drops all where they have been idle for too long.
+// take removes a connection, or all of them if they have been idle for too long.
 func (c *idleConns) take(now Time, timeout time.Duration) {
 	if !c.usable(now, timeout) {
 		c.count = 0
@@ -29,10 +30,11 @@
 	c.count--
 }
 
-// put returns one.
+// put returns a connection.
 func (c *idleConns) put(now Time) { c.count, c.lastReturnedAt = c.count+1, now }
 
-// SetIdleTimeout takes in for how long the servers of id's service keep idle connections, as this one announced; 0: it did not.
+// SetIdleTimeout records for how long the servers of a service keep idle
+// connections, as announced by the server with this id; 0: not announced.
 func (p *Picker) SetIdleTimeout(id string, announced time.Duration) {
 	if s := p.servers[id]; s != nil && announced > 0 {
 		s.group.idleTimeout = IdleTimeout(announced)
--- a/internal/system/proxy/pick/invariants.go
+++ b/internal/system/proxy/pick/invariants.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/invariant"
 )
 
-// Invariants of every request that a Picker sends. Their checks rest on as little as possible of what the choice rests on. The names and
-// descriptions are those of the operators' pages.
+// Invariants of every request that a Picker sends. The checks share as little as possible with the
+// code that chooses the server. The names and descriptions are the ones on the operators' pages.
 var (
 	warmUpRateInvariant = invariant.New("pick_cold_pace_kept",
 		"in any second a proxy sends a cold server no more than its part of the pace and one request")
@@ -18,18 +18,18 @@
 		"no request goes to a server that drains, lies in an evacuated zone or outside the home regions of route and tenant")
 )
 
-// sendWindow is what this proxy has sent to a warming server within the last second. It is empty for a server that is warm.
+// sendWindow holds the requests that this proxy has sent to a warming server within the last second. It is empty for a warm server.
 type sendWindow struct {
 	sent []warmUpSend
 }
 
-// warmUpSend is one such request, and this proxy's part of the warm-up rate as it was then.
+// warmUpSend is one of these requests, with this proxy's share of the warm-up rate at that time.
 type warmUpSend struct {
 	at        Time
-	perSecond float64 // requests
+	perSecond float64 // requests per second
 }
 
-// add notes a request, and reports whether the rate was kept: no more than its part of any second's requests and one.
+// add records a request and reports whether the rate was kept: in any second, at most this proxy's share of the rate plus one request.
 func (w *sendWindow) add(now Time, perSecond float64) bool {
 	w.sent = slices.DeleteFunc(w.sent, func(s warmUpSend) bool { return s.at <= now-time.Second })
 	w.sent = append(w.sent, warmUpSend{now, perSecond})
--- a/internal/system/proxy/pick/network.go
+++ b/internal/system/proxy/pick/network.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	crossRegionCost      = 15    // milliseconds that a request between regions is worth, beside its time
-	crossRegionTokenCost = 0.01  // and each token of its prompt, as the bytes are billed
-	crossZoneCost        = 3     // the same between zones of a region
-	crossZoneTokenCost   = 0.003 // and each token
+	crossRegionCost      = 15    // milliseconds per request that crosses regions, in addition to its time
+	crossRegionTokenCost = 0.01  // and per token of its prompt, because the bytes are billed
+	crossZoneCost        = 3     // milliseconds per request that crosses zones of a region
+	crossZoneTokenCost   = 0.003 // and per token of its prompt
 )
 
-// network says how far servers are from this proxy.
+// network describes the location of this proxy and its distance to other zones and regions.
 type network struct {
 	zone                   string
-	crossRegion, crossZone time.Duration // one way
+	crossRegion, crossZone time.Duration // one-way latencies
 }
 
-// roundTripMS is how many milliseconds the way to s and back takes.
+// roundTripMS returns the round-trip time to s, in milliseconds.
 func (n *network) roundTripMS(s *server) float64 {
 	switch {
 	case s.regionIndex != ownRegion:
@@ -26,7 +26,8 @@
 	return 0
 }
 
-// crossingCost is what a request with a prompt of that many tokens is worth not leaving the zone, in milliseconds beside its time.
+// crossingCost returns the penalty, in milliseconds in addition to the latency, for
+// sending a request with a prompt of this many tokens out of the zone or the region to s.
 func (n *network) crossingCost(s *server, tokens int) float64 {
 	switch {
 	case s.regionIndex != ownRegion:
--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -10,37 +10,37 @@
 )
 
 const (
-	// defaultRetryAfter is the Retry-After where no server is known that could take the request. It is not the proxy's constant of that
-	// name, which is shorter and stands for responses for which the picker has named no wait.
+	// defaultRetryAfter is the Retry-After if no known server could take the request. It differs from the proxy's
+	// constant of the same name, which is shorter and applies to responses for which the picker has given no wait.
 	defaultRetryAfter = 400 * time.Millisecond
-	// minRetryAfter is the least Retry-After of a Result. The proxy has a constant of the same name and value for the waits that do not
-	// come from a Result; this package may not import it.
+	// minRetryAfter is the minimum Retry-After of a Result. The proxy has a constant of the same
+	// name and value for waits that do not come from a Result; this package may not import it.
 	minRetryAfter = 50 * time.Millisecond
-	// retryAfterDivisor: a client is told to wait for at most one part in so many of the time that it has left.
+	// retryAfterDivisor limits the Retry-After to 1/retryAfterDivisor of the time that the client has left.
 	retryAfterDivisor = 3
-	// retryAfterFactor is how many times what it would have waited a client is told to come back after.
+	// retryAfterFactor multiplies the estimated queueing time of a rejected request to give its Retry-After.
 	retryAfterFactor = 2
-	// minOverloadRetryAfterMS and maxOverloadRetryAfterMS bound that, in milliseconds.
+	// minOverloadRetryAfterMS and maxOverloadRetryAfterMS bound that Retry-After, in milliseconds.
 	minOverloadRetryAfterMS, maxOverloadRetryAfterMS = 100, 2000
-	// maxUnsentAttempts is how many servers beyond MaxAttempts may be tried where nothing reaches them.
+	// maxUnsentAttempts is how many servers beyond MaxAttempts may be tried if the attempts do not reach a server.
 	maxUnsentAttempts = 3
-	// maxQueueingShare is how long, as a multiple of the latency target, a request may be estimated to wait for others. Estimates are high
-	// rather than low.
+	// maxQueueingShare limits the estimated time that a request waits for others, as a
+	// multiple of the latency target. Estimates tend to be too high rather than too low.
 	maxQueueingShare = 1.5
-	// maxPriority is the highest priority of a Result.
+	// maxPriority is the highest priority number of a Result.
 	maxPriority = 9
 )
 
-// pickInput is what one call of Pick is about.
+// pickInput holds the arguments of one call of Pick.
 type pickInput struct {
 	now     Time
 	request *Request // nil: any request
-	tried   []string // ids of the servers that were tried
+	tried   []string // ids of the servers that were tried before
 	prompt  *prefixcache.Chain
 }
 
-// Pick decides where r goes now. tried has the ids of the servers that this request was sent to, mayHaveRun says that one of these attempts
-// may have run. With Send it registers the attempt: Done has to follow, exactly once.
+// Pick decides where r goes now. tried holds the ids of the servers that this request was sent to; mayHaveRun reports whether
+// one of these attempts may have run. If the decision is Send, the attempt is registered, and Done must follow exactly once.
 func (p *Picker) Pick(now Time, r *Request, tried []string, mayHaveRun bool) Result {
 	result := Result{Priority: min(max(r.Priority(), 0), maxPriority)}
 	if mayHaveRun && !r.Route.Idempotent() || r.hasNoTriesLeft(len(tried)) {
@@ -70,18 +70,18 @@
 	return result.withoutServer(input, retryAfterMS)
 }
 
-// hasNoTriesLeft reports whether r has used up its attempts. tried is how many servers it was sent to by the caller's count.
+// hasNoTriesLeft reports whether r has used up its attempts. tried is the number of servers that it was sent to, as counted by the caller.
 //
-// The proxy counts the attempts as well, and applies this rule and that on requests that may have run (mayRetry). Both count on purpose.
-// The proxy needs the answer where it does not ask the picker. The picker needs its own count, arrived, to tell retries from first
-// attempts for the retry budget; it includes the attempt under way, and goes back where nothing of it was sent. And the limit holds though
-// one of the two counts is wrong.
+// The proxy counts attempts as well, and applies this rule and the one about requests that may have run (mayRetry).
+// Both count on purpose. The proxy needs the answer where it does not ask the picker. The picker needs its own
+// count, arrived, to tell retries from first attempts for the retry budget; arrived includes the attempt in flight,
+// and is decremented if nothing of the attempt was sent. And the limit holds even if one of the two counts is wrong.
 func (r *Request) hasNoTriesLeft(tried int) bool {
 	return r.arrived >= r.maxTries() || tried >= r.maxTries()+maxUnsentAttempts
 }
 
-// groupsInTurn gives the groups that a request may go to: the due one; then the next ones with a weight; then those of weight 0, which are
-// for when all others are empty. A group that is full is not empty: shares follow the weights, not the load.
+// groupsInTurn yields the groups that a request may go to: the one that is due; then the next ones with a weight; then those with weight
+// 0, which are used only if all others are empty. A group that is full is not empty: requests are divided by weight, not by load.
 func (p *Picker) groupsInTurn(shares []config.Share, due int) iter.Seq[*group] {
 	return func(yield func(*group) bool) {
 		for _, weighted := range [...]bool{true, false} {
@@ -102,7 +102,7 @@
 	}
 }
 
-// sendWithinBudget sends the request to s, unless it would be a retry that the budget of s's service does not hold.
+// sendWithinBudget sends the request to s, unless it is a retry that exceeds the retry budget of s's service.
 func (p *Picker) sendWithinBudget(input *pickInput, result Result, s *server, estimated cost) Result {
 	if input.request.arrived > 0 && !s.group.budget.Allows(input.now, p.settings.RetryRatio, p.retrySlack()) {
 		return result.withoutServer(input, math.Inf(1))
@@ -110,7 +110,8 @@
 	return p.send(input, result, s, estimated)
 }
 
-// retrySlack is this proxy's part of the retries that all may make beside the ratio; none while it does not know how many there are.
+// retrySlack is this proxy's share of the retries that all proxies may make
+// in addition to the ratio; 0 while the number of proxies is not known.
 func (p *Picker) retrySlack() float64 {
 	if p.state.MembershipIncomplete {
 		return 0
@@ -118,7 +119,8 @@
 	return p.settings.RetrySlack / float64(p.fleet.size.count())
 }
 
-// withoutServer is the result where the request can't be sent: there may be capacity in that many milliseconds; infinite: not known.
+// withoutServer completes the result for a request that cannot be sent. retryAfterMS
+// is the time in milliseconds until there may be capacity; infinite: not known.
 func (result Result) withoutServer(input *pickInput, retryAfterMS float64) Result {
 	result.RetryAfter = defaultRetryAfter
 	if !math.IsInf(retryAfterMS, 1) {
@@ -132,7 +134,7 @@
 	return result
 }
 
-// groupResult is what a group has for a request.
+// groupResult is the outcome of looking for a server in one group.
 type groupResult struct {
 	server       *server // nil: none
 	cost         cost
@@ -140,8 +142,8 @@
 	retryAfterMS float64 // without a server: milliseconds until there may be one; infinite: not known
 }
 
-// pickInGroup finds the group's server for a request: in the order of the rotation, the first of those that cost about the least, where a
-// due server with more of this proxy's requests in flight yields to the next.
+// pickInGroup finds the group's server for a request: in rotation order, the first of the servers whose cost is about
+// the lowest. A server that is due is skipped for the next one if this proxy has more requests in flight there.
 func (p *Picker) pickInGroup(input *pickInput, members *group) groupResult {
 	p.recordPrompt(input, members)
 	model := p.initCostModel(input, members)
@@ -151,7 +153,7 @@
 	}
 	index := members.nextWithin(estimates.costs, estimates.minTotalMS+model.toleranceMS)
 	s, estimated := members.servers[index], estimates.costs[index]
-	// A rejection while under half of the slots are taken is never right: the estimate is wrong then.
+	// Rejecting while less than half of the slots are taken is never right: the estimate must be wrong.
 	halfTaken := estimates.requests*2 >= estimates.slots
 	if halfTaken && isOverloaded(input.request, s, estimated) {
 		retryAfterMS := min(max(retryAfterFactor*estimated.queueingMS, minOverloadRetryAfterMS), maxOverloadRetryAfterMS)
@@ -161,15 +163,15 @@
 	return groupResult{server: s, cost: estimated}
 }
 
-// groupEstimates are the costs of a group's servers.
+// groupEstimates holds the estimated costs of a group's servers.
 type groupEstimates struct {
-	costs           []cost  // of each server; infinite: it is not eligible
-	minTotalMS      float64 // infinite: none is eligible
-	requests, slots int     // of the eligible servers
-	warmUpWaitMS    float64 // until this proxy may send to one that warms up; infinite: not known
+	costs           []cost  // by server; infinite if it is not eligible
+	minTotalMS      float64 // infinite if no server is eligible
+	requests, slots int     // sums over the eligible servers
+	warmUpWaitMS    float64 // until this proxy may send to one of the warming servers; infinite: not known
 }
 
-// estimateCosts finds out what each server of a group costs. The costs are valid until the next call.
+// estimateCosts estimates the cost of each server of a group. The result is valid until the next call.
 func (p *Picker) estimateCosts(input *pickInput, g *group, model *costModel) groupEstimates {
 	count := len(g.servers)
 	if cap(p.scratch.costs) < count {
@@ -193,8 +195,8 @@
 	return estimates
 }
 
-// nextWithin is the index of the server whose turn it is among those that cost at most limitMS, of which there is one: the first from the
-// cursor on, or the second if this proxy has fewer requests in flight there.
+// nextWithin returns the index of the server whose turn it is among those that cost at most limitMS, of which there
+// is at least one: the first from the cursor on, or the second if this proxy has fewer requests in flight there.
 func (g *group) nextWithin(costs []cost, limitMS float64) int {
 	count := len(g.servers)
 	first, second := -1, -1
@@ -215,9 +217,9 @@
 	return first
 }
 
-// isOverloaded reports whether r is better rejected than sent to s, which would cost it the least. It is rejected where it can't be served
-// at all, and where it would be late by waiting for others: every answer that is late then makes the next ones late, and a client that
-// comes back a little later may be in time.
+// isOverloaded reports whether r should be rejected rather than sent to s, its cheapest server. A request
+// is rejected if it cannot be served at all, or if it would be late because it waits for others: each late
+// response makes the next ones late, and a client that comes back a little later may be served in time.
 func isOverloaded(r *Request, s *server, estimated cost) bool {
 	missesDeadline := estimated.firstEventMS > ms(r.TimeLeft)
 	exceedsCapacity := float64(estimated.requests) >= s.group.capacityPerSlot*float64(s.slots())
--- a/internal/system/proxy/pick/picker.go
+++ b/internal/system/proxy/pick/picker.go
@@ -9,12 +9,13 @@
 // ownRegion is the index of this proxy's region.
 const ownRegion = 0
 
-// Picker decides for one proxy. It is not safe for concurrent use: the caller locks. The zero value is not usable; make it with New.
+// Picker picks servers for one proxy. It is not safe for concurrent use:
+// the caller must lock. The zero value is not usable; create it with New.
 type Picker struct {
 	settings  Settings
 	state     ClusterState
 	hasState  bool // UpdateClusterState was called
-	startedAt Time // when it was called first
+	startedAt Time // when it was first called
 	fleet     fleetView
 	network   network
 	regions   regionTable
@@ -32,26 +33,26 @@
 	scratch scratch
 }
 
-// scratch is memory that each call uses anew.
+// scratch is memory that each call reuses.
 type scratch struct {
-	costs     []cost // of the servers of the group that is looked at
+	costs     []cost // of the servers of the current group
 	prompt    prefixcache.Chain
 	input     pickInput
 	costModel costModel
 	lookup    prefixcache.Lookup
 }
 
-// Stats count what a Picker has done since it was made. They only rise.
+// Stats counts what a Picker has done since it was created. The counts only increase.
 type Stats struct {
-	WarmUpStarts uint64 // servers that began to warm up or may have, as far as this proxy knows
-	WarmUpSends  uint64 // requests chosen for a server that warmed up, as far as this proxy knew
-	WarmUpEnds   uint64 // first requests chosen for such a server as a warm one
+	WarmUpStarts uint64 // servers that began, or may have begun, to warm up, as far as this proxy knows
+	WarmUpSends  uint64 // requests chosen for a server that was warming up, as far as this proxy knew
+	WarmUpEnds   uint64 // first requests chosen for such a server after its warm-up
 }
 
-// Stats are the counts as they are now.
+// Stats returns the current counts.
 func (p *Picker) Stats() Stats { return p.stats }
 
-// New makes a Picker that knows no cluster state yet: it rejects all requests until UpdateClusterState.
+// New creates a Picker without a cluster state: it rejects all requests until UpdateClusterState is called.
 func New(settings Settings) *Picker {
 	settings.setDefaults()
 	p := &Picker{
@@ -68,10 +69,10 @@
 	return p
 }
 
-// Config is the configuration that Route goes by; nil: none has come yet.
+// Config returns the configuration that Route uses; nil if none has been received yet.
 func (p *Picker) Config() *config.Config { return p.state.Config }
 
-// Route finds the rule for a request: of the host's routes the one with the longest prefix of the path; nil: none.
+// Route returns the route for a request: among the host's routes the one with the longest matching path prefix; nil if there is none.
 func (p *Picker) Route(host, path string) *config.Route {
 	if p.state.Config == nil {
 		return nil
@@ -79,7 +80,7 @@
 	return p.state.Config.Match(host, path)
 }
 
-// RecordRequest counts a client's request for its services' retry budgets. Call it once for each request that was read.
+// RecordRequest counts a client's request for the retry budgets of its services. It must be called once for each request that was read.
 func (p *Picker) RecordRequest(now Time, r *Request) {
 	total := 0.0
 	for _, share := range r.Route.Shares {
--- a/internal/system/proxy/pick/prefill_rate.go
+++ b/internal/system/proxy/pick/prefill_rate.go
@@ -1,22 +1,22 @@
 package pick
 
 const (
-	prefillRateStep     = 1.02   // factor by which a sample moves the fleet's rate
-	relativeSpeedStep   = 1.03   // and a server's speed compared with it
-	minPrefillRate      = 1.0    // tokens in a millisecond
-	maxPrefillRate      = 10_000 // tokens in a millisecond
-	minRelativeSpeed    = 0.4    // samples count as no slower than this
-	maxRelativeSpeed    = 1.5    // and no faster
-	maxPlausibleSpeedUp = 4      // a sample that is faster by this factor was cached: another proxy had sent it there
-	minPrefillMS        = 1      // shorter times say nothing
-	minSampleTokens     = 1000   // nor do shorter prompts
+	prefillRateStep     = 1.02   // factor by which a sample changes the fleet's rate
+	relativeSpeedStep   = 1.03   // factor by which a sample changes a server's speed relative to that rate
+	minPrefillRate      = 1.0    // tokens per millisecond
+	maxPrefillRate      = 10_000 // tokens per millisecond
+	minRelativeSpeed    = 0.4    // slower samples count as this speed
+	maxRelativeSpeed    = 1.5    // faster samples count as this speed
+	maxPlausibleSpeedUp = 4      // a sample that is faster by this factor must have been cached: another proxy had sent the prompt there
+	minPrefillMS        = 1      // shorter times are not conclusive
+	minSampleTokens     = 1000   // shorter prompts are not measured
 )
 
-// prefillRate follows the median of the rates at which servers of common speed prefill: each sample moves it by a fixed small part, so no
-// single one counts for much.
+// prefillRate tracks the median of the rates at which servers of average speed prefill:
+// each sample changes it by a small fixed factor, so no single sample has much weight.
 type prefillRate struct{ tokensPerMS float64 }
 
-// observe takes in a rate in tokens in a millisecond.
+// observe adds a sample, in tokens per millisecond.
 func (r *prefillRate) observe(tokensPerMS float64) {
 	if tokensPerMS > r.tokensPerMS {
 		r.tokensPerMS *= prefillRateStep
@@ -26,7 +26,7 @@
 	r.tokensPerMS = min(max(r.tokensPerMS, minPrefillRate), maxPrefillRate)
 }
 
-// observePrefill learns from the time that a prompt took to its first event, the way there and back and one decoding step included.
+// observePrefill learns from the time from sending a prompt to its first event, which includes the round trip and one decoding step.
 func (p *Picker) observePrefill(now Time, a *attempt) {
 	target := a.server
 	tookMS := ms(now-a.sentAt) - ms(p.settings.StepTime) - p.network.roundTripMS(target)
--- a/internal/system/proxy/pick/prefixcache/index.go
+++ b/internal/system/proxy/pick/prefixcache/index.go
@@ -1,47 +1,48 @@
 // Package prefixcache estimates which server has which leading parts of prompts in its prefix cache (vLLM: automatic prefix caching).
 //
-// Problem: a model server skips the prefill of leading tokens that it still has cached, but does not say what it has. A proxy knows only
-// what it sent where. The Index records that, with one least-recently-used list for each server, bounded by the tokens that its memory
-// is estimated to cache, and with a bound on the entries of all servers together.
+// Problem: a model server skips the prefill of leading tokens that it still has cached, but does not report what it has cached. A
+// proxy knows only what it sent to each server. The Index records that in one least-recently-used list per server. A list is bounded
+// by the number of tokens that the server's memory is estimated to cache, and the entries of all servers together are bounded as well.
 //
-// Terms: a Part is a span of a prompt that several requests may share; a Chain gives each leading run of parts a key; an entry says that
-// a server has cached the run with that key.
+// Terms: a Part is a span of a prompt that several requests may share; a Chain assigns a key to
+// each leading run of parts; an entry states that a server has cached the run with that key.
 //
-// Invariants, which Verify checks: each entry is listed under its key and in its server's list exactly once; a server's tokens are the
-// sum over its entries; the Index has at most MaxEntries entries. The package is pure and not safe for concurrent use.
+// Invariants, which Verify checks: each entry is listed under its key and in its server's list exactly once; the token count of a
+// server is the sum over its entries; the Index has at most MaxEntries entries. The package is pure and not safe for concurrent use.
 package prefixcache
 
 import "fmt"
 
 const (
-	// MaxEntries bounds the entries of all servers together.
+	// MaxEntries limits the entries of all servers together.
 	MaxEntries = 8192
-	// minPrivatePartTokens is from how many tokens a prompt's last part is recorded: only a retry of the same prompt can use it.
+	// minPrivatePartTokens is the minimum number of tokens for a prompt's
+	// last part to be recorded: only a retry of the same prompt can use it.
 	minPrivatePartTokens = 256
 )
 
-// Index maps keys of chains to the servers that are estimated to have them cached. Make it with NewIndex.
+// Index maps the keys of chains to the servers that are estimated to have them cached. Create it with NewIndex.
 type Index struct {
 	byKey map[uint64][]*entry
-	count int // entries
+	count int // number of entries
 }
 
-// entry says that a server has one part cached behind the parts before it.
+// entry states that a server has cached one part and the parts before it.
 type entry struct {
 	key          uint64
 	server       *Server
-	tokens       int    // of the part alone
+	tokens       int    // of this part alone
 	older, newer *entry // neighbours in the server's list
 }
 
-// NewIndex makes an empty Index.
+// NewIndex creates an empty Index.
 func NewIndex() *Index { return &Index{byKey: map[uint64][]*entry{}} }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (x *Index) Len() int { return x.count }
 
-// Record notes that the server has the parts of c cached from now on, and drops what it used the longest ago where its entries exceed maxTokens
-// tokens.
+// Record records that the server has the parts of c cached from now on, and removes
+// its least recently used entries until they have at most maxTokens tokens.
 func (x *Index) Record(server *Server, c *Chain, maxTokens int64) {
 	sum := 0
 	for i := range c.Len {
@@ -57,14 +58,14 @@
 	}
 }
 
-// RemoveServer drops all entries of s.
+// RemoveServer removes all entries of s.
 func (x *Index) RemoveServer(s *Server) {
 	for s.oldest != nil {
 		x.remove(s.oldest)
 	}
 }
 
-// touch makes key the most recently used one of s, with a new entry where there is none.
+// touch makes key the most recently used entry of the server, and creates the entry if necessary.
 func (x *Index) touch(server *Server, key uint64, tokens int) {
 	for _, e := range x.byKey[key] {
 		if e.server == server {
@@ -83,7 +84,7 @@
 	server.link(e)
 }
 
-// evict frees one entry: the least recently used one of s, which gets the next entry, or else of any server.
+// evict removes one entry: the least recently used one of s, to which an entry is about to be added, or of any server if s has none.
 func (x *Index) evict(s *Server) {
 	if s.oldest != nil {
 		x.remove(s.oldest)
@@ -115,24 +116,24 @@
 	removed.server.unlink(removed)
 }
 
-// Lookup is the result of looking a chain up. It is valid until the Index changes.
+// Lookup is the result of looking up a chain. It is valid until the Index changes.
 type Lookup struct {
-	entries   [MaxParts][]*entry // of each part, until the first that no server has
+	entries   [MaxParts][]*entry // by part, up to the first part that no server has cached
 	endTokens [MaxParts]int
 }
 
-// Find looks a chain up in place: l is overwritten.
+// Find looks up a chain and overwrites l with the result.
 func (x *Index) Find(c *Chain, l *Lookup) {
 	*l = Lookup{endTokens: c.EndTokens}
 	for i := range c.Len {
 		l.entries[i] = x.byKey[c.Keys[i]]
 		if len(l.entries[i]) == 0 {
-			break // without this part, none after it helps
+			break // the parts after it cannot be used without it
 		}
 	}
 }
 
-// CachedTokens is how many leading tokens of the prompt s is estimated to have cached.
+// CachedTokens returns how many leading tokens of the prompt s is estimated to have cached.
 func (l *Lookup) CachedTokens(s *Server) (tokens int) {
 	for i := range l.entries {
 		if !hasServer(l.entries[i], s) {
@@ -152,7 +153,7 @@
 	return false
 }
 
-// Verify reports a violated invariant. It visits all entries, and is meant for tests.
+// Verify returns an error if an invariant is violated. It visits all entries and is meant for tests.
 func (x *Index) Verify() error {
 	count, tokens := 0, map[*Server]int64{}
 	for key, entries := range x.byKey {
--- a/internal/system/proxy/pick/prefixcache/server.go
+++ b/internal/system/proxy/pick/prefixcache/server.go
@@ -1,15 +1,15 @@
 package prefixcache
 
-// Server is one server's part of an Index: its entries by last use. The zero value is a server without entries. It must not be copied.
+// Server is the list of one server's entries in an Index, ordered by last use. The zero value has no entries. It must not be copied.
 type Server struct {
 	oldest, newest *entry
 	tokens         int64
 }
 
-// Tokens is the sum of the tokens of the server's entries.
+// Tokens returns the sum of the tokens of the server's entries.
 func (s *Server) Tokens() int64 { return s.tokens }
 
-// Len is the number of the server's entries. It walks them.
+// Len returns the number of the server's entries. It traverses the list.
 func (s *Server) Len() (n int) {
 	for e := s.oldest; e != nil; e = e.newer {
 		n++
@@ -28,7 +28,7 @@
 	s.newest = e
 }
 
-// unlink takes e off the list.
+// unlink removes e from the list.
 func (s *Server) unlink(e *entry) {
 	if e.older != nil {
 		e.older.newer = e.newer
--- a/internal/system/proxy/pick/probe.go
+++ b/internal/system/proxy/pick/probe.go
@@ -2,8 +2,8 @@
 
 import "gradeusher.example/gradeusher/internal/system/config"
 
-// pickProbe finds an ejected server where no other can be had: of the first group that has one, the one whose ejection ends first. It gets
-// as many requests as it has capacity for, and no request that was tried at one already.
+// pickProbe finds an ejected server if no other is available: in the first group that has one, the server whose ejection
+// ends first. A server gets at most as many requests as it has capacity for, and no request that was already tried there.
 func (p *Picker) pickProbe(input *pickInput, shares []config.Share, due int) (best *server, estimated cost) {
 	for i := range shares {
 		g := p.groups[shares[(due+i)%len(shares)].Service]
@@ -23,7 +23,7 @@
 	return nil, cost{}
 }
 
-// mayBeProbed reports whether nothing but its ejection keeps s from the request.
+// mayBeProbed reports whether only outlier detection keeps the request from s, and s has capacity for a probe.
 func (p *Picker) mayBeProbed(input *pickInput, s *server) bool {
 	if p.eligibility(input, s) != excludedByOutlier {
 		return false
@@ -34,7 +34,7 @@
 	return p.hasProbeCapacity(s)
 }
 
-// probedBefore reports whether s is the better one to probe.
+// probedBefore reports whether s is a better server to probe than other.
 func probedBefore(s, other *server) bool {
 	if s.outlier.EjectedUntil() != other.outlier.EjectedUntil() {
 		return s.outlier.EjectedUntil() < other.outlier.EjectedUntil()
@@ -42,9 +42,9 @@
 	return s.load.own.Requests < other.load.own.Requests
 }
 
-// hasProbeCapacity reports whether an ejected server may get one more probe. Danger: requests that await connections to servers that are cut
-// off all go out at the moment when the partition ends, and a Stale proxy, which learns of no evacuation, does not know whether the servers
-// warm up by then.
+// hasProbeCapacity reports whether an ejected server may get one more probe. Requests that wait for connections to unreachable servers
+// are all sent at the moment when the partition ends, and a Stale proxy, which does not learn of evacuations, does not know whether
+// the servers are warming up by then. So a Stale proxy has at most one request in flight to a server whose warm-up rate is bounded.
 func (p *Picker) hasProbeCapacity(s *server) bool {
 	if p.state.Stale && s.warmUpRate() > 0 {
 		return s.load.own.Requests == 0
--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -7,33 +7,34 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/promptpool"
 )
 
-// A long prompt's prefill delays all that runs at its server. The long ones get the regions to which no short ones come, and where these do not
-// suffice a pool of each other region's servers, which the short ones avoid while there is capacity elsewhere. How many servers the long ones have
-// in all follows the share of the work that they bring, as all proxies together observe it; a pool leaves the short ones the slots that they use.
+// The prefill of a long prompt delays everything that runs at its server. Long prompts use the regions that get
+// no short prompts and, if these do not suffice, a pool of servers in each other region, which short prompts
+// avoid while there is capacity elsewhere. The total number of servers for long prompts follows the share of the
+// work that they cause, as observed by all proxies together; a pool leaves short prompts the slots that they use.
 
 const (
-	minLongPromptMS = 80     // milliseconds of prefill at the configured rate from which a prompt is long
-	maxSlotFill     = 0.55   // of the slots that a pool leaves to short prompts: they need slots where long ones need prefill
-	maxPoolShare    = 0.9    // short prompts keep some servers, as those of a pool cost them shortInsidePoolCost
-	minDemandTokens = 20_000 // decayed tokens of all proxies from which their work says anything
+	minLongPromptMS = 80     // a prompt is long from this many milliseconds of prefill at the configured rate
+	maxSlotFill     = 0.55   // maximum fill of the slots that a pool leaves to short prompts, which need slots where long prompts need prefill
+	maxPoolShare    = 0.9    // some servers are left to short prompts, because using a pool's server costs them shortInsidePoolCost
+	minDemandTokens = 20_000 // decayed tokens of all proxies below which the demand is not conclusive
 )
 
-// isLongPrompt reports whether a prompt is long. Its length is compared with the rate that all proxies are configured with, not the
-// learned one, as all have to agree.
+// isLongPrompt reports whether a prompt is long. Its length is compared with the
+// configured prefill rate, not the learned one, because all proxies have to agree.
 func (p *Picker) isLongPrompt(tokens int) bool {
 	return float64(tokens)/p.settings.PrefillRate >= minLongPromptMS
 }
 
-// bringsLongPrompts reports whether some of the requests behind a load have long prompts: the prefill that is left amounts to one, and
-// to a quarter of one for each request.
+// bringsLongPrompts reports whether some of the requests of a load have long prompts: the outstanding
+// prefill is at least that of one long prompt, and at least a quarter of a long prompt per request.
 func (p *Picker) bringsLongPrompts(load Load) bool {
 	long := minLongPromptMS * p.settings.PrefillRate // tokens
 	prefill := float64(load.Prefill)
 	return prefill >= long && prefill >= float64(load.Requests)*long/4
 }
 
-// promptPoolShare is the share of the servers that long prompts should have; unknown while the peers' work is not known, as the proxies
-// would disagree.
+// promptPoolShare returns the share of the servers that long prompts should have. It is
+// not known while the peers' demand is not known, because the proxies would disagree.
 func (p *Picker) promptPoolShare(now Time, g *group) (share float64, known bool) {
 	if fixed := p.settings.TestingKnobs.PromptPoolShare; fixed > 0 {
 		return fixed, true
@@ -50,7 +51,8 @@
 	return min(long/(long+short), maxPoolShare), true
 }
 
-// assignPromptPools names the servers of each region's pool: the first by hash, so that proxies agree but for the last few.
+// assignPromptPools selects the servers of each region's pool: the first
+// ones by hash, so that the proxies disagree at most about the last few.
 func (p *Picker) assignPromptPools(now Time, members *group) {
 	var byRegion [promptpool.MaxRegions][]*server
 	for _, s := range members.servers {
@@ -79,7 +81,7 @@
 		switch {
 		case known && isPooled:
 			pool.Adjust(now, pooledShare*count, p.spareSlotShare(now, servers)*count)
-		case known: // the pool has no effect until short prompts come
+		case known: // the pool has no effect until short prompts arrive
 			pool.Adjust(now, share*count, count)
 		case isPooled:
 			pool.Presume(pooledShare * count)
@@ -90,7 +92,8 @@
 	}
 }
 
-// spareSlotShare is the share of a region's servers that its requests leave over when they fill the others' slots to maxSlotFill.
+// spareSlotShare returns the share of a region's servers that remain unused
+// if its requests fill the slots of the other servers up to maxSlotFill.
 func (p *Picker) spareSlotShare(now Time, servers []*server) float64 {
 	requests, slots := 0, 0
 	for _, s := range servers {
@@ -100,7 +103,7 @@
 	return max(0, 1-float64(requests)/(maxSlotFill*float64(slots)))
 }
 
-// regionServers counts the servers of the regions to which short prompts come, and of those to which none do.
+// regionServers counts the servers in the regions that get short prompts and in those that do not.
 func regionServers(now Time, mix *promptpool.Mix, byRegion *[promptpool.MaxRegions][]*server) (servers promptpool.RegionServers) {
 	for region, members := range byRegion {
 		if mix.HasShort(now, region) {
@@ -112,8 +115,8 @@
 	return servers
 }
 
-// recordPrompt notes which kind of prompt a request brings to a group, if its servers run a model. That comes before the group's costs are
-// estimated, as they depend on the mix.
+// recordPrompt records the kind of a request's prompt for a group of model servers. It
+// must be called before the group's costs are estimated, because they depend on the mix.
 func (p *Picker) recordPrompt(input *pickInput, g *group) {
 	if g.engine() == nil {
 		return
@@ -129,17 +132,17 @@
 	}
 }
 
-// promptPlacement says which servers are for a request's prompt. The zero value says that all are.
+// promptPlacement determines which servers are meant for a request's prompt. The zero value allows all.
 type promptPlacement struct {
 	isLong          bool
-	pooled          [promptpool.MaxRegions]bool // regions to which short prompts come, so that their servers are divided
+	pooled          [promptpool.MaxRegions]bool // regions that get short prompts, so that their servers are divided into pools
 	regionsSeparate bool                        // long prompts go to the other regions, short ones to these
 }
 
-// placePrompt finds the members of a group that are for r's prompt, by the prompts that have come to it of late.
+// placePrompt returns which members of a group are meant for r's prompt, based on the kinds of prompts that the group got recently.
 func (p *Picker) placePrompt(now Time, r *Request, members *group, isLong bool) promptPlacement {
 	placement := promptPlacement{isLong: isLong}
-	justStarted := now-p.startedAt <= promptpool.MixTTL // it does not know yet, and assumes that both kinds come
+	justStarted := now-p.startedAt <= promptpool.MixTTL // not known yet: assume that there are both kinds
 	if !justStarted && !members.mix.HasLong(now) {
 		return placement
 	}
@@ -150,7 +153,7 @@
 	return placement
 }
 
-// hasSeparateRegions reports whether a request may go to a region to which no short prompts come.
+// hasSeparateRegions reports whether a request may go to a region that gets no short prompts.
 func (p *Picker) hasSeparateRegions(r *Request, g *group, placement *promptPlacement) bool {
 	return slices.ContainsFunc(g.servers, func(s *server) bool {
 		isSeparate := s.regionIndex < promptpool.MaxRegions && !placement.pooled[s.regionIndex]
@@ -158,7 +161,7 @@
 	})
 }
 
-// matches reports whether s is one of the servers for the prompt, while there is capacity on them.
+// matches reports whether s is meant for the prompt while there is capacity on the servers meant for it.
 func (m *promptPlacement) matches(s *server) bool {
 	switch {
 	case s.regionIndex >= promptpool.MaxRegions:
@@ -171,15 +174,15 @@
 	return true
 }
 
-// isAvailable reports whether s takes requests at all, as far as the list, the evacuations and its own answers say. Unlike eligibility it
-// asks for no request, and a server that was ejected is not available until it has answered, also while it may get a probe: homes of
-// prefixes and separate regions do not change with each probe.
+// isAvailable reports whether s accepts requests at all, according to the list, the evacuations and its own responses.
+// Unlike eligibility it does not depend on a request. A server that was ejected is not available until it has responded,
+// even while it may get a probe, so that homes of prefixes and separate regions do not change with each probe.
 func (p *Picker) isAvailable(s *server) bool {
 	return p.isInService(s) && !s.misdirected && !s.outlier.WasEjected()
 }
 
-// isInService reports whether the published state lets requests go to s: it neither drains nor lies in an evacuated zone. All proxies that
-// have the same state agree on it. eligibility has the two apart, as they are different reasons.
+// isInService reports whether the published state allows requests to s: it is neither draining nor in an evacuated zone.
+// All proxies with the same state agree on this. eligibility checks the two separately because they are different reasons.
 func (p *Picker) isInService(s *server) bool {
 	return !s.Draining && !p.state.Evacuated[s.Zone]
 }
--- a/internal/system/proxy/pick/promptpool/division.go
+++ b/internal/system/proxy/pick/promptpool/division.go
@@ -1,27 +1,27 @@
 package promptpool
 
-// RegionServers is how many servers are in the regions to which short prompts come, and in those to which only long ones do.
+// RegionServers is the number of servers in the regions that get short prompts (Pooled), and in those that get only long ones (Separate).
 type RegionServers struct {
 	Pooled, Separate int
 }
 
-// separateMargin is the part of the separate regions' servers that long prompts must leave over before they are moved there from the pools, so
-// that a share near the border does not move the homes of prompts to and fro.
+// separateMargin is the share of the separate regions' servers that long prompts must leave unused before they
+// move there from the pools, so that a share near the threshold does not move the homes of prompts back and forth.
 const separateMargin = 0.2
 
-// Division says how long prompts are divided over regions. The regions to which no short prompts come are theirs whole: where these suffice,
-// long prompts keep to them; otherwise pools of the other regions add what is missing. The zero value has seen no work and lets nothing
-// suffice.
+// Division determines how long prompts are divided among regions. They have the regions without short
+// prompts to themselves: if these suffice, long prompts stay there; otherwise pools in the other
+// regions provide the rest. The zero value has seen no work, and the separate regions do not suffice.
 type Division struct {
 	suffices bool
-	isKnown  bool // the share that Divide took up
+	isKnown  bool // Divide was called with an observed share
 }
 
-// Suffices reports whether the separate regions have servers enough for the long prompts.
+// Suffices reports whether the separate regions have enough servers for the long prompts.
 func (d *Division) Suffices() bool { return d.suffices }
 
-// Presume returns the share of the pooled regions' servers that is missing by what is presumed of the work. Once Divide has taken up what is known, it
-// changes nothing.
+// Presume returns the share of the pooled regions' servers that long prompts need if they
+// bring the presumed work. After Divide was called with an observed share, it changes nothing.
 func (d *Division) Presume(servers RegionServers) (pooledShare float64) {
 	if d.isKnown {
 		return initialShare
@@ -31,7 +31,8 @@
 	return pooledShare
 }
 
-// Divide takes up which share of all servers long prompts should have, and returns the share of the pooled regions' servers that is missing.
+// Divide sets the share of all servers that long prompts should have, and returns the
+// share of the pooled regions' servers that they need in addition to the separate regions.
 func (d *Division) Divide(share float64, servers RegionServers) (pooledShare float64) {
 	d.isKnown = true
 	missing := share*float64(servers.Pooled+servers.Separate) - float64(servers.Separate)
--- a/internal/system/proxy/pick/rotation/rotation.go
+++ b/internal/system/proxy/pick/rotation/rotation.go
@@ -1,9 +1,9 @@
-// Package rotation takes turns between the services of a route by their weights: smooth weighted round robin (as in nginx), whose turns
-// interleave the services as evenly as the weights allow.
+// Package rotation selects the services of a route in turn according to their weights: smooth
+// weighted round robin (as in nginx), which interleaves the services as evenly as the weights allow.
 //
-// Invariant: over any run of turns as long as the sum of integer weights, each service is due as often as its weight says. Argument:
-// each turn adds a service's weight to its credit and takes the sum of weights off the one with the most credit, so credits add up to
-// zero after each turn and are back at their start after such a run.
+// Invariant: over any sequence of as many turns as the sum of the integer weights, each service is due as often as its weight.
+// Argument: each turn adds a service's weight to its credit and subtracts the sum of the weights from the credit of the service
+// with the highest one, so the credits add up to zero after each turn and are back at their start after such a sequence.
 package rotation
 
 import (
@@ -12,21 +12,21 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// Rotation is the state of one route's turns.
+// Rotation is the rotation state of one route.
 type Rotation struct {
 	shares  []config.Share
-	credits []float64 // of each share
+	credits []float64 // by share
 }
 
-// New makes the state of a route that has had no turn yet.
+// New creates the rotation of a route that has had no turn yet.
 func New(shares []config.Share) *Rotation {
 	return &Rotation{shares: shares, credits: make([]float64, len(shares))}
 }
 
-// Shares are the route's services with their weights.
+// Shares returns the route's services with their weights.
 func (r *Rotation) Shares() []config.Share { return r.shares }
 
-// Next is the index of the share that is due; 0 where no share has a weight. It begins the next turn.
+// Next starts the next turn and returns the index of the share that is due; 0 if no share has a weight.
 func (r *Rotation) Next() int {
 	due, total := -1, 0.0
 	for i, share := range r.shares {
@@ -46,13 +46,14 @@
 	return due
 }
 
-// Table has the rotations of the routes of one configuration. The zero value has none.
+// Table holds the rotations of the routes of one configuration. The zero value is empty.
 type Table struct {
 	routes    []*config.Route
 	rotations map[*config.Route]*Rotation
 }
 
-// Of is the rotation of a route. A route of a configuration that was replaced while its request was under way gets one that is not kept.
+// Of returns the rotation of a route. If the route's configuration was replaced
+// while the request was in flight, it returns a new rotation that is not kept.
 func (t *Table) Of(route *config.Route) *Rotation {
 	if rotation := t.rotations[route]; rotation != nil {
 		return rotation
@@ -64,7 +65,7 @@
 	return rotation
 }
 
-// Update takes in the routes of a new configuration: routes whose shares stay continue their turns.
+// Update applies the routes of a new configuration: a route with unchanged shares continues its rotation.
 func (t *Table) Update(routes []*config.Route) {
 	type routeKey struct{ host, prefix string }
 	old := make(map[routeKey]*Rotation, len(t.rotations))
--- a/internal/system/proxy/pick/send.go
+++ b/internal/system/proxy/pick/send.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// indexedMemoryShare is the part of a server's memory that is estimated to cache prefixes.
+	// indexedMemoryShare is the fraction of a server's memory that is assumed to cache prefixes.
 	indexedMemoryShare = 0.7
-	// plainOverdueFactor is how many usual service times an answer of a server without an engine may take until it is overdue.
+	// plainOverdueFactor is the number of average service times after which the response of a server without an engine is overdue.
 	plainOverdueFactor = 4
 
-	minFullTime = 200 * time.Millisecond // a server that said that it is full is spared this long
-	maxFullTime = 500 * time.Millisecond
+	minFullTime = 200 * time.Millisecond // a server that reported that it is full is avoided for at least this long
+	maxFullTime = 500 * time.Millisecond // and at most this long
 )
 
-// send registers an attempt at the target, which is estimated to cost that much, and completes the result.
+// send registers an attempt at the target, which has the estimated cost, and completes the result.
 func (p *Picker) send(input *pickInput, result Result, target *server, estimated cost) Result {
 	now, r := input.now, input.request
 	started := p.attempts.start(now, r, target)
@@ -40,7 +40,7 @@
 	return result
 }
 
-// recordPrefill notes the work and memory that an attempt at a model server takes there, and that its prompt is cached from now on.
+// recordPrefill records the work and memory that an attempt adds at a model server, and that its prompt is cached there from now on.
 func (p *Picker) recordPrefill(input *pickInput, a *attempt) {
 	r, s := input.request, a.server
 	lookup := &p.scratch.lookup
@@ -57,7 +57,7 @@
 	p.prefixes.Record(&s.prefixes, input.prompt, int64(indexedMemoryShare*float64(s.group.engine().CacheTokens)))
 }
 
-// ResponseStarted notes that the head of an answer has come: the server lives.
+// ResponseStarted records that the head of a response has arrived: the server is alive.
 func (p *Picker) ResponseStarted(now Time, ticket uint64) {
 	a := p.attempts.byTicket[ticket]
 	if a == nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// FirstEvent notes that the first event of a stream has come, so its prompt is prefilled and cached there.
+// FirstEvent records that the first event of a stream has arrived, so its prompt is prefilled and cached at the server.
 func (p *Picker) FirstEvent(now Time, ticket uint64) {
 	a := p.attempts.byTicket[ticket]
 	if a == nil || !a.isPending {
@@ -84,8 +84,8 @@
 	}
 }
 
-// Done ends an attempt. retryAfter is what the server's Retry-After said, 0 if nothing. A ticket that is not known, or was ended before,
-// does nothing.
+// Done ends an attempt. retryAfter is the value of the server's Retry-After, 0
+// if there was none. Done ignores a ticket that is unknown or already ended.
 func (p *Picker) Done(now Time, ticket uint64, outcome AttemptOutcome, retryAfter time.Duration) {
 	ended := p.attempts.byTicket[ticket]
 	if ended == nil {
@@ -118,7 +118,7 @@
 	p.attempts.release(ended)
 }
 
-// recordServed takes in a whole answer.
+// recordServed records a complete response.
 func (p *Picker) recordServed(now Time, a *attempt) {
 	s := a.server
 	s.idle.put(now)
@@ -128,7 +128,7 @@
 	s.group.observeServed()
 }
 
-// recordNotExecuted takes in that a server was full.
+// recordNotExecuted records that a server rejected a request because it was full.
 func (p *Picker) recordNotExecuted(now Time, s *server, retryAfter time.Duration) {
 	s.idle.put(now)
 	p.recordReachable(now, s)
@@ -137,13 +137,13 @@
 	s.fullUntil = now + min(max(retryAfter, minFullTime), maxFullTime)
 }
 
-// recordNoAnswer takes in that nothing came back: idle connections are likely broken, too.
+// recordNoAnswer records that no response came back: idle connections to the server are likely broken, too.
 func (a *attempt) recordNoAnswer(now Time) {
 	a.server.idle = idleConns{}
 	a.server.outlier.RecordFailure(now)
 }
 
-// recordNotSent takes back what was counted for an attempt that never reached its server.
+// recordNotSent reverts the counts of an attempt that never reached its server.
 func (a *attempt) recordNotSent(now Time) {
 	a.request.arrived--
 	if a.isRetry {
@@ -151,8 +151,8 @@
 	}
 }
 
-// recordReachable notes that s has answered. Where it could not be reached before, and the control plane not either, it may have begun to
-// warm up unseen.
+// recordReachable records that s has responded. If neither s nor the control
+// plane could be reached before, s may have begun to warm up unnoticed.
 func (p *Picker) recordReachable(now Time, s *server) {
 	if s.outlier.Unreachable() && p.state.Stale {
 		p.warmUps.paceUntilConfirmed(now, s)
--- a/internal/system/proxy/pick/server.go
+++ b/internal/system/proxy/pick/server.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// misdirectedTimeout is how long a server whose address answered 421 gets nothing, at least.
+	// misdirectedTimeout is how long, at least, a server gets no requests after its address has answered 421.
 	misdirectedTimeout = 3 * time.Second
-	// drainHintTTL is how long a hint that a server leaves counts.
+	// drainHintTTL is how long a hint that a server is about to leave is valid.
 	drainHintTTL = 3 * time.Second
-	// overdueSlackMS is by how many milliseconds an estimate may be wrong before it counts against a server.
+	// overdueSlackMS is the error of an estimate, in milliseconds, that is not counted against a server.
 	overdueSlackMS = 40
 )
 
-// server is what is known of one incarnation.
+// server is the state of one incarnation of a server.
 type server struct {
 	Server
 	group       *group
 	hash        uint64 // of its id
 	regionIndex int
-	listed      bool // in a list before
+	listed      bool // it was in a previous list
 
-	inPromptPool  bool               // it is for long prompts rather than short ones
+	inPromptPool  bool               // it serves long prompts rather than short ones
 	prefixes      prefixcache.Server // what it is estimated to have cached
-	relativeSpeed float64            // of prefill, compared with the fleet's
+	relativeSpeed float64            // prefill speed relative to the fleet's rate
 
 	load    serverLoad
 	pending pendingAttempts
@@ -36,11 +36,11 @@
 
 	misdirected    bool // its address answered for another server
 	misdirectedAt  Time
-	fullUntil      Time // it said that it is full, and gets little until then
-	drainHintUntil Time // it said that it is about to leave, and gets little until then
+	fullUntil      Time // it reported that it is full, and is avoided until then
+	drainHintUntil Time // it reported that it is about to leave, and is avoided until then
 }
 
-// slots is how many requests s runs at once; 1 at least.
+// slots returns how many requests s runs concurrently, at least 1.
 func (s *server) slots() int {
 	engine := s.group.engine()
 	switch {
@@ -54,8 +54,8 @@
 	return 1
 }
 
-// overdueMS is by how many milliseconds the oldest pending attempt at s is late: a server that is slow, paused or cut off shows by it before
-// any attempt fails.
+// overdueMS returns by how many milliseconds the oldest pending attempt at s is overdue.
+// This detects a server that is slow, paused or cut off before any attempt fails.
 func (s *server) overdueMS(now Time) float64 {
 	if s.pending.oldest == nil {
 		return 0
@@ -63,15 +63,15 @@
 	return max(0, ms(now-s.pending.oldest.expectedAt)-overdueSlackMS)
 }
 
-// ServerDraining takes in the hint that a server is about to leave: it is used last for some seconds.
+// ServerDraining records the hint that a server is about to leave: for a few seconds it is used only as a last choice.
 func (p *Picker) ServerDraining(now Time, id string) {
 	if s := p.servers[id]; s != nil {
 		s.drainHintUntil = now + drainHintTTL
 	}
 }
 
-// ms is d in milliseconds.
+// ms converts a duration to milliseconds.
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// durationMS is a number of milliseconds as a duration.
+// durationMS converts milliseconds to a duration.
 func durationMS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/system/proxy/pick/shared_demand.go
+++ b/internal/system/proxy/pick/shared_demand.go
@@ -1,11 +1,12 @@
 package pick
 
-// The proxies share the demands of their prompts in the same map as their loads (Picker.Loads), which carries nothing but Loads by server
-// id. This file is the only one that knows how a demand is put into an entry of it: under a key that no server's id equals, with the
-// tokens of long prompts as Prefill and those of short ones as Tokens. Entries of one key are summed like all others, so what comes back
-// in UpdatePeerLoads is the sum of all peers' demands.
+// The proxies share the demands of their prompts in the same map as their loads (Picker.Loads), which can only
+// carry Loads by server id. Only this file knows how a demand is encoded as an entry of that map: under a key that
+// cannot be a server id, with the tokens of long prompts as Prefill and those of short prompts as Tokens. Entries
+// with the same key are summed like all others, so UpdatePeerLoads receives the sum of all peers' demands.
 
-// SharedDemand is the prompt tokens that were prefilled of late for long and for short prompts, as proxies share it: in whole tokens.
+// SharedDemand is how many prompt tokens were recently prefilled for long
+// and for short prompts, as shared between proxies: in whole tokens.
 type SharedDemand struct {
 	Long, Short int64
 }
@@ -20,17 +21,17 @@
 	}
 }
 
-// demandKey names the entry of a service's demand among the loads that proxies share. No server's id begins so.
+// demandKey returns the key of a service's demand in the map of shared loads. No server id starts like this.
 func demandKey(service string) string { return "\x00demand " + service }
 
-// load is the entry that carries d.
+// load encodes d as an entry of the map of shared loads.
 func (d SharedDemand) load() Load { return Load{Prefill: d.Long, Tokens: d.Short} }
 
-// demandOfLoad is the demand that an entry carries.
+// demandOfLoad decodes a demand from an entry of the map of shared loads.
 func demandOfLoad(l Load) SharedDemand { return SharedDemand{Long: l.Prefill, Short: l.Tokens} }
 
-// PromptDemands returns the demands that this proxy had of late, without services that had none. They are shared with the loads, and come
-// back summed in UpdatePeerLoads.
+// PromptDemands returns the recent demands at this proxy, without services that had none.
+// They are shared together with the loads, and their sum comes back in UpdatePeerLoads.
 func (p *Picker) PromptDemands() SharedDemands {
 	demands := SharedDemands{}
 	for service, g := range p.groups {
--- a/internal/system/proxy/pick/warmup_quota.go
+++ b/internal/system/proxy/pick/warmup_quota.go
@@ -8,33 +8,35 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/rendezvous"
 )
 
-// The bound on a warming server counts the requests of all proxies together within any second. Its argument: some proxies are the server's
-// senders. Each paces its requests evenly at an equal part of a common rate, at most warmUpUtilization of the server's warm-up rate, and
-// saves up one at the most. So in any second all senders together choose at most that rate and one for each sender, and a fifth of the
-// rate more goes out, as requests go out up to warmUpSendTimeout after they were chosen. There are as many senders as keep this under the
-// bound: the first by rendezvous hashing; in a small fleet, all proxies. Who becomes a sender waits until others, who may still act as
-// senders in its place, have learned that they are none, or have stopped as their state is stale.
+// The bound on a warming server counts the requests of all proxies together within any second. Argument: some of the proxies are the
+// server's senders. Each sender paces its requests evenly at an equal share of a common rate, which is at most warmUpUtilization of
+// the server's warm-up rate, and saves up at most one request. So in any second all senders together choose the server for at most
+// that common rate plus one request per sender. A further fifth of the rate may go out in that second, because requests go out up to
+// warmUpSendTimeout after they were chosen. The number of senders is limited so that the total stays under the bound: the senders
+// are the first proxies by rendezvous hashing; in a small fleet, all proxies. A proxy that becomes a sender waits until the others,
+// which may still act as senders in its place, have learned that they are not senders, or have stopped because their state is stale.
 
 const (
-	// warmUpUtilization is the part of a warming server's rate that is used.
+	// warmUpUtilization is the fraction of a warming server's rate that is used.
 	warmUpUtilization = 0.85
-	// maxUsedBoundShare is the part of the bound, in any second, that the common rate may take; the rest is for what senders save up.
+	// maxUsedBoundShare is the largest fraction of the bound, in any second, that
+	// the common rate may use; the rest is for the requests that senders save up.
 	maxUsedBoundShare = 0.6
-	// sendersPerSpareRequest is how many senders there are for each request of the bound that the common rate leaves.
+	// sendersPerSpareRequest is the number of senders for each request of the bound that the common rate leaves unused.
 	sendersPerSpareRequest = 0.7
-	// warmUpSendTimeout is how long a request may take from its choice until it goes out to a warming server: what is chosen in a second
-	// and so much more may go out within one. It leaves room for a connection to another region.
+	// warmUpSendTimeout is how long after its choice a request may still go out to a warming server: the requests that are
+	// chosen within a second plus this timeout may all go out within one second. It is long enough to connect to another region.
 	warmUpSendTimeout = 200 * time.Millisecond
-	// maxStaleSending is how long a Stale proxy goes on as a sender where all proxies are: the others count it for longer.
+	// maxStaleSending is how long a Stale proxy continues to send where all proxies are senders: the others count it for longer.
 	maxStaleSending = fleetSizeTTL - 5*time.Second
-	// newSenderDelay is how long a new sender waits until the others count it as one, too.
+	// newSenderDelay is how long a new sender waits so that the others count it as a sender, too.
 	newSenderDelay = time.Second
-	// successorDelay is longer than a proxy that others have given up goes on as a sender: it is Stale 1.6 s after the last contact with
-	// the control plane (catchup.FreshnessTTL).
+	// successorDelay is longer than a proxy that others have given up continues to send: it
+	// becomes Stale 1.6 s after its last contact with the control plane (catchup.FreshnessTTL).
 	successorDelay = 1800 * time.Millisecond
 )
 
-// warmUpPacer decides when this proxy may send to servers that warm up, and keeps what is known of their warm-up.
+// warmUpPacer decides when this proxy may send to warming servers, and keeps what is known about their warm-up.
 type warmUpPacer struct {
 	settings    *Settings
 	state       *ClusterState
@@ -43,18 +45,18 @@
 	zoneChanges zoneChanges
 }
 
-// warmUpQuota is how a warming server's rate is divided.
+// warmUpQuota is the division of a warming server's rate among its senders.
 type warmUpQuota struct {
-	senders   int     // proxies
-	perSecond float64 // requests that each of them may send
+	senders   int     // number of proxies
+	perSecond float64 // requests per second that each sender may send
 }
 
-// maxSends is how many requests a warming server with a warm-up rate, in requests a second, may get within any second from all proxies.
+// maxSends returns how many requests a server with a warm-up rate, in requests per second, may get from all proxies within any second.
 func (w *warmUpPacer) maxSends(rate float64) float64 {
 	return rate*w.settings.WarmUpExcess + w.settings.WarmUpSlack
 }
 
-// quota divides a warm-up rate, in requests a second.
+// quota divides a warm-up rate, in requests per second, among the senders.
 func (w *warmUpPacer) quota(rate float64) warmUpQuota {
 	use := min(warmUpUtilization*rate, maxUsedBoundShare*w.maxSends(rate))
 	spare := w.maxSends(rate) - use
@@ -62,7 +64,7 @@
 	return warmUpQuota{senders, use / float64(senders)}
 }
 
-// allPeersSend reports whether every live proxy is a sender of a warming server with that rate.
+// allPeersSend reports whether every live proxy is a sender of a warming server with this rate.
 func (w *warmUpPacer) allPeersSend(rate float64) bool {
 	return w.quota(rate).senders >= w.fleet.size.count()
 }
@@ -71,19 +73,19 @@
 func (w *warmUpPacer) isSender(s *server) bool {
 	service := w.state.service(s.Service)
 	if service == nil {
-		return false // who becomes a sender once the service is named again waits for the former ones
+		return false // whoever becomes a sender once the service is configured again waits for the former senders to stop
 	}
 	rate := service.WarmUpRequestsPerSecond
 	if rate <= 0 {
 		return true
 	}
 	if !slices.Contains(w.state.Peers, w.state.Self) {
-		return false // the others do not count this proxy
+		return false // the other proxies do not count this one
 	}
 	return w.allPeersSend(rate) || w.ranksWithin(s, w.quota(rate).senders)
 }
 
-// ranksWithin reports whether this proxy is one of the first n peers by rendezvous hashing for s. Names break ties.
+// ranksWithin reports whether this proxy is among the first n peers by rendezvous hashing for s. Ties are broken by name.
 func (w *warmUpPacer) ranksWithin(s *server, n int) bool {
 	own := rendezvous.Weight(s.hash, rendezvous.Hash(w.state.Self))
 	ahead := 0
@@ -101,8 +103,8 @@
 	return true
 }
 
-// sendsFrom is from when on this proxy may act as a sender of s; false: not at all for now. Where the senders are some of the proxies,
-// others replace one that they have given up: it has stopped by the time that they begin.
+// sendsFrom returns the time from which this proxy may act as a sender of s; ok is false if it may not for now. Where only some of the
+// proxies are senders, the others replace a sender that they have given up, and that sender has stopped by the time its successor begins.
 func (w *warmUpPacer) sendsFrom(now Time, s *server) (from Time, ok bool) {
 	replaceable := !w.allPeersSend(s.warmUpRate())
 	if w.mayBeReplaced(now, replaceable) {
@@ -115,7 +117,7 @@
 	return s.warmUp.senderSince + newSenderDelay, ok
 }
 
-// mayBeReplaced reports whether others may by now send in this proxy's place, or no longer count it.
+// mayBeReplaced reports whether other proxies may by now send in place of this one, or no longer count it.
 func (w *warmUpPacer) mayBeReplaced(now Time, replaceable bool) bool {
 	if w.state.Stale {
 		return replaceable || now-w.fleet.staleSince > maxStaleSending
@@ -123,7 +125,7 @@
 	return w.fleet.stalled && replaceable
 }
 
-// maySend refills the token bucket of a warming server, and reports whether this proxy may send to it now.
+// maySend refills the token bucket of a warming server and reports whether this proxy may send to the server now.
 func (w *warmUpPacer) maySend(now Time, s *server) bool {
 	rate := s.warmUpRate()
 	if rate <= 0 {
@@ -137,7 +139,7 @@
 	return s.warmUp.bucket.tokens >= 1
 }
 
-// waitMS is in how many milliseconds this proxy may send to a warming server again; infinite: it is no sender.
+// waitMS returns in how many milliseconds this proxy may send to a warming server again; it is infinite if this proxy is not a sender.
 func (w *warmUpPacer) waitMS(now Time, s *server) float64 {
 	from, ok := w.sendsFrom(now, s)
 	if !ok {
@@ -147,7 +149,7 @@
 	return min(paced+max(0, ms(from-now)), ms(s.warmUp.until-now))
 }
 
-// recordSend notes that a request is sent to s now, which takes a token where s warms up.
+// recordSend records that a request is sent to s now. If s is warming up, this takes a token.
 func (w *warmUpPacer) recordSend(now Time, s *server) {
 	u := &s.warmUp
 	switch {
@@ -163,14 +165,14 @@
 	}
 }
 
-// tokenBucket paces requests. It saves up one token at the most.
+// tokenBucket paces requests. It holds at most one token.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt Time
-	maxRate    float64 // the highest rate, in tokens a second, by which it was refilled since the last take
+	maxRate    float64 // highest refill rate, in tokens per second, since the last take
 }
 
-// refill adds the tokens of the time since the last refill, or since from if that is later, at a rate in tokens a second.
+// refill adds the tokens for the time since the last refill, or since from if that is later, at a rate in tokens per second.
 func (b *tokenBucket) refill(now, from Time, rate float64) {
 	b.refilledAt = max(b.refilledAt, from)
 	if now > b.refilledAt {
@@ -179,7 +181,7 @@
 	}
 }
 
-// take removes a token, and gives the highest rate by which the bucket was refilled since the last one was taken.
+// take removes a token and returns the highest refill rate since the previous take.
 func (b *tokenBucket) take() (maxRate float64) {
 	b.tokens--
 	maxRate, b.maxRate = b.maxRate, 0
--- a/internal/system/proxy/pick/zone_changes.go
+++ b/internal/system/proxy/pick/zone_changes.go
@@ -5,16 +5,16 @@
 // zoneChangeTTL is how long the last change of a zone is kept after the zone is no longer listed.
 const zoneChangeTTL = time.Minute
 
-// zoneChange is the record that last evacuated a zone or ended its evacuation, and when this proxy learned of it.
+// zoneChange is the control-state record that last evacuated a zone or ended its evacuation, and when this proxy learned of it.
 type zoneChange struct {
 	seq       uint64
 	learnedAt Time
 }
 
-// zoneChanges are the last changes of the zones, by name.
+// zoneChanges holds the last change of each zone, by zone name.
 type zoneChanges map[string]zoneChange
 
-// update takes in the sequence numbers of the zones' last changes; 0: none.
+// update records the sequence numbers of the zones' last changes; 0: no change.
 func (z zoneChanges) update(now Time, seqs map[string]uint64) {
 	for zone, seq := range seqs {
 		if seq > 0 && z[zone].seq != seq {
