--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// table drives one Picker by the commands of a conformance table.
+// tableRunner runs the commands of a conformance table on one Picker.
 type table struct {
 	picker  *Picker
 	now     Time
@@ -25,7 +25,7 @@
 var outcomes = map[string]AttemptOutcome{"served": Served, "not-executed": NotExecuted, "misdirected": Misdirected,
 	"unreached": ConnectFailed, "broken": ConnectionLost, "silent": TimedOut, "failed": ServerError, "abandoned": Canceled}
 
-// TestConformance plays the tables of testdata, taken from the design page and the rules.
+// TestConformance runs the tables in testdata, which are derived from the design page and the rules.
 func TestConformance(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		b := &table{tickets: map[string]uint64{}, request: map[string]*Request{}, tried: map[string][]string{}}
@@ -33,13 +33,13 @@
 	})
 }
 
-// command is a command of a table with its arguments.
+// command is one command of a table with its arguments.
 type command struct {
 	t    *testing.T
 	data *datadriven.TestData
 }
 
-// text is the value of an argument, or what it is without.
+// text returns the value of an argument, or a default.
 func (c *command) text(name, without string) string {
 	for _, arg := range c.data.CmdArgs {
 		if arg.Key == name && len(arg.Vals) > 0 {
@@ -65,7 +65,7 @@
 	return d
 }
 
-// lines are the lines of the command's input, split into words.
+// lines returns the lines of the command's input, split into words.
 func (c *command) lines() (lines [][]string) {
 	for _, line := range strings.Split(strings.TrimSpace(c.data.Input), "\n") {
 		lines = append(lines, strings.Fields(line))
@@ -73,7 +73,7 @@
 	return lines
 }
 
-// commands are those of the tables. What they give out is compared with the table.
+// commands maps the commands of the tables to their implementations. Their output is compared with the table.
 var commands = map[string]func(*table, *command) string{
 	"new":      (*table).newPicker,
 	"world":    (*table).updateState,
@@ -144,7 +144,7 @@
 	return ""
 }
 
-// send picks servers for n requests, which are named from name on; with answer they are ended at once.
+// send picks servers for n requests, which are named name0, name1, ...; with answer, each attempt ends immediately.
 func (b *table) send(call *command) string {
 	var out []string
 	for i := range call.number("n", 1) {
@@ -193,7 +193,7 @@
 	return "exhausted"
 }
 
-// route stands for Picker.Route, whose match package config tests.
+// route replaces Picker.Route, whose matching is tested in package config.
 func (b *table) route(path string) (best *config.Route) {
 	for _, r := range b.state.Config.Routes {
 		if strings.HasPrefix(path, r.Prefix) && (best == nil || len(r.Prefix) > len(best.Prefix)) {
@@ -203,7 +203,7 @@
 	return best
 }
 
-// updateState reads a cluster state: lines of service, route, server, evacuated and peers.
+// updateState parses a cluster state: lines of service, route, server, evacuated and peers.
 func (b *table) updateState(call *command) string {
 	b.state = ClusterState{Self: "p1", Peers: []string{"p1"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{}}}
 	for _, words := range call.lines() {
@@ -227,7 +227,7 @@
 	return ""
 }
 
-// stateLine is a line of a cluster state: words, of which some are options.
+// stateLine is one line of a cluster state: words, some of which are options.
 type stateLine struct {
 	*command
 	words   []string
@@ -243,7 +243,7 @@
 	return line
 }
 
-// parse reads a number, or fails the test.
+// parse parses a number, or fails the test.
 func (l *stateLine) parse(text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -252,7 +252,7 @@
 	return value
 }
 
-// number is the value of an option, or what it is without.
+// number returns the value of an option, or a default.
 func (l *stateLine) number(key string, without float64) float64 {
 	if l.options[key] == "" {
 		return without
--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -8,7 +8,7 @@
 
 var long = flag.Bool("pick.long", false, "play the simulation's days whole, all of them and three times")
 
-// The deployments below are those of the site pages.
+// The deployments below are taken from the site pages.
 
 func aula() scenario {
 	return scenario{
@@ -75,7 +75,7 @@
 	return deployment
 }
 
-// maktab is a deployment of three unequal regions, whose long prompts share parts in two levels.
+// maktab is a deployment of three regions of different size, whose long prompts share parts on two levels.
 func maktab() scenario {
 	deployment := scenario{
 		name: "maktab", seed: 1, length: 34 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 20 * time.Millisecond,
@@ -103,7 +103,8 @@
 	return deployment
 }
 
-// days are the scenarios of a deployment: a quiet day, an evacuated zone, a burst, both, and servers that end.
+// dayScenarios returns the scenarios of a deployment: without events, with an evacuated zone, with a
+// burst, with servers that stop responding or reset connections, and with a burst and an evacuated zone.
 func days(deployment scenario) (all []scenario) {
 	add := func(name string, change func(*scenario)) {
 		driven := deployment
@@ -129,7 +130,8 @@
 	return all
 }
 
-// TestSimulation plays days of the deployments and holds the shares in time to floors a little under what was measured.
+// TestSimulation simulates days of the deployments, and checks that the share
+// of requests on time stays above a floor a little below the measured value.
 func TestSimulation(t *testing.T) {
 	if *long {
 		for _, deployment := range append(append(days(aula()), days(hakata())...), grown(), maktab()) {
@@ -168,7 +170,7 @@
 	}
 }
 
-// BenchmarkPick sends a short and a long prompt in turn at the grown deployment's size.
+// BenchmarkPick sends short and long prompts alternately, at the size of the grown deployment.
 func BenchmarkPick(b *testing.B) {
 	fleet := newSimulation(grown())
 	picker := fleet.pickers[0]
--- a/internal/system/proxy/pick/evacuation_end_test.go
+++ b/internal/system/proxy/pick/evacuation_end_test.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestEvacuationEndWithUnseenWarmUp: the servers of an evacuated zone turn cold 200 ms before it is taken back, and the list shows
-// it 950 ms after that. Danger: until then they look warm.
+// TestEvacuationEndWithUnseenWarmUp: the servers of an evacuated zone begin to warm up 200 ms before
+// the evacuation ends, and the list shows it 950 ms after that. Failure: until then they look warm.
 func TestEvacuationEndWithUnseenWarmUp(t *testing.T) {
 	const back, warmUpStart, publishedAt = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
 	fleet := newWarmUpFleet(12)
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestEvacuationEndWithWarmServers: servers of a zone that is taken back get all again as soon as a reading of the list shows them warm
-// that was made late enough to know, and not before; without one, once they must be warm.
+// TestEvacuationEndWithWarmServers: after an evacuation ends, servers get their full load as soon as a reading of the
+// list that is recent enough shows them warm, and not before; without such a reading, once any warm-up must be over.
 func TestEvacuationEndWithWarmServers(t *testing.T) {
 	const back = 10 * time.Second
 	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
@@ -70,7 +70,8 @@
 	}
 }
 
-// TestEvacuationEndUnseen: proxies that never saw the evacuation, as it began and ended between two updates, or before their start.
+// TestEvacuationEndUnseen: proxies that never learned of the evacuation,
+// because it began and ended between two updates, or before they started.
 func TestEvacuationEndUnseen(t *testing.T) {
 	const back, warmUpStart, publishedAt = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
 	for name, starts := range map[string]bool{"between two updates": false, "before the start": true} {
@@ -100,8 +101,8 @@
 	}
 }
 
-// TestUnseenWarmUpOutlivesGaps: a server is missing from one reading of the list, its service from the configuration for a moment; it
-// may be cold all the same.
+// TestUnseenWarmUpOutlivesGaps: a server is missing from one reading of the list, and
+// its service from the configuration for a moment; it may be warming up nevertheless.
 func TestUnseenWarmUpOutlivesGaps(t *testing.T) {
 	const back = 10 * time.Second
 	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
@@ -128,7 +129,7 @@
 	}
 }
 
-// TestUncoveredListWithoutEvacuation: a list that covers nothing costs nothing where no zone was ever evacuated, or long ago.
+// TestUncoveredListWithoutEvacuation: a list that covers no changes does not cause pacing if no zone was ever evacuated, or only long ago.
 func TestUncoveredListWithoutEvacuation(t *testing.T) {
 	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
 	state := fleet.state(0, 1, 0)
@@ -139,7 +140,7 @@
 	}
 	state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 7
 	picker.UpdateClusterState(time.Second, state)
-	state.ListCoversSeq = 0 // the list's reader has just started
+	state.ListCoversSeq = 0 // the process that reads the list has just started
 	picker.UpdateClusterState(time.Second+warmUpDuration, state)
 	if picker.AwaitsServerList() {
 		t.Error("a list is awaited for a change of long ago")
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -12,17 +12,17 @@
 	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
-// goldenFile holds a line for each scenario: its name, seed, number of steps and digest. It lies beside testdata, all of whose files
-// TestConformance takes for cases of its own.
+// goldenFile holds one line per scenario: its name, seed, number of steps and digest.
+// It is not in testdata because TestConformance runs every file there as a test case.
 const goldenFile = "golden_trace.txt"
 
-// trace is the digest of a run, with what this package gives out.
+// trace is the digest of a run, with methods for this package's results.
 type trace struct{ *golden.Digest }
 
-// decisionTags name decisions in the trace.
+// decisionTags identify decisions in the trace.
 var decisionTags = map[Decision]byte{Send: 'S', Reject: 'R', GiveUp: 'X'}
 
-// choice takes in a choice of a picker, what the send registered and what the picker has spent.
+// addPick adds a result of Pick, the attempt that it registered and the counters of the picker.
 func (tr trace) choice(now Time, p *Picker, r *Request, tried int, offered bool, c Result) {
 	tr.Step(decisionTags[c.Decision])
 	tr.Ints(int64(now), int64(r.arrived), int64(tried), int64(r.TimeLeft))
@@ -37,7 +37,7 @@
 	tr.spent(p)
 }
 
-// spent takes in the budgets and counts of a picker.
+// addCounters adds the budgets and counters of a picker.
 func (tr trace) spent(p *Picker) {
 	for _, name := range slices.Sorted(maps.Keys(p.groups)) {
 		g := p.groups[name]
@@ -49,7 +49,7 @@
 	tr.Ints(int64(st.WarmUpStarts), int64(st.WarmUpSends), int64(st.WarmUpEnds))
 }
 
-// loads takes in what a picker shares with the others.
+// addLoads adds the loads that a picker shares with the others.
 func (tr trace) loads(now Time, loads map[string]Load) {
 	tr.Step('L')
 	tr.Ints(int64(now), int64(len(loads)))
@@ -59,7 +59,7 @@
 	}
 }
 
-// tracedFleet plays a scenario of the simulation, with what else is to happen in it.
+// tracedSimulation returns a function that traces a simulation of a scenario; customize may add events to it.
 func tracedFleet(deployment scenario, more func(*simulation)) func(trace, uint64) {
 	return func(traced trace, seed uint64) {
 		deployment.seed = seed
@@ -80,7 +80,7 @@
 	}
 }
 
-// tallies takes in how the requests of each kind ended.
+// addStats adds the outcomes of the requests of each kind.
 func (tr trace) tallies(f *simulation) {
 	for i := range f.kinds {
 		t := f.tallies[f.kinds[i].name]
@@ -92,13 +92,13 @@
 	tr.Ints(f.reread, f.firstRead, int64(f.dials), int64(f.unexecuted))
 }
 
-// shortDay is a day of a deployment that lasts for some seconds.
+// shortDay returns a day of a deployment with the given length.
 func shortDay(deployment scenario, length time.Duration, day int) scenario {
 	deployment.length = length
 	return days(deployment)[day]
 }
 
-// updateEachState changes the worlds of all pickers at a moment.
+// updateEachState changes the cluster states of all pickers at a time.
 func (f *simulation) updateEachState(at Time, change func(i int, w *ClusterState)) {
 	f.after(at, func() {
 		for i, p := range f.pickers {
@@ -110,7 +110,8 @@
 	})
 }
 
-// warmUpScenario has a zone turn cold, one server in three under its own word alone, others drain or leave, and proxies miss news.
+// warmUpScenario has the servers of a zone warm up, one in three only
+// according to its own hint, others drain or leave, and proxies miss updates.
 func warmUpScenario(played *simulation) {
 	zone := played.zones[1]
 	played.updateEachState(time.Second, func(i int, state *ClusterState) {
@@ -145,7 +146,7 @@
 	played.updateEachState(5*time.Second, func(_ int, state *ClusterState) { state.ListCoversSeq = 9 })
 }
 
-// overloaded is a deployment to which more comes than it can serve.
+// overloaded is a deployment that gets more requests than it can serve.
 func overloaded() scenario {
 	deployment := shortDay(aula(), 4*time.Second, 2)
 	deployment.queue, deployment.slots = 12, 8
@@ -153,14 +154,14 @@
 	return deployment
 }
 
-// longPrompts is a mixture in which most of the work is prompts that share prefixes.
+// longPrompts is a mix in which most of the work is prompts that share prefixes.
 func longPrompts() scenario {
 	deployment := mixture{"", 0.75, slowReader, map[string][]int{"a": {8}, "b": {5}, "c": {3}}, 3}.scenario()
 	deployment.length = 5 * time.Second
 	return deployment
 }
 
-// anyOperations drives one picker with operations drawn from the seed: all outcomes, worlds, hints and loads.
+// randomOperations runs one picker with operations drawn from the seed: all outcomes, cluster states, hints and loads.
 func anyOperations(traced trace, seed uint64) {
 	driven := newDriver(traced, seed)
 	for range 6000 {
@@ -182,7 +183,7 @@
 	}
 }
 
-// driver is one picker with the requests that are under way.
+// driver runs one picker and tracks its requests in flight.
 type driver struct {
 	tr      trace
 	rng     *rand.Rand
@@ -272,7 +273,7 @@
 	d.choose(&drivenRequest{r: r})
 }
 
-// choose asks for a server, and keeps the request where it got one.
+// pick picks a server for a request, and keeps the request if it got one.
 func (d *driver) choose(o *drivenRequest) {
 	c := d.p.Pick(d.now, o.r, o.tried, o.offered)
 	d.tr.choice(d.now, d.p, o.r, len(o.tried), o.offered, c)
@@ -282,10 +283,10 @@
 	}
 }
 
-// drivenOutcomes are those that are drawn, the usual ones more often.
+// drivenOutcomes are the outcomes to draw from; common ones are repeated.
 var drivenOutcomes = []AttemptOutcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, ConnectFailed, ConnectionLost, TimedOut, ServerError, Canceled}
 
-// endOne ends a send and asks again where it failed.
+// endAttempt ends a random attempt and retries the request if it failed.
 func (d *driver) endOne() {
 	if len(d.open) == 0 {
 		return
@@ -308,7 +309,7 @@
 	d.choose(request)
 }
 
-// goldenScenarios are what is traced.
+// goldenScenarios returns the scenarios that are traced.
 func goldenScenarios() []golden.Scenario {
 	var all []golden.Scenario
 	add := func(name string, seed uint64, play func(trace, uint64)) {
@@ -329,6 +330,6 @@
 	return all
 }
 
-// TestGoldenTrace holds every choice and every load told to what they were, step by step. A change that is meant to change what
-// is chosen writes the file anew with GRADEUSHER_WRITE_GOLDEN=1 and says so.
+// TestGoldenTrace compares every pick and every shared load with the recorded digests, step by step. After
+// a change that is meant to change picks, regenerate the file with GRADEUSHER_WRITE_GOLDEN=1 and say so.
 func TestGoldenTrace(t *testing.T) { golden.CompareDigests(t, goldenFile, goldenScenarios()) }
--- a/internal/system/proxy/pick/homes_test.go
+++ b/internal/system/proxy/pick/homes_test.go
@@ -8,9 +8,9 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestHomes sends prompts with shared parts through proxies that know nothing of each other, of one zone and of two regions: they agree on
-// the server that prefills a shared part. Long prompts go to a separate region, where no short ones come, if it suffices for their work; else
-// also to pools of the regions that both come to, and short ones elsewhere.
+// TestHomes sends prompts with shared parts through proxies that do not communicate, two in one zone and one in another
+// region: they agree on the server that prefills a shared part. Long prompts go to a separate region without short prompts,
+// if it suffices for their work; otherwise also to pools in the regions that get both kinds. Short prompts go elsewhere.
 func TestHomes(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -20,19 +20,19 @@
 	}
 }
 
-// homesLayout says where short prompts come.
+// homesLayout determines where short prompts arrive.
 type homesLayout int
 
 const (
-	separateRegion homesLayout = iota // to one of two regions, and the other one suffices for the long ones
-	smallRegion                       // to one of two regions, and the other one does not suffice
-	noRegion                          // everywhere
+	separateRegion homesLayout = iota // in one of two regions; the other one suffices for the long prompts
+	smallRegion                       // in one of two regions; the other one does not suffice
+	noRegion                          // in all regions
 )
 
-// homesRun is three proxies of a fleet to which long and short prompts come.
+// homesRun is a fleet that gets long and short prompts, and three of its proxies.
 type homesRun struct {
 	*testing.T
-	first, second, far *Picker // the first two of one zone, the third of another region
+	first, second, far *Picker // the first two in one zone, the third in another region
 	long, short        *config.Route
 	layout             homesLayout
 	now                Time
@@ -58,7 +58,7 @@
 	return run
 }
 
-// learnShare has short prompts come to cluj, and the peers prefill so many tokens of long and of short prompts for two seconds.
+// learnShare records short prompts in region cluj and, for two seconds, a demand of the peers in tokens of long and of short prompts.
 func learnShare(picker *Picker, long, short int64) {
 	for now := Time(0); now <= 2*time.Second; now += 200 * time.Millisecond {
 		for region, name := range picker.regions.names {
@@ -73,7 +73,7 @@
 func (run *homesRun) play() {
 	homes, regions := map[string]bool{}, map[string]bool{}
 	for subject := range uint64(20) {
-		for _, p := range []*Picker{run.first, run.second, run.far} { // without short prompts there would be no pools
+		for _, p := range []*Picker{run.first, run.second, run.far} { // pools exist only if there are short prompts
 			run.send(p, &Request{Route: run.short, TokensIn: 300, MaxTokensOut: 50})
 		}
 		home := run.homeOf(subject)
@@ -95,7 +95,7 @@
 	}
 }
 
-// homeOf sends long prompts that share a part, and gives the server to which all of them went.
+// homeOf sends long prompts that share a part, and returns the server to which all of them went.
 func (run *homesRun) homeOf(subject uint64) *server {
 	run.Helper()
 	ask := func(p *Picker, own uint64) *server {
@@ -112,7 +112,7 @@
 	return a
 }
 
-// send has a request answered, and gives the server that it went to.
+// send picks a server for a request and completes the request there.
 func (run *homesRun) send(p *Picker, r *Request) *server {
 	run.Helper()
 	run.now += 300 * time.Millisecond
--- a/internal/system/proxy/pick/idle_conns_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -7,8 +7,8 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestIdleConnections: of model servers that cost the same, those get requests to which a connection is kept; nobody prefers one whose
-// connections have been without use for longer than the servers keep them, or one that could not be reached.
+// TestIdleConnections: among model servers of equal cost, the ones with an idle connection get the requests. A server is
+// not preferred if its connections have been idle for longer than the servers keep them, or if it could not be reached.
 func TestIdleConnections(t *testing.T) {
 	const announcedTimeout = 10 * time.Second
 	route := &config.Route{Name: "a", Host: "h", Prefix: "/", Category: config.Streaming, Timeout: 8 * time.Second, LatencyTarget: time.Second, MaxAttempts: 1,
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
-// TestWarmUpRateInvariantControl: a proxy that saves up more than one request is seen.
+// TestWarmUpRateInvariantControl checks that a proxy that saves up more than one request violates the invariant.
 func TestWarmUpRateInvariantControl(t *testing.T) {
 	fleet := newWarmUpFleet(12)
 	fleet.pickers = fleet.pickers[:1]
@@ -21,8 +21,8 @@
 	})
 }
 
-// TestWarmUpEndInvariantControl: a word of the cold state that ends 80 ms early is seen with the next reading, and another cold state
-// that begins after the first request is not taken for it.
+// TestWarmUpEndInvariantControl checks that a warm-up that was announced 80 ms too short violates the invariant with
+// the next reading of the list, and that a new warm-up that begins after the first request to the warm server does not.
 func TestWarmUpEndInvariantControl(t *testing.T) {
 	play := func(warmUpLeft, later time.Duration) {
 		fleet := newWarmUpFleet(1)
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestEligibilityInvariantControl: a request to a server in an evacuated zone is seen.
+// TestEligibilityInvariantControl checks that a request to a server in an evacuated zone violates the invariant.
 func TestEligibilityInvariantControl(t *testing.T) {
 	fleet := newWarmUpFleet(1)
 	picker := fleet.pickers[0]
@@ -52,8 +52,9 @@
 	})
 }
 
-// TestEvacuationEndIsNoViolation: a server was cold and got its first request as a warm one; its zone is evacuated, and taken back
-// after the server has turned cold anew. The guess that paces it until the list can tell says nothing of that request.
+// TestEvacuationEndIsNoViolation: a server warms up and gets its first request as a warm one; then
+// its zone is evacuated, and the evacuation ends after the server has begun to warm up again. That
+// the server is paced until the list can show this must not be held against the earlier request.
 func TestEvacuationEndIsNoViolation(t *testing.T) {
 	const back = 12 * time.Second
 	fleet := newWarmUpFleet(1)
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestWarmUpAgainBeforeItsEndIsNoViolation: 500 ms before its cold state ends a server turns cold anew, which the list shows 900 ms
-// later. No proxy can know it when the first state ends.
+// TestWarmUpAgainBeforeItsEndIsNoViolation: 500 ms before its warm-up ends, a server begins to warm
+// up again, which the list shows 900 ms later. No proxy can know this when the first warm-up ends.
 func TestWarmUpAgainBeforeItsEndIsNoViolation(t *testing.T) {
 	const again, told = warmUpDuration - 500*time.Millisecond, warmUpDuration + 400*time.Millisecond
 	fleet := newWarmUpFleet(1)
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestUpdateThatComesLateIsNoViolation: a server's cold state ends at 3 s; an update made at 2.9 s, which tells the remaining 100 ms
-// rightly, is used at 3.2 s, after the first request that took the server for warm.
+// TestUpdateThatComesLateIsNoViolation: a server's warm-up ends at 3 s. An update that was made at 2.9 s and
+// correctly states the remaining 100 ms is applied at 3.2 s, after the first request to the server as a warm one.
 func TestUpdateThatComesLateIsNoViolation(t *testing.T) {
 	fleet := newWarmUpFleet(1)
 	picker := fleet.pickers[0]
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestStallIsNoWarmUp: a server that was paced as cold after a stall only, and turns cold later, was never taken for one whose cold
-// state is over.
+// TestStallIsNoWarmUp: a server was paced only because of a stall, and begins to
+// warm up later. It must not count as a server whose warm-up had ended before.
 func TestStallIsNoWarmUp(t *testing.T) {
 	const woke = 10 * time.Second
 	picker, fleet := stalledPicker(woke)
--- a/internal/system/proxy/pick/outlier/detector_test.go
+++ b/internal/system/proxy/pick/outlier/detector_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestEjectionTimes has a server fail again each time that its ejection is over: the time doubles up to its bound.
+// TestEjectionTimes has a server fail again each time its ejection ends: the ejection time doubles up to its maximum.
 func TestEjectionTimes(t *testing.T) {
 	var detector Detector
 	now := time.Minute
@@ -14,7 +14,7 @@
 		if got := detector.EjectedUntil() - now; got != want {
 			t.Errorf("failure %d: ejected for %v, want %v", i+1, got, want)
 		}
-		detector.RecordFailure(now) // an attempt that was under way changes nothing
+		detector.RecordFailure(now) // a failure of an attempt that was already in flight has no effect
 		if !detector.Ejected(now + want - 1) {
 			t.Errorf("failure %d: not ejected to the end", i+1)
 		}
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestOneProbeAtATime lets a half-open server get one request until it answers.
+// TestOneProbeAtATime checks that a half-open server gets one request at a time until it responds.
 func TestOneProbeAtATime(t *testing.T) {
 	var detector Detector
 	detector.StartAttempt(1)
@@ -72,12 +72,12 @@
 	}
 }
 
-// TestThresholds counts failures that eject only in a row.
+// TestThresholds checks how many consecutive failures of a kind eject a server.
 func TestThresholds(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		record func(*Detector)
-		want   int // from which one on the server is ejected
+		want   int // number of failures that ejects the server
 	}{
 		{"broken answers", func(detector *Detector) { detector.RecordBroken(0, false) }, 2},
 		{"broken answer of a probe", func(detector *Detector) { detector.RecordBroken(0, true) }, 1},
--- a/internal/system/proxy/pick/prefill_rate.go
+++ b/internal/system/proxy/pick/prefill_rate.go
@@ -9,7 +9,7 @@
 	maxRelativeSpeed    = 1.5    // faster samples count as this speed
 	maxPlausibleSpeedUp = 4      // a sample that is faster by this factor must have been cached: another proxy had sent the prompt there
 	minPrefillMS        = 1      // shorter times are not conclusive
-	minSampleTokens     = 1000   // shorter prompts are not measured
+	minSampleTokens     = 1000   // shorter prompts are not conclusive either
 )
 
 // prefillRate tracks the median of the rates at which servers of average speed prefill:
--- a/internal/system/proxy/pick/prefixcache/index_test.go
+++ b/internal/system/proxy/pick/prefixcache/index_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndexBounded fills a server's entries: the least recently used ones give way, and the whole stays in its bound.
+// TestIndexBounded fills a server's list: the least recently used entries are evicted, and the index stays within its bound.
 func TestIndexBounded(t *testing.T) {
 	index := NewIndex()
 	server, other := &Server{}, &Server{}
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestIndexInvariants records and removes at random: the invariants of Verify hold, and what was recorded last is found.
+// TestIndexInvariants records and removes at random: the invariants that
+// Verify checks hold, and the lists have as many entries as the index.
 func TestIndexInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		index, servers := NewIndex(), []*Server{{}, {}, {}}
--- a/internal/system/proxy/pick/probe_test.go
+++ b/internal/system/proxy/pick/probe_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestStaleProxyProbesOnce: all servers of a zone are cut off from a stale proxy. At most one request awaits a connection to each, also in
-// a large fleet.
+// TestStaleProxyProbesOnce: a stale proxy cannot reach any server of a zone. At
+// most one request waits for a connection to each of them, also in a large fleet.
 func TestStaleProxyProbesOnce(t *testing.T) {
 	for _, proxies := range []int{12, 60} {
 		fleet := newWarmUpFleet(proxies)
--- a/internal/system/proxy/pick/prompt_mixes_test.go
+++ b/internal/system/proxy/pick/prompt_mixes_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// mixture is a deployment that no customer has: long prompts bring a share of the work, engines and regions differ.
+// promptMix is a deployment unlike any customer's: long prompts cause a given share of the work, and engines and regions vary.
 type mixture struct {
 	name    string
-	long    float64          // share of the work that long prompts bring
+	long    float64          // share of the work that long prompts cause
 	spec    engineSpec       // of the servers
-	regions map[string][]int // engines of each region's zones
+	regions map[string][]int // number of engines by region and zone
 	seed    uint64
 }
 
@@ -24,7 +24,7 @@
 	tightCache = engineSpec{step: 5.09, perSlot: 0.0303, rate: 51.1, pairs: 0.323, first: 47, memory: 90_000, stride: 5}
 )
 
-// scenario lays a mix out so that reading what is not shared takes a fifth of the servers' time.
+// scenario returns a deployment in which prefilling what is not shared takes a fifth of the servers' time.
 func (m mixture) scenario() scenario {
 	deployment := scenario{name: m.name, seed: m.seed, length: 14 * time.Second, shareInterval: 200 * time.Millisecond, crossRegion: 25 * time.Millisecond,
 		regions: map[string]string{}, proxies: map[string]int{}, engines: map[string]int{}, traffic: map[string]float64{},
@@ -39,7 +39,7 @@
 		}
 	}
 	const use, longOwn, longShared, shortOwn = 0.2, 3000, 6000, 400
-	work := func(own, shared float64) float64 { // milliseconds of reading
+	work := func(own, shared float64) float64 { // milliseconds of prefill
 		return own/m.spec.rate + own*(shared+own/2)/1e6*m.spec.pairs
 	}
 	perSecond := use * float64(servers) * 1000
@@ -56,8 +56,9 @@
 	return deployment
 }
 
-// TestPromptPoolsOfMixes plays mixes from one in ten of the work to nine in ten brought by long prompts, with three kinds of engine and one
-// to three regions of unequal size. Pools that follow the work are within a few hundredths of the best fixed share, found by trying them.
+// TestPromptPoolsOfMixes simulates mixes in which long prompts cause between a tenth and nine tenths
+// of the work, with three kinds of engines and one to three regions of different size. Adaptive
+// pools score within a few hundredths of the best fixed share, which is found by trying several.
 func TestPromptPoolsOfMixes(t *testing.T) {
 	const nearBest = 0.97
 	mixes := []mixture{
@@ -82,7 +83,7 @@
 	}
 }
 
-// moreMixes are all combinations of shares, engines and regions.
+// moreMixes returns all combinations of shares, engines and regions.
 func moreMixes() (mixes []mixture) {
 	for i, regions := range []map[string][]int{{"a": {8, 8}}, {"a": {8, 4}, "b": {4}}, {"a": {8}, "b": {5}, "c": {3}}} {
 		for _, share := range []float64{0.1, 0.3, 0.5, 0.7, 0.9} {
@@ -94,7 +95,7 @@
 	return mixes
 }
 
-// bestFixedShare is the best score with a fixed share of the pools, and that share.
+// bestFixedShare returns the best score with a fixed share of the pools, and that share.
 func (m mixture) bestFixedShare() (best, share float64) {
 	for _, fixed := range []float64{0.15, 0.4, 0.6, 0.75, 0.9} {
 		deployment := m.scenario()
@@ -113,7 +114,7 @@
 	return score
 }
 
-// sorted walks a map in the order of its keys, so that a seed repeats.
+// sorted iterates over a map in key order, so that a seed always gives the same run.
 func sorted[V any](m map[string]V) iter.Seq2[string, V] {
 	return func(yield func(string, V) bool) {
 		for _, key := range slices.Sorted(maps.Keys(m)) {
--- a/internal/system/proxy/pick/prompt_pools_test.go
+++ b/internal/system/proxy/pick/prompt_pools_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// newPoolPicker is a picker that knows n servers of one region, and nothing of what comes to them.
+// newPoolPicker returns a picker that knows n servers of one region and has not seen any prompts.
 func newPoolPicker(n int) *Picker {
 	picker := New(Settings{Zone: "z1", Region: "r1", Regions: testRegions})
 	state := ClusterState{Config: &config.Config{Services: map[string]*config.Service{"lm": {Name: "lm", Engine: &config.Engine{Slots: 8, CacheTokens: 100_000}}}}}
@@ -28,13 +28,13 @@
 	return n
 }
 
-// updateDemand has p told at now that the other proxies had so many tokens updateDemand of late.
+// updateDemand updates a picker with the recent demand of the other proxies, in tokens of long and of short prompts.
 func updateDemand(picker *Picker, now Time, long, short int64) {
 	picker.UpdatePeerLoads(now, map[string]Load{demandKey("lm"): {Prefill: long, Tokens: short}})
 }
 
-// TestPromptPoolFollowsTheWork has the share of the work that long prompts bring change: the pool follows, after its first move by bounded steps
-// with pauses between them, and both kinds of prompts always keep a server.
+// TestPromptPoolFollowsTheWork changes the share of the work that long prompts cause: after its first move the pool
+// follows in bounded steps with pauses between them, and both kinds of prompts always keep at least one server.
 func TestPromptPoolFollowsTheWork(t *testing.T) {
 	picker, now := newPoolPicker(20), Time(0)
 	if n := poolSize(picker); n != 10 {
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestPromptPoolStaysWhereTheWorkWavers keeps the work's share within a server's worth of where it was: no home moves.
+// TestPromptPoolIgnoresSmallDemandChanges varies the demand by less than one
+// server's share: the pool, and so the homes of prefixes, must not change.
 func TestPromptPoolStaysWhereTheWorkWavers(t *testing.T) {
 	picker, now := newPoolPicker(20), Time(0)
 	for i := range 600 {
@@ -73,7 +74,7 @@
 	}
 }
 
-// TestPromptPoolWithoutPeerDemand has a proxy see its own requests alone, which tell little: it keeps the pool that it has.
+// TestPromptPoolWithoutPeerDemand checks that a proxy that knows only its own demand, which is not conclusive, keeps its pool unchanged.
 func TestPromptPoolWithoutPeerDemand(t *testing.T) {
 	picker := newPoolPicker(20)
 	now := time.Minute
@@ -84,7 +85,7 @@
 	}
 }
 
-// TestPromptPoolsAgree has two proxies see different requests, each told what the other one read: their pools are the same.
+// TestPromptPoolsAgree sends different prompts to two proxies that share their demands: their pools must be the same.
 func TestPromptPoolsAgree(t *testing.T) {
 	first, second := newPoolPicker(20), newPoolPicker(20)
 	now := Time(0)
@@ -112,7 +113,7 @@
 	}
 }
 
-// TestPromptPoolKeepsItsShareWhereServersLeave takes half of the servers away: the pool's share stays.
+// TestPromptPoolKeepsItsShareWhereServersLeave removes half of the servers: the pool keeps its share.
 func TestPromptPoolKeepsItsShareWhereServersLeave(t *testing.T) {
 	picker := newPoolPicker(20)
 	var state ClusterState
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestPoolLeavesSlots has short prompts take most slots of a region while long ones bring most of the prefill: the pool leaves the servers whose
-// slots the short ones need.
+// TestPoolLeavesSlots has short prompts use most slots of a region while long prompts cause
+// most of the prefill work: the pool leaves the servers whose slots the short prompts need.
 func TestPoolLeavesSlots(t *testing.T) {
 	picker, now := newPoolPicker(20), Time(0)
 	for _, c := range []struct{ requests, want int }{{0, 16}, {3, 6}, {8, 1}, {1, 15}} {
--- a/internal/system/proxy/pick/promptpool/pool_test.go
+++ b/internal/system/proxy/pick/promptpool/pool_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestDemandDecays counts work less the longer ago it was.
+// TestDemandDecays checks that older work counts less.
 func TestDemandDecays(t *testing.T) {
 	var d Demand
 	d.Add(0, true, 1000)
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestBothKindsKeepAServer shrinks a region: neither kind loses its last server.
+// TestBothKindsKeepAServer shrinks a region: neither kind of prompt loses its last server.
 func TestBothKindsKeepAServer(t *testing.T) {
 	var p Pool
 	for servers := 20; servers >= 2; servers-- {
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestFirstMove has a target be known for the first time: the pool waits until it has been known for a while, and then goes all the way.
+// TestFirstMove has a target become known for the first time: the pool
+// waits until it has been known for a while, and then goes all the way.
 func TestFirstMove(t *testing.T) {
 	const start = time.Minute
 	var p Pool
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestDivision divides long prompts over 50 servers of regions with short prompts and 40 of others: pools add what the others lack, and a share near the
-// border moves nothing.
+// TestDivision divides long prompts among 50 servers of regions with short prompts and 40 of regions
+// without: pools provide what the separate regions lack, and a share near the threshold changes nothing.
 func TestDivision(t *testing.T) {
 	var division Division
 	if division.Suffices() {
@@ -98,7 +99,7 @@
 	}{
 		{0.9, 41.0 / 50, false},
 		{0.5, 5.0 / 50, false},
-		{40.0 / 90, 0, false}, // just enough, but near the border
+		{40.0 / 90, 0, false}, // just enough, but near the threshold
 		{33.0 / 90, 0, false}, // seven of 40 left over
 		{32.0 / 90, 0, true},  // a fifth is left over
 		{40.0 / 90, 0, true},  // still enough
@@ -116,7 +117,7 @@
 	}
 }
 
-// TestLimit has short prompts need servers of the pool: it gives them up in one move, and takes them back by bounded ones.
+// TestLimit has short prompts need servers of the pool: the pool gives them up in one move, and takes them back in bounded moves.
 func TestLimit(t *testing.T) {
 	var p Pool
 	p.SetServers(20)
@@ -133,7 +134,7 @@
 	}
 }
 
-// TestPresume has nothing be known of the work: pools and regions are sized by half of all servers for long prompts, until a share is known.
+// TestPresume checks that as long as nothing is known of the work, pools and regions are sized for half of all servers for long prompts.
 func TestPresume(t *testing.T) {
 	var d Division
 	if pooled := d.Presume(RegionServers{Pooled: 51, Separate: 39}); math.Abs(pooled-6.0/51) > 1e-9 || d.Suffices() {
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -40,8 +40,8 @@
 
 var testRegions = map[string]string{"z1": "r1", "z2": "r1", "z3": "r2"}
 
-// TestOnlyEligibleServersArePicked plays random cluster states, requests and answers: no attempt goes against a rule, and what is counted
-// adds up.
+// TestOnlyEligibleServersArePicked runs random cluster states, requests
+// and outcomes: no attempt may violate a rule, and the counts must add up.
 func TestOnlyEligibleServersArePicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := &randomRun{T: t, now: time.Minute, picker: New(Settings{Zone: "z1", Region: "r1", Regions: testRegions, RetryRatio: 0.2, RetrySlack: 20,
@@ -71,7 +71,7 @@
 	})
 }
 
-// randomRun is one picker with the requests that came to it.
+// randomRun is one picker with its requests.
 type randomRun struct {
 	*rapid.T
 	now      Time
@@ -80,10 +80,10 @@
 	requests []*randomRequest
 }
 
-// randomRequest is what the rules say of a request, counted apart from the picker.
+// randomRequest is the state of a request that the rules depend on, tracked independently of the picker.
 type randomRequest struct {
 	request *Request
-	ticket  uint64 // of the attempt under way; 0: none
+	ticket  uint64 // of the attempt in flight; 0: none
 	tried   []string
 	arrived int
 	offered bool
@@ -104,7 +104,7 @@
 	run.picker.ServerLoad(run.now, id, rapid.IntRange(-1, 9).Draw(run.T, "running"), rapid.IntRange(0, 9).Draw(run.T, "waiting"), rapid.IntRange(-1, 9).Draw(run.T, "slots"))
 }
 
-// newRequest draws a request that comes now.
+// newRequest draws a new request.
 func (run *randomRun) newRequest() *randomRequest {
 	r := &Request{Route: rapid.SampledFrom(run.state.Config.Routes).Draw(run.T, "route"), TimeLeft: time.Duration(rapid.IntRange(-1, 8000).Draw(run.T, "left")) * time.Millisecond,
 		MaxTokensOut: rapid.IntRange(-1, 300).Draw(run.T, "out")}
@@ -119,7 +119,7 @@
 	return request
 }
 
-// pick asks for a server for a new request, or for one again that has none.
+// pick picks a server for a new request, or for an earlier one that has no attempt in flight.
 func (run *randomRun) pick() {
 	var request *randomRequest
 	if len(run.requests) > 0 && rapid.Bool().Draw(run.T, "again") {
@@ -178,7 +178,7 @@
 	}
 }
 
-// end ends an attempt under way.
+// end ends an attempt in flight.
 func (run *randomRun) end() {
 	if len(run.requests) == 0 {
 		return
@@ -193,7 +193,7 @@
 	}
 	outcome := AttemptOutcome(rapid.IntRange(0, int(Canceled)).Draw(run.T, "outcome"))
 	run.picker.Done(run.now, request.ticket, outcome, time.Duration(rapid.IntRange(0, 900).Draw(run.T, "after"))*time.Millisecond)
-	run.picker.Done(run.now, request.ticket, TimedOut, 0) // the second end of an attempt is no end
+	run.picker.Done(run.now, request.ticket, TimedOut, 0) // ending an attempt again has no effect
 	request.ticket = 0
 	switch outcome {
 	case ConnectionLost, TimedOut, ServerError, Served, Canceled:
@@ -203,7 +203,7 @@
 	}
 }
 
-// check tells what of a Picker with nothing in flight does not add up.
+// check fails if the state of a Picker with nothing in flight is inconsistent.
 func (p *Picker) check(t *rapid.T) {
 	if len(p.attempts.byTicket) > 0 {
 		t.Fatalf("%d sends are left", len(p.attempts.byTicket))
@@ -229,7 +229,7 @@
 	}
 }
 
-// maxInASecond is how many of the moments, which are in order, lie in one second at the most.
+// maxInASecond returns the maximum number of the given times, which are sorted, within one second.
 func maxInASecond(sent []Time) (peak int) {
 	for i, at := range sent {
 		j := i
@@ -241,8 +241,8 @@
 	return peak
 }
 
-// TestWarmUpBound lets many proxies press upon a warming server with all they may, while each learns at its own time of proxies that come and
-// go: within any second it gets less than its bound.
+// TestWarmUpBound has many proxies send as many requests as they may to a warming server, while each learns at
+// a different time of proxies that join and leave: within any second the server gets no more than its bound.
 func TestWarmUpBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := newMemberChange(t)
@@ -273,11 +273,11 @@
 
 // memberChange is a fleet whose members change once, by at most a third; every proxy learns of it within three seconds.
 type memberChange struct {
-	rate          float64 // of the warming server, in requests a second
+	rate          float64 // of the warming server, in requests per second
 	config        *config.Config
 	before, after []string // names of the members
 	pickers       []*Picker
-	learnsAt      []Time // of each picker
+	learnsAt      []Time // by picker
 }
 
 func newMemberChange(t *rapid.T) *memberChange {
@@ -298,12 +298,12 @@
 	return run
 }
 
-// learns reports whether a picker learns of the change now.
+// learns reports whether a picker learns of the change in this step.
 func (m *memberChange) learns(i int, now Time) bool {
 	return m.learnsAt[i] <= now && m.learnsAt[i] > now-memberChangeStep
 }
 
-// state is what a picker knows, of members and of a server that warms up for a minute from the start.
+// state returns the state of a picker: the members, and a server that warms up for a minute from the start.
 func (m *memberChange) state(i int, peers []string, now Time) ClusterState {
 	return ClusterState{Config: m.config, Self: proxyName(i), Peers: peers,
 		Servers: []Server{{ID: "s", Service: "a", Zone: "z", Slots: 1000, WarmUpMax: time.Minute - now}}}
@@ -311,7 +311,7 @@
 
 func proxyName(i int) string { return fmt.Sprintf("p%02d", i) }
 
-// proxyNames are the names of proxies with numbers from from to below to.
+// proxyNames returns the names of the proxies with numbers from from up to, but not including, to.
 func proxyNames(from, to int) (names []string) {
 	for i := from; i < to; i++ {
 		names = append(names, proxyName(i))
@@ -319,7 +319,8 @@
 	return names
 }
 
-// TestRetryBudget lets proxies retry all they may: in any window, all retries stay within the ratio of the requests and the slack together.
+// TestRetryBudget has proxies retry as often as they may: in any window, all
+// retries together stay within the ratio of the requests plus the slack.
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := newRetryRun(t)
@@ -365,7 +366,7 @@
 	return run
 }
 
-// retryAll has a proxy send a request as often as it may, and gives the number of retries.
+// retryAll has a proxy send a request as often as it may, and returns the number of retries.
 func (run *retryRun) retryAll(picker *Picker, now Time) (retries int) {
 	r := &Request{Route: run.route, TimeLeft: time.Minute}
 	picker.RecordRequest(now, r)
@@ -383,7 +384,8 @@
 	}
 }
 
-// check compares the retries of each window with the requests of it, of the one before, and of the one half before.
+// check compares the retries of each window with the requests of that window,
+// of the previous one, and of the one that starts half a window earlier.
 func (run *retryRun) check(t *rapid.T) {
 	window := int(retryWindow / retryStep)
 	sum := func(counts []int, from int) (total int) {
--- a/internal/system/proxy/pick/reachable_again_test.go
+++ b/internal/system/proxy/pick/reachable_again_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestServersReachableAgain: proxies of a zone that is cut off reach neither keepers nor the servers of another zone, which turn cold
-// meanwhile. The cut ends, and servers are reached before the control plane is. Danger: the first answer ends the doubt in a server, and all
-// that waits goes there.
+// TestServersReachableAgain partitions the proxies of a zone from the control plane and from the servers of
+// another zone, which begin to warm up meanwhile. When the partition ends, the servers are reachable before the
+// control plane is. Failure: the first response ends the suspicion of a server, and all waiting requests go there.
 func TestServersReachableAgain(t *testing.T) {
 	const cut, healed, told = 5 * time.Second, 10 * time.Second, 10300 * time.Millisecond
 	fleet := newWarmUpFleet(12)
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestServersReachableAgainWithContact: a proxy in contact with the control plane knows of warming servers by it, and goes on at once.
+// TestServersReachableAgainWithContact checks that a proxy in contact with the control plane, which
+// would know of warming servers, sends to a server without pacing as soon as it is reachable again.
 func TestServersReachableAgainWithContact(t *testing.T) {
 	fleet := newWarmUpFleet(12)
 	picker := fleet.pickers[0]
--- a/internal/system/proxy/pick/rendezvous/rendezvous_test.go
+++ b/internal/system/proxy/pick/rendezvous/rendezvous_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// owner is the member with the highest weight for a key.
+// owner returns the member with the highest weight for a key.
 func owner(key uint64, members []string) (best string) {
 	var highest uint64
 	for _, member := range members {
@@ -16,7 +16,7 @@
 	return best
 }
 
-// TestLeavingMemberMovesOnlyItsKeys removes a member: keys of the others keep their owners, and the load stays even.
+// TestLeavingMemberMovesOnlyItsKeys removes a member: the other members keep their keys. It also checks that the keys are divided evenly.
 func TestLeavingMemberMovesOnlyItsKeys(t *testing.T) {
 	members := []string{"a", "b", "c", "d"}
 	counts := map[string]int{}
--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -57,7 +57,7 @@
 // The outcomes.
 const (
 	Served         AttemptOutcome = iota // a complete response
-	NotExecuted                          // the server reported that it did not run the request (X-Not-Executed): it was full, or the request waited too long in its queue
+	NotExecuted                          // X-Not-Executed: the server did not run it because it was full or the request queued too long
 	Misdirected                          // 421: the address now belongs to another server
 	ConnectFailed                        // no connection, or not a byte was sent
 	ConnectionLost                       // sent, then a reset, a close or an invalid response: may have run
--- a/internal/system/proxy/pick/retrybudget/budget_test.go
+++ b/internal/system/proxy/pick/retrybudget/budget_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestWindow counts a request for the window and at most one bucket longer.
+// TestWindow checks that a request counts for the window plus at most one bucket.
 func TestWindow(t *testing.T) {
 	const window = 10 * time.Second
 	b := New(window)
--- a/internal/system/proxy/pick/rotation/rotation_test.go
+++ b/internal/system/proxy/pick/rotation/rotation_test.go
@@ -6,7 +6,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// turns are the names of the services that are due in n turns.
+// turns returns the names of the services that are due in n turns.
 func turns(r *Rotation, n int) (names string) {
 	for range n {
 		names += r.Shares()[r.Next()].Service
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestUpdateKeepsTurns replaces a configuration: a route with the same shares continues, one with others starts anew, and one of the
-// former configuration is not kept.
+// TestUpdateKeepsTurns replaces a configuration: a route with the same shares continues, one with
+// different shares starts over, and the rotation of a route of the previous configuration is not kept.
 func TestUpdateKeepsTurns(t *testing.T) {
 	shares := []config.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
 	first, second := &config.Route{Host: "h", Shares: shares}, &config.Route{Host: "h", Shares: shares}
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -10,9 +10,9 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
-// The simulation plays a fleet of proxies and servers in virtual time: nothing in it waits, and a seed repeats it.
+// The simulation runs a fleet of proxies and servers in virtual time: it never sleeps, and the same seed gives the same run.
 
-// agenda holds what is to happen, by time and then by order of entry.
+// eventQueue holds future events, ordered by time and then by order of insertion.
 type agenda struct {
 	now   Time
 	seq   int
@@ -58,18 +58,18 @@
 	in, out     int
 	priority    int
 	deadline    Time
-	prefillLeft int // prompt tokens still to be read
+	prefillLeft int // prompt tokens that are still to be prefilled
 	total       int
-	tokensMade  int // tokens made
+	tokensMade  int // output tokens so far
 	memoryTaken int64
 	lastAt      Time
-	maxEventGap time.Duration // the longest between events
+	maxEventGap time.Duration // the longest gap between events
 	first       func(running, waiting int)
 	done        func(served bool)
 	lost        func(AttemptOutcome)
 }
 
-// engine is a model server: it reads prompts in pieces between the steps in which every running request gets a token.
+// engine is a model server: it prefills prompts in chunks between the decoding steps, in each of which every running request gets a token.
 type engine struct {
 	*agenda
 	spec             engineSpec
@@ -78,15 +78,15 @@
 	running, waiting []*job
 	stepping         bool
 	cache            map[uint64]*list.Element // of cachedPart, by chain key
-	lru              *list.List               // longest unused first
+	lru              *list.List               // least recently used first
 	used, cached     int64
-	onPrefill        func(key uint64, tokens int) // tells of shared parts that are read
+	onPrefill        func(key uint64, tokens int) // called for each shared part that is prefilled
 	prefilled        int64
 	peakWaiting      int
-	down             string // "reset", "dark" or, when it is up, nothing
+	down             string // "reset", "dark", or empty while it is up
 }
 
-// fail ends all that runs here: with resets, or in silence.
+// fail ends everything that runs here: with resets, or without any response.
 func (e *engine) fail(how string) {
 	e.down = how
 	for _, j := range append(e.running, e.waiting...) {
@@ -102,7 +102,7 @@
 }
 
 type engineSpec struct {
-	step, perSlot, rate, pairs, first float64 // ms, ms, tokens in a ms, ms for a million pairs, ms
+	step, perSlot, rate, pairs, first float64 // ms, ms, tokens per ms, ms per million pairs, ms
 	memory                            int64
 	stride                            int
 }
@@ -112,7 +112,7 @@
 	tokens int
 }
 
-// offer takes a request, or says that the server is full.
+// offer accepts a request, or returns false if the server is full.
 func (e *engine) offer(j *job) bool {
 	if len(e.waiting) >= e.queue {
 		return false
@@ -154,7 +154,7 @@
 	}
 }
 
-// useCached is how many leading tokens of a prompt are cached, and marks them as used now.
+// useCached returns how many leading tokens of a prompt are cached, and marks them as just used.
 func (e *engine) useCached(j *job) (tokens int) {
 	for i := range j.chain.Len {
 		part := e.cache[j.chain.Keys[i]]
@@ -167,7 +167,7 @@
 	return tokens
 }
 
-// evict drops cached parts, the least recently used first, until need fits.
+// evict removes cached parts, the least recently used first, until need fits.
 func (e *engine) evict(need int64) {
 	for e.used+e.cached+need > e.spec.memory && e.lru.Len() > 0 {
 		old := e.lru.Remove(e.lru.Front()).(cachedPart)
@@ -176,7 +176,7 @@
 	}
 }
 
-// reportPrefill reports the shared parts of a prompt that are prefilled, behind the cached tokens.
+// reportPrefill reports the shared parts of a prompt that are prefilled after the cached tokens.
 func (e *engine) reportPrefill(j *job, cached int) {
 	sum := 0
 	for i := range j.chain.Len {
@@ -252,7 +252,7 @@
 	e.step()
 }
 
-// cachePrompt puts a prompt's parts into the cache.
+// cachePrompt adds a prompt's parts to the cache.
 func (e *engine) cachePrompt(j *job) {
 	sum := 0
 	for i := range j.chain.Len {
@@ -269,7 +269,7 @@
 	}
 }
 
-// plain is a server without a model: each request takes a slot for a time.
+// plainServer is a server without a model: each request occupies a slot for some time.
 type plain struct {
 	*agenda
 	slots, queue int
@@ -301,7 +301,7 @@
 	return true
 }
 
-// drawn is a lognormal value of a mean and a spread, at most limit.
+// lognormal draws a lognormal value with a mean and a spread, at most limit.
 func drawn(rng *rand.Rand, mean, spread, limit float64) float64 {
 	return min(mean*math.Exp(spread*rng.NormFloat64()-spread*spread/2), limit)
 }
--- a/internal/system/proxy/pick/sim_parts_test.go
+++ b/internal/system/proxy/pick/sim_parts_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// scenario is a deployment and what comes to it.
+// scenario is a simulated deployment and its traffic.
 type scenario struct {
 	name             string
 	zones            []string          // of proxies and clients
@@ -20,25 +20,25 @@
 	spec             engineSpec
 	slots, queue     int
 	crossRegion      time.Duration
-	shareInterval    time.Duration // how often loads are told
+	shareInterval    time.Duration // how often the proxies share loads
 	length           time.Duration
 	evacuated        string
 	evacuateAt       Time
 	seed             uint64
 	down             string // "reset" or "dark": what happens to a sixth of the model servers
 	downAt, downTo   Time
-	fixedPoolShare   float64 // the share of the lanes; 0: by the work
+	fixedPoolShare   float64 // fixed share of the prompt pools; 0: learned
 	prices           prices
-	idleTimeout      time.Duration // how long connections to servers are kept without use
+	idleTimeout      time.Duration // how long the servers keep idle connections
 }
 
-// prices are what is taken off the worth, as the site pages have it.
+// prices are the costs that are subtracted from the value of the requests, as on the site pages.
 type prices struct{ regionGB, zoneGB, readThousand, dial float64 }
 
 // kind is one kind of request.
 type kind struct {
 	name                          string
-	part                          float64 // of the traffic
+	part                          float64 // share of the traffic
 	latencyTarget, eventGapTarget time.Duration
 	deadline                      time.Duration
 	value, lateValue              float64
@@ -47,7 +47,7 @@
 	chain                         []shareSpec
 	own                           [3]float64 // mean, spread, limit
 	out                           [3]float64 // events
-	bytesEach, bytes              float64    // for a token in, for an event out
+	bytesEach, bytes              float64    // per prompt token, per output event
 	resumable                     bool
 	plain                         bool
 	burstAt, burstTo              Time
@@ -60,7 +60,7 @@
 	skew                float64
 }
 
-// tally is what a kind came to.
+// requestStats counts the outcomes of the requests of one kind.
 type tally struct {
 	asked, inTime, late, lost, refused int
 	value, owed                        float64
@@ -68,7 +68,7 @@
 	latencies                          []float64
 }
 
-// zipf gives the summed weights of n things, of which the i-th is asked for in proportion to (i+1)^-skew.
+// zipfSums returns the cumulative weights of n items, where item i has a weight proportional to (i+1)^-skew.
 func zipf(n int, skew float64) []float64 {
 	sums, total := make([]float64, n), 0.0
 	for i := range sums {
@@ -78,13 +78,13 @@
 	return sums
 }
 
-// oneOf draws one of the things by their summed weights.
+// sampleIndex draws an index according to cumulative weights.
 func oneOf(rng *rand.Rand, sums []float64) int {
 	i, _ := slices.BinarySearch(sums, rng.Float64()*sums[len(sums)-1])
 	return min(i, len(sums)-1)
 }
 
-// report is the outcome in a few lines; score is the worth less the prices, against what is owed.
+// report returns a summary of the outcome, and the score: the value minus the prices, relative to the maximum value.
 func (f *simulation) report() (text string, score float64) {
 	var b strings.Builder
 	worth, owed := 0.0, 0.0
--- a/internal/system/proxy/pick/sim_test.go
+++ b/internal/system/proxy/pick/sim_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick/prefixcache"
 )
 
-// simulation is a deployment at play.
+// simulation is a simulated deployment.
 type simulation struct {
 	agenda
 	scenario
@@ -31,11 +31,11 @@
 	rereads     int
 	price       float64
 	dials       int
-	idle        map[[2]string][]Time // when each idle connection of a proxy to a server was last used
+	idle        map[[2]string][]Time // by proxy and server: when each idle connection was last used
 	ownID       uint64
 	unexecuted  int
-	onPick      func(picker int, r *Request, tried int, offered bool, c Result) // told of every choice; nil: nobody
-	onShare     func(picker int, loads map[string]Load)                         // told of what a picker shares; nil: nobody
+	onPick      func(picker int, r *Request, tried int, offered bool, c Result) // called for every pick if set
+	onShare     func(picker int, loads map[string]Load)                         // called for every share of loads if set
 	windows     [12]struct{ worth, owed float64 }                               // of 3 s each
 }
 
@@ -190,7 +190,7 @@
 	})
 }
 
-// ask plays one client's request, with one retry.
+// newRequest draws a client's request, which may be retried once, and sends it.
 func (f *simulation) ask(rng *rand.Rand, zone string, requests *kind) {
 	request := &Request{}
 	for _, route := range f.cfg.Routes {
@@ -201,7 +201,7 @@
 	own := int(drawn(rng, requests.own[0], requests.own[1], requests.own[2]))
 	if n := len(requests.chain); n > 0 {
 		thing := oneOf(rng, f.weights[requests.chain[n-1]])
-		for i, sh := range requests.chain { // each thing belongs to one of the level before
+		for i, sh := range requests.chain { // each item belongs to one item of the previous level
 			request.Prefix = append(request.Prefix, f.sharedParts[requests.name][i][thing%sh.things])
 		}
 	}
@@ -219,16 +219,16 @@
 	f.try(clientCall{zone: zone, kind: requests, request: request, since: f.now, retries: 1})
 }
 
-// clientCall is one client's request with what the client does about it.
+// clientCall is one client's request with the client's retry state.
 type clientCall struct {
 	zone    string
 	kind    *kind
 	request *Request
-	since   Time // when the client first asked
-	retries int  // that the client has left
+	since   Time // when the client first sent it
+	retries int  // remaining retries of the client
 }
 
-// try has the client ask one of its zone's proxies.
+// sendToProxy sends a client's request to one of the proxies in its zone.
 func (f *simulation) try(call clientCall) {
 	var near []int
 	for i, zone := range f.proxyZones {
@@ -246,7 +246,7 @@
 	})
 }
 
-// connect takes an idle connection, or counts a new one.
+// connect uses an idle connection, or counts a new one.
 func (f *simulation) connect(connection [2]string) {
 	idle := f.idle[connection]
 	if n := len(idle); n > 0 && f.now-idle[n-1] <= f.idleTimeout {
@@ -257,15 +257,15 @@
 	f.dials++
 }
 
-// serverTimeout is how long a proxy waits for a server that says nothing.
+// serverTimeout is how long a proxy waits for a server that does not respond.
 const serverTimeout = 1200 * time.Millisecond
 
-// serverCall is one attempt of a proxy to have a request answered.
+// serverCall is one attempt of a proxy to serve a request.
 type serverCall struct {
 	clientCall
 	proxy   int
-	tried   []string // servers of the attempts before
-	offered bool     // one of these may have run
+	tried   []string // servers of the previous attempts
+	offered bool     // one of these attempts may have run
 
 	result     Result
 	oneWay     time.Duration // to the server
@@ -273,7 +273,7 @@
 	first      time.Duration // from the client's request to the first event
 }
 
-// attempt has a proxy pick a server and ask it.
+// attempt has a proxy pick a server and send the request to it.
 func (f *simulation) attempt(call serverCall) {
 	call.request.TimeLeft = call.kind.deadline - (f.now - call.since)
 	call.result = f.pickers[call.proxy].Pick(f.now, call.request, call.tried, call.offered)
@@ -296,7 +296,7 @@
 	})
 }
 
-// refuse has the client come back later, as often as it does.
+// retryLater has the client retry after the Retry-After, if it has retries left.
 func (f *simulation) refuse(call serverCall) {
 	if call.retries == 0 || call.offered {
 		f.tallies[call.kind.name].refused++
@@ -307,7 +307,7 @@
 	f.after(call.result.RetryAfter, func() { f.try(again) })
 }
 
-// crossNetwork is how long a request takes to its server, and counts what the way costs.
+// networkDelay returns how long a request takes to its server, and adds the network's price.
 func (f *simulation) crossNetwork(call *serverCall) time.Duration {
 	k, r, t := call.kind, call.request, f.tallies[call.kind.name]
 	bytes := float64(r.TokensIn)*k.bytesEach + float64(r.MaxTokensOut)/float64(f.spec.stride)*k.bytes + 300
@@ -327,7 +327,7 @@
 	return 100 * time.Microsecond
 }
 
-// account counts how a client's request ended.
+// recordOutcome counts how a client's request ended.
 func (f *simulation) account(call *serverCall, first, eventGap time.Duration, served bool) {
 	k, t := call.kind, f.tallies[call.kind.name]
 	window := &f.windows[min(int(call.since/(3*time.Second)), len(f.windows)-1)]
@@ -350,12 +350,12 @@
 	f.pickers[call.proxy].Done(f.now, call.result.Ticket, outcome, 0)
 }
 
-// retry has the proxy go on to another server.
+// retry has the proxy try another server.
 func (f *simulation) retry(call *serverCall, offered bool) {
 	f.attempt(serverCall{clientCall: call.clientCall, proxy: call.proxy, tried: append(call.tried, call.result.Server.ID), offered: offered})
 }
 
-// rejectFull has a server say that it is full.
+// rejectFull has a server reject a request because it is full.
 func (f *simulation) rejectFull(call *serverCall) {
 	f.unexecuted++
 	f.after(call.oneWay, func() {
@@ -364,7 +364,7 @@
 	})
 }
 
-// callPlain has a server without a model answer.
+// callPlain has a server without a model serve a request.
 func (f *simulation) callPlain(call *serverCall) {
 	work := durationMS(drawn(f.rng, 60, 0.5, 450))
 	accepted := f.plains[call.result.Server.ID].offer(work, func(running, waiting int) {
@@ -379,7 +379,7 @@
 	}
 }
 
-// callEngine has a model server answer, or fail.
+// callEngine has a model server serve a request, or fail.
 func (f *simulation) callEngine(call *serverCall) {
 	server := f.engines[call.result.Server.ID]
 	request := f.newJob(call)
@@ -399,7 +399,7 @@
 	}
 }
 
-// newJob is a call as a model server sees it.
+// newJob returns a call as the model server sees it.
 func (f *simulation) newJob(call *serverCall) *job {
 	r := call.request
 	request := &job{chain: prefixcache.NewChain(r.Prefix), in: r.TokensIn, out: r.MaxTokensOut, priority: call.result.Priority, deadline: call.since + call.kind.deadline}
@@ -428,7 +428,7 @@
 	return request
 }
 
-// firstEvent has the proxy learn of an answer's first event.
+// firstEvent has the proxy process the first event of a response.
 func (f *simulation) firstEvent(call *serverCall, running, waiting int) {
 	call.first = f.now - call.since + time.Millisecond
 	t, p := f.tallies[call.kind.name], f.pickers[call.proxy]
--- a/internal/system/proxy/pick/stall_test.go
+++ b/internal/system/proxy/pick/stall_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stalledPicker is one of twelve proxies that knows a warm server and has just stood still.
+// stalledPicker returns a picker, one of twelve, that knows a warm server and whose process was paused until the time at.
 func stalledPicker(at Time) (*Picker, *warmUpFleet) {
 	fleet := newWarmUpFleet(12)
 	picker := fleet.pickers[0]
@@ -14,8 +14,8 @@
 	return picker, fleet
 }
 
-// TestStalledAwaitsLaterContact: what the control plane published before the end of the stall says nothing of servers that began to warm
-// up in it.
+// TestStalledAwaitsLaterContact checks that a state that the control plane published before the end
+// of a stall does not end the pacing: it cannot show servers that began to warm up during the stall.
 func TestStalledAwaitsLaterContact(t *testing.T) {
 	const woke = 10 * time.Second
 	picker, fleet := stalledPicker(woke)
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestStalledLearnsOfWarmUp: the update says that the server began to warm up during the stall.
+// TestStalledLearnsOfWarmUp applies an update that shows that the server began to warm up during the stall.
 func TestStalledLearnsOfWarmUp(t *testing.T) {
 	const woke = 10 * time.Second
 	picker, fleet := stalledPicker(woke)
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestStalledSenderStops: in a large fleet others have taken the place of a sender whose process was paused.
+// TestStalledSenderStops checks that in a large fleet a sender whose process was paused stops sending, because others have replaced it.
 func TestStalledSenderStops(t *testing.T) {
 	const woke = 10 * time.Second
 	fleet := newWarmUpFleet(60)
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestDelayedClusterStateCountsDown: durations are counted from when they were published.
+// TestDelayedClusterStateCountsDown checks that durations are counted from when the state was published.
 func TestDelayedClusterStateCountsDown(t *testing.T) {
 	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
 	state := fleet.state(0, 1, 2*time.Second)
--- a/internal/system/proxy/pick/tenant_test.go
+++ b/internal/system/proxy/pick/tenant_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/invariant/invarianttest"
 )
 
-// newTenantPicker makes a Picker in region r1 with one server in each of r1, r2 and r3.
+// newTenantPicker creates a Picker in region r1 with one server in each of r1, r2 and r3.
 func newTenantPicker(knobs TestingKnobs) (*Picker, *config.Route) {
 	regions := map[string]string{"z1": "r1", "z2": "r2", "z3": "r3"}
 	route := &config.Route{Name: "r", Host: "h", Prefix: "/", Timeout: 8 * time.Second, LatencyTarget: time.Second, Priority: 4, MaxAttempts: 2,
@@ -23,12 +23,12 @@
 	return picker, route
 }
 
-// TestHomesOfTenantAndRouteBind compares the regions of the servers that are chosen with the homes of the tenant, of the route and of both.
+// TestHomesOfTenantAndRouteBind checks the zone of the chosen server for home regions of the tenant, of the route and of both.
 func TestHomesOfTenantAndRouteBind(t *testing.T) {
 	for _, test := range []struct {
 		name                    string
 		routeHomes, tenantHomes []string
-		want                    string // the zone; empty: refused
+		want                    string // the zone; empty: rejected
 	}{
 		{"neither", nil, nil, "z1"},
 		{"the route", []string{"r2"}, nil, "z2"},
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestHomesOfTenantControl: without the tenant's homes a request leaves them, and the invariant sees it.
+// TestHomesOfTenantControl checks that a request that ignores its tenant's home regions violates the invariant.
 func TestHomesOfTenantControl(t *testing.T) {
 	picker, route := newTenantPicker(TestingKnobs{IgnoreTenantHomes: true})
 	request := &Request{Route: route, TimeLeft: time.Second, Tenant: &config.Tenant{Name: "acme", HomeRegions: []string{"r3"}}}
@@ -64,7 +64,7 @@
 	})
 }
 
-// TestPriorityOfTenantGoesFirst compares priorities: the tenant's, where it has one, goes before the route's, also where it is lower.
+// TestPriorityOfTenantGoesFirst checks that the tenant's priority, if it has one, overrides the route's, even if it is lower.
 func TestPriorityOfTenantGoesFirst(t *testing.T) {
 	for _, test := range []struct {
 		tenant *config.Tenant
--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -9,19 +9,19 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// warmUpDuration is how long the servers of a cold group are cold, from the start.
+// warmUpDuration is how long the servers of a group warm up, from the start.
 const warmUpDuration = 3 * time.Second
 
-// waitingFleet is some proxies before a group whose servers are all cold, and requests that wait for these.
+// waitingFleet is a fleet of proxies with a group whose servers are all warming up, and requests that wait for them.
 type waitingFleet struct {
 	rng         *rand.Rand
-	earlyBy     time.Duration // by how much the proxies' word of the cold state ends before that state
+	earlyBy     time.Duration // by how much the announced end of the warm-up is too early
 	config      *config.Config
 	peers       []string
 	pickers     []*Picker
-	nextUpdates []Time                        // when each picker is told next
-	waiting     map[*Picker][]*waitingRequest // requests, the oldest first
-	sent        map[string][]Time             // by server, while it was truly cold
+	nextUpdates []Time                        // when each picker gets its next update
+	waiting     map[*Picker][]*waitingRequest // oldest first
+	sent        map[string][]Time             // by server, during its actual warm-up
 }
 
 // waitingRequest is a request that has no server yet.
@@ -42,7 +42,7 @@
 	return g
 }
 
-// updateStates gives the pickers whose time has come the list anew, and again in 0.5 to 1 s.
+// updateStates updates the pickers that are due with the list, and schedules their next update in 0.5 to 1 s.
 func (g *waitingFleet) updateStates(now Time) {
 	for i, p := range g.pickers {
 		if now < g.nextUpdates[i] {
@@ -57,7 +57,7 @@
 	}
 }
 
-// serve has a picker send what waits there.
+// serve has a picker send its waiting requests.
 func (g *waitingFleet) serve(now Time, picker *Picker) {
 	var left []*waitingRequest
 	for _, w := range g.waiting[picker] {
@@ -78,7 +78,7 @@
 	g.waiting[picker] = left
 }
 
-// play lets 260 requests a second come until the servers are warm, and gives the most that a cold one got within a second.
+// play sends 260 requests per second until the servers are warm, and returns the maximum that a warming server got within a second.
 func (g *waitingFleet) play() (peak int) {
 	const step = 5 * time.Millisecond
 	came := 0
@@ -98,11 +98,11 @@
 	return peak
 }
 
-// maxWarmUpRequests is what a server of the group may get within a second while it is cold.
+// maxWarmUpRequests is how many requests a server of the group may get within a second while it warms up.
 const maxWarmUpRequests = 31*1.5 + 5
 
-// TestNoFloodAtTheEndOfWarmUp: while many more requests wait than warming servers may get, none gets more than its bound up to the
-// moment in which it is warm, where the proxies know that moment.
+// TestNoFloodAtTheEndOfWarmUp: many more requests wait than warming servers may get. No server gets
+// more than its bound until the moment at which it is warm, provided that the proxies know that moment.
 func TestNoFloodAtTheEndOfWarmUp(t *testing.T) {
 	g := newWaitingFleet(0)
 	peak := g.play()
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestEarlyEndFloodsTheWarmingServer is the control, of issue 36: where the word of the cold state ends 80 ms before that
-// state, all that waits goes out at once. This package can't know better, so it is not to be mended here: those who pass
-// the word on must let it err late (distribution's TestColdNeverEndsEarly).
+// TestEarlyEndFloodsTheWarmingServer is the control, for issue 36: if the announced end of the warm-up is 80 ms
+// too early, all waiting requests go out at once. This package cannot know better, so it cannot prevent this:
+// whoever passes the announcement on must make sure that it errs late (distribution's TestColdNeverEndsEarly).
 func TestEarlyEndFloodsTheWarmingServer(t *testing.T) {
 	peak := newWaitingFleet(80 * time.Millisecond).play()
 	t.Logf("at most %d requests in a second", peak)
--- a/internal/system/proxy/pick/warmup_listing_test.go
+++ b/internal/system/proxy/pick/warmup_listing_test.go
@@ -8,22 +8,23 @@
 	"pgregory.net/rapid"
 )
 
-// TestWarmUpBoundAroundListing: members come and go, and each proxy hears of it, and of servers that start or turn cold again, up to 1.6 s
-// later, in order; a proxy that has gone for the others hears of that likewise. Within any second no server gets more than its bound.
+// TestWarmUpBoundAroundListing has proxies join and leave, and servers start or warm up again. Each proxy learns of that up to 1.6 s
+// later, in order, as does a proxy that the others consider gone. Within any second no server may get more requests than its bound.
 func TestWarmUpBoundAroundListing(t *testing.T) {
 	peak := 0
 	rapid.Check(t, func(t *rapid.T) { peak = max(peak, aroundListing(t, 3, 1)) })
 	t.Logf("at most %d", peak)
 }
 
-// TestWarmUpBoundWhileAFleetGrows: as before, with as many that join as there are, or more.
+// TestWarmUpBoundWhileAFleetGrows is the same with as many proxies joining as there are, or more.
 func TestWarmUpBoundWhileAFleetGrows(t *testing.T) {
 	peak := 0
 	rapid.Check(t, func(t *rapid.T) { peak = max(peak, aroundListing(t, 1, 2)) })
 	t.Logf("at most %d", peak)
 }
 
-// aroundListing plays one such run, in which up to growth times a part of the proxies join, and gives the most.
+// aroundListing runs one such history and returns the highest number of requests
+// in a second. Up to growth/part times the initial number of proxies may join.
 func aroundListing(t *rapid.T, part, growth int) (peak int) {
 	run := newListingRun(t, part, growth)
 	run.drawHistory(t, part)
@@ -36,24 +37,24 @@
 	return peak
 }
 
-// listingRun is a fleet whose members come and go, and a server that starts and warms up again.
+// listingRun is a fleet whose members change, and a server that starts and warms up again.
 type listingRun struct {
 	fleet    *warmUpFleet
-	first    int  // proxies at the start
+	first    int  // initial number of proxies
 	maxLagMS int  // until a proxy learns of a change
-	loadFrom Time // when requests begin to come
+	loadFrom Time // when requests begin to arrive
 	live     map[int]bool
-	began    map[int]Time // when proxies joined that were not there at the start
+	began    map[int]Time // when proxies joined that were not there initially
 	history  []listingState
-	learnsAt [][]Time // of each proxy for each state of the history
+	learnsAt [][]Time // by proxy and by state of the history
 	known    []int    // index of the state that each proxy knows; -1: none
 }
 
-// listingState is what is true from a time on.
+// listingState is the actual state from a time on.
 type listingState struct {
 	at        Time
 	peers     []string
-	lost      int  // proxies that have gone, and may live on
+	lost      int  // number of proxies that were given up but may still be running
 	warmUntil Time // the server warms up until then; 0: it is not listed
 }
 
@@ -72,7 +73,7 @@
 	return run
 }
 
-// drawHistory draws changes: proxies join, proxies go, or the server begins to warm up.
+// drawHistory draws changes: proxies join, proxies leave, or the server begins to warm up.
 func (run *listingRun) drawHistory(t *rapid.T, part int) {
 	run.record(0, 0)
 	changes := rapid.IntRange(1, 8).Draw(t, "changes")
@@ -118,7 +119,7 @@
 	}
 }
 
-// record appends what is true now to the history.
+// record appends the current state to the history.
 func (run *listingRun) record(now, warmUntil Time) {
 	state := listingState{at: now, warmUntil: warmUntil}
 	for i, name := range run.fleet.names {
@@ -133,7 +134,7 @@
 	run.history = append(run.history, state)
 }
 
-// drawLearning draws when each proxy learns of each state, in order. One that joins knows of that at once.
+// drawLearning draws when each proxy learns of each state, in order. A proxy that joins knows the state of that moment immediately.
 func (run *listingRun) drawLearning(t *rapid.T) {
 	for i := range run.fleet.pickers {
 		var learnsAt []Time
@@ -150,7 +151,7 @@
 	}
 }
 
-// play gives the times of requests that went to the server while it truly warmed up, from proxies that could know.
+// play returns the times of the requests that were sent to the server during its actual warm-up by proxies that could know of it.
 func (run *listingRun) play() (sent []Time) {
 	const step, end = 20 * time.Millisecond, 14 * time.Second
 	for now := Time(0); now < end; now += step {
@@ -169,7 +170,7 @@
 			if result.Decision != Send {
 				continue
 			}
-			if warmingUp && p.servers["s0"].warmingUp(now) { // sends of proxies that can't know yet are another matter
+			if warmingUp && p.servers["s0"].warmingUp(now) { // proxies that cannot know yet are not counted
 				sent = append(sent, now)
 			}
 			p.Done(now, result.Ticket, Served, 0)
@@ -178,14 +179,14 @@
 	return sent
 }
 
-// warmingUp reports whether the server truly warms up.
+// warmingUp reports whether the server is actually warming up.
 func (run *listingRun) warmingUp(now Time) bool {
 	return slices.ContainsFunc(run.history, func(state listingState) bool {
 		return state.warmUntil > 0 && now >= state.warmUntil-warmUpDuration && now < state.warmUntil
 	})
 }
 
-// update has a proxy learn of what it learns by now.
+// update gives a proxy the newest state that it learns by now.
 func (run *listingRun) update(now Time, i int) {
 	if began, late := run.began[i]; i >= run.first && (!late || now < began) {
 		return
@@ -201,7 +202,7 @@
 	run.fleet.pickers[i].UpdateClusterState(now, run.stateOf(now, i, &run.history[newest]))
 }
 
-// stateOf is a state of the history as a proxy gets it. One that has gone for the others goes on until it has learned of that.
+// stateOf returns a state of the history as a proxy sees it. A proxy that the others consider gone continues until it learns of that.
 func (run *listingRun) stateOf(now Time, i int, known *listingState) ClusterState {
 	state := ClusterState{Config: run.fleet.config, Self: run.fleet.names[i], Peers: known.peers, DownCount: known.lost}
 	if !slices.Contains(state.Peers, state.Self) {
--- a/internal/system/proxy/pick/warmup_partition_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestReturningSendersWait: senders of a warming server were given up, stopped as they were stale, and are in contact with the control plane again.
-// Those in their places go on until they have heard of it.
+// TestReturningSendersWait: senders of a warming server were given up, stopped when they became stale,
+// and are in contact with the control plane again. Their successors continue until they learn of that.
 func TestReturningSendersWait(t *testing.T) {
 	for _, count := range []int{6, 9, 17} {
 		for _, hear := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
@@ -24,12 +24,12 @@
 	}
 }
 
-// returnRun is a fleet some of whose senders are given up, and come back.
+// returnRun is a fleet in which some senders are given up and return.
 type returnRun struct {
 	fleet *warmUpFleet
 	lost  map[int]bool  // senders that are given up
-	left  []string      // the other proxies
-	hear  time.Duration // from when the lost ones are in contact again until the others learn of it
+	left  []string      // all other proxies
+	hear  time.Duration // from renewed contact of the lost senders until the others learn of it
 }
 
 const returnGivenUp, returnStale, returnBack = 2 * time.Second, 3600 * time.Millisecond, 8 * time.Second
@@ -40,7 +40,7 @@
 	return run
 }
 
-// play runs the load from the start, or, with idle, from when the lost ones come back.
+// play sends requests from the start or, with idle, only from when the lost senders return.
 func (run *returnRun) play(idle bool) {
 	loadFrom := Time(0)
 	if idle {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestPartitionedFleetKeepsTheRate: the keepers' net is cut for over 30 s. On both sides proxies hear of the list, as either side reads
-// it, and reach the servers; then one starts cold.
+// TestPartitionedFleetKeepsTheRate: the control plane's network is partitioned for over 30 s. The proxies on
+// both sides get the list as read on their side, and reach the servers; then a server starts and warms up.
 func TestPartitionedFleetKeepsTheRate(t *testing.T) {
 	for _, minority := range []int{1, 3, 6, 8, 9, 11} {
 		t.Run(fmt.Sprint(minority), func(t *testing.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestUnseenWarmUpIsNoViolation: a server turns cold anew 200 ms before the first request goes to it as to a warm one, which no reading
-// can show by then (PROTOCOL: it may become cold again at any moment). The state before had ended 1.8 s earlier.
+// TestUnseenWarmUpIsNoViolation: a server begins to warm up again 200 ms before the first request goes to it as a warm one, which no
+// reading of the list can show by then (PROTOCOL: it may become cold again at any moment). The previous warm-up had ended 1.8 s earlier.
 func TestUnseenWarmUpIsNoViolation(t *testing.T) {
 	const again, request, told = 4800 * time.Millisecond, 5 * time.Second, 5600 * time.Millisecond
 	fleet := newWarmUpFleet(1)
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestRateChangedForAMomentIsNoViolation: the configuration names a higher cold_per_s for a moment and is put back, while requests went
-// elsewhere; what was saved up under it is no more than one request.
+// TestRateChangedForAMomentIsNoViolation: the configuration has a higher cold_per_s for a moment and is
+// then reverted, while requests go to other servers. At most one request is saved up at the higher rate.
 func TestRateChangedForAMomentIsNoViolation(t *testing.T) {
 	fleet := newWarmUpFleet(1)
 	p := fleet.pickers[0]
@@ -128,10 +128,10 @@
 		p.UpdateClusterState(now, w)
 	}
 	tell(0, 3.1)
-	fleet.sendAll(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last goes at 2.9 s
+	fleet.sendAll(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last one is sent at 2.9 s
 	n := fleet.sent[len(fleet.sent)-1]
 	tell(n+10*time.Millisecond, 310)
-	p.eligibility(&pickInput{now: n + 20*time.Millisecond}, p.servers["s0"]) // it is looked at, and the request goes to another
+	p.eligibility(&pickInput{now: n + 20*time.Millisecond}, p.servers["s0"]) // the server is considered, and the request goes to another one
 	tell(n+30*time.Millisecond, 3.1)
 	fleet.sendAll(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
 	if warmUpRateInvariant.Violations() != before {
@@ -139,7 +139,7 @@
 	}
 }
 
-// TestCompleteMembershipWaits: proxies that knew a server while partial learn their peers at different times.
+// TestCompleteMembershipWaits: proxies that knew a server while their membership was incomplete learn their peers at different times.
 func TestCompleteMembershipWaits(t *testing.T) {
 	for _, hear := range []time.Duration{300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
 		for _, back := range []int{6, 9, 17} {
@@ -148,7 +148,8 @@
 	}
 }
 
-// testCompleteMembershipWaits has back senders start anew at 0 without the control plane, and reach it at ends; the others learn of it later.
+// testCompleteMembershipWaits restarts as many senders as back at 0 without the
+// control plane, and reconnects them at ends; the others learn of it later.
 func testCompleteMembershipWaits(t *testing.T, hear time.Duration, back int) {
 	const ends = 4 * time.Second
 	fleet := newWarmUpFleet(60)
@@ -174,8 +175,8 @@
 	fleet.checkBound(t)
 }
 
-// TestStaleMinorityOfSeventeenSends: a fleet of more than 17 is split for some seconds, until either side has marked the other down. The
-// smaller one is stale, and hears of a new server from its own keeper.
+// TestStaleMinorityOfSeventeenSends: a fleet of more than 17 is partitioned for a few seconds, until each side has
+// marked the other one down. The smaller side is stale, and learns of a new server from its own control-plane node.
 func TestStaleMinorityOfSeventeenSends(t *testing.T) {
 	for _, c := range []struct{ all, minority int }{{93, 15}, {93, 17}, {93, 20}, {30, 14}, {24, 8}, {20, 5}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// warmUpFleet is proxies that press upon servers with all they may. Its servers are of one service, named s0, s1, ...
+// warmUpFleet is a fleet of proxies that send as many requests as they may. Its servers are of one service, named s0, s1, ...
 type warmUpFleet struct {
 	config  *config.Config
 	names   []string
@@ -27,7 +27,7 @@
 	return f
 }
 
-// state is what proxy i knows of servers that stay cold for that long.
+// state returns the state of proxy i: servers that warm up for the given remaining time.
 func (f *warmUpFleet) state(i int, servers int, cold time.Duration) ClusterState {
 	w := ClusterState{Config: f.config, Self: f.names[i], Peers: f.names}
 	for s := range servers {
@@ -36,7 +36,7 @@
 	return w
 }
 
-// sendAll has every proxy ask for a server again and again, and calls each before every step.
+// sendAll has every proxy pick a server in every step, and calls each before every step.
 func (f *warmUpFleet) sendAll(from, to, step time.Duration, each func(now Time)) {
 	for now := from; now < to; now += step {
 		if each != nil {
@@ -55,7 +55,8 @@
 	}
 }
 
-// splitSenders has all proxies know a warming server, and names some of its senders, by number, and all the others.
+// splitSenders gives all proxies a warming server, and returns the indexes
+// of up to count of its senders, and the names of all other proxies.
 func (f *warmUpFleet) splitSenders(count int) (lost map[int]bool, left []string) {
 	lost = map[int]bool{}
 	for i, p := range f.pickers {
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the control plane, but not the server. Danger: the
-// others' parts grow at once though the 9 go on.
+// TestQuietTimeKeepsQuotasSmall: nothing changes for 31 s, then 9 of 12 proxies lose the control plane,
+// but not the server. Failure: the quotas of the others grow immediately although the 9 continue.
 func TestQuietTimeKeepsQuotasSmall(t *testing.T) {
 	f := newWarmUpFleet(12)
 	for i, p := range f.pickers {
@@ -92,8 +93,8 @@
 	f.checkBound(t)
 }
 
-// TestIncompleteMembershipSendsNothing: all processes start anew, and each half of them knows only itself as the keepers' tables are not
-// whole yet. Danger: either half takes the whole pace, and each proxy a part of the repeats that is too large.
+// TestIncompleteMembershipSendsNothing: all processes restart, and each half of them knows only itself because the control
+// plane's tables are not complete yet. Failure: each half uses the whole rate, and each proxy too large a share of the retries.
 func TestIncompleteMembershipSendsNothing(t *testing.T) {
 	fleet := newWarmUpFleet(12)
 	for i, p := range fleet.pickers {
@@ -118,8 +119,8 @@
 	}
 }
 
-// TestReplacedSendersStop: of 60 proxies some senders of a warming server are given up by the others, which take their places, while
-// they live on. They stop once they are stale.
+// TestReplacedSendersStop: of 60 proxies, some senders of a warming server are given
+// up and replaced by the others, but continue to run. They stop once they are stale.
 func TestReplacedSendersStop(t *testing.T) {
 	const givenUp, stale = 2 * time.Second, 1600 * time.Millisecond
 	for _, count := range []int{3, 4, 6, 9, 17} {
@@ -144,8 +145,8 @@
 	}
 }
 
-// TestNewServerHasSendersAtOnce: where the proxies have long known each other, a server that starts cold gets its pace from the
-// beginning; a proxy that has just come waits.
+// TestNewServerHasSendersAtOnce: if the proxies have known each other for long, a new
+// server gets its full warm-up rate from the start; a proxy that has just joined waits.
 func TestNewServerHasSendersAtOnce(t *testing.T) {
 	fleet := newWarmUpFleet(12)
 	for i, p := range fleet.pickers {
--- a/internal/system/proxy/pick/warmup_senders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -8,8 +8,8 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestLateConnectionsKeepTheRate: a request to a warming server is chosen, and sent up to warmUpSendTimeout later, as its connection takes that
-// long. What was chosen in that time and a second is then sent within one.
+// TestLateConnectionsKeepTheRate: requests to a warming server are sent up to warmUpSendTimeout after they were chosen, because
+// their connections take that long. So the requests that are chosen within that time plus a second may be sent within one second.
 func TestLateConnectionsKeepTheRate(t *testing.T) {
 	const dial = warmUpSendTimeout
 	for _, rate := range []float64{31, 45, 300} {
@@ -37,8 +37,9 @@
 	}
 }
 
-// TestServiceConfiguredAgainDelaysSuccessors: of 60 proxies the 17 senders of a warming server are given up by the others, while the configuration does not
-// name its service for 2.1 s; those cut off have not heard of that. It is named again before they have stopped.
+// TestServiceConfiguredAgainDelaysSuccessors: of 60 proxies, the 17 senders of a warming server are
+// given up by the others while the configuration lacks its service for 2.1 s, which the senders,
+// being partitioned, do not learn. The service is configured again before they have stopped.
 func TestServiceConfiguredAgainDelaysSuccessors(t *testing.T) {
 	const without, givenUp, again, stale = time.Second, 3 * time.Second, 3100 * time.Millisecond, 4500 * time.Millisecond
 	fleet := newWarmUpFleet(60)
@@ -65,7 +66,8 @@
 	fleet.checkBound(t)
 }
 
-// TestBoundAppliesToAWarmingServer: servers are cold while the configuration names no bound for them, and then does. What goes from then on keeps the bound.
+// TestBoundAppliesToAWarmingServer: servers warm up while the configuration
+// has no bound for them, and then it gets one. From then on the bound is kept.
 func TestBoundAppliesToAWarmingServer(t *testing.T) {
 	for _, proxies := range []int{12, 17, 18, 60} {
 		t.Run(fmt.Sprint(proxies), func(t *testing.T) {
@@ -89,8 +91,8 @@
 	}
 }
 
-// TestHalfRestartedFleetKeepsTheRate: the machines are cut into two halves, and all processes of the larger one start anew, control plane included, which then knows the
-// proxies of that half alone. Those in the smaller one are stale and go on.
+// TestHalfRestartedFleetKeepsTheRate: the machines are partitioned into two halves, and all processes of the larger one restart,
+// including the control plane, which then knows only the proxies of that half. The proxies in the smaller half are stale and continue.
 func TestHalfRestartedFleetKeepsTheRate(t *testing.T) {
 	for _, smaller := range []int{1, 2, 3, 4, 5, 6} {
 		t.Run(fmt.Sprint(smaller), func(t *testing.T) {
