--- a/internal/system/proxy/pick/days_test.go
+++ b/internal/system/proxy/pick/days_test.go
@@ -158,14 +158,14 @@
 		for k, floor := range []float64{floors[i].long, floors[i].short, 0.99} {
 			a := simulated.tallies[deployment.kinds[k].name]
 			if share := float64(a.inTime) / float64(a.asked); share < floor {
-				t.Errorf("%s: %.4f of %s in time, of %.2f", deployment.name, share, deployment.kinds[k].name, floor)
+				t.Errorf("%s: %.4f of %s on time, want at least %.2f", deployment.name, share, deployment.kinds[k].name, floor)
 			}
 			if a.lost+a.refused > a.asked/50 {
-				t.Errorf("%s: %d of %d %s not served", deployment.name, a.lost+a.refused, a.asked, deployment.kinds[k].name)
+				t.Errorf("%s: %d of %d %s requests were not served", deployment.name, a.lost+a.refused, a.asked, deployment.kinds[k].name)
 			}
 		}
 		if simulated.reread > 2*simulated.firstRead {
-			t.Errorf("%s: %d tokens of shared parts were read again, %d for the first time", deployment.name, simulated.reread, simulated.firstRead)
+			t.Errorf("%s: %d tokens of shared parts were prefilled again, %d for the first time", deployment.name, simulated.reread, simulated.firstRead)
 		}
 	}
 }
--- a/internal/system/proxy/pick/evacuation_end_test.go
+++ b/internal/system/proxy/pick/evacuation_end_test.go
@@ -33,7 +33,7 @@
 	})
 	fleet.checkBound(t)
 	if len(fleet.sent) == 0 {
-		t.Error("a server that may be cold got nothing")
+		t.Error("a server that may be warming up got no requests")
 	}
 }
 
@@ -48,17 +48,17 @@
 	state.Evacuated, state.ZoneChanges, state.ListCoversSeq = nil, map[string]uint64{"z": 7}, 5
 	picker.UpdateClusterState(back, state)
 	if s := picker.servers["s0"]; !s.warmingUp(back) || !picker.AwaitsServerList() {
-		t.Fatal("taken for warm before the list can tell")
+		t.Fatal("treated as warm before the list can show it")
 	}
 	state.ListCoversSeq = 6
 	picker.UpdateClusterState(back+time.Second, state)
 	if s := picker.servers["s0"]; !s.warmingUp(back + time.Second) {
-		t.Error("taken for warm by a reading that may be too old")
+		t.Error("treated as warm because of a reading that may be too old")
 	}
 	state.ListCoversSeq = 7
 	picker.UpdateClusterState(back+1100*time.Millisecond, state)
 	if s := picker.servers["s0"]; s.warmingUp(back+1100*time.Millisecond) || picker.AwaitsServerList() {
-		t.Error("taken for cold though the list knows better")
+		t.Error("treated as warming up although the list shows it warm")
 	}
 
 	state.Evacuated, state.ZoneChanges = map[string]bool{"z": true}, map[string]uint64{"z": 8}
@@ -66,7 +66,7 @@
 	state.Evacuated, state.ZoneChanges = nil, map[string]uint64{"z": 9}
 	picker.UpdateClusterState(3*back, state)
 	if s := picker.servers["s0"]; !s.warmingUp(3*back+warmUpDuration-1) || s.warmingUp(3*back+warmUpDuration) {
-		t.Errorf("without a list cold for %v, of %v", s.warmUp.until-3*back, warmUpDuration)
+		t.Errorf("without a list treated as warming up for %v, want %v", s.warmUp.until-3*back, warmUpDuration)
 	}
 }
 
@@ -118,14 +118,14 @@
 	picker.UpdateClusterState(back+100*time.Millisecond, gone)
 	picker.UpdateClusterState(back+200*time.Millisecond, world(1))
 	if !picker.servers["s0"].warmingUp(back + 200*time.Millisecond) {
-		t.Error("warm after it was missing from the list")
+		t.Error("treated as warm after it was missing from the list")
 	}
 	without := world(1)
 	without.Config = &config.Config{}
 	picker.UpdateClusterState(back+300*time.Millisecond, without)
 	picker.UpdateClusterState(back+400*time.Millisecond, world(1))
 	if s := picker.servers["s0"]; !s.warmingUp(back+400*time.Millisecond) || s.warmingUp(back+warmUpDuration) {
-		t.Errorf("after its service was missing cold until %v, want %v", s.warmUp.until, back+warmUpDuration)
+		t.Errorf("after its service was missing: warming up until %v, want %v", s.warmUp.until, back+warmUpDuration)
 	}
 }
 
@@ -136,13 +136,13 @@
 	state.ZoneChanges = map[string]uint64{"z": 0}
 	picker.UpdateClusterState(0, state)
 	if picker.AwaitsServerList() {
-		t.Error("a list is awaited though no zone was evacuated")
+		t.Error("a newer list is awaited although no zone was evacuated")
 	}
 	state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 7
 	picker.UpdateClusterState(time.Second, state)
 	state.ListCoversSeq = 0 // the process that reads the list has just started
 	picker.UpdateClusterState(time.Second+warmUpDuration, state)
 	if picker.AwaitsServerList() {
-		t.Error("a list is awaited for a change of long ago")
+		t.Error("a newer list is awaited for a change long ago")
 	}
 }
--- a/internal/system/proxy/pick/homes_test.go
+++ b/internal/system/proxy/pick/homes_test.go
@@ -80,17 +80,17 @@
 		homes[home.ID], regions[home.Region] = true, true
 	}
 	if run.layout != separateRegion && len(regions) < 2 {
-		run.Fatalf("all subjects have their homes in %v", regions)
+		run.Fatalf("all shared parts have their homes in %v", regions)
 	}
 	if len(homes) < 2 {
-		run.Fatal("all subjects share one server")
+		run.Fatal("all shared parts have the same home")
 	}
 	for i := range 20 {
 		s := run.send(run.first, &Request{Route: run.short, TokensIn: 300, MaxTokensOut: 50,
 			Prefix: []PrefixPart{{ID: 7, Tokens: 50}, {ID: uint64(5000 + i), Tokens: 250}}})
 		atHome := run.layout == noRegion || s.Region == "cluj"
 		if !atHome || run.layout != separateRegion && s.inPromptPool {
-			run.Fatalf("a short prompt went to %s: in a pool, or not at home", s.ID)
+			run.Fatalf("a short prompt went to %s, which is in a pool or outside its home regions", s.ID)
 		}
 	}
 }
@@ -103,11 +103,11 @@
 	}
 	a, b, c, d := ask(run.first, 1000+subject), ask(run.first, 2000+subject), ask(run.second, 3000+subject), ask(run.far, 4000+subject)
 	if a != b || a.ID != c.ID || a.ID != d.ID {
-		run.Fatalf("subject %d went to %s, %s, %s and %s", subject, a.ID, b.ID, c.ID, d.ID)
+		run.Fatalf("shared part %d went to %s, %s, %s and %s, want one server", subject, a.ID, b.ID, c.ID, d.ID)
 	}
 	isSeparate := run.layout != noRegion && a.Region == "iasi"
 	if !isSeparate && (run.layout == separateRegion || !a.inPromptPool) {
-		run.Fatalf("subject %d went to %s: in no pool, or where short prompts come", subject, a.ID)
+		run.Fatalf("shared part %d went to %s, which is in no pool or in a region with short prompts", subject, a.ID)
 	}
 	return a
 }
@@ -119,7 +119,7 @@
 	r.TimeLeft = 5 * time.Second
 	result := p.Pick(run.now, r, nil, false)
 	if result.Decision != Send {
-		run.Fatalf("decision %d", result.Decision)
+		run.Fatalf("decision %d, want Send", result.Decision)
 	}
 	p.FirstEvent(run.now+250*time.Millisecond, result.Ticket)
 	p.Done(run.now+250*time.Millisecond, result.Ticket, Served, 0)
--- a/internal/system/proxy/pick/idle_conns_test.go
+++ b/internal/system/proxy/pick/idle_conns_test.go
@@ -18,7 +18,7 @@
 		t.Helper()
 		c := picker.Pick(now, &Request{Route: route, TokensIn: 100, MaxTokensOut: 20, TimeLeft: 8 * time.Second}, nil, false)
 		if c.Decision != Send {
-			t.Fatalf("decision %d", c.Decision)
+			t.Fatalf("decision %d, want Send", c.Decision)
 		}
 		picker.Done(now, c.Ticket, outcome, 0)
 		return c.Server.ID
@@ -27,15 +27,15 @@
 	picker.SetIdleTimeout(first, announcedTimeout)
 	for now := time.Second; now < 20*time.Second; now += time.Second {
 		if id := send(now, Served); id != first {
-			t.Fatalf("at %v a new connection to %s, while one to %s is kept", now, id, first)
+			t.Fatalf("at %v a new connection to %s was opened although one to %s is idle", now, id, first)
 		}
 	}
 	idle := 19*time.Second + IdleTimeout(announcedTimeout) + time.Millisecond
 	second := send(idle, ConnectFailed)
 	if second == first {
-		t.Error("the rotation stays at a server whose connections have been without use for too long")
+		t.Error("a server is preferred although its connections have been idle for too long")
 	}
 	if picker.servers[second].idle.usable(idle, announcedTimeout) {
-		t.Error("a connection to a server that was not reached counts as kept")
+		t.Error("a connection to an unreachable server counts as idle")
 	}
 }
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -36,7 +36,7 @@
 	before := warmUpEndInvariant.Violations()
 	play(warmUpDuration, warmUpDuration-20*time.Millisecond)
 	if warmUpEndInvariant.Violations() != before {
-		t.Error("a cold state that began after the first request counts as the one before")
+		t.Error("a warm-up that began after the first request counts as the previous one")
 	}
 }
 
@@ -68,14 +68,14 @@
 	state.Evacuated, state.ZoneChanges, state.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
 	picker.UpdateClusterState(back, state)
 	if !picker.servers["s0"].warmUp.awaitsNewerList {
-		t.Error("not paced though the list cannot tell")
+		t.Error("not paced although the list cannot show the warm-up")
 	}
 	state = fleet.state(0, 1, 1700*time.Millisecond)
 	state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 7
 	state.Servers[0].WarmUpMin = time.Second
 	picker.UpdateClusterState(back+500*time.Millisecond, state)
 	if warmUpEndInvariant.Violations() != before {
-		t.Error("counted as a fault")
+		t.Error("counted as a violation")
 	}
 }
 
@@ -92,7 +92,7 @@
 	state.Servers[0].WarmUpMin = state.Servers[0].WarmUpMax
 	picker.UpdateClusterState(told, state)
 	if warmUpEndInvariant.Violations() != before {
-		t.Error("counted as a fault")
+		t.Error("counted as a violation")
 	}
 }
 
@@ -108,7 +108,7 @@
 	state.Servers[0].WarmUpMin, state.Age = state.Servers[0].WarmUpMax, 300*time.Millisecond
 	picker.UpdateClusterState(warmUpDuration+200*time.Millisecond, state)
 	if warmUpEndInvariant.Violations() != before || picker.servers["s0"].warmingUp(warmUpDuration+200*time.Millisecond) {
-		t.Error("counted as a fault, or cold once more")
+		t.Error("counted as a violation, or treated as warming up again")
 	}
 }
 
@@ -125,6 +125,6 @@
 	state.Servers[0].WarmUpMin = state.Servers[0].WarmUpMax
 	picker.UpdateClusterState(woke+100*time.Millisecond, state)
 	if warmUpEndInvariant.Violations() != before || len(fleet.sent) == 0 {
-		t.Errorf("counted as a fault, with %d requests", len(fleet.sent))
+		t.Errorf("counted as a violation, or no request was sent (%d requests)", len(fleet.sent))
 	}
 }
--- a/internal/system/proxy/pick/outlier/detector_test.go
+++ b/internal/system/proxy/pick/outlier/detector_test.go
@@ -16,16 +16,16 @@
 		}
 		detector.RecordFailure(now) // a failure of an attempt that was already in flight has no effect
 		if !detector.Ejected(now + want - 1) {
-			t.Errorf("failure %d: not ejected to the end", i+1)
+			t.Errorf("failure %d: the ejection ended early", i+1)
 		}
 		now += want
 		if detector.Ejected(now) {
-			t.Errorf("failure %d: ejected for longer", i+1)
+			t.Errorf("failure %d: still ejected after the ejection time", i+1)
 		}
 	}
 	detector.RecordSuccess()
 	if detector.Suspected() {
-		t.Error("suspected after an answer")
+		t.Error("suspected after a response")
 	}
 }
 
@@ -34,20 +34,20 @@
 	var detector Detector
 	detector.StartAttempt(1)
 	if detector.Probing() {
-		t.Error("an attempt at a server that has not failed is no probe")
+		t.Error("an attempt at a server that has not failed counts as a probe")
 	}
 	detector.RecordFailure(0)
 	now := detector.EjectedUntil()
 	detector.StartAttempt(2)
 	detector.StartAttempt(3)
 	if !detector.Ejected(now) {
-		t.Error("a second probe may start")
+		t.Error("not ejected while a probe is in flight")
 	}
 	if detector.EndAttempt(3) || !detector.EndAttempt(2) {
-		t.Error("the first attempt after the ejection is the probe, and no other")
+		t.Error("want the first attempt after the ejection, and no other, to be the probe")
 	}
 	if detector.Ejected(now) {
-		t.Error("ejected though no probe is under way")
+		t.Error("still ejected although no probe is in flight")
 	}
 }
 
@@ -88,7 +88,7 @@
 			for i := 1; i <= test.want; i++ {
 				test.record(&detector)
 				if got := detector.Ejected(0); got != (i == test.want) {
-					t.Errorf("ejected after %d: %v", i, got)
+					t.Errorf("ejected after %d failures: %v", i, got)
 				}
 			}
 		})
--- a/internal/system/proxy/pick/prefixcache/index.go
+++ b/internal/system/proxy/pick/prefixcache/index.go
@@ -166,11 +166,11 @@
 		}
 	}
 	if count != x.count || count > MaxEntries {
-		return fmt.Errorf("prefixcache: %d entries, counted %d, at most %d are allowed", count, x.count, MaxEntries)
+		return fmt.Errorf("prefixcache: found %d entries, the counter is %d, the limit is %d", count, x.count, MaxEntries)
 	}
 	for s, sum := range tokens {
 		if sum != s.tokens {
-			return fmt.Errorf("prefixcache: entries of %d tokens, counted %d", sum, s.tokens)
+			return fmt.Errorf("prefixcache: the entries of a server have %d tokens, its counter is %d", sum, s.tokens)
 		}
 	}
 	return nil
--- a/internal/system/proxy/pick/prefixcache/index_test.go
+++ b/internal/system/proxy/pick/prefixcache/index_test.go
@@ -14,19 +14,19 @@
 		c := NewChain([]Part{{i, 300}, {1 << 40, 300}})
 		index.Record(server, &c, 1<<40)
 		if index.count > MaxEntries {
-			t.Fatalf("%d entries", index.count)
+			t.Fatalf("%d entries, more than MaxEntries", index.count)
 		}
 	}
 	c := NewChain([]Part{{1 << 50, 400}, {1 << 51, 10}})
 	index.Record(other, &c, 1<<40)
 	index.Record(server, &c, 1000)
 	if server.tokens > 1000 || len(index.byKey[c.Keys[0]]) != 2 {
-		t.Fatalf("%d tokens, %d servers", server.tokens, len(index.byKey[c.Keys[0]]))
+		t.Fatalf("%d tokens of the server, want at most 1000; %d servers have the first key, want 2", server.tokens, len(index.byKey[c.Keys[0]]))
 	}
 	index.RemoveServer(server)
 	index.RemoveServer(other)
 	if index.count != 0 || len(index.byKey) != 0 || server.tokens != 0 {
-		t.Fatalf("left: %d entries, %d keys, %d tokens", index.count, len(index.byKey), server.tokens)
+		t.Fatalf("after all servers were removed: %d entries, %d keys, %d tokens remain", index.count, len(index.byKey), server.tokens)
 	}
 }
 
--- a/internal/system/proxy/pick/probe_test.go
+++ b/internal/system/proxy/pick/probe_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 		if knocks > 2 {
-			t.Errorf("%d proxies: %d requests await connections to two servers", proxies, knocks)
+			t.Errorf("%d proxies: %d requests wait for connections to two servers, want at most one each", proxies, knocks)
 		}
 	}
 }
--- a/internal/system/proxy/pick/prompt_mixes_test.go
+++ b/internal/system/proxy/pick/prompt_mixes_test.go
@@ -77,7 +77,7 @@
 			adaptive := play(m.scenario())
 			t.Logf("adaptive %.4f, best fixed share %.2f: %.4f", adaptive, bestShare, best)
 			if adaptive < nearBest*best {
-				t.Errorf("adaptive pools come to %.4f, the fixed share %.2f to %.4f", adaptive, bestShare, best)
+				t.Errorf("adaptive pools score %.4f, the fixed share %.2f scores %.4f", adaptive, bestShare, best)
 			}
 		})
 	}
--- a/internal/system/proxy/pick/prompt_pools_test.go
+++ b/internal/system/proxy/pick/prompt_pools_test.go
@@ -38,7 +38,7 @@
 func TestPromptPoolFollowsTheWork(t *testing.T) {
 	picker, now := newPoolPicker(20), Time(0)
 	if n := poolSize(picker); n != 10 {
-		t.Fatalf("a lane of %d servers before anything is known, want half", n)
+		t.Fatalf("a pool of %d servers before any demand is known, want half of 20", n)
 	}
 	isFirstMove := true
 	for _, c := range []struct{ long, short, want int64 }{{800_000, 200_000, 16}, {50_000, 950_000, 1}, {1_000_000, 0, 18}, {0, 1_000_000, 1}} {
@@ -47,16 +47,16 @@
 			updateDemand(picker, now, c.long, c.short)
 			if n := poolSize(picker); n != before {
 				if step := max(n-before, before-n); step > 5 && !isFirstMove {
-					t.Fatalf("the lane moved by %d servers at once", step)
+					t.Fatalf("the pool changed by %d servers in one move", step)
 				}
 				before, moves, isFirstMove = n, moves+1, false
 			}
 		}
 		if n := poolSize(picker); n != int(c.want) {
-			t.Errorf("%d tokens of long prompts and %d of short ones: a lane of %d, want %d", c.long, c.short, n, c.want)
+			t.Errorf("%d tokens of long prompts and %d of short ones: a pool of %d, want %d", c.long, c.short, n, c.want)
 		}
 		if moves > 20 {
-			t.Errorf("%d moves to get there", moves)
+			t.Errorf("%d moves to reach the target, want at most 20", moves)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 		now += 100 * time.Millisecond
 		updateDemand(picker, now, 500_000+int64(i%2)*60_000-30_000, 500_000)
 		if n := poolSize(picker); n != 10 {
-			t.Fatalf("the lane moved to %d servers after %v", n, now)
+			t.Fatalf("the pool changed to %d servers after %v", n, now)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	picker.groups["lm"].demand.Add(now, true, 5_000_000)
 	picker.assignPromptPools(now, picker.groups["lm"])
 	if n := poolSize(picker); n != 10 {
-		t.Errorf("the lane moved to %d servers", n)
+		t.Errorf("the pool changed to %d servers", n)
 	}
 }
 
@@ -104,12 +104,12 @@
 		second.UpdatePeerLoads(now, ofP)
 		for id, s := range first.servers {
 			if s.inPromptPool != second.servers[id].inPromptPool {
-				t.Fatalf("after %v %s is in one proxy's lane alone", now, id)
+				t.Fatalf("after %v %s is in the pool of only one of the proxies", now, id)
 			}
 		}
 	}
 	if n := poolSize(first); n != 14 {
-		t.Errorf("a lane of %d servers for 0.7 of the work", n)
+		t.Errorf("a pool of %d servers for 0.7 of the work, want 14", n)
 	}
 }
 
@@ -121,7 +121,7 @@
 	state.Servers = append(state.Servers, picker.state.Servers[:10]...)
 	picker.UpdateClusterState(time.Second, state)
 	if n := poolSize(picker); n != 5 {
-		t.Errorf("a lane of %d of 10 servers, want half", n)
+		t.Errorf("a pool of %d of 10 servers, want half", n)
 	}
 }
 
--- a/internal/system/proxy/pick/promptpool/pool_test.go
+++ b/internal/system/proxy/pick/promptpool/pool_test.go
@@ -58,12 +58,12 @@
 func TestMix(t *testing.T) {
 	var m Mix
 	if m.HasLong(0) || m.HasShort(0, 1) {
-		t.Error("prompts before any came")
+		t.Error("a kind of prompt is present before any was recorded")
 	}
 	m.RecordLong(0)
 	m.RecordShort(time.Second, 1)
 	if !m.HasLong(MixTTL) || m.HasLong(MixTTL+1) || !m.HasShort(MixTTL+time.Second, 1) || m.HasShort(0, 2) {
-		t.Error("a kind counts as present for MixTTL after the last prompt, and only in its region")
+		t.Error("want a kind to be present for MixTTL after its last prompt, and only in its region")
 	}
 }
 
@@ -90,7 +90,7 @@
 func TestDivision(t *testing.T) {
 	var division Division
 	if division.Suffices() {
-		t.Error("a region suffices before any work was seen")
+		t.Error("the separate regions suffice before any work was seen")
 	}
 	regions := RegionServers{Pooled: 50, Separate: 40}
 	for _, step := range []struct {
@@ -138,14 +138,14 @@
 func TestPresume(t *testing.T) {
 	var d Division
 	if pooled := d.Presume(RegionServers{Pooled: 51, Separate: 39}); math.Abs(pooled-6.0/51) > 1e-9 || d.Suffices() {
-		t.Errorf("pools of %.3f, suffices %v", pooled, d.Suffices())
+		t.Errorf("presumed share: pools of %.3f, suffices %v", pooled, d.Suffices())
 	}
 	if pooled := d.Presume(RegionServers{Pooled: 30, Separate: 60}); pooled != 0 || !d.Suffices() {
 		t.Errorf("a large separate region: pools of %.3f, suffices %v", pooled, d.Suffices())
 	}
 	d.Divide(0.9, RegionServers{Pooled: 30, Separate: 60})
 	if d.Presume(RegionServers{Pooled: 30, Separate: 60}); d.Suffices() {
-		t.Error("what is known was presumed otherwise")
+		t.Error("a presumed share replaced a known one")
 	}
 	var p Pool
 	p.SetServers(20)
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -142,20 +142,20 @@
 
 func (run *randomRun) checkRefusal(request *randomRequest, result Result) {
 	if result.Decision == Reject && len(request.tried) > 0 {
-		run.Fatal("rejected after a send")
+		run.Fatal("rejected after an attempt was sent")
 	}
 	if result.Decision == Reject && result.RetryAfter <= 0 {
-		run.Fatal("a rejection that does not say when to come back")
+		run.Fatal("a rejection without a Retry-After")
 	}
 }
 
 func (run *randomRun) checkSend(request *randomRequest, result Result) {
 	route := request.request.Route
 	if request.offered && !route.Idempotent() {
-		run.Fatal("a request may run twice")
+		run.Fatal("a non-idempotent request was sent again after it may have run")
 	}
 	if request.arrived >= route.MaxAttempts {
-		run.Fatal("more tries than max_tries")
+		run.Fatal("more attempts than MaxAttempts")
 	}
 	listed := slices.IndexFunc(run.state.Servers, func(s Server) bool { return s.ID == result.Server.ID })
 	if listed < 0 {
@@ -206,10 +206,10 @@
 // check fails if the state of a Picker with nothing in flight is inconsistent.
 func (p *Picker) check(t *rapid.T) {
 	if len(p.attempts.byTicket) > 0 {
-		t.Fatalf("%d sends are left", len(p.attempts.byTicket))
+		t.Fatalf("%d attempts are still registered", len(p.attempts.byTicket))
 	}
 	if l := p.Loads(); len(l) > 0 {
-		t.Fatalf("loads are left: %v", l)
+		t.Fatalf("loads remain with nothing in flight: %v", l)
 	}
 	if err := p.prefixes.Verify(); err != nil {
 		t.Fatal(err)
@@ -217,15 +217,15 @@
 	entries := 0
 	for _, s := range p.servers {
 		if s.pending.oldest != nil || s.pending.newest != nil || s.outlier.Probing() {
-			t.Fatalf("%s awaits an event of nothing", s.ID)
+			t.Fatalf("%s has a pending attempt or probe with nothing in flight", s.ID)
 		}
 		if s.prefixes.Len() == 0 && s.prefixes.Tokens() != 0 {
-			t.Fatalf("%s: %d tokens without an entry", s.ID, s.prefixes.Tokens())
+			t.Fatalf("%s: %d prefix-cache tokens without an entry", s.ID, s.prefixes.Tokens())
 		}
 		entries += s.prefixes.Len()
 	}
 	if entries != p.prefixes.Len() {
-		t.Fatalf("%d prefix-cache entries, of them %d of listed servers", p.prefixes.Len(), entries)
+		t.Fatalf("%d prefix-cache entries, but listed servers have %d", p.prefixes.Len(), entries)
 	}
 }
 
@@ -261,10 +261,10 @@
 		}
 		peak := maxInASecond(sent)
 		if float64(peak) > run.rate*1.5+5 {
-			t.Fatalf("%d requests in a second, of %v", peak, run.rate*1.5+5)
+			t.Fatalf("%d requests in a second, want at most %v", peak, run.rate*1.5+5)
 		}
 		if len(sent) == 0 {
-			t.Fatal("the warming server got nothing")
+			t.Fatal("the warming server got no requests")
 		}
 	})
 }
--- a/internal/system/proxy/pick/reachable_again_test.go
+++ b/internal/system/proxy/pick/reachable_again_test.go
@@ -23,19 +23,19 @@
 	fleet.sendAll(healed, told, 5*time.Millisecond, nil)
 	fleet.checkBound(t)
 	if len(fleet.sent) == 0 {
-		t.Error("nothing was tried")
+		t.Error("no request was sent")
 	}
 	for i, picker := range fleet.pickers {
 		state := fleet.state(i, 1, 0)
 		state.ContactAge = told - healed + time.Millisecond
 		picker.UpdateClusterState(told, state)
 		if !picker.servers["s0"].warmingUp(told) {
-			t.Errorf("proxy %d takes the server for warm by a word from before", i)
+			t.Errorf("proxy %d treats the server as warm because of a state published before the partition ended", i)
 		}
 		state.ContactAge = 0
 		picker.UpdateClusterState(told, state)
 		if picker.servers["s0"].warmingUp(told) {
-			t.Errorf("proxy %d takes the server for cold though a keeper has told of it since", i)
+			t.Errorf("proxy %d treats the server as warming up although the control plane has published a state since", i)
 		}
 	}
 }
@@ -51,6 +51,6 @@
 	fleet.pickers = fleet.pickers[:1]
 	fleet.sendAll(10*time.Second, 11*time.Second, 10*time.Millisecond, nil)
 	if len(fleet.sent) != 100 {
-		t.Errorf("%d requests of 100", len(fleet.sent))
+		t.Errorf("%d requests were sent, want 100", len(fleet.sent))
 	}
 }
--- a/internal/system/proxy/pick/rendezvous/rendezvous_test.go
+++ b/internal/system/proxy/pick/rendezvous/rendezvous_test.go
@@ -30,13 +30,13 @@
 	}
 	for _, member := range members {
 		if n := counts[member]; n < 850 || n > 1150 {
-			t.Errorf("%s owns %d of 4000 keys", member, n)
+			t.Errorf("%s owns %d of 4000 keys, want about 1000", member, n)
 		}
 	}
 }
 
 func TestMixIsPinned(t *testing.T) {
 	if got := fmt.Sprintf("%016x", Mix(1)); got != "5692161d100b05e5" {
-		t.Errorf("Mix(1) = %s", got)
+		t.Errorf("Mix(1) = %s, want 5692161d100b05e5", got)
 	}
 }
--- a/internal/system/proxy/pick/rotation/rotation_test.go
+++ b/internal/system/proxy/pick/rotation/rotation_test.go
@@ -43,15 +43,15 @@
 	turns(table.Of(first), 1)
 	table.Update([]*config.Route{second})
 	if got := turns(table.Of(second), 1); got != "b" {
-		t.Errorf("turn of %s after an update that changes nothing, want b", got)
+		t.Errorf("service %s is due after an update without changes, want b", got)
 	}
 	replaced := table.Of(first)
 	if replaced == table.Of(first) {
-		t.Error("the rotation of a replaced route is kept")
+		t.Error("the rotation of a route from the replaced configuration was kept")
 	}
 	third := &config.Route{Host: "h", Shares: append([]config.Share{{Service: "c", Weight: 1}}, shares...)}
 	table.Update([]*config.Route{third})
 	if got := turns(table.Of(third), 1); got != "c" {
-		t.Errorf("turn of %s after new shares, want c", got)
+		t.Errorf("service %s is due after the shares have changed, want c", got)
 	}
 }
--- a/internal/system/proxy/pick/sim_parts_test.go
+++ b/internal/system/proxy/pick/sim_parts_test.go
@@ -92,7 +92,7 @@
 		k := &f.kinds[i]
 		t := f.tallies[k.name]
 		worth, owed = worth+t.value, owed+t.owed
-		fmt.Fprintf(&b, "%-16s asked %5d in time %.4f late %4d lost %3d refused %3d abroad %.3f across %.3f p50 %4.0f p99 %4.0f\n", k.name, t.asked,
+		fmt.Fprintf(&b, "%-16s requests %5d on time %.4f late %4d lost %3d rejected %3d other region %.3f other zone %.3f p50 %4.0f p99 %4.0f\n", k.name, t.asked,
 			float64(t.inTime)/float64(t.asked), t.late, t.lost, t.refused, float64(t.abroad)/float64(t.asked), float64(t.across)/float64(t.asked),
 			quantile(t.latencies, 0.5), quantile(t.latencies, 0.99))
 	}
@@ -119,7 +119,7 @@
 	}
 	score = 0.4*score + 0.35*nines + 0.15*worst + 0.1*class
 	fmt.Fprintf(&b, "nines %.3f worst window %.3f worst kind %.3f unserved %d\n", nines, worst, class, unserved)
-	fmt.Fprintf(&b, "%s: score %.4f worth %.4f bytes %.4f reread %d parts %.2fM of first %.2fM prefilled %.2fM peak queue %d dials %d (%.4f) read price %.4f rate %.1f\n", f.name,
+	fmt.Fprintf(&b, "%s: score %.4f value %.4f traffic cost %.4f reprefilled %d parts, %.2fM tokens, first prefills %.2fM, prefilled %.2fM, peak queue %d new connections %d (%.4f) prefill cost %.4f rate %.1f\n", f.name,
 		score, worth/owed, bytes/owed, f.rereads, float64(f.reread)/1e6, float64(f.firstRead)/1e6, float64(prefilled)/1e6, waited, f.dials, f.prices.dial*float64(f.dials)/owed,
 		f.prices.readThousand*float64(f.reread)/1000/owed, f.pickers[0].prefillRate.tokensPerMS)
 	return b.String(), score
--- a/internal/system/proxy/pick/stall_test.go
+++ b/internal/system/proxy/pick/stall_test.go
@@ -37,7 +37,7 @@
 	state.ContactAge = 100 * time.Millisecond
 	picker.UpdateClusterState(woke+100*time.Millisecond, state)
 	if picker.AwaitsControlPlane() || picker.servers["s0"].warmingUp(woke+100*time.Millisecond) {
-		t.Error("an update from after the stall says that the server is warm")
+		t.Error("the server is not treated as warm after an update that was published after the stall")
 	}
 }
 
@@ -47,7 +47,7 @@
 	picker, fleet := stalledPicker(woke)
 	picker.UpdateClusterState(woke+100*time.Millisecond, fleet.state(0, 1, 2*time.Second))
 	if s := picker.servers["s0"]; s.warmUp.until != woke+2100*time.Millisecond {
-		t.Errorf("warming up until %v", s.warmUp.until)
+		t.Errorf("warming up until %v, want 2.1 s after the stall", s.warmUp.until)
 	}
 }
 
@@ -62,11 +62,11 @@
 		}
 		picker.RecordStall(woke)
 		if _, may := picker.warmUps.sendsFrom(woke, picker.servers["s0"]); may {
-			t.Error("it still sends as it wakes")
+			t.Error("the sender still sends right after the stall")
 		}
 		picker.UpdateClusterState(woke+time.Second, fleet.state(i, 1, time.Minute))
 		if from, may := picker.warmUps.sendsFrom(woke+time.Second, picker.servers["s0"]); !may || from != woke+time.Second+successorDelay {
-			t.Errorf("it sends again %v, from %v", may, from)
+			t.Errorf("sending allowed: %v, from %v", may, from)
 		}
 	}
 }
@@ -78,6 +78,6 @@
 	state.Age = 500 * time.Millisecond
 	picker.UpdateClusterState(time.Second, state)
 	if s := picker.servers["s0"]; s.warmUp.until != 2500*time.Millisecond {
-		t.Errorf("cold until %v, want 2.5 s", s.warmUp.until)
+		t.Errorf("warming up until %v, want 2.5 s", s.warmUp.until)
 	}
 }
--- a/internal/system/proxy/pick/tenant_test.go
+++ b/internal/system/proxy/pick/tenant_test.go
@@ -47,7 +47,7 @@
 				t.Errorf("sent to zone %q, want %q", result.Server.Zone, test.want)
 			}
 			if refused := result.Decision == Reject && result.RetryAfter > 0; refused != (test.want == "") {
-				t.Errorf("decision %d, come back after %v", result.Decision, result.RetryAfter)
+				t.Errorf("decision %d, retry after %v", result.Decision, result.RetryAfter)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 	request := &Request{Route: route, TimeLeft: time.Second, Tenant: &config.Tenant{Name: "acme", HomeRegions: []string{"r3"}}}
 	invarianttest.Expect(t, eligibilityInvariant, func() {
 		if result := picker.Pick(0, request, nil, false); result.Server.Zone == "z3" {
-			t.Error("the tenant's homes still bind")
+			t.Error("the tenant's home regions are still enforced")
 		}
 	})
 }
--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -108,10 +108,10 @@
 	peak := g.play()
 	t.Logf("at most %d requests in a second", peak)
 	if float64(peak) > maxWarmUpRequests {
-		t.Errorf("%d requests in a second, of %v", peak, maxWarmUpRequests)
+		t.Errorf("%d requests in a second, want at most %v", peak, maxWarmUpRequests)
 	}
 	if len(g.sent) != 5 {
-		t.Errorf("only %d of 5 cold servers got any", len(g.sent))
+		t.Errorf("only %d of 5 warming servers got requests", len(g.sent))
 	}
 }
 
@@ -122,6 +122,6 @@
 	peak := newWaitingFleet(80 * time.Millisecond).play()
 	t.Logf("at most %d requests in a second", peak)
 	if float64(peak) <= maxWarmUpRequests {
-		t.Errorf("%d requests in a second: the end of the cold state as told no longer matters, so TestNoFloodAtTheEndOfWarmUp shows nothing", peak)
+		t.Errorf("%d requests in a second: the announced end of the warm-up no longer matters, so TestNoFloodAtTheEndOfWarmUp proves nothing", peak)
 	}
 }
--- a/internal/system/proxy/pick/warmup_listing_test.go
+++ b/internal/system/proxy/pick/warmup_listing_test.go
@@ -13,14 +13,14 @@
 func TestWarmUpBoundAroundListing(t *testing.T) {
 	peak := 0
 	rapid.Check(t, func(t *rapid.T) { peak = max(peak, aroundListing(t, 3, 1)) })
-	t.Logf("at most %d", peak)
+	t.Logf("at most %d requests in a second", peak)
 }
 
 // TestWarmUpBoundWhileAFleetGrows is the same with as many proxies joining as there are, or more.
 func TestWarmUpBoundWhileAFleetGrows(t *testing.T) {
 	peak := 0
 	rapid.Check(t, func(t *rapid.T) { peak = max(peak, aroundListing(t, 1, 2)) })
-	t.Logf("at most %d", peak)
+	t.Logf("at most %d requests in a second", peak)
 }
 
 // aroundListing runs one such history and returns the highest number of requests
@@ -32,7 +32,7 @@
 	sent := run.play()
 	peak = maxInASecond(sent)
 	if float64(peak) > maxWarmUpRequests {
-		t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, of %v", run.first, len(run.fleet.pickers), run.loadFrom, peak, maxWarmUpRequests)
+		t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, want at most %v", run.first, len(run.fleet.pickers), run.loadFrom, peak, maxWarmUpRequests)
 	}
 	return peak
 }
--- a/internal/system/proxy/pick/warmup_partition_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -112,7 +112,7 @@
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
 	p.UpdateClusterState(told, w)
 	if warmUpEndInvariant.Violations() != before {
-		t.Error("counted as a fault")
+		t.Error("counted as a violation")
 	}
 }
 
@@ -135,7 +135,7 @@
 	tell(n+30*time.Millisecond, 3.1)
 	fleet.sendAll(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
 	if warmUpRateInvariant.Violations() != before {
-		t.Error("counted as a fault")
+		t.Error("counted as a violation")
 	}
 }
 
--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -73,7 +73,7 @@
 func (f *warmUpFleet) checkBound(t *testing.T) {
 	t.Helper()
 	if peak := maxInASecond(f.sent); float64(peak) > maxWarmUpRequests {
-		t.Errorf("%d requests in a second, of %v", peak, maxWarmUpRequests)
+		t.Errorf("%d requests in a second, want at most %v", peak, maxWarmUpRequests)
 	}
 }
 
@@ -102,12 +102,12 @@
 		w.Peers, w.MembershipIncomplete = fleet.names[i/6*6:i/6*6+6], true
 		p.UpdateClusterState(0, w)
 		if got := p.retrySlack(); got > 0 {
-			t.Errorf("%v repeats beside the ratio, of a number that is not known", got)
+			t.Errorf("a retry slack of %v while the number of proxies is not known, want 0", got)
 		}
 	}
 	fleet.sendAll(0, 4*time.Second, 10*time.Millisecond, nil)
 	if len(fleet.sent) > 0 {
-		t.Errorf("%d requests to a cold server whose holders are not known", len(fleet.sent))
+		t.Errorf("%d requests to a warming server whose senders are not known", len(fleet.sent))
 	}
 	for i, p := range fleet.pickers {
 		p.UpdateClusterState(4*time.Second, fleet.state(i, 1, time.Minute))
@@ -115,7 +115,7 @@
 	fleet.sendAll(4*time.Second, 8*time.Second, 10*time.Millisecond, nil)
 	fleet.checkBound(t)
 	if len(fleet.sent) == 0 {
-		t.Error("nothing went to a cold server whose holders are known")
+		t.Error("no requests to a warming server whose senders are known")
 	}
 }
 
@@ -159,13 +159,13 @@
 	fleet.sendAll(starts, starts+time.Second, 10*time.Millisecond, nil)
 	fleet.checkBound(t)
 	if len(fleet.sent) < 20 {
-		t.Errorf("%d requests in the first second, of a pace of 26", len(fleet.sent))
+		t.Errorf("%d requests in the first second, want at least 20 at a rate of 26", len(fleet.sent))
 	}
 	late := newWarmUpFleet(12)
 	late.pickers = late.pickers[:1]
 	late.pickers[0].UpdateClusterState(starts, late.state(0, 1, warmUpDuration))
 	late.sendAll(starts, starts+newSenderDelay-10*time.Millisecond, 10*time.Millisecond, nil)
 	if len(late.sent) > 0 {
-		t.Errorf("%d requests of a proxy that has just come", len(late.sent))
+		t.Errorf("%d requests from a proxy that has just joined", len(late.sent))
 	}
 }
--- a/internal/system/proxy/pick/warmup_senders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -30,7 +30,7 @@
 					arrived = append(arrived, at)
 				}
 				if peak, bound := maxInASecond(arrived), rate*1.5+5; float64(peak) > bound {
-					t.Errorf("%d requests in a second, of %v", peak, bound)
+					t.Errorf("%d requests in a second, want at most %v", peak, bound)
 				}
 			})
 		}
