--- a/internal/system/proxy/pick/homes.go
+++ b/internal/system/proxy/pick/homes.go
@@ -25,7 +25,8 @@
 	return homes
 }
 
-// mayBeHome reports whether s can be expected to serve a request's prompt permanently.
+// mayBeHome reports whether s can be a home for a request's prompt, as far as is
+// known: it is available, warm, meant for such prompts and in an allowed region.
 func (p *Picker) mayBeHome(s *server, input *pickInput, placement *promptPlacement) bool {
 	return p.isAvailable(s) && !s.warmingUp(input.now) && placement.matches(s) && input.request.allowsRegion(s.Region)
 }
--- a/internal/system/proxy/pick/outlier/detector.go
+++ b/internal/system/proxy/pick/outlier/detector.go
@@ -54,8 +54,8 @@
 	return now < d.ejectedUntil || d.Suspected() && d.Probing()
 }
 
-// MayProbe reports whether a request may be the probe of a suspected server. Requests that can be retried at another
-// server are preferred; others may probe only a server that was not probed for maxProbeDelay after its ejection time.
+// MayProbe reports whether a request may be the probe of a suspected server. Requests that can be retried at
+// another server are preferred; others may probe only once maxProbeDelay has passed since the end of the ejection.
 func (d *Detector) MayProbe(now time.Duration, canRetry bool) bool {
 	return canRetry || now >= d.ejectedUntil+maxProbeDelay
 }
--- a/internal/system/proxy/pick/warmup_partition_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// testCompleteMembershipWaits restarts as many senders as back at 0 without the
+// testCompleteMembershipWaits restarts a number of senders (returning) at 0 without the
 // control plane, and reconnects them at ends; the others learn of it later.
 func testCompleteMembershipWaits(t *testing.T, hear time.Duration, back int) {
 	const ends = 4 * time.Second
