--- a/internal/system/proxy/pick/conformance_test.go
+++ b/internal/system/proxy/pick/conformance_test.go
@@ -13,13 +13,13 @@
 )
 
 // tableRunner runs the commands of a conformance table on one Picker.
-type table struct {
-	picker  *Picker
-	now     Time
-	state   ClusterState
-	tickets map[string]uint64 // by the name of the request
-	request map[string]*Request
-	tried   map[string][]string
+type tableRunner struct {
+	picker   *Picker
+	now      Time
+	state    ClusterState
+	tickets  map[string]uint64 // by the name of the request
+	requests map[string]*Request
+	tried    map[string][]string
 }
 
 var outcomes = map[string]AttemptOutcome{"served": Served, "not-executed": NotExecuted, "misdirected": Misdirected,
@@ -28,8 +28,8 @@
 // TestConformance runs the tables in testdata, which are derived from the design page and the rules.
 func TestConformance(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		b := &table{tickets: map[string]uint64{}, request: map[string]*Request{}, tried: map[string][]string{}}
-		datadriven.RunTest(t, path, func(t *testing.T, driven *datadriven.TestData) string { return b.play(&command{t, driven}) })
+		b := &tableRunner{tickets: map[string]uint64{}, requests: map[string]*Request{}, tried: map[string][]string{}}
+		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string { return b.runCommand(&command{t, data}) })
 	})
 }
 
@@ -40,25 +40,25 @@
 }
 
 // text returns the value of an argument, or a default.
-func (c *command) text(name, without string) string {
+func (c *command) text(name, defaultValue string) string {
 	for _, arg := range c.data.CmdArgs {
 		if arg.Key == name && len(arg.Vals) > 0 {
 			return strings.Join(arg.Vals, ",")
 		}
 	}
-	return without
+	return defaultValue
 }
 
-func (c *command) number(name string, without int) int {
-	n, err := strconv.Atoi(c.text(name, strconv.Itoa(without)))
+func (c *command) number(name string, defaultValue int) int {
+	n, err := strconv.Atoi(c.text(name, strconv.Itoa(defaultValue)))
 	if err != nil {
 		c.data.Fatalf(c.t, "%s: %v", name, err)
 	}
 	return n
 }
 
-func (c *command) duration(name, without string) time.Duration {
-	d, err := time.ParseDuration(c.text(name, without))
+func (c *command) duration(name, defaultValue string) time.Duration {
+	d, err := time.ParseDuration(c.text(name, defaultValue))
 	if err != nil {
 		c.data.Fatalf(c.t, "%s: %v", name, err)
 	}
@@ -74,22 +74,22 @@
 }
 
 // commands maps the commands of the tables to their implementations. Their output is compared with the table.
-var commands = map[string]func(*table, *command) string{
-	"new":      (*table).newPicker,
-	"world":    (*table).updateState,
-	"load":     (*table).updateLoads,
-	"told":     (*table).reportLoad,
-	"cold":     (*table).reportWarmUp,
-	"leaving":  (*table).reportDrain,
-	"wait":     (*table).wait,
-	"arrive":   (*table).recordRequests,
-	"send":     (*table).send,
-	"again":    (*table).retry,
-	"done":     (*table).done,
-	"describe": (*table).describe,
+var commands = map[string]func(*tableRunner, *command) string{
+	"new":      (*tableRunner).newPicker,
+	"world":    (*tableRunner).updateState,
+	"load":     (*tableRunner).updateLoads,
+	"told":     (*tableRunner).reportLoad,
+	"cold":     (*tableRunner).reportWarmUp,
+	"leaving":  (*tableRunner).reportDrain,
+	"wait":     (*tableRunner).wait,
+	"arrive":   (*tableRunner).recordRequests,
+	"send":     (*tableRunner).send,
+	"again":    (*tableRunner).retry,
+	"done":     (*tableRunner).done,
+	"describe": (*tableRunner).describe,
 }
 
-func (b *table) play(c *command) string {
+func (b *tableRunner) runCommand(c *command) string {
 	run := commands[c.data.Cmd]
 	if run == nil {
 		c.data.Fatalf(c.t, "unknown command %s", c.data.Cmd)
@@ -97,14 +97,14 @@
 	return run(b, c)
 }
 
-func (b *table) newPicker(c *command) string {
+func (b *tableRunner) newPicker(c *command) string {
 	b.now = time.Hour // not the clock's start
 	b.picker = New(Settings{Zone: "z1", Region: "r1", Regions: map[string]string{"z1": "r1", "z2": "r1", "z3": "r2"}, RetryRatio: 0.2,
 		RetrySlack: float64(c.number("slack", 10)), WarmUpExcess: 1.5, WarmUpSlack: 5})
 	return ""
 }
 
-func (b *table) updateLoads(c *command) string {
+func (b *tableRunner) updateLoads(c *command) string {
 	loads := map[string]Load{}
 	for _, words := range c.lines() {
 		n, err := strconv.Atoi(words[1])
@@ -117,27 +117,27 @@
 	return ""
 }
 
-func (b *table) reportLoad(c *command) string {
+func (b *tableRunner) reportLoad(c *command) string {
 	b.picker.ServerLoad(b.now, c.text("server", ""), c.number("running", 0), c.number("waiting", 0), c.number("slots", 0))
 	return ""
 }
 
-func (b *table) reportWarmUp(c *command) string {
+func (b *tableRunner) reportWarmUp(c *command) string {
 	b.picker.WarmingUp(b.now, c.text("server", ""), c.duration("left", "0s"))
 	return ""
 }
 
-func (b *table) reportDrain(c *command) string {
+func (b *tableRunner) reportDrain(c *command) string {
 	b.picker.ServerDraining(b.now, c.text("server", ""))
 	return ""
 }
 
-func (b *table) wait(c *command) string {
+func (b *tableRunner) wait(c *command) string {
 	b.now += c.duration("for", "0s")
 	return ""
 }
 
-func (b *table) recordRequests(c *command) string {
+func (b *tableRunner) recordRequests(c *command) string {
 	for range c.number("n", 1) {
 		b.picker.RecordRequest(b.now, &Request{Route: b.route(c.text("path", "/"))})
 	}
@@ -145,7 +145,7 @@
 }
 
 // send picks servers for n requests, which are named name0, name1, ...; with answer, each attempt ends immediately.
-func (b *table) send(call *command) string {
+func (b *tableRunner) send(call *command) string {
 	var out []string
 	for i := range call.number("n", 1) {
 		r := &Request{Route: b.route(call.text("path", "/")), TimeLeft: call.duration("left", "5s")}
@@ -157,7 +157,7 @@
 		if call.number("n", 1) > 1 {
 			name += strconv.Itoa(i)
 		}
-		b.request[name], b.tried[name] = r, nil
+		b.requests[name], b.tried[name] = r, nil
 		out = append(out, b.pick(name, false))
 		if outcome, ok := outcomes[call.text("answer", "")]; ok {
 			b.picker.Done(b.now, b.tickets[name], outcome, 0)
@@ -167,21 +167,21 @@
 	return strings.Join(out, " ")
 }
 
-func (b *table) retry(c *command) string {
+func (b *tableRunner) retry(c *command) string {
 	return b.pick(c.text("name", "x"), c.text("offered", "no") == "yes")
 }
 
-func (b *table) done(c *command) string {
+func (b *tableRunner) done(c *command) string {
 	for _, name := range strings.Split(c.text("name", "x"), ",") {
 		b.picker.Done(b.now, b.tickets[name], outcomes[c.text("answer", "served")], c.duration("after", "0s"))
 	}
 	return ""
 }
 
-func (b *table) describe(*command) string { return b.picker.Describe(b.now) }
+func (b *tableRunner) describe(*command) string { return b.picker.Describe(b.now) }
 
-func (b *table) pick(name string, offered bool) string {
-	result := b.picker.Pick(b.now, b.request[name], b.tried[name], offered)
+func (b *tableRunner) pick(name string, mayHaveRun bool) string {
+	result := b.picker.Pick(b.now, b.requests[name], b.tried[name], mayHaveRun)
 	switch result.Decision {
 	case Send:
 		b.tickets[name] = result.Ticket
@@ -194,7 +194,7 @@
 }
 
 // route replaces Picker.Route, whose matching is tested in package config.
-func (b *table) route(path string) (best *config.Route) {
+func (b *tableRunner) route(path string) (best *config.Route) {
 	for _, r := range b.state.Config.Routes {
 		if strings.HasPrefix(path, r.Prefix) && (best == nil || len(r.Prefix) > len(best.Prefix)) {
 			best = r
@@ -204,7 +204,7 @@
 }
 
 // updateState parses a cluster state: lines of service, route, server, evacuated and peers.
-func (b *table) updateState(call *command) string {
+func (b *tableRunner) updateState(call *command) string {
 	b.state = ClusterState{Self: "p1", Peers: []string{"p1"}, Evacuated: map[string]bool{}, Config: &config.Config{Services: map[string]*config.Service{}}}
 	for _, words := range call.lines() {
 		line := newStateLine(call, words)
@@ -253,9 +253,9 @@
 }
 
 // number returns the value of an option, or a default.
-func (l *stateLine) number(key string, without float64) float64 {
+func (l *stateLine) number(key string, defaultValue float64) float64 {
 	if l.options[key] == "" {
-		return without
+		return defaultValue
 	}
 	return l.parse(l.options[key])
 }
--- a/internal/system/proxy/pick/cost.go
+++ b/internal/system/proxy/pick/cost.go
@@ -88,7 +88,7 @@
 	isLong := p.isLongPrompt(terms.tokensIn)
 	terms.placement = p.placePrompt(input.now, input.request, members, isLong)
 	if shared > 0 {
-		terms.homes = p.homesOf(key, input, members, &terms.placement)
+		terms.homes = p.findHomes(key, input, members, &terms.placement)
 	}
 	return model
 }
@@ -190,16 +190,16 @@
 // prefillMS returns how long s takes to prefill this many tokens at the end of the prompt: a part that is proportional
 // to the tokens, and attention, which is proportional to the pairs of one of these tokens and a token before it.
 func (e *engineCostModel) prefillMS(s *server, tokens float64) float64 {
-	return tokens/e.rateOf(s) + tokens*(float64(e.tokensIn)-tokens/2)/1e6*attentionMSPerMillionPairs
+	return tokens/e.tokensPerMSAt(s) + tokens*(float64(e.tokensIn)-tokens/2)/1e6*attentionMSPerMillionPairs
 }
 
 // queueingMS returns how long s takes to prefill the tokens that are already waiting there.
 func (e *engineCostModel) queueingMS(s *server, tokens int64) float64 {
-	return float64(max(tokens, 0)) * (1/e.rateOf(s) + queuedAttentionMSPerToken)
+	return float64(max(tokens, 0)) * (1/e.tokensPerMSAt(s) + queuedAttentionMSPerToken)
 }
 
-// rateOf returns the prefill rate of s, in tokens per millisecond.
-func (e *engineCostModel) rateOf(s *server) float64 { return e.tokensPerMS * s.relativeSpeed }
+// tokensPerMSAt returns the prefill rate of s, in tokens per millisecond.
+func (e *engineCostModel) tokensPerMSAt(s *server) float64 { return e.tokensPerMS * s.relativeSpeed }
 
 // poolPenaltyMS is the penalty for a server that is meant for prompts of
 // the other kind. The prefill of a long prompt delays what runs there.
--- a/internal/system/proxy/pick/eligibility.go
+++ b/internal/system/proxy/pick/eligibility.go
@@ -30,7 +30,7 @@
 		return draining
 	case p.state.Evacuated[candidate.Zone]:
 		return evacuated
-	case input.request != nil && !p.mayServeIn(candidate.Region, input.request):
+	case input.request != nil && !p.allowsRegion(candidate.Region, input.request):
 		return outsideHomeRegions
 	case slices.Contains(input.tried, candidate.ID):
 		return alreadyTried
@@ -38,14 +38,14 @@
 		return misdirected
 	case input.isExcludedByOutlier(candidate):
 		return excludedByOutlier
-	case candidate.warmingUp(input.now) && !p.warmUps.maySend(input.now, candidate):
+	case candidate.warmingUp(input.now) && !p.warmUps.canSend(input.now, candidate):
 		return warmUpPaced
 	}
 	return eligible
 }
 
-// mayServeIn reports whether a request may be served in a region.
-func (p *Picker) mayServeIn(region string, r *Request) bool {
+// allowsRegion reports whether a request may be served in a region.
+func (p *Picker) allowsRegion(region string, r *Request) bool {
 	if p.settings.TestingKnobs.IgnoreTenantHomes {
 		return isHome(r.Route.HomeRegions, region)
 	}
--- a/internal/system/proxy/pick/evacuation_end_test.go
+++ b/internal/system/proxy/pick/evacuation_end_test.go
@@ -74,7 +74,7 @@
 // because it began and ended between two updates, or before they started.
 func TestEvacuationEndUnseen(t *testing.T) {
 	const back, warmUpStart, publishedAt = 10 * time.Second, 9800 * time.Millisecond, 10950 * time.Millisecond
-	for name, starts := range map[string]bool{"between two updates": false, "before the start": true} {
+	for name, unstarted := range map[string]bool{"between two updates": false, "before the start": true} {
 		t.Run(name, func(t *testing.T) {
 			fleet := newWarmUpFleet(12)
 			stateCovering := func(i int, warmUpLeft time.Duration, covers uint64) ClusterState {
@@ -83,7 +83,7 @@
 				return state
 			}
 			for i, picker := range fleet.pickers {
-				if !starts {
+				if !unstarted {
 					picker.UpdateClusterState(0, fleet.state(i, 5, 0))
 				}
 				picker.UpdateClusterState(back, stateCovering(i, 0, 6))
@@ -107,23 +107,23 @@
 	const back = 10 * time.Second
 	picker, fleet := New(Settings{WarmUpExcess: 1.5, WarmUpSlack: 5}), newWarmUpFleet(1)
 	picker.UpdateClusterState(0, fleet.state(0, 1, 0))
-	world := func(servers int) ClusterState {
+	stateWith := func(servers int) ClusterState {
 		state := fleet.state(0, servers, 0)
 		state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 6
 		return state
 	}
-	picker.UpdateClusterState(back, world(1))
-	gone := world(0)
-	gone.ZoneChanges = nil
-	picker.UpdateClusterState(back+100*time.Millisecond, gone)
-	picker.UpdateClusterState(back+200*time.Millisecond, world(1))
+	picker.UpdateClusterState(back, stateWith(1))
+	missingServer := stateWith(0)
+	missingServer.ZoneChanges = nil
+	picker.UpdateClusterState(back+100*time.Millisecond, missingServer)
+	picker.UpdateClusterState(back+200*time.Millisecond, stateWith(1))
 	if !picker.servers["s0"].warmingUp(back + 200*time.Millisecond) {
 		t.Error("treated as warm after it was missing from the list")
 	}
-	without := world(1)
-	without.Config = &config.Config{}
-	picker.UpdateClusterState(back+300*time.Millisecond, without)
-	picker.UpdateClusterState(back+400*time.Millisecond, world(1))
+	missingService := stateWith(1)
+	missingService.Config = &config.Config{}
+	picker.UpdateClusterState(back+300*time.Millisecond, missingService)
+	picker.UpdateClusterState(back+400*time.Millisecond, stateWith(1))
 	if s := picker.servers["s0"]; !s.warmingUp(back+400*time.Millisecond) || s.warmingUp(back+warmUpDuration) {
 		t.Errorf("after its service was missing: warming up until %v, want %v", s.warmUp.until, back+warmUpDuration)
 	}
--- a/internal/system/proxy/pick/fleet_view.go
+++ b/internal/system/proxy/pick/fleet_view.go
@@ -27,13 +27,13 @@
 	if state.Stale && !before.Stale {
 		v.staleSince = now
 	}
-	stallOver := v.stalled && state.hasContactSince(now, v.stalledAt)
-	if stallOver {
+	stallEnded := v.stalled && state.hasContactSince(now, v.stalledAt)
+	if stallEnded {
 		v.stalled = false
 	}
-	freshAgain := before.Stale && !state.Stale
-	completeAgain := before.MembershipIncomplete && !state.MembershipIncomplete
-	if freshAgain || completeAgain || stallOver {
+	becameFresh := before.Stale && !state.Stale
+	becameComplete := before.MembershipIncomplete && !state.MembershipIncomplete
+	if becameFresh || becameComplete || stallEnded {
 		v.resumedAt = now
 	}
 }
--- a/internal/system/proxy/pick/golden_trace_test.go
+++ b/internal/system/proxy/pick/golden_trace_test.go
@@ -23,10 +23,10 @@
 var decisionTags = map[Decision]byte{Send: 'S', Reject: 'R', GiveUp: 'X'}
 
 // addPick adds a result of Pick, the attempt that it registered and the counters of the picker.
-func (tr trace) choice(now Time, p *Picker, r *Request, tried int, offered bool, c Result) {
+func (tr trace) addPick(now Time, p *Picker, r *Request, tried int, mayHaveRun bool, c Result) {
 	tr.Step(decisionTags[c.Decision])
-	tr.Ints(int64(now), int64(r.arrived), int64(tried), int64(r.TimeLeft))
-	tr.Bools(offered)
+	tr.Ints(int64(now), int64(r.countedAttempts), int64(tried), int64(r.TimeLeft))
+	tr.Bools(mayHaveRun)
 	tr.Text(c.Server.ID)
 	tr.Ints(int64(c.Ticket), int64(c.Priority), int64(c.RetryAfter), int64(c.SendWithin))
 	if s := p.attempts.byTicket[c.Ticket]; s != nil {
@@ -34,11 +34,11 @@
 		tr.Bools(s.measuresRate)
 		tr.Bools(s.isRetry)
 	}
-	tr.spent(p)
+	tr.addCounters(p)
 }
 
 // addCounters adds the budgets and counters of a picker.
-func (tr trace) spent(p *Picker) {
+func (tr trace) addCounters(p *Picker) {
 	for _, name := range slices.Sorted(maps.Keys(p.groups)) {
 		g := p.groups[name]
 		requests, retries := g.budget.Counts()
@@ -50,7 +50,7 @@
 }
 
 // addLoads adds the loads that a picker shares with the others.
-func (tr trace) loads(now Time, loads map[string]Load) {
+func (tr trace) addLoads(now Time, loads map[string]Load) {
 	tr.Step('L')
 	tr.Ints(int64(now), int64(len(loads)))
 	for _, id := range slices.Sorted(maps.Keys(loads)) {
@@ -60,46 +60,46 @@
 }
 
 // tracedSimulation returns a function that traces a simulation of a scenario; customize may add events to it.
-func tracedFleet(deployment scenario, more func(*simulation)) func(trace, uint64) {
+func tracedSimulation(deployment scenario, customize func(*simulation)) func(trace, uint64) {
 	return func(traced trace, seed uint64) {
 		deployment.seed = seed
-		played := newSimulation(deployment)
-		played.onPick = func(i int, r *Request, tried int, offered bool, c Result) {
+		simulated := newSimulation(deployment)
+		simulated.onPick = func(i int, r *Request, tried int, mayHaveRun bool, c Result) {
 			traced.Ints(int64(i))
-			traced.choice(played.now, played.pickers[i], r, tried, offered, c)
+			traced.addPick(simulated.now, simulated.pickers[i], r, tried, mayHaveRun, c)
 		}
-		played.onShare = func(i int, loads map[string]Load) {
+		simulated.onShare = func(i int, loads map[string]Load) {
 			traced.Ints(int64(i))
-			traced.loads(played.now, loads)
+			traced.addLoads(simulated.now, loads)
 		}
-		if more != nil {
-			more(played)
+		if customize != nil {
+			customize(simulated)
 		}
-		played.run()
-		traced.tallies(played)
+		simulated.run()
+		traced.addStats(simulated)
 	}
 }
 
 // addStats adds the outcomes of the requests of each kind.
-func (tr trace) tallies(f *simulation) {
+func (tr trace) addStats(f *simulation) {
 	for i := range f.kinds {
-		t := f.tallies[f.kinds[i].name]
+		t := f.stats[f.kinds[i].name]
 		tr.Step('T')
-		tr.Ints(int64(t.asked), int64(t.inTime), int64(t.late), int64(t.lost), int64(t.refused), int64(t.abroad), int64(t.across))
+		tr.Ints(int64(t.requests), int64(t.onTime), int64(t.late), int64(t.lost), int64(t.rejected), int64(t.otherRegion), int64(t.otherZone))
 		tr.Floats(t.value)
 		tr.Floats(t.latencies...)
 	}
-	tr.Ints(f.reread, f.firstRead, int64(f.dials), int64(f.unexecuted))
+	tr.Ints(f.reprefilledTokens, f.firstPrefilledTokens, int64(f.newConns), int64(f.notExecuted))
 }
 
 // shortDay returns a day of a deployment with the given length.
 func shortDay(deployment scenario, length time.Duration, day int) scenario {
 	deployment.length = length
-	return days(deployment)[day]
+	return dayScenarios(deployment)[day]
 }
 
-// updateEachState changes the cluster states of all pickers at a time.
-func (f *simulation) updateEachState(at Time, change func(i int, w *ClusterState)) {
+// updateStates changes the cluster states of all pickers at a time.
+func (f *simulation) updateStates(at Time, change func(i int, w *ClusterState)) {
 	f.after(at, func() {
 		for i, p := range f.pickers {
 			w := p.state
@@ -112,9 +112,9 @@
 
 // warmUpScenario has the servers of a zone warm up, one in three only
 // according to its own hint, others drain or leave, and proxies miss updates.
-func warmUpScenario(played *simulation) {
-	zone := played.zones[1]
-	played.updateEachState(time.Second, func(i int, state *ClusterState) {
+func warmUpScenario(simulated *simulation) {
+	zone := simulated.zones[1]
+	simulated.updateStates(time.Second, func(i int, state *ClusterState) {
 		state.Age = time.Duration(i) * 10 * time.Millisecond
 		for j := range state.Servers {
 			if s := &state.Servers[j]; s.Zone == zone && j%3 != 0 {
@@ -122,28 +122,28 @@
 			}
 		}
 	})
-	played.after(1200*time.Millisecond, func() {
-		for _, picker := range played.pickers[:len(played.pickers)/2] {
-			for j, s := range played.servers {
+	simulated.after(1200*time.Millisecond, func() {
+		for _, picker := range simulated.pickers[:len(simulated.pickers)/2] {
+			for j, s := range simulated.servers {
 				switch {
 				case s.Zone == zone && j%3 == 0:
-					picker.WarmingUp(played.now, s.ID, 2*time.Second)
+					picker.WarmingUp(simulated.now, s.ID, 2*time.Second)
 				case j%7 == 1:
-					picker.ServerDraining(played.now, s.ID)
+					picker.ServerDraining(simulated.now, s.ID)
 				}
 			}
 		}
 	})
-	played.updateEachState(2*time.Second, func(i int, state *ClusterState) {
+	simulated.updateStates(2*time.Second, func(i int, state *ClusterState) {
 		state.MembershipIncomplete, state.Stale, state.DownCount = i%4 == 1, i%4 == 2, 1
 		state.Servers[0].Draining, state.Servers[1].Remaining = true, 900*time.Millisecond
-		state.Evacuated, state.ZoneChanges = map[string]bool{played.zones[2]: true}, map[string]uint64{played.zones[2]: 5}
+		state.Evacuated, state.ZoneChanges = map[string]bool{simulated.zones[2]: true}, map[string]uint64{simulated.zones[2]: 5}
 	})
-	played.updateEachState(3*time.Second, func(i int, state *ClusterState) {
-		state.MembershipIncomplete, state.Stale, state.Evacuated, state.ZoneChanges = false, false, nil, map[string]uint64{played.zones[2]: 9}
+	simulated.updateStates(3*time.Second, func(i int, state *ClusterState) {
+		state.MembershipIncomplete, state.Stale, state.Evacuated, state.ZoneChanges = false, false, nil, map[string]uint64{simulated.zones[2]: 9}
 		state.ListCoversSeq = uint64(7 + i%3)
 	})
-	played.updateEachState(5*time.Second, func(_ int, state *ClusterState) { state.ListCoversSeq = 9 })
+	simulated.updateStates(5*time.Second, func(_ int, state *ClusterState) { state.ListCoversSeq = 9 })
 }
 
 // overloaded is a deployment that gets more requests than it can serve.
@@ -156,56 +156,56 @@
 
 // longPrompts is a mix in which most of the work is prompts that share prefixes.
 func longPrompts() scenario {
-	deployment := mixture{"", 0.75, slowReader, map[string][]int{"a": {8}, "b": {5}, "c": {3}}, 3}.scenario()
+	deployment := promptMix{"", 0.75, slowPrefill, map[string][]int{"a": {8}, "b": {5}, "c": {3}}, 3}.scenario()
 	deployment.length = 5 * time.Second
 	return deployment
 }
 
 // randomOperations runs one picker with operations drawn from the seed: all outcomes, cluster states, hints and loads.
-func anyOperations(traced trace, seed uint64) {
-	driven := newDriver(traced, seed)
+func randomOperations(traced trace, seed uint64) {
+	runner := newDriver(traced, seed)
 	for range 6000 {
-		driven.now += time.Duration(driven.rng.IntN(20)) * time.Millisecond
-		switch driven.rng.IntN(12) {
+		runner.now += time.Duration(runner.rng.IntN(20)) * time.Millisecond
+		switch runner.rng.IntN(12) {
 		case 0:
-			if driven.rng.IntN(20) == 0 {
-				driven.updateState()
+			if runner.rng.IntN(20) == 0 {
+				runner.updateState()
 			}
 		case 1:
-			driven.giveHint()
+			runner.giveHint()
 		case 2:
-			driven.shareLoads()
+			runner.shareLoads()
 		case 3, 4, 5, 6:
-			driven.sendNew()
+			runner.sendNew()
 		default:
-			driven.endOne()
+			runner.endAttempt()
 		}
 	}
 }
 
 // driver runs one picker and tracks its requests in flight.
 type driver struct {
-	tr      trace
-	rng     *rand.Rand
-	now     Time
-	p       *Picker
-	cfg     *config.Config
-	servers []Server
-	open    []*drivenRequest
+	tr       trace
+	rng      *rand.Rand
+	now      Time
+	p        *Picker
+	cfg      *config.Config
+	servers  []Server
+	inFlight []*driverRequest
 }
 
-type drivenRequest struct {
-	r       *Request
-	tried   []string
-	offered bool
-	ticket  uint64
+type driverRequest struct {
+	r          *Request
+	tried      []string
+	mayHaveRun bool
+	ticket     uint64
 }
 
 func newDriver(traced trace, seed uint64) *driver {
-	driven := &driver{tr: traced, rng: rand.New(rand.NewPCG(seed, 11)), cfg: &config.Config{Services: map[string]*config.Service{
+	created := &driver{tr: traced, rng: rand.New(rand.NewPCG(seed, 11)), cfg: &config.Config{Services: map[string]*config.Service{
 		"a": {Name: "a", WarmUpRequestsPerSecond: 20, Engine: &config.Engine{Slots: 6, CacheTokens: 60_000, TokensPerEvent: 5}}, "b": {Name: "b", WarmUpRequestsPerSecond: 5}}}}
 	both := []config.Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}}
-	driven.cfg.Routes = []*config.Route{
+	created.cfg.Routes = []*config.Route{
 		{Host: "h", Prefix: "/", Category: config.Streaming, MaxAttempts: 3, Timeout: 5 * time.Second, LatencyTarget: time.Second, Shares: both[:1], Resumable: true},
 		{Host: "h", Prefix: "/i", Category: config.Idempotent, MaxAttempts: 2, Timeout: 2 * time.Second, Shares: both, Priority: 3},
 		{Host: "h", Prefix: "/n", Category: config.Streaming, MaxAttempts: 4, Timeout: time.Second, Shares: both, HomeRegions: []string{"r"}},
@@ -215,11 +215,11 @@
 		if i > 8 {
 			s.Service = "b"
 		}
-		driven.servers = append(driven.servers, s)
+		created.servers = append(created.servers, s)
 	}
-	driven.p = New(Settings{Zone: "z0", Region: "r", RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: seed})
-	driven.updateState()
-	return driven
+	created.p = New(Settings{Zone: "z0", Region: "r", RetryRatio: 0.2, RetrySlack: 20, WarmUpExcess: 1.5, WarmUpSlack: 5, Seed: seed})
+	created.updateState()
+	return created
 }
 
 func (d *driver) updateState() {
@@ -253,14 +253,14 @@
 }
 
 func (d *driver) shareLoads() {
-	others := map[string]Load{}
+	peerLoads := map[string]Load{}
 	for i := range 12 {
-		others[fmt.Sprint("s", i)] = Load{Requests: d.rng.IntN(9), Prefill: int64(d.rng.IntN(5000)), Tokens: int64(d.rng.IntN(9000))}
+		peerLoads[fmt.Sprint("s", i)] = Load{Requests: d.rng.IntN(9), Prefill: int64(d.rng.IntN(5000)), Tokens: int64(d.rng.IntN(9000))}
 	}
-	d.p.UpdatePeerLoads(d.now, others)
-	told := d.p.Loads()
-	d.p.PromptDemands().AddTo(told)
-	d.tr.loads(d.now, told)
+	d.p.UpdatePeerLoads(d.now, peerLoads)
+	shared := d.p.Loads()
+	d.p.PromptDemands().AddTo(shared)
+	d.tr.addLoads(d.now, shared)
 }
 
 func (d *driver) sendNew() {
@@ -270,43 +270,43 @@
 		r.TokensIn += part.Tokens
 	}
 	d.p.RecordRequest(d.now, r)
-	d.choose(&drivenRequest{r: r})
+	d.pick(&driverRequest{r: r})
 }
 
 // pick picks a server for a request, and keeps the request if it got one.
-func (d *driver) choose(o *drivenRequest) {
-	c := d.p.Pick(d.now, o.r, o.tried, o.offered)
-	d.tr.choice(d.now, d.p, o.r, len(o.tried), o.offered, c)
+func (d *driver) pick(o *driverRequest) {
+	c := d.p.Pick(d.now, o.r, o.tried, o.mayHaveRun)
+	d.tr.addPick(d.now, d.p, o.r, len(o.tried), o.mayHaveRun, c)
 	if c.Decision == Send {
 		o.ticket, o.tried = c.Ticket, append(o.tried, c.Server.ID)
-		d.open = append(d.open, o)
+		d.inFlight = append(d.inFlight, o)
 	}
 }
 
-// drivenOutcomes are the outcomes to draw from; common ones are repeated.
-var drivenOutcomes = []AttemptOutcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, ConnectFailed, ConnectionLost, TimedOut, ServerError, Canceled}
+// randomOutcomes are the outcomes to draw from; common ones are repeated.
+var randomOutcomes = []AttemptOutcome{Served, Served, Served, Served, Served, Served, NotExecuted, NotExecuted, Misdirected, ConnectFailed, ConnectionLost, TimedOut, ServerError, Canceled}
 
 // endAttempt ends a random attempt and retries the request if it failed.
-func (d *driver) endOne() {
-	if len(d.open) == 0 {
+func (d *driver) endAttempt() {
+	if len(d.inFlight) == 0 {
 		return
 	}
-	index := d.rng.IntN(len(d.open))
-	request := d.open[index]
-	d.open = slices.Delete(d.open, index, index+1)
+	index := d.rng.IntN(len(d.inFlight))
+	request := d.inFlight[index]
+	d.inFlight = slices.Delete(d.inFlight, index, index+1)
 	if d.rng.IntN(4) > 0 {
 		d.p.ResponseStarted(d.now, request.ticket)
 		d.p.FirstEvent(d.now, request.ticket)
 	}
-	out := drivenOutcomes[d.rng.IntN(len(drivenOutcomes))]
+	out := randomOutcomes[d.rng.IntN(len(randomOutcomes))]
 	d.p.Done(d.now, request.ticket, out, time.Duration(d.rng.IntN(600))*time.Millisecond)
 	switch out {
 	case Served, Canceled:
 		return
 	case ConnectionLost, TimedOut, ServerError:
-		request.offered = true
+		request.mayHaveRun = true
 	}
-	d.choose(request)
+	d.pick(request)
 }
 
 // goldenScenarios returns the scenarios that are traced.
@@ -317,15 +317,15 @@
 			play(trace{digest}, seed)
 		}})
 	}
-	add("usual", 1, tracedFleet(shortDay(aula(), 5*time.Second, 0), nil))
-	add("evacuated", 2, tracedFleet(shortDay(hakata(), 5*time.Second, 1), nil))
-	add("dark", 3, tracedFleet(shortDay(aula(), 6*time.Second, 3), nil))
-	add("reset", 4, tracedFleet(shortDay(hakata(), 6*time.Second, 4), nil))
-	add("cold", 5, tracedFleet(shortDay(aula(), 6*time.Second, 0), warmUpScenario))
-	add("overloaded", 6, tracedFleet(overloaded(), nil))
-	add("long-prompts", 7, tracedFleet(longPrompts(), nil))
+	add("usual", 1, tracedSimulation(shortDay(aula(), 5*time.Second, 0), nil))
+	add("evacuated", 2, tracedSimulation(shortDay(hakata(), 5*time.Second, 1), nil))
+	add("dark", 3, tracedSimulation(shortDay(aula(), 6*time.Second, 3), nil))
+	add("reset", 4, tracedSimulation(shortDay(hakata(), 6*time.Second, 4), nil))
+	add("cold", 5, tracedSimulation(shortDay(aula(), 6*time.Second, 0), warmUpScenario))
+	add("overloaded", 6, tracedSimulation(overloaded(), nil))
+	add("long-prompts", 7, tracedSimulation(longPrompts(), nil))
 	for seed := range uint64(4) {
-		add("any-operations", seed+1, anyOperations)
+		add("any-operations", seed+1, randomOperations)
 	}
 	return all
 }
--- a/internal/system/proxy/pick/homes_test.go
+++ b/internal/system/proxy/pick/homes_test.go
@@ -15,8 +15,8 @@
 	for _, test := range []struct {
 		name   string
 		layout homesLayout
-	}{{"a separate region", separateRegion}, {"a separate region that is too small", smallRegion}, {"pools", noRegion}} {
-		t.Run(test.name, func(t *testing.T) { newHomesRun(t, test.layout).play() })
+	}{{"a separate region", separateRegion}, {"a separate region that is too small", smallSeparateRegion}, {"pools", noSeparateRegion}} {
+		t.Run(test.name, func(t *testing.T) { newHomesRun(t, test.layout).check() })
 	}
 }
 
@@ -24,9 +24,9 @@
 type homesLayout int
 
 const (
-	separateRegion homesLayout = iota // in one of two regions; the other one suffices for the long prompts
-	smallRegion                       // in one of two regions; the other one does not suffice
-	noRegion                          // in all regions
+	separateRegion      homesLayout = iota // in one of two regions; the other one suffices for the long prompts
+	smallSeparateRegion                    // in one of two regions; the other one does not suffice
+	noSeparateRegion                       // in all regions
 )
 
 // homesRun is a fleet that gets long and short prompts, and three of its proxies.
@@ -46,11 +46,11 @@
 		switch layout {
 		case separateRegion: // 8 of 18 servers
 			learnShare(picker, 300_000, 700_000)
-		case smallRegion:
+		case smallSeparateRegion:
 			learnShare(picker, 900_000, 100_000)
 		}
 	}
-	if layout == noRegion {
+	if layout == noSeparateRegion {
 		everywhere := *run.short
 		everywhere.HomeRegions = nil
 		run.short = &everywhere
@@ -70,13 +70,13 @@
 	}
 }
 
-func (run *homesRun) play() {
+func (run *homesRun) check() {
 	homes, regions := map[string]bool{}, map[string]bool{}
-	for subject := range uint64(20) {
+	for sharedPart := range uint64(20) {
 		for _, p := range []*Picker{run.first, run.second, run.far} { // pools exist only if there are short prompts
 			run.send(p, &Request{Route: run.short, TokensIn: 300, MaxTokensOut: 50})
 		}
-		home := run.homeOf(subject)
+		home := run.homeOf(sharedPart)
 		homes[home.ID], regions[home.Region] = true, true
 	}
 	if run.layout != separateRegion && len(regions) < 2 {
@@ -88,7 +88,7 @@
 	for i := range 20 {
 		s := run.send(run.first, &Request{Route: run.short, TokensIn: 300, MaxTokensOut: 50,
 			Prefix: []PrefixPart{{ID: 7, Tokens: 50}, {ID: uint64(5000 + i), Tokens: 250}}})
-		atHome := run.layout == noRegion || s.Region == "cluj"
+		atHome := run.layout == noSeparateRegion || s.Region == "cluj"
 		if !atHome || run.layout != separateRegion && s.inPromptPool {
 			run.Fatalf("a short prompt went to %s, which is in a pool or outside its home regions", s.ID)
 		}
@@ -96,18 +96,18 @@
 }
 
 // homeOf sends long prompts that share a part, and returns the server to which all of them went.
-func (run *homesRun) homeOf(subject uint64) *server {
+func (run *homesRun) homeOf(sharedPart uint64) *server {
 	run.Helper()
-	ask := func(p *Picker, own uint64) *server {
-		return run.send(p, &Request{Route: run.long, TokensIn: 16000, MaxTokensOut: 100, Prefix: []PrefixPart{{ID: subject, Tokens: 13000}, {ID: own, Tokens: 3000}}})
+	sendLong := func(p *Picker, own uint64) *server {
+		return run.send(p, &Request{Route: run.long, TokensIn: 16000, MaxTokensOut: 100, Prefix: []PrefixPart{{ID: sharedPart, Tokens: 13000}, {ID: own, Tokens: 3000}}})
 	}
-	a, b, c, d := ask(run.first, 1000+subject), ask(run.first, 2000+subject), ask(run.second, 3000+subject), ask(run.far, 4000+subject)
+	a, b, c, d := sendLong(run.first, 1000+sharedPart), sendLong(run.first, 2000+sharedPart), sendLong(run.second, 3000+sharedPart), sendLong(run.far, 4000+sharedPart)
 	if a != b || a.ID != c.ID || a.ID != d.ID {
-		run.Fatalf("shared part %d went to %s, %s, %s and %s, want one server", subject, a.ID, b.ID, c.ID, d.ID)
+		run.Fatalf("shared part %d went to %s, %s, %s and %s, want one server", sharedPart, a.ID, b.ID, c.ID, d.ID)
 	}
-	isSeparate := run.layout != noRegion && a.Region == "iasi"
+	isSeparate := run.layout != noSeparateRegion && a.Region == "iasi"
 	if !isSeparate && (run.layout == separateRegion || !a.inPromptPool) {
-		run.Fatalf("shared part %d went to %s, which is in no pool or in a region with short prompts", subject, a.ID)
+		run.Fatalf("shared part %d went to %s, which is in no pool or in a region with short prompts", sharedPart, a.ID)
 	}
 	return a
 }
--- a/internal/system/proxy/pick/idle_conns.go
+++ b/internal/system/proxy/pick/idle_conns.go
@@ -21,8 +21,8 @@
 	return c.count > 0 && now-c.lastReturnedAt <= timeout
 }
 
-// take removes a connection, or all of them if they have been idle for too long.
-func (c *idleConns) take(now Time, timeout time.Duration) {
+// acquire removes a connection, or all of them if they have been idle for too long.
+func (c *idleConns) acquire(now Time, timeout time.Duration) {
 	if !c.usable(now, timeout) {
 		c.count = 0
 		return
@@ -30,8 +30,8 @@
 	c.count--
 }
 
-// put returns a connection.
-func (c *idleConns) put(now Time) { c.count, c.lastReturnedAt = c.count+1, now }
+// release returns a connection.
+func (c *idleConns) release(now Time) { c.count, c.lastReturnedAt = c.count+1, now }
 
 // SetIdleTimeout records for how long the servers of a service keep idle
 // connections, as announced by the server with this id; 0: not announced.
--- a/internal/system/proxy/pick/invariants_test.go
+++ b/internal/system/proxy/pick/invariants_test.go
@@ -24,7 +24,7 @@
 // TestWarmUpEndInvariantControl checks that a warm-up that was announced 80 ms too short violates the invariant with
 // the next reading of the list, and that a new warm-up that begins after the first request to the warm server does not.
 func TestWarmUpEndInvariantControl(t *testing.T) {
-	play := func(warmUpLeft, later time.Duration) {
+	runWarmUp := func(warmUpLeft, later time.Duration) {
 		fleet := newWarmUpFleet(1)
 		fleet.pickers[0].UpdateClusterState(0, fleet.state(0, 1, warmUpLeft))
 		fleet.sendAll(0, warmUpLeft+40*time.Millisecond, 10*time.Millisecond, nil)
@@ -32,9 +32,9 @@
 		state.Servers[0].WarmUpMin = later
 		fleet.pickers[0].UpdateClusterState(warmUpLeft+40*time.Millisecond, state)
 	}
-	invarianttest.Expect(t, warmUpEndInvariant, func() { play(warmUpDuration-80*time.Millisecond, 40*time.Millisecond) })
+	invarianttest.Expect(t, warmUpEndInvariant, func() { runWarmUp(warmUpDuration-80*time.Millisecond, 40*time.Millisecond) })
 	before := warmUpEndInvariant.Violations()
-	play(warmUpDuration, warmUpDuration-20*time.Millisecond)
+	runWarmUp(warmUpDuration, warmUpDuration-20*time.Millisecond)
 	if warmUpEndInvariant.Violations() != before {
 		t.Error("a warm-up that began after the first request counts as the previous one")
 	}
@@ -56,7 +56,7 @@
 // its zone is evacuated, and the evacuation ends after the server has begun to warm up again. That
 // the server is paced until the list can show this must not be held against the earlier request.
 func TestEvacuationEndIsNoViolation(t *testing.T) {
-	const back = 12 * time.Second
+	const evacuationEnd = 12 * time.Second
 	fleet := newWarmUpFleet(1)
 	picker := fleet.pickers[0]
 	before := warmUpEndInvariant.Violations()
@@ -66,14 +66,14 @@
 	state.Evacuated = map[string]bool{"z": true}
 	picker.UpdateClusterState(5*time.Second, state)
 	state.Evacuated, state.ZoneChanges, state.ListCoversSeq = nil, map[string]uint64{"z": 7}, 6
-	picker.UpdateClusterState(back, state)
+	picker.UpdateClusterState(evacuationEnd, state)
 	if !picker.servers["s0"].warmUp.awaitsNewerList {
 		t.Error("not paced although the list cannot show the warm-up")
 	}
 	state = fleet.state(0, 1, 1700*time.Millisecond)
 	state.ZoneChanges, state.ListCoversSeq = map[string]uint64{"z": 7}, 7
 	state.Servers[0].WarmUpMin = time.Second
-	picker.UpdateClusterState(back+500*time.Millisecond, state)
+	picker.UpdateClusterState(evacuationEnd+500*time.Millisecond, state)
 	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a violation")
 	}
@@ -82,15 +82,15 @@
 // TestWarmUpAgainBeforeItsEndIsNoViolation: 500 ms before its warm-up ends, a server begins to warm
 // up again, which the list shows 900 ms later. No proxy can know this when the first warm-up ends.
 func TestWarmUpAgainBeforeItsEndIsNoViolation(t *testing.T) {
-	const again, told = warmUpDuration - 500*time.Millisecond, warmUpDuration + 400*time.Millisecond
+	const restartedAt, listedAt = warmUpDuration - 500*time.Millisecond, warmUpDuration + 400*time.Millisecond
 	fleet := newWarmUpFleet(1)
 	picker := fleet.pickers[0]
 	before := warmUpEndInvariant.Violations()
 	picker.UpdateClusterState(0, fleet.state(0, 1, warmUpDuration))
-	fleet.sendAll(0, told, 10*time.Millisecond, nil)
-	state := fleet.state(0, 1, again+warmUpDuration-told)
+	fleet.sendAll(0, listedAt, 10*time.Millisecond, nil)
+	state := fleet.state(0, 1, restartedAt+warmUpDuration-listedAt)
 	state.Servers[0].WarmUpMin = state.Servers[0].WarmUpMax
-	picker.UpdateClusterState(told, state)
+	picker.UpdateClusterState(listedAt, state)
 	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a violation")
 	}
@@ -115,15 +115,15 @@
 // TestStallIsNoWarmUp: a server was paced only because of a stall, and begins to
 // warm up later. It must not count as a server whose warm-up had ended before.
 func TestStallIsNoWarmUp(t *testing.T) {
-	const woke = 10 * time.Second
-	picker, fleet := stalledPicker(woke)
+	const resumedAt = 10 * time.Second
+	picker, fleet := stalledPicker(resumedAt)
 	before := warmUpEndInvariant.Violations()
-	picker.UpdateClusterState(woke+50*time.Millisecond, fleet.state(0, 1, 0))
+	picker.UpdateClusterState(resumedAt+50*time.Millisecond, fleet.state(0, 1, 0))
 	fleet.pickers = fleet.pickers[:1]
-	fleet.sendAll(woke+50*time.Millisecond, woke+100*time.Millisecond, 10*time.Millisecond, nil)
+	fleet.sendAll(resumedAt+50*time.Millisecond, resumedAt+100*time.Millisecond, 10*time.Millisecond, nil)
 	state := fleet.state(0, 1, 2900*time.Millisecond)
 	state.Servers[0].WarmUpMin = state.Servers[0].WarmUpMax
-	picker.UpdateClusterState(woke+100*time.Millisecond, state)
+	picker.UpdateClusterState(resumedAt+100*time.Millisecond, state)
 	if warmUpEndInvariant.Violations() != before || len(fleet.sent) == 0 {
 		t.Errorf("counted as a violation, or no request was sent (%d requests)", len(fleet.sent))
 	}
--- a/internal/system/proxy/pick/load.go
+++ b/internal/system/proxy/pick/load.go
@@ -64,7 +64,7 @@
 	p.peerLoadsAt = now
 	for id, s := range p.servers {
 		s.load.peers = loads[id]
-		if p.bringsLongPrompts(s.load.peers) {
+		if p.hasLongPrompts(s.load.peers) {
 			s.group.mix.RecordLong(now)
 		}
 	}
@@ -72,7 +72,7 @@
 		if g.engine() == nil {
 			continue
 		}
-		g.peerDemand = demandOfLoad(loads[demandKey(name)])
+		g.peerDemand = demandFromLoad(loads[demandKey(name)])
 		p.assignPromptPools(now, g)
 	}
 }
--- a/internal/system/proxy/pick/pick.go
+++ b/internal/system/proxy/pick/pick.go
@@ -43,18 +43,18 @@
 // one of these attempts may have run. If the decision is Send, the attempt is registered, and Done must follow exactly once.
 func (p *Picker) Pick(now Time, r *Request, tried []string, mayHaveRun bool) Result {
 	result := Result{Priority: min(max(r.Priority(), 0), maxPriority)}
-	if mayHaveRun && !r.Route.Idempotent() || r.hasNoTriesLeft(len(tried)) {
+	if mayHaveRun && !r.Route.Idempotent() || r.attemptsExhausted(len(tried)) {
 		result.Decision = GiveUp
 		return result
 	}
-	rotation := p.rotations.Of(r.Route)
+	rotation := p.rotations.ForRoute(r.Route)
 	due, shares := rotation.Next(), rotation.Shares()
 	input := &p.scratch.input
 	*input = pickInput{now: now, request: r, tried: tried, prompt: &p.scratch.prompt}
 	p.scratch.prompt = prefixcache.NewChain(r.Prefix)
 
 	retryAfterMS := math.Inf(1)
-	for g := range p.groupsInTurn(shares, due) {
+	for g := range p.groupsInOrder(shares, due) {
 		found := p.pickInGroup(input, g)
 		retryAfterMS = min(retryAfterMS, found.retryAfterMS)
 		switch {
@@ -70,19 +70,20 @@
 	return result.withoutServer(input, retryAfterMS)
 }
 
-// hasNoTriesLeft reports whether r has used up its attempts. tried is the number of servers that it was sent to, as counted by the caller.
+// attemptsExhausted reports whether r has used up its attempts. tried is
+// the number of servers that it was sent to, as counted by the caller.
 //
 // The proxy counts attempts as well, and applies this rule and the one about requests that may have run (mayRetry).
-// Both count on purpose. The proxy needs the answer where it does not ask the picker. The picker needs its own
-// count, arrived, to tell retries from first attempts for the retry budget; arrived includes the attempt in flight,
-// and is decremented if nothing of the attempt was sent. And the limit holds even if one of the two counts is wrong.
-func (r *Request) hasNoTriesLeft(tried int) bool {
-	return r.arrived >= r.maxTries() || tried >= r.maxTries()+maxUnsentAttempts
+// Both count on purpose. The proxy needs the answer where it does not ask the picker. The picker needs its own count,
+// countedAttempts, to tell retries from first attempts for the retry budget; it includes the attempt in flight, and
+// is decremented if nothing of the attempt was sent. And the limit holds even if one of the two counts is wrong.
+func (r *Request) attemptsExhausted(tried int) bool {
+	return r.countedAttempts >= r.maxAttempts() || tried >= r.maxAttempts()+maxUnsentAttempts
 }
 
-// groupsInTurn yields the groups that a request may go to: the one that is due; then the next ones with a weight; then those with weight
+// groupsInOrder yields the groups that a request may go to: the one that is due; then the next ones with a weight; then those with weight
 // 0, which are used only if all others are empty. A group that is full is not empty: requests are divided by weight, not by load.
-func (p *Picker) groupsInTurn(shares []config.Share, due int) iter.Seq[*group] {
+func (p *Picker) groupsInOrder(shares []config.Share, due int) iter.Seq[*group] {
 	return func(yield func(*group) bool) {
 		for _, weighted := range [...]bool{true, false} {
 			for i := range shares {
@@ -104,7 +105,7 @@
 
 // sendWithinBudget sends the request to s, unless it is a retry that exceeds the retry budget of s's service.
 func (p *Picker) sendWithinBudget(input *pickInput, result Result, s *server, estimated cost) Result {
-	if input.request.arrived > 0 && !s.group.budget.Allows(input.now, p.settings.RetryRatio, p.retrySlack()) {
+	if input.request.countedAttempts > 0 && !s.group.budget.Allows(input.now, p.settings.RetryRatio, p.retrySlack()) {
 		return result.withoutServer(input, math.Inf(1))
 	}
 	return p.send(input, result, s, estimated)
@@ -128,7 +129,7 @@
 	}
 	result.RetryAfter = max(min(result.RetryAfter, input.request.TimeLeft/retryAfterDivisor), minRetryAfter)
 	result.Decision = Reject
-	if len(input.tried) > 0 || input.request.arrived > 0 {
+	if len(input.tried) > 0 || input.request.countedAttempts > 0 {
 		result.Decision = GiveUp
 	}
 	return result
@@ -151,7 +152,7 @@
 	if math.IsInf(estimates.minTotalMS, 1) {
 		return groupResult{retryAfterMS: estimates.warmUpWaitMS}
 	}
-	index := members.nextWithin(estimates.costs, estimates.minTotalMS+model.toleranceMS)
+	index := members.nextWithinCost(estimates.costs, estimates.minTotalMS+model.toleranceMS)
 	s, estimated := members.servers[index], estimates.costs[index]
 	// Rejecting while less than half of the slots are taken is never right: the estimate must be wrong.
 	halfTaken := estimates.requests*2 >= estimates.slots
@@ -195,9 +196,9 @@
 	return estimates
 }
 
-// nextWithin returns the index of the server whose turn it is among those that cost at most limitMS, of which there
+// nextWithinCost returns the index of the server whose turn it is among those that cost at most limitMS, of which there
 // is at least one: the first from the cursor on, or the second if this proxy has fewer requests in flight there.
-func (g *group) nextWithin(costs []cost, limitMS float64) int {
+func (g *group) nextWithinCost(costs []cost, limitMS float64) int {
 	count := len(g.servers)
 	first, second := -1, -1
 	for i := range count {
--- a/internal/system/proxy/pick/probe.go
+++ b/internal/system/proxy/pick/probe.go
@@ -11,7 +11,7 @@
 			continue
 		}
 		for _, s := range g.servers {
-			if p.mayBeProbed(input, s) && (best == nil || probedBefore(s, best)) {
+			if p.canProbe(input, s) && (best == nil || isBetterProbe(s, best)) {
 				best = s
 			}
 		}
@@ -23,19 +23,19 @@
 	return nil, cost{}
 }
 
-// mayBeProbed reports whether only outlier detection keeps the request from s, and s has capacity for a probe.
-func (p *Picker) mayBeProbed(input *pickInput, s *server) bool {
+// canProbe reports whether only outlier detection keeps the request from s, and s has capacity for a probe.
+func (p *Picker) canProbe(input *pickInput, s *server) bool {
 	if p.eligibility(input, s) != excludedByOutlier {
 		return false
 	}
-	if s.warmingUp(input.now) && !p.warmUps.maySend(input.now, s) {
+	if s.warmingUp(input.now) && !p.warmUps.canSend(input.now, s) {
 		return false
 	}
 	return p.hasProbeCapacity(s)
 }
 
-// probedBefore reports whether s is a better server to probe than other.
-func probedBefore(s, other *server) bool {
+// isBetterProbe reports whether s is a better server to probe than other.
+func isBetterProbe(s, other *server) bool {
 	if s.outlier.EjectedUntil() != other.outlier.EjectedUntil() {
 		return s.outlier.EjectedUntil() < other.outlier.EjectedUntil()
 	}
--- a/internal/system/proxy/pick/probe_test.go
+++ b/internal/system/proxy/pick/probe_test.go
@@ -14,21 +14,21 @@
 		state := fleet.state(0, 2, 0)
 		state.Stale = true
 		picker.UpdateClusterState(0, state)
-		ask := func(now Time) Result {
+		pick := func(now Time) Result {
 			return picker.Pick(now, &Request{Route: fleet.config.Routes[0], TimeLeft: time.Second}, nil, false)
 		}
 		for range 2 {
-			c := ask(0)
+			c := pick(0)
 			picker.Done(0, c.Ticket, ConnectFailed, 0)
 		}
-		knocks := 0
+		attempts := 0
 		for range 20 {
-			if ask(100*time.Millisecond).Decision == Send {
-				knocks++
+			if pick(100*time.Millisecond).Decision == Send {
+				attempts++
 			}
 		}
-		if knocks > 2 {
-			t.Errorf("%d proxies: %d requests wait for connections to two servers, want at most one each", proxies, knocks)
+		if attempts > 2 {
+			t.Errorf("%d proxies: %d requests wait for connections to two servers, want at most one each", proxies, attempts)
 		}
 	}
 }
--- a/internal/system/proxy/pick/prompt_pools.go
+++ b/internal/system/proxy/pick/prompt_pools.go
@@ -25,9 +25,9 @@
 	return float64(tokens)/p.settings.PrefillRate >= minLongPromptMS
 }
 
-// bringsLongPrompts reports whether some of the requests of a load have long prompts: the outstanding
+// hasLongPrompts reports whether some of the requests of a load have long prompts: the outstanding
 // prefill is at least that of one long prompt, and at least a quarter of a long prompt per request.
-func (p *Picker) bringsLongPrompts(load Load) bool {
+func (p *Picker) hasLongPrompts(load Load) bool {
 	long := minLongPromptMS * p.settings.PrefillRate // tokens
 	prefill := float64(load.Prefill)
 	return prefill >= long && prefill >= float64(load.Requests)*long/4
@@ -134,9 +134,9 @@
 
 // promptPlacement determines which servers are meant for a request's prompt. The zero value allows all.
 type promptPlacement struct {
-	isLong          bool
-	pooled          [promptpool.MaxRegions]bool // regions that get short prompts, so that their servers are divided into pools
-	regionsSeparate bool                        // long prompts go to the other regions, short ones to these
+	isLong             bool
+	pooled             [promptpool.MaxRegions]bool // regions that get short prompts, so that their servers are divided into pools
+	useSeparateRegions bool                        // long prompts go to the other regions, short ones to these
 }
 
 // placePrompt returns which members of a group are meant for r's prompt, based on the kinds of prompts that the group got recently.
@@ -149,7 +149,7 @@
 	for region := range placement.pooled {
 		placement.pooled[region] = members.mix.HasShort(now, region)
 	}
-	placement.regionsSeparate = members.division.Suffices() && p.hasSeparateRegions(r, members, &placement)
+	placement.useSeparateRegions = members.division.Suffices() && p.hasSeparateRegions(r, members, &placement)
 	return placement
 }
 
@@ -166,7 +166,7 @@
 	switch {
 	case s.regionIndex >= promptpool.MaxRegions:
 		return true
-	case m.regionsSeparate:
+	case m.useSeparateRegions:
 		return !m.isLong || !m.pooled[s.regionIndex]
 	case m.pooled[s.regionIndex]:
 		return m.isLong == s.inPromptPool
--- a/internal/system/proxy/pick/prompt_pools_test.go
+++ b/internal/system/proxy/pick/prompt_pools_test.go
@@ -63,7 +63,7 @@
 
 // TestPromptPoolIgnoresSmallDemandChanges varies the demand by less than one
 // server's share: the pool, and so the homes of prefixes, must not change.
-func TestPromptPoolStaysWhereTheWorkWavers(t *testing.T) {
+func TestPromptPoolIgnoresSmallDemandChanges(t *testing.T) {
 	picker, now := newPoolPicker(20), Time(0)
 	for i := range 600 {
 		now += 100 * time.Millisecond
@@ -93,15 +93,15 @@
 		now += time.Second
 		first.groups["lm"].demand.Add(now, true, 70_000)
 		second.groups["lm"].demand.Add(now, false, 30_000)
-		of := func(x *Picker) map[string]Load {
+		sharedLoads := func(x *Picker) map[string]Load {
 			x.groups["lm"].demand.Decay(now)
 			loads := map[string]Load{}
 			x.PromptDemands().AddTo(loads)
 			return loads
 		}
-		ofP, ofQ := of(first), of(second)
-		first.UpdatePeerLoads(now, ofQ)
-		second.UpdatePeerLoads(now, ofP)
+		firstLoads, secondLoads := sharedLoads(first), sharedLoads(second)
+		first.UpdatePeerLoads(now, secondLoads)
+		second.UpdatePeerLoads(now, firstLoads)
 		for id, s := range first.servers {
 			if s.inPromptPool != second.servers[id].inPromptPool {
 				t.Fatalf("after %v %s is in the pool of only one of the proxies", now, id)
--- a/internal/system/proxy/pick/promptpool/demand.go
+++ b/internal/system/proxy/pick/promptpool/demand.go
@@ -30,26 +30,26 @@
 
 // Mix records which kinds of prompts a service gets. The zero value has recorded none.
 type Mix struct {
-	long  lastSeen
-	short [MaxRegions]lastSeen // by region
+	lastLong  lastSeen
+	lastShort [MaxRegions]lastSeen // by region
 }
 
 // lastSeen is when a kind was last seen, if ever.
 type lastSeen struct {
-	at  time.Duration
-	any bool
+	at   time.Duration
+	seen bool
 }
 
-func (l lastSeen) recent(now time.Duration) bool { return l.any && now-l.at <= MixTTL }
+func (l lastSeen) recent(now time.Duration) bool { return l.seen && now-l.at <= MixTTL }
 
 // RecordLong records a long prompt.
-func (m *Mix) RecordLong(now time.Duration) { m.long = lastSeen{now, true} }
+func (m *Mix) RecordLong(now time.Duration) { m.lastLong = lastSeen{now, true} }
 
 // RecordShort records a short prompt that may go to a region with an index below MaxRegions.
-func (m *Mix) RecordShort(now time.Duration, region int) { m.short[region] = lastSeen{now, true} }
+func (m *Mix) RecordShort(now time.Duration, region int) { m.lastShort[region] = lastSeen{now, true} }
 
 // HasLong reports whether long prompts have arrived recently.
-func (m *Mix) HasLong(now time.Duration) bool { return m.long.recent(now) }
+func (m *Mix) HasLong(now time.Duration) bool { return m.lastLong.recent(now) }
 
 // HasShort reports whether short prompts that may go to a region with an index below MaxRegions have arrived recently.
-func (m *Mix) HasShort(now time.Duration, region int) bool { return m.short[region].recent(now) }
+func (m *Mix) HasShort(now time.Duration, region int) bool { return m.lastShort[region].recent(now) }
--- a/internal/system/proxy/pick/property_test.go
+++ b/internal/system/proxy/pick/property_test.go
@@ -82,11 +82,11 @@
 
 // randomRequest is the state of a request that the rules depend on, tracked independently of the picker.
 type randomRequest struct {
-	request *Request
-	ticket  uint64 // of the attempt in flight; 0: none
-	tried   []string
-	arrived int
-	offered bool
+	request    *Request
+	ticket     uint64 // of the attempt in flight; 0: none
+	tried      []string
+	attempts   int
+	mayHaveRun bool
 }
 
 func (run *randomRun) updateLoads() {
@@ -129,7 +129,7 @@
 	} else {
 		request = run.newRequest()
 	}
-	result := run.picker.Pick(run.now, request.request, request.tried, request.offered)
+	result := run.picker.Pick(run.now, request.request, request.tried, request.mayHaveRun)
 	if result.Decision != Send {
 		run.checkRefusal(request, result)
 		return
@@ -137,7 +137,7 @@
 	run.checkSend(request, result)
 	request.ticket = result.Ticket
 	request.tried = append(request.tried, result.Server.ID)
-	request.arrived++
+	request.attempts++
 }
 
 func (run *randomRun) checkRefusal(request *randomRequest, result Result) {
@@ -151,10 +151,10 @@
 
 func (run *randomRun) checkSend(request *randomRequest, result Result) {
 	route := request.request.Route
-	if request.offered && !route.Idempotent() {
+	if request.mayHaveRun && !route.Idempotent() {
 		run.Fatal("a non-idempotent request was sent again after it may have run")
 	}
-	if request.arrived >= route.MaxAttempts {
+	if request.attempts >= route.MaxAttempts {
 		run.Fatal("more attempts than MaxAttempts")
 	}
 	listed := slices.IndexFunc(run.state.Servers, func(s Server) bool { return s.ID == result.Server.ID })
@@ -197,9 +197,9 @@
 	request.ticket = 0
 	switch outcome {
 	case ConnectionLost, TimedOut, ServerError, Served, Canceled:
-		request.offered = true
+		request.mayHaveRun = true
 	case ConnectFailed:
-		request.arrived--
+		request.attempts--
 	}
 }
 
@@ -324,12 +324,12 @@
 func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := newRetryRun(t)
-		rates := rapid.SliceOfN(rapid.IntRange(0, 3), 30, 30).Draw(t, "rates")
+		requestsPerSecond := rapid.SliceOfN(rapid.IntRange(0, 3), 30, 30).Draw(t, "rates")
 		for i := range int(30 * time.Second / retryStep) {
 			now := Time(i) * retryStep
 			run.requests, run.retries = append(run.requests, 0), append(run.retries, 0)
 			for _, picker := range run.pickers {
-				for range rates[int(now/time.Second)] {
+				for range requestsPerSecond[int(now/time.Second)] {
 					run.requests[i]++
 					run.retries[i] += run.retryAll(picker, now)
 				}
--- a/internal/system/proxy/pick/reachable_again_test.go
+++ b/internal/system/proxy/pick/reachable_again_test.go
@@ -9,32 +9,32 @@
 // another zone, which begin to warm up meanwhile. When the partition ends, the servers are reachable before the
 // control plane is. Failure: the first response ends the suspicion of a server, and all waiting requests go there.
 func TestServersReachableAgain(t *testing.T) {
-	const cut, healed, told = 5 * time.Second, 10 * time.Second, 10300 * time.Millisecond
+	const partitionedAt, reconnectedAt, publishedAt = 5 * time.Second, 10 * time.Second, 10300 * time.Millisecond
 	fleet := newWarmUpFleet(12)
 	fleet.pickers = fleet.pickers[:5]
 	for i, picker := range fleet.pickers {
 		picker.UpdateClusterState(0, fleet.state(i, 1, 0))
 		state := fleet.state(i, 1, 0)
 		state.Stale = true
-		picker.UpdateClusterState(cut, state)
-		c := picker.Pick(cut, &Request{Route: fleet.config.Routes[0], TimeLeft: time.Second}, nil, false)
-		picker.Done(cut, c.Ticket, ConnectFailed, 0)
+		picker.UpdateClusterState(partitionedAt, state)
+		c := picker.Pick(partitionedAt, &Request{Route: fleet.config.Routes[0], TimeLeft: time.Second}, nil, false)
+		picker.Done(partitionedAt, c.Ticket, ConnectFailed, 0)
 	}
-	fleet.sendAll(healed, told, 5*time.Millisecond, nil)
+	fleet.sendAll(reconnectedAt, publishedAt, 5*time.Millisecond, nil)
 	fleet.checkBound(t)
 	if len(fleet.sent) == 0 {
 		t.Error("no request was sent")
 	}
 	for i, picker := range fleet.pickers {
 		state := fleet.state(i, 1, 0)
-		state.ContactAge = told - healed + time.Millisecond
-		picker.UpdateClusterState(told, state)
-		if !picker.servers["s0"].warmingUp(told) {
+		state.ContactAge = publishedAt - reconnectedAt + time.Millisecond
+		picker.UpdateClusterState(publishedAt, state)
+		if !picker.servers["s0"].warmingUp(publishedAt) {
 			t.Errorf("proxy %d treats the server as warm because of a state published before the partition ended", i)
 		}
 		state.ContactAge = 0
-		picker.UpdateClusterState(told, state)
-		if picker.servers["s0"].warmingUp(told) {
+		picker.UpdateClusterState(publishedAt, state)
+		if picker.servers["s0"].warmingUp(publishedAt) {
 			t.Errorf("proxy %d treats the server as warming up although the control plane has published a state since", i)
 		}
 	}
--- a/internal/system/proxy/pick/request.go
+++ b/internal/system/proxy/pick/request.go
@@ -24,10 +24,10 @@
 	Age          time.Duration // since this proxy read the request head
 	Resumed      bool          // it continues a stream after Last-Event-Id
 
-	// arrived is the number of attempts that reached a server or are in flight to one. Only the Picker changes
-	// it: send counts an attempt, and Done uncounts it for ConnectFailed. So all attempts of a request must be
-	// passed the same Request. hasNoTriesLeft explains why the caller counts attempts as well.
-	arrived int
+	// countedAttempts is the number of attempts that reached a server or are in flight to one. Only the Picker
+	// changes it: send counts an attempt, and Done uncounts it for ConnectFailed. So all attempts of a request
+	// must be passed the same Request. attemptsExhausted explains why the caller counts attempts as well.
+	countedAttempts int
 }
 
 // allowsRegion reports whether r may go to a region: it must be a home region of the route and of the tenant, if these have any.
@@ -48,8 +48,8 @@
 	return r.Route.Priority
 }
 
-// maxTries returns how many attempts of r may reach a server.
-func (r *Request) maxTries() int { return max(r.Route.MaxAttempts, 1) }
+// maxAttempts returns how many attempts of r may reach a server.
+func (r *Request) maxAttempts() int { return max(r.Route.MaxAttempts, 1) }
 
 // AttemptOutcome is how one attempt at a server ended.
 type AttemptOutcome uint8
--- a/internal/system/proxy/pick/rotation/rotation.go
+++ b/internal/system/proxy/pick/rotation/rotation.go
@@ -52,9 +52,9 @@
 	rotations map[*config.Route]*Rotation
 }
 
-// Of returns the rotation of a route. If the route's configuration was replaced
+// ForRoute returns the rotation of a route. If the route's configuration was replaced
 // while the request was in flight, it returns a new rotation that is not kept.
-func (t *Table) Of(route *config.Route) *Rotation {
+func (t *Table) ForRoute(route *config.Route) *Rotation {
 	if rotation := t.rotations[route]; rotation != nil {
 		return rotation
 	}
--- a/internal/system/proxy/pick/rotation/rotation_test.go
+++ b/internal/system/proxy/pick/rotation/rotation_test.go
@@ -40,18 +40,18 @@
 	first, second := &config.Route{Host: "h", Shares: shares}, &config.Route{Host: "h", Shares: shares}
 	var table Table
 	table.Update([]*config.Route{first})
-	turns(table.Of(first), 1)
+	turns(table.ForRoute(first), 1)
 	table.Update([]*config.Route{second})
-	if got := turns(table.Of(second), 1); got != "b" {
+	if got := turns(table.ForRoute(second), 1); got != "b" {
 		t.Errorf("service %s is due after an update without changes, want b", got)
 	}
-	replaced := table.Of(first)
-	if replaced == table.Of(first) {
+	replaced := table.ForRoute(first)
+	if replaced == table.ForRoute(first) {
 		t.Error("the rotation of a route from the replaced configuration was kept")
 	}
 	third := &config.Route{Host: "h", Shares: append([]config.Share{{Service: "c", Weight: 1}}, shares...)}
 	table.Update([]*config.Route{third})
-	if got := turns(table.Of(third), 1); got != "c" {
+	if got := turns(table.ForRoute(third), 1); got != "c" {
 		t.Errorf("service %s is due after the shares have changed, want c", got)
 	}
 }
--- a/internal/system/proxy/pick/send.go
+++ b/internal/system/proxy/pick/send.go
@@ -22,13 +22,13 @@
 		result.SendWithin = warmUpSendTimeout
 	}
 	p.warmUps.recordSend(now, target)
-	if r.arrived > 0 {
+	if r.countedAttempts > 0 {
 		started.isRetry = true
 		target.group.budget.RecordRetry(now, 1)
 	}
-	r.arrived++
+	r.countedAttempts++
 	target.load.own.Requests++
-	target.idle.take(now, target.group.idleTimeout)
+	target.idle.acquire(now, target.group.idleTimeout)
 	if target.group.engine() != nil {
 		started.expectedAt = now + durationMS(estimated.firstEventMS)
 		p.recordPrefill(input, started)
@@ -49,8 +49,8 @@
 	cachedTokens := min(lookup.CachedTokens(&s.prefixes), tokensIn)
 	a.prefillTokens = int64(tokensIn - cachedTokens)
 	a.memoryTokens = a.prefillTokens + int64(max(r.MaxTokensOut, 0))
-	isAlone := s.load.own.Prefill == 0 && s.load.peers.Prefill == 0
-	a.measuresRate = isAlone && cachedTokens == 0 && a.prefillTokens >= minSampleTokens && !s.warmingUp(input.now)
+	serverIdle := s.load.own.Prefill == 0 && s.load.peers.Prefill == 0
+	a.measuresRate = serverIdle && cachedTokens == 0 && a.prefillTokens >= minSampleTokens && !s.warmingUp(input.now)
 	s.group.demand.Add(input.now, p.isLongPrompt(tokensIn), a.prefillTokens)
 	s.load.own.Prefill += a.prefillTokens
 	s.load.own.Tokens += a.memoryTokens
@@ -121,7 +121,7 @@
 // recordServed records a complete response.
 func (p *Picker) recordServed(now Time, a *attempt) {
 	s := a.server
-	s.idle.put(now)
+	s.idle.release(now)
 	p.recordReachable(now, s)
 	s.outlier.RecordSuccess()
 	s.group.observeServiceTime(ms(now - a.sentAt))
@@ -130,7 +130,7 @@
 
 // recordNotExecuted records that a server rejected a request because it was full.
 func (p *Picker) recordNotExecuted(now Time, s *server, retryAfter time.Duration) {
-	s.idle.put(now)
+	s.idle.release(now)
 	p.recordReachable(now, s)
 	s.outlier.RecordRejection()
 	s.group.observeFull(s.load.requests(now, p.peerLoadsAt), s.slots())
@@ -145,7 +145,7 @@
 
 // recordNotSent reverts the counts of an attempt that never reached its server.
 func (a *attempt) recordNotSent(now Time) {
-	a.request.arrived--
+	a.request.countedAttempts--
 	if a.isRetry {
 		a.server.group.budget.RecordRetry(now, -1)
 	}
--- a/internal/system/proxy/pick/shared_demand.go
+++ b/internal/system/proxy/pick/shared_demand.go
@@ -27,8 +27,8 @@
 // load encodes d as an entry of the map of shared loads.
 func (d SharedDemand) load() Load { return Load{Prefill: d.Long, Tokens: d.Short} }
 
-// demandOfLoad decodes a demand from an entry of the map of shared loads.
-func demandOfLoad(l Load) SharedDemand { return SharedDemand{Long: l.Prefill, Short: l.Tokens} }
+// demandFromLoad decodes a demand from an entry of the map of shared loads.
+func demandFromLoad(l Load) SharedDemand { return SharedDemand{Long: l.Prefill, Short: l.Tokens} }
 
 // PromptDemands returns the recent demands at this proxy, without services that had none.
 // They are shared together with the loads, and their sum comes back in UpdatePeerLoads.
--- a/internal/system/proxy/pick/sim_engine_test.go
+++ b/internal/system/proxy/pick/sim_engine_test.go
@@ -13,7 +13,7 @@
 // The simulation runs a fleet of proxies and servers in virtual time: it never sleeps, and the same seed gives the same run.
 
 // eventQueue holds future events, ordered by time and then by order of insertion.
-type agenda struct {
+type eventQueue struct {
 	now   Time
 	seq   int
 	items eventHeap
@@ -22,7 +22,7 @@
 type event struct {
 	at  Time
 	seq int
-	do  func()
+	run func()
 }
 
 type eventHeap []event
@@ -39,51 +39,51 @@
 	return x
 }
 
-func (a *agenda) after(d time.Duration, do func()) {
+func (a *eventQueue) after(d time.Duration, do func()) {
 	a.seq++
 	heap.Push(&a.items, event{a.now + max(d, 0), a.seq, do})
 }
 
-func (a *agenda) run(until Time) {
+func (a *eventQueue) run(until Time) {
 	for len(a.items) > 0 && a.items[0].at <= until {
 		e := heap.Pop(&a.items).(event)
 		a.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
 // job is a request at a model server.
 type job struct {
-	chain       prefixcache.Chain
-	in, out     int
-	priority    int
-	deadline    Time
-	prefillLeft int // prompt tokens that are still to be prefilled
-	total       int
-	tokensMade  int // output tokens so far
-	memoryTaken int64
-	lastAt      Time
-	maxEventGap time.Duration // the longest gap between events
-	first       func(running, waiting int)
-	done        func(served bool)
-	lost        func(AttemptOutcome)
+	chain                  prefixcache.Chain
+	tokensIn, maxTokensOut int
+	priority               int
+	deadline               Time
+	prefillLeft            int // prompt tokens that are still to be prefilled
+	promptTokens           int
+	outputTokens           int // output tokens so far
+	memoryTokens           int64
+	lastEventAt            Time
+	maxEventGap            time.Duration // the longest gap between events
+	onFirstEvent           func(running, waiting int)
+	onDone                 func(served bool)
+	onLost                 func(AttemptOutcome)
 }
 
 // engine is a model server: it prefills prompts in chunks between the decoding steps, in each of which every running request gets a token.
 type engine struct {
-	*agenda
-	spec             engineSpec
-	speed            float64
-	slots, queue     int
-	running, waiting []*job
-	stepping         bool
-	cache            map[uint64]*list.Element // of cachedPart, by chain key
-	lru              *list.List               // least recently used first
-	used, cached     int64
-	onPrefill        func(key uint64, tokens int) // called for each shared part that is prefilled
-	prefilled        int64
-	peakWaiting      int
-	down             string // "reset", "dark", or empty while it is up
+	*eventQueue
+	spec                     engineSpec
+	speed                    float64
+	slots, queue             int
+	running, waiting         []*job
+	stepping                 bool
+	cache                    map[uint64]*list.Element // of cachedPart, by chain key
+	lru                      *list.List               // least recently used first
+	usedTokens, cachedTokens int64
+	onPrefill                func(key uint64, tokens int) // called for each shared part that is prefilled
+	prefilledTokens          int64
+	peakWaiting              int
+	down                     string // "reset", "dark", or empty while it is up
 }
 
 // fail ends everything that runs here: with resets, or without any response.
@@ -91,20 +91,20 @@
 	e.down = how
 	for _, j := range append(e.running, e.waiting...) {
 		if how == "reset" {
-			e.after(time.Millisecond, func() { j.lost(ConnectionLost) })
+			e.after(time.Millisecond, func() { j.onLost(ConnectionLost) })
 		} else {
-			e.after(serverTimeout, func() { j.lost(TimedOut) })
+			e.after(serverTimeout, func() { j.onLost(TimedOut) })
 		}
 	}
-	e.running, e.waiting, e.used, e.cached = nil, nil, 0, 0
+	e.running, e.waiting, e.usedTokens, e.cachedTokens = nil, nil, 0, 0
 	e.cache = map[uint64]*list.Element{}
 	e.lru.Init()
 }
 
 type engineSpec struct {
-	step, perSlot, rate, pairs, first float64 // ms, ms, tokens per ms, ms per million pairs, ms
-	memory                            int64
-	stride                            int
+	stepMS, perSlotMS, tokensPerMS, attentionMS, firstEventMS float64 // ms, ms, tokens per ms, ms per million pairs, ms
+	memoryTokens                                              int64
+	tokensPerEvent                                            int
 }
 
 type cachedPart struct {
@@ -136,19 +136,19 @@
 		next := e.waiting[0]
 		if e.now > next.deadline {
 			e.waiting = e.waiting[1:]
-			next.done(false)
+			next.onDone(false)
 			continue
 		}
 		cached := e.useCached(next)
-		need := int64(next.in - cached + next.out)
+		need := int64(next.tokensIn - cached + next.maxTokensOut)
 		e.evict(need)
-		if e.used+need > e.spec.memory && len(e.running) > 0 {
+		if e.usedTokens+need > e.spec.memoryTokens && len(e.running) > 0 {
 			return
 		}
-		next.prefillLeft, next.total, next.memoryTaken = next.in-cached, next.in, need
+		next.prefillLeft, next.promptTokens, next.memoryTokens = next.tokensIn-cached, next.tokensIn, need
 		e.reportPrefill(next, cached)
-		e.prefilled += int64(next.prefillLeft)
-		e.used += need
+		e.prefilledTokens += int64(next.prefillLeft)
+		e.usedTokens += need
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, next)
 	}
@@ -169,10 +169,10 @@
 
 // evict removes cached parts, the least recently used first, until need fits.
 func (e *engine) evict(need int64) {
-	for e.used+e.cached+need > e.spec.memory && e.lru.Len() > 0 {
+	for e.usedTokens+e.cachedTokens+need > e.spec.memoryTokens && e.lru.Len() > 0 {
 		old := e.lru.Remove(e.lru.Front()).(cachedPart)
 		delete(e.cache, old.key)
-		e.cached -= int64(old.tokens)
+		e.cachedTokens -= int64(old.tokens)
 	}
 }
 
@@ -192,7 +192,7 @@
 		return
 	}
 	e.stepping = true
-	budget, took := 4096, e.spec.step
+	budget, took := 4096, e.spec.stepMS
 	var decoding, ready []*job
 	for _, j := range e.running {
 		if j.prefillLeft <= 0 {
@@ -203,13 +203,13 @@
 		if n == 0 {
 			continue
 		}
-		took += float64(n)/e.spec.rate + float64(n)*float64(j.total-j.prefillLeft+n/2)/1e6*e.spec.pairs
+		took += float64(n)/e.spec.tokensPerMS + float64(n)*float64(j.promptTokens-j.prefillLeft+n/2)/1e6*e.spec.attentionMS
 		budget -= n
 		if j.prefillLeft -= n; j.prefillLeft == 0 {
 			ready = append(ready, j)
 		}
 	}
-	took += e.spec.perSlot * float64(len(decoding))
+	took += e.spec.perSlotMS * float64(len(decoding))
 	e.after(durationMS(took*e.speed), func() { e.endStep(decoding, ready) })
 }
 
@@ -220,21 +220,21 @@
 	}
 	var ended []*job
 	for _, j := range decoding {
-		j.tokensMade++
-		if j.tokensMade%e.spec.stride == 0 || j.tokensMade >= j.out {
-			j.maxEventGap = max(j.maxEventGap, e.now-j.lastAt)
-			j.lastAt = e.now
+		j.outputTokens++
+		if j.outputTokens%e.spec.tokensPerEvent == 0 || j.outputTokens >= j.maxTokensOut {
+			j.maxEventGap = max(j.maxEventGap, e.now-j.lastEventAt)
+			j.lastEventAt = e.now
 		}
-		if j.tokensMade >= j.out {
+		if j.outputTokens >= j.maxTokensOut {
 			ended = append(ended, j)
 		}
 	}
 	for _, j := range ready {
-		j.tokensMade, j.lastAt = 1, e.now
+		j.outputTokens, j.lastEventAt = 1, e.now
 		e.cachePrompt(j)
 		r, w := len(e.running), len(e.waiting)
-		e.after(durationMS(e.spec.first), func() { j.first(r, w) })
-		if j.out <= 1 {
+		e.after(durationMS(e.spec.firstEventMS), func() { j.onFirstEvent(r, w) })
+		if j.maxTokensOut <= 1 {
 			ended = append(ended, j)
 		}
 	}
@@ -245,8 +245,8 @@
 				break
 			}
 		}
-		e.used -= j.memoryTaken
-		e.after(durationMS(e.spec.first), func() { j.done(true) })
+		e.usedTokens -= j.memoryTokens
+		e.after(durationMS(e.spec.firstEventMS), func() { j.onDone(true) })
 	}
 	e.admit()
 	e.step()
@@ -263,21 +263,21 @@
 			continue
 		}
 		e.cache[j.chain.Keys[i]] = e.lru.PushBack(cachedPart{j.chain.Keys[i], size})
-		e.cached += int64(size)
-		j.memoryTaken -= int64(size)
-		e.used -= int64(size)
+		e.cachedTokens += int64(size)
+		j.memoryTokens -= int64(size)
+		e.usedTokens -= int64(size)
 	}
 }
 
 // plainServer is a server without a model: each request occupies a slot for some time.
-type plain struct {
-	*agenda
+type plainServer struct {
+	*eventQueue
 	slots, queue int
 	running      int
 	waiting      []func()
 }
 
-func (s *plain) offer(work time.Duration, done func(running, waiting int)) bool {
+func (s *plainServer) offer(work time.Duration, done func(running, waiting int)) bool {
 	start := func() {
 		s.running++
 		s.after(work, func() {
@@ -302,6 +302,6 @@
 }
 
 // lognormal draws a lognormal value with a mean and a spread, at most limit.
-func drawn(rng *rand.Rand, mean, spread, limit float64) float64 {
+func lognormal(rng *rand.Rand, mean, spread, limit float64) float64 {
 	return min(mean*math.Exp(spread*rng.NormFloat64()-spread*spread/2), limit)
 }
--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -14,14 +14,14 @@
 
 // waitingFleet is a fleet of proxies with a group whose servers are all warming up, and requests that wait for them.
 type waitingFleet struct {
-	rng         *rand.Rand
-	earlyBy     time.Duration // by how much the announced end of the warm-up is too early
-	config      *config.Config
-	peers       []string
-	pickers     []*Picker
-	nextUpdates []Time                        // when each picker gets its next update
-	waiting     map[*Picker][]*waitingRequest // oldest first
-	sent        map[string][]Time             // by server, during its actual warm-up
+	rng            *rand.Rand
+	announcedEarly time.Duration // by how much the announced end of the warm-up is too early
+	config         *config.Config
+	peers          []string
+	pickers        []*Picker
+	nextUpdates    []Time                        // when each picker gets its next update
+	waiting        map[*Picker][]*waitingRequest // oldest first
+	sent           map[string][]Time             // by server, during its actual warm-up
 }
 
 // waitingRequest is a request that has no server yet.
@@ -31,7 +31,7 @@
 }
 
 func newWaitingFleet(early time.Duration) *waitingFleet {
-	g := &waitingFleet{rng: rand.New(rand.NewPCG(1, 36)), earlyBy: early, waiting: map[*Picker][]*waitingRequest{}, sent: map[string][]Time{},
+	g := &waitingFleet{rng: rand.New(rand.NewPCG(1, 36)), announcedEarly: early, waiting: map[*Picker][]*waitingRequest{}, sent: map[string][]Time{},
 		config: &config.Config{Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: 31}}}}
 	g.config.Routes = []*config.Route{{Host: "h", Prefix: "/", MaxAttempts: 1, Shares: []config.Share{{Service: "a", Weight: 1}}}}
 	for i := range 12 {
@@ -50,7 +50,7 @@
 		}
 		w := ClusterState{Config: g.config, Self: g.peers[i], Peers: g.peers}
 		for s := range 5 {
-			w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: max(0, warmUpDuration-g.earlyBy-now)})
+			w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: max(0, warmUpDuration-g.announcedEarly-now)})
 		}
 		p.UpdateClusterState(now, w)
 		g.nextUpdates[i] = now + 500*time.Millisecond + time.Duration(g.rng.IntN(500))*time.Millisecond
@@ -78,13 +78,13 @@
 	g.waiting[picker] = left
 }
 
-// play sends 260 requests per second until the servers are warm, and returns the maximum that a warming server got within a second.
-func (g *waitingFleet) play() (peak int) {
+// run sends 260 requests per second until the servers are warm, and returns the maximum that a warming server got within a second.
+func (g *waitingFleet) run() (peak int) {
 	const step = 5 * time.Millisecond
-	came := 0
+	arrived := 0
 	for now := Time(0); now < warmUpDuration; now += step {
 		g.updateStates(now)
-		for ; came < int(now*260/time.Second); came++ {
+		for ; arrived < int(now*260/time.Second); arrived++ {
 			p := g.pickers[g.rng.IntN(len(g.pickers))]
 			g.waiting[p] = append(g.waiting[p], &waitingRequest{request: &Request{Route: g.config.Routes[0]}, until: now + serverTimeout})
 		}
@@ -105,7 +105,7 @@
 // more than its bound until the moment at which it is warm, provided that the proxies know that moment.
 func TestNoFloodAtTheEndOfWarmUp(t *testing.T) {
 	g := newWaitingFleet(0)
-	peak := g.play()
+	peak := g.run()
 	t.Logf("at most %d requests in a second", peak)
 	if float64(peak) > maxWarmUpRequests {
 		t.Errorf("%d requests in a second, want at most %v", peak, maxWarmUpRequests)
@@ -119,7 +119,7 @@
 // too early, all waiting requests go out at once. This package cannot know better, so it cannot prevent this:
 // whoever passes the announcement on must make sure that it errs late (distribution's TestColdNeverEndsEarly).
 func TestEarlyEndFloodsTheWarmingServer(t *testing.T) {
-	peak := newWaitingFleet(80 * time.Millisecond).play()
+	peak := newWaitingFleet(80 * time.Millisecond).run()
 	t.Logf("at most %d requests in a second", peak)
 	if float64(peak) <= maxWarmUpRequests {
 		t.Errorf("%d requests in a second: the announced end of the warm-up no longer matters, so TestNoFloodAtTheEndOfWarmUp proves nothing", peak)
--- a/internal/system/proxy/pick/warmup_listing_test.go
+++ b/internal/system/proxy/pick/warmup_listing_test.go
@@ -12,59 +12,59 @@
 // later, in order, as does a proxy that the others consider gone. Within any second no server may get more requests than its bound.
 func TestWarmUpBoundAroundListing(t *testing.T) {
 	peak := 0
-	rapid.Check(t, func(t *rapid.T) { peak = max(peak, aroundListing(t, 3, 1)) })
+	rapid.Check(t, func(t *rapid.T) { peak = max(peak, runMembershipChanges(t, 3, 1)) })
 	t.Logf("at most %d requests in a second", peak)
 }
 
 // TestWarmUpBoundWhileAFleetGrows is the same with as many proxies joining as there are, or more.
 func TestWarmUpBoundWhileAFleetGrows(t *testing.T) {
 	peak := 0
-	rapid.Check(t, func(t *rapid.T) { peak = max(peak, aroundListing(t, 1, 2)) })
+	rapid.Check(t, func(t *rapid.T) { peak = max(peak, runMembershipChanges(t, 1, 2)) })
 	t.Logf("at most %d requests in a second", peak)
 }
 
-// aroundListing runs one such history and returns the highest number of requests
+// runMembershipChanges runs one such history and returns the highest number of requests
 // in a second. Up to growth/part times the initial number of proxies may join.
-func aroundListing(t *rapid.T, part, growth int) (peak int) {
+func runMembershipChanges(t *rapid.T, part, growth int) (peak int) {
 	run := newListingRun(t, part, growth)
 	run.drawHistory(t, part)
 	run.drawLearning(t)
-	sent := run.play()
+	sent := run.simulate()
 	peak = maxInASecond(sent)
 	if float64(peak) > maxWarmUpRequests {
-		t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, want at most %v", run.first, len(run.fleet.pickers), run.loadFrom, peak, maxWarmUpRequests)
+		t.Fatalf("%d of %d proxies, load from %v: %d requests in a second, want at most %v", run.initialProxies, len(run.fleet.pickers), run.loadStart, peak, maxWarmUpRequests)
 	}
 	return peak
 }
 
 // listingRun is a fleet whose members change, and a server that starts and warms up again.
 type listingRun struct {
-	fleet    *warmUpFleet
-	first    int  // initial number of proxies
-	maxLagMS int  // until a proxy learns of a change
-	loadFrom Time // when requests begin to arrive
-	live     map[int]bool
-	began    map[int]Time // when proxies joined that were not there initially
-	history  []listingState
-	learnsAt [][]Time // by proxy and by state of the history
-	known    []int    // index of the state that each proxy knows; -1: none
+	fleet          *warmUpFleet
+	initialProxies int  // initial number of proxies
+	maxLagMS       int  // until a proxy learns of a change
+	loadStart      Time // when requests begin to arrive
+	live           map[int]bool
+	joinedAt       map[int]Time // when proxies joined that were not there initially
+	history        []listingState
+	learnsAt       [][]Time // by proxy and by state of the history
+	known          []int    // index of the state that each proxy knows; -1: none
 }
 
 // listingState is the actual state from a time on.
 type listingState struct {
 	at        Time
 	peers     []string
-	lost      int  // number of proxies that were given up but may still be running
+	downCount int  // number of proxies that were given up but may still be running
 	warmUntil Time // the server warms up until then; 0: it is not listed
 }
 
 func newListingRun(t *rapid.T, part, growth int) *listingRun {
-	run := &listingRun{first: rapid.SampledFrom([]int{1, 2, 3, 8, 12, 16, 17, 18, 20, 30, 60}).Draw(t, "proxies"), live: map[int]bool{}, began: map[int]Time{}}
-	extra := rapid.IntRange(0, max(1, run.first*growth/part)).Draw(t, "extra")
+	run := &listingRun{initialProxies: rapid.SampledFrom([]int{1, 2, 3, 8, 12, 16, 17, 18, 20, 30, 60}).Draw(t, "proxies"), live: map[int]bool{}, joinedAt: map[int]Time{}}
+	extra := rapid.IntRange(0, max(1, run.initialProxies*growth/part)).Draw(t, "extra")
 	run.maxLagMS = rapid.SampledFrom([]int{150, 600, 1000, 1600}).Draw(t, "lag")
-	run.loadFrom = time.Duration(rapid.IntRange(0, 8000).Draw(t, "load")) * time.Millisecond
-	run.fleet = newWarmUpFleet(run.first + extra)
-	for i := range run.first {
+	run.loadStart = time.Duration(rapid.IntRange(0, 8000).Draw(t, "load")) * time.Millisecond
+	run.fleet = newWarmUpFleet(run.initialProxies + extra)
+	for i := range run.initialProxies {
 		run.live[i] = true
 	}
 	for range run.fleet.pickers {
@@ -100,19 +100,19 @@
 }
 
 func (run *listingRun) drawJoins(t *rapid.T, now Time) {
-	for i := run.first; i < len(run.fleet.pickers); i++ {
+	for i := run.initialProxies; i < len(run.fleet.pickers); i++ {
 		if run.live[i] || !rapid.Bool().Draw(t, "joins") {
 			continue
 		}
 		run.live[i] = true
-		if _, ok := run.began[i]; !ok {
-			run.began[i] = now
+		if _, ok := run.joinedAt[i]; !ok {
+			run.joinedAt[i] = now
 		}
 	}
 }
 
 func (run *listingRun) drawLeaves(t *rapid.T, part int) {
-	for i := range run.first / part {
+	for i := range run.initialProxies / part {
 		if run.live[i] && rapid.Bool().Draw(t, "goes") {
 			run.live[i] = false
 		}
@@ -123,12 +123,12 @@
 func (run *listingRun) record(now, warmUntil Time) {
 	state := listingState{at: now, warmUntil: warmUntil}
 	for i, name := range run.fleet.names {
-		_, joined := run.began[i]
+		_, joined := run.joinedAt[i]
 		switch {
 		case run.live[i]:
 			state.peers = append(state.peers, name)
-		case i < run.first || joined:
-			state.lost++
+		case i < run.initialProxies || joined:
+			state.downCount++
 		}
 	}
 	run.history = append(run.history, state)
@@ -138,27 +138,27 @@
 func (run *listingRun) drawLearning(t *rapid.T) {
 	for i := range run.fleet.pickers {
 		var learnsAt []Time
-		latest := Time(0)
+		latestLearned := Time(0)
 		for _, state := range run.history {
 			learned := state.at
-			if state.at > 0 && run.began[i] != state.at {
+			if state.at > 0 && run.joinedAt[i] != state.at {
 				learned += time.Duration(rapid.IntRange(20, run.maxLagMS).Draw(t, "hears")) * time.Millisecond
 			}
-			latest = max(latest, learned)
-			learnsAt = append(learnsAt, latest)
+			latestLearned = max(latestLearned, learned)
+			learnsAt = append(learnsAt, latestLearned)
 		}
 		run.learnsAt = append(run.learnsAt, learnsAt)
 	}
 }
 
-// play returns the times of the requests that were sent to the server during its actual warm-up by proxies that could know of it.
-func (run *listingRun) play() (sent []Time) {
+// simulate returns the times of the requests that were sent to the server during its actual warm-up by proxies that could know of it.
+func (run *listingRun) simulate() (sent []Time) {
 	const step, end = 20 * time.Millisecond, 14 * time.Second
 	for now := Time(0); now < end; now += step {
 		for i := range run.fleet.pickers {
 			run.update(now, i)
 		}
-		if now < run.loadFrom {
+		if now < run.loadStart {
 			continue
 		}
 		warmingUp := run.warmingUp(now)
@@ -188,7 +188,7 @@
 
 // update gives a proxy the newest state that it learns by now.
 func (run *listingRun) update(now Time, i int) {
-	if began, late := run.began[i]; i >= run.first && (!late || now < began) {
+	if began, late := run.joinedAt[i]; i >= run.initialProxies && (!late || now < began) {
 		return
 	}
 	newest := run.known[i]
@@ -204,7 +204,7 @@
 
 // stateOf returns a state of the history as a proxy sees it. A proxy that the others consider gone continues until it learns of that.
 func (run *listingRun) stateOf(now Time, i int, known *listingState) ClusterState {
-	state := ClusterState{Config: run.fleet.config, Self: run.fleet.names[i], Peers: known.peers, DownCount: known.lost}
+	state := ClusterState{Config: run.fleet.config, Self: run.fleet.names[i], Peers: known.peers, DownCount: known.downCount}
 	if !slices.Contains(state.Peers, state.Self) {
 		state.Stale = true
 		state.Peers = append(slices.Clone(state.Peers), state.Self)
--- a/internal/system/proxy/pick/warmup_partition_test.go
+++ b/internal/system/proxy/pick/warmup_partition_test.go
@@ -12,11 +12,11 @@
 // and are in contact with the control plane again. Their successors continue until they learn of that.
 func TestReturningSendersWait(t *testing.T) {
 	for _, count := range []int{6, 9, 17} {
-		for _, hear := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
+		for _, learnDelay := range []time.Duration{100 * time.Millisecond, 300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
 			for _, idle := range []bool{false, true} {
-				t.Run(fmt.Sprint(count, hear, idle), func(t *testing.T) {
-					run := newReturnRun(count, hear)
-					run.play(idle)
+				t.Run(fmt.Sprint(count, learnDelay, idle), func(t *testing.T) {
+					run := newReturnRun(count, learnDelay)
+					run.simulate(idle)
 					run.fleet.checkBound(t)
 				})
 			}
@@ -26,22 +26,22 @@
 
 // returnRun is a fleet in which some senders are given up and return.
 type returnRun struct {
-	fleet *warmUpFleet
-	lost  map[int]bool  // senders that are given up
-	left  []string      // all other proxies
-	hear  time.Duration // from renewed contact of the lost senders until the others learn of it
+	fleet      *warmUpFleet
+	removed    map[int]bool  // senders that are given up
+	others     []string      // all other proxies
+	learnDelay time.Duration // from renewed contact of the removed senders until the others learn of it
 }
 
 const returnGivenUp, returnStale, returnBack = 2 * time.Second, 3600 * time.Millisecond, 8 * time.Second
 
-func newReturnRun(count int, hear time.Duration) *returnRun {
-	run := &returnRun{fleet: newWarmUpFleet(60), hear: hear}
-	run.lost, run.left = run.fleet.splitSenders(count)
+func newReturnRun(count int, learnDelay time.Duration) *returnRun {
+	run := &returnRun{fleet: newWarmUpFleet(60), learnDelay: learnDelay}
+	run.removed, run.others = run.fleet.splitSenders(count)
 	return run
 }
 
-// play sends requests from the start or, with idle, only from when the lost senders return.
-func (run *returnRun) play(idle bool) {
+// simulate sends requests from the start or, with idle, only from when the removed senders return.
+func (run *returnRun) simulate(idle bool) {
 	loadFrom := Time(0)
 	if idle {
 		for now := Time(0); now < returnBack; now += 10 * time.Millisecond {
@@ -55,13 +55,13 @@
 func (run *returnRun) updateStates(now Time) {
 	for i, p := range run.fleet.pickers {
 		state := run.fleet.state(i, 1, time.Minute-now)
-		switch lost := run.lost[i]; {
+		switch lost := run.removed[i]; {
 		case now == returnGivenUp && !lost:
-			state.Peers = run.left
+			state.Peers = run.others
 		case now == returnStale && lost:
 			state.Stale = true
 		case now == returnBack && lost:
-		case now == returnBack+run.hear && !lost:
+		case now == returnBack+run.learnDelay && !lost:
 		default:
 			continue
 		}
@@ -75,7 +75,7 @@
 	for _, minority := range []int{1, 3, 6, 8, 9, 11} {
 		t.Run(fmt.Sprint(minority), func(t *testing.T) {
 			fleet := newWarmUpFleet(12)
-			world := func(i, servers int, cold time.Duration) ClusterState {
+			partitionedState := func(i, servers int, cold time.Duration) ClusterState {
 				w := fleet.state(i, servers, cold)
 				if i < minority {
 					w.Peers, w.Stale = fleet.names[:minority], true
@@ -86,13 +86,13 @@
 			}
 			for i, p := range fleet.pickers {
 				p.UpdateClusterState(0, fleet.state(i, 0, 0))
-				p.UpdateClusterState(time.Second, world(i, 0, 0))
+				p.UpdateClusterState(time.Second, partitionedState(i, 0, 0))
 			}
-			const starts = 40 * time.Second
+			const startedAt = 40 * time.Second
 			for i, p := range fleet.pickers {
-				p.UpdateClusterState(starts, world(i, 1, warmUpDuration))
+				p.UpdateClusterState(startedAt, partitionedState(i, 1, warmUpDuration))
 			}
-			fleet.sendAll(starts, starts+warmUpDuration, 10*time.Millisecond, nil)
+			fleet.sendAll(startedAt, startedAt+warmUpDuration, 10*time.Millisecond, nil)
 			fleet.checkBound(t)
 		})
 	}
@@ -101,16 +101,16 @@
 // TestUnseenWarmUpIsNoViolation: a server begins to warm up again 200 ms before the first request goes to it as a warm one, which no
 // reading of the list can show by then (PROTOCOL: it may become cold again at any moment). The previous warm-up had ended 1.8 s earlier.
 func TestUnseenWarmUpIsNoViolation(t *testing.T) {
-	const again, request, told = 4800 * time.Millisecond, 5 * time.Second, 5600 * time.Millisecond
+	const restartedAt, requestedAt, listedAt = 4800 * time.Millisecond, 5 * time.Second, 5600 * time.Millisecond
 	fleet := newWarmUpFleet(1)
 	p := fleet.pickers[0]
 	before := warmUpEndInvariant.Violations()
 	p.UpdateClusterState(0, fleet.state(0, 1, warmUpDuration))
 	fleet.sendAll(0, warmUpDuration, 10*time.Millisecond, nil)
-	fleet.sendAll(request, request+10*time.Millisecond, 10*time.Millisecond, nil)
-	w := fleet.state(0, 1, again+warmUpDuration-told)
+	fleet.sendAll(requestedAt, requestedAt+10*time.Millisecond, 10*time.Millisecond, nil)
+	w := fleet.state(0, 1, restartedAt+warmUpDuration-listedAt)
 	w.Servers[0].WarmUpMin = w.Servers[0].WarmUpMax
-	p.UpdateClusterState(told, w)
+	p.UpdateClusterState(listedAt, w)
 	if warmUpEndInvariant.Violations() != before {
 		t.Error("counted as a violation")
 	}
@@ -122,17 +122,17 @@
 	fleet := newWarmUpFleet(1)
 	p := fleet.pickers[0]
 	before := warmUpRateInvariant.Violations()
-	tell := func(now Time, rate float64) {
+	updateRate := func(now Time, rate float64) {
 		w := fleet.state(0, 1, 10*time.Second-now)
 		w.Config = &config.Config{Routes: fleet.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpRequestsPerSecond: rate, WarmUpTime: 10 * time.Second}}}
 		p.UpdateClusterState(now, w)
 	}
-	tell(0, 3.1)
+	updateRate(0, 3.1)
 	fleet.sendAll(0, 2910*time.Millisecond, 10*time.Millisecond, nil) // the last one is sent at 2.9 s
 	n := fleet.sent[len(fleet.sent)-1]
-	tell(n+10*time.Millisecond, 310)
+	updateRate(n+10*time.Millisecond, 310)
 	p.eligibility(&pickInput{now: n + 20*time.Millisecond}, p.servers["s0"]) // the server is considered, and the request goes to another one
-	tell(n+30*time.Millisecond, 3.1)
+	updateRate(n+30*time.Millisecond, 3.1)
 	fleet.sendAll(n+40*time.Millisecond, n+2*time.Second, 10*time.Millisecond, nil)
 	if warmUpRateInvariant.Violations() != before {
 		t.Error("counted as a violation")
@@ -141,33 +141,33 @@
 
 // TestCompleteMembershipWaits: proxies that knew a server while their membership was incomplete learn their peers at different times.
 func TestCompleteMembershipWaits(t *testing.T) {
-	for _, hear := range []time.Duration{300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
-		for _, back := range []int{6, 9, 17} {
-			t.Run(fmt.Sprint(hear, back), func(t *testing.T) { testCompleteMembershipWaits(t, hear, back) })
+	for _, learnDelay := range []time.Duration{300 * time.Millisecond, time.Second, 1600 * time.Millisecond} {
+		for _, returning := range []int{6, 9, 17} {
+			t.Run(fmt.Sprint(learnDelay, returning), func(t *testing.T) { testCompleteMembershipWaits(t, learnDelay, returning) })
 		}
 	}
 }
 
 // testCompleteMembershipWaits restarts a number of senders (returning) at 0 without the
-// control plane, and reconnects them at ends; the others learn of it later.
-func testCompleteMembershipWaits(t *testing.T, hear time.Duration, back int) {
-	const ends = 4 * time.Second
+// control plane, and reconnects them at reconnectedAt; the others learn of it later.
+func testCompleteMembershipWaits(t *testing.T, learnDelay time.Duration, returning int) {
+	const reconnectedAt = 4 * time.Second
 	fleet := newWarmUpFleet(60)
-	lost, left := fleet.splitSenders(back)
+	removed, others := fleet.splitSenders(returning)
 	for i, p := range fleet.pickers {
 		state := fleet.state(i, 1, time.Minute)
-		if lost[i] {
+		if removed[i] {
 			fleet.pickers[i] = New(p.settings)
 			state.MembershipIncomplete, state.Stale = true, true
 			fleet.pickers[i].UpdateClusterState(0, state)
 			continue
 		}
-		state.Peers = left
+		state.Peers = others
 		p.UpdateClusterState(0, state)
 	}
-	fleet.sendAll(ends, ends+3*time.Second, 10*time.Millisecond, func(now Time) {
+	fleet.sendAll(reconnectedAt, reconnectedAt+3*time.Second, 10*time.Millisecond, func(now Time) {
 		for i, p := range fleet.pickers {
-			if now == ends && lost[i] || now == ends+hear && !lost[i] {
+			if now == reconnectedAt && removed[i] || now == reconnectedAt+learnDelay && !removed[i] {
 				p.UpdateClusterState(now, fleet.state(i, 1, time.Minute))
 			}
 		}
@@ -184,7 +184,7 @@
 			for i, p := range fleet.pickers {
 				p.UpdateClusterState(0, fleet.state(i, 0, 0))
 			}
-			world := func(i, servers int, cold time.Duration) ClusterState {
+			partitionedState := func(i, servers int, cold time.Duration) ClusterState {
 				w := fleet.state(i, servers, cold)
 				if i < c.minority {
 					w.Peers, w.Stale = fleet.names[:c.minority], true
@@ -193,14 +193,14 @@
 				}
 				return w
 			}
-			const split, starts = 5 * time.Second, 10 * time.Second
+			const partitionedAt, startedAt = 5 * time.Second, 10 * time.Second
 			for i, p := range fleet.pickers {
-				p.UpdateClusterState(split, world(i, 0, 0))
+				p.UpdateClusterState(partitionedAt, partitionedState(i, 0, 0))
 			}
 			for i, p := range fleet.pickers {
-				p.UpdateClusterState(starts, world(i, 1, warmUpDuration))
+				p.UpdateClusterState(startedAt, partitionedState(i, 1, warmUpDuration))
 			}
-			fleet.sendAll(starts+800*time.Millisecond, starts+warmUpDuration, 10*time.Millisecond, nil)
+			fleet.sendAll(startedAt+800*time.Millisecond, startedAt+warmUpDuration, 10*time.Millisecond, nil)
 			fleet.checkBound(t)
 		})
 	}
--- a/internal/system/proxy/pick/warmup_quota.go
+++ b/internal/system/proxy/pick/warmup_quota.go
@@ -58,10 +58,10 @@
 
 // quota divides a warm-up rate, in requests per second, among the senders.
 func (w *warmUpPacer) quota(rate float64) warmUpQuota {
-	use := min(warmUpUtilization*rate, maxUsedBoundShare*w.maxSends(rate))
-	spare := w.maxSends(rate) - use
-	senders := min(max(int(sendersPerSpareRequest*spare), 1), w.fleet.size.count())
-	return warmUpQuota{senders, use / float64(senders)}
+	usedRate := min(warmUpUtilization*rate, maxUsedBoundShare*w.maxSends(rate))
+	spareRequests := w.maxSends(rate) - usedRate
+	senders := min(max(int(sendersPerSpareRequest*spareRequests), 1), w.fleet.size.count())
+	return warmUpQuota{senders, usedRate / float64(senders)}
 }
 
 // allPeersSend reports whether every live proxy is a sender of a warming server with this rate.
@@ -82,20 +82,20 @@
 	if !slices.Contains(w.state.Peers, w.state.Self) {
 		return false // the other proxies do not count this one
 	}
-	return w.allPeersSend(rate) || w.ranksWithin(s, w.quota(rate).senders)
+	return w.allPeersSend(rate) || w.isAmongFirst(s, w.quota(rate).senders)
 }
 
-// ranksWithin reports whether this proxy is among the first n peers by rendezvous hashing for s. Ties are broken by name.
-func (w *warmUpPacer) ranksWithin(s *server, n int) bool {
+// isAmongFirst reports whether this proxy is among the first n peers by rendezvous hashing for s. Ties are broken by name.
+func (w *warmUpPacer) isAmongFirst(s *server, n int) bool {
 	own := rendezvous.Weight(s.hash, rendezvous.Hash(w.state.Self))
-	ahead := 0
+	higherRanked := 0
 	for _, peer := range w.state.Peers {
 		if peer == w.state.Self {
 			continue
 		}
 		weight := rendezvous.Weight(s.hash, rendezvous.Hash(peer))
 		if weight > own || weight == own && peer < w.state.Self {
-			if ahead++; ahead >= n {
+			if higherRanked++; higherRanked >= n {
 				return false
 			}
 		}
@@ -103,11 +103,11 @@
 	return true
 }
 
-// sendsFrom returns the time from which this proxy may act as a sender of s; ok is false if it may not for now. Where only some of the
+// sendingStart returns the time from which this proxy may act as a sender of s; ok is false if it may not for now. Where only some of the
 // proxies are senders, the others replace a sender that they have given up, and that sender has stopped by the time its successor begins.
-func (w *warmUpPacer) sendsFrom(now Time, s *server) (from Time, ok bool) {
+func (w *warmUpPacer) sendingStart(now Time, s *server) (from Time, ok bool) {
 	replaceable := !w.allPeersSend(s.warmUpRate())
-	if w.mayBeReplaced(now, replaceable) {
+	if w.isPossiblyReplaced(now, replaceable) {
 		return 0, false
 	}
 	ok = s.warmUp.isSender && !w.state.MembershipIncomplete
@@ -117,21 +117,21 @@
 	return s.warmUp.senderSince + newSenderDelay, ok
 }
 
-// mayBeReplaced reports whether other proxies may by now send in place of this one, or no longer count it.
-func (w *warmUpPacer) mayBeReplaced(now Time, replaceable bool) bool {
+// isPossiblyReplaced reports whether other proxies may by now send in place of this one, or no longer count it.
+func (w *warmUpPacer) isPossiblyReplaced(now Time, replaceable bool) bool {
 	if w.state.Stale {
 		return replaceable || now-w.fleet.staleSince > maxStaleSending
 	}
 	return w.fleet.stalled && replaceable
 }
 
-// maySend refills the token bucket of a warming server and reports whether this proxy may send to the server now.
-func (w *warmUpPacer) maySend(now Time, s *server) bool {
+// canSend refills the token bucket of a warming server and reports whether this proxy may send to the server now.
+func (w *warmUpPacer) canSend(now Time, s *server) bool {
 	rate := s.warmUpRate()
 	if rate <= 0 {
 		return true
 	}
-	from, ok := w.sendsFrom(now, s)
+	from, ok := w.sendingStart(now, s)
 	if !ok || now < from {
 		return false
 	}
@@ -141,26 +141,26 @@
 
 // waitMS returns in how many milliseconds this proxy may send to a warming server again; it is infinite if this proxy is not a sender.
 func (w *warmUpPacer) waitMS(now Time, s *server) float64 {
-	from, ok := w.sendsFrom(now, s)
+	from, ok := w.sendingStart(now, s)
 	if !ok {
 		return math.Inf(1)
 	}
-	paced := (1 - s.warmUp.bucket.tokens) / w.quota(s.warmUpRate()).perSecond * 1000
-	return min(paced+max(0, ms(from-now)), ms(s.warmUp.until-now))
+	tokenWaitMS := (1 - s.warmUp.bucket.tokens) / w.quota(s.warmUpRate()).perSecond * 1000
+	return min(tokenWaitMS+max(0, ms(from-now)), ms(s.warmUp.until-now))
 }
 
 // recordSend records that a request is sent to s now. If s is warming up, this takes a token.
 func (w *warmUpPacer) recordSend(now Time, s *server) {
-	u := &s.warmUp
+	warmUp := &s.warmUp
 	switch {
 	case s.warmingUp(now):
 		w.stats.WarmUpSends++
 		if rate := s.warmUpRate(); rate > 0 {
-			paceRate := max(w.quota(rate).perSecond, u.bucket.take())
-			warmUpRateInvariant.Check(u.recentSends.add(now, paceRate))
+			paceRate := max(w.quota(rate).perSecond, warmUp.bucket.take())
+			warmUpRateInvariant.Check(warmUp.recentSends.add(now, paceRate))
 		}
-	case u.awaitsFirstSend:
-		u.recordFirstSend(now)
+	case warmUp.awaitsFirstSend:
+		warmUp.recordFirstSend(now)
 		w.stats.WarmUpEnds++
 	}
 }
--- a/internal/system/proxy/pick/warmup_quota_test.go
+++ b/internal/system/proxy/pick/warmup_quota_test.go
@@ -28,10 +28,10 @@
 }
 
 // state returns the state of proxy i: servers that warm up for the given remaining time.
-func (f *warmUpFleet) state(i int, servers int, cold time.Duration) ClusterState {
+func (f *warmUpFleet) state(i int, servers int, warmUpLeft time.Duration) ClusterState {
 	w := ClusterState{Config: f.config, Self: f.names[i], Peers: f.names}
 	for s := range servers {
-		w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: cold})
+		w.Servers = append(w.Servers, Server{ID: fmt.Sprint("s", s), Service: "a", Zone: "z", Slots: 1000, WarmUpMax: warmUpLeft})
 	}
 	return w
 }
@@ -57,17 +57,17 @@
 
 // splitSenders gives all proxies a warming server, and returns the indexes
 // of up to count of its senders, and the names of all other proxies.
-func (f *warmUpFleet) splitSenders(count int) (lost map[int]bool, left []string) {
-	lost = map[int]bool{}
+func (f *warmUpFleet) splitSenders(count int) (removed map[int]bool, others []string) {
+	removed = map[int]bool{}
 	for i, p := range f.pickers {
 		p.UpdateClusterState(0, f.state(i, 1, time.Minute))
-		if p.servers["s0"].warmUp.isSender && len(lost) < count {
-			lost[i] = true
+		if p.servers["s0"].warmUp.isSender && len(removed) < count {
+			removed[i] = true
 		} else {
-			left = append(left, f.names[i])
+			others = append(others, f.names[i])
 		}
 	}
-	return lost, left
+	return removed, others
 }
 
 func (f *warmUpFleet) checkBound(t *testing.T) {
@@ -122,19 +122,19 @@
 // TestReplacedSendersStop: of 60 proxies, some senders of a warming server are given
 // up and replaced by the others, but continue to run. They stop once they are stale.
 func TestReplacedSendersStop(t *testing.T) {
-	const givenUp, stale = 2 * time.Second, 1600 * time.Millisecond
+	const removedAt, staleDelay = 2 * time.Second, 1600 * time.Millisecond
 	for _, count := range []int{3, 4, 6, 9, 17} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			fleet := newWarmUpFleet(60)
-			lost, left := fleet.splitSenders(count)
+			removed, others := fleet.splitSenders(count)
 			fleet.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
 				for i, p := range fleet.pickers {
 					w := fleet.state(i, 1, time.Minute-now)
 					switch {
-					case now == givenUp && !lost[i]:
-						w.Peers = left
+					case now == removedAt && !removed[i]:
+						w.Peers = others
 						p.UpdateClusterState(now, w)
-					case now == givenUp+stale && lost[i]:
+					case now == removedAt+staleDelay && removed[i]:
 						w.Stale = true
 						p.UpdateClusterState(now, w)
 					}
@@ -152,20 +152,20 @@
 	for i, p := range fleet.pickers {
 		p.UpdateClusterState(0, fleet.state(i, 0, 0))
 	}
-	const starts = 10 * time.Second
+	const startedAt = 10 * time.Second
 	for i, p := range fleet.pickers {
-		p.UpdateClusterState(starts, fleet.state(i, 1, warmUpDuration))
+		p.UpdateClusterState(startedAt, fleet.state(i, 1, warmUpDuration))
 	}
-	fleet.sendAll(starts, starts+time.Second, 10*time.Millisecond, nil)
+	fleet.sendAll(startedAt, startedAt+time.Second, 10*time.Millisecond, nil)
 	fleet.checkBound(t)
 	if len(fleet.sent) < 20 {
 		t.Errorf("%d requests in the first second, want at least 20 at a rate of 26", len(fleet.sent))
 	}
-	late := newWarmUpFleet(12)
-	late.pickers = late.pickers[:1]
-	late.pickers[0].UpdateClusterState(starts, late.state(0, 1, warmUpDuration))
-	late.sendAll(starts, starts+newSenderDelay-10*time.Millisecond, 10*time.Millisecond, nil)
-	if len(late.sent) > 0 {
-		t.Errorf("%d requests from a proxy that has just joined", len(late.sent))
+	newProxy := newWarmUpFleet(12)
+	newProxy.pickers = newProxy.pickers[:1]
+	newProxy.pickers[0].UpdateClusterState(startedAt, newProxy.state(0, 1, warmUpDuration))
+	newProxy.sendAll(startedAt, startedAt+newSenderDelay-10*time.Millisecond, 10*time.Millisecond, nil)
+	if len(newProxy.sent) > 0 {
+		t.Errorf("%d requests from a proxy that has just joined", len(newProxy.sent))
 	}
 }
--- a/internal/system/proxy/pick/warmup_senders_test.go
+++ b/internal/system/proxy/pick/warmup_senders_test.go
@@ -11,7 +11,7 @@
 // TestLateConnectionsKeepTheRate: requests to a warming server are sent up to warmUpSendTimeout after they were chosen, because
 // their connections take that long. So the requests that are chosen within that time plus a second may be sent within one second.
 func TestLateConnectionsKeepTheRate(t *testing.T) {
-	const dial = warmUpSendTimeout
+	const connectTime = warmUpSendTimeout
 	for _, rate := range []float64{31, 45, 300} {
 		for proxies := 1; proxies <= 60; proxies++ {
 			t.Run(fmt.Sprint(rate, proxies), func(t *testing.T) {
@@ -24,8 +24,8 @@
 				from := f.sent[0]
 				var arrived []Time
 				for _, at := range f.sent {
-					if at < from+dial {
-						at = from + dial - 1
+					if at < from+connectTime {
+						at = from + connectTime - 1
 					}
 					arrived = append(arrived, at)
 				}
@@ -41,21 +41,21 @@
 // given up by the others while the configuration lacks its service for 2.1 s, which the senders,
 // being partitioned, do not learn. The service is configured again before they have stopped.
 func TestServiceConfiguredAgainDelaysSuccessors(t *testing.T) {
-	const without, givenUp, again, stale = time.Second, 3 * time.Second, 3100 * time.Millisecond, 4500 * time.Millisecond
+	const missingAt, givenUpAt, restoredAt, staleAt = time.Second, 3 * time.Second, 3100 * time.Millisecond, 4500 * time.Millisecond
 	fleet := newWarmUpFleet(60)
-	lost, left := fleet.splitSenders(17)
+	removed, others := fleet.splitSenders(17)
 	missing := &config.Config{Routes: fleet.config.Routes, Services: map[string]*config.Service{}}
 	fleet.sendAll(0, 8*time.Second, 10*time.Millisecond, func(now Time) {
 		for i, picker := range fleet.pickers {
 			w := fleet.state(i, 1, time.Minute-now)
 			switch {
-			case now == without && !lost[i]:
+			case now == missingAt && !removed[i]:
 				w.Config = missing
-			case now == givenUp && !lost[i]:
-				w.Config, w.Peers = missing, left
-			case now == again && !lost[i]:
-				w.Peers = left
-			case now == stale && lost[i]:
+			case now == givenUpAt && !removed[i]:
+				w.Config, w.Peers = missing, others
+			case now == restoredAt && !removed[i]:
+				w.Peers = others
+			case now == staleAt && removed[i]:
 				w.Stale = true
 			default:
 				continue
@@ -71,16 +71,16 @@
 func TestBoundAppliesToAWarmingServer(t *testing.T) {
 	for _, proxies := range []int{12, 17, 18, 60} {
 		t.Run(fmt.Sprint(proxies), func(t *testing.T) {
-			const bound = 5 * time.Second
+			const boundAt = 5 * time.Second
 			fleet := newWarmUpFleet(proxies)
-			free := &config.Config{Routes: fleet.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpTime: warmUpDuration}}}
+			unbounded := &config.Config{Routes: fleet.config.Routes, Services: map[string]*config.Service{"a": {Name: "a", WarmUpTime: warmUpDuration}}}
 			for i, p := range fleet.pickers {
 				w := fleet.state(i, 1, time.Minute)
-				w.Config = free
+				w.Config = unbounded
 				p.UpdateClusterState(0, w)
 			}
-			fleet.sendAll(bound, bound+3*time.Second, 10*time.Millisecond, func(now Time) {
-				if now == bound {
+			fleet.sendAll(boundAt, boundAt+3*time.Second, 10*time.Millisecond, func(now Time) {
+				if now == boundAt {
 					for i, p := range fleet.pickers {
 						p.UpdateClusterState(now, fleet.state(i, 1, time.Minute))
 					}
@@ -97,7 +97,7 @@
 	for _, smaller := range []int{1, 2, 3, 4, 5, 6} {
 		t.Run(fmt.Sprint(smaller), func(t *testing.T) {
 			fleet := newWarmUpFleet(12)
-			const starts = 10 * time.Second
+			const restartedAt = 10 * time.Second
 			for i, p := range fleet.pickers {
 				w := fleet.state(i, 1, time.Minute)
 				if i < smaller {
@@ -106,9 +106,9 @@
 				} else {
 					w.Peers = fleet.names[smaller:]
 				}
-				p.UpdateClusterState(starts, w)
+				p.UpdateClusterState(restartedAt, w)
 			}
-			fleet.sendAll(starts, starts+5*time.Second, 10*time.Millisecond, nil)
+			fleet.sendAll(restartedAt, restartedAt+5*time.Second, 10*time.Millisecond, nil)
 			fleet.checkBound(t)
 		})
 	}
