--- a/internal/system/proxy/admission.go
+++ b/internal/system/proxy/admission.go
@@ -8,15 +8,15 @@
 	"gradeusher.example/gradeusher/internal/system/quota"
 )
 
-// QuotaAdmitter enforces the limits of tenants over all proxies. It is safe for concurrent use.
+// QuotaAdmitter enforces the rate limits of tenants across all proxies. It is safe for concurrent use.
 type QuotaAdmitter interface {
-	// Admit counts one request of a tenant that has a limit, and says whether it is within it. It returns within a bounded time, and
-	// soon after ctx is done.
+	// Admit counts one request of a tenant that has a limit and returns whether the request is within the limit. It returns within a
+	// bounded time, and soon after ctx is done.
 	Admit(ctx context.Context, tenant *config.Tenant) quota.Admission
 }
 
-// isAdmitted reports whether the request is within its tenant's limit, and answers it otherwise. It may be called once: each call is
-// counted.
+// isAdmitted reports whether the request is within its tenant's limit; if it is not, isAdmitted also answers the request. It may be
+// called only once per request, because each call counts against the limit.
 func (c *clientRequest) isAdmitted(ctx context.Context) bool {
 	admitter, tenant := c.proxy.options.Quota, c.identity.tenant
 	if admitter == nil || tenant == nil || tenant.RatePerSecond <= 0 {
@@ -32,7 +32,7 @@
 	return false
 }
 
-// rejectUnadmitted answers a request that goes to no server because of its tenant's limit.
+// rejectUnadmitted answers a request that is not sent to any server because of its tenant's limit.
 func (c *clientRequest) rejectUnadmitted(admission quota.Admission) {
 	counters := &c.proxy.counters
 	switch {
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -21,8 +21,8 @@
 // maxInterimResponses bounds the responses that may precede the final one, that one included (RFC 9110, section 15.2).
 const maxInterimResponses = 4
 
-// upstreamAttempt is one send of a request to a server, with its response. It owns a connection meanwhile, so that a response
-// reaches the request that it belongs to. One goroutine owns the attempt.
+// upstreamAttempt is one send of a request to a server, with its response. It owns its connection until it ends, so that a response
+// can only reach the request that it belongs to. One goroutine owns the attempt.
 type upstreamAttempt struct {
 	ctx          context.Context // done when the client's connection has ended
 	choice       pick.Result
@@ -30,23 +30,23 @@
 	pool         *serverPool
 	attemptID    string // X-Attempt-Id of the request
 	deadline     time.Time
-	sendDeadline time.Time // the request goes out by then or not at all
-	headRequest  bool      // the response has no body whatever its head says
+	sendDeadline time.Time // the request is not sent after this time
+	headRequest  bool      // the request method is HEAD: the response has no body, whatever its head announces
 
 	progressTimeout time.Duration // how long the server may be silent before abandon is called; 0: until the deadline
-	abandon         func() bool   // reports whether the silent server is given up
-	lastProgress    time.Duration // when bytes last came, or the wait for them began; after pools.start
+	abandon         func() bool   // reports whether to abandon the silent server
+	lastProgress    time.Duration // when bytes last arrived or the wait for them began, relative to pools.start
 
-	conn         *serverConn // nil: none, or given back
+	conn         *serverConn // nil: no connection yet, or returned to its pool
 	reader       *bufio.Reader
-	stopWatching func() bool // ends the watch over ctx
+	stopWatching func() bool // stops closing conn when ctx is done
 	response     *http.Response
-	sentAt       time.Duration // when the request was written; after pools.start
+	sentAt       time.Duration // when the request was written, relative to pools.start
 	freshConn    bool          // the request is the first on its connection
 }
 
-// send writes the request. After errNotSent not a byte of it was sent; after any other error the server may have run it. Only
-// where an idle connection turns out to be closed and nothing was written does it go on with another connection.
+// send writes the request. errNotSent means that not a byte of it was sent; after any other error the server may have executed it.
+// send tries another connection only if an idle connection turns out to be closed and nothing was written on it.
 func (a *upstreamAttempt) send(head, body []byte) error {
 	for {
 		reused, err := a.connect()
@@ -80,7 +80,7 @@
 		if err != nil {
 			return false, errNotSent
 		}
-		if staleAge > 0 { // the server is there, and closed the other connection because it was idle
+		if staleAge > 0 { // the server is reachable, so it closed the other connection because it was idle
 			a.pools.observeIdleTimeout(a.pool.service, staleAge)
 		}
 	}
@@ -105,7 +105,7 @@
 	return err
 }
 
-// attach makes a connection the attempt's own. It is closed when the client goes away.
+// attach gives the attempt ownership of a connection, which is closed when the client disconnects.
 func (a *upstreamAttempt) attach(conn *serverConn) {
 	a.conn, a.freshConn = conn, conn.fresh
 	a.reader = readers.Get().(*bufio.Reader)
@@ -113,7 +113,7 @@
 	a.stopWatching = context.AfterFunc(a.ctx, func() { _ = conn.Close() })
 }
 
-// Read implements io.Reader with the bytes from the server. It fails with errDeadlinePassed, with errServerTimedOut once the
+// Read implements io.Reader and reads bytes from the server. It fails with errDeadlinePassed, with errServerTimedOut once the
 // server has been abandoned, and with the errors of the connection.
 func (a *upstreamAttempt) Read(p []byte) (int, error) {
 	for {
@@ -124,7 +124,7 @@
 		if count > 0 {
 			a.lastProgress = a.pools.now()
 			a.pool.lastContact.Store(int64(a.lastProgress))
-			return count, nil // an error comes again
+			return count, nil // the next read returns the error again
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return 0, err
@@ -135,7 +135,7 @@
 	}
 }
 
-// readDeadline is when the next read is to end: at the deadline, or when the server has been silent for too long.
+// readDeadline returns the deadline of the next read: that of the request, or when the server will have been silent for too long.
 func (a *upstreamAttempt) readDeadline() time.Time {
 	if a.progressTimeout == 0 {
 		return a.deadline
@@ -143,7 +143,8 @@
 	return earlierOf(a.deadline, a.pools.start.Add(a.lastProgress+a.progressTimeout))
 }
 
-// evaluateTimeout decides after a read that timed out whether to go on reading. A server that answers others is not silent.
+// evaluateTimeout decides whether to continue reading after a read has timed out. A server that responds to other attempts is not
+// considered silent.
 func (a *upstreamAttempt) evaluateTimeout() error {
 	now := a.pools.now()
 	lastContact := max(time.Duration(a.pool.lastContact.Load()), a.lastProgress)
@@ -160,14 +161,14 @@
 	return nil
 }
 
-// sinceLastContact is how long ago the server last sent anything to any attempt, or this request was sent.
+// sinceLastContact returns the time since the server last sent anything to any attempt, or since this request was sent if that is later.
 func (a *upstreamAttempt) sinceLastContact() time.Duration {
 	return a.pools.now() - max(time.Duration(a.pool.lastContact.Load()), a.sentAt)
 }
 
-// readHead reads the head of the final response and skips interim ones. It fails with errInvalidResponse where the server
-// switches protocols or sends too many interim responses. The body needs no Close: finish and discard end the connection that
-// it is read from.
+// readHead reads the head of the final response and skips interim ones. It fails with errInvalidResponse if the server switches
+// protocols or sends too many interim responses. The body needs no Close: finish and discard return or close the connection that it
+// is read from.
 func (a *upstreamAttempt) readHead(method string) error {
 	for range maxInterimResponses {
 		resp, err := http.ReadResponse(a.reader, &http.Request{Method: method}) //nolint:bodyclose // the attempt owns the connection
@@ -186,7 +187,7 @@
 	return errInvalidResponse
 }
 
-// finish ends the attempt. The connection goes back to its pool if it may be used again.
+// finish ends the attempt and returns its connection to the pool if the connection can be reused.
 func (a *upstreamAttempt) finish() {
 	if a.conn == nil {
 		return
@@ -208,12 +209,12 @@
 	a.pools.putIdle(a.pool, conn, a.attemptID)
 }
 
-// connReusable reports whether the response has come completely, nothing came after it, and neither end announced a close.
+// connReusable reports whether the response was received completely, nothing followed it, and neither end announced a close.
 func (a *upstreamAttempt) connReusable() bool {
 	return a.response != nil && !a.response.Close && a.reader.Buffered() == 0 && a.conn.Idle()
 }
 
-// discard ends the attempt and closes its connection. What was still to be written on it is not.
+// discard ends the attempt and closes its connection. Data that was not yet written on it is dropped.
 func (a *upstreamAttempt) discard() {
 	if a.conn != nil {
 		a.stopWatching()
@@ -221,7 +222,7 @@
 	}
 }
 
-// detach closes the connection, if the attempt still has one, and gives the reader back.
+// detach closes the connection, if the attempt still has one, and returns the reader to its pool.
 func (a *upstreamAttempt) detach() {
 	if a.conn != nil {
 		_ = a.conn.Close()
--- a/internal/system/proxy/clientrequest.go
+++ b/internal/system/proxy/clientrequest.go
@@ -11,20 +11,20 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// maxUnreachedServers bounds the servers that one request finds unreachable before it is given up.
+// maxUnreachedServers bounds how many attempts may find their server unreachable before a request fails.
 const maxUnreachedServers = 4
 
-// clientRequest is one request of a client, from its head to its answer. It makes attempts at one server after another. One
-// goroutine owns it.
+// clientRequest is one request of a client, from reading its head to answering it. It makes attempts at one server after another.
+// One goroutine owns it.
 type clientRequest struct {
 	proxy      *Proxy
 	writer     http.ResponseWriter
 	request    *http.Request
 	controller *http.ResponseController
-	conn       *framing.ClientConn // nil where a test calls ServeHTTP itself
+	conn       *framing.ClientConn // nil if a test calls ServeHTTP directly
 
 	attemptID   string // X-Attempt-Id
-	target      string // path and query as they came
+	target      string // path and query as received
 	route       *config.Route
 	identity    identity
 	pickRequest pick.Request
@@ -32,24 +32,24 @@
 	startedAt   time.Time
 	deadline    time.Time
 
-	triedServers   []string          // ids of the servers that it was sent to, in whole or in part; mayRetry says why the picker counts too
+	triedServers   []string          // ids of the servers to which at least one byte was sent; mayRetry explains why the picker counts too
 	mayHaveRun     bool              // some attempt may have run; never unset
 	unreachedCount int               // attempts of which nothing was sent
 	nextChoice     *pick.Result      // the server that replaces a silent one; nil: none has been chosen
-	keyError       error             // why the key holds no longer, and no further attempt is made; nil: it holds or none is needed
-	retryAfter     time.Duration     // the longest wait that servers which did not run it asked for
-	fallback       *bufferedResponse // a server's own failure, passed on if nothing better comes
-	headSent       bool              // the head of a response has gone to the client
-	lastEventID    string            // of the last event that went to the client; "": not known
+	keyError       error             // why the key is no longer valid, which rules out further attempts; nil: it is valid or none is needed
+	retryAfter     time.Duration     // the longest wait requested by servers that did not execute the request
+	fallback       *bufferedResponse // a server's error response, passed on if no other attempt succeeds
+	headSent       bool              // the head of a response has been sent to the client
+	lastEventID    string            // of the last event that was sent to the client; "": not known
 	reservedBytes  int64             // memory for buffered responses
 }
 
-// attemptResult is what follows an attempt.
+// attemptResult says how the request continues after an attempt.
 type attemptResult int
 
 const (
-	requestDone   attemptResult = iota // the client has its answer, or its connection has ended
-	tryNextServer                      // chooseServer decides whether there is one, and whether the request may be sent again
+	requestDone   attemptResult = iota // the client has been answered, or its connection has ended
+	tryNextServer                      // chooseServer decides whether there is another server and whether the request may be sent again
 )
 
 // run makes attempts until the client has been answered.
@@ -67,15 +67,15 @@
 	}
 }
 
-// mayRetry reports whether the request may be sent to one more server, as far as that depends on the request alone. This is
-// where a non-idempotent request that may have run is kept from running twice.
+// mayRetry reports whether the request may be sent to one more server, as far as that depends on the request alone. This check
+// keeps a non-idempotent request that may have run from running twice.
 //
-// The picker counts the attempts of a pick.Request as well, and applies the same two rules in Pick. Both count, for two reasons.
-// The proxy needs the answer where it does not ask the picker: whether a silent server may be abandoned (watchProgress) and whether
-// a truncated stream may be resumed. And either of the two keeps a request from running twice though the other is wrong.
+// The picker also counts the attempts of a pick.Request and applies the same two rules in Pick. Both count, for two reasons. The
+// proxy needs the answer where it does not ask the picker: whether a silent server may be abandoned (watchProgress) and whether a
+// truncated stream may be resumed. And each of the two checks keeps a request from running twice even if the other one is wrong.
 //
-// The counts differ in what they are for: triedServers are the servers to which at least one byte went, the only ones that the
-// picker must not choose again for this request; the picker's count includes the attempt under way, and goes back where nothing of
+// The counts serve different purposes: triedServers are the servers to which at least one byte was sent, the only ones that the
+// picker must not choose again for this request; the picker's count includes the attempt in flight, and is decremented if nothing of
 // it was sent. Attempts of which nothing was sent are bounded by maxUnreachedServers.
 func (c *clientRequest) mayRetry(mayHaveRun bool) bool {
 	knobs := &c.proxy.options.knobs
@@ -110,7 +110,7 @@
 	return c.proxy.picker.Pick(&c.pickRequest, c.triedServers, mayHaveRun)
 }
 
-// tryServer makes one attempt. Every send of a request to a server happens here.
+// tryServer makes one attempt. It is the only place that sends a request to a server.
 func (c *clientRequest) tryServer(ctx context.Context, choice pick.Result) attemptResult {
 	nonIdempotentOnce.Check(!c.mayHaveRun || c.route.Idempotent())
 	attempt := c.newAttempt(ctx, choice)
@@ -129,7 +129,7 @@
 		return tryNextServer
 	}
 	resp := attempt.response
-	resp.Close = resp.Close || sendErr != nil // the rest of the request never goes out
+	resp.Close = resp.Close || sendErr != nil // the rest of the request is never sent
 	if err := c.validateResponse(attempt); err != nil {
 		c.handleFailure(attempt, err)
 		return tryNextServer
@@ -162,7 +162,7 @@
 	return a
 }
 
-// countSend records that the request was written to a server, completely or in part.
+// countSend records that the request was written to a server, completely or partly.
 func (c *clientRequest) countSend(choice pick.Result) {
 	c.proxy.counters.Sends.Add(1)
 	c.triedServers = append(c.triedServers, choice.Server.ID)
@@ -171,7 +171,7 @@
 	}
 }
 
-// watchProgress has a server abandoned that is silent for longer than the timeout, where the request may be retried.
+// watchProgress makes the attempt abandon its server after a silence longer than the timeout, if the request may be retried.
 func (c *clientRequest) watchProgress(attempt *upstreamAttempt, timeout time.Duration) {
 	if !c.mayRetry(true) {
 		attempt.progressTimeout = 0
@@ -206,7 +206,7 @@
 	c.reportOutcome(attempt, pick.ConnectFailed)
 }
 
-// handleFailure records an attempt that brought no valid response, or not all of one.
+// handleFailure records an attempt that received no valid response or only part of one.
 func (c *clientRequest) handleFailure(attempt *upstreamAttempt, err error) {
 	attempt.discard()
 	c.mayHaveRun = true
@@ -220,7 +220,7 @@
 	c.reportOutcome(attempt, outcome)
 }
 
-// failureOutcome is what a failed attempt says about its server.
+// failureOutcome returns the outcome to report to the picker for a failed attempt.
 func (c *clientRequest) failureOutcome(attempt *upstreamAttempt, err error) pick.AttemptOutcome {
 	switch {
 	case c.clientGone():
@@ -229,7 +229,7 @@
 		return pick.TimedOut
 	case errors.Is(err, errDeadlinePassed):
 		if attempt.sinceLastContact() < defaultMinResponseTimeout {
-			return pick.Canceled // late, but alive as far as is known
+			return pick.Canceled // late, but presumed alive: it sent something recently
 		}
 		return pick.TimedOut
 	}
@@ -243,7 +243,7 @@
 // clientGone reports whether the client has closed its connection.
 func (c *clientRequest) clientGone() bool { return c.request.Context().Err() != nil }
 
-// answerUnserved answers a request that goes to no further server.
+// answerUnserved answers a request that is not sent to any further server.
 func (c *clientRequest) answerUnserved(choice pick.Result) {
 	counters := &c.proxy.counters
 	switch {
--- a/internal/system/proxy/conntracker.go
+++ b/internal/system/proxy/conntracker.go
@@ -11,11 +11,11 @@
 	"gradeusher.example/gradeusher/internal/framing"
 )
 
-// minIdleBeforeClose is how long a connection has to be idle before it is closed for others: most clients that are about to
-// send have done so by then.
+// minIdleBeforeClose is how long a connection has to be idle before it may be closed to make room for others: most clients that are
+// about to send a request have done so by then.
 const minIdleBeforeClose = 50 * time.Millisecond
 
-// connTracker knows the clients' connections and their states. It is safe for concurrent use.
+// connTracker tracks the clients' connections and their states. It is safe for concurrent use.
 type connTracker struct {
 	changed chan struct{} // capacity one; signalled when a connection has ended
 
@@ -33,14 +33,14 @@
 	return &connTracker{changed: make(chan struct{}, 1), conns: map[net.Conn]*connState{}}
 }
 
-// add begins to track a new connection.
+// add starts tracking a new connection.
 func (t *connTracker) add(conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conns[conn] = &connState{http.StateNew, time.Now()}
 }
 
-// observe records a change of state; it is a http.Server's ConnState.
+// observe records a change of state. It is the ConnState hook of an http.Server.
 func (t *connTracker) observe(conn net.Conn, state http.ConnState) {
 	if state == http.StateClosed || state == http.StateHijacked {
 		t.remove(conn)
@@ -53,7 +53,7 @@
 	}
 }
 
-// remove forgets a connection that has ended.
+// remove stops tracking a connection that has ended.
 func (t *connTracker) remove(conn net.Conn) {
 	t.mu.Lock()
 	delete(t.conns, conn)
@@ -64,14 +64,14 @@
 	}
 }
 
-// count is the number of connections.
+// count returns the number of tracked connections.
 func (t *connTracker) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.conns)
 }
 
-// closeAll closes all connections. They are tracked until their states say that they have ended.
+// closeAll closes all connections. Each remains tracked until net/http reports that it has ended.
 func (t *connTracker) closeAll() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// closeIdle closes the connections without a request that have been so for at least minIdle. Danger: a client that has just
-// sent a request on one has to send it again, or loses it, so a connection with bytes on it stays.
+// closeIdle closes the connections that have had no request for at least minIdle. Danger: a client that has just sent a request on
+// such a connection has to send it again, or loses it, so a connection on which bytes have arrived stays open.
 func (t *connTracker) closeIdle(minIdle time.Duration) {
 	now := time.Now()
 	t.mu.Lock()
@@ -110,18 +110,18 @@
 	if longest == nil {
 		return false
 	}
-	t.conns[longest].state = http.StateClosed // not found again
+	t.conns[longest].state = http.StateClosed // so that the next call does not choose it again
 	_ = longest.Close()
 	return true
 }
 
-// hasRequestBytes reports whether part of a request has come on a connection, read or not.
+// hasRequestBytes reports whether part of a request has arrived on a connection, read or not.
 func hasRequestBytes(conn net.Conn) bool {
 	client, ok := conn.(*framing.ClientConn)
 	return ok && (client.MidRequest() || hasUnreadBytes(client.TCPConn))
 }
 
-// hasUnreadBytes reports whether bytes have come on a connection that nobody has read.
+// hasUnreadBytes reports whether a connection has received bytes that have not been read.
 func hasUnreadBytes(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/system/proxy/dial.go
+++ b/internal/system/proxy/dial.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// unackedTimeout is how long data may wait for an acknowledgement of the peer's machine before the system breaks the connection.
+// unackedTimeout is how long sent data may remain unacknowledged by the peer's host before the kernel closes the connection.
 const unackedTimeout = 10 * time.Second
 
-// dialTCP opens a TCP connection within a timeout. It fails with errDeadlinePassed if that is not above 0.
+// dialTCP opens a TCP connection within a timeout. It fails with errDeadlinePassed if the timeout is not positive.
 func dialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	if timeout <= 0 {
 		return nil, errDeadlinePassed
@@ -26,24 +26,24 @@
 	return dialer.DialContext(ctx, "tcp4", address)
 }
 
-// setUnackedTimeout has the system break a connection whose peer's machine acknowledges nothing (TCP_USER_TIMEOUT, RFC 5482). A
-// system that has no such option is not at fault, as every wait of the proxy is bounded besides.
+// setUnackedTimeout makes the kernel close a connection whose peer's host does not acknowledge data (TCP_USER_TIMEOUT, RFC 5482).
+// A failure to set the option is ignored, because a system may lack it and every wait of the proxy is bounded anyway.
 func setUnackedTimeout(raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 }
 
-// idleCondition is what an inspection of an idle connection finds.
+// idleCondition is the result of inspecting an idle connection.
 type idleCondition int
 
 const (
-	idleSound   idleCondition = iota // nothing has come
-	idleSurplus                      // bytes that no request asked for
-	idleClosed                       // by the server, or broken
+	idleSound   idleCondition = iota // open, without unread bytes
+	idleSurplus                      // has received bytes that no request asked for
+	idleClosed                       // closed by the server, or broken
 )
 
-// inspectIdle looks whether an idle connection has ended or bytes have come on it. It does not wait.
+// inspectIdle checks, without blocking, whether an idle connection has ended or has received bytes.
 func inspectIdle(conn *net.TCPConn) idleCondition {
 	if conn == nil {
 		return idleSound
--- a/internal/system/proxy/eventreader.go
+++ b/internal/system/proxy/eventreader.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	eventBufferBytes = 4 << 10   // of a reader's first buffer
-	maxEventBytes    = 256 << 10 // of one event
+	eventBufferBytes = 4 << 10   // the size of a reader's first buffer
+	maxEventBytes    = 256 << 10 // the maximum size of one event
 )
 
 var (
@@ -17,23 +17,23 @@
 	errEventOrder   = errors.New("the ids of events do not rise: the stream is not that of one run")
 )
 
-// eventReader reads a text/event-stream (HTML Living Standard, section "Server-sent events") and gives out complete events
-// only, whose numeric ids rise.
+// eventReader reads a text/event-stream (HTML Living Standard, section "Server-sent events") and returns only complete events, whose
+// numeric ids increase.
 type eventReader struct {
 	source     io.Reader
-	buf        []byte // begins with what was given out last
-	emitted    int    // bytes of buf that were given out last
-	scanned    int    // bytes of buf before the incomplete line
-	eventStart int    // where in buf the incomplete event begins
-	readErr    error  // why no more can be read; nil: more may come
+	buf        []byte // begins with the events that the last call of next returned
+	emitted    int    // number of bytes of buf that the last call of next returned
+	scanned    int    // number of bytes of buf before the incomplete line
+	eventStart int    // offset in buf at which the incomplete event begins
+	readErr    error  // why no more can be read; nil: more data may follow
 
-	lastEventID       string // of the last event given out that has an id, as it stands in the stream
+	lastEventID       string // of the last returned event that has an id, as written in the stream
 	highestID         uint64
 	hasNumericID      bool // highestID is valid
-	hasEventWithoutID bool // an event with data and without an id has come: lastEventID is not where the stream is
+	hasEventWithoutID bool // an event with data but no id was read: lastEventID no longer marks the position in the stream
 }
 
-// resumeAfter has numeric ids rise above that of an event which came before this stream.
+// resumeAfter requires the numeric ids of this stream to be greater than the given id, that of an event received before this stream.
 func (e *eventReader) resumeAfter(id string) {
 	e.lastEventID = id
 	if number, err := strconv.ParseUint(id, 10, 64); err == nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// resumableID is the id after which another stream may resume this one; "": it is not known.
+// resumableID returns the id after which another stream may resume this one, or "" if it is not known.
 func (e *eventReader) resumableID() string {
 	if e.hasEventWithoutID {
 		return ""
@@ -49,8 +49,8 @@
 	return e.lastEventID
 }
 
-// next returns the complete events that have come, at least one. The bytes are valid until the next call. It fails with
-// io.EOF after a stream that came completely, of which it returns an unterminated last event before; with errEventOrder and
+// next returns the complete events that have been read, at least one. The bytes are valid until the next call. It fails with io.EOF
+// at the end of a completely received stream, whose unterminated last event, if any, it has returned before; with errEventOrder and
 // errEventTooLong; and with the errors of the source.
 func (e *eventReader) next() ([]byte, error) {
 	e.dropEmitted()
@@ -78,7 +78,7 @@
 	}
 }
 
-// dropEmitted removes from the buffer what was given out last.
+// dropEmitted removes the bytes returned by the last call of next from the buffer.
 func (e *eventReader) dropEmitted() {
 	if e.emitted == 0 {
 		return
@@ -90,7 +90,7 @@
 	e.emitted = 0
 }
 
-// read appends to the buffer what the source has, and makes the buffer longer where less than half of a first one is free.
+// read appends the source's available bytes to the buffer. It grows the buffer if less than half of eventBufferBytes is free.
 func (e *eventReader) read() {
 	if cap(e.buf)-len(e.buf) < eventBufferBytes/2 {
 		longer := make([]byte, len(e.buf), max(2*cap(e.buf), eventBufferBytes))
@@ -102,8 +102,8 @@
 	e.readErr = err
 }
 
-// scan goes on through the lines that have come, and returns how many bytes of complete events the buffer begins with. It
-// stops before an event whose id does not rise.
+// scan processes the lines that were read since the last call, and returns the number of bytes of complete events at the start of the
+// buffer. It stops before an event whose id does not increase.
 func (e *eventReader) scan() (complete int, err error) {
 	for {
 		length := bytes.IndexByte(e.buf[e.scanned:], '\n')
@@ -116,7 +116,7 @@
 			continue
 		}
 		if err := e.checkEvent(e.buf[e.eventStart:e.scanned]); err != nil {
-			e.scanned = e.eventStart // found again by the next call, if events before it are given out now
+			e.scanned = e.eventStart // so that the next call finds the event again if this one returns the events before it
 			if complete > 0 {
 				return complete, nil
 			}
@@ -126,13 +126,13 @@
 	}
 }
 
-// checkEvent records the id of an event, the last one where it has several. It records nothing of an event whose id does not
-// rise, as a stream is resumed after the last event that was given out.
+// checkEvent records the id of an event, the last one if it has several. It records nothing about an event whose id does not
+// increase, because a stream is resumed after the last event that was returned.
 func (e *eventReader) checkEvent(event []byte) error {
 	id, hasID := eventID(event)
 	if !hasID {
-		// Conservative on purpose: a comment or an unknown field that contains "data" counts as data as well. The worst that follows
-		// is that a stream is not resumed.
+		// Deliberately conservative: a comment or an unknown field that contains "data" also counts as data. At worst, a stream is
+		// not resumed.
 		e.hasEventWithoutID = e.hasEventWithoutID || bytes.Contains(event, []byte("data"))
 		return nil
 	}
--- a/internal/system/proxy/eventrelay.go
+++ b/internal/system/proxy/eventrelay.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// relayEvents passes on the events of a stream as they come. A truncated stream may be resumed at another server: the next
-// attempt asks for the events after the last one that went to the client.
+// relayEvents forwards the events of a stream as they arrive. A truncated stream may be resumed at another server: the next attempt
+// requests the events after the last one that was sent to the client.
 func (c *clientRequest) relayEvents(attempt *upstreamAttempt) attemptResult {
 	buffer, recycle := getBuffer(eventBufferBytes)
 	defer recycle()
@@ -42,11 +42,11 @@
 	}
 }
 
-// beginEvents reports a stream's first event to the picker and passes on the head, if this stream does not resume another.
+// beginEvents reports a stream's first event to the picker, and forwards the head unless this stream resumes another one.
 func (c *clientRequest) beginEvents(attempt *upstreamAttempt) {
 	c.proxy.picker.FirstEvent(attempt.choice.Ticket)
 	if !c.headSent {
-		// Danger: a stream that is resumed at another server need not come to the length that the first one announced.
+		// Danger: a stream that is resumed at another server may not have the length that the first server announced.
 		c.sendHead(attempt.response.StatusCode, attempt.response.Header, unknownLength)
 	}
 }
--- a/internal/system/proxy/handoff.go
+++ b/internal/system/proxy/handoff.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// handoffListener is a listener of connections that were accepted elsewhere.
+// handoffListener is a net.Listener for connections that were accepted by another listener.
 type handoffListener struct {
 	address   net.Addr
 	conns     chan net.Conn
@@ -17,7 +17,7 @@
 	return &handoffListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// offer hands a connection to the next Accept, and reports false if the listener is closed before.
+// offer hands a connection to the next Accept. It returns false if the listener is closed first.
 func (h *handoffListener) offer(conn net.Conn) bool {
 	select {
 	case h.conns <- conn:
--- a/internal/system/proxy/headers.go
+++ b/internal/system/proxy/headers.go
@@ -8,15 +8,15 @@
 
 // The headers of PROTOCOL.md, in the canonical form of net/http.
 const (
-	headerAttemptID      = "X-Attempt-Id"      // names an attempt of a client; servers echo it
-	headerServerSeal     = "X-Server-Seal"     // a server vouches for a success
-	headerNotExecuted    = "X-Not-Executed"    // a server did not run the request
+	headerAttemptID      = "X-Attempt-Id"      // identifies an attempt of a client; servers echo it
+	headerServerSeal     = "X-Server-Seal"     // set by a server to vouch for a success
+	headerNotExecuted    = "X-Not-Executed"    // the server did not execute the request
 	headerTimeLeft       = "X-Time-Left-Ms"    // how long the sender waits, in milliseconds
 	headerLastEventID    = "Last-Event-Id"     // of the stream that is resumed
-	headerTargetInstance = "X-Target-Instance" // the server that a request is for
+	headerTargetInstance = "X-Target-Instance" // the server that a request is intended for
 	headerPriority       = "Priority"          // of the tenant or the route
-	headerCredential     = "X-Credential"      // a tenant's API key, from clients alone
-	headerTenant         = "X-Tenant"          // the name of the key's tenant, for servers alone
+	headerCredential     = "X-Credential"      // a tenant's API key, sent only by clients
+	headerTenant         = "X-Tenant"          // the name of the key's tenant, sent only to servers
 	headerModel          = "X-Model"
 	headerTokenCount     = "X-Token-Count"
 	headerPromptPrefix   = "X-Prompt-Prefix"
@@ -24,7 +24,8 @@
 	headerWarmUpLeft     = "X-Cold-Ms"
 )
 
-// isHopByHop reports whether a header concerns a single connection only (RFC 9110, section 7.6.1), whatever Connection names.
+// isHopByHop reports whether a header always applies to a single connection only (RFC 9110, section 7.6.1), even if Connection does
+// not list it.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade":
@@ -33,7 +34,7 @@
 	return strings.HasPrefix(name, "Proxy-")
 }
 
-// connectionHeaders returns the headers that Connection names, in canonical form; nil: none.
+// connectionHeaders returns the headers that Connection lists, in canonical form; nil if there are none.
 func connectionHeaders(header http.Header) map[string]bool {
 	var named map[string]bool
 	for _, value := range header["Connection"] {
@@ -56,7 +57,8 @@
 	return option != "" && !strings.EqualFold(option, "close") && !strings.EqualFold(option, "keep-alive")
 }
 
-// isAlwaysForwarded reports whether a header is forwarded even where Connection names it: without it the message is another.
+// isAlwaysForwarded reports whether a header is forwarded even if Connection lists it, because the message would mean something else
+// without it.
 func isAlwaysForwarded(name string) bool {
 	switch name {
 	case headerAttemptID, headerServerSeal, headerNotExecuted, headerTimeLeft, headerLastEventID,
@@ -66,7 +68,7 @@
 	return false
 }
 
-// isForwarded reports whether a header is forwarded, where Connection names some.
+// isForwarded reports whether a header is forwarded; named are the headers that Connection lists.
 func isForwarded(name string, named map[string]bool) bool {
 	return !isHopByHop(name) && (!named[name] || isAlwaysForwarded(name))
 }
--- a/internal/system/proxy/headervalues.go
+++ b/internal/system/proxy/headervalues.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// maxPromptParts bounds the parts of a prompt that are looked at.
+	// maxPromptParts bounds how many parts of a prompt are read.
 	maxPromptParts = 64
-	// maxRetryAfter bounds the Retry-After that is believed.
+	// maxRetryAfter is the bound at or above which a Retry-After is ignored.
 	maxRetryAfter = time.Hour
 	// serverLoadFields is the number of counts in X-Server-Load: running, waiting, slots.
 	serverLoadFields = 3
 )
 
-// parseTokenCount reads X-Token-Count: the tokens of the prompt and the bound of those of the response. What cannot be read is 0.
+// parseTokenCount parses X-Token-Count: the number of tokens of the prompt and the bound on the tokens of the response. A value that
+// cannot be parsed is 0.
 func parseTokenCount(text string) (in, out int) {
 	inText, outText, _ := strings.Cut(text, ",")
 	return parseCount(inText), parseCount(outText)
 }
 
-// parseCount reads a number below 2^30; anything else is 0.
+// parseCount parses a number below 2^30; it returns 0 for anything else.
 func parseCount(text string) int {
 	count, err := strconv.ParseUint(textproto.TrimString(text), 10, 30)
 	if err != nil {
@@ -34,7 +35,8 @@
 	return int(count)
 }
 
-// parsePromptParts reads X-Prompt-Prefix: ID:TOKENS separated by commas, the ID in hexadecimal. It ends where it cannot be read.
+// parsePromptParts parses X-Prompt-Prefix: ID:TOKENS pairs separated by commas, with the ID in hexadecimal. It stops at the first pair
+// that it cannot parse.
 func parsePromptParts(text string) []pick.PrefixPart {
 	if text == "" {
 		return nil
@@ -51,13 +53,13 @@
 	return parts
 }
 
-// parseMilliseconds reads a number of milliseconds below 2^31, and reports whether it is one.
+// parseMilliseconds parses a number of milliseconds below 2^31; ok reports whether the text is such a number.
 func parseMilliseconds(text string) (duration time.Duration, ok bool) {
 	milliseconds, err := strconv.ParseUint(textproto.TrimString(text), 10, 31)
 	return time.Duration(milliseconds) * time.Millisecond, err == nil
 }
 
-// parseRetryAfter reads a Retry-After in seconds, fractions included, below maxRetryAfter; 0: none.
+// parseRetryAfter parses a Retry-After in seconds, possibly with a fraction, below maxRetryAfter. It returns 0 for anything else.
 func parseRetryAfter(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(textproto.TrimString(text), 64)
 	inRange := seconds > 0 && seconds < maxRetryAfter.Seconds() // false for NaN
@@ -67,22 +69,22 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// formatRetryAfter writes a Retry-After in seconds with milliseconds, at least one.
+// formatRetryAfter formats a Retry-After of at least one millisecond in seconds, with three decimals.
 func formatRetryAfter(duration time.Duration) string {
 	return strconv.FormatFloat(max(duration, time.Millisecond).Seconds(), 'f', 3, 64)
 }
 
-// serverHints are what a response says about its server.
+// serverHints is the information about a server that one of its responses contains.
 type serverHints struct {
 	hasLoad                 bool // the next three are known
-	running, waiting, slots int  // requests, requests, and the bound of running ones
+	running, waiting, slots int  // running requests, waiting requests, and the maximum number of running ones
 	warmingUp               bool
 	warmUpLeft              time.Duration
 	draining                bool
 	idleTimeout             time.Duration // for how long the server keeps an idle connection; 0: not announced
 }
 
-// parseServerHints reads the hints of a response; closesConn says that the response announces the end of its connection.
+// parseServerHints parses the hints of a response; closesConn is true if the response announces that its connection will be closed.
 func parseServerHints(header http.Header, closesConn bool) serverHints {
 	hints := serverHints{draining: closesConn, idleTimeout: parseKeepAlive(header)}
 	if text := header.Get(headerServerLoad); text != "" {
@@ -98,7 +100,7 @@
 	return hints
 }
 
-// recordIn records the hints, which came from the server with this id at now.
+// recordIn records the hints, which were received from the given server at now.
 func (h serverHints) recordIn(recorder hintRecorder, now pick.Time, serverID string) {
 	if h.hasLoad {
 		recorder.ServerLoad(now, serverID, h.running, h.waiting, h.slots)
@@ -112,7 +114,8 @@
 	}
 }
 
-// parseKeepAlive reads from Keep-Alive for how long a server keeps idle connections, in whole seconds; 0: not announced.
+// parseKeepAlive returns how long a server keeps idle connections according to its Keep-Alive header, in whole seconds; 0 if it does
+// not announce a timeout.
 func parseKeepAlive(header http.Header) time.Duration {
 	for _, value := range header["Keep-Alive"] {
 		for parameter := range strings.SplitSeq(value, ",") {
--- a/internal/system/proxy/identity.go
+++ b/internal/system/proxy/identity.go
@@ -9,23 +9,23 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// Why a request is not let in. None of them names a key.
+// Reasons why a request is not accepted. No message contains a key.
 var (
 	errUnknownKey = errors.New("X-Credential does not hold one known API key: send one that the configuration has")
-	// errKeysUnverified: a configuration that this proxy has not received may hold the key, or hold it no longer.
+	// errKeysUnverified: a configuration that this proxy has not received may have added or removed the key.
 	errKeysUnverified = errors.New("this proxy cannot tell which API keys hold, as it has no contact to the control plane: ask another")
 	errTenantChanged  = errors.New("the API key went to another tenant while the request waited: send the request again")
 )
 
-// identity is whose request it is. The key is never logged, counted, answered with or sent to a server.
+// identity describes who sent a request. The key is never written to logs, metrics or responses, nor sent to a server.
 type identity struct {
-	needsKey bool           // only tenants may send the request, by the configuration that its route is from
-	key      string         // what X-Credential holds; empty: it is absent, empty or there more than once
-	tenant   *config.Tenant // that holds the key by config; nil: none does
-	config   *config.Config // by which the tenant was found
+	needsKey bool           // only tenants may send the request, according to the configuration that its route is from
+	key      string         // the value of X-Credential; empty if the header is absent, empty or repeated
+	tenant   *config.Tenant // the tenant that holds the key according to config; nil: none does
+	config   *config.Config // the configuration in which the tenant was looked up
 }
 
-// soleCredential returns the value of X-Credential; empty unless the header is there exactly once.
+// soleCredential returns the value of X-Credential, or "" unless the header is present exactly once.
 func soleCredential(header http.Header) string {
 	values := header[headerCredential]
 	if len(values) != 1 {
@@ -34,8 +34,8 @@
 	return values[0]
 }
 
-// isIdentityHeader reports whether a header tells servers who sent a request, or proves it, in any spelling that a server may take for
-// it: some frameworks do not distinguish underscores from hyphens.
+// isIdentityHeader reports whether a header identifies or authenticates the sender of a request, in any spelling that a server may
+// accept: some frameworks do not distinguish underscores from hyphens.
 func isIdentityHeader(name string) bool {
 	switch http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-")) {
 	case headerTenant, headerCredential:
@@ -44,8 +44,9 @@
 	return false
 }
 
-// authenticate finds the tenant that sent the request, and checks the key where one is needed. It fails with errUnknownKey or
-// errKeysUnverified. After a stall of the process it waits for an update first, where the key is not known to hold.
+// authenticate finds the tenant that sent the request, and verifies the key if one is needed. It fails with errUnknownKey or
+// errKeysUnverified. If the verification fails, it first waits for an update that is awaited after a stall of the process, and then
+// verifies the key again.
 func (c *clientRequest) authenticate(ctx context.Context) error {
 	c.identity.needsKey = c.identity.config.HasTenants && !c.route.Public
 	c.identity.key = soleCredential(c.request.Header)
@@ -58,7 +59,7 @@
 	return c.verifyKey()
 }
 
-// updateTenant looks the key up again where a newer configuration has come.
+// updateTenant looks the key up again if a newer configuration has been received.
 func (c *clientRequest) updateTenant() {
 	if newest := c.proxy.picker.Config(); newest != c.identity.config {
 		c.identity.config = newest
@@ -66,7 +67,7 @@
 	}
 }
 
-// findTenant returns the tenant that holds the key; nil: none does. One whose name cannot be the value of a header counts as none.
+// findTenant returns the tenant that holds the key, or nil if there is none. A tenant whose name cannot be a header value is ignored.
 func (c *clientRequest) findTenant() *config.Tenant {
 	if c.identity.key == "" {
 		return nil
@@ -78,15 +79,15 @@
 	return holder
 }
 
-// isFieldValue reports whether a text can be the value of a header (RFC 9110, section 5.5). A name that cannot would end its field early,
-// and what follows would be another field.
+// isFieldValue reports whether a text is a valid header value (RFC 9110, section 5.5). A tenant name that is not could end its header
+// field early, and the rest of the name would become another field.
 func isFieldValue(text string) bool {
 	isControl := func(r rune) bool { return r < ' ' || r == 0x7f }
 	return text != "" && !strings.ContainsFunc(text, isControl)
 }
 
-// verifyKey checks the key that was looked up last. It fails with errUnknownKey or errKeysUnverified, the latter wherever a newer
-// configuration than this proxy's may say otherwise.
+// verifyKey verifies the key that was looked up last. It fails with errUnknownKey, or with errKeysUnverified if a configuration newer
+// than this proxy's may lead to another result.
 func (c *clientRequest) verifyKey() error {
 	knobs := &c.proxy.options.knobs
 	switch {
@@ -102,19 +103,19 @@
 	return errUnknownKey
 }
 
-// isStale reports whether a newer configuration than this proxy's may be in force unseen.
+// isStale reports whether a newer configuration, which this proxy has not received, may be in force.
 func (p *Proxy) isStale() bool {
 	state := p.clusterState.Load()
 	return state == nil || state.Stale
 }
 
-// reverifyKey checks before an attempt that the key still holds, and for the same tenant, whose quota the request was counted in. It
-// fails with errUnknownKey, errKeysUnverified or errTenantChanged. A stream that has begun goes on.
+// reverifyKey checks before an attempt that the key is still valid and still belongs to the tenant whose quota the request was counted
+// against. It fails with errUnknownKey, errKeysUnverified or errTenantChanged. A stream that has begun is not interrupted.
 func (c *clientRequest) reverifyKey() error {
 	if c.headSent || c.proxy.options.knobs.SkipKeyReverification {
 		return nil
 	}
-	before := c.identity // stays where the check fails: an attempt that is under way may end in a stream, which goes on
+	before := c.identity // restored if the check fails: an attempt in flight may still become a stream, which is not interrupted
 	c.updateTenant()
 	if err := c.verifyKey(); err != nil {
 		c.identity = before
@@ -131,10 +132,10 @@
 	return nil
 }
 
-// authenticateChallenge is what a 401 says of the credentials that are accepted (RFC 9110, section 11.6.1).
+// authenticateChallenge is the WWW-Authenticate value of a 401: it describes the accepted credentials (RFC 9110, section 11.6.1).
 const authenticateChallenge = `ApiKey realm="gradeusher"`
 
-// rejectUnauthenticated answers a request that goes to no server because of its key.
+// rejectUnauthenticated answers a request that is not sent to any server because of its key.
 func (c *clientRequest) rejectUnauthenticated(err error) {
 	counters := &c.proxy.counters
 	if errors.Is(err, errUnknownKey) {
--- a/internal/system/proxy/listener.go
+++ b/internal/system/proxy/listener.go
@@ -17,35 +17,35 @@
 const (
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
-	maxRequestHeadBytes  = 64 << 10 // that net/http reads of a request's head
-	reservedFDs          = 200      // file descriptors that are not for connections
-	clientFDPercent      = 60       // of the others that are for clients' connections; the rest is for servers
+	maxRequestHeadBytes  = 64 << 10 // how much of a request's head net/http reads
+	reservedFDs          = 200      // file descriptors that are not used for connections
+	clientFDPercent      = 60       // percentage of the remaining ones for clients' connections; the rest is for servers
 	minClientConns       = 16
 )
 
-// discardLog drops what net/http logs about single connections; the counters tell of them.
+// discardLog drops what net/http logs about single connections, which the counters cover.
 var discardLog = stdlog.New(io.Discard, "", 0)
 
 // clientListener owns the clients' side of a proxy: the connections and the HTTP servers that read requests from them.
 type clientListener struct {
 	proxy        *Proxy
-	maxConns     int // at once
+	maxConns     int // maximum number of simultaneous connections
 	conns        *connTracker
 	draining     atomic.Bool
-	drainExpired chan struct{} // closed when Drain waits no longer
+	drainExpired chan struct{} // closed when Drain stops waiting
 	serveDone    chan struct{} // closed when Serve has ended
 	serving      sync.WaitGroup
 
 	mu          sync.Mutex
 	listener    *net.TCPListener // nil: Serve has not begun
 	limits      config.Limits
-	current     *serverGeneration   // takes new connections; nil: made with the next one
-	generations []*serverGeneration // all of them
+	current     *serverGeneration   // serves new connections; nil: created for the next connection
+	generations []*serverGeneration // every generation, including current
 	stopped     bool
 }
 
-// serverGeneration is an HTTP server with the limits of its time. Its connections keep them, as those of a http.Server must
-// not change while it serves.
+// serverGeneration is an HTTP server with the limits that were in force when it was started. Its connections keep these limits,
+// because the limits of an http.Server must not change while it serves.
 type serverGeneration struct {
 	server  *http.Server
 	handoff *handoffListener
@@ -62,7 +62,7 @@
 	}
 }
 
-// setLimits has new connections keep to other limits.
+// setLimits sets the limits for new connections.
 func (l *clientListener) setLimits(limits config.Limits) {
 	limits.HeaderTimeout = defaults.IfNotPositive(limits.HeaderTimeout, defaultHeaderTimeout)
 	limits.IdleTimeout = defaults.IfNotPositive(limits.IdleTimeout, defaultIdleTimeout)
@@ -96,7 +96,7 @@
 	}
 }
 
-// track begins to track a connection and returns the generation that serves it; nil after the end.
+// track starts tracking a connection and returns the generation that serves it, or nil after stop was called.
 func (l *clientListener) track(conn net.Conn) *serverGeneration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +106,7 @@
 	if l.current == nil {
 		l.startGeneration()
 	}
-	l.conns.add(conn) // before shutdown can look for connections to close
+	l.conns.add(conn) // under the lock, so that shutdown finds the connection and closes it
 	return l.current
 }
 
--- a/internal/system/proxy/lockedpicker.go
+++ b/internal/system/proxy/lockedpicker.go
@@ -8,14 +8,14 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// lockedPicker is a picker with a lock and a monotonic clock. It tells the picker when the process has stalled. It is safe for
+// lockedPicker adds a lock and a monotonic clock to a picker, and notifies the picker when the process has stalled. It is safe for
 // concurrent use.
 type lockedPicker struct {
 	onStall func() // called after a stall; may be nil
 
 	mu     sync.Mutex
 	inner  picker
-	start  time.Time // the picker's moments are durations after it
+	start  time.Time // the picker's points in time are relative to it
 	stalls stallDetector
 }
 
@@ -41,7 +41,7 @@
 	return stalled
 }
 
-// UpdateClusterState hands on a cluster state whose durations are as of the moment asOf.
+// UpdateClusterState passes a cluster state to the picker. The durations in the state are relative to asOf.
 func (p *lockedPicker) UpdateClusterState(asOf time.Time, state pick.ClusterState) {
 	p.withLock(func(inner picker, now pick.Time) {
 		state.Age = now - asOf.Sub(p.start)
@@ -54,20 +54,20 @@
 	p.withLock(func(inner picker, now pick.Time) { inner.UpdatePeerLoads(now, loads) })
 }
 
-// Loads returns this proxy's requests in flight, by server, and its prompt demands.
+// Loads returns this proxy's requests in flight by server, and its prompt demands.
 func (p *lockedPicker) Loads() (loads map[string]pick.Load) {
 	p.withLock(func(inner picker, _ pick.Time) { loads = sharedLoads(inner) })
 	return loads
 }
 
-// sharedLoads returns the requests in flight of a proxy, by server, and its prompt demands, as proxies share them.
+// sharedLoads returns a proxy's requests in flight by server, together with its prompt demands, in the form that proxies exchange.
 func sharedLoads(source loadSource) map[string]pick.Load {
 	loads := source.Loads()
 	source.PromptDemands().AddTo(loads)
 	return loads
 }
 
-// Describe returns a text for operators.
+// Describe returns a description of the picker's state for operators.
 func (p *lockedPicker) Describe() (text string) {
 	p.withLock(func(inner picker, now pick.Time) { text = inner.Describe(now) })
 	return text
@@ -85,30 +85,30 @@
 	return stats
 }
 
-// Config returns the newest configuration; nil: none has come yet.
+// Config returns the newest configuration, or nil if none has been received yet.
 func (p *lockedPicker) Config() (newest *config.Config) {
 	p.withLock(func(inner picker, _ pick.Time) { newest = inner.Config() })
 	return newest
 }
 
-// Route returns the route of a request, nil where there is none, and the configuration that has it.
+// Route returns the route of a request, or nil if there is none, and the configuration that contains it.
 func (p *lockedPicker) Route(host, path string) (route *config.Route, by *config.Config) {
 	p.withLock(func(inner picker, _ pick.Time) { route, by = inner.Route(host, path), inner.Config() })
 	return route, by
 }
 
-// RecordRequest tells the picker of a request before its first choice.
+// RecordRequest reports a request to the picker before the first choice of a server for it.
 func (p *lockedPicker) RecordRequest(r *pick.Request) {
 	p.withLock(func(inner picker, now pick.Time) { inner.RecordRequest(now, r) })
 }
 
-// Pick chooses a server that has not been tried; mayHaveRun says whether an attempt may have run.
+// Pick chooses a server that has not been tried; mayHaveRun is true if an earlier attempt may have run.
 func (p *lockedPicker) Pick(r *pick.Request, tried []string, mayHaveRun bool) (choice pick.Result) {
 	p.withLock(func(inner picker, now pick.Time) { choice = inner.Pick(now, r, tried, mayHaveRun) })
 	return choice
 }
 
-// FirstEvent reports that the first event of a stream has come.
+// FirstEvent reports that the first event of a stream was received.
 func (p *lockedPicker) FirstEvent(ticket uint64) {
 	p.withLock(func(inner picker, now pick.Time) { inner.FirstEvent(now, ticket) })
 }
@@ -118,7 +118,7 @@
 	p.withLock(func(inner picker, now pick.Time) { inner.Done(now, ticket, outcome, retryAfter) })
 }
 
-// ResponseStarted reports that the head of a server's response has come, and what it says about the server.
+// ResponseStarted reports that the head of a server's response was received, and the hints about the server in it.
 func (p *lockedPicker) ResponseStarted(ticket uint64, serverID string, hints serverHints) {
 	p.withLock(func(inner picker, now pick.Time) {
 		inner.ResponseStarted(now, ticket)
--- a/internal/system/proxy/memory.go
+++ b/internal/system/proxy/memory.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	bodyMemoryDivisor = 5        // one part in so many of the process's memory is for bodies
-	smallBufferBytes  = 4 << 10  // most bodies fit
-	largeBufferBytes  = 64 << 10 // long prompts fit
+	bodyMemoryDivisor = 5        // 1/bodyMemoryDivisor of the process's memory is for bodies
+	smallBufferBytes  = 4 << 10  // large enough for most bodies
+	largeBufferBytes  = 64 << 10 // large enough for long prompts
 )
 
-// memoryBudget bounds the bytes of bodies that are buffered over all requests. It is safe for concurrent use.
+// memoryBudget bounds the total size of the bodies buffered for all requests. It is safe for concurrent use.
 type memoryBudget struct {
 	capacity int64 // bytes
 	reserved atomic.Int64
@@ -19,7 +19,7 @@
 
 func newMemoryBudget(capacity int64) *memoryBudget { return &memoryBudget{capacity: capacity} }
 
-// reserve takes size bytes from the budget and reports whether it had them.
+// reserve takes size bytes from the budget. It returns false and takes none if fewer are left.
 func (b *memoryBudget) reserve(size int64) bool {
 	if b.reserved.Add(size) > b.capacity {
 		b.reserved.Add(-size)
@@ -36,7 +36,7 @@
 	largeBuffers = sync.Pool{New: func() any { return new([largeBufferBytes]byte) }}
 )
 
-// getBuffer returns an empty buffer with capacity for size bytes, and a function that gives it back to its pool.
+// getBuffer returns an empty buffer with capacity for size bytes, and a function that returns the buffer to its pool.
 func getBuffer(size int64) (buffer []byte, recycle func()) {
 	switch {
 	case size <= 0:
--- a/internal/system/proxy/pools.go
+++ b/internal/system/proxy/pools.go
@@ -16,13 +16,13 @@
 const (
 	sameRegionDialTimeout  = 250 * time.Millisecond
 	crossRegionDialTimeout = 600 * time.Millisecond
-	// minIdleTimeout is the least time for which connections to servers may be idle.
+	// minIdleTimeout is the lower bound on how long connections to servers may be idle.
 	minIdleTimeout = 250 * time.Millisecond
-	// minIdleConns is the least bound of idle connections to a server, whatever the number of proxies.
+	// minIdleConns is the lower bound on the maximum number of idle connections to a server, regardless of the number of proxies.
 	minIdleConns = 4
-	// sweepInterval is how often connections are looked for that have been idle for too long.
+	// sweepInterval is the interval between scans for connections that have been idle for too long.
 	sweepInterval = 2 * time.Second
-	// maxHeadBytes bounds the heads of requests and responses; net/http reads a little more than maxRequestHeadBytes.
+	// maxHeadBytes bounds the heads of requests and responses. It exceeds maxRequestHeadBytes because net/http reads slightly more.
 	maxHeadBytes      = maxRequestHeadBytes + 8<<10
 	readerBufferBytes = 4 << 10
 )
@@ -32,12 +32,12 @@
 // connectFunc opens a connection to an address within a timeout.
 type connectFunc func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 
-// upstreamPools owns the connections to servers, in a pool for each incarnation of a server. It is safe for concurrent use.
+// upstreamPools owns the connections to servers, with one pool per incarnation of a server. It is safe for concurrent use.
 type upstreamPools struct {
-	start              time.Time // moments are durations after it
+	start              time.Time // points in time are relative to it
 	connect            connectFunc
-	sameRegionTimeout  time.Duration // of a dial within the proxy's region
-	crossRegionTimeout time.Duration // of a dial to another region
+	sameRegionTimeout  time.Duration // for a dial within the proxy's region
+	crossRegionTimeout time.Duration // for a dial to another region
 	region             string        // the proxy's own
 	regionOfZone       map[string]string
 	counters           *Counters
@@ -45,29 +45,29 @@
 
 	mu           sync.Mutex
 	pools        map[string]*serverPool   // by server id
-	idleTimeouts map[string]time.Duration // by service: for how long its servers keep idle connections, halved
-	maxIdleConns map[string]int           // by service: of one server
+	idleTimeouts map[string]time.Duration // by service: half the time for which its servers keep idle connections
+	maxIdleConns map[string]int           // by service: the maximum per server
 	sweepTimer   *time.Timer              // nil: no connection is idle
 }
 
-// serverPool is the connections to one incarnation of a server.
+// serverPool holds the connections to one incarnation of a server.
 type serverPool struct {
 	id, service, address string
 	crossRegion          bool
-	lastContact          atomic.Int64 // when bytes last came from the server; nanoseconds after upstreamPools.start
+	lastContact          atomic.Int64 // when bytes were last received from the server; nanoseconds after upstreamPools.start
 
-	// Under the lock of upstreamPools.
+	// Protected by upstreamPools.mu.
 	removed bool          // the server is no longer listed
 	idle    []*serverConn // the most recently used last
 }
 
-// serverConn is a connection to a server. One attempt owns it, or its pool.
+// serverConn is a connection to a server. It is owned either by one attempt or by its pool.
 type serverConn struct {
 	*framing.ServerConn
-	tcp           *net.TCPConn  // nil where a test connects by a pipe
-	fresh         bool          // no response has come on it
-	lastAttemptID string        // of the request that was answered last on it; noAttemptID: not known
-	idleSince     time.Duration // after upstreamPools.start
+	tcp           *net.TCPConn  // nil if a test connects through a pipe
+	fresh         bool          // no response has been received on it
+	lastAttemptID string        // of the last request that was answered on it; noAttemptID: not known
+	idleSince     time.Duration // relative to upstreamPools.start
 }
 
 func newUpstreamPools(settings pick.Settings, counters *Counters) *upstreamPools {
@@ -85,11 +85,11 @@
 	}
 }
 
-// now is the monotonic time since start.
+// now returns the monotonic time since start.
 func (u *upstreamPools) now() time.Duration { return time.Since(u.start) }
 
-// applyUpdate replaces the servers and the configuration. Danger: idle connections to a server that is gone swallow the next
-// requests, so the pools of servers that are no longer listed, or have moved, are removed.
+// applyUpdate replaces the servers and the configuration. Danger: requests sent on idle connections to a server that no longer exists
+// are lost, so the pools of servers that are no longer listed, or whose address has changed, are removed.
 func (u *upstreamPools) applyUpdate(state pick.ClusterState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// removeUnlisted removes the pools of servers that are not listed with their address. The caller holds the lock.
+// removeUnlisted removes the pools of servers that are no longer listed, or are listed with another address. The caller holds the lock.
 func (u *upstreamPools) removeUnlisted(servers []pick.Server) {
 	addresses := make(map[string]string, len(servers))
 	for _, server := range servers {
@@ -112,7 +112,7 @@
 	}
 }
 
-// applyConfig divides the services' connections among the proxies. The caller holds the lock.
+// applyConfig divides each service's connections among the proxies. The caller holds the lock.
 func (u *upstreamPools) applyConfig(config *config.Config, proxies int) {
 	for name := range u.idleTimeouts {
 		if config.Services[name] == nil {
@@ -125,7 +125,7 @@
 	}
 }
 
-// removePool forgets a pool. Connections that are in use end with their attempts. The caller holds the lock.
+// removePool removes a pool. Connections that are in use are closed when their attempts end. The caller holds the lock.
 func (u *upstreamPools) removePool(pool *serverPool) {
 	pool.removed = true
 	pool.closeIdle()
@@ -140,7 +140,7 @@
 	p.idle = nil
 }
 
-// poolOf returns the pool of a server.
+// poolOf returns the pool of a server, and creates it if necessary.
 func (u *upstreamPools) poolOf(server pick.Server) *serverPool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -156,7 +156,7 @@
 	return pool
 }
 
-// idleTimeout is for how long connections to servers of a service may be idle. The caller holds the lock.
+// idleTimeout returns how long connections to servers of a service may be idle. The caller holds the lock.
 func (u *upstreamPools) idleTimeout(service string) time.Duration {
 	if timeout := u.idleTimeouts[service]; timeout > 0 {
 		return timeout
@@ -164,17 +164,17 @@
 	return pick.DefaultIdleTimeout
 }
 
-// observeIdleTimeout records for how long servers of a service keep idle connections, as one announced or showed. Only
-// shorter times than those before count.
+// observeIdleTimeout records how long servers of a service keep idle connections, as announced by one of them or observed. A time
+// longer than the current one is ignored.
 func (u *upstreamPools) observeIdleTimeout(service string, kept time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.idleTimeouts[service] = max(min(pick.IdleTimeout(kept), u.idleTimeout(service)), minIdleTimeout)
 }
 
-// takeIdle returns an idle connection that looks sound, or nil, and for how long a connection had been idle that its server
-// was found to have closed; 0: none. Danger: a surplus response to a request of the same id could not be told from the
-// response, so a connection that answered that id last is not used.
+// takeIdle returns an idle connection that passed inspection, or nil. If it finds a connection that the server has closed, staleAge
+// is how long that one had been idle; otherwise it is 0. Danger: a surplus response to an earlier request with the same id would be
+// indistinguishable from the response, so a connection whose last answered request had that id is not used.
 func (u *upstreamPools) takeIdle(pool *serverPool, attemptID string) (conn *serverConn, staleAge time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -182,7 +182,7 @@
 	for len(pool.idle) > 0 {
 		conn := pool.popIdle()
 		age := now - conn.idleSince
-		if age > maxAge { // and so are all the others
+		if age > maxAge { // all the other connections have been idle for even longer
 			_ = conn.Close()
 			pool.closeIdle()
 			break
@@ -203,7 +203,7 @@
 	return nil, staleAge
 }
 
-// popIdle takes the connection that was used most recently. The caller holds the lock.
+// popIdle removes and returns the most recently used idle connection. The caller holds the lock.
 func (p *serverPool) popIdle() *serverConn {
 	last := len(p.idle) - 1
 	conn := p.idle[last]
@@ -211,7 +211,7 @@
 	return conn
 }
 
-// inspect looks whether an idle connection may be used, and counts those that may not.
+// inspect checks whether an idle connection may be used, and counts those that may not.
 func (u *upstreamPools) inspect(conn *serverConn) idleCondition {
 	if u.knobs.SkipIdleInspection {
 		return idleSound
@@ -226,11 +226,11 @@
 	return condition
 }
 
-// noAttemptID is given to putIdle for a connection that is given back unused.
+// noAttemptID is passed to putIdle for a connection that is returned unused.
 const noAttemptID = ""
 
-// putIdle gives a connection back on which the response to a request with that id has come completely, or that was not used at all
-// (noAttemptID).
+// putIdle returns a connection to its pool, after the response to the request with the given id was received completely on it, or
+// after it was not used at all (noAttemptID).
 func (u *upstreamPools) putIdle(pool *serverPool, conn *serverConn, attemptID string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -246,7 +246,7 @@
 	}
 }
 
-// sweepIdle closes connections that have been idle for too long, and comes again while any is idle.
+// sweepIdle closes connections that have been idle for too long, and schedules the next sweep if any idle connection remains.
 func (u *upstreamPools) sweepIdle() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -261,7 +261,7 @@
 	}
 }
 
-// closeIdleBefore closes the connections that have been idle since before a moment. The caller holds the lock.
+// closeIdleBefore closes the connections that became idle before the given time. The caller holds the lock.
 func (p *serverPool) closeIdleBefore(moment time.Duration) {
 	expired := 0
 	for expired < len(p.idle) && p.idle[expired].idleSince < moment {
@@ -271,9 +271,9 @@
 	p.idle = append(p.idle[:0], p.idle[expired:]...)
 }
 
-// closeIdleUnlessContacted closes the idle connections of a server of which nothing has come since a moment. Danger: when a
-// machine vanishes, its idle connections stay open and swallow requests that may then never be sent again. A new connection
-// fails before anything is sent.
+// closeIdleUnlessContacted closes the idle connections to a server from which nothing was received since the given time. Danger: when
+// a machine disappears, idle connections to it stay open, and requests sent on them are lost and perhaps may not be retried. A new
+// connection fails before anything is sent.
 func (u *upstreamPools) closeIdleUnlessContacted(pool *serverPool, since time.Duration) {
 	if time.Duration(pool.lastContact.Load()) >= since {
 		return
@@ -281,14 +281,14 @@
 	u.closeIdle(pool)
 }
 
-// closeIdle closes the idle connections of a server.
+// closeIdle closes the idle connections to a server.
 func (u *upstreamPools) closeIdle(pool *serverPool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	pool.closeIdle()
 }
 
-// close closes all idle connections, and those that come back later.
+// close closes all idle connections, and makes putIdle close those that are returned later.
 func (u *upstreamPools) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -19,37 +19,37 @@
 	defaultMemoryMB    = 256
 )
 
-// Options are what a Proxy is made with. Fields that are not above 0 have their default.
+// Options configures a Proxy. Numeric fields with a documented default use it unless they are positive.
 type Options struct {
 	Settings pick.Settings
-	// GracePeriod is how long Drain may take: what is left of the time up to the platform's kill. Default 8 s.
+	// GracePeriod is how long Drain may take: the time remaining until the platform kills the process. Default 8 s.
 	GracePeriod time.Duration
-	// LossSlack is how soon a client learns that its connection has ended, around planned work. Default 200 ms.
+	// LossSlack is how soon a client learns that its connection was closed during planned maintenance. Default 200 ms.
 	LossSlack time.Duration
-	// FDLimit is the process's limit of open file descriptors. Default 4096.
+	// FDLimit is the process's limit on open file descriptors. Default 4096.
 	FDLimit int
 	// MemoryMB is the process's memory in MiB; a fifth of it is for bodies. Default 256.
 	MemoryMB int
 	// Log is where the proxy logs. Default log.Log.
 	Log log.Interface
-	// OnStall is called after the process was stopped or starved of CPU time, so that the caller refreshes what it knows from the
-	// control plane. It must not block. It may be nil.
+	// OnStall is called after the process was stopped or starved of CPU time, so that the caller can refresh its state from the control
+	// plane. It must not block. It may be nil.
 	OnStall func()
-	// StateAge returns how long ago, at most, the configuration that the proxy has was certainly the newest. Where it is nil, the ContactAge
-	// of the last cluster state and the time since then count, which is more where updates come only with changes.
+	// StateAge returns an upper bound on the time since the proxy's configuration was last known to be the newest. If it is nil, the
+	// proxy uses the ContactAge of the last cluster state plus the time since then, which is higher if updates are sent only on changes.
 	StateAge func() time.Duration
-	// RevokeWithin is the time within which an API key that was taken away is to be refused everywhere, without contact to the control
-	// plane too. 0: a proxy without contact goes on with the keys that it has.
+	// RevokeWithin is the time within which a revoked API key has to be refused everywhere, even without contact to the control plane.
+	// 0: a proxy without contact continues to use the keys that it has.
 	RevokeWithin time.Duration
 	// Quota enforces the limits of tenants; nil: no limits are enforced.
 	Quota QuotaAdmitter
 	// Timeouts are how long clients and servers may be silent.
 	Timeouts Timeouts
-	// TestingKnobs are for tests only.
+	// knobs are for tests only.
 	knobs TestingKnobs
 }
 
-// withDefaults fills in what is not set.
+// withDefaults returns the options with defaults for the fields that are not set.
 func (o Options) withDefaults() Options {
 	o.GracePeriod = defaults.IfNotPositive(o.GracePeriod, defaultGracePeriod)
 	o.LossSlack = defaults.IfNotPositive(o.LossSlack, defaultLossSlack)
@@ -67,14 +67,14 @@
 	options      Options
 	picker       *lockedPicker
 	clusterState atomic.Pointer[pick.ClusterState]
-	lastContact  atomic.Int64 // when a current control-plane node last confirmed the cluster state; after pools.start, in nanoseconds
+	lastContact  atomic.Int64 // when a current control-plane node last confirmed the cluster state; nanoseconds after pools.start
 	pools        *upstreamPools
 	memory       *memoryBudget
 	clients      *clientListener
 	counters     Counters
 }
 
-// New makes a Proxy without a cluster state: it answers 503 until UpdateClusterState has given it a configuration.
+// New returns a Proxy without a cluster state: it answers 503 until UpdateClusterState has provided a configuration.
 func New(options Options) *Proxy { return newProxy(options, pick.New(options.Settings)) }
 
 func newProxy(options Options, inner picker) *Proxy {
@@ -91,8 +91,8 @@
 	return p
 }
 
-// UpdateClusterState replaces what is known of the configuration, the evacuated zones, the servers and the other proxies. The
-// durations in state are as of the moment asOf.
+// UpdateClusterState replaces the configuration, the evacuated zones, the servers and the other proxies. The durations in state are
+// relative to asOf.
 func (p *Proxy) UpdateClusterState(asOf time.Time, state pick.ClusterState) {
 	p.picker.UpdateClusterState(asOf, state)
 	p.pools.applyUpdate(state)
@@ -106,13 +106,13 @@
 // AwaitsServerList reports whether the choice of servers waits for a newer server list of the platform.
 func (p *Proxy) AwaitsServerList() bool { return p.picker.AwaitsServerList() }
 
-// SetLoads replaces the requests that all other proxies together have in flight, by server.
+// SetLoads replaces the numbers of requests that all other proxies together have in flight, by server.
 func (p *Proxy) SetLoads(loads map[string]pick.Load) { p.picker.UpdatePeerLoads(loads) }
 
-// Loads returns the requests that this proxy has in flight, by server, for the other proxies.
+// Loads returns the number of requests that this proxy has in flight, by server, for the other proxies.
 func (p *Proxy) Loads() map[string]pick.Load { return p.picker.Loads() }
 
-// Describe returns a text for operators on what the choice of servers rests on.
+// Describe returns a description, for operators, of the state on which the choice of servers is based.
 func (p *Proxy) Describe() string { return p.picker.Describe() }
 
 // Ready reports whether the proxy serves clients: it has a configuration and is not draining.
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// defaultRetryAfter is the Retry-After of responses for which neither the picker nor a server has named a wait: there is no
-	// configuration yet, no memory for the body, a body that came too slowly, or no further attempt is allowed. It is not pick's
-	// constant of that name, which is longer and stands for another case: the picker was asked and knows of no server that could
-	// take the request.
+	// defaultRetryAfter is the Retry-After of responses for which neither the picker nor a server has specified a wait: there is no
+	// configuration yet, there is no memory for the body, the body arrived too slowly, or no further attempt is allowed. It differs from
+	// pick's constant of the same name, which is longer and covers another case: the picker was asked and knows of no server that could
+	// accept the request.
 	defaultRetryAfter = 300 * time.Millisecond
-	// minRetryAfter is the least Retry-After. It has the value of pick's constant of that name, and applies to the waits that servers
-	// asked for and to defaultRetryAfter as well, which the picker has not bounded.
+	// minRetryAfter is the minimum Retry-After. It has the value of pick's constant of the same name, and also applies to the waits that
+	// servers asked for and to defaultRetryAfter, which the picker has not bounded.
 	minRetryAfter = 50 * time.Millisecond
-	// retryAfterDivisor: a client is told to wait for at most one part in so many of the time that it has left.
+	// retryAfterDivisor: the Retry-After is at most 1/retryAfterDivisor of the time that the client has left.
 	retryAfterDivisor = 3
 	// unknownLength stands for a body whose length is not announced.
 	unknownLength = -1
@@ -25,7 +25,7 @@
 // errClientGone means that the client has closed its connection or accepts no more bytes.
 var errClientGone = errors.New("the client accepts no more bytes: its connection is closed")
 
-// respond answers a request with a status of the proxy's own and no body.
+// respond answers a request with a status chosen by the proxy and no body.
 func (p *Proxy) respond(w http.ResponseWriter, attemptID string, status int) {
 	header := w.Header()
 	if attemptID != "" {
@@ -36,15 +36,14 @@
 	w.WriteHeader(status)
 }
 
-// announceClose says in a response that its connection ends, once the proxy is draining.
+// announceClose announces in a response that its connection will be closed, if the proxy is draining.
 func (p *Proxy) announceClose(header http.Header) {
 	if p.clients.draining.Load() {
 		header.Set("Connection", "close")
 	}
 }
 
-// respondError answers with a status of the proxy's own. A not-executed status comes with a Retry-After; 0 stands for
-// the default.
+// respondError answers with a status chosen by the proxy. A not-executed status is sent with a Retry-After; 0 stands for the default.
 func (c *clientRequest) respondError(status int, retryAfter time.Duration) {
 	if impliesNotExecuted(status) {
 		if retryAfter <= 0 {
@@ -58,12 +57,12 @@
 	c.proxy.respond(c.writer, c.attemptID, status)
 }
 
-// unsentBytes says what becomes of bytes that wait in the system for the client when its connection is aborted.
+// unsentBytes says what happens to the bytes in the client connection's send buffer when the connection is aborted.
 type unsentBytes int
 
 const (
 	deliverUnsent unsentBytes = iota
-	dropUnsent                // for a client that is gone
+	dropUnsent                // for a client that has disconnected
 )
 
 // abortConn closes the client's connection in the middle of a response, so that the response cannot look complete.
@@ -71,7 +70,7 @@
 	if c.conn == nil || c.proxy.options.knobs.KeepTruncatedConns {
 		return
 	}
-	// Where the end of the connection is that of the response, only a reset says that it is truncated.
+	// If the end of the connection marks the end of the response, only a reset shows the client that the response is truncated.
 	endsWithConn := c.request.ProtoMinor == 0
 	if unsent == dropUnsent || endsWithConn {
 		_ = c.conn.SetLinger(0)
@@ -79,7 +78,7 @@
 	_ = c.conn.Close()
 }
 
-// sendHead passes on the head of a response with a Content-Length in bytes, or without one for unknownLength.
+// sendHead forwards the head of a response, with the given length in bytes as Content-Length, or without one for unknownLength.
 func (c *clientRequest) sendHead(status int, from http.Header, length int64) {
 	c.headSent = true
 	header := c.writer.Header()
@@ -101,7 +100,7 @@
 	c.writer.WriteHeader(status)
 }
 
-// writeToClient passes bytes on at once. It fails with errClientGone, also if the client accepts none for too long.
+// writeToClient writes bytes to the client and flushes them. It fails with errClientGone, also if the client accepts none for too long.
 func (c *clientRequest) writeToClient(data []byte) error {
 	_ = c.controller.SetWriteDeadline(time.Now().Add(c.proxy.options.Timeouts.ClientWrite))
 	if _, err := c.writer.Write(data); err != nil {
--- a/internal/system/proxy/requestbody.go
+++ b/internal/system/proxy/requestbody.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// Why a request's body could not be read. None of the request has been sent to a server then.
+// Reasons why a request's body could not be read. In each case nothing of the request has been sent to a server.
 var (
 	errBodyTooLong = errors.New("the request body is longer than the configured limit: send a shorter one")
 	errBodyTimeout = errors.New("the request body did not arrive before the deadline")
@@ -34,13 +34,13 @@
 	}
 }
 
-// requestBody is the body of a request, buffered completely, so that it can be sent more than once.
+// requestBody is the body of a request. It is buffered completely so that it can be sent more than once.
 type requestBody struct {
 	memory   *memoryBudget
 	maxBytes int64 // 0: no limit
 	bytes    []byte
-	reserved int64  // bytes of memory
-	recycle  func() // gives the buffer of bytes back; nil: there is none
+	reserved int64  // number of bytes reserved in memory
+	recycle  func() // returns the buffer to its pool; nil: there is no buffer
 }
 
 // read buffers the body. It fails with errBodyTooLong, errBodyTimeout, errNoMemory or errClientGone.
@@ -74,7 +74,7 @@
 	}
 }
 
-// bodyError says what a failed read of a request's body means.
+// bodyError maps the error of a failed read of a request's body to errBodyTimeout or errClientGone.
 func bodyError(err error) error {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -83,10 +83,10 @@
 	return errClientGone
 }
 
-// grow moves the body to a buffer of size bytes, and reports false if there is no memory for it.
+// grow moves the body to a buffer of size bytes. It returns false if there is no memory for it.
 func (b *requestBody) grow(size int64) bool {
 	if b.maxBytes > 0 {
-		size = min(size, b.maxBytes+1) // one more, to see that the body is too long
+		size = min(size, b.maxBytes+1) // one extra byte, to detect that the body is too long
 	}
 	if more := size - b.reserved; more > 0 {
 		if !b.memory.reserve(more) {
@@ -103,7 +103,7 @@
 	return true
 }
 
-// release gives the memory back. The bytes must not be used afterwards.
+// release returns the memory to the budget. The bytes must not be used afterwards.
 func (b *requestBody) release() {
 	b.memory.release(b.reserved)
 	if b.recycle != nil {
--- a/internal/system/proxy/requesthead.go
+++ b/internal/system/proxy/requesthead.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxDeadlineMargin bounds how long before its client's limit a request is given up.
+	// maxDeadlineMargin bounds how long before the end of its timeout a request fails.
 	maxDeadlineMargin = 20 * time.Millisecond
-	// deadlineMarginDivisor: the margin is one part in so many of the time that the client waits.
+	// deadlineMarginDivisor: the margin is 1/deadlineMarginDivisor of the request's timeout.
 	deadlineMarginDivisor = 20
-	// maxRequestTimeout bounds the wait for a response, whatever the client and the route allow.
+	// maxRequestTimeout bounds the wait for a response, regardless of what the client and the route allow.
 	maxRequestTimeout = 10 * time.Minute
-	// unreadBodyTimeout bounds how long net/http waits for the body of a request that is answered without reading it.
+	// unreadBodyTimeout bounds how long net/http waits for the body of a request that is answered before its body was read.
 	unreadBodyTimeout = time.Second
-	// requestLineOverheadBytes and fieldOverheadBytes are what a head has besides names and values: spaces, colons, line ends,
+	// requestLineOverheadBytes and fieldOverheadBytes count the bytes of a head other than names and values: spaces, colons, line ends,
 	// the version and the name of the Host field.
 	requestLineOverheadBytes = 24
 	fieldOverheadBytes       = 4
@@ -28,11 +28,11 @@
 // clientConnKey is the key of a request's *framing.ClientConn in its context.
 type clientConnKey struct{}
 
-// ServeHTTP implements http.Handler: it reads one request of a client and has it answered.
+// ServeHTTP implements http.Handler: it reads one request of a client and answers it.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	proxied := newClientRequest(p, w, r)
 	p.counters.Requests.Add(1)
-	_ = proxied.controller.SetWriteDeadline(proxied.startedAt.Add(maxRequestTimeout)) // not that of the response before
+	_ = proxied.controller.SetWriteDeadline(proxied.startedAt.Add(maxRequestTimeout)) // replaces that of the previous response
 	_ = proxied.controller.SetReadDeadline(proxied.startedAt.Add(unreadBodyTimeout))
 	config := p.config()
 	if config == nil {
@@ -57,7 +57,7 @@
 		proxied.rejectBody(err)
 		return
 	}
-	_ = proxied.controller.SetReadDeadline(time.Time{}) // an end of the connection now means that the client is gone
+	_ = proxied.controller.SetReadDeadline(time.Time{}) // from now on, a failed read means that the client has disconnected
 	proxied.body = body.bytes
 	proxied.describeToPicker()
 	if proxied.isAdmitted(r.Context()) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// newClientRequest begins with a request whose head has been read.
+// newClientRequest returns the clientRequest for a request whose head has been read.
 func newClientRequest(p *Proxy, w http.ResponseWriter, r *http.Request) *clientRequest {
 	conn, _ := r.Context().Value(clientConnKey{}).(*framing.ClientConn)
 	return &clientRequest{
@@ -80,8 +80,8 @@
 	}
 }
 
-// matchRoute finds the route of the request and its deadline, and returns the status with which a request that goes to no
-// server is answered at once; 0: it goes to one.
+// matchRoute determines the route and the deadline of the request. If the request has to be rejected because of its head, matchRoute
+// returns the status to answer with, otherwise 0.
 func (c *clientRequest) matchRoute(config *config.Config) (status int) {
 	target, path := targetOf(c.request)
 	route, by := c.proxy.picker.Route(c.request.Host, path)
@@ -98,7 +98,7 @@
 	return 0
 }
 
-// describeToPicker tells the picker of the request.
+// describeToPicker builds the pick.Request and records it in the picker.
 func (c *clientRequest) describeToPicker() {
 	header := c.request.Header
 	tokensIn, tokensOut := parseTokenCount(header.Get(headerTokenCount))
@@ -115,8 +115,8 @@
 	c.proxy.picker.RecordRequest(&c.pickRequest)
 }
 
-// targetOf returns the request target as it goes to a server, in origin form (RFC 9112, section 3.2.1), and its path. Both are
-// empty if the request has none.
+// targetOf returns the request target as it is sent to a server, in origin form (RFC 9112, section 3.2.1), and its path. Both are
+// empty if the request has no path.
 func targetOf(r *http.Request) (target, path string) {
 	target = r.RequestURI
 	if !strings.HasPrefix(target, "/") { // absolute form, or no path at all
@@ -129,7 +129,7 @@
 	return target, path
 }
 
-// checkHead returns the status with which a request is answered because of its head; 0: none.
+// checkHead returns the status with which a request is rejected because of its head, or 0 if it is accepted.
 func checkHead(limits config.Limits, r *http.Request, route *config.Route, target string) int {
 	attemptIDs := r.Header[headerAttemptID]
 	switch {
@@ -145,7 +145,7 @@
 	return 0
 }
 
-// headBytes is the size of a request's head as it came, but for the spelling of its lines.
+// headBytes returns the size of a request's head as received, disregarding variations in how its lines are written.
 func headBytes(r *http.Request) int64 {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host) + requestLineOverheadBytes
 	for name, values := range r.Header {
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -14,18 +14,18 @@
 	initialBufferBytes = 4 << 10
 	// maxBufferedBytes bounds the bytes of a response that are buffered until it is complete.
 	maxBufferedBytes = 256 << 10
-	// relayBufferBytes is how much of a longer response is passed on at once.
+	// relayBufferBytes is the size of the buffer through which longer responses are forwarded.
 	relayBufferBytes = 32 << 10
 )
 
-// bufferedResponse is a server's response of which the body, or its beginning, is in memory.
+// bufferedResponse is a server's response whose body, or the beginning of it, is in memory.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// handleResponse goes by a valid response: it passes it on, or keeps it for the case that no other server does better.
+// handleResponse handles a valid response: it forwards the response, or keeps it as a fallback, or discards it and requests a retry.
 func (c *clientRequest) handleResponse(attempt *upstreamAttempt) attemptResult {
 	resp := attempt.response
 	switch {
@@ -45,8 +45,8 @@
 		return tryNextServer
 	}
 	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
-	// Danger: a not-executed status that the server has not confirmed by X-Not-Executed is not passed on, nor is one too long to be
-	// buffered.
+	// Danger: a not-executed status that the server has not confirmed by X-Not-Executed is not forwarded, even if the response is too
+	// long to be buffered.
 	unfounded := impliesNotExecuted(resp.StatusCode) && !c.proxy.options.knobs.PassUnfoundedNotExecuted
 	if !complete && !unfounded {
 		return c.relayUnbuffered(attempt, buffered)
@@ -70,7 +70,7 @@
 	return requestDone
 }
 
-// handleServerError records a response that says that the server failed. The fallback replaces the one before; it may be nil.
+// handleServerError records a response that reports a failure of the server. The fallback replaces the previous one; it may be nil.
 func (c *clientRequest) handleServerError(attempt *upstreamAttempt, fallback *bufferedResponse) {
 	c.mayHaveRun = true
 	c.reportOutcome(attempt, pick.ServerError)
@@ -83,7 +83,7 @@
 	outcome, retryAfter := pick.NotExecuted, parseRetryAfter(resp.Header.Get("Retry-After"))
 	_, complete, err := c.bufferBody(resp)
 	switch {
-	case resp.StatusCode == http.StatusMisdirectedRequest: // another server lives at that address
+	case resp.StatusCode == http.StatusMisdirectedRequest: // another server uses that address now
 		outcome = pick.Misdirected
 		attempt.discard()
 		c.proxy.pools.closeIdle(attempt.pool)
@@ -96,8 +96,8 @@
 	c.proxy.picker.Done(attempt.choice.Ticket, outcome, retryAfter)
 }
 
-// bufferBody reads a response's body until it is complete, or too long to be buffered, and reports whether it is complete. The
-// memory that it reserves is released with the request.
+// bufferBody reads a response's body until it is complete or too long to be buffered, and reports whether it is complete. The memory
+// that it reserves is released when the request ends.
 func (c *clientRequest) bufferBody(resp *http.Response) (body []byte, complete bool, err error) {
 	hasBody := c.request.Method != http.MethodHead
 	if hasBody && resp.ContentLength > maxBufferedBytes {
@@ -121,8 +121,8 @@
 	}
 }
 
-// firstBufferSize is the size in bytes of the first buffer for a response: one byte more than its length, so that the end is
-// seen. A length below 0 is not known.
+// firstBufferSize returns the size in bytes of the first buffer for a response: one byte more than its length, so that the end is
+// detected. A negative length means that it is not known.
 func firstBufferSize(length int64, hasBody bool) int64 {
 	switch {
 	case length < 0:
@@ -133,7 +133,7 @@
 	return min(length+1, initialBufferBytes)
 }
 
-// fillBuffer reads until the capacity of the buffer is used or the source ends, and reports whether it has ended.
+// fillBuffer reads until the buffer is full or the source ends, and reports whether the source has ended.
 func fillBuffer(source io.Reader, buffer []byte) (filled []byte, ended bool, err error) {
 	for len(buffer) < cap(buffer) {
 		count, err := source.Read(buffer[len(buffer):cap(buffer)])
@@ -148,7 +148,7 @@
 	return buffer, false, nil
 }
 
-// sendBuffered passes on a response that is buffered completely.
+// sendBuffered forwards a response that is buffered completely.
 func (c *clientRequest) sendBuffered(buffered *bufferedResponse) {
 	c.sendHead(buffered.status, buffered.header, c.announcedLength(buffered))
 	if len(buffered.body) == 0 {
@@ -159,8 +159,8 @@
 	}
 }
 
-// announcedLength is the Content-Length with which a buffered response is passed on; unknownLength: none. A response without a
-// body may announce the length that another one would have (RFC 9110, section 8.6).
+// announcedLength returns the Content-Length with which a buffered response is forwarded, or unknownLength for none. A response to
+// HEAD and a 304 have no body but may announce the length that the corresponding 200 would have (RFC 9110, section 8.6).
 func (c *clientRequest) announcedLength(buffered *bufferedResponse) int64 {
 	switch {
 	case buffered.status == http.StatusNoContent:
@@ -175,7 +175,7 @@
 	return length
 }
 
-// relayUnbuffered passes on a response that is too long to be buffered, of which the beginning is.
+// relayUnbuffered forwards a response that is too long to be buffered and of which only the beginning was buffered.
 func (c *clientRequest) relayUnbuffered(attempt *upstreamAttempt, beginning *bufferedResponse) attemptResult {
 	attempt.progressTimeout = 0
 	c.sendHead(beginning.status, beginning.header, attempt.response.ContentLength)
@@ -189,7 +189,7 @@
 	return c.finishRelay(attempt)
 }
 
-// relayBody passes bytes on until the source ends. It fails with errClientGone and with the errors of the source.
+// relayBody forwards bytes until the source ends. It fails with errClientGone and with the errors of the source.
 func (c *clientRequest) relayBody(source io.Reader) error {
 	buffer := make([]byte, relayBufferBytes)
 	for {
@@ -208,7 +208,7 @@
 	}
 }
 
-// finishRelay ends an attempt whose response has gone to the client completely.
+// finishRelay ends an attempt whose response was sent to the client completely.
 func (c *clientRequest) finishRelay(attempt *upstreamAttempt) attemptResult {
 	attempt.finish()
 	c.reportOutcome(attempt, pick.Served)
@@ -216,7 +216,7 @@
 	return requestDone
 }
 
-// handleRelayFailure ends a response that was truncated while it was passed on and cannot be resumed.
+// handleRelayFailure ends a response that was truncated while it was forwarded and cannot be resumed.
 func (c *clientRequest) handleRelayFailure(attempt *upstreamAttempt, err error) attemptResult {
 	if !errors.Is(err, errClientGone) {
 		c.handleFailure(attempt, err)
--- a/internal/system/proxy/revocation.go
+++ b/internal/system/proxy/revocation.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxRevocationMargin is how long before the bound on revocations a proxy without contact stops to rely on its keys: a request that
-// was just let in still has to reach a server. minRevocationShare is the part of the bound that is left at least.
+// maxRevocationMargin is how long before the bound on revocations a proxy without contact stops relying on its keys: a request that
+// was just accepted still has to reach a server. minRevocationShare is the fraction of the bound for which keys are relied on at least.
 const (
 	maxRevocationMargin = 500 * time.Millisecond
 	minRevocationShare  = 0.5
 )
 
-// missesRevocations reports whether a revocation may be in force by now that this proxy has not heard of. Without a bound on
-// revocations (Options.RevokeWithin) it goes on with the keys that it has.
+// missesRevocations reports whether a revocation that this proxy has not received may be in force by now. Without a bound on
+// revocations (Options.RevokeWithin), the proxy continues to use the keys that it has.
 func (p *Proxy) missesRevocations() bool {
 	bound := p.options.RevokeWithin
 	if bound <= 0 || p.options.knobs.TrustOldKeys {
@@ -19,12 +19,12 @@
 	return p.stateAge() > maxStateAge(bound)
 }
 
-// maxStateAge is how old the configuration may be while its keys are still relied on, by the bound on revocations.
+// maxStateAge returns the maximum age of a configuration whose keys are still relied on, given the bound on revocations.
 func maxStateAge(bound time.Duration) time.Duration {
 	return max(bound-maxRevocationMargin, time.Duration(minRevocationShare*float64(bound)))
 }
 
-// stateAge returns how long ago, at most, the configuration was certainly the newest.
+// stateAge returns an upper bound on the time since the configuration was last known to be the newest.
 func (p *Proxy) stateAge() time.Duration {
 	if p.options.StateAge != nil {
 		return p.options.StateAge()
--- a/internal/system/proxy/serve.go
+++ b/internal/system/proxy/serve.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// maxAcceptRounds bounds for how long connections that keep coming delay the end of accepting.
+	// maxAcceptRounds bounds how long newly arriving connections can postpone the closing of the listener.
 	maxAcceptRounds = 8
-	// acceptBackoff is the wait after an accept that failed.
+	// acceptBackoff is the wait after a failed accept.
 	acceptBackoff = 20 * time.Millisecond
-	// capacityPollInterval is how often a full proxy looks for a connection that has become idle.
+	// capacityPollInterval is how often a proxy at its connection limit looks for a connection that has become idle.
 	capacityPollInterval = 100 * time.Millisecond
 )
 
 // ErrListener marks the errors of a listener that cannot be served.
 var ErrListener = errors.New("give a TCP listener that is open")
 
-// Serve accepts clients' connections from a TCP listener until Drain has ended or ctx is done, closes the listener, and
-// returns when everything that it started has ended. It may be called once. Its errors are ErrListener by errors.Is.
+// Serve accepts clients' connections from a TCP listener until Drain has ended or ctx is done, then closes the listener, and returns
+// when everything that it started has ended. It may be called only once. Its errors match ErrListener by errors.Is.
 func (p *Proxy) Serve(ctx context.Context, listener net.Listener) error {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
@@ -49,13 +49,13 @@
 type acceptor struct {
 	clients  *clientListener
 	listener *net.TCPListener
-	rounds   int  // of looking for waiting connections, since the deadline of Drain
-	accepted bool // a connection has come in the current round
+	rounds   int  // number of rounds in which waiting connections were still accepted after the deadline set by Drain
+	accepted bool // a connection was accepted in the current round
 	failing  bool // the last accept failed
 	done     bool // no more connections are accepted
 }
 
-// run accepts until the listener is closed or drained, or ctx is done. Its errors are ErrListener by errors.Is.
+// run accepts connections until the listener is closed or drained, or ctx is done. Its errors match ErrListener by errors.Is.
 func (a *acceptor) run(ctx context.Context) error {
 	for !a.done && a.clients.awaitCapacity(ctx) {
 		conn, err := a.listener.AcceptTCP()
@@ -70,7 +70,7 @@
 			a.done = true
 		case errors.Is(err, net.ErrClosed):
 			return errors.Mark(errors.Wrap(err, "the listener was closed by others"), ErrListener)
-		default: // descriptors are short, or the client has gone
+		default: // file descriptors have run out, or the client has disconnected
 			a.failing = true
 			if !wasFailing {
 				a.clients.proxy.options.Log.WithError(err).Warn("proxy: a connection could not be accepted")
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// accept takes a connection in.
+// accept starts serving an accepted connection.
 func (a *acceptor) accept(conn *net.TCPConn) {
 	a.accepted = true
 	if raw, err := conn.SyscallConn(); err == nil {
@@ -90,8 +90,9 @@
 	a.clients.serveConn(framing.NewClientConn(conn, maxHeadBytes, &a.clients.proxy.counters.Rejected))
 }
 
-// endRound goes by the passing of the listener's deadline: it accepts for a moment longer, or ends. Danger: a deadline can pass
-// with connections waiting, and closing the listener resets them, so it is closed only after a round in which none came.
+// endRound handles the expiry of the listener's deadline: it starts one more short round of accepting, or ends the accepting. Danger:
+// connections may be waiting when the deadline expires, and closing the listener resets them, so it is closed only after a round
+// without a new connection, or after maxAcceptRounds.
 func (a *acceptor) endRound(ctx context.Context) {
 	quietRound := a.rounds > 0 && !a.accepted
 	if quietRound || a.rounds == maxAcceptRounds {
@@ -105,7 +106,7 @@
 	a.done = listenerClosed
 }
 
-// awaitCapacity waits until one more connection may be accepted, and reports false if ctx is done before.
+// awaitCapacity waits until one more connection may be accepted. It returns false if ctx is done first.
 func (l *clientListener) awaitCapacity(ctx context.Context) bool {
 	for l.conns.count() >= l.maxConns {
 		if l.conns.closeLongestIdle() {
@@ -129,7 +130,7 @@
 	}
 }
 
-// watchStalls has stalls of the process detected until the returned function is called.
+// watchStalls starts the detection of stalls of the process. The returned function stops it.
 func (p *Proxy) watchStalls(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watching sync.WaitGroup
--- a/internal/system/proxy/shutdown.go
+++ b/internal/system/proxy/shutdown.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// acceptGraceDivisor: for one part in so many of the grace period connections are accepted as before, as clients use the
-	// directory's former answer for some seconds.
+	// acceptGraceDivisor: connections are accepted as before for 1/acceptGraceDivisor of the grace period, because clients use the
+	// directory's previous answer for some seconds.
 	acceptGraceDivisor = 4
-	// lastAcceptGraceDivisor: then they are accepted for one part in so many of the grace period, until none comes.
+	// lastAcceptGraceDivisor: after that, they are accepted for another 1/lastAcceptGraceDivisor of the grace period, and then until
+	// no more arrive.
 	lastAcceptGraceDivisor = 8
-	// endMarginDivisor and maxEndMargin: so long before the grace period is over the requests that still run are ended.
+	// endMarginDivisor and maxEndMargin: requests that are still running are ended 1/endMarginDivisor of the grace period before its
+	// end, but at most maxEndMargin before it.
 	endMarginDivisor = 8
 	maxEndMargin     = 500 * time.Millisecond
-	// drainPollInterval is how often idle connections are looked for.
+	// drainPollInterval is the interval between scans for idle connections.
 	drainPollInterval = 100 * time.Millisecond
-	// lossSlackDivisor: a connection is closed once it has been idle for one part in so many of Options.LossSlack.
+	// lossSlackDivisor: a connection is closed once it has been idle for 1/lossSlackDivisor of Options.LossSlack.
 	lossSlackDivisor = 4
 )
 
-// Drain is a graceful shutdown of Serve. From now on every response announces the end of its connection; new connections are
-// accepted for a part of Options.GracePeriod, as clients learn late that they are to go elsewhere; idle ones are closed; what
-// has been read is answered. Drain returns when no connection is left, the grace period is nearly over, or ctx is done; Serve
-// ends then. The caller has turned clients away by readiness and directory before.
+// Drain shuts Serve down gracefully. From now on every response announces that its connection will be closed; new connections are
+// accepted for a part of Options.GracePeriod, because clients learn late that they should use another proxy; idle connections are
+// closed; requests that have been read are answered. Drain returns when no connection is left, the grace period is nearly over, or
+// ctx is done; Serve then returns. The caller must already have directed clients elsewhere through readiness and the directory.
 func (p *Proxy) Drain(ctx context.Context) {
 	clients := p.clients
 	if alreadyDraining := clients.draining.Swap(true); alreadyDraining {
@@ -49,14 +51,15 @@
 	<-clients.serveDone
 }
 
-// currentListener is the listener that Serve accepts from; nil: Serve has not begun.
+// currentListener returns the listener that Serve accepts from, or nil if Serve was not called yet.
 func (l *clientListener) currentListener() *net.TCPListener {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.listener
 }
 
-// closeIdleUntilDone closes connections as they become idle, and reports whether Serve has ended before the end or ctx is done.
+// closeIdleUntilDone closes connections as they become idle, and reports whether Serve ended before the given end and before ctx was
+// done.
 func (l *clientListener) closeIdleUntilDone(ctx context.Context, end time.Time) bool {
 	minIdle := min(minIdleBeforeClose, l.proxy.options.LossSlack/lossSlackDivisor)
 	for ctx.Err() == nil && time.Now().Before(end) {
@@ -90,7 +93,7 @@
 		generation.handoff.shut()
 		_ = generation.server.Close()
 	}
-	l.conns.closeAll()        // those that were handed over and that no server knows yet
+	l.conns.closeAll()        // covers connections that were handed over and that no HTTP server has registered yet
 	for l.conns.count() > 0 { // a connection is tracked until its last request has ended
 		<-l.conns.changed
 	}
@@ -98,7 +101,7 @@
 	l.proxy.pools.close()
 }
 
-// stop has no connection served any more, and returns the generations that are to be closed.
+// stop prevents further connections from being served, and returns the generations to close.
 func (l *clientListener) stop() []*serverGeneration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/system/proxy/stall.go
+++ b/internal/system/proxy/stall.go
@@ -7,33 +7,34 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// A process that was stopped, frozen or starved of CPU time finds requests of some seconds in its sockets when it runs again,
-// and what it knows of servers is as old. Before it chooses servers for them, it waits for an update from the control plane
-// that was asked for after the stall.
+// A process that was stopped, frozen or starved of CPU time finds several seconds' worth of requests in its sockets when it runs
+// again, and its information about servers is equally old. Before it chooses servers for these requests, it waits for an update from
+// the control plane that was requested after the stall.
 
 const (
 	stallCheckInterval = 100 * time.Millisecond
 	// stallThreshold is the longest pause of the process that does not count as a stall.
 	stallThreshold = 500 * time.Millisecond
-	// stallContactTimeout bounds how long requests wait, from the end of the stall.
+	// stallContactTimeout bounds how long requests wait for the update, counted from the end of the stall.
 	stallContactTimeout = 300 * time.Millisecond
 )
 
-// stallDetector detects stalls of the process by gaps between its calls. The zero value detects none until it is enabled.
+// stallDetector detects stalls of the process by gaps between calls of observeRun. The zero value detects none until it is enabled.
 //
-// It is not operatorapi.StallDetector, which measures gaps in the same way: that one has a clock and a lock of its own, reports a
-// stall for a second after its end, and has evacuations rejected meanwhile. A stall that is missed there may have an evacuation take
-// effect that its caller has superseded or given up, so its threshold is lower (250 ms). Here a stall that is missed costs a worse
-// choice of servers, and one that is seen for nothing has clients wait; the wait ends as soon as an update has come. This one runs
-// under lockedPicker's lock and by its clock.
+// It differs from operatorapi.StallDetector, which measures gaps in the same way: that one has its own clock and lock, reports a stall
+// for one second after its end, and causes evacuations to be rejected during that time. If it misses a stall, an evacuation that its
+// caller has superseded or given up may take effect, so its threshold is lower (250 ms). Here, a missed stall leads to a worse choice
+// of servers, and a false detection makes clients wait; the wait ends as soon as an update is received. This one uses lockedPicker's
+// lock and clock.
 type stallDetector struct {
 	enabled   bool
-	lastRan   pick.Time     // when the process was last seen to run
-	contact   chan struct{} // closed when the update has come that is awaited since a stall; nil: none is awaited
-	waitUntil pick.Time     // requests wait for it no longer than until then
+	lastRan   pick.Time     // when the process was last observed to be running
+	contact   chan struct{} // closed when the update awaited since a stall has been received; nil: none is awaited
+	waitUntil pick.Time     // when requests stop waiting for the update
 }
 
-// observeRun records that the process runs at now, and reports whether it had stalled until just before. The recorder learns of a stall.
+// observeRun records that the process is running at now, and reports whether it was stalled until just before. It reports a stall to
+// the recorder.
 func (s *stallDetector) observeRun(now pick.Time, recorder stallRecorder) (stalled bool) {
 	stalled = s.enabled && now-s.lastRan > stallThreshold
 	s.lastRan = now
@@ -47,7 +48,7 @@
 	return stalled
 }
 
-// releaseWaiters lets the requests go on that wait for an update, once the recorder awaits none any more.
+// releaseWaiters releases the requests that wait for an update, once the recorder no longer awaits one.
 func (s *stallDetector) releaseWaiters(recorder stallRecorder) {
 	if s.contact != nil && !recorder.AwaitsControlPlane() {
 		close(s.contact)
@@ -55,7 +56,7 @@
 	}
 }
 
-// watchStalls calls the picker at intervals until ctx is done, so that only a stall makes a gap between calls.
+// watchStalls takes the lock at regular intervals until ctx is done, so that only a stall causes a gap between calls of observeRun.
 func (p *lockedPicker) watchStalls(ctx context.Context) {
 	ticker := time.NewTicker(stallCheckInterval)
 	defer ticker.Stop()
@@ -71,8 +72,8 @@
 	}
 }
 
-// awaitContact returns when an update of the control plane from after the last stall has come, or is not waited for any more,
-// or ctx is done.
+// awaitContact returns when an update that the control plane sent after the last stall has been received, when the wait for it has
+// timed out, or when ctx is done.
 func (p *lockedPicker) awaitContact(ctx context.Context) {
 	var contact <-chan struct{}
 	var timeLeft time.Duration
--- a/internal/system/proxy/upstreamhead.go
+++ b/internal/system/proxy/upstreamhead.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// typicalHeadBytes is the size of a buffer that most heads fit.
+	// typicalHeadBytes is a buffer size that is large enough for most heads.
 	typicalHeadBytes = 2 << 10
-	// maxJoinedBodyBytes bounds the body that goes out in one write with its head.
+	// maxJoinedBodyBytes is the maximum size of a body that is sent in the same write as its head.
 	maxJoinedBodyBytes = 8 << 10
 )
 
-// appendHead appends the request as it goes to a server, with a short body, and returns a longer body for a write of its own.
+// appendHead appends the head of the request as it is sent to a server. A short body is appended to the head; a longer one is returned
+// as rest, for a separate write.
 func (c *clientRequest) appendHead(b []byte, choice pick.Result) (head, rest []byte) {
 	b = append(b, c.request.Method...)
 	b = append(b, ' ')
@@ -43,7 +44,7 @@
 	return b, c.body
 }
 
-// appendForwarded appends the client's fields, but for those of its connection and those that the proxy sets itself.
+// appendForwarded appends the client's header fields, except the hop-by-hop ones and those that the proxy replaces or leaves out.
 func (c *clientRequest) appendForwarded(b []byte) []byte {
 	named := connectionHeaders(c.request.Header)
 	for name, values := range c.request.Header {
@@ -57,8 +58,8 @@
 	return b
 }
 
-// replacesHeader reports whether the proxy sets a header itself, or leaves it out. A client's key and what it claims to be are left out
-// whatever the configuration says: clients may know of a newer one, by which there are tenants.
+// replacesHeader reports whether the proxy sets a header itself or leaves it out. A client's key and the tenant that it claims to be
+// are left out whatever the configuration: clients may already rely on a newer one that has tenants.
 func (c *clientRequest) replacesHeader(name string) bool {
 	switch name {
 	case "Content-Length", "Expect", headerTimeLeft, headerTargetInstance, headerPriority, "Host":
--- a/internal/system/proxy/validate.go
+++ b/internal/system/proxy/validate.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// validateResponse checks that the head which an attempt read is that of its server's response to this request, and that the
-// end of the body can be recognized. It fails with errInvalidResponse.
+// validateResponse checks that the head that an attempt has read belongs to its server's response to this request, and that the end of
+// the body can be recognized. It fails with errInvalidResponse.
 func (c *clientRequest) validateResponse(attempt *upstreamAttempt) error {
 	resp := attempt.response
 	if !c.belongsToRequest(attempt) || isSuccess(resp.StatusCode) && !c.isCredibleSuccess(resp) {
@@ -14,15 +14,15 @@
 		return errInvalidResponse
 	}
 	if endsWithConn(resp, attempt.headRequest) && !c.proxy.options.knobs.AcceptUnframed {
-		c.proxy.counters.Unframed.Add(1) // a truncated one could not be told from a complete one
+		c.proxy.counters.Unframed.Add(1) // a truncated response would be indistinguishable from a complete one
 		return errInvalidResponse
 	}
 	return nil
 }
 
-// belongsToRequest reports whether a response echoes the X-Attempt-Id of its request. Danger: a surplus response to an earlier
-// request may come where this one is due, and only its id tells. A failure without an id is believed as the first response of
-// its connection, as that can be no earlier request's.
+// belongsToRequest reports whether a response echoes the X-Attempt-Id of its request. Danger: a surplus response to an earlier request
+// may arrive in place of the response to this one, and only its id reveals that. A failure without an id is accepted as the first
+// response on its connection, because it cannot belong to an earlier request.
 func (c *clientRequest) belongsToRequest(attempt *upstreamAttempt) bool {
 	if c.proxy.options.knobs.SkipAttemptIDCheck {
 		return true
@@ -34,19 +34,19 @@
 	return len(echoed) == 1 && echoed[0] == c.attemptID
 }
 
-// isCredibleSuccess reports whether a success has an X-Server-Seal and nothing that contradicts it: one that says that the request
-// did not run is not believed in either respect.
+// isCredibleSuccess reports whether a success has an X-Server-Seal and nothing that contradicts it. If a success also states that the
+// request was not executed, neither statement is trusted.
 func (c *clientRequest) isCredibleSuccess(resp *http.Response) bool {
 	isSealed := hasServerSeal(resp) || c.proxy.options.knobs.SkipServerSealCheck
 	isEncoded := resp.Header.Get("Content-Encoding") != ""
 	return isSealed && !isEncoded && !saysNotExecuted(resp)
 }
 
-// hasServerSeal reports whether a response has the header X-Server-Seal, with which a server vouches for a success. It has nothing
-// to do with the sealed epochs of replication.
+// hasServerSeal reports whether a response has the header X-Server-Seal, with which a server vouches for a success. It is unrelated to
+// the sealed epochs of replication.
 func hasServerSeal(resp *http.Response) bool { return resp.Header.Get(headerServerSeal) != "" }
 
-// endsWithConn reports whether a response's body has no end but that of its connection (RFC 9112, section 6.3).
+// endsWithConn reports whether the end of a response's body is marked only by the end of its connection (RFC 9112, section 6.3).
 func endsWithConn(resp *http.Response, headRequest bool) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !headRequest
 }
@@ -55,7 +55,7 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// saysNotExecuted reports whether a server says by X-Not-Executed that it did not run the request.
+// saysNotExecuted reports whether a server states by X-Not-Executed that it did not execute the request.
 func saysNotExecuted(resp *http.Response) bool {
 	_, ok := resp.Header[headerNotExecuted]
 	return ok
