--- a/internal/system/proxy/admission_test.go
+++ b/internal/system/proxy/admission_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// fakeAdmitter gives the same admission to all, and counts the requests of each tenant.
+// fakeAdmitter returns the same admission for every request, and records the tenant of each request.
 type fakeAdmitter struct {
 	admission quota.Admission
 	waits     time.Duration
@@ -34,7 +34,8 @@
 // limitedTenants are one tenant with a limit and one without.
 const limitedTenants = `[{"name":"acme","api_keys":["key-a"],"rate_per_s":5,"burst":2},{"name":"zenith","api_keys":["key-z"],"burst":2}]`
 
-// TestLimitsOfTenants has requests admitted or not: each is counted once, whatever attempts it takes, and only for a tenant with a limit.
+// TestLimitsOfTenants checks that a request is counted once, however many attempts it takes, and only for a tenant with a limit, and
+// that it is answered according to the admission.
 func TestLimitsOfTenants(t *testing.T) {
 	for _, test := range []struct {
 		name, key  string
@@ -78,7 +79,7 @@
 	}
 }
 
-// TestAdmissionEndsWithDeadline has the answer on a tenant's limit take longer than the client waits.
+// TestAdmissionEndsWithDeadline checks that a request is answered by its deadline if its admission takes longer than the client waits.
 func TestAdmissionEndsWithDeadline(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		admitter := &fakeAdmitter{admission: quota.Admission{Verdict: quota.Unavailable}, waits: time.Minute}
@@ -90,7 +91,7 @@
 	})
 }
 
-// TestKeyRevokedDuringAdmission has a key revoked while its tenant's limit is asked for.
+// TestKeyRevokedDuringAdmission checks that a request is rejected if its key is revoked while its admission is pending.
 func TestKeyRevokedDuringAdmission(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		admitter := &fakeAdmitter{}
--- a/internal/system/proxy/bench_test.go
+++ b/internal/system/proxy/bench_test.go
@@ -38,7 +38,7 @@
 	return server
 }
 
-// benchmark has one client send requests in turn on one connection.
+// benchmark lets one client send requests one after another on one connection.
 func benchmark(b *testing.B, answer, end, body string, how configure) {
 	const ok = "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: seal\r\nX-Server-Load: 1,2,3\r\nKeep-Alive: timeout=10\r\n"
 	proxy := startProxy(b, []*fakeServer{benchServer(b, ok+answer)}, how)
@@ -49,7 +49,7 @@
 	defer func() { _ = conn.Close() }()
 	request := fmt.Appendf(nil, "POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: id-1\r\nX-Time-Left-Ms: 5000\r\nX-Model: m\r\n"+
 		"X-Token-Count: 1460,80\r\nX-Prompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	other := bytes.Replace(request, []byte("id-1"), []byte("id-2"), 1) // each try has an id of its own
+	other := bytes.Replace(request, []byte("id-1"), []byte("id-2"), 1) // each attempt has its own id
 	got := make([]byte, 64<<10)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -72,7 +72,7 @@
 	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", "", withCategory(config.Idempotent))
 }
 
-// BenchmarkLongPrompt measures a request whose body does not go out with its head.
+// BenchmarkLongPrompt measures a request whose body is not sent in the same write as its head.
 func BenchmarkLongPrompt(b *testing.B) {
 	benchmark(b, "Content-Length: 800\r\n\r\n"+strings.Repeat("x", 800), "xxx", strings.Repeat("y", 34<<10), withCategory(config.Idempotent))
 }
@@ -86,7 +86,7 @@
 	benchmark(b, text+"0\r\n\r\n", "0\r\n\r\n", "", withCategory(config.Streaming))
 }
 
-// BenchmarkConnections measures the memory of an idle client's connection, in bytes.
+// BenchmarkConnections measures the memory per idle client connection, in bytes.
 func BenchmarkConnections(b *testing.B) {
 	s := benchServer(b, "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: seal\r\nContent-Length: 0\r\n\r\n")
 	f := startProxy(b, []*fakeServer{s})
--- a/internal/system/proxy/connserver_test.go
+++ b/internal/system/proxy/connserver_test.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// connServer accepts connections and serves each in a goroutine of its own.
+// connServer accepts connections and serves each in its own goroutine.
 type connServer struct {
 	listener net.Listener
 	serving  sync.WaitGroup
@@ -14,7 +14,7 @@
 	conns []net.Conn
 }
 
-// start accepts connections until stop. The serve function gets each of them and need not close it.
+// start accepts connections until stop is called. It passes each one to serve, which need not close it.
 func (s *connServer) start(serve func(conn net.Conn)) {
 	s.serving.Go(func() {
 		for {
@@ -33,7 +33,7 @@
 	})
 }
 
-// stop ends the server and its connections, and waits for them.
+// stop closes the listener and all connections, and waits for the goroutines to end.
 func (s *connServer) stop() {
 	_ = s.listener.Close()
 	s.mu.Lock()
--- a/internal/system/proxy/eventreader_test.go
+++ b/internal/system/proxy/eventreader_test.go
@@ -10,7 +10,7 @@
 	"testing/iotest"
 )
 
-// TestEventReader reads streams that come in fragments of each size.
+// TestEventReader reads streams that arrive in fragments of different sizes.
 func TestEventReader(t *testing.T) {
 	for _, test := range []struct {
 		name, text, after string
@@ -51,8 +51,8 @@
 	}
 }
 
-// FuzzEvents reads any stream in fragments: what is given out is the start of it, complete events only but for the stream's
-// end, and the same whatever the fragments.
+// FuzzEvents reads arbitrary streams in fragments: the output is a prefix of the stream, contains only complete events except at the
+// end of the stream, and does not depend on the fragments.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n", false)
 	f.Add("\n\n\r\n\nid:1\n\nid:1\n\n", true)
@@ -72,7 +72,7 @@
 	})
 }
 
-// readAllEvents reads a stream, with an error in place of its end if it is truncated.
+// readAllEvents reads a stream. If truncated is set, the stream ends with an error instead of io.EOF.
 func readAllEvents(t *testing.T, source io.Reader, truncated bool) (string, error) {
 	t.Helper()
 	if truncated {
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestEventWithTwoIDs reads an event of which the first id rises and the last does not: the stream is resumed after the event
-// before it, so that none is lost.
+// TestEventWithTwoIDs reads an event whose first id is higher than the previous one but whose last id is not: the stream is resumed
+// after the previous event, so that no event is lost.
 func TestEventWithTwoIDs(t *testing.T) {
 	text := "id: 1\ndata: d1\n\nid: 2\nid: 1\ndata: d2\n\n"
 	reader := &eventReader{source: strings.NewReader(text), buf: make([]byte, 0, eventBufferBytes)}
--- a/internal/system/proxy/eventrelay_test.go
+++ b/internal/system/proxy/eventrelay_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestTruncatedStreams truncates a stream in each way: a resumable one goes on at another server within the same response, any
-// other ends so that it does not look complete.
+// TestTruncatedStreams truncates a stream in different ways: a resumable stream continues at another server within the same response;
+// any other stream ends in a way that does not look complete.
 func TestTruncatedStreams(t *testing.T) {
 	closeConn := func(net.Conn, *http.Request, []byte) bool { return false }
 	for _, test := range []struct {
@@ -22,10 +22,10 @@
 		first     serverBehavior
 		second    serverBehavior
 		resumes   string // the complete body where the stream is resumable; "": it is truncated
-		last      string // Last-Event-Id that the second server gets; "": it is not asked
+		last      string // Last-Event-Id that the second server receives; "": it receives no request
 		outcomes  []pick.AttemptOutcome
-		otherwise string // the body of a stream that is not resumable
-		complete  bool   // the stream that is not resumable
+		otherwise string // the body if the stream is not resumable
+		complete  bool   // whether the stream is complete if it is not resumable
 	}{
 		{"whole", respondEvents(1, 3, true), nil, streamText(1, 3), "", []pick.AttemptOutcome{pick.Served}, streamText(1, 3), true},
 		{"cut", respondEventsThen(3, closeConn), respondEvents(4, 6, true), streamText(1, 6), "3", []pick.AttemptOutcome{pick.ConnectionLost, pick.Served}, streamText(1, 3), false},
@@ -62,15 +62,15 @@
 	}
 }
 
-// expectedStream is what a client gets of a stream, and how the attempts end.
+// expectedStream is what a client receives of a stream, and how the attempts end.
 type expectedStream struct {
-	body        string // "" of an incomplete stream: any
+	body        string // "" for an incomplete stream: any body
 	complete    bool
-	lastEventID string // that the second server gets; "": it is not asked
+	lastEventID string // that the second server receives; "": it receives no request
 	outcomes    []pick.AttemptOutcome
 }
 
-// checkStream plays a stream of a first server, and perhaps a second one, and compares what comes of it.
+// checkStream requests a stream from a first server, and possibly a second one, and compares the result with the expectation.
 func checkStream(t *testing.T, route configure, first, second serverBehavior, want expectedStream) {
 	t.Helper()
 	servers := []*fakeServer{startServer(t, first)}
@@ -80,7 +80,7 @@
 	proxy := startProxy(t, servers, route)
 	got := proxy.roundTrip(t, "id-1", "body")
 	if want.body == "" && !want.complete {
-		want.body = got.body // how much came does not matter
+		want.body = got.body // the received length does not matter
 	}
 	if got.StatusCode != http.StatusOK || got.body != want.body || (got.err == nil) != want.complete {
 		t.Errorf("status %d, body %q, error %v; want %q, complete: %v", got.StatusCode, got.body, got.err, want.body, want.complete)
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkResumption checks the request with which a stream is resumed.
+// checkResumption checks the request that resumes a stream.
 func checkResumption(t *testing.T, r *receivedRequest, lastEventID string) {
 	t.Helper()
 	if r.Header.Get(headerLastEventID) != lastEventID || r.body != "body" ||
@@ -104,7 +104,7 @@
 	}
 }
 
-// TestStreamKeepsHead has a stream resumed at other servers: its head and seal are those of the first.
+// TestStreamKeepsHead checks that a stream that is resumed at other servers keeps the head and the seal of the first server.
 func TestStreamKeepsHead(t *testing.T) {
 	sealed := func(seal string, from, to int, whole bool) serverBehavior {
 		text := "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: " + seal + "\r\nContent-Type: text/event-stream; charset=utf-8\r\n" +
@@ -128,7 +128,8 @@
 	}
 }
 
-// TestClientResumes has a client resume a stream itself: the id of its last event goes to the server, and ids rise above it.
+// TestClientResumes checks that if a client resumes a stream itself, the id of its last event is sent to the server and the ids of
+// further events have to be higher.
 func TestClientResumes(t *testing.T) {
 	first, second := startServer(t, respondEvents(7, 9, false)), startServer(t, respondEvents(10, 11, true))
 	proxy := startProxy(t, []*fakeServer{first, second}, withResumable)
@@ -141,7 +142,8 @@
 	}
 }
 
-// TestStreamAtOnce has a server send an event only once the client has the one before.
+// TestStreamAtOnce checks that events are forwarded immediately: the server sends each event only after the client has received the
+// previous one.
 func TestStreamAtOnce(t *testing.T) {
 	next := make(chan bool)
 	s := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
@@ -177,8 +179,8 @@
 	}
 }
 
-// TestHTTP10Client has a client of HTTP/1.0, where the end of the connection is that of the response: a truncated stream ends
-// with a reset.
+// TestHTTP10Client checks that a truncated stream to an HTTP/1.0 client, for which the end of the connection marks the end of the
+// response, ends with a reset.
 func TestHTTP10Client(t *testing.T) {
 	proxy := startProxy(t, []*fakeServer{startServer(t, respondEvents(1, 2, false))}, withCategory(config.Streaming))
 	c := proxy.dial(t)
@@ -188,7 +190,7 @@
 	}
 }
 
-// TestUnbufferedResponses has responses that are too long to be buffered.
+// TestUnbufferedResponses covers responses that are too long to be buffered.
 func TestUnbufferedResponses(t *testing.T) {
 	long := strings.Repeat("0123456789", 60<<10)
 	ok := "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\n"
--- a/internal/system/proxy/exactlyonce_check_test.go
+++ b/internal/system/proxy/exactlyonce_check_test.go
@@ -40,16 +40,16 @@
 	return nil
 }
 
-// nonIdempotent reports whether requests may run once only.
+// nonIdempotent reports whether requests may run only once.
 func (w *scenarioRun) nonIdempotent() bool { return w.Category != config.Idempotent && !w.Resumable }
 
-// checkOutcome checks one response; ran is how often its request may have run.
+// checkOutcome checks one response; ran is how many times its request may have run.
 func (w *scenarioRun) checkOutcome(outcome clientOutcome, ran int) error {
 	switch {
 	case outcome.noHead:
 		return nil
 	case impliesNotExecuted(outcome.status):
-		// Of an id that came twice on an idempotent route, the other request may have run more than once.
+		// If an id was used for two requests on an idempotent route, the other request may have run more than once.
 		if ran > 0 && (outcome.sends == 1 || w.nonIdempotent() && ran >= outcome.sends) {
 			return errors.New("it has run, and its client got a not-executed status")
 		}
@@ -67,7 +67,7 @@
 	return errors.New("no server sent this response")
 }
 
-// compareBody compares what a client got of a body with what the server sent.
+// compareBody compares the body that a client received with the one that the server sent.
 func (w *scenarioRun) compareBody(o clientOutcome, sent sentResponse) error {
 	switch {
 	case w.stream && o.status == http.StatusOK && o.method != http.MethodHead:
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -33,14 +33,14 @@
 // shortProgressTimeout is how long a server may be silent: less than the clients of a scenario with silent servers wait.
 const shortProgressTimeout = 20 * time.Millisecond
 
-// clientStep is what a client does, once the step before has ended.
+// clientStep is what a client does after the previous step has ended.
 type clientStep struct {
 	Manner    string // "plain", "pipelined", "gone", "halfclosed", "slow", "expect", "trailers" or "twice"
 	Method    string
-	LargeBody bool // a body that does not go out with the head in one write
+	LargeBody bool // a body that is too large to be sent in the same write as the head
 }
 
-// scenarioGenerator draws scenarios. A quarter of all behaviours is sound, so that connections are used again.
+// scenarioGenerator draws scenarios. A quarter of all behaviours are valid, so that connections are reused.
 var scenarioGenerator = rapid.Custom(func(t *rapid.T) testScenario {
 	s := testScenario{Category: rapid.SampledFrom([]config.Category{config.NonIdempotent, config.Idempotent, config.Streaming, config.Streaming}).Draw(t, "category"),
 		MaxTries: rapid.IntRange(1, 3).Draw(t, "tries")}
@@ -77,18 +77,18 @@
 		if b.Closes = rare("closes"); b.Framing == "none" {
 			b.PermilleSent, b.After = rapid.IntRange(800, 1000).Draw(t, "end"), halfCloseAfter
 		}
-	case 5, 6, 7: // one that is truncated, or followed by something
+	case 5, 6, 7: // a response that is truncated or followed by extra bytes
 		b.PermilleSent = rapid.SampledFrom([]int{0, 100, 300, 500, 650, 750, 850, 920, 960, 990, 1000}).Draw(t, "cut")
 		b.After = rapid.SampledFrom([]afterSend{stayOpen, halfCloseAfter, resetAfter}).Draw(t, "then")
 		b.Early, b.RepeatsEvent, b.SendsRestLate = rapid.Bool().Draw(t, "early"), rare("repeats"), rapid.Bool().Draw(t, "late")
-	case 2: // what comes between two responses
+	case 2: // events between two responses
 		b.Surplus = rapid.SampledFrom([]surplusTiming{noSurplus, samePacket, whileIdle, withNext}).Draw(t, "surplus")
 		b.CloseIdle, b.CloseRace = rapid.Bool().Draw(t, "close idle"), rapid.Bool().Draw(t, "close race")
 	}
 	return b
 })
 
-// scenarioRun is a scenario in play.
+// scenarioRun is one run of a scenario.
 type scenarioRun struct {
 	testScenario
 	*scriptedServers
@@ -101,23 +101,23 @@
 	persistentReader *bufio.Reader
 }
 
-// clientOutcome is what a client saw of one request; sends: with how many requests of one id.
+// clientOutcome is what a client observed for one request; sends is the number of requests that it sent with the same id.
 type clientOutcome struct {
 	id, method string
 	sends      int
-	noHead     bool // no head of a response came
+	noHead     bool // no response head was received
 	status     int
 	echo, seal string
 	body       string
-	err        error // where the body broke off
+	err        error // the error that ended the body early
 }
 
-// playScenario plays a scenario and returns what it violated.
+// playScenario runs a scenario and returns the first violation as an error.
 func playScenario(s testScenario, knobs TestingKnobs) error {
 	return playScenarioInto(s, knobs, map[string]int64{})
 }
 
-// playScenarioInto does so, and adds the proxy's counters to a tally.
+// playScenarioInto does the same as playScenario, and adds the proxy's counters to a tally.
 func playScenarioInto(s testScenario, knobs TestingKnobs, tally map[string]int64) error {
 	servers := &scriptedServers{stream: s.Category == config.Streaming, resumable: s.Resumable}
 	run := &scenarioRun{testScenario: s, scriptedServers: servers, timeLeftMS: "4000"}
@@ -145,7 +145,7 @@
 	return run.checkOutcomes()
 }
 
-// startServers starts the scripted servers and returns the cluster state in which a proxy knows them.
+// startServers starts the scripted servers and returns a cluster state that lists them.
 func (w *scenarioRun) startServers() (pick.ClusterState, error) {
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: w.Category, Resumable: w.Resumable,
 		Timeout: 8 * time.Second, MaxAttempts: w.MaxTries, Shares: []config.Share{{Service: "s", Weight: 1}}}
@@ -165,7 +165,7 @@
 	return state, nil
 }
 
-// serveAndRun goes through the steps while a proxy serves, and ends it.
+// serveAndRun executes the steps while a proxy serves, and then stops the proxy.
 func (w *scenarioRun) serveAndRun(proxy *Proxy) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -184,7 +184,7 @@
 	return err
 }
 
-// run goes through the steps.
+// run executes the steps.
 func (w *scenarioRun) run() error {
 	defer w.closePersistent()
 	for n, at := range w.Steps {
@@ -211,7 +211,7 @@
 	}
 }
 
-// checkNoSurplus checks that nothing comes on the persistent connection where no request waits.
+// checkNoSurplus checks that nothing is received on the persistent connection while no request is waiting.
 func (w *scenarioRun) checkNoSurplus() error {
 	if w.persistentConn == nil {
 		return nil
@@ -233,7 +233,7 @@
 	return c, err
 }
 
-// step does what a client does, on the persistent connection or on connections of its own.
+// step executes one client step, on the persistent connection or on separate connections.
 func (w *scenarioRun) step(id string, step clientStep) error {
 	switch step.Manner {
 	case "gone", "halfclosed":
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// stepOnOwnConns sends a request, perhaps more than once at a time, each on a connection of its own.
+// stepOnOwnConns sends a request, possibly several times concurrently, each time on a separate connection.
 func (w *scenarioRun) stepOnOwnConns(id string, step clientStep, sends int) error {
 	var asking sync.WaitGroup
 	defer asking.Wait()
@@ -281,7 +281,7 @@
 	return nil
 }
 
-// stepPipelined sends two requests on the persistent connection before it reads.
+// stepPipelined sends two requests on the persistent connection before it reads any response.
 func (w *scenarioRun) stepPipelined(id string, step clientStep) {
 	step.Manner = "plain"
 	w.sendHead(w.persistentConn, id+"-0", step, "")
@@ -291,7 +291,7 @@
 	}
 }
 
-// sendHead sends a request. Its body begins with its id and method. What the proxy accepts no more is not its fault.
+// sendHead sends a request. Its body begins with its id and method. Write errors are ignored, as the proxy may stop reading early.
 func (w *scenarioRun) sendHead(conn net.Conn, id string, step clientStep, expect string) {
 	body := ""
 	if step.Method == http.MethodPost {
@@ -322,7 +322,7 @@
 	}
 }
 
-// recordResponse reads and records one response, and reports whether the connection is good for another.
+// recordResponse reads and records one response, and reports whether the connection can be used for another one.
 func (w *scenarioRun) recordResponse(conn net.Conn, reader *bufio.Reader, id, method string, sends int) bool {
 	outcome, stays := readOutcome(reader, method)
 	outcome.id, outcome.method, outcome.sends = id, method, sends
@@ -338,7 +338,7 @@
 	return stays
 }
 
-// readOutcome reads the final response, and reports whether the connection is good for another.
+// readOutcome reads the final response, and reports whether the connection can be used for another one.
 func readOutcome(reader *bufio.Reader, method string) (outcome clientOutcome, stays bool) {
 	for {
 		resp, err := http.ReadResponse(reader, &http.Request{Method: method})
@@ -357,9 +357,9 @@
 	}
 }
 
-// TestExactlyOnce plays scenarios of peers that misbehave in all ways and orders, on fresh and reused connections: a request
-// that may run once reaches servers once, each client gets its own response, complete or visibly truncated, no not-executed status is false,
-// and streams lose, repeat and join nothing.
+// TestExactlyOnce runs scenarios of peers that misbehave in random ways and orders, on fresh and reused connections: a non-idempotent
+// request reaches servers only once, each client gets its own response, complete or visibly truncated, no not-executed status is false,
+// and streams lose no events, repeat none, and do not mix events of different runs.
 func TestExactlyOnce(t *testing.T) {
 	tally := map[string]int64{}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -23,7 +23,7 @@
 	sendWithin   time.Duration // of choices
 	refuseAll    bool          // whether every request is refused
 	awaitsState  bool          // whether a cluster state is awaited after a stall
-	stalled      bool          // and is awaited now
+	stalled      bool          // whether a cluster state is being awaited now
 	unreachable  map[string]bool
 	serverOf     map[uint64]string
 }
--- a/internal/system/proxy/fakeserver_test.go
+++ b/internal/system/proxy/fakeserver_test.go
@@ -12,16 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// serverBehavior is what a fake server does with one request; false: it closes the connection afterwards.
+// serverBehavior is how a fake server handles one request. If it returns false, the server closes the connection afterwards.
 type serverBehavior func(c net.Conn, r *http.Request, body []byte) bool
 
-// fakeServer is a server of HTTP/1.1 with a given behavior.
+// fakeServer is an HTTP/1.1 server with a given behavior.
 type fakeServer struct {
 	connServer
 	requests chan *receivedRequest
 }
 
-// receivedRequest is a request as it came to a server.
+// receivedRequest is a request as received by a server.
 type receivedRequest struct {
 	*http.Request
 	body string
@@ -37,7 +37,7 @@
 	return server
 }
 
-// serve has the requests of a connection go to a behavior, until that ends it.
+// serve passes the requests on a connection to a behavior until the behavior ends the connection.
 func (s *fakeServer) serve(conn net.Conn, behavior serverBehavior) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
@@ -57,7 +57,7 @@
 	}
 }
 
-// closedAddress is an address where nobody listens, and that no other socket gets meanwhile.
+// closedAddress returns an address on which nothing listens and which no other socket can bind during the test.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -75,7 +75,7 @@
 	return fmt.Sprint("127.0.0.1:", at.(*unix.SockaddrInet4).Port)
 }
 
-// head is that of a valid response to r.
+// head returns the head of a valid response to r.
 func head(r *http.Request, status int, more ...string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\nX-Server-Seal: seal\r\n", status, r.Header.Get(headerAttemptID))
 	for _, m := range more {
@@ -92,7 +92,7 @@
 	}
 }
 
-// respondWhenReleased responds to requests with X-Wait once something comes from release, and to others at once.
+// respondWhenReleased responds to requests with X-Wait after a receive from release, and to others immediately.
 func respondWhenReleased(release <-chan bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Wait") != "" {
@@ -122,10 +122,10 @@
 	return false
 }
 
-// chunk is a text as a chunk of a body.
+// chunk formats a text as one chunk of a chunked body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// chunkUnlessEmpty does so but for an empty text, which would end the body.
+// chunkUnlessEmpty does the same except for an empty text, which would end the body.
 func chunkUnlessEmpty(text string) string {
 	if text == "" {
 		return ""
@@ -133,10 +133,10 @@
 	return chunk(text)
 }
 
-// eventChunk is one event of a stream, as a chunk.
+// eventChunk formats one event of a stream as a chunk.
 func eventChunk(id int) string { return chunk(fmt.Sprintf("id: %d\ndata: d%d\n\n", id, id)) }
 
-// respondEvents responds with a stream of events, which ends as complete or with the connection.
+// respondEvents responds with a stream of events. The stream ends as a complete response, or truncated by the end of the connection.
 func respondEvents(from, to int, complete bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(c, head(r, 200, "Content-Type: text/event-stream", "Transfer-Encoding: chunked")+"\r\n")
@@ -166,7 +166,7 @@
 	}
 }
 
-// streamText is the events as a client should get them.
+// streamText returns the events as a client should receive them.
 func streamText(from, to int) string {
 	var b strings.Builder
 	for id := from; id <= to; id++ {
--- a/internal/system/proxy/headervalues_test.go
+++ b/internal/system/proxy/headervalues_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestPromptParts reads X-Prompt-Prefix.
+// TestPromptParts covers the parsing of X-Prompt-Prefix.
 func TestPromptParts(t *testing.T) {
 	for text, want := range map[string][]pick.PrefixPart{
 		"":                  nil,
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestServerHints reads what a response says about its server, and how long to wait.
+// TestServerHints covers the parsing of the hints about a server in its response, and of Retry-After.
 func TestServerHints(t *testing.T) {
 	header := http.Header{"X-Server-Load": {"3, 1,8"}, "X-Cold-Ms": {"1500"}, "Retry-After": {"0.35"}, "Keep-Alive": {"max=4, timeout=7"}}
 	if got, want := parseServerHints(header, true), (serverHints{hasLoad: true, running: 3, waiting: 1, slots: 8,
--- a/internal/system/proxy/identity_test.go
+++ b/internal/system/proxy/identity_test.go
@@ -13,10 +13,10 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// twoTenants are tenants as the operator sends them: the first one has two keys and a priority of its own.
+// twoTenants are tenants in the operator's format: the first one has two keys and its own priority.
 const twoTenants = `[{"name":"acme","api_keys":["key-a","key-b"],"priority":1},{"name":"zenith","api_keys":["key-z"]}]`
 
-// replaceTenants gives a configuration other tenants, in the operator's JSON.
+// replaceTenants replaces the tenants of a configuration by those in the operator's JSON.
 func replaceTenants(t testing.TB, c *config.Config, tenants string) {
 	t.Helper()
 	parsed, err := config.Parse([]byte(`{"revision":1,"routes":[],"services":[],"tenants":` + tenants + `}`))
@@ -27,20 +27,20 @@
 	*c = *parsed
 }
 
-// withTenants gives the configuration of a test proxy tenants.
+// withTenants adds tenants to the configuration of a test proxy.
 func withTenants(t testing.TB, tenants string) configure {
 	return func(_ *Options, c *config.Config) { replaceTenants(t, c, tenants) }
 }
 
-// withPublicRoute lets everyone send requests on the route.
+// withPublicRoute makes the route public, so that requests need no key.
 func withPublicRoute(_ *Options, c *config.Config) { c.Routes[0].Public = true }
 
-// withKnobs takes protections out.
+// withKnobs disables protections.
 func withKnobs(knobs TestingKnobs) configure {
 	return func(o *Options, _ *config.Config) { o.knobs = knobs }
 }
 
-// valuesOf returns the values of all headers that a server may take for one, hyphens or underscores.
+// valuesOf returns the values of all headers that a server may treat as the given one, spelled with hyphens or underscores.
 func valuesOf(header http.Header, name string) (values []string) {
 	for other, those := range header {
 		if strings.EqualFold(strings.ReplaceAll(other, "_", "-"), name) {
@@ -50,7 +50,7 @@
 	return values
 }
 
-// credentialSpellings are the ways in which clients send one key, and what else they send with it.
+// credentialSpellings are different ways in which clients may send a key, and further headers sent with it.
 var credentialSpellings = map[string][]string{
 	"plain":               {"X-Credential: key-a"},
 	"lower case":          {"x-credential: key-a"},
@@ -59,8 +59,8 @@
 	"odd spaces":          {"X-Credential: \t key-a \t"},
 }
 
-// TestServerNeverSeesCredential has clients send keys in all spellings, to routes for tenants and for everyone, and also before a
-// configuration with tenants has come.
+// TestServerNeverSeesCredential checks that no server receives a key that clients send in different spellings, on tenants' and public
+// routes, and also before a configuration with tenants has been received.
 func TestServerNeverSeesCredential(t *testing.T) {
 	for name, changes := range map[string][]configure{
 		"tenants": {withTenants(t, twoTenants)}, "public route": {withTenants(t, twoTenants), withPublicRoute}, "no tenants": nil,
@@ -81,7 +81,7 @@
 	})
 }
 
-// credentialAtServer sends a request that is served, and returns what its server got of the key.
+// credentialAtServer sends a request that is served, and returns the credentials that its server received.
 func credentialAtServer(t *testing.T, headers []string, changes ...configure) string {
 	t.Helper()
 	server := startServer(t, respondWith(200, "x"))
@@ -99,7 +99,8 @@
 	return seen.String()
 }
 
-// TestTenantIsThatOfTheKey has clients claim to be another tenant than that of their key, or to be one without a key.
+// TestTenantIsThatOfTheKey checks that servers receive the tenant of the key, even if the client claims to be another tenant or claims
+// to be a tenant without sending a key.
 func TestTenantIsThatOfTheKey(t *testing.T) {
 	tenants := withTenants(t, twoTenants)
 	for _, test := range []struct {
@@ -135,7 +136,7 @@
 	}
 }
 
-// TestTenantPriorityGoesFirst compares the priority that servers get with those of tenant and route.
+// TestTenantPriorityGoesFirst checks that the tenant's priority takes precedence over the route's.
 func TestTenantPriorityGoesFirst(t *testing.T) {
 	for key, want := range map[string]string{"key-a": "1", "key-z": "3"} {
 		server := startServer(t, respondWith(200, "x"))
@@ -147,7 +148,7 @@
 	}
 }
 
-// unknownKeys are headers without one known key.
+// unknownKeys are headers that do not contain exactly one known key.
 var unknownKeys = map[string][]string{
 	"none": nil, "empty": {"X-Credential:"}, "unknown": {"X-Credential: key-x"}, "a part of one": {"X-Credential: key-"},
 	"more than the key": {"X-Credential: Bearer key-a"}, "a list": {"X-Credential: key-a, key-b"},
@@ -155,7 +156,7 @@
 	"in another header": {"Authorization: key-a"}, "underscored": {"X_Credential: key-a"}, "only a claim": {"X-Tenant: acme"},
 }
 
-// TestUnknownKeyIsUnauthorized has requests without one known key come to a proxy that has the newest configuration.
+// TestUnknownKeyIsUnauthorized checks that a proxy with the newest configuration answers requests without exactly one known key with 401.
 func TestUnknownKeyIsUnauthorized(t *testing.T) {
 	server := startServer(t, respondWith(200, "x"))
 	proxy := startProxy(t, []*fakeServer{server}, withTenants(t, twoTenants))
@@ -172,7 +173,7 @@
 	}
 }
 
-// TestTenantNameSmugglesNothing has a tenant's name hold the end of its field and more.
+// TestTenantNameSmugglesNothing checks that a tenant name that contains a line end cannot inject header fields.
 func TestTenantNameSmugglesNothing(t *testing.T) {
 	for _, name := range []string{`a\r\nX-Extra: 1`, `a\nX-Extra: 1`, `a\rb`, `a\u0000b`, `a\u007f`} {
 		for _, public := range []bool{false, true} {
@@ -199,7 +200,7 @@
 	}
 }
 
-// TestNoConfigurationIsNever401 sends a request to a proxy that has no configuration yet.
+// TestNoConfigurationIsNever401 checks that a proxy without a configuration does not answer 401.
 func TestNoConfigurationIsNever401(t *testing.T) {
 	proxy := startProxy(t, nil, withTenants(t, twoTenants))
 	proxy.UpdateClusterState(time.Now(), pick.ClusterState{})
@@ -208,7 +209,7 @@
 	}
 }
 
-// TestUnknownRouteComesBeforeKey sends a request without a key where no route is.
+// TestUnknownRouteComesBeforeKey checks the status of a request that has neither a key nor a matching route.
 func TestUnknownRouteComesBeforeKey(t *testing.T) {
 	proxy := startProxy(t, nil, withTenants(t, twoTenants))
 	client := proxy.dial(t)
@@ -218,8 +219,8 @@
 	}
 }
 
-// TestUnknownKeyAtStaleProxy has a proxy without contact get a key that a newer configuration may hold: only a proxy that is current
-// denies it.
+// TestUnknownKeyAtStaleProxy sends a key that a newer configuration may contain to a proxy without contact to the control plane: only
+// a proxy with a current configuration rejects it as unknown.
 func TestUnknownKeyAtStaleProxy(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -247,8 +248,8 @@
 	}
 }
 
-// TestKeyAddedDuringStall has a key added while the process is stopped: a request with it that was waiting in the socket is served once the
-// configuration has come.
+// TestKeyAddedDuringStall adds a key while the process is stopped: a request with this key that was waiting in the socket is served
+// once the configuration has been received.
 func TestKeyAddedDuringStall(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		proxy := newPipedProxy([]configure{withTenants(t, twoTenants)}, respondWith(200, "x"))
@@ -262,7 +263,7 @@
 	})
 }
 
-// setTenants gives a running proxy a configuration with other tenants.
+// setTenants updates a running proxy with a configuration that has other tenants.
 func setTenants(t *testing.T, proxy *pipedProxy, tenants string) {
 	state := *proxy.clusterState.Load()
 	changed := *state.Config
@@ -271,7 +272,7 @@
 	proxy.UpdateClusterState(time.Now(), state)
 }
 
-// TestKeyIsVerifiedBeforeEachAttempt has the tenants change between two attempts of a request.
+// TestKeyIsVerifiedBeforeEachAttempt changes the tenants between two attempts of a request.
 func TestKeyIsVerifiedBeforeEachAttempt(t *testing.T) {
 	for _, test := range []struct {
 		name, tenants string
@@ -303,7 +304,7 @@
 	}
 }
 
-// TestRevocationEndsNoStream has a key revoked while a stream runs, which another server then goes on with.
+// TestRevocationEndsNoStream checks that a stream whose key is revoked while it runs can still be resumed at another server.
 func TestRevocationEndsNoStream(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		proxy := newPipedProxy([]configure{withTenants(t, twoTenants), withResumable}, nil, respondEvents(3, 4, true))
@@ -318,8 +319,8 @@
 	})
 }
 
-// TestKeysThatCannotBeVerified has a proxy without contact to the control plane, where a revocation must be in force everywhere within
-// five seconds.
+// TestKeysThatCannotBeVerified covers a proxy without contact to the control plane in a system where a revocation must be in force
+// everywhere within five seconds.
 func TestKeysThatCannotBeVerified(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -359,7 +360,7 @@
 	}
 }
 
-// TestAnswersNameNoKey looks for the key in all that the proxy itself answers.
+// TestAnswersNameNoKey checks that the key does not appear in any response generated by the proxy itself.
 func TestAnswersNameNoKey(t *testing.T) {
 	for _, tenants := range []string{twoTenants, `[]`} {
 		bubble.Test(t, func(t *testing.T) {
--- a/internal/system/proxy/idletimeout_test.go
+++ b/internal/system/proxy/idletimeout_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestIdleTimeouts has connections idle for long: which are used again depends on the time that servers announce.
+// TestIdleTimeouts leaves connections idle for a long time: whether they are reused depends on the time that servers announce.
 func TestIdleTimeouts(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestIdleConnsAreSwept has connections idle that nobody uses any more: they are closed in time.
+// TestIdleConnsAreSwept checks that idle connections that are no longer used are closed in time.
 func TestIdleConnsAreSwept(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		ended := make(chan time.Duration, 1)
--- a/internal/system/proxy/listener_test.go
+++ b/internal/system/proxy/listener_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestLimits has the times that clients may take change: new connections keep to the new ones, and those that are open go on.
+// TestLimits changes the clients' timeouts: new connections use the new ones, and open connections are not closed.
 func TestLimits(t *testing.T) {
 	server := startServer(t, respondWith(200, "x"))
 	proxy := startProxy(t, []*fakeServer{server})
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestConnectionLimit has more connections come than are accepted at once: the one that has been idle longest is closed.
+// TestConnectionLimit opens more connections than the limit allows: the one that has been idle longest is closed.
 func TestConnectionLimit(t *testing.T) {
 	release := make(chan bool)
 	server := startServer(t, respondWhenReleased(release))
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestSlowClient has a client accept nothing of a long response: it delays only itself, and is given up.
+// TestSlowClient covers a client that does not read a long response: it delays no other client, and its connection is closed.
 func TestSlowClient(t *testing.T) {
 	long := strings.Repeat("x", 16<<20)
 	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -89,7 +89,7 @@
 	if got := proxy.roundTrip(t, "id-2", ""); got.StatusCode != http.StatusOK {
 		t.Errorf("status %d", got.StatusCode)
 	}
-	for proxy.Counters().ClientGone.Load() == 0 { // within the time of the test binary, or it fails with all stacks
+	for proxy.Counters().ClientGone.Load() == 0 { // bounded by the timeout of the test binary, which prints all stacks
 		runtime.Gosched()
 	}
 	if got := slow.readResponse(); got.err == nil || len(got.body) == len(long) {
--- a/internal/system/proxy/notexecuted_test.go
+++ b/internal/system/proxy/notexecuted_test.go
@@ -11,8 +11,8 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestUnbufferedNotExecutedStatus has a server respond with a not-executed status, without X-Not-Executed, and with a body that is
-// too long to be buffered: the status is not passed on, as the server has not said that it did not run the request.
+// TestUnbufferedNotExecutedStatus covers a server that responds with a not-executed status without X-Not-Executed and with a body
+// that is too long to be buffered: the status is not forwarded, because the server did not state that it did not execute the request.
 func TestUnbufferedNotExecutedStatus(t *testing.T) {
 	long := strings.Repeat("x", maxBufferedBytes+1)
 	for _, status := range []int{408, 429, 503} {
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestSuccessNotExecuted has a server respond with a success that says that the request did not run: as both cannot be true,
-// neither is believed, and a request that may run once goes nowhere else.
+// TestSuccessNotExecuted covers a success that also states that the request was not executed: because both cannot be true, neither is
+// trusted, and a non-idempotent request is not sent to another server.
 func TestSuccessNotExecuted(t *testing.T) {
 	second := startServer(t, respondWith(200, "second"))
 	proxy := startProxy(t, []*fakeServer{startServer(t, respondWith(200, "first", "X-Not-Executed: 1")), second})
--- a/internal/system/proxy/pipedproxy_test.go
+++ b/internal/system/proxy/pipedproxy_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// pipedProxy is a proxy whose servers are functions at the other ends of pipes, on a clock that the test drives.
+// pipedProxy is a proxy whose servers are functions at the other ends of pipes. It runs on a clock that the test controls.
 type pipedProxy struct {
 	*Proxy
 	fake     *fakePicker
@@ -40,7 +40,7 @@
 	piped.UpdateClusterState(time.Now(), state)
 	piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 		do := piped.servers[address]
-		if do == nil { // nobody listens
+		if do == nil { // nothing listens at this address
 			ctx, cancel := context.WithTimeout(ctx, within)
 			defer cancel()
 			<-ctx.Done()
@@ -54,7 +54,7 @@
 	return piped
 }
 
-// roundTrip has a client send a request and wait for the response, and returns how long that took.
+// roundTrip sends a request as a client, waits for the response, and returns how long that took.
 func (p *pipedProxy) roundTrip(ctx context.Context, more ...string) (*httptest.ResponseRecorder, time.Duration) {
 	r := httptest.NewRequestWithContext(ctx, "POST", "/a/x", strings.NewReader("body"))
 	r.Host = "h.example"
--- a/internal/system/proxy/pools_test.go
+++ b/internal/system/proxy/pools_test.go
@@ -14,7 +14,7 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestSurplusResponses has a server send a second response after each, at once: no request gets it.
+// TestSurplusResponses covers a server that sends a second response directly after each one: no request receives it.
 func TestSurplusResponses(t *testing.T) {
 	server := startServer(t, func(c net.Conn, r *http.Request, _ []byte) bool {
 		oneResponse := func(text string) string {
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestLateSurplusResponse has a surplus response come when the next request has been sent: it is not that one's.
+// TestLateSurplusResponse covers a surplus response that arrives after the next request was sent: it is not accepted as the response
+// to that request.
 func TestLateSurplusResponse(t *testing.T) {
 	received := 0
 	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -61,10 +62,10 @@
 	}
 }
 
-// TestDuplicateAttemptID has an id come twice, and a surplus response to the first request where the second's is due: as the id cannot
-// tell them apart, the second goes out on another connection.
+// TestDuplicateAttemptID sends two requests with the same id, and the server sends a surplus response to the first one in place of the
+// second's: because the id does not distinguish them, the second request is sent on another connection.
 func TestDuplicateAttemptID(t *testing.T) {
-	var first net.Conn // of the requests, which come one after the other
+	var first net.Conn // the connection of the first request; the requests are sequential
 	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		if first == c {
 			respondWith(200, "surplus")(c, r, body)
@@ -83,7 +84,7 @@
 	}
 }
 
-// TestStaleConns has a server close an idle connection: the next request goes out on a new one.
+// TestStaleConns covers a server that closes an idle connection: the next request is sent on a new one.
 func TestStaleConns(t *testing.T) {
 	server := startServer(t, respondWith(200, "x"))
 	proxy := startProxy(t, []*fakeServer{server})
@@ -91,7 +92,7 @@
 	client.sendRequest("id-1", "").readResponse()
 	first := receive(t, server.requests, "request")
 	_ = first.conn.Close()
-	for n := range 20 { // the close may be seen late, and then it is not known whether the request ran
+	for n := range 20 { // the close may be noticed late, and then it is not known whether the request ran
 		if got := client.sendRequest("id-2", "").readResponse(); got.StatusCode == http.StatusOK {
 			break
 		} else if n == 19 {
@@ -115,7 +116,8 @@
 	}
 }
 
-// TestNonIdempotentRunsOnce has a server break a connection on which it has received a second request: that one is not sent again.
+// TestNonIdempotentRunsOnce covers a server that breaks a connection on which it has received a second request: that request is not
+// sent again.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	for _, body := range []string{"", "body"} {
 		for name, breakConn := range map[string]serverBehavior{"reset": resetConn, "close": respondRaw("", false),
@@ -140,7 +142,7 @@
 	}
 }
 
-// TestAnnouncedClose has a server announce the end of its connection: no further request goes there.
+// TestAnnouncedClose covers a server that announces the end of its connection: no further request is sent on it.
 func TestAnnouncedClose(t *testing.T) {
 	server := startServer(t, respondWith(200, "x", "Connection: close"))
 	proxy := startProxy(t, []*fakeServer{server})
@@ -155,7 +157,8 @@
 	}
 }
 
-// TestRemovedServers has a server be replaced at its address: idle connections are closed, and those in use are not used again.
+// TestRemovedServers replaces a server by another one at the same address: idle connections are closed, and those in use are not
+// reused.
 func TestRemovedServers(t *testing.T) {
 	release := make(chan bool)
 	server := startServer(t, respondWhenReleased(release))
@@ -177,7 +180,7 @@
 	client.readResponse()
 }
 
-// TestPipelined has a client send requests without waiting: responses come in their order.
+// TestPipelined covers a client that sends requests without waiting: the responses are sent in the order of the requests.
 func TestPipelined(t *testing.T) {
 	server := startServer(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		return respondWith(200, r.Header.Get(headerAttemptID))(c, r, body)
--- a/internal/system/proxy/proxy_test.go
+++ b/internal/system/proxy/proxy_test.go
@@ -18,7 +18,7 @@
 	invarianttest.Main(m, func() error { return goleak.Find() })
 }
 
-// TestRealPicker has the policy in use send requests to all servers of a route.
+// TestRealPicker checks that with the production policy requests are sent to all servers of a route.
 func TestRealPicker(t *testing.T) {
 	var servers []*fakeServer
 	for range 3 {
--- a/internal/system/proxy/request_test.go
+++ b/internal/system/proxy/request_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestRejectedHeads has requests that go to no server because of their heads.
+// TestRejectedHeads covers requests that are not sent to any server because of their heads.
 func TestRejectedHeads(t *testing.T) {
 	server := startServer(t, respondWith(200, "x"))
 	proxy := startProxy(t, []*fakeServer{server})
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestMessagesForwardedUnchanged compares what goes in with what comes out, both ways.
+// TestMessagesForwardedUnchanged compares messages before and after the proxy, in both directions.
 func TestMessagesForwardedUnchanged(t *testing.T) {
 	server := startServer(t, func(client net.Conn, r *http.Request, body []byte) bool {
 		return respondWith(200, "answer", "X-Server-Load: 3,1,8", "X-Own: v1", "X-Own: v2", "Connection: X-Hop", "X-Hop: 1",
@@ -57,7 +57,7 @@
 	proxy := startProxy(t, []*fakeServer{server})
 	for _, body := range []string{"", "short", strings.Repeat("long", 20<<10)} {
 		for _, chunked := range []bool{false, true} {
-			client, id := proxy.dial(t), fmt.Sprint("i-d", len(body), chunked) // each try has its own
+			client, id := proxy.dial(t), fmt.Sprint("i-d", len(body), chunked) // each attempt has its own
 			text := unusualRequest(id, body, chunked)
 			go func() { _, _ = client.Write([]byte(text)) }()
 			response := client.readResponse()
@@ -73,7 +73,7 @@
 	}
 }
 
-// unusualRequest is a request with all that a proxy might change.
+// unusualRequest returns a request with everything that a proxy might change.
 func unusualRequest(id, body string, chunked bool) string {
 	head := "POST /a/b%2fc;d?q=%20&x HTTP/1.1\r\nHost: H.example:80\r\nX-Attempt-Id: " + id + "\r\nX-Time-Left-Ms: 5000\r\n" +
 		"X-Model: m\r\nX-Token-Count: 10,20\r\nX-Prompt-Prefix: ff:6,1a:4\r\nConnection: X-Mine, keep-alive\r\nX-Mine: 1\r\n" +
@@ -89,7 +89,7 @@
 	return head + "Transfer-Encoding: chunked\r\n\r\n" + chunks + "0\r\n\r\n"
 }
 
-// checkForwardedRequest checks what a server got of an unusual request.
+// checkForwardedRequest checks an unusual request as received by a server.
 func checkForwardedRequest(t *testing.T, r *receivedRequest, id, body string) {
 	t.Helper()
 	if r.Method != http.MethodPost || r.RequestURI != "/a/b%2fc;d?q=%20&x" || r.Host != "H.example:80" || r.body != body {
@@ -107,7 +107,7 @@
 	}
 }
 
-// checkForwardedResponse checks what a client got of the server's response.
+// checkForwardedResponse checks the server's response as received by a client.
 func checkForwardedResponse(t *testing.T, response clientResponse) {
 	t.Helper()
 	header := response.Header
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestHeadRequests has HEAD requests: their responses have no body, whatever their length says.
+// TestHeadRequests covers HEAD requests: their responses have no body, whatever length they announce.
 func TestHeadRequests(t *testing.T) {
 	server := startServer(t, func(client net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(client, "%sContent-Length: 1000\r\n\r\n", head(r, 200))
@@ -142,7 +142,7 @@
 	}
 }
 
-// TestBodyMemoryLimit has more bytes of bodies come than are buffered at once: the request without memory is refused.
+// TestBodyMemoryLimit sends larger bodies than may be buffered at the same time: the request without memory is refused.
 func TestBodyMemoryLimit(t *testing.T) {
 	release := make(chan bool)
 	server := startServer(t, respondWhenReleased(release))
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestSmuggling has peers send requests whose end can be read in two ways, with a second one inside: neither runs.
+// TestSmuggling sends requests whose end is ambiguous and that contain a second request: neither of the two runs.
 func TestSmuggling(t *testing.T) {
 	server := startServer(t, respondWith(200, "ok"))
 	proxy := startProxy(t, []*fakeServer{server})
--- a/internal/system/proxy/response_test.go
+++ b/internal/system/proxy/response_test.go
@@ -11,14 +11,14 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// TestResponses has a first server respond in each way and a second one well: what the client gets, how the attempts ended, and
-// how often each server was asked, for a request that may run once and for one that may run again.
+// TestResponses combines a first server that responds in different ways with a second one that responds normally. It checks what the
+// client receives, how the attempts ended, and how many requests each server received, for non-idempotent and idempotent requests.
 func TestResponses(t *testing.T) {
 	const ok = "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\nX-Server-Seal: s\r\n"
 	for _, test := range []struct {
 		name        string
 		behavior    serverBehavior
-		once, again int // status; where it may run again, 200 is the second server's
+		once, again int // expected status if non-idempotent and if idempotent; in the latter case 200 is the second server's
 		outcome     pick.AttemptOutcome
 	}{
 		{"served", respondWith(200, "first"), 200, 200, pick.Served},
@@ -62,15 +62,15 @@
 	}
 }
 
-// expectedResponse is what a client gets, and how the attempts at a first and a second server end.
+// expectedResponse is what a client receives, and how the attempts at a first and a second server end.
 type expectedResponse struct {
 	status   int
 	body     string
 	outcomes []pick.AttemptOutcome
 }
 
-// expectResponse is the expectation for a first attempt that ends with an outcome. Where that is no success and the status is
-// the second server's, the body is too.
+// expectResponse returns the expectation for a first attempt that ends with the given outcome. If that is not a success and the status
+// is the second server's, so is the body.
 func expectResponse(outcome pick.AttemptOutcome, status int, secondMayServe bool) expectedResponse {
 	want := expectedResponse{status: status, body: "first", outcomes: []pick.AttemptOutcome{outcome}}
 	switch {
@@ -82,7 +82,8 @@
 	return want
 }
 
-// checkResponse has a first server behave in a way, and a second one respond well, and compares what comes of a request.
+// checkResponse sends a request to a first server with the given behavior and a second one that responds normally, and compares the
+// result with the expectation.
 func checkResponse(t *testing.T, category config.Category, behavior serverBehavior, want expectedResponse) {
 	t.Helper()
 	first, second := startServer(t, behavior), startServer(t, respondWith(200, "second"))
@@ -100,7 +101,7 @@
 	}
 }
 
-// TestRefusals has all servers refuse, or none be there: the response has a not-executed status.
+// TestRefusals covers requests that all servers refuse, or for which no server is reachable: the response has a not-executed status.
 func TestRefusals(t *testing.T) {
 	full := respondWith(503, "", "X-Not-Executed: 1", "Retry-After: 0.45")
 	t.Run("all are full", func(t *testing.T) {
--- a/internal/system/proxy/reverify_test.go
+++ b/internal/system/proxy/reverify_test.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestKeyMovesWhileServerIsSilent guards against a request that runs under another tenant than it was counted for.
+// TestKeyMovesWhileServerIsSilent guards against a request that runs for a tenant other than the one it was counted for.
 func TestKeyMovesWhileServerIsSilent(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		proxy := newPipedProxy([]configure{withTenants(t, twoTenants), withCategory(config.Idempotent)}, nil, nil)
@@ -55,7 +55,7 @@
 	})
 }
 
-// TestTenantsRemovedWhileRequestWaits guards against a 401 that the newest configuration does not ask for.
+// TestTenantsRemovedWhileRequestWaits guards against a 401 that the newest configuration does not require.
 func TestTenantsRemovedWhileRequestWaits(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		proxy := newPipedProxy([]configure{withTenants(t, twoTenants)}, nil, respondWith(200, "x"))
--- a/internal/system/proxy/scriptedservers_test.go
+++ b/internal/system/proxy/scriptedservers_test.go
@@ -19,20 +19,20 @@
 
 const (
 	lastEvent        = 3 // the id of a scripted stream's last event
-	maxValidInterims = 3 // interim responses that a valid one may follow
+	maxValidInterims = 3 // maximum number of interim responses before a valid final one
 )
 
-// echoedID is which request a scripted response says it belongs to.
+// echoedID selects the request id that a scripted response echoes.
 type echoedID int
 
 const (
 	ownID echoedID = iota
 	otherID
-	earlierID // of the request before it at the server
+	earlierID // that of the server's previous request
 	noID
 )
 
-// afterSend is what a scripted server does with the connection behind what it sent.
+// afterSend is what a scripted server does with the connection after sending.
 type afterSend int
 
 const (
@@ -41,17 +41,17 @@
 	resetAfter
 )
 
-// surplusTiming is when a scripted server sends a surplus response, with the id of the request before.
+// surplusTiming is when a scripted server sends a surplus response, with the id of the previous request.
 type surplusTiming int
 
 const (
 	noSurplus surplusTiming = iota
 	samePacket
-	whileIdle // when the client has its response, and before its next request
-	withNext  // when the next request has come, and before its response
+	whileIdle // after the client has received its response and before its next request
+	withNext  // after the next request was received and before its response
 )
 
-// behaviour is what a scripted server does with one request.
+// behaviour is how a scripted server handles one request.
 type behaviour struct {
 	Status        int
 	Echo          echoedID
@@ -62,13 +62,13 @@
 	Interims      int
 	Garbage       bool // the status line is invalid
 	Closes        bool // Connection: close
-	RepeatsEvent  bool // a stream begins with the event that the client has
+	RepeatsEvent  bool // a stream begins with an event that the client already has
 	Early         bool // it responds before it has read the body
 	PermilleSent  int  // thousandths of the response that are sent
 	After         afterSend
 	Surplus       surplusTiming
-	SendsRestLate bool // the rest is sent when the client has given up or has another response
-	CloseIdle     bool // closes the connection when the client has its response, before its next request
+	SendsRestLate bool // the rest is sent after the client has given up or has received another response
+	CloseIdle     bool // closes the connection after the client has received its response, before its next request
 	CloseRace     bool // closes it while the next request is sent
 }
 
@@ -84,7 +84,7 @@
 // arrival is a request that reached a scripted server.
 type arrival struct {
 	id      string
-	refused bool // the server said in a complete head that it did not run it
+	refused bool // the server stated in a complete head that it did not execute the request
 	sent    sentResponse
 }
 
@@ -92,10 +92,10 @@
 type sentResponse struct {
 	status     int
 	seal, body string
-	valid      bool // it may be passed on as it is
+	valid      bool // it may be forwarded unchanged
 }
 
-// scriptedServers is the scripted servers of one scenario, and what they saw.
+// scriptedServers holds the scripted servers of one scenario, and what they observed.
 type scriptedServers struct {
 	stream, resumable bool
 	servers           []*scriptedServer
@@ -103,21 +103,21 @@
 	mu           sync.Mutex
 	runs         int
 	arrivals     []arrival
-	alterations  []string // requests that came otherwise than they were sent
-	whileIdle    []func() // to be done when the client has its response
-	whileSending []func() // to be done while the next request is sent
+	alterations  []string // requests that were altered on their way to the server
+	whileIdle    []func() // actions to run after the client has received its response
+	whileSending []func() // actions to run while the next request is sent
 }
 
-// scriptedServer is one of them.
+// scriptedServer is one server of a scenario.
 type scriptedServer struct {
 	connServer
 	all          *scriptedServers
-	behaviours   []behaviour // by request; then it behaves well
+	behaviours   []behaviour // one per request; further requests are handled normally
 	requestCount int
 	previousID   string
 }
 
-// startServer starts a server that behaves in these ways with the requests that it gets, one after the other.
+// startServer starts a server that handles its requests with the given behaviours, in this order.
 func (s *scriptedServers) startServer(behaviours []behaviour) (*scriptedServer, error) {
 	var listen net.ListenConfig
 	if slices.ContainsFunc(behaviours, func(b behaviour) bool { return b.Early && b.After == resetAfter }) {
@@ -133,8 +133,8 @@
 	return server, nil
 }
 
-// limitReceiveBuffer has the system take in little of what a server does not read, so that a long body is still being written when
-// the server resets the connection.
+// limitReceiveBuffer makes the kernel buffer only little data that a server has not read, so that a long body is still being written
+// when the server resets the connection.
 func limitReceiveBuffer(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if e := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<10) }); e != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// takeActions removes and returns what is to be done between two requests, or while the next one is sent.
+// takeActions removes and returns the actions to run between two requests, or while the next one is sent.
 func (s *scriptedServers) takeActions(from *[]func()) []func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-// exchange reads a request's body and sends what is planned, and reports whether the connection is good for another request.
+// exchange reads a request's body and sends the planned response, and reports whether the connection can be used for another request.
 func (v *scriptedServer) exchange(conn net.Conn, r *http.Request, plan responsePlan) bool {
 	var writeErr error
 	if plan.Early {
@@ -213,14 +213,14 @@
 	return false
 }
 
-// sendLater has bytes sent between this request and the next.
+// sendLater schedules bytes to be sent between this request and the next.
 func (v *scriptedServer) sendLater(c net.Conn, text string) {
 	v.all.mu.Lock()
 	defer v.all.mu.Unlock()
 	v.all.whileIdle = append(v.all.whileIdle, func() { _, _ = io.WriteString(c, text) })
 }
 
-// arrangeAfter arranges what happens on a connection behind a response, and returns what is sent before the next one.
+// arrangeAfter schedules what happens on a connection after a response, and returns the bytes to send before the next response.
 func (v *scriptedServer) arrangeAfter(c net.Conn, b behaviour, id string) string {
 	extra := surplusResponse(id)
 	v.all.mu.Lock()
@@ -238,7 +238,7 @@
 	return ""
 }
 
-// checkUnaltered records a request that did not come as it was sent: its body begins with its id and its method.
+// checkUnaltered records a request that was altered in transit, which is detected because its body begins with its id and its method.
 func (v *scriptedServer) checkUnaltered(r *http.Request, body string) {
 	id := r.Header.Get(headerAttemptID)
 	want := id + " " + r.Method
@@ -257,14 +257,14 @@
 	return "HTTP/1.1 200 X\r\nX-Attempt-Id: " + id + "\r\nX-Server-Seal: surplus\r\nContent-Length: 7\r\n\r\nsurplus"
 }
 
-// responsePlan is what is done with a request.
+// responsePlan is how a server responds to a request.
 type responsePlan struct {
 	behaviour
-	text string // of the response, as far as it is sent
+	text string // the part of the response that is sent
 	rest string
 }
 
-// planResponse records a request and plans what is done with it.
+// planResponse records a request and plans the response to it.
 func (v *scriptedServer) planResponse(r *http.Request, first bool) responsePlan {
 	all := v.all
 	all.mu.Lock()
@@ -293,8 +293,8 @@
 	return plan
 }
 
-// isBelievedRefusal reports whether a proxy believes that the request did not run; first says that it is the first one on its
-// connection.
+// isBelievedRefusal reports whether a proxy accepts the statement that the request was not executed; first is true for the first
+// request on a connection.
 func (b behaviour) isBelievedRefusal(first bool) bool {
 	echoed := b.Echo == ownID || b.Echo == noID && first
 	framed := b.Framing != "both" && b.Framing != "twice"
@@ -304,7 +304,7 @@
 // hasHead reports whether the final response has a head that can be read.
 func (b behaviour) hasHead() bool { return !b.Garbage && b.Interims <= maxValidInterims }
 
-// composeResponse makes the head and the body of a response as they go out.
+// composeResponse builds the head and the body of a response as they are sent.
 func (s *scriptedServers) composeResponse(r *http.Request, b behaviour, earlier string) (head string, sent sentResponse, wire string) {
 	id := r.Header.Get(headerAttemptID)
 	sent = sentResponse{status: b.Status, seal: fmt.Sprint("seal-", s.runs)}
@@ -324,7 +324,7 @@
 	return text + "\r\n", sent, wire
 }
 
-// composeFields makes the status line, and the fields that say whose response it is.
+// composeFields builds the status line, and the header fields that identify the response.
 func (b behaviour) composeFields(id, earlier, seal string) string {
 	text := strings.Repeat("HTTP/1.1 103 X\r\nA: b\r\n\r\n", b.Interims)
 	if b.Garbage {
@@ -352,7 +352,7 @@
 	return text
 }
 
-// frame makes the fields that frame a body, and the body as it goes out.
+// frame builds the header fields that frame a body, and the body as it is sent.
 func (b behaviour) frame(body string) (fields, wire string) {
 	length := fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	half := len(body) / 2
@@ -370,7 +370,7 @@
 	return "", body
 }
 
-// isValid reports whether a response may be passed on as it is, if it is sent completely.
+// isValid reports whether a response may be forwarded unchanged if it is sent completely.
 func (b behaviour) isValid(method string) bool {
 	framed := b.Framing == "length" || b.Framing == "chunked" || b.Framing == "none" && method == http.MethodHead
 	if !isSuccess(b.Status) {
@@ -379,7 +379,8 @@
 	return b.hasHead() && framed && b.Echo == ownID && !b.Unsealed && !b.NotExecuted && !b.Encoded
 }
 
-// eventStream is the text of a stream: a resumable one has the same events at each server, any other names its run.
+// eventStream returns the text of a stream: a resumable stream has the same events at each server; any other contains the number of
+// its run.
 func (s *scriptedServers) eventStream(r *http.Request, b behaviour) string {
 	from, _ := strconv.Atoi(r.Header.Get(headerLastEventID))
 	if from++; b.RepeatsEvent && from > 1 {
@@ -396,8 +397,8 @@
 	return text.String()
 }
 
-// checkEventStream checks the events that a client got: each once, in their order, of one run, and all of them if the stream looks
-// whole.
+// checkEventStream checks the events that a client received: each one once, in order, all from one run, and every event if the stream
+// looks complete.
 func checkEventStream(body string, whole bool) error {
 	run, last := "", 0
 	for event := range strings.SplitAfterSeq(body, "\n\n") {
--- a/internal/system/proxy/senddeadline_test.go
+++ b/internal/system/proxy/senddeadline_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestSendDeadline: a request that is to go out within 200 ms, as its server is warming up, goes out to another
-// server if the connection comes later, or comes in time and the process stalls.
+// TestSendDeadline checks that a request that has to be sent within 200 ms, because its server is warming up, is sent to another server
+// if the connection is established later, or is established in time but the process then stalls.
 func TestSendDeadline(t *testing.T) {
 	for name, test := range map[string]struct{ within, opens time.Duration }{
 		"in time":                {200 * time.Millisecond, 150 * time.Millisecond},
--- a/internal/system/proxy/servertimeout_test.go
+++ b/internal/system/proxy/servertimeout_test.go
@@ -17,7 +17,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestServerTimeouts has a first server send nothing, or nothing more, on a clock that the test drives.
+// TestServerTimeouts covers a first server that sends nothing, or stops sending, on a clock that the test controls.
 func TestServerTimeouts(t *testing.T) {
 	first := respondEventsThen(2, neverRespond)
 	for _, test := range []struct {
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestBusyServerDoesNotTimeOut has a server be slow with one request while it answers others: it is not abandoned.
+// TestBusyServerDoesNotTimeOut covers a server that is slow with one request while it answers others: it is not abandoned.
 func TestBusyServerDoesNotTimeOut(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		slow := func(c net.Conn, r *http.Request, body []byte) bool {
@@ -89,7 +89,7 @@
 	})
 }
 
-// TestDeadlines compares how long a client waits, what the route allows, and what the server gets as its time left.
+// TestDeadlines checks the deadline and the time left that the server receives, for different timeouts of the client and the route.
 func TestDeadlines(t *testing.T) {
 	for _, test := range []struct {
 		clientTimeLeft string
@@ -122,7 +122,7 @@
 	})
 }
 
-// TestClientGone has a client go away while a server works: the attempt ends at once.
+// TestClientGone covers a client that disconnects while a server is working: the attempt ends immediately.
 func TestClientGone(t *testing.T) {
 	for name, behavior := range map[string]serverBehavior{"before the response": neverRespond,
 		"within a stream": respondEventsThen(2, neverRespond)} {
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestLateResponse has a server respond after the deadline: its connection is closed by then, and the next request goes out on
-// another and gets its own response.
+// TestLateResponse covers a server that responds after the deadline: its connection is closed by then, and the next request is sent on
+// another connection and gets its own response.
 func TestLateResponse(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		late := make(chan error, 1)
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -15,8 +15,8 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestDrain shuts a proxy down gracefully: an idle connection is closed, a request that runs is answered with the announcement
-// that the connection ends, a new one is served at first, and none is accepted afterwards.
+// TestDrain shuts a proxy down gracefully: an idle connection is closed, the response to a running request announces that the connection
+// will be closed, a new connection is served at first, and none is accepted afterwards.
 func TestDrain(t *testing.T) {
 	release := make(chan bool)
 	server := startServer(t, respondWhenReleased(release))
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestDrainBeforeServe has Drain called first.
+// TestDrainBeforeServe calls Drain before Serve.
 func TestDrainBeforeServe(t *testing.T) {
 	p := newProxy(Options{Log: &log.Logger{Handler: discard.New()}}, &fakePicker{})
 	p.Drain(context.Background())
--- a/internal/system/proxy/stall_test.go
+++ b/internal/system/proxy/stall_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// stalledPicker is the picker of one of twelve proxies that knows two servers, which take 31 requests a second while they are
+// stalledPicker returns the picker of one of twelve proxies. It knows two servers, which accept 31 requests per second while they are
 // warming up.
 func stalledPicker() (*lockedPicker, *pick.Request, pick.ClusterState) {
 	route := &config.Route{Host: "h", Prefix: "/", MaxAttempts: 2, Category: config.Idempotent, Shares: []config.Share{{Service: "a", Weight: 1}}}
@@ -32,10 +32,10 @@
 // stallTime is how long the process stalls in these tests.
 const stallTime = 5 * time.Second
 
-// stall lets stallTime go by without a call, as while the process is stopped.
+// stall lets stallTime pass without a call, as if the process were stopped.
 func stall(p *lockedPicker) { p.start = p.start.Add(-stallTime) }
 
-// chooseMany asks for a server for that many requests at once, and counts what each gets.
+// chooseMany asks for a server for the given number of simultaneous requests, and returns how many each server gets.
 func chooseMany(p *lockedPicker, r *pick.Request, requests int) map[string]int {
 	got := map[string]int{}
 	for range requests {
@@ -47,8 +47,8 @@
 	return got
 }
 
-// TestWarmUpRateHoldsAfterStall: a process stalls for 5 s and has 100 requests in its sockets afterwards. Danger: its servers may
-// be new and warming up, which it cannot know before an update of the control plane.
+// TestWarmUpRateHoldsAfterStall covers a process that stalls for 5 s and has 100 requests in its sockets afterwards. Danger: its
+// servers may be new and warming up, which it cannot know before an update from the control plane.
 func TestWarmUpRateHoldsAfterStall(t *testing.T) {
 	locked, r, w := stalledPicker()
 	locked.UpdateClusterState(time.Now(), w)
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestRequestsAwaitContactAfterStall: after a stall requests wait for an update that the control plane sent after it; one from
-// before does not count.
+// TestRequestsAwaitContactAfterStall checks that after a stall requests wait for an update that the control plane sent after the
+// stall; an earlier update does not count.
 func TestRequestsAwaitContactAfterStall(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		locked, r, w := stalledPicker()
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestContactWaitIsBounded: without an update they go on after a while, at the rate of servers that are warming up; so do those
-// whose client goes away.
+// TestContactWaitIsBounded checks that without an update requests stop waiting after a bounded time, and are then sent at the rate for
+// servers that are warming up. A request whose client disconnects also stops waiting.
 func TestContactWaitIsBounded(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		locked, _, w := stalledPicker()
@@ -127,7 +127,7 @@
 	})
 }
 
-// TestIdleProcessIsNotStalled: calls that come rarely are no stall while the process runs.
+// TestIdleProcessIsNotStalled checks that infrequent calls are not taken for a stall while the process is running.
 func TestIdleProcessIsNotStalled(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		locked, r, w := stalledPicker()
@@ -145,8 +145,8 @@
 	})
 }
 
-// TestOutdatedStateEndsNoWait: the durations of a cluster state are as of a moment; the last contact in it is as old as that when
-// it is used.
+// TestOutdatedStateEndsNoWait checks that the durations in a cluster state are interpreted relative to its asOf time: a state from
+// before the stall that is applied after it does not end the wait.
 func TestOutdatedStateEndsNoWait(t *testing.T) {
 	locked, _, w := stalledPicker()
 	locked.UpdateClusterState(time.Now(), w)
--- a/internal/system/proxy/testing_knobs_test.go
+++ b/internal/system/proxy/testing_knobs_test.go
@@ -16,8 +16,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestExactlyOnceControls takes out one protection at a time: a scenario then violates what TestExactlyOnce checks, and does not
-// with the protection in place.
+// TestExactlyOnceControls disables one protection at a time: a scenario then violates what TestExactlyOnce checks, and does not
+// violate it with the protection in place.
 func TestExactlyOnceControls(t *testing.T) {
 	with := func(change func(*behaviour)) []behaviour {
 		b := soundBehaviour
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestClosedWhileIdle has a server close a connection that idles, and a request that may run once come when that is known:
-// it is not lost on that connection. Without the inspection of idle connections it is.
+// TestClosedWhileIdle covers a server that closes an idle connection before a non-idempotent request arrives: the request is not lost
+// on that connection. Without the inspection of idle connections it is.
 func TestClosedWhileIdle(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -92,7 +92,7 @@
 	}
 }
 
-// awaitIdleClosed waits until the end of the one idle connection has come.
+// awaitIdleClosed waits until the end of the only idle connection has been received.
 func (f *testProxy) awaitIdleClosed(t *testing.T) {
 	t.Helper()
 	f.pools.mu.Lock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// limitedConn is a connection that accepts only so many bytes, and breaks then.
+// limitedConn is a connection that accepts a limited number of bytes and then breaks.
 type limitedConn struct {
 	net.Conn
 	capacity int
@@ -135,8 +135,8 @@
 	return n, unix.EPIPE
 }
 
-// TestPartlyWritten has a connection break while a request that may run once is written on it: it goes to another server only
-// if not a byte of it was written. Without that rule it is sent twice.
+// TestPartlyWritten covers a connection that breaks while a non-idempotent request is written on it: the request is sent to another
+// server only if not a byte of it was written. Without that rule it is sent twice.
 func TestPartlyWritten(t *testing.T) {
 	for _, test := range []struct {
 		capacity int
--- a/internal/system/proxy/testproxy_test.go
+++ b/internal/system/proxy/testproxy_test.go
@@ -18,10 +18,10 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// testTimeout bounds the waits of tests for what comes at once.
+// testTimeout bounds the waits of tests for events that are expected immediately.
 const testTimeout = 10 * time.Second
 
-// testProxy is a proxy with a fake picker, which serves on a loopback address.
+// testProxy is a proxy with a fake picker that serves on a loopback address.
 type testProxy struct {
 	*Proxy
 	fake     *fakePicker
@@ -33,7 +33,7 @@
 // configure changes the options and the configuration of a test proxy.
 type configure func(*Options, *config.Config)
 
-// withCategory gives the route a category.
+// withCategory sets the category of the route.
 func withCategory(k config.Category) configure {
 	return func(_ *Options, c *config.Config) { c.Routes[0].Category = k }
 }
@@ -53,7 +53,7 @@
 	return listener
 }
 
-// startProxy starts a proxy whose route /a/ of the host h.example goes to the servers.
+// startProxy starts a proxy whose route /a/ of the host h.example leads to the given servers.
 func startProxy(t testing.TB, servers []*fakeServer, changes ...configure) *testProxy {
 	t.Helper()
 	route := &config.Route{Name: "r", Host: "h.example", Prefix: "/a/", Category: config.NonIdempotent, Timeout: 8 * time.Second,
@@ -154,7 +154,7 @@
 	return c.sendRequest(id, body, more...).readResponse()
 }
 
-// receive returns what comes from a channel within testTimeout.
+// receive returns the next value of a channel, and fails the test if none is sent within testTimeout.
 func receive[T any](t testing.TB, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
--- a/internal/system/proxy/transport_test.go
+++ b/internal/system/proxy/transport_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestNoHTTPTransport looks through this package for net/http's client side, which sends some requests a second time by
-// itself: every send to a server is one that clientRequest.tryServer has counted.
+// TestNoHTTPTransport checks that this package does not use the client side of net/http, which resends some requests on its own: every
+// send to a server must be one that clientRequest.tryServer has counted.
 func TestNoHTTPTransport(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
