--- a/internal/system/proxy/admission_test.go
+++ b/internal/system/proxy/admission_test.go
@@ -64,15 +64,15 @@
 					t.Errorf("status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 				}
 				if asked := strings.Join(admitter.asked, ","); asked != test.asked {
-					t.Errorf("asked for %q, want %q", asked, test.asked)
+					t.Errorf("admission requested for tenants %q, want %q", asked, test.asked)
 				}
 				if served := proxy.counters.Sends.Load() > 0; served != (test.want == 200) {
-					t.Errorf("sent to a server: %v", served)
+					t.Errorf("request sent to a server: %v", served)
 				}
 				counters := &proxy.counters
 				over, unavailable := counters.OverLimit.Load() == 1, counters.QuotaUnavailable.Load() == 1
 				if over != (test.want == 429) || unavailable != (test.want == 503) {
-					t.Errorf("counted as over the limit: %v, as not known: %v", over, unavailable)
+					t.Errorf("counted as over the limit: %v, as quota unavailable: %v", over, unavailable)
 				}
 			})
 		})
--- a/internal/system/proxy/attempt.go
+++ b/internal/system/proxy/attempt.go
@@ -12,10 +12,10 @@
 )
 
 var (
-	errNotSent         = errors.New("not a byte of the request was sent: another server may be asked")
+	errNotSent         = errors.New("not a byte of the request was sent; it may be sent to another server")
 	errDeadlinePassed  = errors.New("the deadline passed before the response was complete")
-	errServerTimedOut  = errors.New("the server has been silent for too long: another one is asked")
-	errInvalidResponse = errors.New("the server sent no valid response to this request: close the connection")
+	errServerTimedOut  = errors.New("the server was silent for too long; the request is retried on another server")
+	errInvalidResponse = errors.New("the server sent no valid response to this request; its connection must be closed")
 )
 
 // maxInterimResponses bounds the responses that may precede the final one, that one included (RFC 9110, section 15.2).
--- a/internal/system/proxy/eventreader.go
+++ b/internal/system/proxy/eventreader.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	errEventTooLong = errors.New("an event is too long to be buffered: have the server send shorter ones")
-	errEventOrder   = errors.New("the ids of events do not rise: the stream is not that of one run")
+	errEventTooLong = errors.New("the event stream contains an event that is too long to be buffered; the server must send shorter events")
+	errEventOrder   = errors.New("the event ids of the stream do not increase; its events are not from a single run")
 )
 
 // eventReader reads a text/event-stream (HTML Living Standard, section "Server-sent events") and returns only complete events, whose
--- a/internal/system/proxy/eventreader_test.go
+++ b/internal/system/proxy/eventreader_test.go
@@ -64,10 +64,10 @@
 			t.Errorf("%q (%v) in fragments, %q (%v) at once", one, oneErr, all, allErr)
 		}
 		if !strings.HasPrefix(text, all) {
-			t.Errorf("%q of %q", all, text)
+			t.Errorf("returned events %q are not a prefix of %q", all, text)
 		}
 		if truncated && all != "" && !strings.HasSuffix(all, "\n") {
-			t.Errorf("%q ends within a line", all)
+			t.Errorf("returned events %q end within a line", all)
 		}
 	})
 }
@@ -86,7 +86,7 @@
 			return got.String(), err
 		}
 		if len(events) == 0 {
-			t.Fatal("nothing given out")
+			t.Fatal("next returned no events and no error")
 		}
 		got.Write(events)
 	}
--- a/internal/system/proxy/eventrelay_test.go
+++ b/internal/system/proxy/eventrelay_test.go
@@ -91,7 +91,7 @@
 	if want.lastEventID != "" {
 		checkResumption(t, receive(t, servers[1].requests, "request"), want.lastEventID)
 	} else if second != nil && len(servers[1].requests) > 0 {
-		t.Error("the second server was asked")
+		t.Error("the second server received a request")
 	}
 }
 
@@ -124,7 +124,7 @@
 		t.Errorf("body %q, error %v, seal %q", got.body, got.err, got.Header.Get(headerServerSeal))
 	}
 	if n := proxy.Counters().Resumed.Load(); n != 2 {
-		t.Errorf("%d times resumed", n)
+		t.Errorf("streams resumed: %d", n)
 	}
 }
 
@@ -175,7 +175,7 @@
 		t.Errorf("%q, error %v", rest, err)
 	}
 	if proxy.fake.firstEvents != 1 {
-		t.Errorf("%d first events", proxy.fake.firstEvents)
+		t.Errorf("first events reported to the picker: %d", proxy.fake.firstEvents)
 	}
 }
 
@@ -186,7 +186,7 @@
 	c := proxy.dial(t)
 	_, _ = fmt.Fprint(c, "GET /a/x HTTP/1.0\r\nHost: h.example\r\nX-Attempt-Id: a\r\n\r\n")
 	if text, err := io.ReadAll(c.reader); err == nil {
-		t.Errorf("%q looks complete", text)
+		t.Errorf("truncated response %q looks complete", text)
 	}
 }
 
--- a/internal/system/proxy/exactlyonce_check_test.go
+++ b/internal/system/proxy/exactlyonce_check_test.go
@@ -23,10 +23,10 @@
 	for _, a := range w.arrivals {
 		allowed := max(sends[a.id], 1)
 		if came[a.id]++; came[a.id] > allowed*w.MaxTries {
-			return fmt.Errorf("%s was sent %d times", a.id, came[a.id])
+			return fmt.Errorf("request %s was sent %d times", a.id, came[a.id])
 		}
 		if once && ran[a.id] >= allowed {
-			return fmt.Errorf("%s was sent again though it may have run", a.id)
+			return fmt.Errorf("request %s was sent again although it may have run", a.id)
 		}
 		if !a.refused {
 			ran[a.id]++
@@ -51,20 +51,20 @@
 	case impliesNotExecuted(outcome.status):
 		// If an id was used for two requests on an idempotent route, the other request may have run more than once.
 		if ran > 0 && (outcome.sends == 1 || w.nonIdempotent() && ran >= outcome.sends) {
-			return errors.New("it has run, and its client got a not-executed status")
+			return errors.New("the request may have run, but its client got a not-executed status")
 		}
 		return nil
 	case outcome.seal == "" && (outcome.status == http.StatusBadGateway || outcome.status == http.StatusGatewayTimeout):
 		return nil
 	case outcome.echo != outcome.id && (isSuccess(outcome.status) || outcome.echo != ""):
-		return errors.New("the response bears another id")
+		return errors.New("the response has a different id")
 	}
 	for _, a := range w.arrivals {
 		if a.id == outcome.id && a.sent.seal == outcome.seal && a.sent.status == outcome.status {
 			return w.compareBody(outcome, a.sent)
 		}
 	}
-	return errors.New("no server sent this response")
+	return errors.New("no server sent this response to the request")
 }
 
 // compareBody compares the body that a client received with the one that the server sent.
@@ -73,13 +73,13 @@
 	case w.stream && o.status == http.StatusOK && o.method != http.MethodHead:
 		return checkEventStream(o.body, o.err == nil)
 	case !strings.HasPrefix(sent.body, o.body):
-		return fmt.Errorf("the body is not that of the server, %q", sent.body)
+		return fmt.Errorf("the body differs from the one that the server sent, %q", sent.body)
 	case o.err != nil:
 		return nil //nolint:nilerr // a visibly truncated response may be incomplete
 	case !sent.valid:
 		return errors.New("a response that is invalid or truncated looks complete")
 	case sent.body != o.body:
-		return fmt.Errorf("a part of the body %q looks complete", sent.body)
+		return fmt.Errorf("a truncated part of the body %q looks complete", sent.body)
 	}
 	return nil
 }
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -220,7 +220,7 @@
 		return nil //nolint:nilerr // the proxy has closed the connection, as it may
 	}
 	if rest, _ := io.ReadAll(w.persistentReader); len(rest) > 0 {
-		return fmt.Errorf("bytes that no request waits for: %.60q", rest)
+		return fmt.Errorf("received bytes while no request was waiting: %.60q", rest)
 	}
 	return nil
 }
@@ -371,7 +371,7 @@
 	t.Logf("the proxy's counters over all scenarios: %v", tally)
 	for _, name := range []string{"reused", "repeats", "mismatch", "served", "broken"} {
 		if tally[name] == 0 {
-			t.Errorf("no scenario brought %s about", name)
+			t.Errorf("no scenario incremented the counter %s", name)
 		}
 	}
 }
--- a/internal/system/proxy/headervalues_test.go
+++ b/internal/system/proxy/headervalues_test.go
@@ -28,7 +28,7 @@
 		})
 	}
 	if n := len(parsePromptParts(strings.Repeat("1:1,", 1000))); n != maxPromptParts {
-		t.Errorf("%d parts", n)
+		t.Errorf("parsed %d prompt parts", n)
 	}
 }
 
--- a/internal/system/proxy/identity.go
+++ b/internal/system/proxy/identity.go
@@ -11,10 +11,10 @@
 
 // Reasons why a request is not accepted. No message contains a key.
 var (
-	errUnknownKey = errors.New("X-Credential does not hold one known API key: send one that the configuration has")
+	errUnknownKey = errors.New("X-Credential does not contain exactly one known API key; send a key that is in the configuration")
 	// errKeysUnverified: a configuration that this proxy has not received may have added or removed the key.
-	errKeysUnverified = errors.New("this proxy cannot tell which API keys hold, as it has no contact to the control plane: ask another")
-	errTenantChanged  = errors.New("the API key went to another tenant while the request waited: send the request again")
+	errKeysUnverified = errors.New("this proxy cannot verify API keys because it has no contact to the control plane; use another proxy")
+	errTenantChanged  = errors.New("the API key was assigned to another tenant while the request was waiting; send the request again")
 )
 
 // identity describes who sent a request. The key is never written to logs, metrics or responses, nor sent to a server.
--- a/internal/system/proxy/identity_test.go
+++ b/internal/system/proxy/identity_test.go
@@ -68,7 +68,7 @@
 		for spelling, headers := range credentialSpellings {
 			t.Run(name+"/"+spelling, func(t *testing.T) {
 				if seen := credentialAtServer(t, headers, changes...); seen != "" {
-					t.Errorf("the server got %q", seen)
+					t.Errorf("the server received the credential %q", seen)
 				}
 			})
 		}
@@ -76,7 +76,7 @@
 	t.Run("control", func(t *testing.T) {
 		knobs := withKnobs(TestingKnobs{ForwardIdentity: true})
 		if credentialAtServer(t, credentialSpellings["plain"], withTenants(t, twoTenants), knobs) == "" {
-			t.Error("without the protection no server got the key")
+			t.Error("without the protection no server received the key either")
 		}
 	})
 }
@@ -169,7 +169,7 @@
 		})
 	}
 	if n := proxy.counters.Unauthorized.Load(); n != int64(len(unknownKeys)) {
-		t.Errorf("%d counted, want %d", n, len(unknownKeys))
+		t.Errorf("unauthorized requests counted: %d, want %d", n, len(unknownKeys))
 	}
 }
 
@@ -196,7 +196,7 @@
 		withKnobs(TestingKnobs{AcceptAnyTenantName: true}))
 	_ = proxy.roundTrip(t, "id-1", "", "X-Credential: key-a")
 	if receive(t, server.requests, "request").Header["X-Extra"] == nil {
-		t.Error("without the protection the name smuggles nothing")
+		t.Error("without the protection the tenant name injected no header field either")
 	}
 }
 
@@ -297,7 +297,7 @@
 					t.Errorf("status %d, %d attempts; want %d, %d", w.Code, proxy.counters.Sends.Load(), test.want, test.sends)
 				}
 				if revoked := proxy.counters.Revoked.Load(); (revoked == 1) != (test.sends == 1) {
-					t.Errorf("%d counted as revoked while they waited", revoked)
+					t.Errorf("requests counted as revoked while waiting: %d", revoked)
 				}
 			})
 		})
@@ -367,7 +367,7 @@
 			proxy := newPipedProxy([]configure{withTenants(t, tenants)})
 			w, _ := proxy.roundTrip(t.Context(), headerCredential, "key-a")
 			if text := fmt.Sprint(w.Code, w.Header(), w.Body); strings.Contains(text, "key-a") {
-				t.Errorf("answered with the key: %s", text)
+				t.Errorf("the response contains the key: %s", text)
 			}
 		})
 	}
--- a/internal/system/proxy/idletimeout_test.go
+++ b/internal/system/proxy/idletimeout_test.go
@@ -45,7 +45,7 @@
 				piped.pools.close()
 				synctest.Wait()
 				if n := piped.Counters().Dials.Load(); n != test.dials {
-					t.Errorf("%d connections", n)
+					t.Errorf("connections opened: %d", n)
 				}
 			})
 		})
@@ -69,7 +69,7 @@
 		piped.ServeHTTP(httptest.NewRecorder(), r)
 		time.Sleep(time.Minute)
 		if d := <-ended; d != 6*time.Second {
-			t.Errorf("closed after %v", d)
+			t.Errorf("idle connection closed after %v", d)
 		}
 	})
 }
--- a/internal/system/proxy/listener_test.go
+++ b/internal/system/proxy/listener_test.go
@@ -27,12 +27,12 @@
 	slow := proxy.dial(t)
 	_, _ = fmt.Fprint(slow, "POST /a/x HT")
 	if _, err := io.ReadAll(slow); err != nil {
-		t.Errorf("half a head: %v", err)
+		t.Errorf("connection with half a request head: %v", err)
 	}
 	idle := proxy.dial(t)
 	idle.sendRequest("id-2", "").readResponse()
 	if n, err := idle.reader.ReadByte(); err != io.EOF {
-		t.Errorf("idle: %v, error %v", n, err)
+		t.Errorf("idle connection: read %v bytes, error %v", n, err)
 	}
 	if got := old.sendRequest("id-3", "").readResponse(); got.StatusCode != http.StatusOK {
 		t.Errorf("status %d", got.StatusCode)
@@ -62,7 +62,7 @@
 	for n, c := range all {
 		if n == 3 {
 			if _, err := c.reader.ReadByte(); err != io.EOF {
-				t.Errorf("the idle one: %v", err)
+				t.Errorf("the connection that was idle longest: %v", err)
 			}
 			continue
 		}
--- a/internal/system/proxy/pools_test.go
+++ b/internal/system/proxy/pools_test.go
@@ -39,7 +39,7 @@
 	}
 	asking.Wait()
 	if n := bad.Load(); n > 0 {
-		t.Errorf("%d requests got a response that was not theirs", n)
+		t.Errorf("%d requests got a response to another request", n)
 	}
 }
 
@@ -100,7 +100,7 @@
 		}
 	}
 	if second := receive(t, server.requests, "request"); second.conn == first.conn {
-		t.Error("the old connection was used")
+		t.Error("the closed connection was reused")
 	}
 }
 
@@ -132,7 +132,7 @@
 					t.Errorf("status %d", got.StatusCode)
 				}
 				if len(server.requests) != 2 || len(other.requests) != 0 {
-					t.Errorf("%d and %d requests came", len(server.requests), len(other.requests))
+					t.Errorf("the servers received %d and %d requests", len(server.requests), len(other.requests))
 				}
 				if outcomes := proxy.outcomes(); !slices.Equal(outcomes, []pick.AttemptOutcome{pick.Served, pick.ConnectionLost}) {
 					t.Errorf("attempts ended as %v", outcomes)
@@ -153,7 +153,7 @@
 		}
 	}
 	if n := proxy.Counters().Dials.Load(); n != 3 {
-		t.Errorf("%d connections", n)
+		t.Errorf("connections opened: %d", n)
 	}
 }
 
--- a/internal/system/proxy/reply.go
+++ b/internal/system/proxy/reply.go
@@ -23,7 +23,7 @@
 )
 
 // errClientGone means that the client has closed its connection or accepts no more bytes.
-var errClientGone = errors.New("the client accepts no more bytes: its connection is closed")
+var errClientGone = errors.New("the client connection is closed or accepts no more bytes")
 
 // respond answers a request with a status chosen by the proxy and no body.
 func (p *Proxy) respond(w http.ResponseWriter, attemptID string, status int) {
--- a/internal/system/proxy/request_test.go
+++ b/internal/system/proxy/request_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("%v, error %v, want %d", resp, err, test.want)
 			}
 			if len(server.requests) > 0 {
-				t.Error("a server was asked")
+				t.Error("a server received the request")
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	if proxy.fake.lastLoad != "i-0 3,1,8" {
-		t.Errorf("load %q", proxy.fake.lastLoad)
+		t.Errorf("server load reported to the picker: %q", proxy.fake.lastLoad)
 	}
 	if n := proxy.Counters().Dials.Load(); n != 1 {
 		t.Errorf("%d connections", n)
@@ -189,10 +189,10 @@
 			_, _ = io.WriteString(c, text)
 			got, err := io.ReadAll(c)
 			if strings.Contains(string(got), " 200 ") {
-				t.Errorf("served: %q, error %v", got, err)
+				t.Errorf("request was served: %q, error %v", got, err)
 			}
 			for len(server.requests) > 0 {
-				t.Errorf("forwarded %q", (<-server.requests).Header.Get(headerAttemptID))
+				t.Errorf("request %q was forwarded", (<-server.requests).Header.Get(headerAttemptID))
 			}
 		})
 	}
--- a/internal/system/proxy/requestbody.go
+++ b/internal/system/proxy/requestbody.go
@@ -9,9 +9,9 @@
 
 // Reasons why a request's body could not be read. In each case nothing of the request has been sent to a server.
 var (
-	errBodyTooLong = errors.New("the request body is longer than the configured limit: send a shorter one")
+	errBodyTooLong = errors.New("the request body exceeds the configured limit; send a shorter one")
 	errBodyTimeout = errors.New("the request body did not arrive before the deadline")
-	errNoMemory    = errors.New("the memory for bodies is in use: send the request again later")
+	errNoMemory    = errors.New("the memory for buffering bodies is exhausted; send the request again later")
 )
 
 // rejectBody answers a request whose body could not be read.
--- a/internal/system/proxy/response_test.go
+++ b/internal/system/proxy/response_test.go
@@ -97,7 +97,7 @@
 		t.Errorf("attempts ended as %v, want %v", outcomes, want.outcomes)
 	}
 	if len(first.requests) != 1 || len(second.requests) != len(want.outcomes)-1 {
-		t.Errorf("the servers were asked %d and %d times", len(first.requests), len(second.requests))
+		t.Errorf("the servers received %d and %d requests", len(first.requests), len(second.requests))
 	}
 }
 
--- a/internal/system/proxy/reverify_test.go
+++ b/internal/system/proxy/reverify_test.go
@@ -27,7 +27,7 @@
 		}
 		proxy.roundTrip(t.Context(), headerCredential, "key-a")
 		if len(second) > 0 {
-			t.Errorf("the request, counted for acme, ran for %v", second)
+			t.Errorf("the request was counted for acme but ran for tenant %v", second)
 		}
 	})
 }
@@ -69,7 +69,7 @@
 		}
 		response, _ := proxy.roundTrip(t.Context(), headerCredential, "key-a")
 		if response.Code == http.StatusUnauthorized {
-			t.Error("401 though the newest configuration has no tenants")
+			t.Error("status 401 although the newest configuration has no tenants")
 		}
 	})
 }
--- a/internal/system/proxy/scriptedservers_test.go
+++ b/internal/system/proxy/scriptedservers_test.go
@@ -408,7 +408,7 @@
 		var id, again int
 		var of string
 		if _, err := fmt.Sscanf(event, "id: %d\ndata: %d of run %s\n\n", &id, &again, &of); err != nil || id != again {
-			return fmt.Errorf("an event %q", event)
+			return fmt.Errorf("malformed event %q", event)
 		}
 		if id != last+1 || run != "" && of != run {
 			return fmt.Errorf("event %d of run %s follows event %d of run %s", id, of, last, run)
@@ -416,7 +416,7 @@
 		last, run = id, of
 	}
 	if whole && last != lastEvent {
-		return errors.New("a stream looks complete without its last event")
+		return errors.New("the stream looks complete without its last event")
 	}
 	return nil
 }
--- a/internal/system/proxy/serve.go
+++ b/internal/system/proxy/serve.go
@@ -22,14 +22,14 @@
 )
 
 // ErrListener marks the errors of a listener that cannot be served.
-var ErrListener = errors.New("give a TCP listener that is open")
+var ErrListener = errors.New("the listener cannot be served; an open TCP listener is required")
 
 // Serve accepts clients' connections from a TCP listener until Drain has ended or ctx is done, then closes the listener, and returns
 // when everything that it started has ended. It may be called only once. Its errors match ErrListener by errors.Is.
 func (p *Proxy) Serve(ctx context.Context, listener net.Listener) error {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
-		return errors.Mark(errors.Newf("a listener of type %T: give a TCP listener", listener), ErrListener)
+		return errors.Mark(errors.Newf("cannot serve a listener of type %T; a TCP listener is required", listener), ErrListener)
 	}
 	defer close(p.clients.serveDone)
 	defer p.clients.shutdown()
@@ -69,7 +69,7 @@
 		case errors.Is(err, net.ErrClosed) && ctx.Err() != nil:
 			a.done = true
 		case errors.Is(err, net.ErrClosed):
-			return errors.Mark(errors.Wrap(err, "the listener was closed by others"), ErrListener)
+			return errors.Mark(errors.Wrap(err, "the listener was closed unexpectedly while serving"), ErrListener)
 		default: // file descriptors have run out, or the client has disconnected
 			a.failing = true
 			if !wasFailing {
--- a/internal/system/proxy/servertimeout_test.go
+++ b/internal/system/proxy/servertimeout_test.go
@@ -84,7 +84,7 @@
 		<-done
 		piped.pools.close()
 		if w.Body.String() != "x" || took != 5*time.Second {
-			t.Errorf("%q after %v", w.Body.String(), took)
+			t.Errorf("body %q after %v", w.Body.String(), took)
 		}
 	})
 }
@@ -133,7 +133,7 @@
 				defer cancel()
 				_, took := piped.roundTrip(ctx)
 				if took != time.Second || !slices.Equal(piped.fake.outcomes, []pick.AttemptOutcome{pick.Canceled}) || piped.Counters().ClientGone.Load() != 1 {
-					t.Errorf("after %v, attempts ended as %v", took, piped.fake.outcomes)
+					t.Errorf("request ended after %v, attempts ended as %v", took, piped.fake.outcomes)
 				}
 			})
 		})
--- a/internal/system/proxy/shutdown_test.go
+++ b/internal/system/proxy/shutdown_test.go
@@ -70,7 +70,7 @@
 	began := time.Now()
 	proxy.Drain(context.Background())
 	if took := time.Since(began); took < 300*time.Millisecond || took > 5*time.Second {
-		t.Errorf("after %v", took)
+		t.Errorf("Drain returned after %v", took)
 	}
 	if text, err := io.ReadAll(c.reader); len(text) > 0 {
 		t.Errorf("%q, error %v", text, err)
--- a/internal/system/proxy/stall_test.go
+++ b/internal/system/proxy/stall_test.go
@@ -53,12 +53,12 @@
 	locked, r, w := stalledPicker()
 	locked.UpdateClusterState(time.Now(), w)
 	if got := chooseMany(locked, r, 10); got["s0"]+got["s1"] != 10 {
-		t.Fatalf("before the pause %v of 10", got)
+		t.Fatalf("before the stall %v of 10 requests were sent", got)
 	}
 	stall(locked)
 	for id, n := range chooseMany(locked, r, 100) {
 		if n > 4 {
-			t.Errorf("%s got %d requests at once, without an update that says whether it is warming up", id, n)
+			t.Errorf("server %s got %d simultaneous requests without an update that says whether it is warming up", id, n)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 			for id, n := range chooseMany(locked, r, 100) {
 				got += n
 				if n < 40 {
-					t.Errorf("%s got %d of 100 after the update", id, n)
+					t.Errorf("server %s got %d of 100 requests after the update", id, n)
 				}
 			}
 		})
@@ -90,14 +90,14 @@
 		locked.UpdateClusterState(time.Now(), w)
 		synctest.Wait()
 		if got != 0 {
-			t.Errorf("%d requests went out after an update from before", got)
+			t.Errorf("%d requests were sent after an update from before the stall", got)
 		}
 		time.Sleep(20 * time.Millisecond)
 		w.ContactAge = 10 * time.Millisecond
 		locked.UpdateClusterState(time.Now(), w)
 		waiting.Wait()
 		if took := time.Since(woke); took != 40*time.Millisecond || got != 100 || asked != 1 {
-			t.Errorf("%d requests after %v; the control plane was asked %d times", got, took, asked)
+			t.Errorf("%d requests were sent after %v; OnStall was called %d times", got, took, asked)
 		}
 	})
 }
@@ -114,15 +114,15 @@
 		defer cancel()
 		locked.awaitContact(ctx)
 		if took := time.Since(woke); took != 100*time.Millisecond {
-			t.Errorf("a client that is gone waited for %v", took)
+			t.Errorf("the request of a disconnected client waited for %v", took)
 		}
 		locked.awaitContact(t.Context())
 		if took := time.Since(woke); took != stallContactTimeout {
-			t.Errorf("waited until %v after the stall", took)
+			t.Errorf("the request waited until %v after the stall", took)
 		}
 		locked.awaitContact(t.Context())
 		if took := time.Since(woke); took != stallContactTimeout {
-			t.Errorf("a later request waited, until %v after the stall", took)
+			t.Errorf("a later request waited until %v after the stall", took)
 		}
 	})
 }
@@ -138,7 +138,7 @@
 		locked.UpdateClusterState(time.Now(), w)
 		time.Sleep(time.Minute)
 		if got := chooseMany(locked, r, 100); got["s0"]+got["s1"] != 100 {
-			t.Errorf("after a quiet minute %v of 100", got)
+			t.Errorf("after a minute without calls %v of 100 requests were sent", got)
 		}
 		cancel()
 		watch.Wait()
@@ -155,10 +155,10 @@
 	w.ContactAge = 0
 	locked.UpdateClusterState(before.Add(-stallTime), w) // made before the stall, used after it
 	if locked.stalls.contact == nil {
-		t.Error("a state from before the stall ends the wait")
+		t.Error("a state from before the stall ended the wait")
 	}
 	locked.UpdateClusterState(time.Now(), w)
 	if locked.stalls.contact != nil {
-		t.Error("a state from after the stall does not")
+		t.Error("a state from after the stall did not end the wait")
 	}
 }
--- a/internal/system/proxy/testing_knobs_test.go
+++ b/internal/system/proxy/testing_knobs_test.go
@@ -33,29 +33,29 @@
 		breaks   string
 	}{
 		{"the echoed id", TestingKnobs{SkipAttemptIDCheck: true}, config.NonIdempotent,
-			with(func(b *behaviour) { b.Echo = otherID }), "bears another id"},
+			with(func(b *behaviour) { b.Echo = otherID }), "has a different id"},
 		{"the seal of a success", TestingKnobs{SkipServerSealCheck: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Unsealed = true }), "no server sent this response"},
 		{"interim answers", TestingKnobs{PassInterimResponses: true}, config.NonIdempotent,
-			with(func(b *behaviour) { b.Interims = 1 }), "bears another id"},
+			with(func(b *behaviour) { b.Interims = 1 }), "has a different id"},
 		{"at most one run", TestingKnobs{RetryNonIdempotent: true}, config.NonIdempotent,
-			with(func(b *behaviour) { b.PermilleSent, b.After = 0, resetAfter }), "sent again though it may have run"},
+			with(func(b *behaviour) { b.PermilleSent, b.After = 0, resetAfter }), "sent again although it may have run"},
 		{"not-executed statuses", TestingKnobs{PassUnfoundedNotExecuted: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "its client got a not-executed status"},
 		{"the end of a response", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "none", 950, halfCloseAfter }), "looks complete"},
-		{"streams that may not be resumed", TestingKnobs{ResumeAnyStream: true}, config.Streaming, cutStream, "sent again though it may have run"},
+		{"streams that may not be resumed", TestingKnobs{ResumeAnyStream: true}, config.Streaming, cutStream, "sent again although it may have run"},
 		{"a truncated response ends its connection", TestingKnobs{KeepTruncatedConns: true}, config.Streaming, cutStream, "looks complete"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := testScenario{Category: test.category, MaxTries: 2, Servers: [][]behaviour{test.first, nil},
 				Steps: []clientStep{{Manner: "plain", Method: http.MethodPost}}}
 			if err := playScenario(s, TestingKnobs{}); err != nil {
-				t.Errorf("with it: %v", err)
+				t.Errorf("with the protection: %v", err)
 			}
 			without := func() {
 				if err := playScenario(s, test.without); err == nil || !strings.Contains(err.Error(), test.breaks) {
-					t.Errorf("without it: %v, want %q", err, test.breaks)
+					t.Errorf("without the protection: %v, want %q", err, test.breaks)
 				}
 			}
 			if test.without.RetryNonIdempotent || test.without.ResumeAnyStream {
@@ -106,7 +106,7 @@
 			err = raw.Control(func(fd uintptr) {
 				wait := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 				if n, err := unix.Poll(wait, int(testTimeout.Milliseconds())); n != 1 {
-					t.Errorf("no end of the idle connection: %v", err)
+					t.Errorf("the idle connection did not end: %v", err)
 				}
 			})
 			if err != nil {
--- a/internal/system/proxy/testproxy_test.go
+++ b/internal/system/proxy/testproxy_test.go
@@ -83,7 +83,7 @@
 		_ = receive(t, proxy.serveErr, "end of Serve")
 		proxy.serveErr <- nil
 		if reserved := proxy.memory.reserved.Load(); reserved != 0 {
-			t.Errorf("%d bytes are still reserved", reserved)
+			t.Errorf("%d bytes of body memory are still reserved", reserved)
 		}
 	})
 	return proxy
@@ -160,7 +160,7 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
