--- a/internal/system/proxy/admission.go
+++ b/internal/system/proxy/admission.go
@@ -15,9 +15,9 @@
 	Admit(ctx context.Context, tenant *config.Tenant) quota.Admission
 }
 
-// isAdmitted reports whether the request is within its tenant's limit; if it is not, isAdmitted also answers the request. It may be
-// called only once per request, because each call counts against the limit.
-func (c *clientRequest) isAdmitted(ctx context.Context) bool {
+// admitOrReject reports whether the request is within its tenant's limit, and answers the request if it is not. It may be called only
+// once per request, because each call counts against the limit.
+func (c *clientRequest) admitOrReject(ctx context.Context) bool {
 	admitter, tenant := c.proxy.options.Quota, c.identity.tenant
 	if admitter == nil || tenant == nil || tenant.RatePerSecond <= 0 {
 		return true
--- a/internal/system/proxy/admission_test.go
+++ b/internal/system/proxy/admission_test.go
@@ -14,7 +14,7 @@
 // fakeAdmitter returns the same admission for every request, and records the tenant of each request.
 type fakeAdmitter struct {
 	admission quota.Admission
-	waits     time.Duration
+	delay     time.Duration
 	asked     []string
 	onAsk     func()
 }
@@ -26,7 +26,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(a.waits):
+	case <-time.After(a.delay):
 	}
 	return a.admission
 }
@@ -82,7 +82,7 @@
 // TestAdmissionEndsWithDeadline checks that a request is answered by its deadline if its admission takes longer than the client waits.
 func TestAdmissionEndsWithDeadline(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
-		admitter := &fakeAdmitter{admission: quota.Admission{Verdict: quota.Unavailable}, waits: time.Minute}
+		admitter := &fakeAdmitter{admission: quota.Admission{Verdict: quota.Unavailable}, delay: time.Minute}
 		proxy := newPipedProxy([]configure{withTenants(t, limitedTenants), func(o *Options, _ *config.Config) { o.Quota = admitter }})
 		w, took := proxy.roundTrip(t.Context(), headerCredential, "key-a", headerTimeLeft, "300")
 		if w.Code != 503 || took > 300*time.Millisecond {
--- a/internal/system/proxy/bench_test.go
+++ b/internal/system/proxy/bench_test.go
@@ -39,9 +39,9 @@
 }
 
 // benchmark lets one client send requests one after another on one connection.
-func benchmark(b *testing.B, answer, end, body string, how configure) {
+func benchmark(b *testing.B, answer, end, body string, change configure) {
 	const ok = "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: seal\r\nX-Server-Load: 1,2,3\r\nKeep-Alive: timeout=10\r\n"
-	proxy := startProxy(b, []*fakeServer{benchServer(b, ok+answer)}, how)
+	proxy := startProxy(b, []*fakeServer{benchServer(b, ok+answer)}, change)
 	conn, err := new(net.Dialer).DialContext(b.Context(), "tcp4", proxy.address)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/system/proxy/dial.go
+++ b/internal/system/proxy/dial.go
@@ -38,7 +38,7 @@
 type idleCondition int
 
 const (
-	idleSound   idleCondition = iota // open, without unread bytes
+	idleUsable  idleCondition = iota // open, without unread bytes
 	idleSurplus                      // has received bytes that no request asked for
 	idleClosed                       // closed by the server, or broken
 )
@@ -46,7 +46,7 @@
 // inspectIdle checks, without blocking, whether an idle connection has ended or has received bytes.
 func inspectIdle(conn *net.TCPConn) idleCondition {
 	if conn == nil {
-		return idleSound
+		return idleUsable
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -60,7 +60,7 @@
 		case count > 0:
 			condition = idleSurplus
 		case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
-			condition = idleSound
+			condition = idleUsable
 		}
 		return true
 	})
--- a/internal/system/proxy/doc.go
+++ b/internal/system/proxy/doc.go
@@ -41,7 +41,7 @@
 //   - Where tenants are configured, only requests with a known key are accepted, and the key is verified again before each attempt. A
 //     request that a newer configuration may allow is refused with 503, not 401: clientRequest.verifyKey.
 //   - A request of a tenant with a limit is counted once, after its body has been read and before the first choice of a server:
-//     clientRequest.isAdmitted.
+//     clientRequest.admitOrReject.
 //   - Memory and connections are bounded: memoryBudget, clientListener.maxConns and upstreamPools.maxIdleConns.
 //
 // # Sources
--- a/internal/system/proxy/exactlyonce_test.go
+++ b/internal/system/proxy/exactlyonce_test.go
@@ -58,7 +58,7 @@
 
 // behaviourGenerator draws what a server does with one request.
 var behaviourGenerator = rapid.Custom(func(t *rapid.T) behaviour {
-	b := soundBehaviour
+	b := validBehaviour
 	b.Framing = rapid.SampledFrom([]string{"length", "chunked"}).Draw(t, "framing")
 	rare := func(label string) bool { return rapid.IntRange(0, 5).Draw(t, label) == 5 }
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
@@ -157,7 +157,7 @@
 		if err != nil {
 			return state, err
 		}
-		if slices.ContainsFunc(behaviours, behaviour.leavesWaiting) {
+		if slices.ContainsFunc(behaviours, behaviour.leavesClientWaiting) {
 			w.timeLeftMS = "90"
 		}
 		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: server.address()})
@@ -324,22 +324,22 @@
 
 // recordResponse reads and records one response, and reports whether the connection can be used for another one.
 func (w *scenarioRun) recordResponse(conn net.Conn, reader *bufio.Reader, id, method string, sends int) bool {
-	outcome, stays := readOutcome(reader, method)
+	outcome, reusable := readOutcome(reader, method)
 	outcome.id, outcome.method, outcome.sends = id, method, sends
 	w.mu.Lock()
 	w.outcomes = append(w.outcomes, outcome)
 	w.mu.Unlock()
-	if !stays {
+	if !reusable {
 		_ = conn.Close()
 		if conn == w.persistentConn {
 			w.persistentConn = nil
 		}
 	}
-	return stays
+	return reusable
 }
 
 // readOutcome reads the final response, and reports whether the connection can be used for another one.
-func readOutcome(reader *bufio.Reader, method string) (outcome clientOutcome, stays bool) {
+func readOutcome(reader *bufio.Reader, method string) (outcome clientOutcome, reusable bool) {
 	for {
 		resp, err := http.ReadResponse(reader, &http.Request{Method: method})
 		if err != nil {
--- a/internal/system/proxy/fakepicker_test.go
+++ b/internal/system/proxy/fakepicker_test.go
@@ -46,8 +46,8 @@
 func (t *fakePicker) AwaitsControlPlane() bool                        { return t.stalled }
 func (t *fakePicker) Stats() pick.Stats                               { return pick.Stats{} }
 func (t *fakePicker) Describe(pick.Time) string                       { return "fake" }
-func (t *fakePicker) ServerLoad(_ pick.Time, id string, run, wait, of int) {
-	t.lastLoad = fmt.Sprintf("%s %d,%d,%d", id, run, wait, of)
+func (t *fakePicker) ServerLoad(_ pick.Time, id string, running, waiting, slots int) {
+	t.lastLoad = fmt.Sprintf("%s %d,%d,%d", id, running, waiting, slots)
 }
 
 func (t *fakePicker) UpdateClusterState(_ pick.Time, w pick.ClusterState) {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (t *fakePicker) Pick(_ pick.Time, r *pick.Request, tried []string, offered bool) pick.Result {
+func (t *fakePicker) Pick(_ pick.Time, r *pick.Request, tried []string, mayHaveRun bool) pick.Result {
 	if r.Resumed {
 		t.resumedCount++
 	}
@@ -74,7 +74,7 @@
 			return pick.Result{Server: s, Ticket: t.lastTicket, Priority: r.Priority(), SendWithin: t.sendWithin}
 		}
 	}
-	if offered {
+	if mayHaveRun {
 		return pick.Result{Decision: pick.GiveUp}
 	}
 	return pick.Result{Decision: pick.Reject, RetryAfter: t.retryAfter}
--- a/internal/system/proxy/fakeserver_test.go
+++ b/internal/system/proxy/fakeserver_test.go
@@ -103,10 +103,10 @@
 }
 
 // respondRaw responds with a text in which ID stands for the request's id.
-func respondRaw(text string, stays bool) serverBehavior {
+func respondRaw(text string, keepOpen bool) serverBehavior {
 	return func(c net.Conn, r *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", r.Header.Get(headerAttemptID)))
-		return stays
+		return keepOpen
 	}
 }
 
@@ -159,10 +159,10 @@
 }
 
 // writeText sends a text.
-func writeText(text string, stays bool) serverBehavior {
+func writeText(text string, keepOpen bool) serverBehavior {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = io.WriteString(c, text)
-		return stays
+		return keepOpen
 	}
 }
 
--- a/internal/system/proxy/identity.go
+++ b/internal/system/proxy/identity.go
@@ -93,7 +93,7 @@
 	switch {
 	case !c.identity.needsKey || !c.identity.config.HasTenants:
 		return nil
-	case c.proxy.missesRevocations():
+	case c.proxy.mayMissRevocations():
 		return errKeysUnverified
 	case c.identity.tenant != nil:
 		return nil
--- a/internal/system/proxy/pipedproxy_test.go
+++ b/internal/system/proxy/pipedproxy_test.go
@@ -32,15 +32,15 @@
 	fake := newFakePicker(route)
 	piped := &pipedProxy{newProxy(options, fake), fake, map[string]serverBehavior{}, make(chan *receivedRequest, 100)}
 	state := pick.ClusterState{Config: config}
-	for i, do := range servers {
-		at := fmt.Sprint("at-", i)
-		piped.servers[at] = do
-		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: at})
+	for i, behavior := range servers {
+		address := fmt.Sprint("at-", i)
+		piped.servers[address] = behavior
+		state.Servers = append(state.Servers, pick.Server{ID: fmt.Sprint("i-", i), Service: "s", Address: address})
 	}
 	piped.UpdateClusterState(time.Now(), state)
 	piped.pools.connect = func(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
-		do := piped.servers[address]
-		if do == nil { // nothing listens at this address
+		behavior := piped.servers[address]
+		if behavior == nil { // nothing listens at this address
 			ctx, cancel := context.WithTimeout(ctx, within)
 			defer cancel()
 			<-ctx.Done()
@@ -48,7 +48,7 @@
 		}
 		near, far := net.Pipe()
 		s := &fakeServer{requests: piped.requests}
-		go s.serve(far, do)
+		go s.serve(far, behavior)
 		return near, nil
 	}
 	return piped
--- a/internal/system/proxy/pools.go
+++ b/internal/system/proxy/pools.go
@@ -192,7 +192,7 @@
 			continue
 		}
 		condition := u.inspect(conn)
-		if condition == idleSound {
+		if condition == idleUsable {
 			return conn, staleAge
 		}
 		if condition == idleClosed {
@@ -214,7 +214,7 @@
 // inspect checks whether an idle connection may be used, and counts those that may not.
 func (u *upstreamPools) inspect(conn *serverConn) idleCondition {
 	if u.knobs.SkipIdleInspection {
-		return idleSound
+		return idleUsable
 	}
 	condition := inspectIdle(conn.tcp)
 	switch condition {
--- a/internal/system/proxy/pools_test.go
+++ b/internal/system/proxy/pools_test.go
@@ -164,7 +164,7 @@
 	server := startServer(t, respondWhenReleased(release))
 	proxy := startProxy(t, []*fakeServer{server})
 	client := proxy.dial(t).sendRequest("id-1", "", "X-Wait: 1")
-	was := receive(t, server.requests, "request").conn
+	previousConn := receive(t, server.requests, "request").conn
 	w := *proxy.clusterState.Load()
 	w.Servers = []pick.Server{{ID: "i-new", Service: "s", Address: server.address()}}
 	proxy.UpdateClusterState(time.Now(), w)
@@ -173,8 +173,8 @@
 		t.Errorf("status %d", got.StatusCode)
 	}
 	client.sendRequest("id-2", "", "X-Wait: 1")
-	if r := receive(t, server.requests, "request"); r.conn == was || r.Header.Get(headerTargetInstance) != "i-new" {
-		t.Errorf("sent to %q on the former connection: %v", r.Header.Get(headerTargetInstance), r.conn == was)
+	if r := receive(t, server.requests, "request"); r.conn == previousConn || r.Header.Get(headerTargetInstance) != "i-new" {
+		t.Errorf("sent to %q on the former connection: %v", r.Header.Get(headerTargetInstance), r.conn == previousConn)
 	}
 	release <- true
 	client.readResponse()
--- a/internal/system/proxy/requesthead.go
+++ b/internal/system/proxy/requesthead.go
@@ -60,7 +60,7 @@
 	_ = proxied.controller.SetReadDeadline(time.Time{}) // from now on, a failed read means that the client has disconnected
 	proxied.body = body.bytes
 	proxied.describeToPicker()
-	if proxied.isAdmitted(r.Context()) {
+	if proxied.admitOrReject(r.Context()) {
 		proxied.run(r.Context())
 	}
 }
--- a/internal/system/proxy/response.go
+++ b/internal/system/proxy/response.go
@@ -29,7 +29,7 @@
 func (c *clientRequest) handleResponse(attempt *upstreamAttempt) attemptResult {
 	resp := attempt.response
 	switch {
-	case saysNotExecuted(resp) || resp.StatusCode == http.StatusMisdirectedRequest:
+	case hasNotExecutedHeader(resp) || resp.StatusCode == http.StatusMisdirectedRequest:
 		c.handleRefusal(attempt)
 		return tryNextServer
 	case isSuccess(resp.StatusCode) && isEventStream(resp):
@@ -47,8 +47,8 @@
 	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
 	// Danger: a not-executed status that the server has not confirmed by X-Not-Executed is not forwarded, even if the response is too
 	// long to be buffered.
-	unfounded := impliesNotExecuted(resp.StatusCode) && !c.proxy.options.knobs.PassUnfoundedNotExecuted
-	if !complete && !unfounded {
+	unconfirmed := impliesNotExecuted(resp.StatusCode) && !c.proxy.options.knobs.PassUnconfirmedNotExecuted
+	if !complete && !unconfirmed {
 		return c.relayUnbuffered(attempt, buffered)
 	}
 	if complete {
@@ -57,7 +57,7 @@
 		attempt.discard()
 	}
 	switch {
-	case unfounded:
+	case unconfirmed:
 		c.handleServerError(attempt, nil)
 		return tryNextServer
 	case resp.StatusCode >= http.StatusInternalServerError:
--- a/internal/system/proxy/revocation.go
+++ b/internal/system/proxy/revocation.go
@@ -9,9 +9,9 @@
 	minRevocationShare  = 0.5
 )
 
-// missesRevocations reports whether a revocation that this proxy has not received may be in force by now. Without a bound on
+// mayMissRevocations reports whether a revocation that this proxy has not received may be in force by now. Without a bound on
 // revocations (Options.RevokeWithin), the proxy continues to use the keys that it has.
-func (p *Proxy) missesRevocations() bool {
+func (p *Proxy) mayMissRevocations() bool {
 	bound := p.options.RevokeWithin
 	if bound <= 0 || p.options.knobs.TrustOldKeys {
 		return false
--- a/internal/system/proxy/scriptedservers_test.go
+++ b/internal/system/proxy/scriptedservers_test.go
@@ -72,10 +72,10 @@
 	CloseRace     bool // closes it while the next request is sent
 }
 
-var soundBehaviour = behaviour{Status: 200, Framing: "length", PermilleSent: 1000}
+var validBehaviour = behaviour{Status: 200, Framing: "length", PermilleSent: 1000}
 
-// leavesWaiting reports whether a client would wait for the rest of the response in vain.
-func (b behaviour) leavesWaiting() bool { return b.PermilleSent < 1000 && b.After == stayOpen }
+// leavesClientWaiting reports whether a client would wait for the rest of the response in vain.
+func (b behaviour) leavesClientWaiting() bool { return b.PermilleSent < 1000 && b.After == stayOpen }
 
 func (b behaviour) isRefusal() bool {
 	return b.Status >= 300 && (b.NotExecuted || b.Status == http.StatusMisdirectedRequest)
@@ -111,7 +111,7 @@
 // scriptedServer is one server of a scenario.
 type scriptedServer struct {
 	connServer
-	all          *scriptedServers
+	scenario     *scriptedServers
 	behaviours   []behaviour // one per request; further requests are handled normally
 	requestCount int
 	previousID   string
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := &scriptedServer{connServer: connServer{listener: listener}, all: s, behaviours: behaviours}
+	server := &scriptedServer{connServer: connServer{listener: listener}, scenario: s, behaviours: behaviours}
 	server.start(server.serve)
 	s.servers = append(s.servers, server)
 	return server, nil
@@ -215,25 +215,25 @@
 
 // sendLater schedules bytes to be sent between this request and the next.
 func (v *scriptedServer) sendLater(c net.Conn, text string) {
-	v.all.mu.Lock()
-	defer v.all.mu.Unlock()
-	v.all.whileIdle = append(v.all.whileIdle, func() { _, _ = io.WriteString(c, text) })
+	v.scenario.mu.Lock()
+	defer v.scenario.mu.Unlock()
+	v.scenario.whileIdle = append(v.scenario.whileIdle, func() { _, _ = io.WriteString(c, text) })
 }
 
 // arrangeAfter schedules what happens on a connection after a response, and returns the bytes to send before the next response.
 func (v *scriptedServer) arrangeAfter(c net.Conn, b behaviour, id string) string {
 	extra := surplusResponse(id)
-	v.all.mu.Lock()
-	defer v.all.mu.Unlock()
+	v.scenario.mu.Lock()
+	defer v.scenario.mu.Unlock()
 	switch {
 	case b.Surplus == whileIdle:
-		v.all.whileIdle = append(v.all.whileIdle, func() { _, _ = io.WriteString(c, extra) })
+		v.scenario.whileIdle = append(v.scenario.whileIdle, func() { _, _ = io.WriteString(c, extra) })
 	case b.Surplus == withNext:
 		return extra
 	case b.CloseIdle:
-		v.all.whileIdle = append(v.all.whileIdle, func() { _ = c.Close() })
+		v.scenario.whileIdle = append(v.scenario.whileIdle, func() { _ = c.Close() })
 	case b.CloseRace:
-		v.all.whileSending = append(v.all.whileSending, func() { _ = c.Close() })
+		v.scenario.whileSending = append(v.scenario.whileSending, func() { _ = c.Close() })
 	}
 	return ""
 }
@@ -246,9 +246,9 @@
 		body += want
 	}
 	if r.RequestURI != "/a/"+id || !strings.HasPrefix(body, want) || strings.Trim(body[len(want):], ".") != "" {
-		v.all.mu.Lock()
-		v.all.alterations = append(v.all.alterations, fmt.Sprintf("%s %s with %.40q", r.Method, r.RequestURI, body))
-		v.all.mu.Unlock()
+		v.scenario.mu.Lock()
+		v.scenario.alterations = append(v.scenario.alterations, fmt.Sprintf("%s %s with %.40q", r.Method, r.RequestURI, body))
+		v.scenario.mu.Unlock()
 	}
 }
 
@@ -266,10 +266,10 @@
 
 // planResponse records a request and plans the response to it.
 func (v *scriptedServer) planResponse(r *http.Request, first bool) responsePlan {
-	all := v.all
+	all := v.scenario
 	all.mu.Lock()
 	defer all.mu.Unlock()
-	plan := responsePlan{behaviour: soundBehaviour}
+	plan := responsePlan{behaviour: validBehaviour}
 	if v.requestCount < len(v.behaviours) {
 		plan.behaviour = v.behaviours[v.requestCount]
 	}
@@ -285,7 +285,7 @@
 	cut := len(text) * plan.PermilleSent / 1000
 	headSent := cut >= len(head)
 	sent.valid = sent.valid && (cut == len(text) || r.Method == http.MethodHead && headSent)
-	all.arrivals = append(all.arrivals, arrival{id: id, refused: headSent && plan.isBelievedRefusal(first), sent: sent})
+	all.arrivals = append(all.arrivals, arrival{id: id, refused: headSent && plan.isCredibleRefusal(first), sent: sent})
 	plan.text, plan.rest = text[:cut], text[cut:]
 	if plan.Surplus == samePacket && plan.rest == "" {
 		plan.text += surplusResponse(id)
@@ -293,9 +293,9 @@
 	return plan
 }
 
-// isBelievedRefusal reports whether a proxy accepts the statement that the request was not executed; first is true for the first
+// isCredibleRefusal reports whether a proxy accepts the statement that the request was not executed; first is true for the first
 // request on a connection.
-func (b behaviour) isBelievedRefusal(first bool) bool {
+func (b behaviour) isCredibleRefusal(first bool) bool {
 	echoed := b.Echo == ownID || b.Echo == noID && first
 	framed := b.Framing != "both" && b.Framing != "twice"
 	return b.isRefusal() && b.hasHead() && echoed && framed
@@ -399,15 +399,15 @@
 
 // checkEventStream checks the events that a client received: each one once, in order, all from one run, and every event if the stream
 // looks complete.
-func checkEventStream(body string, whole bool) error {
+func checkEventStream(body string, looksComplete bool) error {
 	run, last := "", 0
 	for event := range strings.SplitAfterSeq(body, "\n\n") {
-		if event == "" || !strings.HasSuffix(event, "\n\n") && !whole {
+		if event == "" || !strings.HasSuffix(event, "\n\n") && !looksComplete {
 			continue
 		}
-		var id, again int
+		var id, dataID int
 		var of string
-		if _, err := fmt.Sscanf(event, "id: %d\ndata: %d of run %s\n\n", &id, &again, &of); err != nil || id != again {
+		if _, err := fmt.Sscanf(event, "id: %d\ndata: %d of run %s\n\n", &id, &dataID, &of); err != nil || id != dataID {
 			return fmt.Errorf("malformed event %q", event)
 		}
 		if id != last+1 || run != "" && of != run {
@@ -415,7 +415,7 @@
 		}
 		last, run = id, of
 	}
-	if whole && last != lastEvent {
+	if looksComplete && last != lastEvent {
 		return errors.New("the stream looks complete without its last event")
 	}
 	return nil
--- a/internal/system/proxy/testing_knobs.go
+++ b/internal/system/proxy/testing_knobs.go
@@ -15,8 +15,8 @@
 	PassInterimResponses bool
 	// RetryNonIdempotent sends a non-idempotent request again although it may have run.
 	RetryNonIdempotent bool
-	// PassUnfoundedNotExecuted forwards not-executed statuses although the server did not confirm them by X-Not-Executed.
-	PassUnfoundedNotExecuted bool
+	// PassUnconfirmedNotExecuted forwards not-executed statuses although the server did not confirm them by X-Not-Executed.
+	PassUnconfirmedNotExecuted bool
 	// AcceptUnframed treats a response that ends with its connection as complete.
 	AcceptUnframed bool
 	// ResumeAnyStream resumes event streams of routes that are not resumable.
--- a/internal/system/proxy/testing_knobs_test.go
+++ b/internal/system/proxy/testing_knobs_test.go
@@ -20,7 +20,7 @@
 // violate it with the protection in place.
 func TestExactlyOnceControls(t *testing.T) {
 	with := func(change func(*behaviour)) []behaviour {
-		b := soundBehaviour
+		b := validBehaviour
 		change(&b)
 		return []behaviour{b}
 	}
@@ -40,7 +40,7 @@
 			with(func(b *behaviour) { b.Interims = 1 }), "has a different id"},
 		{"at most one run", TestingKnobs{RetryNonIdempotent: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.PermilleSent, b.After = 0, resetAfter }), "sent again although it may have run"},
-		{"not-executed statuses", TestingKnobs{PassUnfoundedNotExecuted: true}, config.NonIdempotent,
+		{"not-executed statuses", TestingKnobs{PassUnconfirmedNotExecuted: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Status = http.StatusTooManyRequests }), "its client got a not-executed status"},
 		{"the end of a response", TestingKnobs{AcceptUnframed: true}, config.NonIdempotent,
 			with(func(b *behaviour) { b.Framing, b.PermilleSent, b.After = "none", 950, halfCloseAfter }), "looks complete"},
--- a/internal/system/proxy/validate.go
+++ b/internal/system/proxy/validate.go
@@ -13,7 +13,7 @@
 		c.proxy.counters.Mismatch.Add(1)
 		return errInvalidResponse
 	}
-	if endsWithConn(resp, attempt.headRequest) && !c.proxy.options.knobs.AcceptUnframed {
+	if isCloseDelimited(resp, attempt.headRequest) && !c.proxy.options.knobs.AcceptUnframed {
 		c.proxy.counters.Unframed.Add(1) // a truncated response would be indistinguishable from a complete one
 		return errInvalidResponse
 	}
@@ -39,15 +39,15 @@
 func (c *clientRequest) isCredibleSuccess(resp *http.Response) bool {
 	isSealed := hasServerSeal(resp) || c.proxy.options.knobs.SkipServerSealCheck
 	isEncoded := resp.Header.Get("Content-Encoding") != ""
-	return isSealed && !isEncoded && !saysNotExecuted(resp)
+	return isSealed && !isEncoded && !hasNotExecutedHeader(resp)
 }
 
 // hasServerSeal reports whether a response has the header X-Server-Seal, with which a server vouches for a success. It is unrelated to
 // the sealed epochs of replication.
 func hasServerSeal(resp *http.Response) bool { return resp.Header.Get(headerServerSeal) != "" }
 
-// endsWithConn reports whether the end of a response's body is marked only by the end of its connection (RFC 9112, section 6.3).
-func endsWithConn(resp *http.Response, headRequest bool) bool {
+// isCloseDelimited reports whether the end of a response's body is marked only by the end of its connection (RFC 9112, section 6.3).
+func isCloseDelimited(resp *http.Response, headRequest bool) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !headRequest
 }
 
@@ -55,8 +55,8 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// saysNotExecuted reports whether a server states by X-Not-Executed that it did not execute the request.
-func saysNotExecuted(resp *http.Response) bool {
+// hasNotExecutedHeader reports whether a server states by X-Not-Executed that it did not execute the request.
+func hasNotExecutedHeader(resp *http.Response) bool {
 	_, ok := resp.Header[headerNotExecuted]
 	return ok
 }
