--- a/internal/system/proxy/metrics.go
+++ b/internal/system/proxy/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Counters count the events of a Proxy since it started. They never decrease, and are safe for concurrent use.
+// Counters count what a Proxy has done since it started. They never decrease, and are safe for concurrent use.
 type Counters struct {
 	Requests     atomic.Int64 // requests of clients whose head was read
 	Served       atomic.Int64 // requests for which a server's response was forwarded completely
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -19,7 +19,7 @@
 	defaultMemoryMB    = 256
 )
 
-// Options configures a Proxy. Numeric fields with a documented default use it unless they are positive.
+// Options configures a Proxy. Numeric fields that are not positive take their documented default, if they have one.
 type Options struct {
 	Settings pick.Settings
 	// GracePeriod is how long Drain may take: the time remaining until the platform kills the process. Default 8 s.
