--- a/internal/system/controlstate/codec.go
+++ b/internal/system/controlstate/codec.go
@@ -12,14 +12,14 @@
 	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// Formats of an encoding, which is its first byte.
+// Formats of an encoding. The first byte of an encoding is its format.
 const (
 	stateFormat       = 2
-	legacyStateFormat = 1 // 256 changes by digests of 64 bits; not when zones were changed
+	legacyStateFormat = 1 // at most 256 changes, by 64-bit digests; does not store when zones were changed
 )
 
-// Encode returns the state as bytes, the same for equal states: the format, the sequence number, zones, history, configuration and
-// a checksum of all these.
+// Encode returns the encoding of the state, which is the same for equal states: the format, the sequence number, zones, history,
+// configuration and a checksum of all these.
 func (s *State) Encode() []byte {
 	size := 64 + 20*len(s.history.changes)
 	if s.Config != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// encode appends the history to b. Revisions and sequence numbers rise, so their differences are encoded.
+// encode appends the history to b. Revisions and sequence numbers increase, so they are delta-encoded.
 func (h *changeHistory) encode(b []byte) []byte {
 	b = appendFlag(b, h.disabled)
 	b = binary.AppendVarint(b, h.baseRevision)
@@ -103,8 +103,8 @@
 	return decoded
 }
 
-// legacyBody decodes what format 1 has between the sequence number and the configuration. It does not say when zones were
-// changed: the state's own number is the latest that is possible.
+// legacyBody decodes the part of format 1 between the sequence number and the configuration. Format 1 does not store when zones
+// were changed, so the state's own sequence number is used: it is the latest possible.
 func (d *stateReader) legacyBody(state *State) {
 	state.zoneChanges = zoneChanges{floorSeq: state.Seq, lastChange: map[string]uint64{}}
 	for n := d.Uvarint(); n > 0 && !d.Failed(); n-- {
@@ -118,14 +118,14 @@
 	}
 	const maxLegacyChanges = 256
 	if len(state.history.changes) >= maxLegacyChanges {
-		// There may have been more, so the base of the oldest is not known.
+		// Older changes may have been dropped, so the base of the oldest remaining change is unknown.
 		state.history.baseRevision, state.history.changes = state.history.changes[0].Revision, state.history.changes[1:]
 	}
 	state.history.legacyCount = len(state.history.changes)
 }
 
-// Decode decodes what Encode of this or an earlier version of the software returned. Errors are ErrCorrupt. The state does not
-// share the memory of b.
+// Decode decodes an encoding that Encode of this or an earlier version of the software returned. Errors are marked ErrCorrupt. The
+// state does not share memory with b.
 func Decode(b []byte) (*State, error) {
 	if len(b) < 8 || xxhash.Sum64(b[:len(b)-8]) != binary.LittleEndian.Uint64(b[len(b)-8:]) {
 		return nil, corruptError()
--- a/internal/system/controlstate/digest.go
+++ b/internal/system/controlstate/digest.go
@@ -7,18 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digest identifies a change: the first 16 bytes of a SHA-256. It is compared with that of one change only, the one that was
+// digest identifies a change: the first 16 bytes of a SHA-256. It is compared only with the digest of the one change that was
 // applied on the same revision, so a collision needs a second change on the same base.
 type digest [16]byte
 
-// digestHeader encodes what the digests cover before the body.
+// digestHeader encodes the fields that the digests cover ahead of the body.
 func (c Change) digestHeader() []byte {
 	b := append(make([]byte, 0, 1+2*binary.MaxVarintLen64), byte(c.Op))
 	b = binary.AppendVarint(b, c.Base)
 	return binary.AppendUvarint(b, uint64(len(c.Body)))
 }
 
-// digest covers the operation, the base, the bytes of the body and the zone; it is the same on every machine.
+// digest returns the digest of the operation, the base, the length and bytes of the body, and the zone. It is the same on every
+// machine.
 func (c Change) digest() (out digest) {
 	d := sha256.New()
 	_, _ = d.Write(c.digestHeader())
@@ -28,7 +29,7 @@
 	return out
 }
 
-// legacyDigest is the digest of encoding 1, of 64 bits.
+// legacyDigest returns the 64-bit digest that encoding 1 uses.
 func (c Change) legacyDigest() (out digest) {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/system/controlstate/history.go
+++ b/internal/system/controlstate/history.go
@@ -5,27 +5,27 @@
 	"sort"
 )
 
-// MaxHistory is the number of applied changes of the configuration that a state remembers. Each takes 32 bytes of memory and at
-// most 34 bytes of an encoding (18 where revisions and sequence numbers rise in small steps).
+// MaxHistory is the number of applied configuration changes that a state remembers. Each takes 32 bytes of memory and at most 34
+// bytes of an encoding (18 if revisions and sequence numbers increase in small steps).
 const MaxHistory = 4096
 
-// appliedChange remembers a change of the configuration.
+// appliedChange is one applied configuration change in the history.
 type appliedChange struct {
-	Revision int64  // that it led to
-	Seq      uint64 // of its record
+	Revision int64  // revision that resulted from the change
+	Seq      uint64 // sequence number of its record
 	Digest   digest
 }
 
 // changeHistory remembers the newest applied changes, so that a retry is recognised. At most one change builds on a revision, so
-// the changes form a line: each builds on the revision of its predecessor.
+// the changes form a linear sequence: each builds on the revision of its predecessor.
 type changeHistory struct {
-	disabled     bool            // nothing is remembered: baseRevision is the current one
-	baseRevision int64           // that the oldest remembered change builds on
-	legacyCount  int             // number of the oldest changes whose digests are of encoding 1
+	disabled     bool            // no changes are remembered, and baseRevision is the current revision
+	baseRevision int64           // revision that the oldest remembered change builds on
+	legacyCount  int             // how many of the oldest changes have digests of encoding 1
 	changes      []appliedChange // oldest first
 }
 
-// builtOn returns the remembered change that was applied on the revision base; nil where there is none.
+// builtOn returns the remembered change that was applied on the revision base, or nil if there is none.
 func (h *changeHistory) builtOn(base int64) *appliedChange {
 	if len(h.changes) == 0 {
 		return nil
@@ -40,7 +40,7 @@
 	return &h.changes[i+1]
 }
 
-// matches reports whether change, whose digest is sum, is the one that a remembered entry stands for.
+// matches reports whether entry is the remembered change, given that change and its digest sum.
 func (h *changeHistory) matches(entry *appliedChange, change Change, sum digest) bool {
 	if entry.Seq <= h.lastLegacySeq() {
 		return entry.Digest == change.legacyDigest()
@@ -48,7 +48,7 @@
 	return entry.Digest == sum
 }
 
-// lastLegacySeq returns the number of the newest record with a digest of encoding 1; 0 where there is none.
+// lastLegacySeq returns the number of the newest record with a digest of encoding 1, or 0 if there is none.
 func (h *changeHistory) lastLegacySeq() uint64 {
 	if h.legacyCount == 0 {
 		return 0
@@ -56,7 +56,7 @@
 	return h.changes[h.legacyCount-1].Seq
 }
 
-// appended returns the history after one more change. The receiver is not changed.
+// appended returns a history with one more change. The receiver is not changed.
 func (h *changeHistory) appended(change appliedChange) changeHistory {
 	if h.disabled {
 		return changeHistory{disabled: true, baseRevision: change.Revision}
@@ -70,7 +70,7 @@
 	return next
 }
 
-// lastSeq returns the number of the newest remembered change; otherwise where there is none.
+// lastSeq returns the record number of the newest remembered change, or otherwise if there is none.
 func (h *changeHistory) lastSeq(otherwise uint64) uint64 {
 	if len(h.changes) == 0 {
 		return otherwise
--- a/internal/system/controlstate/state.go
+++ b/internal/system/controlstate/state.go
@@ -9,19 +9,19 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// State is the control state after the record numbered Seq. It is immutable: Apply returns a new one. It may be shared between
+// State is the control state after the record numbered Seq. It is immutable: Apply returns a new State. It may be shared between
 // goroutines.
 type State struct {
 	Seq       uint64
 	Config    *config.Config  // nil: no configuration has been applied yet
 	Evacuated map[string]bool // by zone
 
-	history     changeHistory // of changes of the configuration
+	history     changeHistory // applied configuration changes
 	zoneChanges zoneChanges   // when each zone was last changed
 	lastChecked atomic.Pointer[checkedChange]
 }
 
-// checkedChange is the configuration of the change that Check accepted last, so that Apply need not parse it again.
+// checkedChange caches the configuration of the change that Check accepted last, so that Apply need not parse it again.
 type checkedChange struct {
 	digest digest
 	config *config.Config
@@ -30,7 +30,7 @@
 // Empty returns the state before the first record.
 func Empty() *State { return &State{Evacuated: map[string]bool{}} }
 
-// Revision returns the current revision of the configuration, 0 where there is none.
+// Revision returns the current revision of the configuration, or 0 if there is no configuration.
 func (s *State) Revision() int64 {
 	if s.Config == nil {
 		return 0
@@ -38,7 +38,7 @@
 	return s.Config.Revision
 }
 
-// Check returns the verdict on a change on top of this state. It does not change the state.
+// Check returns the verdict on applying a change to this state. It does not change the state.
 func (s *State) Check(change Change) Verdict {
 	switch change.Op {
 	case OpReplace, OpAmend:
@@ -59,7 +59,7 @@
 	if change.Base != s.Revision() {
 		return s.checkOnOlderVersion(change, sum, restsOnSeq)
 	}
-	// Nothing has been applied on the current revision, so this change has not been either.
+	// No change has been applied on the current revision, so this change cannot have been applied before.
 	candidate, err := s.nextConfig(change, config.Parse, config.Amend)
 	if err != nil {
 		return Verdict{Kind: Invalid, Seq: restsOnSeq, Reason: err.Error()}
@@ -68,8 +68,9 @@
 	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
 }
 
-// nextConfig returns the configuration that change makes of the current one, by the functions of package config that fit: Parse and Amend for a
-// new change, ParseAccepted and AmendAccepted for a record. Errors are config.ErrInvalid.
+// nextConfig returns the configuration that results from applying change to the current one. The caller passes the functions of
+// package config to use: Parse and Amend for a new change, ParseAccepted and AmendAccepted for a record. Errors are
+// config.ErrInvalid.
 func (s *State) nextConfig(change Change, parse func([]byte) (*config.Config, error),
 	amend func(*config.Config, []byte) (*config.Config, error)) (*config.Config, error) {
 	if change.Op == OpAmend {
@@ -109,7 +110,7 @@
 	return next, nil
 }
 
-// applyConfig applies a record of the configuration to next, which shares the parts that stay with s.
+// applyConfig applies the record of a configuration change to next, which shares its unchanged parts with s.
 func (s *State) applyConfig(next *State, record Record) error {
 	change := record.change()
 	if change.Base != s.Revision() {
@@ -133,15 +134,16 @@
 	return nil
 }
 
-// WithoutHistory returns the state without its history, for subscribers that check no changes. It, and the states that Apply
-// derives from it, have the same configuration and zones in less memory; their verdict on an older base is Uncertain.
+// WithoutHistory returns the state without its history, for subscribers that check no changes. The returned state, and the states
+// that Apply derives from it, have the same configuration and zones but use less memory; their verdict on an older base is
+// Uncertain.
 func (s *State) WithoutHistory() *State {
 	return &State{Seq: s.Seq, Config: s.Config, Evacuated: s.Evacuated,
 		history: changeHistory{disabled: true, baseRevision: s.Revision()}, zoneChanges: s.zoneChanges}
 }
 
-// ZoneChangeSeq returns the number of the record that last evacuated or readmitted a zone, or a later one where that is not
-// remembered. 0: there was none.
+// ZoneChangeSeq returns the number of the record that last evacuated or readmitted a zone, or a later number if that record is not
+// remembered. It returns 0 if there was none.
 func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zoneChanges.lastChangeOf(zone) }
 
 // checkOnOlderVersion returns the verdict on a change that does not build on the current revision.
--- a/internal/system/controlstate/zones.go
+++ b/internal/system/controlstate/zones.go
@@ -4,11 +4,11 @@
 
 // Bounds of a state.
 const (
-	MaxZones    = 256 // evacuated at once
+	MaxZones    = 256 // zones evacuated at the same time
 	MaxZoneName = 255 // bytes
 )
 
-// maxRememberedZones bounds the zones whose last change is remembered by name: those evacuated, and as many others.
+// maxRememberedZones bounds the number of zones whose last change is remembered by name: the evacuated ones and as many others.
 const maxRememberedZones = 2 * MaxZones
 
 // zoneChanges remembers which record last changed each zone, so that a delayed evacuation does not undo a later change.
@@ -17,10 +17,10 @@
 	lastChange map[string]uint64 // by zone, the record that last changed it, above floorSeq
 }
 
-// lastChangeOf returns the number of the record that last changed a zone, or a later one where that is not remembered.
+// lastChangeOf returns the number of the record that last changed a zone, or a later number if that record is not remembered.
 func (z zoneChanges) lastChangeOf(zone string) uint64 { return max(z.floorSeq, z.lastChange[zone]) }
 
-// recorded returns the memory after one more change. Zones in keep, MaxZones at most, are not forgotten.
+// recorded returns a copy of z that includes one more change. The zones in keep, at most MaxZones, are not forgotten.
 func (z zoneChanges) recorded(zone string, seq uint64, keep map[string]bool) zoneChanges {
 	next := zoneChanges{floorSeq: z.floorSeq, lastChange: maps.Clone(z.lastChange)}
 	if next.lastChange == nil {
@@ -45,8 +45,8 @@
 }
 
 // checkZone returns the verdict on an evacuation or readmission. Base is the newest committed record that the receiving node knew
-// after the call had arrived. A zone that was changed after it is not changed back, because the call may have been under way since
-// before that. A change that is in force already is recorded all the same unless the zone was changed after Base, so that an
+// after the call had arrived. If the zone was changed after Base, the change is not accepted, because the call may have been sent
+// before that later change. A change that is already in force is still recorded unless the zone was changed after Base, so that an
 // acknowledgement fences off every earlier call.
 func (s *State) checkZone(change Change) Verdict {
 	inForce := s.Evacuated[change.Zone] == (change.Op == OpEvacuate)
@@ -71,7 +71,7 @@
 	return change.Op == OpEvacuate && !s.Evacuated[change.Zone] && len(s.Evacuated) >= MaxZones
 }
 
-// applyZone applies a record of a zone to next, which shares the parts that stay with s.
+// applyZone applies the record of a zone change to next, which shares its unchanged parts with s.
 func (s *State) applyZone(next *State, record Record) error {
 	change := record.change()
 	if v := s.checkZone(change); v.Kind == Invalid {
--- a/internal/system/fields/fields.go
+++ b/internal/system/fields/fields.go
@@ -1,9 +1,9 @@
 // Package fields encodes and decodes the fields of records and snapshots on disk, and of messages that are not Protocol Buffers.
 //
-// An encoding is a sequence of single bytes, integers of variable length as of encoding/binary (the base-128 varints of Protocol
-// Buffers) or of eight bytes, and byte strings behind their length. It has neither tags nor a checksum: the reader must know the order of
-// fields, and the layers above check integrity. Decoding never panics, wraps around or allocates by a length that it has read: a Reader returns
-// parts of its input.
+// An encoding is a sequence of single bytes, integers and length-prefixed byte strings. An integer has either a variable length, as
+// in encoding/binary (the base-128 varints of Protocol Buffers), or eight bytes. An encoding has neither tags nor a checksum: the
+// reader must know the order of fields, and the layers above check integrity. Decoding never panics, never wraps around and never
+// allocates memory based on a length that it has read: a Reader returns parts of its input.
 package fields
 
 import "encoding/binary"
@@ -20,19 +20,20 @@
 	failed bool
 }
 
-// NewReader returns a Reader of b, which must not be changed while byte strings that were read are in use: they share its memory.
+// NewReader returns a Reader of b. b must not be changed while byte strings that were read from it are in use: they share its
+// memory.
 func NewReader(b []byte) Reader { return Reader{rest: b} }
 
 // Fail marks the encoding as malformed, for checks that only the caller can make.
 func (r *Reader) Fail() { r.failed = true }
 
-// Failed tells whether a field was missing or malformed.
+// Failed reports whether a field was missing or malformed, or Fail was called.
 func (r *Reader) Failed() bool { return r.failed }
 
-// Complete tells whether all fields were present and nothing follows them.
+// Complete reports whether all fields were present and no input is left after them.
 func (r *Reader) Complete() bool { return !r.failed && len(r.rest) == 0 }
 
-// Next reads n bytes; it fails and returns nil where fewer are left.
+// Next reads n bytes. It fails and returns nil if fewer are left.
 func (r *Reader) Next(n int) []byte {
 	if r.failed || n < 0 || n > len(r.rest) {
 		r.failed = true
@@ -51,7 +52,7 @@
 	return 0
 }
 
-// Uint64 reads an unsigned integer of eight bytes, the most significant first.
+// Uint64 reads an unsigned integer of eight bytes, big endian.
 func (r *Reader) Uint64() uint64 {
 	if b := r.Next(8); b != nil {
 		return binary.BigEndian.Uint64(b)
@@ -77,7 +78,8 @@
 	return value
 }
 
-// skip drops the n bytes of an integer; false where n says that there is none, as binary.Uvarint does by 0 or less.
+// skip drops the n bytes of an integer. It fails and returns false if n is 0 or less, which binary.Uvarint and binary.Varint return
+// for a malformed integer.
 func (r *Reader) skip(n int) bool {
 	if r.failed || n <= 0 {
 		r.failed = true
@@ -87,10 +89,10 @@
 	return true
 }
 
-// Bytes reads a byte string as AppendBytes writes it.
+// Bytes reads a byte string that AppendBytes wrote.
 func (r *Reader) Bytes() []byte {
 	length := r.Uvarint()
-	if length > uint64(len(r.rest)) { // also where it does not fit an int
+	if length > uint64(len(r.rest)) { // this also covers a length that overflows int
 		r.failed = true
 		return nil
 	}
--- a/internal/system/invariant/invariant.go
+++ b/internal/system/invariant/invariant.go
@@ -1,8 +1,8 @@
-// Package invariant checks at run time that what must always hold does hold.
+// Package invariant checks the invariants of the system at run time.
 //
-// A proof or a test covers the cases that its author thought of. An Invariant is checked in production as well: a violation is
-// counted as a metric, listed in the status of the process and reported to the receiver that Notify has set; it stops nothing. A
-// check costs a branch while it holds. Tests fail on any violation: see package invarianttest.
+// A proof or a test covers only the cases that its author thought of. An Invariant is checked in production as well: a violation is
+// counted in a metric, listed in the status of the process and reported to the receiver that Notify has set; it does not stop the
+// process or the operation. A check that passes costs one branch. Tests fail on any violation: see package invarianttest.
 package invariant
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Invariant is a statement that must hold whenever it is checked. Make it once, by New, as a package variable.
+// Invariant is a condition that must be true whenever it is checked. Create it once with New, as a package variable.
 type Invariant struct {
 	name, statement string
 	violations      *metrics.Counter
@@ -33,7 +33,7 @@
 	receiver   atomic.Pointer[func(Violation)]
 )
 
-// New registers an invariant under a unique name of the form package_statement. The statement says what must hold, for the log.
+// New registers an invariant under a unique name of the form package_statement. The statement describes the condition, for the log.
 func New(name, statement string) *Invariant {
 	i := &Invariant{name: name, statement: statement,
 		violations: metrics.GetOrCreateCounter(fmt.Sprintf("gradeusher_invariant_violations_total{invariant=%q}", name))}
@@ -43,7 +43,7 @@
 	return i
 }
 
-// Check records a violation unless holds is true, and returns holds. It may be called from any goroutine.
+// Check records a violation unless holds is true, and returns holds. It is safe for concurrent use.
 func (i *Invariant) Check(holds bool) bool {
 	if !holds {
 		i.recordViolation()
@@ -51,7 +51,7 @@
 	return holds
 }
 
-// recordViolation counts a violation. It notifies at counts that are powers of two, so that a log stays short.
+// recordViolation counts a violation. It notifies the receiver only at counts that are powers of two, which keeps the log short.
 func (i *Invariant) recordViolation() {
 	i.violations.Inc()
 	count := i.violations.Get()
@@ -66,7 +66,7 @@
 // Violations returns the number of violations since the start of the process.
 func (i *Invariant) Violations() uint64 { return i.violations.Get() }
 
-// Violations returns the number of violations of each invariant that was violated, by name; nil where there was none.
+// Violations returns the number of violations of each invariant that was violated, by name, or nil if there was none.
 func Violations() map[string]uint64 {
 	mu.Lock()
 	defer mu.Unlock()
@@ -82,7 +82,7 @@
 	return counts
 }
 
-// Notify sets the receiver of violations, in place of an earlier one. It is called by the goroutine that makes the check, possibly
-// under locks, so it must return soon and must not check invariants. It is called for the first violation of an invariant, the
-// second, the fourth and so on.
+// Notify sets the receiver of violations and replaces an earlier one. The goroutine that makes the check calls receive, possibly
+// while it holds locks, so receive must return quickly and must not check invariants. It is called for the first violation of an
+// invariant, the second, the fourth and so on.
 func Notify(receive func(Violation)) { receiver.Store(&receive) }
--- a/internal/system/invariant/invarianttest/invarianttest.go
+++ b/internal/system/invariant/invarianttest/invarianttest.go
@@ -16,7 +16,7 @@
 )
 
 // Main is the TestMain of a package whose code checks invariants: it runs the tests and exits with status 1 if there was a violation
-// that Expect has not seen. done, unless nil, is called after tests that passed; its error fails them.
+// that Expect has not allowed. If done is not nil, it is called after the tests have passed, and an error from it fails the run.
 func Main(m *testing.M, done func() error) {
 	code := m.Run()
 	for name, count := range invariant.Violations() {
@@ -37,8 +37,8 @@
 	os.Exit(code)
 }
 
-// Expect runs violate, which must violate the invariant, and allows these violations. Tests that use it must not run in parallel
-// with others that check the same invariant.
+// Expect runs violate, which must violate the invariant, and allows the violations that occur meanwhile. Tests that use it must not
+// run in parallel with others that check the same invariant.
 func Expect(t testing.TB, i *invariant.Invariant, violate func()) {
 	t.Helper()
 	before := i.Violations()
--- a/internal/system/wal/errors.go
+++ b/internal/system/wal/errors.go
@@ -10,13 +10,13 @@
 // Kinds of errors of a Disk. Test for them with errors.Is of github.com/cockroachdb/errors: they are attached as marks, which the
 // standard library does not see.
 var (
-	// ErrFull reports that the disk, or the log's own bound, has no space left. Nothing has changed; the call succeeds once there
-	// is space. Compact frees the space of the entries that it covers.
+	// ErrFull reports that the disk is full or that the log has reached its own size bound. Nothing has changed; the call succeeds
+	// once there is space. Compact frees the space of the entries that it covers.
 	ErrFull = errors.New("disk full")
-	// ErrDamaged reports a log that contradicts itself elsewhere than at its torn end. Quarantine it and join under a new identity.
+	// ErrDamaged reports a log that is inconsistent anywhere other than at its torn end. Quarantine it and join under a new identity.
 	ErrDamaged = errors.New("log damaged")
-	// ErrSuperseded reports that another process has opened the log since. End this process; changes of it that were not
-	// acknowledged may or may not be in the log of the other.
+	// ErrSuperseded reports that another process has opened the log in the meantime. The caller must end its process; changes that
+	// were not acknowledged may or may not be in the log that the other process loaded.
 	ErrSuperseded = errors.New("log superseded")
 	// ErrMisuse reports a call that this log cannot carry out: a gap in the sequence numbers, a truncation below the snapshot, a
 	// change before Load or on a log opened with Options.ReadOnly.
@@ -35,7 +35,7 @@
 	return errors.Mark(errors.New("another process has opened this log: end one of the two"), ErrSuperseded)
 }
 
-// diskError says which operation failed, and marks the error as ErrFull where the disk had no space.
+// diskError wraps err with the operation that failed, and marks it as ErrFull if the disk had no space left.
 func diskError(err error, what string) error {
 	if err == nil {
 		return nil
--- a/internal/system/wal/filecodec.go
+++ b/internal/system/wal/filecodec.go
@@ -8,7 +8,7 @@
 )
 
 // encodeFile encodes the file of a snapshot or of a piece of metadata: magic, fields, length of data, data and a checksum of all
-// these, each number in 8 bytes, little endian.
+// these. Each number takes 8 bytes in little endian order.
 func encodeFile(magic []byte, fields []uint64, data []byte) []byte {
 	b := append(make([]byte, 0, len(magic)+8*len(fields)+len(data)+16), magic...)
 	for _, f := range fields {
@@ -19,8 +19,8 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// decodeFile decodes what encodeFile made, with the number of fields given; false where b is not such a file. The data shares the
-// memory of b.
+// decodeFile decodes a file with the given number of fields that encodeFile encoded, and returns its fields and data. It returns
+// false if b is not such a file. The data shares memory with b.
 func decodeFile(b, magic []byte, fields int) ([]uint64, []byte, bool) {
 	head := len(magic) + 8*fields + 8
 	if len(b) < head+8 || !bytes.HasPrefix(b, magic) ||
--- a/internal/system/wal/files.go
+++ b/internal/system/wal/files.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// replaceFile writes a file under a temporary name, syncs it, renames it to name and syncs the folder. It returns the file, open.
-// renamed reports whether name may exist in spite of an error.
+// replaceFile writes a file under a temporary name, syncs it, renames it to name and syncs the folder. It returns the open file.
+// renamed reports whether name may exist even though an error is returned.
 func (l *Log) replaceFile(name string, content []byte) (f File, renamed bool, err error) {
 	temporary := name + temporarySuffix
 	f, err = l.writeTemporary(name, content)
@@ -29,7 +29,7 @@
 	return f, true, nil
 }
 
-// writeTemporary writes the file that is to become name under its temporary name, and syncs it.
+// writeTemporary writes the future content of the file called name under its temporary name, and syncs it.
 func (l *Log) writeTemporary(name string, content []byte) (File, error) {
 	temporary := name + temporarySuffix
 	file, err := l.createNew(temporary)
@@ -48,7 +48,7 @@
 	return file, nil
 }
 
-// replaceOwnedFile is replaceFile followed by a check that no other process has opened the log meanwhile. It closes the file.
+// replaceOwnedFile calls replaceFile, closes the file, and then checks that no other process has opened the log in the meantime.
 func (l *Log) replaceOwnedFile(name string, content []byte) (renamed bool, err error) {
 	f, renamed, err := l.replaceFile(name, content)
 	if err != nil {
@@ -58,10 +58,10 @@
 	return renamed, l.checkOwnership()
 }
 
-// maxGarbage bounds the number of names that are remembered; Load finds the rest.
+// maxGarbage bounds the number of names of files to delete that are remembered; Load finds the rest.
 const maxGarbage = 256
 
-// deleteGarbage deletes files that are not live any more. A file that cannot be deleted is retried at the next call.
+// deleteGarbage deletes files that are no longer live. The deletion of a file that cannot be deleted is retried at the next call.
 func (l *Log) deleteGarbage() {
 	remaining := l.garbage[:0]
 	for _, name := range l.garbage {
@@ -72,8 +72,8 @@
 	l.garbage = remaining[max(0, len(remaining)-maxGarbage):]
 }
 
-// createNew creates an empty file in place of one of that name that is not live. The old file is not written again, since a sync
-// of it may have failed.
+// createNew creates an empty file and removes a file of that name first, which must not be live. The old file is not reused, since
+// a sync of it may have failed.
 func (l *Log) createNew(name string) (File, error) {
 	if err := l.remove(name); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 
 func (l *Log) path(name string) string { return filepath.Join(l.folder, name) }
 
-// remove deletes a file. It is no error where the file is missing.
+// remove deletes a file. It returns no error if the file does not exist.
 func (l *Log) remove(name string) error {
 	err := l.options.FS.Remove(l.path(name))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/system/wal/folder.go
+++ b/internal/system/wal/folder.go
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// generationShift is the number of bits below the segment number in a generation. The upper part is the number of the newest
-// segment at that time. Each process begins with a segment of its own, so its generations are above those of every process
-// before it.
+// generationShift is the number of bits below the segment number in a generation. The upper bits are the number of the segment that
+// was the newest at that time. Each process starts with a segment of its own, so its generations are higher than those of every
+// process before it.
 const generationShift = 24
 
 const (
@@ -22,17 +22,17 @@
 	temporarySuffix      = ".tmp"
 )
 
-// folderListing sorts the names in the log's folder by what they are.
+// folderListing groups the names in the log's folder by kind.
 type folderListing struct {
 	segments, snapshots []uint64            // ascending
 	meta                map[string][]uint64 // generations, ascending
 	temporary           []string
 	quarantined         []string // files of the quarantined copy
 	hasReserve          bool
-	quarantineBegun     bool // the marker is present: renaming is not finished
+	quarantineBegun     bool // the marker is present, so the renaming is not finished
 }
 
-// parseFolder ignores names that no log makes.
+// parseFolder groups the names in a log's folder. It ignores names that a log never creates.
 func parseFolder(names []string) folderListing {
 	listing := folderListing{meta: map[string][]uint64{}}
 	for _, name := range names {
@@ -69,13 +69,13 @@
 	return listing
 }
 
-// parseNumber reads the number of a segment or generation as file names have it: 16 hexadecimal digits.
+// parseNumber parses the number of a segment or generation in a file name: 16 hexadecimal digits.
 func parseNumber(s string) (uint64, bool) {
 	n, err := strconv.ParseUint(s, 16, 64)
 	return n, err == nil && len(s) == 16
 }
 
-// prepareFolder lists the folder once nothing in it can change any more: the next segment's file is there.
+// prepareFolder claims the next segment and then lists the folder, so that no other process changes the listed files afterwards.
 func (l *Log) prepareFolder() (folderListing, error) {
 	listing, err := l.listFolder()
 	if err != nil {
@@ -105,7 +105,7 @@
 	return listing, err
 }
 
-// completeQuarantine finishes a quarantine that was cut short, and returns the folder's listing after it.
+// completeQuarantine finishes a quarantine that was interrupted, and returns the folder's listing after it.
 func (l *Log) completeQuarantine(listing folderListing) (folderListing, error) {
 	var err error
 	if listing.quarantineBegun {
@@ -116,7 +116,8 @@
 			return listing, err
 		}
 	}
-	if len(listing.quarantined) > 0 { // its marker is gone for good before anything new could be taken for a part of it
+	// The removal of the marker must be durable before new files are created, or a later Load would quarantine them as well.
+	if len(listing.quarantined) > 0 {
 		err = l.syncFolder()
 	}
 	return listing, err
@@ -135,7 +136,8 @@
 	return parseFolder(names), diskError(err, "read the log's folder")
 }
 
-// nextNumber returns a number above those of all segments that were made; a snapshot may name one whose file is deleted.
+// nextNumber returns a segment number above those of all segments that were created. The newest snapshot is consulted as well,
+// because it may name a segment whose file is deleted.
 func (l *Log) nextNumber(listing folderListing) (uint64, error) {
 	next := uint64(1)
 	if n := len(listing.segments); n > 0 {
@@ -151,8 +153,8 @@
 	return next, nil
 }
 
-// readFirstSegment reads the number of the oldest live segment out of a snapshot's file, without verifying its checksum. It
-// returns 0 for a file that is too short, which loadSnapshot reports as damaged.
+// readFirstSegment reads the number of the oldest live segment from a snapshot's file, without verifying its checksum. It returns 0
+// for a file that is too short, which loadSnapshot reports as damaged.
 func (l *Log) readFirstSegment(generation uint64) (uint64, error) {
 	name := snapshotName(generation)
 	f, err := l.options.FS.Open(l.path(name))
@@ -162,7 +164,7 @@
 	defer func() { _ = f.Close() }()
 	var b [snapshotFirstSegmentOffset + 8]byte
 	switch _, err := f.ReadAt(b[:], 0); {
-	case errors.Is(err, io.EOF): // it is damaged, as loadSnapshot will find out
+	case errors.Is(err, io.EOF): // the file is damaged, which loadSnapshot reports
 		return 0, nil
 	case err != nil:
 		return 0, diskError(err, "read "+name)
--- a/internal/system/wal/fs.go
+++ b/internal/system/wal/fs.go
@@ -9,11 +9,11 @@
 type FS interface {
 	MkdirAll(folder string) error
 	ReadDir(folder string) ([]string, error) // names inside, without the folder
-	Open(name string) (File, error)          // to read and write
-	Create(name string) (File, error)        // new, to read and write; os.ErrExist where the name exists
+	Open(name string) (File, error)          // opens an existing file for reading and writing
+	Create(name string) (File, error)        // creates a file for reading and writing; os.ErrExist if the name exists
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncDir(folder string) error // makes names created, renamed and removed in folder durable
+	SyncDir(folder string) error // makes creations, renames and removals of names in folder durable
 }
 
 // File is an open file of an FS.
@@ -39,7 +39,7 @@
 	return info.Size(), nil
 }
 
-// Modes of what a Log creates. The content may hold credentials, so that nobody but the owner reads it.
+// Permissions of the folder and the files that a Log creates. The files may contain credentials, so only their owner has access.
 const (
 	folderMode = 0o700
 	fileMode   = 0o600
--- a/internal/system/wal/header.go
+++ b/internal/system/wal/header.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// snapshotFirstSegmentOffset is the offset of the oldest live segment's number in a snapshot's file, in bytes.
+// snapshotFirstSegmentOffset is the byte offset of the oldest live segment's number in a snapshot's file.
 const snapshotFirstSegmentOffset = 8 + 2*8
 
-// segmentEnd is a segment's live end. The zero value names no segment.
+// segmentEnd is the live end of a segment. The zero value means no segment.
 type segmentEnd struct {
 	number uint64
 	offset int64 // bytes from the start of the file
@@ -20,7 +20,7 @@
 type segmentHeader struct {
 	number     uint64
 	previous   segmentEnd
-	generation uint64 // of the snapshot; 0: none
+	generation uint64 // generation of the current snapshot; 0 if none
 	nonce      uint64
 }
 
@@ -34,7 +34,7 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// decodeSegmentHeader decodes the header of the segment called number; ok is false where the bytes are not such a header.
+// decodeSegmentHeader decodes the header of the segment with the given number; ok is false if the bytes are not such a header.
 func decodeSegmentHeader(b []byte, number uint64) (h segmentHeader, ok bool) {
 	if len(b) < headerSize {
 		return segmentHeader{}, false
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// newestSegmentTail is the end of the newest segment as Load found it. The zero value: there is no segment.
+// newestSegmentTail is the end of the newest segment as found by Load. The zero value means that there is no segment.
 type newestSegmentTail struct {
-	segmentEnd            // behind its last record
-	previous   segmentEnd // as its header names it
-	lastRecord []byte     // nil: the segment has no record
-	firstSeq   uint64     // of the first entry of lastRecord
+	segmentEnd            // end of its last record
+	previous   segmentEnd // previous segment according to its header
+	lastRecord []byte     // nil if the segment has no record
+	firstSeq   uint64     // sequence number of the first entry that lastRecord changes
 }
 
 // loadSegments replays the live segments and returns the entries above the snapshot.
@@ -36,11 +36,11 @@
 	return entries, newest, nil
 }
 
-// segmentChain returns the headers of the live segments, oldest first: the newest that is not empty, its predecessor by its
-// header, and so on down to l.firstSegment. The files of other segments are garbage.
+// segmentChain returns the headers of the live segments, oldest first. It starts at the newest segment that is not empty and
+// follows the headers to each predecessor, down to l.firstSegment. The files of other segments are garbage.
 func (l *Log) segmentChain(numbers []uint64) ([]segmentHeader, error) {
 	var chain []segmentHeader
-	wanted := uint64(0) // the segment that the last header names; 0: any
+	wanted := uint64(0) // the predecessor named by the last header read; 0 if any segment may come next
 	for index, number := range slices.Backward(numbers) {
 		isOutside := number < l.firstSegment || wanted > 0 && number > wanted
 		if isOutside {
@@ -79,7 +79,7 @@
 	return names
 }
 
-// readSegmentHeader returns the header and the size of the file. An empty file has no header.
+// readSegmentHeader returns the header of a segment and the size of its file. For an empty file the header is zero.
 func (l *Log) readSegmentHeader(number uint64) (segmentHeader, int64, error) {
 	name := segmentName(number)
 	f, err := l.options.FS.Open(l.path(name))
@@ -102,10 +102,10 @@
 	return h, size, nil
 }
 
-// endUnknown stands for the end of the newest segment, which no later header gives.
+// endUnknown is the end passed for the newest segment, for which no later header states the live end.
 const endUnknown = int64(-1)
 
-// loadSegment replays one segment up to end. The newest segment, whose end is unknown, ends with its last whole record.
+// loadSegment replays one segment up to end. The newest segment, whose end is unknown, ends with its last complete record.
 func (l *Log) loadSegment(header segmentHeader, end int64, state *replayState) (newestSegmentTail, error) {
 	content, err := l.readFile(segmentName(header.number))
 	if err != nil {
@@ -132,7 +132,7 @@
 	return tail, nil
 }
 
-// replay applies the records of a segment to state, up to the first that is torn or damaged.
+// replay applies the records of a segment to state, up to the first one that is torn or damaged.
 func (s recordScanner) replay(header segmentHeader, state *replayState) (newestSegmentTail, error) {
 	tail := newestSegmentTail{segmentEnd: segmentEnd{header.number, headerSize}, previous: header.previous}
 	for tail.offset < int64(len(s.content)) {
@@ -150,8 +150,8 @@
 	return tail, nil
 }
 
-// Load implements Disk. A torn end is dropped; what it returns is durable. It may be called again, which reads the disk anew.
-// Another process that still has the log open can acknowledge nothing from here on.
+// Load implements Disk. It drops a torn end, and the contents that it returns are durable. It may be called again to reread the
+// disk. From then on, another process that still has the log open cannot acknowledge a change.
 func (l *Log) Load() (Contents, error) {
 	stored, err := l.load()
 	if err != nil {
@@ -200,8 +200,8 @@
 	return stored, nil
 }
 
-// loadMeta reads the newest generation of each piece of metadata. A file has its name only once it is synced, so the
-// newest one is complete, and to return an older one would be to forget a promise.
+// loadMeta reads the newest generation of each piece of metadata. A file gets its final name only after it is synced, so the
+// newest one is complete, and returning an older one would lose an acknowledged promise.
 func (l *Log) loadMeta(all map[string][]uint64) (map[string][]byte, error) {
 	meta := make(map[string][]byte, len(all))
 	for name, generations := range all {
@@ -245,8 +245,8 @@
 	return snapshot, nil
 }
 
-// chooseSnapshot sets l.snapshotGeneration to the newest valid snapshot; the others are garbage. One that a superseded process
-// finished after the newest segment had been begun is not valid.
+// chooseSnapshot sets l.snapshotGeneration to the newest valid snapshot; the others are garbage. A snapshot that a superseded
+// process finished after the newest segment had been started is not valid.
 func (l *Log) chooseSnapshot(generations []uint64, newest segmentHeader) {
 	for _, generation := range slices.Backward(generations) {
 		l.lastGeneration = max(l.lastGeneration, generation)
@@ -259,7 +259,7 @@
 	}
 }
 
-// newestHeader returns the header of the newest segment that is not empty; the zero one where there is none.
+// newestHeader returns the header of the newest segment that is not empty, or the zero header if there is none.
 func (l *Log) newestHeader(numbers []uint64) (segmentHeader, error) {
 	for _, n := range slices.Backward(numbers) {
 		if header, size, err := l.readSegmentHeader(n); err != nil || size > 0 {
@@ -269,7 +269,7 @@
 	return segmentHeader{}, nil
 }
 
-// snapshotFileInfo is what a snapshot's file says beside the snapshot.
+// snapshotFileInfo describes a snapshot's file, apart from the snapshot itself.
 type snapshotFileInfo struct {
 	firstSegment uint64 // oldest live segment
 	fileBytes    int64  // size of the file
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -13,60 +13,61 @@
 // Defaults of Options.
 const (
 	defaultMaxBytes     = 40 << 20
-	defaultDiskBytes    = 60e6 // of 64 MB
+	defaultDiskBytes    = 60e6 // the disk has 64 MB
 	defaultSegmentBytes = 2 << 20
 	defaultReserveBytes = 64 << 10
 )
 
-// Options configure a Log. Zero values mean the defaults.
+// Options configure a Log. Zero values select the defaults.
 type Options struct {
 	FS FS // default: the operating system's
 
-	// MaxBytes bounds segments and snapshot: Append fails with ErrFull where they would exceed it. Default 40 MiB.
+	// MaxBytes bounds the size of the segments and the snapshot: Append fails with ErrFull if they would exceed it. Default 40 MiB.
 	MaxBytes int64
-	// DiskBytes bounds all files: above it the quarantined copy is dropped. Default 60 MB.
+	// DiskBytes bounds the size of all files: the quarantined copy is dropped if they would exceed it. Default 60 MB.
 	DiskBytes int64
-	// SegmentBytes is the size from which a segment is ended. Default 2 MiB.
+	// SegmentBytes is the size from which a segment is closed and the next one started. Default 2 MiB.
 	SegmentBytes int64
-	// ReserveBytes are reserved for metadata and truncations on a full disk. Default 64 KiB; negative: none.
+	// ReserveBytes is the space reserved for metadata and truncations on a full disk. Default 64 KiB; a negative value means none.
 	ReserveBytes int64
 
-	// Nonce draws the nonce of a segment. Default: 64 random bits.
+	// Nonce generates the nonce of a segment. Default: 64 random bits.
 	Nonce func() uint64
-	// ReadOnly opens the log for inspection: nothing is changed, no process loses the log, and what Load returns need not be
-	// durable.
+	// ReadOnly opens the log for inspection: nothing is changed, the process that has the log open keeps its ownership, and what
+	// Load returns need not be durable.
 	ReadOnly bool
 
 	knobs TestingKnobs // zero in production
 }
 
-// Log is a Disk in one folder. The package comment describes how it stays durable. A Log is used by one goroutine at a time.
+// Log is a Disk in one folder. The package comment describes how it makes changes durable. A Log must not be used by more than one
+// goroutine at a time.
 type Log struct {
 	folder     string
 	options    Options
 	loaded     bool
 	superseded bool // another process has opened the log
 
-	snapshotSeq    uint64 // 0: there is no snapshot
+	snapshotSeq    uint64 // 0 if there is no snapshot
 	firstSegment   uint64 // number of the oldest live segment
-	lastGeneration uint64 // of the newest snapshot whose saving was begun
+	lastGeneration uint64 // generation of the newest snapshot that the log started to save
 	snapshotBytes  int64
 
-	snapshotGeneration uint64 // 0: there is no snapshot
+	snapshotGeneration uint64 // 0 if there is no snapshot
 
 	batches          []batch // live entries, oldest first
 	lastSeq          uint64
 	segments         []segmentFile // on disk, oldest first
-	activeSegment    File          // the newest of segments; nil: the next record begins another
-	activeNonce      uint64        // of activeSegment
-	nextSegment      uint64        // its number
+	activeSegment    File          // the newest of segments; nil if the next record starts a new segment
+	activeNonce      uint64        // nonce of activeSegment
+	nextSegment      uint64        // number of the next segment
 	tail             segmentEnd    // the newest segment and its live end, for the next one's header
-	tailBeforeActive segmentEnd    // tail as it was when activeSegment was made
+	tailBeforeActive segmentEnd    // value of tail before activeSegment was created
 	unclaimed        bool          // Load could not create the next segment
-	tailUnfinished   bool          // a record behind tail, or in abandonedSegment, may be on disk
+	tailUnfinished   bool          // a record after tail, or in abandonedSegment, may be on disk
 
 	unfinishedSnapshot string                     // file of a snapshot whose saving failed after the rename
-	abandonedSegment   string                     // file of number nextSegment whose making failed
+	abandonedSegment   string                     // file of segment nextSegment, whose creation failed
 	meta               map[string]metaGenerations // by name
 	garbage            []string                   // files to delete
 	hasReserve         bool                       // the reserve is on disk
@@ -75,25 +76,25 @@
 	quarantinedBytes int64
 }
 
-// batch is the entries that one record appended, as far as they are live.
+// batch describes the live entries that one record appended.
 type batch struct{ firstSeq, lastSeq, segment uint64 }
 
-// segmentFile is a segment and the disk space it takes.
+// segmentFile describes a segment and the disk space that it takes.
 type segmentFile struct {
 	number    uint64
 	liveBytes int64 // up to the last live record
-	fileBytes int64 // upper bound of the file's size
+	fileBytes int64 // upper bound on the file's size
 }
 
-// metaGenerations are generations of one piece of metadata.
+// metaGenerations tracks the generations of one piece of metadata.
 type metaGenerations struct {
-	savedGeneration uint64 // the current one; 0: none
-	triedGeneration uint64 // the newest that may be on disk
+	savedGeneration uint64 // the current one; 0 if none
+	triedGeneration uint64 // the newest one that may be on disk
 }
 
 var _ Disk = (*Log)(nil)
 
-// Open returns the log in folder, which is made where it is missing. Load must be the first call on it.
+// Open returns the log in folder, and creates the folder if it does not exist. Load must be the first call on the log.
 func Open(folder string, options Options) (*Log, error) {
 	l := &Log{folder: folder, options: options.withDefaults()}
 	if options.ReadOnly {
@@ -105,7 +106,7 @@
 	return l, nil
 }
 
-// ensureFolder makes the log's folder where it is missing, and its name durable.
+// ensureFolder creates the log's folder if it does not exist, and makes its name durable.
 func (l *Log) ensureFolder() error {
 	fs := l.options.FS
 	if _, err := fs.ReadDir(l.folder); errors.Is(err, os.ErrNotExist) {
@@ -115,7 +116,7 @@
 	} else if err != nil {
 		return diskError(err, "read the log's folder")
 	}
-	// Also where the folder was there: the process that made it may have ended before this sync.
+	// The sync is needed also if the folder existed: the process that created it may have ended before its own sync.
 	return diskError(fs.SyncDir(filepath.Dir(l.folder)), "sync the folder above the log")
 }
 
@@ -139,13 +140,13 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Close ends the use of the log. Nothing is written.
+// Close closes the log without writing anything.
 func (l *Log) Close() error {
 	l.loaded = false
 	return l.closeSegment()
 }
 
-// Size returns the bytes of segments and snapshot, which Options.MaxBytes bounds.
+// Size returns the size of the segments and the snapshot in bytes, which Options.MaxBytes bounds.
 func (l *Log) Size() int64 {
 	n := l.snapshotBytes
 	for _, s := range l.segments {
@@ -154,7 +155,7 @@
 	return n
 }
 
-// resolveUnfinished makes the log ready for a change: what an earlier failure left unfinished is resolved as not done.
+// resolveUnfinished prepares the log for a change: it resolves every change that an earlier failure left unfinished as not done.
 func (l *Log) resolveUnfinished() error {
 	if err := l.checkWritable(); err != nil {
 		return err
@@ -162,7 +163,7 @@
 	if err := l.removeUnfinishedSnapshot(); err != nil {
 		return err
 	}
-	if err := l.removeAbandonedSegment(); err != nil { // its header names the snapshot as it was
+	if err := l.removeAbandonedSegment(); err != nil { // its header may name a snapshot that is no longer current
 		return err
 	}
 	if l.tailUnfinished && !l.options.knobs.ReuseSegmentAfterFailedSync {
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// checkWritable tells why the log accepts no change; nil where it does.
+// checkWritable returns an error with the reason if the log does not accept changes.
 func (l *Log) checkWritable() error {
 	switch {
 	case l.superseded:
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// Append implements Disk. It fails with ErrFull above Options.MaxBytes.
+// Append implements Disk. It fails with ErrFull if the log would exceed Options.MaxBytes.
 func (l *Log) Append(entries []Entry) error {
 	if err := l.resolveUnfinished(); err != nil {
 		return err
@@ -204,7 +205,7 @@
 	return nil
 }
 
-// Truncate implements Disk. It works at Options.MaxBytes and on a full disk, too.
+// Truncate implements Disk. It also succeeds if the log has reached Options.MaxBytes, or on a full disk by means of the reserve.
 func (l *Log) Truncate(after uint64) error {
 	if err := l.resolveUnfinished(); err != nil {
 		return err
--- a/internal/system/wal/meta.go
+++ b/internal/system/wal/meta.go
@@ -6,7 +6,8 @@
 	return fmt.Sprintf("meta-%s-%016x", name, generation)
 }
 
-// SaveMeta implements Disk. Names have 1 to 64 bytes of a to z, 0 to 9 and _. It works at Options.MaxBytes, too.
+// SaveMeta implements Disk. A name has 1 to 64 characters from a to z, 0 to 9 and _. It also succeeds if the log has reached
+// Options.MaxBytes, or on a full disk by means of the reserve.
 func (l *Log) SaveMeta(name string, data []byte) error {
 	if err := l.checkWritable(); err != nil {
 		return err
@@ -30,7 +31,7 @@
 	return err
 }
 
-// writeMeta writes one generation of the metadata called name; one that failed is garbage.
+// writeMeta writes one generation of the named metadata. If the write fails, the file is garbage.
 func (l *Log) writeMeta(name string, generation uint64, data []byte) error {
 	file := metaName(name, generation)
 	_, err := l.replaceOwnedFile(file, encodeFile(metaMagic, []uint64{generation}, data))
--- a/internal/system/wal/ownership.go
+++ b/internal/system/wal/ownership.go
@@ -6,9 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// takeOwnership makes what was loaded durable, and later changes this process's own. The last record of the newest segment may be
-// in the kernel's memory only, if its sync failed before the last process ended, and another sync of that file would prove
-// nothing. So that record is written again as the start of the next segment. Where the disk is too full for that, a sync must do.
+// takeOwnership makes the loaded contents durable and makes this process the only writer. The last record of the newest segment may
+// be only in the kernel's memory, if its sync failed before the last process ended, and another sync of that file would prove
+// nothing. So that record is written again as the start of the next segment. If the disk is too full for that, takeOwnership falls
+// back to syncing the newest segment.
 func (l *Log) takeOwnership(newest newestSegmentTail) error {
 	if err := l.syncFolder(); err != nil {
 		return err
@@ -37,7 +38,7 @@
 	return diskError(f.Sync(), "sync the newest segment")
 }
 
-// trimSegments truncates segments to their live ends. Bytes that cannot be truncated stay in Size.
+// trimSegments truncates segments to their live ends. Bytes that cannot be truncated still count in Size.
 func (l *Log) trimSegments() {
 	for i := range l.segments {
 		file := &l.segments[i]
@@ -55,13 +56,13 @@
 	}
 }
 
-// rewriteLastRecord begins the next segment with the last record of the newest.
+// rewriteLastRecord starts the next segment with the last record of the newest one.
 func (l *Log) rewriteLastRecord(newest newestSegmentTail) error {
 	tail, segments := l.tail, l.segments
 	l.tail.offset -= int64(len(newest.lastRecord))
 	emptied := newest.number > 0 && l.tail.offset == headerSize
 	switch {
-	case emptied: // then its file is not needed any more
+	case emptied: // no record is left in the newest segment, so its file is no longer needed
 		l.tail = newest.previous
 		l.segments = segments[:len(segments)-1]
 	case newest.number > 0:
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// claimNextSegment creates the next segment's empty file. The creation is exclusive: where the file exists, another process owns
-// the log.
+// claimNextSegment creates the next segment's empty file. The creation is exclusive: if the file exists, another process owns the
+// log.
 func (l *Log) claimNextSegment() error {
 	f, err := l.options.FS.Create(l.path(segmentName(l.nextSegment)))
 	if errors.Is(err, os.ErrExist) && !l.options.knobs.SkipOwnershipCheck {
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// checkTailUnchanged fails where the newest segment has grown since it was loaded without a claim.
+// checkTailUnchanged fails if the newest segment has grown since it was loaded without a claim.
 func (l *Log) checkTailUnchanged() error {
 	if len(l.segments) == 0 || l.segments[len(l.segments)-1].number != l.tail.number {
 		return nil
@@ -122,14 +123,14 @@
 	return err
 }
 
-// checkOwnership fails where another process has claimed the next segment. That process has read what this one synced before the
-// claim; what this one synced later must not be acknowledged.
+// checkOwnership fails if another process has claimed the next segment. That process reads what this one synced before the claim;
+// changes that this process synced later must not be acknowledged.
 func (l *Log) checkOwnership() error {
 	if l.options.knobs.SkipOwnershipCheck {
 		return nil
 	}
 	next := l.nextSegment
-	if l.abandonedSegment != "" { // then the file of that number is this process's own
+	if l.abandonedSegment != "" { // the file with the number nextSegment was created by this process
 		next++
 	}
 	f, err := l.options.FS.Open(l.path(segmentName(next)))
@@ -143,7 +144,7 @@
 	return l.supersede()
 }
 
-// supersede ends the use of the log by this process.
+// supersede marks the log as owned by another process, so that this one accepts no more changes.
 func (l *Log) supersede() error {
 	l.superseded = true
 	return supersededError()
--- a/internal/system/wal/quarantine.go
+++ b/internal/system/wal/quarantine.go
@@ -7,10 +7,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Quarantine renames the log's files within the folder, durably, for inspection. It is for a log that Load, or the reader of what
-// it returned, has found damaged. Load must be called next and finds an empty log. Only the newest copy is preserved, and it is
-// dropped when its space is needed. Load finishes a quarantine that was interrupted, so that nothing is served of a log of which
-// a part is gone.
+// Quarantine durably renames the log's files within the folder, for inspection. It is for a log that Load, or the code that
+// interprets the loaded contents, has found damaged. Load must be called next and finds an empty log. Only the newest copy is
+// preserved, and it is dropped when its space is needed. Load finishes a quarantine that was interrupted, so that a partially
+// renamed log is never served.
 func (l *Log) Quarantine() error {
 	if l.options.ReadOnly {
 		return l.checkWritable()
@@ -29,13 +29,13 @@
 	return l.finishQuarantine()
 }
 
-// HasQuarantine reports whether the folder has the copy of a damaged log. Then the promises that were stored here are lost.
+// HasQuarantine reports whether the folder contains the copy of a damaged log. If so, the promises that were stored here are lost.
 func (l *Log) HasQuarantine() (bool, error) {
 	listing, err := l.listFolder()
 	return listing.quarantineBegun || len(listing.quarantined) > 0, err
 }
 
-// beginQuarantine removes the older copy, so that all quarantined names are of one copy, and makes the marker.
+// beginQuarantine removes the older copy, so that all quarantined files belong to one copy, and creates the marker.
 func (l *Log) beginQuarantine(listing folderListing) error {
 	for _, name := range listing.quarantined {
 		if err := l.remove(name); err != nil {
@@ -56,10 +56,10 @@
 	return diskError(err, "make the quarantine marker")
 }
 
-// finishQuarantine renames the files of a log that has the marker, and removes the marker.
+// finishQuarantine renames the files of a log whose quarantine has begun, and then removes the marker.
 func (l *Log) finishQuarantine() error {
 	fs := l.options.FS
-	if !l.options.knobs.SkipQuarantineMarkerSync { // the marker is durable before anything is renamed
+	if !l.options.knobs.SkipQuarantineMarkerSync { // the marker must be durable before any file is renamed
 		if err := l.syncFolder(); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 	return l.syncFolder()
 }
 
-// recordQuarantined records the files and bytes of the quarantined copy.
+// recordQuarantined records the files of the quarantined copy and their total size.
 func (l *Log) recordQuarantined(names []string) {
 	l.quarantinedFiles, l.quarantinedBytes = names, 0
 	for _, name := range names {
@@ -99,7 +99,7 @@
 	}
 }
 
-// dropQuarantined deletes the quarantined copy; it returns false where there is none.
+// dropQuarantined deletes the quarantined copy. It returns false if there is none.
 func (l *Log) dropQuarantined() bool {
 	dropped := len(l.quarantinedFiles) > 0
 	for _, name := range l.quarantinedFiles {
--- a/internal/system/wal/record.go
+++ b/internal/system/wal/record.go
@@ -43,7 +43,7 @@
 	return d.Sum64()
 }
 
-// sealRecord fills in the head of a record at offset of a segment; b has the payload behind space for the head.
+// sealRecord fills in the header of a record at offset in a segment; b consists of space for the header, and the payload.
 func sealRecord(b []byte, nonce uint64, offset int64) {
 	copy(b, recordMagic)
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(b)-recordHeaderSize))
@@ -75,7 +75,7 @@
 	skipChecksums bool // see TestingKnobs.SkipRecordChecksums
 }
 
-// record returns the record at offset with its head; nil where no complete record starts there.
+// record returns the record at offset with its header, or nil if no complete record starts there.
 func (s recordScanner) record(offset int64) []byte {
 	b := s.content[offset:]
 	if len(b) <= recordHeaderSize || !bytes.HasPrefix(b, recordMagic) {
@@ -92,7 +92,7 @@
 	return b
 }
 
-// hasRecordAfter reports whether a complete record starts behind offset.
+// hasRecordAfter reports whether a complete record starts after offset.
 func (s recordScanner) hasRecordAfter(offset int64) bool {
 	for at := offset + 1; at < int64(len(s.content)); at++ {
 		i := bytes.Index(s.content[at:], recordMagic)
--- a/internal/system/wal/replay.go
+++ b/internal/system/wal/replay.go
@@ -6,13 +6,14 @@
 type replayState struct {
 	entries []Entry
 	batches []batch
-	nextSeq uint64 // sequence number of the next entry; 0: any
+	nextSeq uint64 // expected sequence number of the next entry; 0 if any is accepted
 }
 
-// lastSeq returns the number of the newest entry read; 0: none.
+// lastSeq returns the sequence number of the newest entry read, or 0 if there is none.
 func (r *replayState) lastSeq() uint64 { return r.nextSeq - min(r.nextSeq, 1) }
 
-// entriesAbove returns the entries that follow a snapshot, and fails where the log does not reach it or leaves a gap after it.
+// entriesAbove returns the entries that follow a snapshot. It fails if the log ends before the snapshot or there is a gap between
+// them.
 func (r *replayState) entriesAbove(snapshotSeq uint64) ([]Entry, error) {
 	if r.nextSeq > 0 && r.nextSeq <= snapshotSeq {
 		return nil, damagedError("the log ends at %d, below its snapshot at %d", r.lastSeq(), snapshotSeq)
@@ -27,8 +28,8 @@
 	return entries, nil
 }
 
-// applyRecord applies a record's payload and returns the sequence number of the first entry that it changes. It returns false
-// where the record cannot follow the ones before it.
+// applyRecord applies a record's payload and returns the sequence number of the first entry that it changes. ok is false if the
+// record cannot follow the ones before it.
 func (r *replayState) applyRecord(payload []byte, segment uint64) (firstSeq uint64, ok bool) {
 	reader := fields.NewReader(payload)
 	switch reader.Byte() {
@@ -72,7 +73,7 @@
 	return after + 1, true
 }
 
-// truncateBatches drops the entries above after.
+// truncateBatches drops the entries with sequence numbers above after.
 func truncateBatches(batches []batch, after uint64) []batch {
 	for len(batches) > 0 && batches[len(batches)-1].firstSeq > after {
 		batches = batches[:len(batches)-1]
--- a/internal/system/wal/segment.go
+++ b/internal/system/wal/segment.go
@@ -4,7 +4,7 @@
 
 func segmentName(number uint64) string { return fmt.Sprintf("log-%016x", number) }
 
-// closeSegment ends the newest segment: the next record begins another.
+// closeSegment closes the active segment, so that the next record starts a new one.
 func (l *Log) closeSegment() error {
 	if l.activeSegment == nil {
 		return nil
@@ -14,7 +14,7 @@
 	return diskError(err, "close a segment")
 }
 
-// appendToSegment writes a record at the end of the log, syncs it, and checks that the log is still this process's.
+// appendToSegment writes a record at the end of the log, syncs it, and checks that this process still owns the log.
 func (l *Log) appendToSegment(record []byte) error {
 	if l.activeSegment != nil && l.tail.offset >= l.options.SegmentBytes {
 		if err := l.closeSegment(); err != nil {
@@ -44,11 +44,11 @@
 	return nil
 }
 
-// abandonActiveSegment ends the newest segment after a write or sync that failed. Whether its last record is on disk is unknown,
-// and a later sync of this file would prove nothing: the kernel may have dropped what it could not write. The next segment's
-// header excludes that record; truncating the file only frees its space.
+// abandonActiveSegment closes the newest segment after a failed write or sync. Whether its last record is on disk is unknown, and
+// a later successful sync of this file would prove nothing: the kernel may have dropped the pages that it could not write. The next
+// segment's header excludes that record; truncating the file only frees its space.
 func (l *Log) abandonActiveSegment(size int64) {
-	if l.superseded { // the files are another's
+	if l.superseded { // the files belong to another process
 		_ = l.closeSegment()
 		return
 	}
@@ -65,14 +65,14 @@
 	if file.liveBytes > headerSize {
 		return
 	}
-	// It has no record, so its number is free.
+	// The segment has no record, so its number can be reused.
 	l.abandonedSegment = segmentName(file.number)
 	l.nextSegment, l.tail = file.number, l.tailBeforeActive
 	l.segments = l.segments[:len(l.segments)-1]
 	_ = l.removeAbandonedSegment()
 }
 
-// removeAbandonedSegment removes a segment whose making failed, so that its number can be used.
+// removeAbandonedSegment removes a segment whose creation failed, so that its number can be reused.
 func (l *Log) removeAbandonedSegment() error {
 	if l.abandonedSegment == "" {
 		return nil
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// createSegment makes the next segment, which begins with the record, if any. The empty file is created under the segment's own
-// name first, which fails where another process has claimed the number. The header and the record are renamed over it once they
-// are synced, so a segment that is not empty has a complete start. After a failure the same number is used again.
+// createSegment creates the next segment, which starts with the record, if any. The empty file is created under the segment's own
+// name first, which fails if another process has claimed the number. The file with the header and the record is renamed over it
+// once it is synced, so a segment that is not empty has a complete start. After a failure the same number is used again.
 func (l *Log) createSegment(record []byte) error {
 	if err := l.removeAbandonedSegment(); err != nil {
 		return err
--- a/internal/system/wal/snapshot.go
+++ b/internal/system/wal/snapshot.go
@@ -7,7 +7,7 @@
 
 func snapshotName(generation uint64) string { return fmt.Sprintf("snap-%016x", generation) }
 
-// Compact implements Disk. It works at Options.MaxBytes, too. Segments that the snapshot covers are deleted.
+// Compact implements Disk. It also succeeds if the log has reached Options.MaxBytes. Segments that the snapshot covers are deleted.
 func (l *Log) Compact(snapshot Snapshot) error {
 	if err := l.resolveUnfinished(); err != nil {
 		return err
@@ -15,8 +15,8 @@
 	if err := ValidateCompact(l.snapshotSeq, l.lastSeq, snapshot.Seq); err != nil {
 		return err
 	}
-	// Later records go to a new segment, so that the log continues in a live segment whether or not the snapshot comes about, and
-	// a later Compact can delete this one.
+	// Later records go to a new segment, so that the log continues in a live segment whether or not the snapshot is saved, and a
+	// later Compact can delete this one.
 	if err := l.closeSegment(); err != nil {
 		return err
 	}
@@ -41,12 +41,12 @@
 		return err
 	}
 	l.batches, l.lastSeq = nil, snapshot.Seq
-	// The segment is not live any more, so an error of closing it has no effect.
+	// The segment is no longer live, so an error from closing it does not matter.
 	_ = l.closeSegment()
 	return nil
 }
 
-// saveSnapshot replaces the snapshot, and makes firstSegment the oldest live segment.
+// saveSnapshot replaces the snapshot and makes firstSegment the oldest live segment.
 func (l *Log) saveSnapshot(snapshot Snapshot, firstSegment uint64) error {
 	if err := l.resolveUnfinished(); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// dropSegmentsBefore makes first the oldest live segment.
+// dropSegmentsBefore makes first the oldest live segment and the segments before it garbage.
 func (l *Log) dropSegmentsBefore(first uint64) {
 	l.firstSegment = first
 	for len(l.segments) > 0 && l.segments[0].number < first {
@@ -81,7 +81,7 @@
 	}
 }
 
-// removeUnfinishedSnapshot removes, durably, a snapshot whose saving failed after its rename.
+// removeUnfinishedSnapshot durably removes a snapshot whose saving failed after its rename.
 func (l *Log) removeUnfinishedSnapshot() error {
 	if l.unfinishedSnapshot == "" {
 		return nil
--- a/internal/system/wal/space.go
+++ b/internal/system/wal/space.go
@@ -2,7 +2,7 @@
 
 import "github.com/cockroachdb/errors"
 
-// freeSpaceFor drops the quarantined copy where n more bytes would exceed Options.DiskBytes.
+// freeSpaceFor drops the quarantined copy if n more bytes would exceed Options.DiskBytes.
 func (l *Log) freeSpaceFor(n int64) {
 	used := l.Size() + l.quarantinedBytes
 	if l.hasReserve {
@@ -13,7 +13,7 @@
 	}
 }
 
-// withFreeSpace runs write, which needs n bytes. Where the disk is full it drops the quarantined copy and runs write again.
+// withFreeSpace runs write, which needs n bytes. If the disk is full, it drops the quarantined copy and runs write again.
 func (l *Log) withFreeSpace(n int, write func() error) error {
 	l.freeSpaceFor(int64(n))
 	err := write()
@@ -23,7 +23,7 @@
 	return err
 }
 
-// withReserve is withFreeSpace, but gives up the reserve and runs write once more where the disk is still full.
+// withReserve is like withFreeSpace, but if the disk is still full it deletes the reserve and runs write once more.
 func (l *Log) withReserve(n int, write func() error) error {
 	err := l.withFreeSpace(n, write)
 	if !errors.Is(err, ErrFull) || !l.hasReserve {
@@ -36,7 +36,7 @@
 	return write()
 }
 
-// createReserve allocates the space that withReserve gives up. On a full disk the log does without.
+// createReserve allocates the space that withReserve frees. On a full disk the log works without a reserve.
 func (l *Log) createReserve() {
 	if l.hasReserve || l.options.ReserveBytes < 0 {
 		return
--- a/internal/system/wal/testing_knobs.go
+++ b/internal/system/wal/testing_knobs.go
@@ -1,10 +1,10 @@
 package wal
 
-// TestingKnobs switch protections off, for the tests that show that each is needed.
+// TestingKnobs disables protections, for the tests that show that each is needed.
 type TestingKnobs struct {
 	SkipRecordChecksums         bool // records are accepted without verifying their checksums
-	ReuseSegmentAfterFailedSync bool // after a failed sync the same file is written on
-	TrustNewestSegment          bool // Load syncs the newest segment in place of rewriting its last record
-	SkipOwnershipCheck          bool // another process that has opened the log is not noticed
+	ReuseSegmentAfterFailedSync bool // after a failed sync the same file is written to again
+	TrustNewestSegment          bool // Load syncs the newest segment instead of rewriting its last record
+	SkipOwnershipCheck          bool // another process that has opened the log is not detected
 	SkipQuarantineMarkerSync    bool // files are renamed before the quarantine's marker is durable
 }
--- a/internal/system/wal/validate.go
+++ b/internal/system/wal/validate.go
@@ -1,9 +1,9 @@
 package wal
 
-// maxMetaNameBytes bounds the name of a piece of metadata.
+// maxMetaNameBytes bounds the length of the name of a piece of metadata.
 const maxMetaNameBytes = 64
 
-// The checks below are what each Disk refuses with ErrMisuse.
+// The checks below define which calls every Disk rejects with ErrMisuse.
 
 // ValidateAppend checks that entries continue a log whose newest sequence number is last.
 func ValidateAppend(last uint64, entries []Entry) error {
@@ -15,7 +15,7 @@
 	return nil
 }
 
-// ValidateTruncate checks that a truncation after the sequence number after leaves the snapshot at snapshot as it is.
+// ValidateTruncate checks that a truncation after the sequence number after does not affect the snapshot at snapshot.
 func ValidateTruncate(snapshot, after uint64) error {
 	if after < snapshot {
 		return misuseError("truncation after %d is below the snapshot at %d: install an older snapshot instead", after, snapshot)
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// ValidateMetaName checks that a name of metadata is safe in a file's name.
+// ValidateMetaName checks that a metadata name is safe to use in a file name.
 func ValidateMetaName(name string) error {
 	if name == "" || len(name) > maxMetaNameBytes {
 		return misuseError("metadata needs a name of 1 to %d bytes, not %d", maxMetaNameBytes, len(name))
--- a/internal/system/wal/waltest/mem.go
+++ b/internal/system/wal/waltest/mem.go
@@ -1,5 +1,5 @@
-// Package waltest helps tests of packages that keep their state in a write-ahead log: a wal.Disk in memory that behaves as a
-// wal.Log does on a disk without faults. It refuses what a Log refuses, by the same checks.
+// Package waltest provides an in-memory wal.Disk for tests of packages that keep their state in a write-ahead log. It behaves like
+// a wal.Log on a disk without faults, and rejects the same calls as a Log, with the same checks.
 package waltest
 
 import (
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// Mem is a wal.Disk in memory. A Mem is used by one goroutine at a time.
+// Mem is an in-memory wal.Disk. It must not be used by more than one goroutine at a time.
 type Mem struct {
 	meta     map[string][]byte
 	snapshot wal.Snapshot
@@ -21,12 +21,13 @@
 // NewMem returns an empty disk.
 func NewMem() *Mem { return &Mem{meta: map[string][]byte{}} }
 
-// NewMemWith returns a disk that holds what wal.Disk.Load returned. It takes over the memory of its argument.
+// NewMemWith returns a disk with the contents that wal.Disk.Load returned. The disk shares memory with its argument, which must not
+// be used afterwards.
 func NewMemWith(stored wal.Contents) *Mem {
 	return &Mem{meta: stored.Meta, snapshot: stored.Snapshot, entries: stored.Entries}
 }
 
-// Clone returns a disk of the same content; changes to one do not show in the other.
+// Clone returns an independent copy of the disk.
 func (m *Mem) Clone() *Mem {
 	return &Mem{meta: maps.Clone(m.meta), snapshot: m.snapshot, entries: slices.Clone(m.entries)}
 }
@@ -44,7 +45,7 @@
 	return wal.Contents{Meta: meta, Snapshot: wal.Snapshot{Seq: m.snapshot.Seq, Data: slices.Clone(m.snapshot.Data)}, Entries: entries}, nil
 }
 
-// LastSeq returns the sequence number of the newest entry, that of the snapshot where no entry follows it.
+// LastSeq returns the sequence number of the newest entry, or that of the snapshot if no entry follows it.
 func (m *Mem) LastSeq() uint64 { return m.snapshot.Seq + uint64(len(m.entries)) }
 
 // Append implements wal.Disk.
@@ -100,5 +101,5 @@
 	return nil
 }
 
-// Meta returns the metadata called name; nil where there is none.
+// Meta returns the metadata called name, or nil if there is none.
 func (m *Mem) Meta(name string) []byte { return slices.Clone(m.meta[name]) }
