--- a/internal/system/controlstate/accepted_test.go
+++ b/internal/system/controlstate/accepted_test.go
@@ -6,8 +6,8 @@
 	"gradeusher.example/gradeusher/internal/system/config"
 )
 
-// TestAcceptedSharedKeyIsRead: an earlier version accepted configurations in which two tenants share a key. Its stored states and its records
-// are read, while such a change is refused.
+// TestAcceptedSharedKeyIsRead: an earlier version accepted configurations in which two tenants share a key. States and records that
+// it stored can still be read, while a new change of this kind is rejected.
 func TestAcceptedSharedKeyIsRead(t *testing.T) {
 	const body = `{"revision":1,"routes":[],"services":[],"tenants":[{"name":"a","api_keys":["k"]},{"name":"b","api_keys":["k"]}]}`
 	stored := &State{Seq: 1, Config: &config.Config{Revision: 1, Raw: []byte(body)}}
--- a/internal/system/controlstate/history_test.go
+++ b/internal/system/controlstate/history_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// applyMany applies count changes of the configuration, each under a revision three above its predecessor's.
+// applyMany applies count configuration changes, each with a revision three above its predecessor's.
 func applyMany(t testing.TB, count int) (*State, []Change) {
 	t.Helper()
 	s := Empty()
@@ -28,7 +28,7 @@
 	return s, all
 }
 
-// roundTrip returns the state as a node has it that restored a snapshot of it.
+// roundTrip returns the state after encoding and decoding it, as on a node that restored a snapshot.
 func roundTrip(t testing.TB, s *State) *State {
 	t.Helper()
 	out, err := Decode(s.Encode())
@@ -38,8 +38,8 @@
 	return out
 }
 
-// TestRetriedChange: a change that was applied is confirmed for as long as it is remembered, and never refused after that. Another
-// change on the same version is refused for as long as that can be decided.
+// TestRetriedChange: an applied change that is retried is confirmed as long as it is remembered, and is never refused after that. A
+// different change on the same version is refused as long as the history still covers that version.
 func TestRetriedChange(t *testing.T) {
 	const forgotten = 30
 	applied, all := applyMany(t, MaxHistory+forgotten)
@@ -67,7 +67,7 @@
 	return change
 }
 
-// requireVerdict checks the kind and the number of the verdict on a change, and that it gives a reason.
+// requireVerdict checks the kind and the sequence number of the verdict on a change, and that it gives a reason.
 func requireVerdict(t *testing.T, state *State, change Change, want Verdict) {
 	t.Helper()
 	if got := state.Check(change); got.Kind != want.Kind || got.Seq != want.Seq || got.Reason == "" {
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestDigestIdentifiesChange: the operation, the revision that it builds on, the body and the zone make a change the same.
+// TestDigestIdentifiesChange: two changes have the same digest only if operation, base revision, body and zone are the same.
 func TestDigestIdentifiesChange(t *testing.T) {
 	c := Change{Op: OpReplace, Base: 5, Body: configBody(6, "a")}
 	for what, other := range map[string]Change{
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestCollisionOnAnotherVersion: a digest is compared with that of the change on the same revision alone, so that a change is never
-// confirmed by the digest of another one's.
+// TestCollisionOnAnotherVersion: a digest is compared only with that of the change on the same revision, so an equal digest on
+// another revision never confirms a change.
 func TestCollisionOnAnotherVersion(t *testing.T) {
 	s, all := applyMany(t, 10)
 	c := Change{Op: OpReplace, Base: all[4].Base, Body: configBody(1000, "")}
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestHistoryIsBounded: the history is bounded, and so is its part of an encoding.
+// TestHistoryIsBounded: the number of changes in the history and their size in an encoding are bounded.
 func TestHistoryIsBounded(t *testing.T) {
 	s, _ := applyMany(t, MaxHistory+10)
 	if n := len(s.history.changes); n != MaxHistory {
@@ -128,7 +128,8 @@
 	}
 }
 
-// TestWithoutHistory: a state without history applies records as any other, and refuses nothing that may have been applied.
+// TestWithoutHistory: a state without history applies records like any other state, and does not refuse a change that may have been
+// applied.
 func TestWithoutHistory(t *testing.T) {
 	full, all := applyMany(t, 20)
 	full = requireAccepted(t, full, Change{Op: OpEvacuate, Base: int64(full.Seq), Zone: "z"})
@@ -182,8 +183,8 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// TestDecodeLegacy: a snapshot of an earlier version of the software is decoded, and its history recognises retries, also once this
-// version has encoded it again and further changes have come.
+// TestDecodeLegacy: a snapshot of an earlier version of the software is decoded, and its history recognises retries, also after this
+// version has encoded it again and applied further changes.
 func TestDecodeLegacy(t *testing.T) {
 	for _, count := range []int{1, 255, 256, 300} {
 		state, all := applyMany(t, count)
--- a/internal/system/controlstate/state_test.go
+++ b/internal/system/controlstate/state_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// configBody makes a complete configuration; mark tells those of one revision apart.
+// configBody returns a complete configuration; mark distinguishes configurations of the same revision.
 func configBody(revision int64, mark string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"routes":[{"name":"r","hostname":"h","path_prefix":"/","timeout_ms":1,"target":"s"}],`+
 		`"services":[{"name":"s"}],"mark":%q}`, revision, mark)
@@ -28,7 +28,7 @@
 		revision, mark, mark)
 }
 
-// requireAccepted takes a change that has to be accepted.
+// requireAccepted checks that a change is accepted, and returns the state after it.
 func requireAccepted(t testing.TB, s *State, c Change) *State {
 	t.Helper()
 	v := s.Check(c)
@@ -134,7 +134,7 @@
 	}
 }
 
-// TestApplyReusesCheckedConfig tells that Apply takes over what Check has read, and only that.
+// TestApplyReusesCheckedConfig: Apply reuses the configuration that Check has parsed, but only for the same change.
 func TestApplyReusesCheckedConfig(t *testing.T) {
 	s := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
 	c := Change{Op: OpReplace, Base: 5, Body: configBody(6, "b")}
@@ -172,8 +172,8 @@
 	wg.Wait()
 }
 
-// TestConcurrentOperatorsModel lets two operators send changes, and checks every verdict against a plain model; a follower that
-// sees only the records, and one that restores snapshots, have the same state.
+// TestConcurrentOperatorsModel sends changes as two operators would, and checks every verdict against a simple model. A follower
+// that receives only the records, and one that restores snapshots, have the same state.
 func TestConcurrentOperatorsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newOperatorsModel()
@@ -200,14 +200,14 @@
 // sentChange is a change that an operator has sent.
 type sentChange struct {
 	change  Change
-	applied bool // to the configuration
+	applied bool // whether it is an applied configuration change
 }
 
-// operatorsModel is a plain model of the state, with all that was sent.
+// operatorsModel is a simple model of the state, with all changes that were sent.
 type operatorsModel struct {
 	sent      []sentChange
 	evacuated map[string]bool
-	changed   map[string]uint64 // number of the record that last changed a zone
+	changed   map[string]uint64 // by zone, the number of the record that last changed it
 	revision  int64
 }
 
@@ -215,7 +215,7 @@
 	return &operatorsModel{evacuated: map[string]bool{}, changed: map[string]uint64{}}
 }
 
-// drawChange draws a change on the current or an older version, or one that was sent before.
+// drawChange draws a new change on the current or an older version, or a change that was sent before.
 func (m *operatorsModel) drawChange(t *rapid.T, newest uint64) Change {
 	base := m.revision - rapid.Int64Range(0, 1).Draw(t, "back")*rapid.Int64Range(0, 1).Draw(t, "back more")
 	number := m.revision + rapid.Int64Range(-1, 3).Draw(t, "step")
@@ -238,7 +238,7 @@
 	return zoneChange(OpEvacuate)
 }
 
-// verdict returns the verdict that a change must get, and applies it to the model where it is accepted.
+// verdict returns the verdict that a change must get, and applies the change to the model if it is accepted.
 func (m *operatorsModel) verdict(t *rapid.T, change Change, newest uint64) Kind {
 	isConfig := change.Op == OpReplace || change.Op == OpAmend
 	var want Kind
@@ -286,11 +286,11 @@
 	return Accepted
 }
 
-// replicas are a head, a follower, and one that restores a snapshot after each record.
+// replicas holds the head, a follower, and a replica that restores a snapshot after each record.
 type replicas struct {
 	head, follower, restored *State
-	states                   []*State // of the head, after each record
-	encoded                  [][]byte // of states, when they were made
+	states                   []*State // states of the head after each record
+	encoded                  [][]byte // encodings of states at the time they were created
 }
 
 func newReplicas() *replicas { return &replicas{head: Empty(), follower: Empty(), restored: Empty()} }
@@ -313,7 +313,7 @@
 	}
 }
 
-// checkOldStates checks that no state was changed after it was made.
+// checkOldStates checks that no state was modified after it was created.
 func (r *replicas) checkOldStates(t *rapid.T) {
 	for i, state := range r.states {
 		if !bytes.Equal(state.Encode(), r.encoded[i]) {
@@ -337,7 +337,8 @@
 	}
 }
 
-// FuzzDecode: whatever stands before a sound digest is refused as corrupt, or is a state whose encoding is read as the same state.
+// FuzzDecode: for any bytes with a valid checksum, Decode either returns ErrCorrupt or a state that survives encoding and decoding
+// unchanged.
 func FuzzDecode(f *testing.F) {
 	s := requireAccepted(f, Empty(), Change{Op: OpReplace, Body: configBody(5, "a")})
 	s = requireAccepted(f, s, Change{Op: OpEvacuate, Zone: "z"})
--- a/internal/system/controlstate/zones_test.go
+++ b/internal/system/controlstate/zones_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestDelayedEvacuationIsSuperseded: a call that was under way since before a later one of its zone does not undo it, whichever of
-// the two was an evacuation, also after a snapshot, and also where what the later one asks for was in force already.
+// TestDelayedEvacuationIsSuperseded: a delayed call does not undo a later call for the same zone, whichever of the two was an
+// evacuation, also after a snapshot, and also if the later call requested a state that was already in force.
 func TestDelayedEvacuationIsSuperseded(t *testing.T) {
 	start := Change{Op: OpEvacuate, Zone: "z"}
 	state := requireAccepted(t, Empty(), start)                                  // record 1
@@ -20,15 +20,15 @@
 		}
 	}
 	state = requireAccepted(t, state, Change{Op: OpEvacuate, Base: 2, Zone: "z"}) // record 3
-	finish := Change{Op: OpReadmit, Base: 3, Zone: "z"}                           // comes late
-	state = requireAccepted(t, state, Change{Op: OpEvacuate, Base: 3, Zone: "z"}) // record 4: asked again after that, and confirmed
+	finish := Change{Op: OpReadmit, Base: 3, Zone: "z"}                           // delayed
+	state = requireAccepted(t, state, Change{Op: OpEvacuate, Base: 3, Zone: "z"}) // record 4: sent again after finish, and confirmed
 	if v := state.Check(finish); v.Kind != Superseded {
 		t.Errorf("a finish from before a start that was confirmed: %+v", v)
 	}
 	if v := state.Check(Change{Op: OpEvacuate, Base: 3, Zone: "z"}); v.Kind != AlreadyApplied {
 		t.Errorf("the same start again: %+v", v)
 	}
-	// Other zones and the configuration are no reason.
+	// A change of another zone does not supersede the call.
 	state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: "other"})
 	requireAccepted(t, state, Change{Op: OpReadmit, Base: 4, Zone: "z"})
 }
@@ -38,7 +38,7 @@
 	for i := range MaxZones {
 		state = requireAccepted(t, state, Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: fmt.Sprint("zone ", i)})
 	}
-	// Not Invalid: the same change may have been accepted before, and undone since.
+	// The verdict is not Invalid: the same change may have been accepted before and undone since.
 	if v := state.Check(Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: "one more"}); v.Kind != Uncertain {
 		t.Errorf("%+v", v)
 	}
@@ -52,8 +52,8 @@
 	requireAccepted(t, state, Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: "one more"})
 }
 
-// TestZoneChangesAreBounded: the memory of zones is bounded. What is forgotten counts as changed later, so a delayed call is still
-// recognised; and a replica that restores snapshots on the way has the same state.
+// TestZoneChangesAreBounded: the number of remembered zones is bounded. A forgotten zone counts as changed later than it was, so a
+// delayed call is still recognised; and a replica that restores snapshots in between has the same state.
 func TestZoneChangesAreBounded(t *testing.T) {
 	state, restored := Empty(), Empty()
 	applyBoth := func(c Change) {
@@ -77,7 +77,7 @@
 		}
 	}
 	for i := range 3 * maxRememberedZones {
-		c := Change{Op: OpEvacuate, Base: int64(2*i + 2), Zone: fmt.Sprint("zone ", i)} // from before its end
+		c := Change{Op: OpEvacuate, Base: int64(2*i + 2), Zone: fmt.Sprint("zone ", i)} // sent before the readmission
 		if v := state.Check(c); v.Kind != Superseded {
 			t.Fatalf("zone %d: %+v", i, v)
 		}
--- a/internal/system/fields/fields_test.go
+++ b/internal/system/fields/fields_test.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/fields"
 )
 
-// TestReader: what was written is read, and every truncation of it fails.
+// TestReader: a Reader returns the fields that were encoded, and fails on every truncation of the encoding.
 func TestReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")
@@ -30,7 +30,7 @@
 	})
 }
 
-// TestUint64: eight bytes are read as they were written, fewer fail.
+// TestUint64: Uint64 decodes eight bytes, and fails if there are fewer.
 func TestUint64(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.Uint64().Draw(t, "value")
@@ -46,7 +46,7 @@
 	})
 }
 
-// TestLengthBeyondTheEnd: a length that is larger than what is left neither allocates nor wraps around.
+// TestLengthBeyondTheEnd: a length that exceeds the remaining input makes Bytes fail without allocating memory or wrapping around.
 func TestLengthBeyondTheEnd(t *testing.T) {
 	for _, length := range []uint64{2, 1 << 31, 1 << 63, 1<<64 - 1} {
 		r := fields.NewReader(append(binary.AppendUvarint(nil, length), 'x'))
--- a/internal/system/ownership/ownership_test.go
+++ b/internal/system/ownership/ownership_test.go
@@ -33,7 +33,7 @@
 		if count > 0 && Owner(key, other) != want[0] {
 			t.Fatalf("owner %q, the first of the owners %q", Owner(key, other), want[0])
 		}
-		// The order is that of all weights: fewer owners are the first of more.
+		// The owners are ordered by weight, so a smaller count returns a prefix of a larger one.
 		if all := Owners(key, live, len(live)); !slices.Equal(all[:len(want)], want) {
 			t.Fatalf("owners %v of %v", want, all)
 		}
@@ -60,7 +60,7 @@
 func TestKeysSpreadEvenly(t *testing.T) {
 	live := make([]string, 12)
 	for n := range live {
-		live[n] = fmt.Sprintf("10.0.%d.%d", n/4, n%4+1) // names that differ little
+		live[n] = fmt.Sprintf("10.0.%d.%d", n/4, n%4+1) // similar names
 	}
 	const keys = 12000
 	count := map[string]int{}
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestNodesWithDifferingViews: nodes learn of views late and out of step, and some learn nothing for long. At most one node acts
-// under each epoch that is still current somewhere, and it is the owner that the view of that epoch names.
+// TestNodesWithDifferingViews: nodes receive views late and at different times, and some receive none for a long time. At most one
+// node acts under each epoch that is still current on some node, and it is the owner in the view of that epoch.
 func TestNodesWithDifferingViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -136,7 +136,7 @@
 	})
 }
 
-// checkOwnersOfViews checks that one node at most acts under each token, the owner in the view of that epoch.
+// checkOwnersOfViews checks that at most one node acts under each token, and that it is the owner in the view of that epoch.
 func checkOwnersOfViews(t *rapid.T, assignments map[string]*Assignment, views [][]string) {
 	acting, current := map[uint64]string{}, map[uint64]bool{}
 	for _, node := range slices.Sorted(maps.Keys(assignments)) {
--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -13,10 +13,10 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// tryAllCases reports whether to try every case instead of a spread of them.
+// tryAllCases reports whether to try every case instead of a sample.
 func tryAllCases() bool { return os.Getenv("WAL_DEEP") != "" }
 
-// histories are the scripts of the crash and error tests, which inject a fault at each call.
+// histories are the sequences of calls for the crash and error tests, which inject a fault at each call on the disk.
 var histories = map[string][]step{
 	"grow": {
 		{saveMeta, 1, 1},
@@ -71,12 +71,12 @@
 	},
 }
 
-// runHistory runs a script until the simulated machine crashes.
+// runHistory runs the steps until the simulated machine crashes.
 func runHistory(steps []step, fault func(int, string) error) (*checkedLog, error) {
 	return runWith(steps, wal.TestingKnobs{}, ignoredSyncs{}, fault)
 }
 
-// runWith is runHistory with some protections switched off.
+// runWith is like runHistory, with some protections disabled.
 func runWith(steps []step, h wal.TestingKnobs, l ignoredSyncs, fault func(int, string) error) (*checkedLog, error) {
 	fs := newSimFS()
 	fs.fault, fs.knobs, fs.ignored = fault, h, l
@@ -122,7 +122,7 @@
 	}
 }
 
-// crashAt is a fault that crashes the machine at one call.
+// crashAt returns a fault function that crashes the machine at the given call.
 func crashAt(call int) func(int, string) error {
 	return func(n int, _ string) error {
 		if n == call {
@@ -132,7 +132,7 @@
 	}
 }
 
-// TestErrorThenCrash lets one call, or some in a row, fail, and the machine crash at each later call.
+// TestErrorThenCrash makes one call or several consecutive calls fail, and then crashes the machine at each later call.
 func TestErrorThenCrash(t *testing.T) {
 	for name, steps := range histories {
 		for _, in := range []error{errNoSpace, errors.New("input/output error")} {
@@ -183,7 +183,7 @@
 	}
 }
 
-// TestRandomHistories draws calls, errors, kills and losses of power.
+// TestRandomHistories runs random sequences of calls, errors, kills and power losses.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
@@ -206,7 +206,7 @@
 	})
 }
 
-// drawEvent draws one of: a disk without space for some calls, a kill with a restart, a crash at a later call, and a change.
+// drawEvent draws and runs one of: a full disk for some calls, a kill with a restart, a crash at a later call, and a change.
 func (s *checkedLog) drawEvent(t *rapid.T, r *rand.Rand) error {
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
@@ -245,7 +245,7 @@
 	}).Draw(t, "step")
 }
 
-// restartAfterCrash checks what a crash may leave, and goes on with one of the cases.
+// restartAfterCrash checks the possible states of the disk after a crash, and continues with one of them.
 func (s *checkedLog) restartAfterCrash(r *rand.Rand) error {
 	if err := s.checkCrash(10, 1, r); err != nil {
 		return err
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -15,7 +15,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// diskMethod names a method of wal.Disk that changes something.
+// diskMethod identifies a method of wal.Disk that makes a change.
 type diskMethod string
 
 const (
@@ -34,12 +34,12 @@
 
 func (s step) String() string { return fmt.Sprintf("%s(%d,%d)", s.method, s.argument, s.history) }
 
-// makeEntry returns the entry numbered seq of the given history of the log, so that entries of two histories differ.
+// makeEntry returns the entry with sequence number seq in the given history; entries of different histories differ.
 func makeEntry(seq, history uint64) wal.Entry {
 	return wal.Entry{Seq: seq, Data: []byte(fmt.Sprintf("entry %d of %d %s", seq, history, strings.Repeat("x", int(seq*7%40))))}
 }
 
-// run makes the call on disk, whose newest sequence number is last.
+// run makes the call on disk; last is the newest sequence number in disk.
 func (s step) run(disk wal.Disk, last uint64) error {
 	snapshot := wal.Snapshot{Seq: s.argument, Data: []byte(fmt.Sprintf("snapshot %d of %d", s.argument, s.history))}
 	switch s.method {
@@ -88,14 +88,14 @@
 	return v, nil
 }
 
-// checkedLog is a Log on a simulated disk, beside a model of its possible contents: what was acknowledged, and what calls that
-// failed since may have changed.
+// checkedLog is a Log on a simulated disk with a model of its possible contents: the acknowledged changes, and the changes that calls
+// that failed since may have made.
 type checkedLog struct {
 	fs           *simFS
 	log          *wal.Log
 	model        *waltest.Mem
-	possibleLogs map[string]bool            // logs
-	possibleMeta map[string]map[string]bool // by name
+	possibleLogs map[string]bool            // logs that failed calls may have left
+	possibleMeta map[string]map[string]bool // metadata that failed calls may have left, by name
 	trace        []string
 }
 
@@ -134,7 +134,7 @@
 	return err
 }
 
-// runStep runs a step on log and model, and records what a failed one may have left.
+// runStep runs a step on log and model. If the step fails, it records the state that the step may have left.
 func (s *checkedLog) runStep(next step) error {
 	after := s.model.Clone()
 	modelErr := next.run(after, s.model.LastSeq())
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// checkAllowed checks that the model allows the content of a disk.
+// checkAllowed checks that the content of a disk is one that the model allows.
 func (s *checkedLog) checkAllowed(v view) error {
 	want, _ := loadView(s.model)
 	if v.log != want.log && !s.possibleLogs[v.log] {
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// checkRecovery opens a disk left by a crash, and checks that its content is allowed, durable, and can be changed further. nested
-// is the number of losses of power that are tried at each call of the loading.
+// checkRecovery opens a disk after a crash, and checks that its content is allowed and durable and that the log accepts further
+// changes. nested is the number of power losses that are tried at each call during loading.
 func (s *checkedLog) checkRecovery(fs *simFS, nested int, r *rand.Rand) error {
 	before := fs.afterKill()
 	log, err := openSim(fs)
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// checkDurable checks that what was loaded survives a loss of power.
+// checkDurable checks that the loaded content survives a power loss.
 func checkDurable(fs *simFS, loaded view, r *rand.Rand) error {
 	var err error
 	fs.powerLosses(1, r, func(lost *simFS) {
@@ -242,8 +242,8 @@
 	return err
 }
 
-// checkCrashInLoading loads the log of fs with a crash at the given call, and checks the recovery from that.
-// checkCrash checks the recovery after a kill, and after bound losses of power at most.
+// checkCrashInLoading loads the log of fs with a crash at the given call, and checks the recovery after a kill and after power losses
+// at that call, at most nested of them.
 func (s *checkedLog) checkCrashInLoading(fs *simFS, call, nested int, r *rand.Rand) error {
 	crashInLoading(fs, call)
 	var err error
@@ -295,10 +295,10 @@
 	return err
 }
 
-// checkCrash checks the recovery after a kill, and after bound losses of power at most.
+// checkCrash checks the recovery after a kill, and after at most bound power losses.
 func (s *checkedLog) checkCrash(bound, nested int, r *rand.Rand) error {
 	s.fs.crashed, s.fs.fault = false, nil
-	// Only a killed process leaves unsynced data that a loss of power during the next loading can take.
+	// Only a killed process leaves unsynced data that a power loss during the next loading can destroy.
 	err := errors.Wrap(s.checkRecovery(s.fs.afterKill(), 8*nested, r), "killed")
 	n := 0
 	s.fs.powerLosses(bound, r, func(lost *simFS) {
@@ -312,7 +312,7 @@
 	return err
 }
 
-// restart opens a disk as it was left, checks its content, and makes that the model's.
+// restart opens a disk after a crash or kill, checks its content, and resets the model to that content.
 func (s *checkedLog) restart(fs *simFS) error {
 	log, err := openSim(fs)
 	if err != nil {
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -16,7 +16,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// TestRealFolder runs the histories in a folder of the operating system, with a new process before each step.
+// TestRealFolder runs the histories in a folder of the operating system, and reopens the log before each step.
 func TestRealFolder(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	for name, steps := range histories {
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestFilesAreTheOwners: nobody but the owner reads the files, which hold what the control state has, API keys included.
+// TestFilesAreTheOwners: only the owner may access the files, because the control state in them includes API keys.
 func TestFilesAreTheOwners(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "data")
 	log := openLoaded(t, folder, wal.Options{SegmentBytes: 300})
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestMisuse: a Log and the disk in memory refuse the same calls.
+// TestMisuse: a Log and the in-memory disk reject the same calls.
 func TestMisuse(t *testing.T) {
 	log, err := wal.Open(t.TempDir(), wal.Options{})
 	if err != nil {
@@ -121,13 +121,13 @@
 	})
 }
 
-// fullLog is a log that has been filled up, beside a model of it.
+// fullLog is a log that has been filled up, with a model of it.
 type fullLog struct {
 	t     *testing.T
 	fs    *simFS
 	log   *wal.Log
 	model *waltest.Mem
-	data  []byte // of an entry
+	data  []byte // data of each entry
 }
 
 func newFullLog(t *testing.T, options wal.Options) *fullLog {
@@ -146,7 +146,7 @@
 	return full
 }
 
-// both applies a change to the log and, where it succeeds, to the model.
+// both applies a change to the log and, if it succeeds, to the model.
 func (f *fullLog) both(change func(wal.Disk) error) error {
 	err := change(f.log)
 	if err == nil {
@@ -175,7 +175,7 @@
 	requireSame(f.t, f.log, f.model)
 }
 
-// compactWithoutSpace compacts while others use all of the disk, and frees 1,000 bytes.
+// compactWithoutSpace compacts while the disk has no free space, and then frees 1,000 bytes.
 func (f *fullLog) compactWithoutSpace() {
 	f.t.Helper()
 	f.fs.capacity = f.fs.usedBytes()
@@ -215,7 +215,7 @@
 	}
 }
 
-// buildLog makes a log with segments of the given size on a simulated disk, and returns what it held after each step.
+// buildLog creates a log with segments of the given size on a simulated disk, and returns its contents after each step.
 func buildLog(t *testing.T, segmentBytes int64, steps []step) (*simFS, []view) {
 	t.Helper()
 	fs, model := newSimFS(), waltest.NewMem()
@@ -231,7 +231,7 @@
 	return fs, views
 }
 
-// TestDamage changes each byte of each file: either the damage is seen, or the last record is gone, as if torn.
+// TestDamage changes each byte of each file: either Load detects the damage, or it drops the last record as torn.
 func TestDamage(t *testing.T) {
 	steps := []step{
 		{saveMeta, 1, 1},
@@ -273,7 +273,7 @@
 	}
 }
 
-// loadWithDamage loads a log of which one bit has changed.
+// loadWithDamage loads a copy of a log with one flipped bit.
 func loadWithDamage(t *testing.T, fs *simFS, name string, index int) (view, error) {
 	t.Helper()
 	changed := fs.afterKill()
@@ -287,7 +287,7 @@
 	return loadView(log)
 }
 
-// TestMissingSnapshot: a log whose snapshot is gone is damaged.
+// TestMissingSnapshot: a log whose snapshot is missing is reported as damaged.
 func TestMissingSnapshot(t *testing.T) {
 	fs, _ := buildLog(t, 100, []step{{appendEntries, 4, 0}, {installSnapshot, 9, 0}, {appendEntries, 1, 0}})
 	names, _ := fs.ReadDir("")
@@ -302,7 +302,8 @@
 	}
 }
 
-// TestMissingSegment takes out a segment that is not the last, also where the numbers of the rest follow each other.
+// TestMissingSegment removes a segment other than the last one: the log is reported as damaged, also if the numbers of the remaining
+// segments are consecutive.
 func TestMissingSegment(t *testing.T) {
 	for _, segmentBytes := range []int64{1, 60, 200} {
 		fs, _ := buildLog(t, segmentBytes, []step{
@@ -327,7 +328,8 @@
 	}
 }
 
-// TestStaleRecord puts a complete record of an earlier log behind the end, as blocks that were used before may.
+// TestStaleRecord puts a complete record of an earlier log after the end of the log, as can happen when disk blocks are reused. Load
+// must ignore it.
 func TestStaleRecord(t *testing.T) {
 	old, err := runHistory([]step{{appendEntries, 1, 0}, {appendEntries, 1, 0}}, nil)
 	if err != nil {
@@ -343,7 +345,7 @@
 	if v, err := loadView(s.log); err != nil || s.checkAllowed(v) != nil {
 		t.Errorf("%v, %v", v, err)
 	}
-	// The same record once more, in the same segment.
+	// A second copy of the log's own record, in the same segment.
 	n.content = append(slices.Clone(n.content), n.content[wal.HeaderSize:]...)
 	if v, err := loadView(s.log); err != nil || s.checkAllowed(v) != nil {
 		t.Errorf("%v, %v", v, err)
--- a/internal/system/wal/meta.go
+++ b/internal/system/wal/meta.go
@@ -17,7 +17,7 @@
 	}
 	generations := l.meta[name]
 	err := l.withReserve(len(data), func() error {
-		generations.triedGeneration++ // never reused: a failed one may be on disk
+		generations.triedGeneration++ // never reused: a generation whose write failed may be on disk
 		return l.writeMeta(name, generations.triedGeneration, data)
 	})
 	if err == nil {
--- a/internal/system/wal/ownership_test.go
+++ b/internal/system/wal/ownership_test.go
@@ -10,8 +10,8 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// openTwice opens a log twice on one disk, as when a process is restarted while the old one is still about to end: file locks
-// do nothing there. The old process has written two entries and a piece of metadata before the successor loads.
+// openTwice opens a log twice on one disk, as happens when a process is restarted while the old one is still shutting down; file
+// locks have no effect there. The old process has written two entries and a piece of metadata before the successor loads.
 func openTwice(t *testing.T, knobs wal.TestingKnobs) (fs *simFS, old, successor *wal.Log) {
 	t.Helper()
 	fs = newSimFS()
@@ -29,8 +29,8 @@
 	return fs, old, openLoaded(t, simFolder, options)
 }
 
-// TestSupersededProcessAcknowledgesNothing lets the old process go on once its successor has loaded: none of its changes succeeds,
-// and what the successor acknowledges is what a third process finds.
+// TestSupersededProcessAcknowledgesNothing: once the successor has loaded the log, no change of the old process succeeds, and a third
+// process finds exactly what the successor acknowledged.
 func TestSupersededProcessAcknowledgesNothing(t *testing.T) {
 	for name, change := range map[string]func(l *wal.Log) error{
 		"append":   func(l *wal.Log) error { return l.Append([]wal.Entry{makeEntry(3, 7)}) },
@@ -75,7 +75,7 @@
 	}
 }
 
-// checkSuccessorsWrites checks what a third process finds after a kill and after losses of power.
+// checkSuccessorsWrites checks that a third process finds the successor's writes after a kill and after power losses.
 func checkSuccessorsWrites(t *testing.T, fs *simFS) {
 	t.Helper()
 	model := waltest.NewMem()
@@ -99,7 +99,8 @@
 	fs.powerLosses(50, rand.New(rand.NewPCG(1, 2)), check)
 }
 
-// TestSupersededProcessWithoutOwnershipCheck is the control: without the look for the other process, both acknowledge an entry 3.
+// TestSupersededProcessWithoutOwnershipCheck is the negative control: without the ownership check, both processes acknowledge an
+// entry 3.
 func TestSupersededProcessWithoutOwnershipCheck(t *testing.T) {
 	_, old, young := openTwice(t, wal.TestingKnobs{SkipOwnershipCheck: true})
 	if err := errors.CombineErrors(old.Append([]wal.Entry{makeEntry(3, 7)}), young.Append([]wal.Entry{makeEntry(3, 1)})); err != nil {
@@ -107,8 +108,8 @@
 	}
 }
 
-// TestReadOnlyLoadChangesNothing reads the log of a process that goes on, as an operator may by mistake. Danger: the process loses its
-// log to a tool that only inspects it.
+// TestReadOnlyLoadChangesNothing loads the log of a running process read-only, as an operator may do by mistake. It guards against
+// the process losing ownership of its log to a tool that only inspects it.
 func TestReadOnlyLoadChangesNothing(t *testing.T) {
 	running, err := runHistory(histories["mixed"], nil)
 	if err != nil {
--- a/internal/system/wal/quarantine_test.go
+++ b/internal/system/wal/quarantine_test.go
@@ -13,7 +13,7 @@
 	"gradeusher.example/gradeusher/internal/system/wal/waltest"
 )
 
-// logFiles returns the contents of the files of a log, by name.
+// logFiles returns the contents of the log's files by name.
 func logFiles(fs *simFS) map[string]string {
 	all := map[string]string{}
 	for name, n := range fs.visible {
@@ -24,7 +24,7 @@
 	return all
 }
 
-// checkCopy checks that the quarantined copy has these files, and no others.
+// checkCopy checks that the quarantined copy consists of exactly the files in want.
 func checkCopy(fs *simFS, want map[string]string) error {
 	for name, content := range want {
 		if n := fs.visible[wal.QuarantinePrefix+name]; n == nil || string(n.content) != content {
@@ -41,15 +41,16 @@
 	return nil
 }
 
-// quarantineCrash is what a crash during a quarantine has left.
+// quarantineCrash describes the state after a crash during a quarantine.
 type quarantineCrash struct {
 	fs       *simFS
-	model    *waltest.Mem      // of the log before the quarantine
-	original map[string]string // contents of the log's files before, by name
-	done     bool              // the quarantine had ended
+	model    *waltest.Mem      // model of the log before the quarantine
+	original map[string]string // contents of the log's files before the quarantine, by name
+	done     bool              // the quarantine had finished before the crash
 }
 
-// crashDuringQuarantine quarantines a log beside an older copy, with a crash at each call, and has check look at each result.
+// crashDuringQuarantine quarantines a log in a folder that contains an older copy, with a crash at each call, and passes each
+// resulting state to check.
 func crashDuringQuarantine(t *testing.T, knobs wal.TestingKnobs, check func(quarantineCrash) error) error {
 	t.Helper()
 	r := rand.New(rand.NewPCG(5, 6))
@@ -75,7 +76,7 @@
 	}
 }
 
-// besideOlderCopy returns a log with a history beside the quarantined copy of an earlier one.
+// besideOlderCopy returns a log with a history, in a folder that contains the quarantined copy of an earlier log.
 func besideOlderCopy(t *testing.T) *checkedLog {
 	t.Helper()
 	fs := newSimFS()
@@ -98,8 +99,8 @@
 	return log
 }
 
-// checkAllOrNothing checks that after a restart the log is there as it was, or is empty with its copy beside it, also where the
-// restart is interrupted in turn; nested is the number of losses of power tried at each of its calls.
+// checkAllOrNothing checks that after a restart the log is either unchanged, or empty with its complete copy in the folder. It also
+// interrupts the restart itself; nested is the number of power losses tried at each call of the restart.
 func checkAllOrNothing(crash quarantineCrash, nested int) error {
 	for call := 1; nested > 0; call++ {
 		again := crash
@@ -129,7 +130,7 @@
 	return errors.CombineErrors(err, checkUsable(crash.fs, log, loaded))
 }
 
-// checkInterruptedRestart checks what a restart has left that crashed: after a kill, and after losses of power.
+// checkInterruptedRestart checks the state after a restart that crashed: after a kill, and after power losses.
 func checkInterruptedRestart(crash quarantineCrash, nested int) error {
 	fs := crash.fs
 	crash.fs = fs.afterKill()
@@ -143,8 +144,8 @@
 	return err
 }
 
-// TestQuarantine crashes at every call of a quarantine, and at every call of the restart after it: afterwards either everything is
-// there as it was, or an empty log with the complete copy beside it, and nothing of an older copy.
+// TestQuarantine crashes at every call of a quarantine, and at every call of the restart after it. Afterwards the log must either be
+// unchanged, or be empty with the complete copy in the folder and no file of an older copy.
 func TestQuarantine(t *testing.T) {
 	err := crashDuringQuarantine(t, wal.TestingKnobs{}, func(crash quarantineCrash) error {
 		if _, marked := crash.fs.visible[wal.QuarantineMarkerName]; crash.done && marked {
@@ -201,7 +202,8 @@
 	}
 }
 
-// TestQuarantinedCopyGivesWay needs the space of the quarantined copy: the copy is dropped, and no change is refused.
+// TestQuarantinedCopyGivesWay makes changes that need the space of the quarantined copy: the copy is dropped, and no change is
+// refused.
 func TestQuarantinedCopyGivesWay(t *testing.T) {
 	large := make([]byte, 4000)
 	changes := map[string]func(*wal.Log) error{
@@ -226,7 +228,7 @@
 	}
 }
 
-// besideQuarantinedCopy returns a log with one entry beside the copy of another, on a disk of 12,000 bytes.
+// besideQuarantinedCopy returns a log with one entry, in a folder that contains the copy of another log, on a disk of 12,000 bytes.
 func besideQuarantinedCopy(t *testing.T, options wal.Options) *wal.Log {
 	t.Helper()
 	fs := newSimFS()
@@ -253,8 +255,8 @@
 	return log
 }
 
-// TestQuarantineWithoutDurableMarker is the control: where the marker need not be durable, a part of a log is served or the copy is
-// not complete.
+// TestQuarantineWithoutDurableMarker is the negative control: if the marker is not made durable, a partial log is served or the copy
+// is incomplete, and the check must find that.
 func TestQuarantineWithoutDurableMarker(t *testing.T) {
 	err := crashDuringQuarantine(t, wal.TestingKnobs{SkipQuarantineMarkerSync: true}, func(crash quarantineCrash) error {
 		return checkAllOrNothing(crash, 0)
--- a/internal/system/wal/simfs_test.go
+++ b/internal/system/wal/simfs_test.go
@@ -15,18 +15,18 @@
 // errCrash is what every call returns once the simulated machine has crashed.
 var errCrash = errors.New("the machine has crashed")
 
-// simFS is one folder of a simulated disk. What is not synced may be there, missing or torn after a loss of power, and each
-// name that was made, renamed or removed without a sync of the folder survives or is lost by itself. After a sync that failed,
-// no later one makes anything more of that file durable, though it may succeed and reads show all.
+// simFS is one folder of a simulated disk. After a power loss, unsynced data may be present, missing or torn, and each creation,
+// rename or removal of a name without a sync of the folder independently survives or is lost. After a failed sync, no later sync
+// makes any more data of that file durable, although it may succeed and reads still return all data.
 type simFS struct {
 	folder           folderState
 	visible, durable map[string]*inode
-	pending          []dirOp // what durable lacks of names, in order
-	calls            int     // that change something
+	pending          []dirOp // name changes that are not durable yet, in order
+	calls            int     // number of calls that make a change
 	fault            func(call int, what string) error
 	crashed          bool
-	capacity         int              // bytes of all files; 0: no bound
-	knobs            wal.TestingKnobs // of the logs opened on it
+	capacity         int              // bound on the total size of all files in bytes; 0 if unbounded
+	knobs            wal.TestingKnobs // knobs of the logs that are opened on this disk
 	ignored          ignoredSyncs
 }
 
@@ -35,33 +35,33 @@
 
 const (
 	folderMissing folderState = iota
-	folderMade                // a loss of power may take it and all that is in it
+	folderMade                // a power loss may remove the folder and everything in it
 	folderDurable
 )
 
 type inode struct {
 	content, durable []byte
-	pending          []fileOp // what durable lacks of content, in order
+	pending          []fileOp // content changes that are not durable yet, in order
 	failed           bool     // a sync has failed
 }
 
-// fileOp is a write (data not nil) or a change of size.
+// fileOp is a write (if data is not nil) or a change of the file size to at.
 type fileOp struct {
 	at    int64
 	data  []byte
 	state syncState
 }
 
-// syncState is what syncs have done for a fileOp.
+// syncState is the effect that syncs have had on a fileOp.
 type syncState int
 
 const (
 	syncNone   syncState = iota
-	syncDone             // it is durable, but not one before it
+	syncDone             // the operation is durable, but an earlier one is not
 	syncFailed           // no later sync makes it durable
 )
 
-// dirOp removes the name from (if any) and gives node the name to (if any).
+// dirOp removes the name from, unless empty, and gives node the name to, unless empty.
 type dirOp struct {
 	from, to string
 	node     *inode
@@ -85,7 +85,8 @@
 	return c
 }
 
-// outcomes are what a loss of power may leave of an operation; the first is nothing.
+// outcomes returns what may be left of an operation after a power loss. Unless the operation is durable, the first outcome is that
+// nothing is left.
 func (f fileOp) outcomes() [][]fileOp {
 	if f.state == syncDone {
 		return [][]fileOp{{f}}
@@ -105,7 +106,7 @@
 func (d dirOp) apply(names map[string]*inode) {
 	if d.from != "" {
 		if names[d.from] != d.node {
-			return // what it moves or removes is not there
+			return // the name that it moves or removes is not there
 		}
 		delete(names, d.from)
 	}
@@ -241,7 +242,7 @@
 	return n, nil
 }
 
-// WriteAt leaves half of what it was to write where it fails.
+// WriteAt writes only the first half of b if the call fails, and what fits if the disk is full.
 func (f *simFile) WriteAt(b []byte, at int64) (int, error) {
 	err := f.fs.countCall("write")
 	if errors.Is(err, errCrash) {
@@ -259,12 +260,12 @@
 	return len(b), err
 }
 
-// freeBytes returns the bytes that can be written to n at at.
+// freeBytes returns the number of bytes that can be written to n at offset at.
 func (s *simFS) freeBytes(n *inode, at int64) int {
 	return max(0, s.capacity-s.usedBytes()) + max(0, len(n.content)-int(at))
 }
 
-// usedBytes returns the bytes of all files.
+// usedBytes returns the total size of all files in bytes.
 func (s *simFS) usedBytes() int {
 	used := 0
 	for _, n := range s.visible {
--- a/internal/system/wal/simpowerloss_test.go
+++ b/internal/system/wal/simpowerloss_test.go
@@ -7,7 +7,7 @@
 	"sort"
 )
 
-// afterKill returns the disk as the successor of a killed process finds it: nothing is lost, nothing synced.
+// afterKill returns the disk as the successor of a killed process finds it: nothing is lost, and unsynced data stays unsynced.
 func (s *simFS) afterKill() *simFS {
 	twins := map[*inode]*inode{}
 	twin := func(node *inode) *inode {
@@ -30,8 +30,9 @@
 	return left
 }
 
-// powerLosses calls visit with what losses of power may leave: every case where there are at most bound, otherwise that many,
-// drawn, the one where everything unsynced is lost and the one where all of it survives among them.
+// powerLosses calls visit with the possible states of the disk after a power loss. If there are at most bound cases, it visits all
+// of them; otherwise it visits bound cases: first the one where everything unsynced is lost, then the one where all of it survives,
+// then randomly drawn ones.
 func (s *simFS) powerLosses(bound int, r *rand.Rand, visit func(*simFS)) {
 	if s.folder == folderMade {
 		none := newSimFS()
@@ -55,7 +56,7 @@
 	}
 }
 
-// unsyncedFiles returns the files of which a loss of power may take something, in the order of their contents.
+// unsyncedFiles returns the files that a power loss may affect, in the order of their contents.
 func (s *simFS) unsyncedFiles() []*inode {
 	nodes := map[*inode]bool{}
 	for _, node := range s.durable {
@@ -74,7 +75,7 @@
 	return unsynced
 }
 
-// choiceSizes returns the number of outcomes of each unsynced operation: of names first, then of files.
+// choiceSizes returns the number of outcomes of each unsynced operation: first those on names, then those on files.
 func (s *simFS) choiceSizes(unsynced []*inode) []int {
 	var sizes []int
 	for range s.pending {
@@ -88,7 +89,7 @@
 	return sizes
 }
 
-// countCases returns the product of the sizes, or bound+1 where it exceeds bound.
+// countCases returns the product of the sizes, or bound+1 if the product exceeds bound.
 func countCases(sizes []int, bound int) int {
 	total := 1
 	for _, size := range sizes {
@@ -99,7 +100,7 @@
 	return total
 }
 
-// nextCase counts choice up by one.
+// nextCase increments choice as a mixed-radix number with the radices sizes.
 func nextCase(choice, sizes []int) {
 	for i := range choice {
 		if choice[i]++; choice[i] < sizes[i] {
@@ -109,7 +110,7 @@
 	}
 }
 
-// drawCase sets choice to the k-th case: first that all is lost, then that all survives, then drawn ones.
+// drawCase sets choice to the k-th case: in case 0 everything is lost, in case 1 everything survives, the others are drawn.
 func drawCase(choice, sizes []int, k int, r *rand.Rand) {
 	for i := range choice {
 		switch k {
@@ -123,7 +124,7 @@
 	}
 }
 
-// afterPowerLoss returns the disk after one loss of power.
+// afterPowerLoss returns the disk after one power loss with the given outcomes of the unsynced operations.
 func (s *simFS) afterPowerLoss(choice []int, unsynced []*inode) *simFS {
 	names := maps.Clone(s.durable)
 	for i, op := range s.pending {
--- a/internal/system/wal/space_test.go
+++ b/internal/system/wal/space_test.go
@@ -12,29 +12,29 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// Sizes of the machines that the log is for, in bytes.
+// Sizes on the machines that the log is designed for, in bytes.
 const (
 	diskBytes             = 64e6
-	maxStateBytes         = 16 << 20 // a configuration, the largest that a node accepts
+	maxStateBytes         = 16 << 20 // the largest configuration that a node accepts
 	usualStateBytes       = 600 << 10
-	compactThresholdBytes = 8 << 20 // of records since the last snapshot: when a node compacts
+	compactThresholdBytes = 8 << 20 // bytes of records since the last snapshot at which a node compacts
 	maxLoadBytes          = 44 << 20
 )
 
-// meterFS is the operating system's file system without syncs, on a disk of a given size, whose fill it measures.
+// meterFS is the operating system's file system without syncs, with a bounded capacity. It measures the disk usage.
 type meterFS struct {
 	wal.OSFS
 	sizes                 map[string]int64
 	usedBytes, peakBytes  int64
 	capacityBytes         int64
 	renamesToFail         int
-	segments, maxSegments int // files of segments
+	segments, maxSegments int // numbers of segment files
 }
 
 type meterFile struct {
 	wal.File
 	fs   *meterFS
-	name *string // changes with a rename
+	name *string // changes when the file is renamed
 }
 
 func newMeterFS() *meterFS { return &meterFS{sizes: map[string]int64{}, capacityBytes: diskBytes} }
@@ -99,7 +99,7 @@
 
 func (*meterFS) SyncDir(string) error { return nil }
 
-// currentName is the name under which the file counts; a start of a segment is written under another one.
+// currentName returns the name under which the size of the file is counted; the start of a segment is written under a temporary one.
 func (f *meterFile) currentName() string {
 	if _, ok := f.fs.sizes[*f.name]; !ok {
 		*f.name = strings.TrimSuffix(*f.name, wal.TemporarySuffix)
@@ -121,14 +121,14 @@
 
 func (*meterFile) Sync() error { return nil }
 
-// nodeLog is a log that is written as a control-plane node does.
+// nodeLog is a log that is written the way a control-plane node writes it.
 type nodeLog struct {
 	t                  *testing.T
 	fs                 *meterFS
 	folder             string
 	log                *wal.Log
 	snapshotBytes      int // bytes of a snapshot
-	bytesSinceSnapshot int // bytes of records since the last one
+	bytesSinceSnapshot int // bytes of records since the last snapshot
 	slowestStart       time.Duration
 }
 
@@ -151,7 +151,7 @@
 	n.log, n.slowestStart = log, max(n.slowestStart, time.Since(began))
 }
 
-// appendOne appends one record, compacts when it is due, and when the log is full.
+// appendOne appends one record. It compacts when the threshold is reached and when the log is full.
 func (n *nodeLog) appendOne(size int) {
 	n.t.Helper()
 	entry := wal.Entry{Seq: n.log.LastSeq() + 1, Data: make([]byte, size)}
@@ -184,7 +184,7 @@
 	}
 }
 
-// TestDiskUsageIsBounded makes changes without end on a disk of 64 MB, with restarts. Danger: the disk fills up by itself.
+// TestDiskUsageIsBounded makes many changes on a disk of 64 MB, with restarts. It guards against a log that fills the disk over time.
 func TestDiskUsageIsBounded(t *testing.T) {
 	t.Run("2000 changes of 600 KB", func(t *testing.T) {
 		node := newNodeLog(t, usualStateBytes)
@@ -229,7 +229,7 @@
 	})
 }
 
-// appendAndRestart appends count records and restarts after the first and each interval-th after it.
+// appendAndRestart appends count records, and restarts after the first one and after every interval-th one from there.
 func (n *nodeLog) appendAndRestart(count, size, interval int) {
 	n.t.Helper()
 	for i := range count {
@@ -239,7 +239,7 @@
 	}
 }
 
-// appendUncompacted appends count records, and compacts only where the log is full.
+// appendUncompacted appends count records, and compacts only when the log is full.
 func (n *nodeLog) appendUncompacted(count, size int) {
 	n.t.Helper()
 	for range count {
@@ -248,7 +248,7 @@
 	}
 }
 
-// installWithRetries installs a snapshot, up to five times where a rename fails.
+// installWithRetries installs a snapshot, with up to five attempts.
 func (n *nodeLog) installWithRetries(snapshot wal.Snapshot) {
 	n.t.Helper()
 	for attempt := 0; ; attempt++ {
@@ -262,8 +262,8 @@
 	}
 }
 
-// TestFullDiskGetsSpaceAgain lets others fill the disk, has every change refused and nothing lost, also in a restart, and gives
-// the space back.
+// TestFullDiskGetsSpaceAgain fills the disk from outside the log: every change is rejected and nothing is lost, also across a
+// restart. Once the space is free again, changes succeed.
 func TestFullDiskGetsSpaceAgain(t *testing.T) {
 	node := newNodeLog(t, usualStateBytes)
 	for range 5 {
@@ -295,8 +295,8 @@
 	}
 }
 
-// TestLoadMemoryIsBounded loads a log of 40 MiB, of usual changes and of the largest: what loading allocates bounds the
-// memory that it takes.
+// TestLoadMemoryIsBounded loads a log of 40 MiB, with changes of the usual size and of the largest size, and checks how many bytes
+// loading allocates, which bounds the memory that it needs.
 func TestLoadMemoryIsBounded(t *testing.T) {
 	t.Run("usual changes", func(t *testing.T) {
 		node := newNodeLog(t, usualStateBytes)
@@ -334,13 +334,13 @@
 	}
 }
 
-// TestLoadOnDiskRefusingWrites starts on a disk that refuses each call that would write, after a kill at any call before. Danger: a
-// node on a full disk ends at each start, and does not even serve what it has stored.
+// TestLoadOnDiskRefusingWrites loads a log on a disk that rejects every call that needs space, after a kill at any earlier call. It
+// guards against a node on a full disk that exits at every start and does not even serve its stored data.
 func TestLoadOnDiskRefusingWrites(t *testing.T) {
 	for name, steps := range histories {
 		t.Run(name, func(t *testing.T) {
 			reached := true
-			for call := 3; reached; call++ { // the folder and the first segment are there
+			for call := 3; reached; call++ { // the folder and the first segment exist from call 3 on
 				killed, err := runHistory(steps, crashAt(call))
 				if err != nil {
 					t.Fatal(err)
@@ -355,7 +355,7 @@
 	}
 }
 
-// loadRefusingWrites loads the log of a killed process on a disk that refuses writes, and changes it once there is space again.
+// loadRefusingWrites loads the log of a killed process on a disk that rejects writes, and changes the log once there is space again.
 func loadRefusingWrites(killed *checkedLog) error {
 	fs := killed.fs.afterKill()
 	fs.fault = func(_ int, call string) error {
--- a/internal/system/wal/testing_knobs_test.go
+++ b/internal/system/wal/testing_knobs_test.go
@@ -7,15 +7,15 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// ignoredSyncs are syncs of a simulated disk that do nothing.
+// ignoredSyncs selects the syncs of a simulated disk that have no effect.
 type ignoredSyncs struct{ files, folder, parentFolder bool }
 
-// findFault runs the histories with the protections of knobs switched off, or with syncs that do nothing, through crashes, and
-// through one failing call before each. It returns the first fault that it finds.
+// findFault runs the histories with protections disabled or with syncs that have no effect. It crashes at each call, with and
+// without a failing call before the crash, and returns the first fault that it finds.
 func findFault(knobs wal.TestingKnobs, ignored ignoredSyncs) error {
 	r := rand.New(rand.NewPCG(8, 9))
 	for _, name := range []string{"grow", "truncate", "compact", "install", "mixed"} {
-		for _, gap := range []int{0, 1, 7} { // calls between one that fails and the crash; 0: none fails
+		for _, gap := range []int{0, 1, 7} { // distance from the failing call to the crash; 0 if no call fails
 			if err := crashEverywhere(histories[name], knobs, ignored, gap, r); err != nil {
 				return err
 			}
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// crashEverywhere runs a history with a crash at each call, gap calls after one that fails.
+// crashEverywhere runs a history with a crash at each call, gap calls after a failing one.
 func crashEverywhere(steps []step, knobs wal.TestingKnobs, ignored ignoredSyncs, gap int, r *rand.Rand) error {
 	for crash := 1 + gap; ; crash++ {
 		run, err := runWith(steps, knobs, ignored, func(call int, _ string) error {
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestTestingKnobs takes each protection out. Danger: a test of crashes that finds nothing because it looks at nothing.
+// TestTestingKnobs disables one protection at a time and requires that the crash tests find a fault. It guards against crash tests
+// that pass because they check nothing.
 func TestTestingKnobs(t *testing.T) {
 	if err := findFault(wal.TestingKnobs{}, ignoredSyncs{}); err != nil {
 		t.Fatal(err)
