--- a/internal/system/controlstate/codec.go
+++ b/internal/system/controlstate/codec.go
@@ -140,7 +140,7 @@
 	case legacyStateFormat:
 		reader.legacyBody(state)
 	default:
-		return nil, errors.Mark(errors.New("state in a format unknown here: run a newer version"), ErrCorrupt)
+		return nil, errors.Mark(errors.New("the state has an unknown format: run a newer version"), ErrCorrupt)
 	}
 	if reader.Byte() == 1 {
 		raw := slices.Clone(reader.Bytes())
@@ -149,7 +149,7 @@
 		}
 		candidate, err := config.ParseAccepted(raw)
 		if err != nil {
-			return nil, errors.Mark(errors.Wrap(err, "state with a configuration that cannot be read here"), ErrCorrupt)
+			return nil, errors.Mark(errors.Wrap(err, "decode the configuration in the state"), ErrCorrupt)
 		}
 		state.Config = candidate
 	}
--- a/internal/system/controlstate/errors.go
+++ b/internal/system/controlstate/errors.go
@@ -17,5 +17,5 @@
 }
 
 func corruptError() error {
-	return errors.Mark(errors.New("bytes that are not a complete state: fetch it again"), ErrCorrupt)
+	return errors.Mark(errors.New("the bytes are not a complete encoding of a state: fetch the state again"), ErrCorrupt)
 }
--- a/internal/system/controlstate/history_test.go
+++ b/internal/system/controlstate/history_test.go
@@ -47,15 +47,15 @@
 		t.Run(name, func(t *testing.T) {
 			for index, change := range all[:forgotten] {
 				requireVerdict(t, state, change, Verdict{Kind: Uncertain, Seq: uint64(len(all))})
-				requireKind(t, state, withOtherBody(change), Uncertain, "another on the version of a forgotten change", index)
+				requireKind(t, state, withOtherBody(change), Uncertain, "another change on the version of forgotten change", index)
 			}
 			for index, change := range all[forgotten:] {
 				requireVerdict(t, state, change, Verdict{Kind: AlreadyApplied, Seq: uint64(forgotten + index + 1)})
-				requireKind(t, state, withOtherBody(change), Stale, "another on the version of change", forgotten+index)
+				requireKind(t, state, withOtherBody(change), Stale, "another change on the version of change", forgotten+index)
 			}
 			for _, base := range []int64{state.history.baseRevision + 1, state.Revision() + 1, -1} {
 				if v := state.Check(Change{Op: OpReplace, Base: base, Body: all[0].Body}); v.Kind != Stale {
-					t.Fatalf("on version %d, which never was: %+v", base, v)
+					t.Fatalf("change on version %d, which never existed: %+v", base, v)
 				}
 			}
 		})
@@ -92,12 +92,12 @@
 		"zone": {Op: OpReplace, Base: 5, Body: c.Body[:len(c.Body)-1], Zone: "}"},
 	} {
 		if other.digest() == c.digest() {
-			t.Errorf("another %s makes the same digest", what)
+			t.Errorf("a change with a different %s has the same digest", what)
 		}
 	}
 	same := Change{Op: OpReplace, Base: 5, Body: slices.Clone(c.Body)}
 	if same.digest() != c.digest() {
-		t.Error("the same change has two digests")
+		t.Error("two equal changes have different digests")
 	}
 }
 
@@ -108,7 +108,7 @@
 	c := Change{Op: OpReplace, Base: all[4].Base, Body: configBody(1000, "")}
 	s.history.changes[7].Digest = c.digest()
 	if v := s.Check(c); v.Kind != Stale {
-		t.Errorf("%+v", v)
+		t.Errorf("verdict on a change whose digest is that of a change on another revision: %+v, want Stale", v)
 	}
 }
 
@@ -121,10 +121,10 @@
 	added := len(s.Encode()) - len(s.Config.Raw)
 	t.Logf("%d changes add %d bytes to an encoding", MaxHistory, added)
 	if most := 18*MaxHistory + 64; added > most {
-		t.Errorf("%d bytes beside the configuration, want %d at most", added, most)
+		t.Errorf("the encoding takes %d bytes besides the configuration, want at most %d", added, most)
 	}
 	if added := len(s.WithoutHistory().Encode()) - len(s.Config.Raw); added > 64 {
-		t.Errorf("%d bytes beside the configuration of a state without memory", added)
+		t.Errorf("the encoding of a state without history takes %d bytes besides the configuration, want at most 64", added)
 	}
 }
 
@@ -136,11 +136,11 @@
 	lean := roundTrip(t, full.WithoutHistory())
 	for _, c := range all {
 		if v := lean.Check(c); v.Kind != Uncertain {
-			t.Fatalf("%+v", v)
+			t.Fatalf("verdict of a state without history on an applied change: %+v, want Uncertain", v)
 		}
 	}
 	if v := lean.Check(Change{Op: OpReadmit, Base: int64(lean.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
-		t.Errorf("%+v", v)
+		t.Errorf("verdict on a readmission sent before the evacuation: %+v, want Superseded", v)
 	}
 	for _, c := range []Change{
 		{Op: OpAmend, Base: full.Revision(), Body: amendmentBody(100, "b")}, {Op: OpReplace, Base: 100, Body: configBody(101, "")},
@@ -155,11 +155,11 @@
 		lean = next
 	}
 	if string(lean.Encode()) != string(full.WithoutHistory().Encode()) || len(lean.history.changes) > 0 {
-		t.Error("it differs from the other, or remembers changes of the configuration")
+		t.Error("the state without history differs from the full one, or remembers configuration changes")
 	}
 	for zone, want := range map[string]uint64{"z": 24, "y": 25, "x": 0} {
 		if a, b := lean.ZoneChangeSeq(zone), full.ZoneChangeSeq(zone); a != want || b != want {
-			t.Errorf("zone %s changed last by record %d, and %d without memory; want %d", zone, b, a, want)
+			t.Errorf("zone %s was last changed by record %d, or by %d according to the state without history; want %d", zone, b, a, want)
 		}
 	}
 }
@@ -207,14 +207,14 @@
 			}
 			c.Body = append([]byte(" "), c.Body...)
 			if v := old.Check(c); v.Kind == AlreadyApplied || v.Kind == Accepted {
-				t.Fatalf("%d changes: another on the version of change %d: %+v", count, i, v)
+				t.Fatalf("%d changes: another change on the version of change %d: %+v", count, i, v)
 			}
 		}
 		if !old.Evacuated["z"] {
-			t.Error("an evacuation is lost")
+			t.Error("the evacuation of zone z is lost")
 		}
 		if v := old.Check(Change{Op: OpReadmit, Base: int64(state.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
-			t.Errorf("from before the snapshot: %+v", v)
+			t.Errorf("verdict on a readmission sent before the evacuation: %+v, want Superseded", v)
 		}
 		requireAccepted(t, old, Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "z"})
 	}
@@ -225,7 +225,7 @@
 	b[0] = stateFormat + 1
 	b = binary.LittleEndian.AppendUint64(b[:len(b)-8], xxhash.Sum64(b[:len(b)-8]))
 	if _, err := Decode(b); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("%v", err)
+		t.Errorf("decoding an unknown format: %v, want ErrCorrupt", err)
 	}
 }
 
--- a/internal/system/controlstate/state_test.go
+++ b/internal/system/controlstate/state_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	v := s.Check(c)
 	if v.Kind != Accepted || v.Seq != s.Seq+1 || v.Reason != "" {
-		t.Fatalf("%+v", v)
+		t.Fatalf("verdict %+v, want Accepted", v)
 	}
 	next, err := s.Apply(c.Record(v.Seq))
 	if err != nil {
@@ -53,7 +53,7 @@
 	state := requireAccepted(t, Empty(), Change{Op: OpReplace, Body: read("replace.json")})
 	state = requireAccepted(t, state, Change{Op: OpAmend, Base: 7, Body: read("amend.json")})
 	if state.Seq != 2 || state.Revision() != 9 || state.Config.Match("ficu95.example:80", "/lohu930/2f") == nil {
-		t.Errorf("%+v", state)
+		t.Errorf("unexpected state after the examples: %+v", state)
 	}
 }
 
@@ -101,16 +101,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if v := state.Check(test.change); v.Kind != test.kind || v.Seq != test.seq || (v.Reason == "") != (test.kind == Accepted) {
-				t.Errorf("%+v", v)
+				t.Errorf("verdict %+v, want kind %d and record %d", v, test.kind, test.seq)
 			}
 		})
 	}
 	first := Empty()
 	if v := first.Check(Change{Op: OpAmend, Body: amendmentBody(1, "a")}); v.Kind != Invalid {
-		t.Errorf("amendment of nothing: %+v", v)
+		t.Errorf("amendment of the empty state: %+v", v)
 	}
 	if v := first.Check(Change{Op: OpReplace, Base: 3, Body: configBody(5, "")}); v.Kind != Stale || v.Seq != 0 {
-		t.Errorf("first one on a version: %+v", v)
+		t.Errorf("first change with a base version: %+v", v)
 	}
 }
 
@@ -308,7 +308,7 @@
 	}
 	for _, replica := range []*State{r.follower, r.restored} {
 		if !bytes.Equal(replica.Encode(), r.head.Encode()) {
-			t.Fatal("a follower differs")
+			t.Fatal("a replica differs from the head")
 		}
 	}
 }
@@ -317,7 +317,7 @@
 func (r *replicas) checkOldStates(t *rapid.T) {
 	for i, state := range r.states {
 		if !bytes.Equal(state.Encode(), r.encoded[i]) {
-			t.Fatalf("state %d has been changed", state.Seq)
+			t.Fatalf("state %d was modified after it was created", state.Seq)
 		}
 	}
 }
--- a/internal/system/controlstate/zones_test.go
+++ b/internal/system/controlstate/zones_test.go
@@ -15,7 +15,7 @@
 	for what, state := range map[string]*State{"as it is": state, "after a snapshot": roundTrip(t, state)} {
 		for base := range int64(2) {
 			if v := state.Check(Change{Op: OpEvacuate, Base: base, Zone: "z"}); v.Kind != Superseded || v.Seq != 2 {
-				t.Errorf("%s: a start from after record %d: %+v", what, base, v)
+				t.Errorf("%s: evacuation sent after record %d: %+v", what, base, v)
 			}
 		}
 	}
@@ -23,10 +23,10 @@
 	finish := Change{Op: OpReadmit, Base: 3, Zone: "z"}                           // delayed
 	state = requireAccepted(t, state, Change{Op: OpEvacuate, Base: 3, Zone: "z"}) // record 4: sent again after finish, and confirmed
 	if v := state.Check(finish); v.Kind != Superseded {
-		t.Errorf("a finish from before a start that was confirmed: %+v", v)
+		t.Errorf("readmission sent before a confirmed evacuation: %+v", v)
 	}
 	if v := state.Check(Change{Op: OpEvacuate, Base: 3, Zone: "z"}); v.Kind != AlreadyApplied {
-		t.Errorf("the same start again: %+v", v)
+		t.Errorf("the same evacuation again: %+v", v)
 	}
 	// A change of another zone does not supersede the call.
 	state = requireAccepted(t, state, Change{Op: OpEvacuate, Zone: "other"})
@@ -40,13 +40,13 @@
 	}
 	// The verdict is not Invalid: the same change may have been accepted before and undone since.
 	if v := state.Check(Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: "one more"}); v.Kind != Uncertain {
-		t.Errorf("%+v", v)
+		t.Errorf("evacuation beyond MaxZones: %+v", v)
 	}
 	if _, err := state.Apply(Change{Op: OpEvacuate, Zone: "one more"}.Record(state.Seq + 1)); err == nil {
-		t.Error("more zones than there may be")
+		t.Error("Apply accepted more than MaxZones evacuated zones")
 	}
 	if v := state.Check(Change{Op: OpEvacuate, Zone: "zone 7"}); v.Kind != AlreadyApplied {
-		t.Errorf("%+v", v)
+		t.Errorf("evacuation of a zone that is already evacuated: %+v", v)
 	}
 	state = requireAccepted(t, state, Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "zone 7"})
 	requireAccepted(t, state, Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: "one more"})
@@ -64,7 +64,7 @@
 		}
 		restored = roundTrip(t, next)
 		if !bytes.Equal(state.Encode(), restored.Encode()) {
-			t.Fatalf("record %d: one that took snapshots differs", state.Seq)
+			t.Fatalf("record %d: the replica that restored snapshots differs", state.Seq)
 		}
 	}
 	applyBoth(Change{Op: OpEvacuate, Zone: "evacuated"})
@@ -73,7 +73,7 @@
 		applyBoth(Change{Op: OpEvacuate, Base: int64(state.Seq), Zone: zone})
 		applyBoth(Change{Op: OpReadmit, Base: int64(state.Seq), Zone: zone})
 		if n := len(state.zoneChanges.lastChange); n > maxRememberedZones {
-			t.Fatalf("%d zones remembered", n)
+			t.Fatalf("the state remembers %d zones", n)
 		}
 	}
 	for i := range 3 * maxRememberedZones {
@@ -83,7 +83,7 @@
 		}
 	}
 	if v := state.Check(Change{Op: OpReadmit, Zone: "evacuated"}); v.Kind != Superseded {
-		t.Errorf("%+v", v)
+		t.Errorf("readmission with a fence older than the evacuation: %+v", v)
 	}
 	applyBoth(Change{Op: OpReadmit, Base: int64(state.Seq), Zone: "evacuated"})
 }
--- a/internal/system/fields/fields_test.go
+++ b/internal/system/fields/fields_test.go
@@ -17,7 +17,7 @@
 		encoding := fields.AppendBytes(binary.AppendVarint(binary.AppendUvarint([]byte{single}, unsigned), signed), text)
 		r := fields.NewReader(encoding)
 		if r.Byte() != single || r.Uvarint() != unsigned || r.Varint() != signed || string(r.Bytes()) != string(text) || !r.Complete() {
-			t.Fatalf("%x is read otherwise than it was written", encoding)
+			t.Fatalf("the fields read from %x differ from those written", encoding)
 		}
 		truncated := fields.NewReader(encoding[:rapid.IntRange(0, len(encoding)-1).Draw(t, "cut")])
 		truncated.Byte()
@@ -25,7 +25,7 @@
 		truncated.Varint()
 		truncated.Bytes()
 		if !truncated.Failed() || truncated.Complete() || truncated.Uvarint() != 0 {
-			t.Fatalf("a truncation of %x is read as complete", encoding)
+			t.Fatalf("a truncation of %x is accepted as complete", encoding)
 		}
 	})
 }
@@ -37,11 +37,11 @@
 		encoding := binary.BigEndian.AppendUint64(nil, value)
 		r := fields.NewReader(encoding)
 		if got := r.Uint64(); got != value || !r.Complete() {
-			t.Fatalf("%d is read as %d", value, got)
+			t.Fatalf("%d is decoded as %d", value, got)
 		}
 		truncated := fields.NewReader(encoding[:rapid.IntRange(0, 7).Draw(t, "length")])
 		if truncated.Uint64() != 0 || !truncated.Failed() {
-			t.Fatal("a truncation is read as complete")
+			t.Fatal("a truncated integer is accepted as complete")
 		}
 	})
 }
@@ -51,7 +51,7 @@
 	for _, length := range []uint64{2, 1 << 31, 1 << 63, 1<<64 - 1} {
 		r := fields.NewReader(append(binary.AppendUvarint(nil, length), 'x'))
 		if b := r.Bytes(); b != nil || !r.Failed() {
-			t.Errorf("length %d gives %q", length, b)
+			t.Errorf("a byte string of length %d is decoded as %q, want a failure", length, b)
 		}
 	}
 }
--- a/internal/system/invariant/invariant_test.go
+++ b/internal/system/invariant/invariant_test.go
@@ -11,13 +11,13 @@
 	var notified []uint64
 	Notify(func(v Violation) {
 		if v.Name != subject.Name() || v.Statement != "one is one" {
-			t.Errorf("notified of %+v", v)
+			t.Errorf("notified of an unexpected violation: %+v", v)
 		}
 		notified = append(notified, v.Count)
 	})
 	t.Cleanup(func() { receiver.Store(nil) })
 	if !subject.Check(true) || subject.Violations() != 0 || Violations()[subject.Name()] != 0 {
-		t.Fatalf("a check that held was counted: %v", Violations())
+		t.Fatalf("a check that passed was counted as a violation: %v", Violations())
 	}
 	for range 9 {
 		if subject.Check(false) {
--- a/internal/system/invariant/invarianttest/invarianttest.go
+++ b/internal/system/invariant/invarianttest/invarianttest.go
@@ -45,7 +45,7 @@
 	violate()
 	seen := i.Violations() - before
 	if seen == 0 {
-		t.Errorf("the invariant %s was not violated by what must violate it", i.Name())
+		t.Errorf("the invariant %s was not violated, although the test expects a violation", i.Name())
 	}
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/system/ownership/ownership_test.go
+++ b/internal/system/ownership/ownership_test.go
@@ -28,14 +28,14 @@
 		}
 		other := rapid.Permutation(live).Draw(t, "other order")
 		if got := Owners(key, append(other, other[0]), count); !slices.Equal(got, want) {
-			t.Fatalf("owners %v and, in another order, %v", want, got)
+			t.Fatalf("owners %v, but %v with the nodes in another order", want, got)
 		}
 		if count > 0 && Owner(key, other) != want[0] {
-			t.Fatalf("owner %q, the first of the owners %q", Owner(key, other), want[0])
+			t.Fatalf("owner %q, but the first of the owners is %q", Owner(key, other), want[0])
 		}
 		// The owners are ordered by weight, so a smaller count returns a prefix of a larger one.
 		if all := Owners(key, live, len(live)); !slices.Equal(all[:len(want)], want) {
-			t.Fatalf("owners %v of %v", want, all)
+			t.Fatalf("owners %v are not the first of all owners %v", want, all)
 		}
 	})
 }
@@ -51,7 +51,7 @@
 			before, after := Owners(key, live, count), Owners(key, left, count)
 			remaining := slices.DeleteFunc(slices.Clone(before), func(n string) bool { return n == removed })
 			if len(remaining) == len(before) && !slices.Equal(before, after) || !slices.Equal(after[:len(remaining)], remaining) {
-				t.Fatalf("key %s: %v before, %v after %s went", key, before, after, removed)
+				t.Fatalf("key %s: owners %v before and %v after %s was removed", key, before, after, removed)
 			}
 		}
 	})
@@ -95,14 +95,14 @@
 			epoch := rapid.Uint64Range(0, 10).Draw(t, "epoch")
 			members := drawNodes().Draw(t, "live")
 			if took := assignment.Update(epoch, members); took != (epoch > highest) {
-				t.Fatalf("epoch %d after %d: taken %v", epoch, highest, took)
+				t.Fatalf("update to epoch %d after %d: accepted = %v", epoch, highest, took)
 			}
 			if epoch > highest {
 				highest, live[epoch] = epoch, members
 			}
 			node, fence := assignment.Owner("key")
 			if fence != highest || node != Owner("key", live[highest]) {
-				t.Fatalf("owner %q under %d, want that of epoch %d", node, fence, highest)
+				t.Fatalf("owner %q with token %d, want the owner of epoch %d", node, fence, highest)
 			}
 			if _, holds := assignment.Owns("key"); holds != (node == "a") {
 				t.Fatalf("owns = %v, the owner is %q", holds, node)
@@ -150,7 +150,7 @@
 		}
 		acting[token] = node
 		if want := Owner("list", views[token]); node != want {
-			t.Fatalf("%s acts under token %d, whose view names %s", node, token, want)
+			t.Fatalf("%s acts under token %d, but the owner in that view is %s", node, token, want)
 		}
 	}
 	if len(acting) > len(current) {
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -142,12 +142,12 @@
 	s.trace = append(s.trace, fmt.Sprintf("%v=%v", next, err))
 	if modelErr != nil {
 		if err == nil {
-			return errors.Newf("%v: the model refuses it: %v", next, modelErr)
+			return errors.Newf("%v succeeded, but the model rejects it: %v", next, modelErr)
 		}
 		return nil
 	}
 	if errors.Is(err, wal.ErrMisuse) {
-		return errors.Newf("%v: %v, where the model takes it", next, err)
+		return errors.Newf("%v: %v, but the model accepts it", next, err)
 	}
 	name := fmt.Sprintf("m%d", next.argument)
 	switch {
@@ -178,12 +178,12 @@
 	}
 	for name := range want.meta {
 		if _, ok := v.meta[name]; !ok {
-			return errors.Newf("%s is gone", name)
+			return errors.Newf("metadata %s is missing", name)
 		}
 	}
 	for name, got := range v.meta {
 		if w, ok := want.meta[name]; (!ok || got != w) && !s.possibleMeta[name][got] {
-			return errors.Newf("%s is %q, want %q", name, got, w)
+			return errors.Newf("metadata %s is %q, want %q", name, got, w)
 		}
 	}
 	return nil
@@ -236,7 +236,7 @@
 			found, err = loadView(again)
 		}
 		if err == nil && !found.equal(loaded) {
-			err = errors.Newf("what was loaded is not durable: %v became %v", loaded, found)
+			err = errors.Newf("the loaded content is not durable: %v became %v", loaded, found)
 		}
 	})
 	return err
@@ -278,7 +278,7 @@
 		log.SaveMeta("after", []byte("new")),
 	} {
 		if err != nil {
-			return errors.Wrapf(err, "going on, step %d", i)
+			return errors.Wrapf(err, "change %d after loading", i)
 		}
 	}
 	var got view
@@ -290,7 +290,7 @@
 		}
 	})
 	if err == nil && (got.log != fmt.Sprintf("%s|%d:new", loaded.log, last+1) || got.meta["after"] != "new") {
-		err = errors.Newf("changed %v further, found %v", loaded, got)
+		err = errors.Newf("content after further changes to %v: %v", loaded, got)
 	}
 	return err
 }
--- a/internal/system/wal/errors.go
+++ b/internal/system/wal/errors.go
@@ -20,7 +20,7 @@
 	ErrSuperseded = errors.New("log superseded")
 	// ErrMisuse reports a call that this log cannot carry out: a gap in the sequence numbers, a truncation below the snapshot, a
 	// change before Load or on a log opened with Options.ReadOnly.
-	ErrMisuse = errors.New("wrong use of the log")
+	ErrMisuse = errors.New("invalid use of the log")
 )
 
 func damagedError(format string, args ...any) error {
--- a/internal/system/wal/files.go
+++ b/internal/system/wal/files.go
@@ -34,7 +34,7 @@
 	temporary := name + temporarySuffix
 	file, err := l.createNew(temporary)
 	if err != nil {
-		return nil, diskError(err, "make "+name)
+		return nil, diskError(err, "create "+name)
 	}
 	_, err = file.WriteAt(content, 0)
 	if err == nil {
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -97,7 +97,7 @@
 	}
 	h, ok := decodeSegmentHeader(b, number)
 	if !ok {
-		return segmentHeader{}, 0, damagedError("segment %d has no whole header", number)
+		return segmentHeader{}, 0, damagedError("segment %d has no complete header", number)
 	}
 	return h, size, nil
 }
@@ -115,7 +115,7 @@
 	isNewest := end == endUnknown
 	if !isNewest {
 		if end > size || end < headerSize {
-			return newestSegmentTail{}, damagedError("segment %d has %d bytes, and %d count", header.number, size, end)
+			return newestSegmentTail{}, damagedError("segment %d has %d bytes, but its live end is at %d", header.number, size, end)
 		}
 		content = content[:end]
 	}
@@ -126,7 +126,7 @@
 	}
 	hasRest := tail.offset < int64(len(content))
 	if hasRest && (!isNewest || scanner.hasRecordAfter(tail.offset)) {
-		return newestSegmentTail{}, damagedError("segment %d is damaged at %d", header.number, tail.offset)
+		return newestSegmentTail{}, damagedError("segment %d is damaged at offset %d", header.number, tail.offset)
 	}
 	l.segments = append(l.segments, segmentFile{header.number, tail.offset, size})
 	return tail, nil
@@ -142,7 +142,7 @@
 		}
 		firstSeq, ok := state.applyRecord(record[recordHeaderSize:], header.number)
 		if !ok {
-			return newestSegmentTail{}, damagedError("segment %d has a record at %d that does not follow", header.number, tail.offset)
+			return newestSegmentTail{}, damagedError("segment %d has a record at offset %d that does not follow the one before it", header.number, tail.offset)
 		}
 		tail.lastRecord, tail.firstSeq = record, firstSeq
 		tail.offset += int64(len(record))
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -111,13 +111,13 @@
 	fs := l.options.FS
 	if _, err := fs.ReadDir(l.folder); errors.Is(err, os.ErrNotExist) {
 		if err := fs.MkdirAll(l.folder); err != nil {
-			return diskError(err, "make the log's folder")
+			return diskError(err, "create the log's folder")
 		}
 	} else if err != nil {
 		return diskError(err, "read the log's folder")
 	}
 	// The sync is needed also if the folder existed: the process that created it may have ended before its own sync.
-	return diskError(fs.SyncDir(filepath.Dir(l.folder)), "sync the folder above the log")
+	return diskError(fs.SyncDir(filepath.Dir(l.folder)), "sync the parent of the log's folder")
 }
 
 func (o Options) withDefaults() Options {
@@ -178,7 +178,7 @@
 	case l.superseded:
 		return supersededError()
 	case l.options.ReadOnly:
-		return misuseError("the log is read only: open it without that to change it")
+		return misuseError("the log is open read-only: open it without Options.ReadOnly to change it")
 	case !l.loaded:
 		return misuseError("the log is not loaded: call Load first")
 	}
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -59,7 +59,7 @@
 		return err
 	})
 	if err != nil || files < 3 {
-		t.Errorf("%d files, %v", files, err)
+		t.Errorf("walked %d files, want at least 3: %v", files, err)
 	}
 }
 
@@ -141,7 +141,7 @@
 		err = full.appendOne()
 	}
 	if !errors.Is(err, wal.ErrFull) || full.model.LastSeq() < 50 {
-		t.Fatalf("after %d: %v", full.model.LastSeq(), err)
+		t.Fatalf("filling the log stopped after entry %d: %v", full.model.LastSeq(), err)
 	}
 	return full
 }
@@ -201,7 +201,7 @@
 		f.t.Error("the reserve was not created again")
 	}
 	if n := f.log.Size(); n > 8000 {
-		f.t.Errorf("%d bytes are used", n)
+		f.t.Errorf("the log uses %d bytes after compactions, want at most 8000", n)
 	}
 	requireSame(f.t, f.log, f.model)
 }
@@ -267,7 +267,7 @@
 				}
 			}
 			if seen < 200 || torn < wal.RecordHeaderSize || torn > 80 || unseen > 0 {
-				t.Errorf("seen %d times, taken for torn %d, passed over %d", seen, torn, unseen)
+				t.Errorf("damage detected %d times, taken for a torn record %d times, undetected %d times", seen, torn, unseen)
 			}
 		})
 	}
--- a/internal/system/wal/ownership.go
+++ b/internal/system/wal/ownership.go
@@ -94,7 +94,7 @@
 		return l.supersede()
 	}
 	if err != nil && !errors.Is(err, os.ErrExist) {
-		return diskError(err, "make a segment")
+		return diskError(err, "create the next segment")
 	}
 	if err == nil {
 		err = f.Close()
@@ -105,7 +105,7 @@
 	if err != nil {
 		l.abandonedSegment = segmentName(l.nextSegment)
 		_ = l.removeAbandonedSegment()
-		return diskError(err, "make a segment")
+		return diskError(err, "create the next segment")
 	}
 	l.unclaimed = false
 	return nil
@@ -138,7 +138,7 @@
 		return nil
 	}
 	if err != nil {
-		return diskError(err, "look for the next segment")
+		return diskError(err, "check whether the next segment exists")
 	}
 	_ = f.Close()
 	return l.supersede()
--- a/internal/system/wal/ownership_test.go
+++ b/internal/system/wal/ownership_test.go
@@ -104,7 +104,7 @@
 func TestSupersededProcessWithoutOwnershipCheck(t *testing.T) {
 	_, old, young := openTwice(t, wal.TestingKnobs{SkipOwnershipCheck: true})
 	if err := errors.CombineErrors(old.Append([]wal.Entry{makeEntry(3, 7)}), young.Append([]wal.Entry{makeEntry(3, 1)})); err != nil {
-		t.Errorf("the control shows nothing: %v", err)
+		t.Errorf("a process failed to append although the ownership check is disabled: %v", err)
 	}
 }
 
@@ -128,7 +128,7 @@
 		t.Error(err)
 	}
 	if running.fs.calls > before {
-		t.Errorf("%d calls changed something", running.fs.calls-before)
+		t.Errorf("the read-only load made %d changing calls on the disk", running.fs.calls-before)
 	}
 	if err := log.Append([]wal.Entry{{Seq: log.LastSeq() + 1}}); !errors.Is(err, wal.ErrMisuse) {
 		t.Errorf("an append: %v", err)
@@ -137,6 +137,6 @@
 		t.Errorf("a quarantine: %v", err)
 	}
 	if err := running.runStep(step{appendEntries, 1, 5}); err != nil || len(running.possibleLogs) > 0 {
-		t.Errorf("the process that has the log: %v, %v", err, running.trace[len(running.trace)-1])
+		t.Errorf("append of the running process: %v, %v", err, running.trace[len(running.trace)-1])
 	}
 }
--- a/internal/system/wal/quarantine.go
+++ b/internal/system/wal/quarantine.go
@@ -53,7 +53,7 @@
 	if errors.Is(err, os.ErrExist) {
 		err = nil
 	}
-	return diskError(err, "make the quarantine marker")
+	return diskError(err, "create the quarantine marker")
 }
 
 // finishQuarantine renames the files of a log whose quarantine has begun, and then removes the marker.
--- a/internal/system/wal/quarantine_test.go
+++ b/internal/system/wal/quarantine_test.go
@@ -28,13 +28,13 @@
 func checkCopy(fs *simFS, want map[string]string) error {
 	for name, content := range want {
 		if n := fs.visible[wal.QuarantinePrefix+name]; n == nil || string(n.content) != content {
-			return errors.Newf("%s is not in the copy as it was", name)
+			return errors.Newf("%s is missing or changed in the quarantined copy", name)
 		}
 	}
 	for name := range fs.visible {
 		if original, ok := strings.CutPrefix(name, wal.QuarantinePrefix); ok {
 			if _, ok := want[original]; !ok {
-				return errors.Newf("%s is of another copy", name)
+				return errors.Newf("%s belongs to another copy", name)
 			}
 		}
 	}
@@ -109,7 +109,7 @@
 			break
 		}
 		if err := checkInterruptedRestart(again, nested); err != nil {
-			return errors.Wrapf(err, "and at call %d of the restart", call)
+			return errors.Wrapf(err, "crash at call %d of the restart", call)
 		}
 	}
 	log, err := openSim(crash.fs)
@@ -125,7 +125,7 @@
 	if isEmpty {
 		err = checkCopy(crash.fs, crash.original)
 	} else if loaded.log != want.log || len(loaded.meta) != len(want.meta) {
-		err = errors.Newf("%v", loaded)
+		err = errors.Newf("the log is neither empty nor as it was before: %v", loaded)
 	}
 	return errors.CombineErrors(err, checkUsable(crash.fs, log, loaded))
 }
@@ -149,10 +149,10 @@
 func TestQuarantine(t *testing.T) {
 	err := crashDuringQuarantine(t, wal.TestingKnobs{}, func(crash quarantineCrash) error {
 		if _, marked := crash.fs.visible[wal.QuarantineMarkerName]; crash.done && marked {
-			return errors.New("the marker is still there")
+			return errors.New("the marker is still present")
 		}
 		if crash.done && len(logFiles(crash.fs)) > 0 {
-			return errors.New("a part of the log is still there")
+			return errors.New("a part of the log is still present")
 		}
 		nested := 4
 		if tryAllCases() {
@@ -195,7 +195,7 @@
 		t.Fatal(err)
 	}
 	if v, err := loadView(log); err != nil || v.log != "0:" || len(v.meta) > 0 {
-		t.Errorf("%v, %v", v, err)
+		t.Errorf("the log after the quarantine: %v, %v; want an empty one", v, err)
 	}
 	if kept, err := os.ReadFile(log.Path(wal.QuarantinePrefix + name)); err != nil || !bytes.Equal(kept, damaged) {
 		t.Errorf("the copy of %s: %d bytes, %v", name, len(kept), err)
@@ -221,7 +221,7 @@
 				log := besideQuarantinedCopy(t, options)
 				err := change(log)
 				if left := len(log.QuarantinedFiles()); err != nil || left > 0 {
-					t.Errorf("%v, %d files of the copy are left", err, left)
+					t.Errorf("change: %v; %d files of the copy are left", err, left)
 				}
 			})
 		}
@@ -262,6 +262,6 @@
 		return checkAllOrNothing(crash, 0)
 	})
 	if err == nil {
-		t.Error("the control shows nothing")
+		t.Error("no fault was found although the marker is not synced")
 	}
 }
--- a/internal/system/wal/replay.go
+++ b/internal/system/wal/replay.go
@@ -23,7 +23,7 @@
 		entries = entries[1:]
 	}
 	if len(entries) > 0 && entries[0].Seq != snapshotSeq+1 {
-		return nil, damagedError("the log begins at %d, its snapshot ends at %d", entries[0].Seq, snapshotSeq)
+		return nil, damagedError("the log begins at %d, but its snapshot ends at %d", entries[0].Seq, snapshotSeq)
 	}
 	return entries, nil
 }
--- a/internal/system/wal/segment.go
+++ b/internal/system/wal/segment.go
@@ -11,7 +11,7 @@
 	}
 	err := l.activeSegment.Close()
 	l.activeSegment = nil
-	return diskError(err, "close a segment")
+	return diskError(err, "close the active segment")
 }
 
 // appendToSegment writes a record at the end of the log, syncs it, and checks that this process still owns the log.
@@ -36,7 +36,7 @@
 	}
 	if err != nil {
 		l.abandonActiveSegment(l.tail.offset + int64(len(record)))
-		return diskError(err, "write to a segment")
+		return diskError(err, "write to the active segment")
 	}
 	l.tail.offset += int64(len(record))
 	file := &l.segments[len(l.segments)-1]
@@ -78,7 +78,7 @@
 		return nil
 	}
 	if err := l.remove(l.abandonedSegment); err != nil {
-		return diskError(err, "remove a segment that was not finished")
+		return diskError(err, "remove the abandoned segment")
 	}
 	l.abandonedSegment = ""
 	return nil
--- a/internal/system/wal/snapshot.go
+++ b/internal/system/wal/snapshot.go
@@ -87,7 +87,7 @@
 		return nil
 	}
 	if err := l.remove(l.unfinishedSnapshot); err != nil {
-		return diskError(err, "remove a snapshot that was not finished")
+		return diskError(err, "remove the unfinished snapshot")
 	}
 	if err := l.syncFolder(); err != nil {
 		return err
--- a/internal/system/wal/space_test.go
+++ b/internal/system/wal/space_test.go
@@ -178,9 +178,9 @@
 
 func (n *nodeLog) checkDiskUsage() {
 	n.t.Helper()
-	n.t.Logf("at most %.1f MB of the disk and %d segments; the slowest start took %v", float64(n.fs.peakBytes)/1e6, n.fs.maxSegments, n.slowestStart)
+	n.t.Logf("peak disk usage %.1f MB, at most %d segments; the slowest start took %v", float64(n.fs.peakBytes)/1e6, n.fs.maxSegments, n.slowestStart)
 	if n.fs.peakBytes > diskBytes {
-		n.t.Errorf("%d bytes of the disk were used", n.fs.peakBytes)
+		n.t.Errorf("peak disk usage was %d bytes, above the size of the disk", n.fs.peakBytes)
 	}
 }
 
@@ -191,7 +191,7 @@
 		node.appendAndRestart(2000, usualStateBytes, 97)
 		node.checkDiskUsage()
 		if node.fs.maxSegments > 12 { // 8 MiB of records and one after, in segments of 2 MiB and one record
-			t.Errorf("%d segments: those behind a snapshot stay", node.fs.maxSegments)
+			t.Errorf("%d segments: segments that a snapshot covers are not deleted", node.fs.maxSegments)
 		}
 	})
 	t.Run("configurations of 16 MB", func(t *testing.T) {
@@ -224,7 +224,7 @@
 		node.appendAndRestart(12, maxStateBytes, 3)
 		node.checkDiskUsage()
 		if len(node.log.QuarantinedFiles()) > 0 {
-			t.Error("the copy is still there")
+			t.Error("the quarantined copy was not dropped")
 		}
 	})
 }
--- a/internal/system/wal/testing_knobs_test.go
+++ b/internal/system/wal/testing_knobs_test.go
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			err := findFault(c.hooks, c.lies)
 			if err == nil {
-				t.Error("the control shows nothing")
+				t.Error("the crash tests found no fault although a protection is disabled")
 			}
 			t.Log(err)
 		})
