--- a/internal/system/controlstate/errors.go
+++ b/internal/system/controlstate/errors.go
@@ -12,8 +12,8 @@
 	ErrCorrupt = errors.New("corrupt encoding")
 )
 
-func refusedError(r Record, why string) error {
-	return errors.Mark(errors.Newf("record %d cannot be applied: %s; fetch a snapshot from another replica", r.Seq, why), ErrRefused)
+func refusedError(r Record, reason string) error {
+	return errors.Mark(errors.Newf("record %d cannot be applied: %s; fetch a snapshot from another replica", r.Seq, reason), ErrRefused)
 }
 
 func corruptError() error {
--- a/internal/system/controlstate/history.go
+++ b/internal/system/controlstate/history.go
@@ -40,7 +40,7 @@
 	return &h.changes[i+1]
 }
 
-// matches reports whether entry is the remembered change, given that change and its digest sum.
+// matches reports whether entry remembers change, whose digest is sum.
 func (h *changeHistory) matches(entry *appliedChange, change Change, sum digest) bool {
 	if entry.Seq <= h.lastLegacySeq() {
 		return entry.Digest == change.legacyDigest()
@@ -56,8 +56,8 @@
 	return h.changes[h.legacyCount-1].Seq
 }
 
-// appended returns a history with one more change. The receiver is not changed.
-func (h *changeHistory) appended(change appliedChange) changeHistory {
+// withChange returns a history with one more change. The receiver is not changed.
+func (h *changeHistory) withChange(change appliedChange) changeHistory {
 	if h.disabled {
 		return changeHistory{disabled: true, baseRevision: change.Revision}
 	}
@@ -70,10 +70,10 @@
 	return next
 }
 
-// lastSeq returns the record number of the newest remembered change, or otherwise if there is none.
-func (h *changeHistory) lastSeq(otherwise uint64) uint64 {
+// lastSeq returns the record number of the newest remembered change, or fallback if there is none.
+func (h *changeHistory) lastSeq(fallback uint64) uint64 {
 	if len(h.changes) == 0 {
-		return otherwise
+		return fallback
 	}
 	return h.changes[len(h.changes)-1].Seq
 }
--- a/internal/system/controlstate/history_test.go
+++ b/internal/system/controlstate/history_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// TestDigestIdentifiesChange: two changes have the same digest only if operation, base revision, body and zone are the same.
+// TestDigestIdentifiesChange: two changes have the same digest if and only if operation, base revision, body and zone are the same.
 func TestDigestIdentifiesChange(t *testing.T) {
 	c := Change{Op: OpReplace, Base: 5, Body: configBody(6, "a")}
 	for what, other := range map[string]Change{
@@ -120,8 +120,8 @@
 	}
 	added := len(s.Encode()) - len(s.Config.Raw)
 	t.Logf("%d changes add %d bytes to an encoding", MaxHistory, added)
-	if most := 18*MaxHistory + 64; added > most {
-		t.Errorf("the encoding takes %d bytes besides the configuration, want at most %d", added, most)
+	if limit := 18*MaxHistory + 64; added > limit {
+		t.Errorf("the encoding takes %d bytes besides the configuration, want at most %d", added, limit)
 	}
 	if added := len(s.WithoutHistory().Encode()) - len(s.Config.Raw); added > 64 {
 		t.Errorf("the encoding of a state without history takes %d bytes besides the configuration, want at most 64", added)
@@ -133,13 +133,13 @@
 func TestWithoutHistory(t *testing.T) {
 	full, all := applyMany(t, 20)
 	full = requireAccepted(t, full, Change{Op: OpEvacuate, Base: int64(full.Seq), Zone: "z"})
-	lean := roundTrip(t, full.WithoutHistory())
+	withoutHistory := roundTrip(t, full.WithoutHistory())
 	for _, c := range all {
-		if v := lean.Check(c); v.Kind != Uncertain {
+		if v := withoutHistory.Check(c); v.Kind != Uncertain {
 			t.Fatalf("verdict of a state without history on an applied change: %+v, want Uncertain", v)
 		}
 	}
-	if v := lean.Check(Change{Op: OpReadmit, Base: int64(lean.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
+	if v := withoutHistory.Check(Change{Op: OpReadmit, Base: int64(withoutHistory.Seq) - 1, Zone: "z"}); v.Kind != Superseded {
 		t.Errorf("verdict on a readmission sent before the evacuation: %+v, want Superseded", v)
 	}
 	for _, c := range []Change{
@@ -148,17 +148,17 @@
 	} {
 		r := c.Record(full.Seq + 1)
 		full = requireAccepted(t, full, c)
-		next, err := lean.Apply(r)
+		next, err := withoutHistory.Apply(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		lean = next
+		withoutHistory = next
 	}
-	if string(lean.Encode()) != string(full.WithoutHistory().Encode()) || len(lean.history.changes) > 0 {
+	if string(withoutHistory.Encode()) != string(full.WithoutHistory().Encode()) || len(withoutHistory.history.changes) > 0 {
 		t.Error("the state without history differs from the full one, or remembers configuration changes")
 	}
 	for zone, want := range map[string]uint64{"z": 24, "y": 25, "x": 0} {
-		if a, b := lean.ZoneChangeSeq(zone), full.ZoneChangeSeq(zone); a != want || b != want {
+		if a, b := withoutHistory.ZoneChangeSeq(zone), full.ZoneChangeSeq(zone); a != want || b != want {
 			t.Errorf("zone %s was last changed by record %d, or by %d according to the state without history; want %d", zone, b, a, want)
 		}
 	}
--- a/internal/system/controlstate/record.go
+++ b/internal/system/controlstate/record.go
@@ -35,9 +35,9 @@
 // the request arrived. State.Check rejects the change if its zone was changed after that record.
 func (c *Change) SetFence(seq uint64) { c.Base = int64(seq) }
 
-// isBehind reports whether the fence of the change is older than the record seq. A negative fence, which no caller sets, is older
-// than any record.
-func (c Change) isBehind(seq uint64) bool { return c.Base < 0 || seq > uint64(c.Base) }
+// fenceIsOlderThan reports whether the fence of the change is older than the record seq. A negative fence, which no caller sets, is
+// older than any record.
+func (c Change) fenceIsOlderThan(seq uint64) bool { return c.Base < 0 || seq > uint64(c.Base) }
 
 // Record returns the record of the change with the sequence number seq.
 func (c Change) Record(seq uint64) Record {
--- a/internal/system/controlstate/state.go
+++ b/internal/system/controlstate/state.go
@@ -52,17 +52,17 @@
 }
 
 func (s *State) checkConfig(change Change) Verdict {
-	sum, restsOnSeq := change.digest(), uint64(0)
+	sum, dependsOnSeq := change.digest(), uint64(0)
 	if s.Config != nil {
-		restsOnSeq = s.history.lastSeq(s.Seq)
+		dependsOnSeq = s.history.lastSeq(s.Seq)
 	}
 	if change.Base != s.Revision() {
-		return s.checkOnOlderVersion(change, sum, restsOnSeq)
+		return s.checkOnOtherRevision(change, sum, dependsOnSeq)
 	}
 	// No change has been applied on the current revision, so this change cannot have been applied before.
 	candidate, err := s.nextConfig(change, config.Parse, config.Amend)
 	if err != nil {
-		return Verdict{Kind: Invalid, Seq: restsOnSeq, Reason: err.Error()}
+		return Verdict{Kind: Invalid, Seq: dependsOnSeq, Reason: err.Error()}
 	}
 	s.lastChecked.Store(&checkedChange{digest: sum, config: candidate})
 	return Verdict{Kind: Accepted, Seq: s.Seq + 1}
@@ -130,7 +130,7 @@
 		}
 		next.Config = candidate
 	}
-	next.history = s.history.appended(appliedChange{Revision: next.Config.Revision, Seq: record.Seq, Digest: sum})
+	next.history = s.history.withChange(appliedChange{Revision: next.Config.Revision, Seq: record.Seq, Digest: sum})
 	return nil
 }
 
@@ -146,16 +146,16 @@
 // remembered. It returns 0 if there was none.
 func (s *State) ZoneChangeSeq(zone string) uint64 { return s.zoneChanges.lastChangeOf(zone) }
 
-// checkOnOlderVersion returns the verdict on a change that does not build on the current revision.
-func (s *State) checkOnOlderVersion(change Change, sum digest, restsOnSeq uint64) Verdict {
+// checkOnOtherRevision returns the verdict on a change that does not build on the current revision.
+func (s *State) checkOnOtherRevision(change Change, sum digest, dependsOnSeq uint64) Verdict {
 	if entry := s.history.builtOn(change.Base); entry != nil && s.history.matches(entry, change, sum) {
 		return Verdict{Kind: AlreadyApplied, Seq: entry.Seq, Reason: "this very change has been applied"}
 	}
 	if change.Base >= 0 && change.Base < s.history.baseRevision {
-		return Verdict{Kind: Uncertain, Seq: restsOnSeq, Reason: errors.Newf("builds on version %d, and what was applied on versions "+
+		return Verdict{Kind: Uncertain, Seq: dependsOnSeq, Reason: errors.Newf("builds on version %d, and what was applied on versions "+
 			"below %d is not remembered: read the configuration, and if it lacks the change send it on top of version %d",
 			change.Base, s.history.baseRevision, s.Revision()).Error()}
 	}
-	return Verdict{Kind: Stale, Seq: restsOnSeq, Reason: errors.Newf(
+	return Verdict{Kind: Stale, Seq: dependsOnSeq, Reason: errors.Newf(
 		"builds on version %d, but %d is current: read it and send the change on top of it", change.Base, s.Revision()).Error()}
 }
--- a/internal/system/controlstate/zones.go
+++ b/internal/system/controlstate/zones.go
@@ -20,8 +20,8 @@
 // lastChangeOf returns the number of the record that last changed a zone, or a later number if that record is not remembered.
 func (z zoneChanges) lastChangeOf(zone string) uint64 { return max(z.floorSeq, z.lastChange[zone]) }
 
-// recorded returns a copy of z that includes one more change. The zones in keep, at most MaxZones, are not forgotten.
-func (z zoneChanges) recorded(zone string, seq uint64, keep map[string]bool) zoneChanges {
+// withChange returns a copy of z that includes one more change. The zones in keep, at most MaxZones, are not forgotten.
+func (z zoneChanges) withChange(zone string, seq uint64, keep map[string]bool) zoneChanges {
 	next := zoneChanges{floorSeq: z.floorSeq, lastChange: maps.Clone(z.lastChange)}
 	if next.lastChange == nil {
 		next.lastChange = map[string]uint64{}
@@ -50,7 +50,7 @@
 // acknowledgement fences off every earlier call.
 func (s *State) checkZone(change Change) Verdict {
 	inForce := s.Evacuated[change.Zone] == (change.Op == OpEvacuate)
-	late := change.isBehind(s.zoneChanges.lastChangeOf(change.Zone))
+	late := change.fenceIsOlderThan(s.zoneChanges.lastChangeOf(change.Zone))
 	switch {
 	case change.Zone == "":
 		return Verdict{Kind: Invalid, Reason: "the zone is missing: name it"}
@@ -86,6 +86,6 @@
 	} else {
 		delete(next.Evacuated, record.Zone)
 	}
-	next.zoneChanges = s.zoneChanges.recorded(record.Zone, record.Seq, next.Evacuated)
+	next.zoneChanges = s.zoneChanges.withChange(record.Zone, record.Seq, next.Evacuated)
 	return nil
 }
--- a/internal/system/ownership/ownership_test.go
+++ b/internal/system/ownership/ownership_test.go
@@ -43,15 +43,15 @@
 func TestRemovedNodeMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		live := drawNodes().Draw(t, "live")
-		removed := rapid.SampledFrom(live).Draw(t, "gone")
-		left := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == removed })
+		removedNode := rapid.SampledFrom(live).Draw(t, "gone")
+		liveAfter := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == removedNode })
 		count := rapid.IntRange(1, 5).Draw(t, "k")
 		for n := range 50 {
 			key := fmt.Sprint("key", n)
-			before, after := Owners(key, live, count), Owners(key, left, count)
-			remaining := slices.DeleteFunc(slices.Clone(before), func(n string) bool { return n == removed })
+			before, after := Owners(key, live, count), Owners(key, liveAfter, count)
+			remaining := slices.DeleteFunc(slices.Clone(before), func(n string) bool { return n == removedNode })
 			if len(remaining) == len(before) && !slices.Equal(before, after) || !slices.Equal(after[:len(remaining)], remaining) {
-				t.Fatalf("key %s: owners %v before and %v after %s was removed", key, before, after, removed)
+				t.Fatalf("key %s: owners %v before and %v after %s was removed", key, before, after, removedNode)
 			}
 		}
 	})
@@ -81,8 +81,8 @@
 	if got := Owners("key", nil, 3); len(got) != 0 {
 		t.Errorf("Owners = %q", got)
 	}
-	if fence, holds := NewAssignment("").Owns("key"); holds || fence != 0 {
-		t.Errorf("Owns = %d, %v before any membership", fence, holds)
+	if token, owns := NewAssignment("").Owns("key"); owns || token != 0 {
+		t.Errorf("Owns = %d, %v before any membership", token, owns)
 	}
 }
 
@@ -94,18 +94,18 @@
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			epoch := rapid.Uint64Range(0, 10).Draw(t, "epoch")
 			members := drawNodes().Draw(t, "live")
-			if took := assignment.Update(epoch, members); took != (epoch > highest) {
-				t.Fatalf("update to epoch %d after %d: accepted = %v", epoch, highest, took)
+			if updated := assignment.Update(epoch, members); updated != (epoch > highest) {
+				t.Fatalf("update to epoch %d after %d: accepted = %v", epoch, highest, updated)
 			}
 			if epoch > highest {
 				highest, live[epoch] = epoch, members
 			}
-			node, fence := assignment.Owner("key")
-			if fence != highest || node != Owner("key", live[highest]) {
-				t.Fatalf("owner %q with token %d, want the owner of epoch %d", node, fence, highest)
+			node, token := assignment.Owner("key")
+			if token != highest || node != Owner("key", live[highest]) {
+				t.Fatalf("owner %q with token %d, want the owner of epoch %d", node, token, highest)
 			}
-			if _, holds := assignment.Owns("key"); holds != (node == "a") {
-				t.Fatalf("owns = %v, the owner is %q", holds, node)
+			if _, owns := assignment.Owns("key"); owns != (node == "a") {
+				t.Fatalf("owns = %v, the owner is %q", owns, node)
 			}
 		}
 	})
@@ -201,8 +201,8 @@
 		except := rapid.SampledFrom(append([]string{""}, live...)).Draw(t, "except")
 		node := rapid.SampledFrom(live).Draw(t, "node")
 		count := rapid.IntRange(0, 5).Draw(t, "k")
-		left := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == except })
-		want := slices.Contains(Owners(key, left, count), node)
+		remaining := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == except })
+		want := slices.Contains(Owners(key, remaining, count), node)
 		if got := NewNodes(live).IsOwner(key, node, except, count); got != want {
 			t.Fatalf("IsOwner = %v, want %v", got, want)
 		}
--- a/internal/system/wal/crash_test.go
+++ b/internal/system/wal/crash_test.go
@@ -77,9 +77,9 @@
 }
 
 // runWith is like runHistory, with some protections disabled.
-func runWith(steps []step, h wal.TestingKnobs, l ignoredSyncs, fault func(int, string) error) (*checkedLog, error) {
+func runWith(steps []step, knobs wal.TestingKnobs, ignored ignoredSyncs, fault func(int, string) error) (*checkedLog, error) {
 	fs := newSimFS()
-	fs.fault, fs.knobs, fs.ignored = fault, h, l
+	fs.fault, fs.knobs, fs.ignored = fault, knobs, ignored
 	checked := newCheckedLog(fs)
 	for range 8 { // a load that failed is retried
 		if checked.open() == nil {
@@ -108,11 +108,11 @@
 			}
 			for call := 1; call <= complete.fs.calls+1; call++ {
 				s, err := runHistory(steps, crashAt(call))
-				if most, nested := 24, 1; err == nil {
+				if maxCases, nested := 24, 1; err == nil {
 					if tryAllCases() {
-						most, nested = 1024, 8
+						maxCases, nested = 1024, 8
 					}
-					err = s.checkCrash(most, nested, r)
+					err = s.checkCrash(maxCases, nested, r)
 				}
 				if err != nil {
 					t.Fatalf("crash at call %d of %d: %v\n%s", call, complete.fs.calls, err, strings.Join(s.trace, "\n"))
@@ -135,35 +135,35 @@
 // TestErrorThenCrash makes one call or several consecutive calls fail, and then crashes the machine at each later call.
 func TestErrorThenCrash(t *testing.T) {
 	for name, steps := range histories {
-		for _, in := range []error{errNoSpace, errors.New("input/output error")} {
-			for _, row := range []int{1, 2, 5} {
-				t.Run(fmt.Sprintf("%s/%v/%d", name, in, row), func(t *testing.T) {
+		for _, injected := range []error{errNoSpace, errors.New("input/output error")} {
+			for _, failures := range []int{1, 2, 5} {
+				t.Run(fmt.Sprintf("%s/%v/%d", name, injected, failures), func(t *testing.T) {
 					t.Parallel()
-					errorThenCrash(t, steps, in, row)
+					errorThenCrash(t, steps, injected, failures)
 				})
 			}
 		}
 	}
 }
 
-func errorThenCrash(t *testing.T, steps []step, in error, row int) {
+func errorThenCrash(t *testing.T, steps []step, injected error, failures int) {
 	r := rand.New(rand.NewPCG(3, 4))
 	failFrom := func(from, crash int) func(int, string) error {
 		return func(n int, _ string) error {
 			switch {
 			case n == crash:
 				return errCrash
-			case n >= from && n < from+row:
-				return in
+			case n >= from && n < from+failures:
+				return injected
 			}
 			return nil
 		}
 	}
 	for from := 1; ; from++ {
 		complete, err := runHistory(steps, failFrom(from, 0))
-		first, stride := from+row, 1
+		first, stride := from+failures, 1
 		if !tryAllCases() {
-			first, stride = from+row+from%13, 13
+			first, stride = from+failures+from%13, 13
 		}
 		for crash := first; err == nil && crash <= complete.fs.calls+1; crash += stride {
 			var s *checkedLog
@@ -251,6 +251,6 @@
 		return err
 	}
 	var left *simFS
-	s.fs.powerLosses(3, r, func(lost *simFS) { left = lost })
+	s.fs.visitPowerLosses(3, r, func(lost *simFS) { left = lost })
 	return s.restart(left)
 }
--- a/internal/system/wal/crashmodel_test.go
+++ b/internal/system/wal/crashmodel_test.go
@@ -225,7 +225,7 @@
 // checkDurable checks that the loaded content survives a power loss.
 func checkDurable(fs *simFS, loaded view, r *rand.Rand) error {
 	var err error
-	fs.powerLosses(1, r, func(lost *simFS) {
+	fs.visitPowerLosses(1, r, func(lost *simFS) {
 		if err != nil {
 			return
 		}
@@ -247,7 +247,7 @@
 func (s *checkedLog) checkCrashInLoading(fs *simFS, call, nested int, r *rand.Rand) error {
 	crashInLoading(fs, call)
 	var err error
-	fs.powerLosses(nested, r, func(lost *simFS) {
+	fs.visitPowerLosses(nested, r, func(lost *simFS) {
 		if err == nil {
 			err = errors.Wrapf(s.checkRecovery(lost, 0, r), "after a crash at call %d of loading", call)
 		}
@@ -283,7 +283,7 @@
 	}
 	var got view
 	var err error
-	fs.powerLosses(1, nil, func(lost *simFS) {
+	fs.visitPowerLosses(1, nil, func(lost *simFS) {
 		var again *wal.Log
 		if again, err = openSim(lost); err == nil {
 			got, err = loadView(again)
@@ -301,7 +301,7 @@
 	// Only a killed process leaves unsynced data that a power loss during the next loading can destroy.
 	err := errors.Wrap(s.checkRecovery(s.fs.afterKill(), 8*nested, r), "killed")
 	n := 0
-	s.fs.powerLosses(bound, r, func(lost *simFS) {
+	s.fs.visitPowerLosses(bound, r, func(lost *simFS) {
 		if n++; n > 3 && !tryAllCases() {
 			nested = 0
 		}
--- a/internal/system/wal/errors.go
+++ b/internal/system/wal/errors.go
@@ -36,11 +36,11 @@
 }
 
 // diskError wraps err with the operation that failed, and marks it as ErrFull if the disk had no space left.
-func diskError(err error, what string) error {
+func diskError(err error, operation string) error {
 	if err == nil {
 		return nil
 	}
-	err = errors.Wrap(err, what)
+	err = errors.Wrap(err, operation)
 	if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, io.ErrShortWrite) {
 		return errors.Mark(errors.WithMessage(err, "disk full: make room"), ErrFull)
 	}
--- a/internal/system/wal/fs.go
+++ b/internal/system/wal/fs.go
@@ -78,8 +78,8 @@
 		return err
 	}
 	err = d.Sync()
-	if closing := d.Close(); err == nil {
-		err = closing
+	if closeErr := d.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
--- a/internal/system/wal/load.go
+++ b/internal/system/wal/load.go
@@ -124,8 +124,8 @@
 	if err != nil {
 		return newestSegmentTail{}, err
 	}
-	hasRest := tail.offset < int64(len(content))
-	if hasRest && (!isNewest || scanner.hasRecordAfter(tail.offset)) {
+	hasTrailingBytes := tail.offset < int64(len(content))
+	if hasTrailingBytes && (!isNewest || scanner.hasRecordAfter(tail.offset)) {
 		return newestSegmentTail{}, damagedError("segment %d is damaged at offset %d", header.number, tail.offset)
 	}
 	l.segments = append(l.segments, segmentFile{header.number, tail.offset, size})
@@ -215,7 +215,7 @@
 			return nil, damagedError("metadata %q is not what was written", name)
 		}
 		meta[name] = data
-		l.meta[name] = metaGenerations{savedGeneration: newest, triedGeneration: max(newest, l.nextSegment<<generationShift)}
+		l.meta[name] = metaGenerations{savedGeneration: newest, attemptedGeneration: max(newest, l.nextSegment<<generationShift)}
 		for _, old := range generations[:len(generations)-1] {
 			l.garbage = append(l.garbage, metaName(name, old))
 		}
@@ -250,8 +250,8 @@
 func (l *Log) chooseSnapshot(generations []uint64, newest segmentHeader) {
 	for _, generation := range slices.Backward(generations) {
 		l.lastGeneration = max(l.lastGeneration, generation)
-		late := generation != newest.generation && generation < newest.number<<generationShift
-		if l.snapshotGeneration > 0 || late {
+		isLate := generation != newest.generation && generation < newest.number<<generationShift
+		if l.snapshotGeneration > 0 || isLate {
 			l.garbage = append(l.garbage, snapshotName(generation))
 			continue
 		}
--- a/internal/system/wal/log.go
+++ b/internal/system/wal/log.go
@@ -88,8 +88,8 @@
 
 // metaGenerations tracks the generations of one piece of metadata.
 type metaGenerations struct {
-	savedGeneration uint64 // the current one; 0 if none
-	triedGeneration uint64 // the newest one that may be on disk
+	savedGeneration     uint64 // the current one; 0 if none
+	attemptedGeneration uint64 // the newest one that may be on disk
 }
 
 var _ Disk = (*Log)(nil)
--- a/internal/system/wal/log_test.go
+++ b/internal/system/wal/log_test.go
@@ -111,13 +111,13 @@
 	t.Run("bound of the log", func(t *testing.T) {
 		full := newFullLog(t, wal.Options{MaxBytes: 9000, SegmentBytes: 1000, ReserveBytes: 600})
 		full.changeWhileFull()
-		full.compactAndGoOn()
+		full.compactAndContinue()
 	})
 	t.Run("disk", func(t *testing.T) {
 		full := newFullLog(t, wal.Options{SegmentBytes: 1000, ReserveBytes: 600})
 		full.changeWhileFull()
 		full.compactWithoutSpace()
-		full.compactAndGoOn()
+		full.compactAndContinue()
 	})
 }
 
@@ -147,7 +147,7 @@
 }
 
 // both applies a change to the log and, if it succeeds, to the model.
-func (f *fullLog) both(change func(wal.Disk) error) error {
+func (f *fullLog) applyToBoth(change func(wal.Disk) error) error {
 	err := change(f.log)
 	if err == nil {
 		err = change(f.model)
@@ -156,7 +156,7 @@
 }
 
 func (f *fullLog) appendOne() error {
-	return f.both(func(disk wal.Disk) error {
+	return f.applyToBoth(func(disk wal.Disk) error {
 		return disk.Append([]wal.Entry{{Seq: f.model.LastSeq() + 1, Data: f.data}})
 	})
 }
@@ -164,12 +164,12 @@
 func (f *fullLog) changeWhileFull() {
 	f.t.Helper()
 	for i := range 40 {
-		if err := f.both(func(disk wal.Disk) error { return disk.SaveMeta("promise", fmt.Appendf(nil, "%d", i)) }); err != nil {
+		if err := f.applyToBoth(func(disk wal.Disk) error { return disk.SaveMeta("promise", fmt.Appendf(nil, "%d", i)) }); err != nil {
 			f.t.Fatalf("metadata %d: %v", i, err)
 		}
 	}
 	last := f.model.LastSeq()
-	if err := f.both(func(disk wal.Disk) error { return disk.Truncate(last - 1) }); err != nil {
+	if err := f.applyToBoth(func(disk wal.Disk) error { return disk.Truncate(last - 1) }); err != nil {
 		f.t.Fatal(err)
 	}
 	requireSame(f.t, f.log, f.model)
@@ -186,10 +186,10 @@
 	f.fs.capacity += 1000
 }
 
-func (f *fullLog) compactAndGoOn() {
+func (f *fullLog) compactAndContinue() {
 	f.t.Helper()
 	seq := f.model.LastSeq() - 2
-	if err := f.both(func(disk wal.Disk) error { return disk.Compact(wal.Snapshot{Seq: seq, Data: []byte("s")}) }); err != nil {
+	if err := f.applyToBoth(func(disk wal.Disk) error { return disk.Compact(wal.Snapshot{Seq: seq, Data: []byte("s")}) }); err != nil {
 		f.t.Fatal(err)
 	}
 	for range 40 {
@@ -246,13 +246,13 @@
 		t.Run(fmt.Sprintf("segments of %d bytes", segmentBytes), func(t *testing.T) {
 			fs, views := buildLog(t, segmentBytes, steps)
 			complete, withoutLast := views[len(views)-1], views[len(views)-2]
-			seen, torn, unseen := 0, 0, 0
+			detected, torn, undetected := 0, 0, 0
 			for name, node := range fs.visible {
 				for index := range node.content {
 					found, err := loadWithDamage(t, fs, name, index)
 					switch {
 					case errors.Is(err, wal.ErrDamaged):
-						seen++
+						detected++
 					case err != nil:
 						t.Fatalf("%s, byte %d: %v", name, index, err)
 					case !maps.Equal(found.meta, complete.meta):
@@ -260,14 +260,14 @@
 					case found.log == withoutLast.log:
 						torn++
 					case found.log == complete.log:
-						unseen++
+						undetected++
 					default:
 						t.Fatalf("%s, byte %d: %q", name, index, found.log)
 					}
 				}
 			}
-			if seen < 200 || torn < wal.RecordHeaderSize || torn > 80 || unseen > 0 {
-				t.Errorf("damage detected %d times, taken for a torn record %d times, undetected %d times", seen, torn, unseen)
+			if detected < 200 || torn < wal.RecordHeaderSize || torn > 80 || undetected > 0 {
+				t.Errorf("damage detected %d times, taken for a torn record %d times, undetected %d times", detected, torn, undetected)
 			}
 		})
 	}
--- a/internal/system/wal/meta.go
+++ b/internal/system/wal/meta.go
@@ -17,14 +17,14 @@
 	}
 	generations := l.meta[name]
 	err := l.withReserve(len(data), func() error {
-		generations.triedGeneration++ // never reused: a generation whose write failed may be on disk
-		return l.writeMeta(name, generations.triedGeneration, data)
+		generations.attemptedGeneration++ // never reused: a generation whose write failed may be on disk
+		return l.writeMeta(name, generations.attemptedGeneration, data)
 	})
 	if err == nil {
 		if generations.savedGeneration > 0 {
 			l.garbage = append(l.garbage, metaName(name, generations.savedGeneration))
 		}
-		generations.savedGeneration = generations.triedGeneration
+		generations.savedGeneration = generations.attemptedGeneration
 	}
 	l.meta[name] = generations
 	l.deleteGarbage()
--- a/internal/system/wal/ownership_test.go
+++ b/internal/system/wal/ownership_test.go
@@ -96,14 +96,14 @@
 		}
 	}
 	check(fs.afterKill())
-	fs.powerLosses(50, rand.New(rand.NewPCG(1, 2)), check)
+	fs.visitPowerLosses(50, rand.New(rand.NewPCG(1, 2)), check)
 }
 
 // TestSupersededProcessWithoutOwnershipCheck is the negative control: without the ownership check, both processes acknowledge an
 // entry 3.
 func TestSupersededProcessWithoutOwnershipCheck(t *testing.T) {
-	_, old, young := openTwice(t, wal.TestingKnobs{SkipOwnershipCheck: true})
-	if err := errors.CombineErrors(old.Append([]wal.Entry{makeEntry(3, 7)}), young.Append([]wal.Entry{makeEntry(3, 1)})); err != nil {
+	_, old, successor := openTwice(t, wal.TestingKnobs{SkipOwnershipCheck: true})
+	if err := errors.CombineErrors(old.Append([]wal.Entry{makeEntry(3, 7)}), successor.Append([]wal.Entry{makeEntry(3, 1)})); err != nil {
 		t.Errorf("a process failed to append although the ownership check is disabled: %v", err)
 	}
 }
--- a/internal/system/wal/quarantine_test.go
+++ b/internal/system/wal/quarantine_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	r := rand.New(rand.NewPCG(5, 6))
 	for call := 1; ; call++ {
-		log := besideOlderCopy(t)
+		log := newLogWithOlderCopy(t)
 		log.log.SetTestingKnobs(knobs)
 		crash := quarantineCrash{model: log.model, original: logFiles(log.fs)}
 		fs := log.fs
@@ -64,7 +64,7 @@
 		fs.crashed, fs.fault = false, nil
 		crash.fs = fs.afterKill()
 		err := check(crash)
-		fs.powerLosses(300, r, func(lost *simFS) {
+		fs.visitPowerLosses(300, r, func(lost *simFS) {
 			if err == nil {
 				crash.fs = lost
 				err = check(crash)
@@ -76,8 +76,8 @@
 	}
 }
 
-// besideOlderCopy returns a log with a history, in a folder that contains the quarantined copy of an earlier log.
-func besideOlderCopy(t *testing.T) *checkedLog {
+// newLogWithOlderCopy returns a log with a history, in a folder that contains the quarantined copy of an earlier log.
+func newLogWithOlderCopy(t *testing.T) *checkedLog {
 	t.Helper()
 	fs := newSimFS()
 	older := newCheckedLog(fs)
@@ -135,7 +135,7 @@
 	fs := crash.fs
 	crash.fs = fs.afterKill()
 	err := checkAllOrNothing(crash, 0)
-	fs.powerLosses(nested, rand.New(rand.NewPCG(1, 1)), func(lost *simFS) {
+	fs.visitPowerLosses(nested, rand.New(rand.NewPCG(1, 1)), func(lost *simFS) {
 		if err == nil {
 			crash.fs = lost
 			err = checkAllOrNothing(crash, 0)
@@ -218,18 +218,18 @@
 	} {
 		for name, change := range changes {
 			t.Run(bound+"/"+name, func(t *testing.T) {
-				log := besideQuarantinedCopy(t, options)
+				log := newLogWithQuarantinedCopy(t, options)
 				err := change(log)
-				if left := len(log.QuarantinedFiles()); err != nil || left > 0 {
-					t.Errorf("change: %v; %d files of the copy are left", err, left)
+				if remaining := len(log.QuarantinedFiles()); err != nil || remaining > 0 {
+					t.Errorf("change: %v; %d files of the copy are left", err, remaining)
 				}
 			})
 		}
 	}
 }
 
-// besideQuarantinedCopy returns a log with one entry, in a folder that contains the copy of another log, on a disk of 12,000 bytes.
-func besideQuarantinedCopy(t *testing.T, options wal.Options) *wal.Log {
+// newLogWithQuarantinedCopy returns a log with one entry, in a folder that contains the copy of another log, on a disk of 12,000 bytes.
+func newLogWithQuarantinedCopy(t *testing.T, options wal.Options) *wal.Log {
 	t.Helper()
 	fs := newSimFS()
 	fs.capacity = 12000
--- a/internal/system/wal/simfs_test.go
+++ b/internal/system/wal/simfs_test.go
@@ -35,7 +35,7 @@
 
 const (
 	folderMissing folderState = iota
-	folderMade                // a power loss may remove the folder and everything in it
+	folderCreated             // a power loss may remove the folder and everything in it
 	folderDurable
 )
 
@@ -134,7 +134,7 @@
 	if err := s.countCall("mkdir"); err != nil {
 		return err
 	}
-	s.folder = max(s.folder, folderMade)
+	s.folder = max(s.folder, folderCreated)
 	return nil
 }
 
--- a/internal/system/wal/simpowerloss_test.go
+++ b/internal/system/wal/simpowerloss_test.go
@@ -9,32 +9,32 @@
 
 // afterKill returns the disk as the successor of a killed process finds it: nothing is lost, and unsynced data stays unsynced.
 func (s *simFS) afterKill() *simFS {
-	twins := map[*inode]*inode{}
-	twin := func(node *inode) *inode {
-		if twins[node] == nil {
-			twins[node] = &inode{content: node.content, durable: node.durable, pending: slices.Clone(node.pending), failed: node.failed}
+	clones := map[*inode]*inode{}
+	clone := func(node *inode) *inode {
+		if clones[node] == nil {
+			clones[node] = &inode{content: node.content, durable: node.durable, pending: slices.Clone(node.pending), failed: node.failed}
 		}
-		return twins[node]
+		return clones[node]
 	}
 	left := newSimFS()
 	left.folder, left.knobs, left.ignored = s.folder, s.knobs, s.ignored
 	for name, node := range s.visible {
-		left.visible[name] = twin(node)
+		left.visible[name] = clone(node)
 	}
 	for name, node := range s.durable {
-		left.durable[name] = twin(node)
+		left.durable[name] = clone(node)
 	}
 	for _, op := range s.pending {
-		left.pending = append(left.pending, dirOp{op.from, op.to, twin(op.node)})
+		left.pending = append(left.pending, dirOp{op.from, op.to, clone(op.node)})
 	}
 	return left
 }
 
-// powerLosses calls visit with the possible states of the disk after a power loss. If there are at most bound cases, it visits all
-// of them; otherwise it visits bound cases: first the one where everything unsynced is lost, then the one where all of it survives,
-// then randomly drawn ones.
-func (s *simFS) powerLosses(bound int, r *rand.Rand, visit func(*simFS)) {
-	if s.folder == folderMade {
+// visitPowerLosses calls visit with the possible states of the disk after a power loss. If there are at most bound cases, it visits
+// all of them; otherwise it visits bound cases: first the one where everything unsynced is lost, then the one where all of it
+// survives, then randomly drawn ones.
+func (s *simFS) visitPowerLosses(bound int, r *rand.Rand, visit func(*simFS)) {
+	if s.folder == folderCreated {
 		none := newSimFS()
 		none.knobs, none.ignored = s.knobs, s.ignored
 		visit(none)
@@ -138,16 +138,16 @@
 	if s.folder != folderMissing {
 		left.folder = folderDurable
 	}
-	twin := map[*inode]*inode{}
+	clones := map[*inode]*inode{}
 	for name, node := range names {
-		if twin[node] == nil {
+		if clones[node] == nil {
 			b, ok := content[node]
 			if !ok {
 				b = node.durable
 			}
-			twin[node] = &inode{content: b, durable: b}
+			clones[node] = &inode{content: b, durable: b}
 		}
-		left.visible[name], left.durable[name] = twin[node], twin[node]
+		left.visible[name], left.durable[name] = clones[node], clones[node]
 	}
 	return left
 }
--- a/internal/system/wal/space.go
+++ b/internal/system/wal/space.go
@@ -46,8 +46,8 @@
 		return
 	}
 	_, err = f.WriteAt(make([]byte, l.options.ReserveBytes), 0)
-	if closing := f.Close(); err == nil {
-		err = closing
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		_ = l.options.FS.Remove(l.path(reserveName))
--- a/internal/system/wal/space_test.go
+++ b/internal/system/wal/space_test.go
@@ -316,7 +316,7 @@
 	})
 }
 
-func (n *nodeLog) measureLoad(most uint64) {
+func (n *nodeLog) measureLoad(maxBytes uint64) {
 	t := n.t
 	t.Helper()
 	size := n.log.Size()
@@ -329,7 +329,7 @@
 	runtime.ReadMemStats(&after)
 	allocated := after.TotalAlloc - before.TotalAlloc
 	t.Logf("loading %d bytes allocated %d and took %v", size, allocated, n.slowestStart)
-	if allocated > most {
+	if allocated > maxBytes {
 		t.Errorf("loading %d bytes allocated %d", size, allocated)
 	}
 }
--- a/internal/system/wal/testing_knobs_test.go
+++ b/internal/system/wal/testing_knobs_test.go
@@ -56,18 +56,18 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		hooks wal.TestingKnobs
-		lies  ignoredSyncs
+		knobs   wal.TestingKnobs
+		ignored ignoredSyncs
 	}{
-		"no sync of files":                         {lies: ignoredSyncs{files: true}},
-		"no sync of the folder":                    {lies: ignoredSyncs{folder: true}},
-		"no sync of the folder above":              {lies: ignoredSyncs{parentFolder: true}},
-		"no checksum of records":                   {hooks: wal.TestingKnobs{SkipRecordChecksums: true}},
-		"on in the same file after a failed sync":  {hooks: wal.TestingKnobs{ReuseSegmentAfterFailedSync: true}},
-		"the newest segment is believed in a load": {hooks: wal.TestingKnobs{TrustNewestSegment: true}},
+		"no sync of files":                         {ignored: ignoredSyncs{files: true}},
+		"no sync of the folder":                    {ignored: ignoredSyncs{folder: true}},
+		"no sync of the folder above":              {ignored: ignoredSyncs{parentFolder: true}},
+		"no checksum of records":                   {knobs: wal.TestingKnobs{SkipRecordChecksums: true}},
+		"on in the same file after a failed sync":  {knobs: wal.TestingKnobs{ReuseSegmentAfterFailedSync: true}},
+		"the newest segment is believed in a load": {knobs: wal.TestingKnobs{TrustNewestSegment: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := findFault(c.hooks, c.lies)
+			err := findFault(c.knobs, c.ignored)
 			if err == nil {
 				t.Error("the crash tests found no fault although a protection is disabled")
 			}
