--- a/cmd/adapter/instance.go
+++ b/cmd/adapter/instance.go
@@ -8,10 +8,10 @@
 	"gradeusher.example/gradeusher/internal/sidecar/wire"
 )
 
-// noTenant is the index of requests whose tenant the settings do not name.
+// noTenant is the tenant index of requests whose tenant is not in the settings.
 const noTenant = -1
 
-// instance is one simulated sidecar. It implements balance.Actions by writing them out.
+// instance is one simulated sidecar. It implements balance.Actions by writing each action to the simulator.
 type instance struct {
 	number   int
 	out      *wire.Writer
@@ -19,7 +19,7 @@
 	balancer *balance.Balancer
 }
 
-// newInstance starts an instance with the settings of an event.
+// newInstance returns an instance with the settings of an event.
 func newInstance(number int, out *wire.Writer, event *wire.Event) (*instance, error) {
 	i := &instance{number: number, out: out, names: event.Names}
 	var err error
@@ -76,7 +76,7 @@
 // Fail writes a failure.
 func (i *instance) Fail(id balance.RequestID) { i.out.Fail(i.number, id) }
 
-// Timer writes that a timer is wanted.
+// Timer writes a request for a timer.
 func (i *instance) Timer(after time.Duration, token uint64) { i.out.Timer(i.number, after, token) }
 
 // Subscribe writes a subscription.
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module (package balance) on the simulator's wire: events on standard input,
-// actions on standard output. The instances share nothing, and the adapter decides nothing.
+// Command adapter runs instances of the decision module (package balance) for the simulator: it reads events from standard input and
+// writes actions to standard output. The instances share nothing, and the adapter makes no decisions itself.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	}
 }
 
-// run plays batches until the input ends.
+// run processes batches of events until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	p := player{out: wire.NewWriter(out), instances: map[int]*instance{}}
--- a/cmd/adapter/player.go
+++ b/cmd/adapter/player.go
@@ -10,7 +10,7 @@
 // noInstance is the number of the current instance before a batch names one.
 const noInstance = -1
 
-// player passes the events of batches on to the instances.
+// player passes the events of batches to the instances.
 type player struct {
 	out       *wire.Writer
 	instances map[int]*instance
@@ -18,7 +18,7 @@
 	current   int          // number of the instance that events are for
 }
 
-// play handles an event, or returns what is wrong with it.
+// play handles an event. It returns an error if the event is invalid.
 func (p *player) play(event *wire.Event) error {
 	switch event.Kind {
 	case wire.BatchStart:
--- a/cmd/controlplane/chain.go
+++ b/cmd/controlplane/chain.go
@@ -15,10 +15,10 @@
 	"gradeusher.example/gradeusher/internal/system/wal"
 )
 
-// minLeaveTimeout is for the others to remove this node from the chain, however short the grace period.
+// minLeaveTimeout gives the other nodes time to remove this node from the chain, however short the grace period is.
 const minLeaveTimeout = time.Second
 
-// openChain joins the chain: as a replica where there is a disk, as an observer otherwise. A damaged log is quarantined.
+// openChain joins the chain, as a replica if the node has a disk and as an observer otherwise. A damaged log is quarantined.
 func (n *node) openChain(ctx context.Context) error {
 	options := n.replicationOptions()
 	if !n.settings.HasDisk() {
@@ -50,15 +50,17 @@
 	return n.startReplica(ctx, withoutBootstrap(options))
 }
 
-// withoutBootstrap returns the options for a node whose log was quarantined. The system has run before, so that the node may not take
-// part in forming a first view, whatever the settings say: with others of its kind it would begin with an empty state.
+// withoutBootstrap returns the options for a node whose log was quarantined. The system has run before, so the node must not take part
+// in forming a first view, whatever the settings say: together with other nodes that lost their logs it would start from an empty
+// state.
 func withoutBootstrap(options replication.Options) replication.Options {
 	options.Bootstrap = false
 	return options
 }
 
-// diskOptions bounds the log, and all files together with a quarantined log, on a disk that is smaller than those for which the
-// defaults of wal are. What the log leaves free is for a snapshot that is written beside the old one. 0: the size is not known.
+// diskOptions bounds the size of the log, and of all files including a quarantined log, on a disk that is smaller than the disks for
+// which the defaults of wal are meant. The space that the log leaves free is for a new snapshot, which is written before the old one is
+// removed. A diskMB of 0 means that the size is not known.
 func diskOptions(diskMB int64) wal.Options {
 	const usualMB, logMB, filesMB = 64, 40, 60
 	if diskMB == 0 || diskMB >= usualMB {
@@ -85,7 +87,7 @@
 	}
 }
 
-// startReplica joins the chain with these options, and makes what rests on it alone.
+// startReplica joins the chain with these options and creates the allocation server, which depends only on the chain.
 func (n *node) startReplica(ctx context.Context, options replication.Options) error {
 	chain, err := replication.Start(ctx, options)
 	if err != nil {
@@ -96,7 +98,8 @@
 	return nil
 }
 
-// newAllocation returns this node's end for limiters of quotas. An observer names the owner of the role. identity is that of the node's disk.
+// newAllocation returns the server that leases shares of quotas to limiters. On an observer it refers them to the owner of the role.
+// identity is the identity of the node's disk.
 func newAllocation(config *settings.Settings, logger log.Interface, chain quotarpc.Chain, identity string) *quotarpc.AllocationServer {
 	options := quotarpc.AllocationOptions{
 		Self:     config.IP,
@@ -111,8 +114,8 @@
 	return quotarpc.NewAllocationServer(options)
 }
 
-// leaveChain has the other nodes take over before this one ends. It stays until enough of them have what was acknowledged, as long as
-// the grace period allows: its disk may be lost with it.
+// leaveChain hands over to the other nodes before this one exits. It waits until enough of them have the acknowledged changes, for as
+// long as the grace period allows: the disk of this node may be lost with it.
 func (n *node) leaveChain() {
 	n.log.Info("controlplane: draining")
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout(n.settings.Bounds.GraceSeconds))
@@ -123,7 +126,7 @@
 	}
 }
 
-// leaveTimeout is how long leaveChain may take within a grace period.
+// leaveTimeout returns how long leaveChain may take for a grace period.
 func leaveTimeout(graceSeconds float64) time.Duration {
 	return max(minLeaveTimeout, process.GracePeriod(graceSeconds))
 }
--- a/cmd/controlplane/control_chain.go
+++ b/cmd/controlplane/control_chain.go
@@ -5,12 +5,12 @@
 	"gradeusher.example/gradeusher/internal/system/replication"
 )
 
-// controlChain is this node's replica of the chain, or its observer, as the node's other parts use it.
+// controlChain adapts this node's replica or observer of the chain to the interfaces of the node's other components.
 type controlChain struct {
 	*replication.Node
 }
 
-// ServerLocations returns the voters of the view, those of the chain first and in its order.
+// ServerLocations returns the voters of the view: first the chain's replicas in chain order, then the others.
 func (c *controlChain) ServerLocations() []distribution.ServerLocation {
 	view := c.View()
 	locations := make([]distribution.ServerLocation, 0, len(view.Voters))
@@ -32,7 +32,7 @@
 	return locations
 }
 
-// Addresses implements distribution.Source: the addresses of ServerLocations.
+// Addresses implements distribution.Source. It returns the addresses of ServerLocations.
 func (c *controlChain) Addresses() []string {
 	locations := c.ServerLocations()
 	addresses := make([]string, 0, len(locations))
@@ -42,7 +42,7 @@
 	return addresses
 }
 
-// ChainAddresses returns the epoch of the view, and the addresses of the chain's replicas, among which singleton roles are assigned.
+// ChainAddresses returns the epoch of the view and the addresses of the chain's replicas, to which singleton roles are assigned.
 func (c *controlChain) ChainAddresses() (epoch uint64, addresses []string) {
 	view := c.View()
 	for _, id := range view.Chain {
--- a/cmd/controlplane/distributor.go
+++ b/cmd/controlplane/distributor.go
@@ -23,8 +23,8 @@
 	listRole      = "list"
 )
 
-// distributor is what a node with a disk does for proxies: it publishes the control state and the server list to those that subscribe
-// to it, and polls the platform's list while it owns that singleton role. An observer has none.
+// distributor serves the proxies: it publishes the control state and the server list to those that subscribe to this node, and polls the
+// platform's list while the node owns that singleton role. Only nodes with a disk have one; an observer has none.
 type distributor struct {
 	settings   *settings.Settings
 	log        log.Interface
@@ -33,10 +33,10 @@
 	assignment *ownership.Assignment
 	client     *platform.Client
 	poller     *platform.Poller
-	warmingUp  map[string]bool // ids of the servers that the last result had as warming up; used by the poller's goroutine only
+	warmingUp  map[string]bool // ids of the servers that were warming up in the last result; used only by the poller's goroutine
 }
 
-// newDistributor returns a distributor; start starts it.
+// newDistributor returns a distributor that is not running yet; start starts it.
 func newDistributor(config *settings.Settings, logger log.Interface, chain *controlChain) *distributor {
 	created := &distributor{
 		settings:   config,
@@ -92,8 +92,8 @@
 	return urls
 }
 
-// ownsListRole reports whether this node polls the platform's list, and the fencing token under which it does: a replica of the chain
-// owns the role, under the epoch of the view.
+// ownsListRole reports whether this node polls the platform's list, and returns the fencing token for it. The role is owned by a
+// replica of the chain, and its token is the epoch of the view.
 func (d *distributor) ownsListRole() (token uint64, owns bool) {
 	d.assignment.Update(d.chain.ChainAddresses())
 	return d.assignment.Owns(listRole)
@@ -118,7 +118,8 @@
 	}
 }
 
-// logWarmUps logs each server that warms up by this result and did not by the one before, and how exact the remaining time is.
+// logWarmUps logs each server that is warming up in this result and was not in the previous one, with the remaining time and the
+// duration of the reading, which bounds the error of that time.
 func (d *distributor) logWarmUps(r platform.Result) {
 	warmingUp := map[string]bool{}
 	for _, i := range r.Instances {
@@ -134,7 +135,7 @@
 	d.warmingUp = warmingUp
 }
 
-// maxWarmUp is the longest time that the list may have rounded to d, in whole milliseconds.
+// maxWarmUp returns the upper bound of the times that the list, which has whole milliseconds, may have rounded to d.
 func maxWarmUp(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/cmd/controlplane/run.go
+++ b/cmd/controlplane/run.go
@@ -11,7 +11,7 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// node is the process: its parts, and the links between them.
+// node holds the components of the process.
 type node struct {
 	settings    *settings.Settings
 	log         log.Interface
@@ -21,7 +21,7 @@
 	stalls      *operatorapi.StallDetector
 }
 
-// run runs the node until the process is told to end or one of its parts fails.
+// run runs the node until the process is asked to terminate or one of its components fails.
 func run(self *process.Process) error {
 	rootCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -37,7 +37,8 @@
 	return group.Wait()
 }
 
-// start opens the chain and starts what serves and distributes its state. The group owns the goroutines, which end with ctx.
+// start opens the chain and starts the components that serve and distribute its state. The group owns the goroutines, which end with
+// ctx.
 func (n *node) start(ctx context.Context, self *process.Process, group *process.Group) error {
 	if err := n.openChain(ctx); err != nil {
 		return err
--- a/cmd/controlplane/serve.go
+++ b/cmd/controlplane/serve.go
@@ -17,7 +17,7 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// serve serves the other nodes and the proxies at the internal port, and the operator at the control address.
+// serve serves the other nodes and the proxies on the internal port, and the operator on the control address.
 func (n *node) serve(ctx context.Context, group *process.Group) error {
 	internalAddress := net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.ControlPlanePort()))
 	for address, handler := range map[string]http.Handler{
--- a/cmd/controlplane/status.go
+++ b/cmd/controlplane/status.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/internal/system/replication"
 )
 
-// status is the response to GET /status, an admin.NodeStatus.
+// status returns the response to GET /status, an admin.NodeStatus.
 func (n *node) status() any {
 	view := n.chain.View()
 	state, _ := n.chain.Committed()
@@ -38,7 +38,7 @@
 	return out
 }
 
-// quotaStatus names the allocator among the chain's replicas, and has what this node leased if it is that one.
+// quotaStatus returns which of the chain's replicas is the allocator and, if it is this node, the shares that it has leased.
 func (n *node) quotaStatus(chain []string) *admin.QuotaStatus {
 	usages, learning := n.allocation.Usage()
 	return &admin.QuotaStatus{
@@ -63,7 +63,7 @@
 	}
 }
 
-// addStatus adds the proxies that subscribe to this node, the live ones, and the platform's list.
+// addStatus adds the proxies that subscribe to this node, all live proxies, and the size and age of the platform's list.
 func (d *distributor) addStatus(out *admin.NodeStatus) {
 	servers, age, listed := d.server.List()
 	out.Servers = len(servers)
--- a/cmd/proxy/failuredetector.go
+++ b/cmd/proxy/failuredetector.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	heartbeatInterval = 400 * time.Millisecond // to the proxies that watch this one, at most
+	heartbeatInterval = 400 * time.Millisecond // at most, to the proxies that monitor this one
 	suspectTimeout    = 1300 * time.Millisecond
 	probeTimeout      = 500 * time.Millisecond
 )
 
-// openFailureDetector listens for datagrams of the other proxies and makes the agent. Its verdicts go to the control plane.
+// openFailureDetector listens for datagrams of the other proxies and creates the agent, whose verdicts go to the control plane.
 func (p *proxyProcess) openFailureDetector(ctx context.Context, address string) error {
 	packets, err := new(net.ListenConfig).ListenPacket(ctx, "udp4", address)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// reportDown reports to the control plane that a proxy is down. A proxy that is up reports that by itself.
+// reportDown reports to the control plane that a proxy is down. Reports that a proxy is up are ignored, since that proxy reports it itself.
 func (p *proxyProcess) reportDown(report failuredetector.DownReport) {
 	if report.Down {
 		p.subscriber.Report(report.Node, report.Incarnation)
--- a/cmd/proxy/quota.go
+++ b/cmd/proxy/quota.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/quota/quotarpc"
 )
 
-// newQuotas makes the limiter of this proxy, and the client that asks the limiters of its zone.
+// newQuotas creates the limiter of this proxy and the client that queries the limiters of its zone.
 func (p *proxyProcess) newQuotas() {
 	transport := quotarpc.NewTransport()
 	p.limiter = quotarpc.NewLimiterServer(quotarpc.LimiterOptions{
@@ -31,13 +31,13 @@
 	})
 }
 
-// updateQuotas gives the tenants and the live proxies of this zone of an update to the limiter and its client.
+// updateQuotas passes the tenants of an update to the limiter, and the live proxies of this zone to the client.
 func (p *proxyProcess) updateQuotas(update distribution.Update) {
 	p.limiter.SetConfig(update.State.Config)
 	p.quotas.SetPeers(p.zonePeers(update.Members))
 }
 
-// zonePeers selects the proxies of this zone that have a configuration and go on.
+// zonePeers selects the proxies of this zone that are ready and neither down nor draining.
 func (p *proxyProcess) zonePeers(members []softstate.Member) []quotarpc.Peer {
 	var peers []quotarpc.Peer
 	for _, m := range members {
@@ -49,7 +49,7 @@
 	return peers
 }
 
-// leaveLimiter gives the leases of this proxy back, so that others need not wait for their end.
+// leaveLimiter returns the leases of this proxy, so that others need not wait until they expire.
 func (p *proxyProcess) leaveLimiter(ctx context.Context) {
 	if err := p.limiter.Leave(ctx); err != nil {
 		p.log.WithError(err).Info("proxy: the quota leases were not given back; they end by themselves")
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -24,10 +24,11 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// maxDirectoryTTL bounds how long clients may keep the directory's answers, so that a proxy that ended is named no longer.
+// maxDirectoryTTL bounds how long clients may cache the directory's responses, so that they do not use a proxy for longer than that
+// after it has exited.
 const maxDirectoryTTL = time.Second
 
-// proxyProcess is the process: its parts, and the links between them.
+// proxyProcess holds the components of the process.
 type proxyProcess struct {
 	settings   *settings.Settings
 	log        log.Interface
@@ -39,10 +40,10 @@
 	quotas     *quotarpc.Client
 	draining   atomic.Bool
 	synced     chan struct{} // closed once there are a configuration and a list of servers
-	isSynced   bool          // synced is closed; used by applyUpdate only
+	isSynced   bool          // synced is closed; used only by applyUpdate
 }
 
-// run runs the proxy until the process is told to end or one of its parts fails.
+// run runs the proxy until the process is asked to terminate or one of its components fails.
 func run(self *process.Process) error {
 	rootCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -59,7 +60,7 @@
 	return group.Wait()
 }
 
-// newProxyProcess makes the parts of the process. start starts them.
+// newProxyProcess creates the components of the process. start starts them.
 func newProxyProcess(self *process.Process) *proxyProcess {
 	config := self.Settings
 	created := &proxyProcess{settings: config, log: self.Log, synced: make(chan struct{})}
@@ -97,7 +98,8 @@
 	return created
 }
 
-// revocationBound is the time within which a revoked key is refused without contact to the control plane, too; 0: there is no such bound.
+// revocationBound returns the time within which a revoked key is refused even without contact to the control plane; 0: there is no
+// such bound.
 func revocationBound(bounds settings.Bounds) time.Duration {
 	if !bounds.RevocationGlobal {
 		return 0
@@ -105,7 +107,7 @@
 	return settings.Milliseconds(bounds.RevokeMS)
 }
 
-// start publishes the metrics, listens at all addresses and starts the goroutines. The group owns these; they end with ctx.
+// start publishes the metrics, listens on all addresses and starts the goroutines. The group owns the goroutines, which end with ctx.
 func (p *proxyProcess) start(ctx context.Context, self *process.Process, group *process.Group) error {
 	p.dataPlane.Publish()
 	p.limiter.Publish()
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// internalHandler serves the control plane, the other proxies and the engineers.
+// internalHandler serves the control plane, the other proxies and the engineers who read the status.
 func (p *proxyProcess) internalHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/twirp/", p.subscriber.Handler())
@@ -150,8 +152,8 @@
 	return mux
 }
 
-// serveClients accepts clients once there is something to serve. Until then connections wait in the listener's backlog: to reject
-// them would cost their clients an attempt.
+// serveClients accepts clients once there are a configuration and a list of servers. Until then connections wait in the listener's
+// backlog: rejecting them would cost their clients an attempt.
 func (p *proxyProcess) serveClients(ctx context.Context, clients net.Listener) error {
 	select {
 	case <-p.synced:
@@ -161,7 +163,7 @@
 	return p.dataPlane.Serve(ctx, clients)
 }
 
-// isReady reports whether the proxy may get clients.
+// isReady reports whether clients may be sent to the proxy.
 func (p *proxyProcess) isReady() bool {
 	if !p.dataPlane.Ready() {
 		return false
@@ -174,7 +176,7 @@
 	}
 }
 
-// shutDownGracefully has the directory and the readiness check send clients away, then finishes the requests in flight.
+// shutDownGracefully directs clients to other proxies by the directory and the readiness check, then finishes the requests in flight.
 func (p *proxyProcess) shutDownGracefully() {
 	p.log.Info("proxy: shutting down")
 	p.draining.Store(true)
@@ -185,7 +187,7 @@
 		p.log.WithError(err).Warn("proxy: no control-plane node was notified")
 	}
 	if p.quotas.HasPeers() {
-		p.leaveLimiter(ctx) // the others of the zone know that this proxy drains, and decide for its requests too
+		p.leaveLimiter(ctx) // the zone's other proxies know that this one is draining, and their limiters decide on its requests too
 	}
 	p.dataPlane.Drain(ctx)
 	p.leaveLimiter(ctx)
@@ -193,7 +195,7 @@
 	p.log.Info("proxy: ended")
 }
 
-// gracePeriod is how long requests in flight may take after the process was told to end.
+// gracePeriod returns how long requests in flight may take after the process was asked to terminate.
 func (p *proxyProcess) gracePeriod() time.Duration {
 	return process.GracePeriod(p.settings.Bounds.GraceSeconds)
 }
@@ -214,7 +216,7 @@
 	}
 }
 
-// rotationSeed has each proxy begin its rotation over servers at another place.
+// rotationSeed returns a seed derived from the proxy's name, so that each proxy starts its rotation over servers at a different place.
 func (p *proxyProcess) rotationSeed() uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(p.settings.Node)) // never fails
--- a/cmd/proxy/status.go
+++ b/cmd/proxy/status.go
@@ -5,7 +5,7 @@
 	"gradeusher.example/gradeusher/internal/system/invariant"
 )
 
-// status is the response to GET /status, an admin.ProxyStatus.
+// status returns the response to GET /status, an admin.ProxyStatus.
 func (p *proxyProcess) status() any {
 	current := p.subscriber.Current()
 	out := admin.ProxyStatus{
@@ -31,7 +31,7 @@
 	return out
 }
 
-// refusals are the requests that were refused for quotas, by tenant.
+// refusals returns the counts of requests that were refused because of quotas, by tenant.
 func (p *proxyProcess) refusals() []admin.TenantRefusals {
 	var out []admin.TenantRefusals
 	for _, refused := range p.quotas.Refusals() {
--- a/cmd/proxy/update.go
+++ b/cmd/proxy/update.go
@@ -11,14 +11,14 @@
 	"gradeusher.example/gradeusher/internal/system/proxy/pick"
 )
 
-// liveMembers are the members of an update that are neither down nor draining, as the parts of the process need them.
+// liveMembers are the members of an update that are neither down nor draining, in the forms that the components of the process need.
 type liveMembers struct {
 	nodes     []string
 	watchable []failuredetector.Member // for the failure detector
 	endpoints []directory.Endpoint     // of those that are ready for clients
 }
 
-// applyUpdate gives an update to the parts of the process. The subscriber calls it from one goroutine.
+// applyUpdate passes an update to the components of the process. The subscriber calls it from a single goroutine.
 func (p *proxyProcess) applyUpdate(update distribution.Update) {
 	live := p.liveMembers(update.Members)
 	if configured, listed := update.State.Config != nil, update.HasList; !p.isSynced && (configured || listed) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// markSynced lets clients in, once there are a configuration and a list of servers.
+// markSynced starts accepting clients. It is called once there are a configuration and a list of servers.
 func (p *proxyProcess) markSynced(update distribution.Update) {
 	p.isSynced = true
 	close(p.synced)
@@ -54,7 +54,7 @@
 	p.log.WithField("revision", update.State.Config.Revision).WithField("servers", len(update.Servers)).Info("proxy: ready")
 }
 
-// liveMembers selects the live members. This proxy is no endpoint while it drains.
+// liveMembers selects the live members. This proxy is not among the endpoints while it drains.
 func (p *proxyProcess) liveMembers(members []softstate.Member) liveMembers {
 	live := liveMembers{
 		nodes:     make([]string, 0, len(members)),
@@ -78,7 +78,7 @@
 	return live
 }
 
-// zoneChanges returns the number of the record that last changed each zone with servers.
+// zoneChanges returns, for each zone with servers, the number of the record that last changed it.
 func zoneChanges(update distribution.Update) map[string]uint64 {
 	changes := map[string]uint64{}
 	for _, server := range update.Servers {
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,5 +1,5 @@
-// Command sidecar stands beside one copy of the calling application and passes its requests to servers, as the
-// decision module says.
+// Command sidecar runs next to one copy of the calling application and forwards its requests to the servers that the decision module
+// (package balance) chooses.
 package main
 
 import (
--- a/internal/system/admin/backup.go
+++ b/internal/system/admin/backup.go
@@ -22,7 +22,8 @@
 	return decodeState(data, "the answer of "+address)
 }
 
-// WriteBackup writes a backup to a file, which is then complete and synced, or does not exist. It does not replace a file.
+// WriteBackup writes a backup to a new file atomically: afterwards the file is complete and synced, or does not exist. It does not
+// replace an existing file.
 func WriteBackup(file string, data []byte) error {
 	if _, err := os.Lstat(file); err == nil {
 		return errors.Newf("%s is there already: name another file", file)
@@ -35,7 +36,7 @@
 	defer func() { _ = os.Remove(temporary.Name()) }()
 	err = writeSynced(temporary, data)
 	if err == nil {
-		err = os.Link(temporary.Name(), file) // unlike a rename, it replaces nothing
+		err = os.Link(temporary.Name(), file) // unlike a rename, a link never replaces a file
 	}
 	if err == nil {
 		err = syncDirectory(directory)
@@ -43,7 +44,7 @@
 	return errors.Wrapf(err, "%s cannot be written: check the room and the rights there", file)
 }
 
-// writeSynced writes data to a new file, syncs and closes it.
+// writeSynced writes data to a new file, syncs the file and closes it.
 func writeSynced(file *os.File, data []byte) error {
 	_, err := file.Write(data)
 	if err == nil {
@@ -61,7 +62,7 @@
 	return errors.CombineErrors(opened.Sync(), opened.Close())
 }
 
-// ReadBackup reads a file that WriteBackup wrote. Errors of its content are marked ErrFormat.
+// ReadBackup reads a file that WriteBackup wrote. Errors about its content are marked ErrFormat.
 func ReadBackup(file string) (*controlstate.State, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return decodeState(data, file)
 }
 
-// decodeState decodes a backup; source says where it is from. Errors are marked ErrFormat.
+// decodeState decodes a backup; source names its origin in errors, which are marked ErrFormat.
 func decodeState(data []byte, source string) (*controlstate.State, error) {
 	s, err := controlstate.Decode(data)
 	if err != nil {
--- a/internal/system/admin/client.go
+++ b/internal/system/admin/client.go
@@ -19,10 +19,10 @@
 	backupTimeout       = 30 * time.Second
 	statusPath          = "/status"
 	backupPath          = "/backup"
-	maxQuotedErrorBytes = 300 // of an error response, in an error
+	maxQuotedErrorBytes = 300 // of an error response, when an error quotes it
 )
 
-// Client sends requests to control-plane nodes and proxies. The zero Client is ready. It may be used by several goroutines at once.
+// Client sends requests to control-plane nodes and proxies. The zero Client is ready to use. It is safe for concurrent use.
 type Client struct {
 	Transport http.RoundTripper // nil: http.DefaultTransport
 }
@@ -39,7 +39,7 @@
 	return status, c.fetchStatus(ctx, address, status, &status.Version)
 }
 
-// fetchStatus decodes a status into a document, whose version it then checks.
+// fetchStatus fetches a status, decodes it, and checks its version, which the decoding sets.
 func (c *Client) fetchStatus(ctx context.Context, address string, into any, version *int) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -85,7 +85,7 @@
 	return data, nil
 }
 
-// unreachableError marks an error, or a new one where err is nil, as ErrUnreachable.
+// unreachableError wraps err, or creates a new error if err is nil, and marks it as ErrUnreachable.
 func unreachableError(err error, format string, args ...any) error {
 	if err == nil {
 		return errors.Mark(errors.Newf(format, args...), ErrUnreachable)
--- a/internal/system/admin/fleet.go
+++ b/internal/system/admin/fleet.go
@@ -9,44 +9,45 @@
 	"sync"
 )
 
-// Fleet combines what the nodes of the control plane answered.
+// Fleet combines the statuses of the nodes of the control plane.
 type Fleet struct {
 	Version   int             `json:"version"`
 	Epoch     uint64          `json:"epoch"` // the newest of all answers
 	Chain     []string        `json:"chain"` // of that epoch
 	Voters    []Voter         `json:"voters"`
-	Capacity  *Capacity       `json:"capacity,omitempty"` // as a current node of that epoch sees it; nil: no such node answered
+	Capacity  *Capacity       `json:"capacity,omitempty"` // as reported by a current node of that epoch; nil: no such node answered
 	Number    uint64          `json:"number"`             // the newest committed record of all answers
 	Revision  int64           `json:"revision"`           // after it
 	Evacuated []string        `json:"evacuated"`
 	Nodes     []NodeAnswer    `json:"keepers"` // by address
 	Proxies   []Subscriber    `json:"proxies"` // by name
 	Roles     []SingletonRole `json:"duties"`
-	Unseen    []string        `json:"unseen"`          // live proxies that subscribe to none of the nodes that answered, by name
-	Quota     *QuotaStatus    `json:"quota,omitempty"` // as the allocator of that epoch says; nil: none answered
+	Unseen    []string        `json:"unseen"`          // live proxies that subscribe to none of the nodes that answered, sorted by name
+	Quota     *QuotaStatus    `json:"quota,omitempty"` // as reported by the allocator of that epoch; nil: none answered
 }
 
-// NodeAnswer is the status of one node, or why there is none.
+// NodeAnswer is the status of one node, or the error with which the request for it failed.
 type NodeAnswer struct {
 	Address string      `json:"address"` // control address
 	Status  *NodeStatus `json:"status,omitempty"`
 	Error   string      `json:"error,omitempty"`
 }
 
-// Subscriber is a proxy with the node to which it subscribes.
+// Subscriber is a proxy and the node to which it subscribes.
 type Subscriber struct {
 	ProxyProgress
 	Server string `json:"keeper"` // node
 }
 
-// SingletonRole is work that one node of the control plane does at a time.
+// SingletonRole is a role that at most one node of the control plane has at a time.
 type SingletonRole struct {
 	Name  string `json:"name"`
 	Owner string `json:"holder"` // IP; empty: none
 }
 
 // Fleet fetches the statuses of the nodes with the control addresses, and of the other voters that these name, at the port of the
-// first address. Fleet.Nodes says which did not answer. It fails only where none did, with an error marked ErrUnreachable.
+// first address. Fleet.Nodes has an error for each node that did not answer. The call fails only if none answered, with an error
+// marked ErrUnreachable.
 func (c *Client) Fleet(ctx context.Context, addresses []string) (*Fleet, error) {
 	answers := c.askNodes(ctx, addresses)
 	if more := unaskedVoters(answers); len(more) > 0 {
@@ -60,7 +61,7 @@
 	return fleet, nil
 }
 
-// askNodes fetches the statuses of several nodes at once.
+// askNodes fetches the statuses of several nodes concurrently.
 func (c *Client) askNodes(ctx context.Context, addresses []string) []NodeAnswer {
 	answers := make([]NodeAnswer, len(addresses))
 	var wg sync.WaitGroup
@@ -79,7 +80,7 @@
 	return answers
 }
 
-// unaskedVoters returns the control addresses of the voters of the view that were not asked.
+// unaskedVoters returns the control addresses of the voters of the view to which no request was sent.
 func unaskedVoters(answers []NodeAnswer) []string {
 	if len(answers) == 0 {
 		return nil
@@ -100,7 +101,7 @@
 	return more
 }
 
-// mergeAnswers combines what the nodes answered: the view of the newest epoch, the newest committed record, and each proxy once.
+// mergeAnswers combines the answers of the nodes: the view of the newest epoch, the newest committed record, and each proxy once.
 func mergeAnswers(answers []NodeAnswer) *Fleet {
 	fleet := &Fleet{Version: Version, Chain: []string{}, Voters: []Voter{}, Evacuated: []string{}, Nodes: answers, Proxies: []Subscriber{},
 		Roles: []SingletonRole{}, Unseen: []string{}}
@@ -124,7 +125,7 @@
 	return fleet
 }
 
-// setProxies sets the proxies that subscribe to one of the nodes, and the live ones that subscribe to none, both by name.
+// setProxies sets the proxies that subscribe to one of the nodes, and the live ones that subscribe to none, both sorted by name.
 func (f *Fleet) setProxies(statuses []*NodeStatus) {
 	subscribers, live := map[string]Subscriber{}, map[string]bool{}
 	for _, status := range statuses {
@@ -150,8 +151,8 @@
 	slices.Sort(f.Unseen)
 }
 
-// isNewerThan reports whether one node's knowledge of a proxy is newer than another's: a proxy that has moved may still be listed by
-// the node to which it subscribed before.
+// isNewerThan reports whether one node's information about a proxy is newer than another's: a proxy that has moved to another node may
+// still be listed by the node to which it subscribed before.
 func (p ProxyProgress) isNewerThan(other ProxyProgress) bool {
 	if p.SinceLastCallMS != other.SinceLastCallMS {
 		return p.SinceLastCallMS < other.SinceLastCallMS
@@ -159,8 +160,8 @@
 	return p.Acknowledged > other.Acknowledged
 }
 
-// chooseCapacity returns the first capacity of a current node of the epoch, that of a node with a disk before those of observers,
-// which have contact with the others less often. It is nil where no such node knows it.
+// chooseCapacity returns the first capacity that a current node of the epoch reports. It prefers nodes with a disk to observers, which
+// are in contact with the other nodes less often. It returns nil if no such node reports one.
 func chooseCapacity(statuses []*NodeStatus, epoch uint64) *Capacity {
 	var observed *Capacity
 	for _, s := range statuses {
@@ -175,7 +176,7 @@
 	return observed
 }
 
-// Current reports whether a node that answered is current: the system takes changes there.
+// Current reports whether any node that answered is current, so that the system accepts changes there.
 func (f *Fleet) Current() bool {
 	return slices.ContainsFunc(f.Nodes, func(a NodeAnswer) bool { return a.Status != nil && a.Status.Current })
 }
--- a/internal/system/admin/handler.go
+++ b/internal/system/admin/handler.go
@@ -9,7 +9,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// ProxyHandler serves GET /status with the JSON of what status returns, a ProxyStatus. It belongs on the internal address.
+// ProxyHandler serves GET /status with the JSON of the ProxyStatus that status returns. Serve it on the proxy's internal address.
 func ProxyHandler(status func() any) http.Handler {
 	return allowOnlyReads(func(w http.ResponseWriter, _ *http.Request) {
 		data, err := json.Marshal(status())
@@ -22,7 +22,7 @@
 }
 
 // BackupHandler serves GET /backup with the encoding of the state that read returns, which must contain all changes that were
-// acknowledged before the call. It belongs on a node's control address.
+// acknowledged before the call. Serve it on a node's control address.
 func BackupHandler(read func(ctx context.Context) (*controlstate.State, error)) http.Handler {
 	return allowOnlyReads(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
@@ -49,7 +49,7 @@
 	})
 }
 
-// writeBody writes a complete response of a media type.
+// writeBody writes a complete response with the given media type.
 func writeBody(w http.ResponseWriter, kind string, data []byte) {
 	w.Header().Set("Content-Type", kind)
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
--- a/internal/system/admin/quota.go
+++ b/internal/system/admin/quota.go
@@ -6,23 +6,23 @@
 	"gradeusher.example/gradeusher/internal/system/quota"
 )
 
-// QuotaStatus is what a node knows of the tenants' quotas.
+// QuotaStatus is what a node knows about the tenants' quotas.
 type QuotaStatus struct {
 	Owner    string        `json:"owner"`    // IP of the allocator, the node that leases shares of the limits
-	Learning bool          `json:"learning"` // this node is the allocator and does not know yet what is leased
+	Learning bool          `json:"learning"` // this node is the allocator and does not know yet which leases exist
 	Tenants  []TenantQuota `json:"tenants"`  // those with leases or demand, by name; none at a node that is not the allocator
 }
 
-// TenantQuota is what is leased of one tenant's limit.
+// TenantQuota is the part of one tenant's limit that is leased.
 type TenantQuota struct {
 	Tenant        string        `json:"tenant"`
 	Fraction      float64       `json:"fraction"`   // of the limit, 0 to 1
-	Extra         int           `json:"extra"`      // tokens of depth beside that
-	RatePerSecond float64       `json:"rate_per_s"` // requests that arrive, those refused included
+	Extra         int           `json:"extra"`      // tokens of depth in addition to that
+	RatePerSecond float64       `json:"rate_per_s"` // requests that arrive, including those refused
 	Holders       []QuotaHolder `json:"holders"`
 }
 
-// QuotaHolder is the share of one limiter.
+// QuotaHolder is the share of a limit that one limiter holds.
 type QuotaHolder struct {
 	Node          string  `json:"node"` // of the proxy
 	Fraction      float64 `json:"fraction"`
@@ -39,7 +39,7 @@
 	Unavailable int64   `json:"unavailable"` // requests on which no limiter decided in time: 503
 	Last        string  `json:"last"`        // why the last one was refused
 	SinceLastMS int64   `json:"since_last_ms"`
-	Fraction    float64 `json:"fraction"` // of the limit, that the asked proxy holds itself
+	Fraction    float64 `json:"fraction"` // of the limit that the proxy that answers holds itself
 	Extra       int     `json:"extra"`
 }
 
@@ -68,10 +68,10 @@
 	return quotas
 }
 
-// setQuota sets the owner of the role, and what the allocator says, where it answered.
+// setQuota adds the owner of the role "quota", and sets the quotas that the allocator reports if it answered.
 func (f *Fleet) setQuota(statuses []*NodeStatus, newest *NodeStatus) {
 	if newest.Quota == nil {
-		return // it runs a version without quotas
+		return // the node runs a version without quotas
 	}
 	f.Roles = append(f.Roles, SingletonRole{Name: "quota", Owner: newest.Quota.Owner})
 	for _, status := range statuses {
@@ -82,7 +82,7 @@
 	}
 }
 
-// RefusalLines describes the refusals, or those of the tenant with the name, a line each.
+// RefusalLines describes the refusals of all tenants, or of the named one, one line for each tenant.
 func (p *ProxyStatus) RefusalLines(tenant string) []string {
 	var lines []string
 	for _, refused := range p.Refused {
--- a/internal/system/admin/restore/restore.go
+++ b/internal/system/admin/restore/restore.go
@@ -1,8 +1,8 @@
-// Package restore moves the control state between backups and the data directories of control-plane nodes that do not run. It is
-// apart from package admin so that proxies, which import that, are built without the code of the chain.
+// Package restore moves the control state between backups and the data directories of control-plane nodes that are not running. It is
+// separate from package admin so that proxies, which import admin, are built without the code of the chain.
 //
-// The problem: after the loss of all nodes a new system must begin with a state that was backed up, and no node may begin with
-// another one. Into therefore writes only into empty data directories, and the same backup has to go to all nodes.
+// The problem: after the loss of all nodes a new system must start from a state that was backed up, and no node may start from a
+// different one. Into therefore writes only into empty data directories, and the same backup must be used for all nodes.
 package restore
 
 import (
@@ -19,12 +19,12 @@
 // ErrNotEmpty marks a data directory that has entries.
 var ErrNotEmpty = errors.New("data directory not empty")
 
-// logDirectory is the directory of the log within the data directory of a node.
+// logDirectory is the directory of the log within a node's data directory.
 const logDirectory = "control"
 
 // Into writes a state into the empty data directory of a node that has not started yet, as the snapshot of its log. The nodes of a new
-// system that start on it with bootstrap = true begin with this state. Use the same backup for all of them. Errors are marked
-// ErrNotEmpty, or are those of the disk.
+// system that start on it with bootstrap = true begin with this state. Use the same backup for all of them. An error is marked
+// ErrNotEmpty, or comes from the disk.
 func Into(dataDir string, state *controlstate.State) (err error) {
 	image, err := replication.RestoredSnapshot(state)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return errors.Wrapf(log.Install(image), "the state cannot be laid into %s: empty it before the next try", dataDir)
 }
 
-// prepareEmpty creates a data directory, or checks that it is empty; the lost+found of a file system does not count.
+// prepareEmpty creates a data directory, or checks that an existing one is empty except for the lost+found of a file system.
 func prepareEmpty(dataDir string) error {
 	entries, err := os.ReadDir(dataDir)
 	switch {
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// From reads the state from the data directory of a node, for when no node runs any more, and changes nothing there. Its last records
-// may never have been acknowledged, and other nodes may have acknowledged more.
+// From reads the state from the data directory of a node and changes nothing there. It is for use when no node is running. The last
+// records may never have been acknowledged, and other nodes may have acknowledged later ones.
 func From(dataDir string) (state *controlstate.State, err error) {
 	directory := filepath.Join(dataDir, logDirectory)
 	if _, err := os.Stat(directory); err != nil {
--- a/internal/system/admin/status.go
+++ b/internal/system/admin/status.go
@@ -2,10 +2,12 @@
 // until a change is in force, and backups of the control state (restored by package restore).
 //
 // The problem: no single process knows the state of the system for certain. Every answer is the view of one node, perhaps of an old
-// epoch, and a node or proxy that does not answer may still run. So Fleet asks all voters that any node names, takes the view of
-// the newest epoch and the newest committed record, and lists who did not answer; Wait counts those as lacking the change.
+// epoch, and a node or proxy that does not answer may still be running. So Fleet queries all voters that any node names, uses the
+// view of the newest epoch and the newest committed record, and lists the nodes that did not answer; Wait counts those as lacking the
+// change.
 //
-// The documents are JSON for scripts too: names of fields stay, and keep the words of the operators' pages (keeper, duty, silent).
+// The documents are JSON that scripts read too: the names of their fields are stable and use the terms of the operators' documentation
+// (keeper, duty, silent).
 package admin
 
 import (
@@ -26,9 +28,9 @@
 var (
 	// ErrUnreachable marks requests without a response, or without a usable one.
 	ErrUnreachable = errors.New("not reached")
-	// ErrNotApplied marks a change that was not in force everywhere within the time.
+	// ErrNotApplied marks a change that was not in force at all nodes and proxies before the wait ended.
 	ErrNotApplied = errors.New("not in force everywhere")
-	// ErrFormat marks bytes that are not a backup, or one of an unknown version.
+	// ErrFormat marks bytes that are not a backup, or are a backup of an unknown version.
 	ErrFormat = errors.New("not a backup")
 )
 
@@ -39,7 +41,7 @@
 	Region  string `json:"region"`
 }
 
-// Capacity compares the nodes that exist with those that the deployment's fault tolerance needs, as one node sees them.
+// Capacity compares the nodes that exist with those that the deployment's fault tolerance requires, as one node sees them.
 type Capacity struct {
 	ToleranceMet          bool   `json:"bears"`         // after any tolerated loss a majority of the voters and a chain replica remain
 	Nodes                 int    `json:"keepers"`       // with a disk and recent contact
@@ -49,7 +51,7 @@
 	VotersDesired         int    `json:"voters_wanted"` // for the tolerance
 	ChainReplicas         int    `json:"links"`         // of the view
 	ChainReplicasRequired int    `json:"links_needed"`  // below it no change is accepted
-	Remedy                string `json:"remedy"`        // what is missing and what to do, in one line; empty: nothing
+	Remedy                string `json:"remedy"`        // what is missing and what to do, in one line; empty: nothing is missing
 }
 
 // ProxyProgress is a proxy as the node to which it subscribes sees it.
@@ -61,15 +63,15 @@
 
 // NodeStatus is the response of a node to GET /status on its control address.
 type NodeStatus struct {
-	Version   int             `json:"version"` // 0: before there were versions, the same as 1
+	Version   int             `json:"version"` // 0: the node predates versions; the same as 1
 	Node      string          `json:"node"`
-	Observer  bool            `json:"observer"`           // without a disk: it has no vote, and forwards calls
-	Current   bool            `json:"current"`            // a majority has confirmed its epoch lately, and it is in the chain or caught up by it
+	Observer  bool            `json:"observer"`           // without a disk: it has no vote and forwards requests
+	Current   bool            `json:"current"`            // a majority has confirmed its epoch recently; it is in the chain or up to date with it
 	Capacity  *Capacity       `json:"capacity,omitempty"` // nil: not known to the node
 	Epoch     uint64          `json:"epoch"`
 	Chain     []string        `json:"chain"` // IPs, the head first
 	Voters    []Voter         `json:"voters"`
-	Number    uint64          `json:"number"`   // newest committed record
+	Number    uint64          `json:"number"`   // of the newest committed record
 	Revision  int64           `json:"revision"` // of the configuration; 0: none
 	Evacuated []string        `json:"evacuated"`
 	Servers   int             `json:"servers"`
@@ -87,21 +89,21 @@
 	Version   int      `json:"version"`
 	Node      string   `json:"node"`
 	Ready     bool     `json:"ready"`
-	Fresh     bool     `json:"fresh"` // a current node has just confirmed that nothing newer is committed
+	Fresh     bool     `json:"fresh"` // a current node has confirmed recently that nothing newer is committed
 	Number    uint64   `json:"number"`
 	Revision  int64    `json:"revision"`
 	Evacuated []string `json:"evacuated"`
 	Members   []string `json:"members"`
 	Servers   int      `json:"servers"`
 	ListAgeMS int64    `json:"list_age_ms"` // -1: none was received
-	Choice    string   `json:"choice"`      // proxy.Proxy.Describe: a line a server, its id first
+	Choice    string   `json:"choice"`      // from proxy.Proxy.Describe: one line for each server, which begins with its id
 
-	Refused []TenantRefusals `json:"refused,omitempty"` // by the tenant's name; empty: no request was refused for a quota
+	Refused []TenantRefusals `json:"refused,omitempty"` // sorted by the tenant's name; empty: no request was refused because of a quota
 
 	Violations map[string]uint64 `json:"violations,omitempty"` // of invariants, by name; empty: all hold
 }
 
-// Lines returns the lines of Choice, or those about the server with the id.
+// Lines returns the lines of Choice that are about the server with the id, or all lines if id is empty.
 func (p *ProxyStatus) Lines(id string) []string {
 	var out []string
 	for line := range strings.Lines(p.Choice) {
@@ -113,7 +115,7 @@
 	return out
 }
 
-// EvacuatedZones returns the evacuated zones of a state, by name.
+// EvacuatedZones returns the evacuated zones of a state, sorted by name.
 func EvacuatedZones(s *controlstate.State) []string {
 	return slices.Sorted(maps.Keys(s.Evacuated))
 }
--- a/internal/system/admin/wait.go
+++ b/internal/system/admin/wait.go
@@ -32,7 +32,7 @@
 	return Change{Number: n}, nil
 }
 
-// String names the change as ParseChange's messages do.
+// String describes the change for messages.
 func (c Change) String() string {
 	if c.Revision > 0 {
 		return fmt.Sprintf("revision %d", c.Revision)
@@ -40,14 +40,14 @@
 	return fmt.Sprintf("record %d", c.Number)
 }
 
-// changeTracker finds out whether a change is in force.
+// changeTracker determines whether a change is in force.
 type changeTracker struct {
 	change Change
-	number uint64 // of a record that contains the change, or of one after it; 0: not known yet
+	number uint64 // of the record with the change, or of a later record; 0: not known yet
 }
 
-// missing lists the nodes and proxies that lack the change, or may lack it. It is empty where the change is in force at all nodes of
-// the view and all live proxies.
+// missing lists the nodes and proxies that lack the change or may lack it. The list is empty if the change is in force at all nodes of
+// the view and at all live proxies.
 func (c *changeTracker) missing(fleet *Fleet) []string {
 	if c.number == 0 {
 		c.number = c.findRecord(fleet)
@@ -78,8 +78,8 @@
 	return missing
 }
 
-// findRecord returns the number of a record with the change or after it, 0 where no node has one. Revisions only rise, so that the
-// change is among the records of any node with its revision or a later one.
+// findRecord returns the number of the record with the change or of a later record, or 0 if no node has one. Revisions only rise, so
+// the records of any node with the change's revision or a later one include the change.
 func (c *changeTracker) findRecord(fleet *Fleet) uint64 {
 	if c.change.Number > 0 {
 		return c.change.Number
@@ -96,8 +96,8 @@
 // pollInterval is the time between two polls of the nodes.
 const pollInterval = 200 * time.Millisecond
 
-// Wait polls until the change is in force at all nodes of the view and at all live proxies, and returns the last poll. Where ctx ends
-// first, the error says what is missing, marked ErrNotApplied.
+// Wait polls until the change is in force at all nodes of the view and at all live proxies, and returns the result of the last poll.
+// If ctx ends first, the error lists what is missing and is marked ErrNotApplied.
 func (c *Client) Wait(ctx context.Context, addresses []string, change Change) (*Fleet, error) {
 	tracker := changeTracker{change: change}
 	missing := []string{"an answer of any keeper"}
@@ -119,7 +119,7 @@
 	}
 }
 
-// joinFirst joins the first items and says how many there are besides.
+// joinFirst joins the first items and appends the number of those left out.
 func joinFirst(all []string) string {
 	const maxItems = 8
 	if len(all) <= maxItems {
--- a/internal/system/operatorapi/body.go
+++ b/internal/system/operatorapi/body.go
@@ -10,14 +10,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// bodyChunkBytes is what a body of unknown length reserves at a time.
+// bodyChunkBytes is the number of bytes that are reserved at a time for a body of unknown length.
 const bodyChunkBytes = 64 << 10
 
-// errTooManyBodies says that the bodies of all requests together exceed maxTotalBodyBytes.
+// errTooManyBodies is returned if the bodies of all requests together would exceed maxTotalBodyBytes.
 var errTooManyBodies = errors.New("this keeper holds too many bodies: send the change again, or to another keeper")
 
-// readBody reads a body within the bounds of size and time. The caller releases the reservation once it no longer needs the
-// body, also after an error. Errors are errTooManyBodies, a *http.MaxBytesError or those of the connection.
+// readBody reads a body within the bounds of size and time. The caller must release the reservation once it no longer needs the
+// body, even after an error. An error is errTooManyBodies, a *http.MaxBytesError or an error of the connection.
 func (a *api) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *reservation, error) {
 	defer setReadTimeout(w, bodyTimeout)()
 	reserved := &reservation{budget: &a.bodyBudget}
@@ -34,8 +34,8 @@
 	return body, reserved, err
 }
 
-// setReadTimeout bounds the time for reading a request's body, until the returned function takes the bound away. Writers
-// that support no deadlines (those of tests) are bounded by whoever made them.
+// setReadTimeout bounds the time for reading a request's body until the returned function removes the bound. It has no effect on
+// writers without support for deadlines, such as those of tests.
 func setReadTimeout(w http.ResponseWriter, timeout time.Duration) (cancel func()) {
 	controller := http.NewResponseController(w)
 	if controller.SetReadDeadline(time.Now().Add(timeout)) != nil {
@@ -44,7 +44,7 @@
 	return func() { _ = controller.SetReadDeadline(time.Time{}) }
 }
 
-// readChunks reads a body of unknown length to its end, and reserves capacity before it reads more.
+// readChunks reads a body of unknown length to its end and reserves capacity before it reads each chunk.
 func readChunks(in io.Reader, reserved *reservation) ([]byte, error) {
 	var body []byte
 	for {
@@ -56,7 +56,7 @@
 			n, err := in.Read(body[len(body):end])
 			body = body[:len(body)+n]
 			if errors.Is(err, io.EOF) {
-				return slices.Clone(body), nil // the state keeps it: without the capacity that was not needed
+				return slices.Clone(body), nil // the state retains the body, so unused capacity is dropped
 			}
 			if err != nil {
 				return nil, err
@@ -71,7 +71,7 @@
 	bytes  int64
 }
 
-// tryGrow reserves more bytes, and reports whether the budget had them.
+// tryGrow reserves more bytes and reports whether the budget had enough.
 func (r *reservation) tryGrow(bytes int64) bool {
 	if !r.budget.tryReserve(bytes) {
 		return false
@@ -82,7 +82,7 @@
 
 func (r *reservation) release() { r.budget.release(r.bytes) }
 
-// byteBudget bounds the memory of all bodies together. It may be used by several goroutines at once.
+// byteBudget bounds the memory of all bodies together. It is safe for concurrent use.
 type byteBudget struct {
 	mu        sync.Mutex
 	available int64
--- a/internal/system/operatorapi/change.go
+++ b/internal/system/operatorapi/change.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// Reasons of error responses where the verdict has none. Each names the remedy.
+// Reasons of error responses for verdicts that carry none. Each names the remedy.
 const (
 	reasonStale          = "another version is current: read it and build on that"
 	reasonInvalid        = "the change is invalid: check it against the operator's API"
@@ -22,16 +22,16 @@
 	reasonUnknownVerdict = "this keeper does not know the verdict on the change: send it again as it was, to another keeper"
 )
 
-// changeRequest is a request with the change that it submits.
+// changeRequest is a request and the change that it submits.
 type changeRequest struct {
 	change     controlstate.Change
-	receivedAt time.Time // when its head was read and, of a configuration, the whole body
+	receivedAt time.Time // when its header was read and, for a configuration, the entire body
 	respondBy  time.Time
-	success    func() map[string]any // makes the JSON of the response once the change is acknowledged
+	success    func() map[string]any // returns the response body once the change is acknowledged
 }
 
-// rejectIfPartitioned answers a change at once where this node has no way to the chain, so that the caller need not wait for a
-// time-out. It reports whether it did.
+// rejectIfPartitioned answers a change immediately with 503 if this node is partitioned from the chain, so that the caller need not
+// wait for a time-out. It reports whether it wrote a response.
 func (a *api) rejectIfPartitioned(w http.ResponseWriter, change controlstate.Change) bool {
 	if a.options.Partitioned == nil || !a.options.Partitioned() {
 		return false
@@ -41,8 +41,8 @@
 	return true
 }
 
-// respondToChange writes the response for the outcome of a submitted change. It writes a 4xx only on a verdict, which a
-// majority has confirmed.
+// respondToChange writes the response for the outcome of a submitted change. It writes a 4xx only for a verdict, which a majority
+// has confirmed.
 func (a *api) respondToChange(w http.ResponseWriter, r *http.Request, request changeRequest, verdict controlstate.Verdict, err error) {
 	entry := a.logEntry(request.change)
 	if errors.Is(err, errCallerGone) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// waitsFor says what changes wait for, if that is known.
+// waitsFor describes what changes wait for; it returns an empty string if that is not known.
 func (a *api) waitsFor() string {
 	if a.options.WaitsFor == nil {
 		return ""
@@ -90,7 +90,7 @@
 	return a.options.WaitsFor()
 }
 
-// notDurable is the reason of the response to a change that was not durable in time, with what it waits for if that is known.
+// notDurable returns the reason for the response to a change that was not durable in time. A known cause is appended.
 func notDurable(cause string) string {
 	if cause != "" {
 		return reasonNotDurable + " (it waits for " + cause + ")"
@@ -109,8 +109,8 @@
 	a.options.WaitDelivered(ctx, seq)
 }
 
-// staleBody is the body of a 412. It names the current revision only where this node's state contains the record on which the
-// verdict rests: a state that lags behind it would name a revision of the past.
+// staleBody returns the body of a 412. It names the current revision only if this node's state contains the record on which the
+// verdict depends: a state that lags behind that record would give an outdated revision.
 func (a *api) staleBody(verdict controlstate.Verdict) map[string]any {
 	body := map[string]any{"error": cmp.Or(verdict.Reason, reasonStale)}
 	state := a.committedState()
@@ -120,7 +120,7 @@
 	return body
 }
 
-// logEntry begins a log line about a change.
+// logEntry returns a log entry with the fields of a change.
 func (a *api) logEntry(change controlstate.Change) *log.Entry {
 	return a.options.Log.WithFields(log.Fields{"op": change.Op, "base": change.Base, "zone": change.Zone})
 }
--- a/internal/system/operatorapi/config.go
+++ b/internal/system/operatorapi/config.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// handleConfigChange serves POST /Config.Replace and /Config.Amend. A change of the configuration needs no fence: the version on
-// which it builds is one.
+// handleConfigChange serves POST /Config.Replace and /Config.Amend. A change of the configuration needs no separate fence: its base
+// version serves as one.
 func (a *api) handleConfigChange(op controlstate.Op) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		base, err := parseBaseVersion(r.Header)
@@ -46,13 +46,14 @@
 	case errors.As(err, &tooLarge):
 		writeBodyTooLarge(w)
 	default:
-		// Not a 4xx: what the network truncated is to be retried, and some callers give up at the third 4xx of any kind.
+		// Not a 4xx: a body that the network truncated should be retried, and some callers give up at the third 4xx of any kind.
 		closeConnection(w)
 		writeUnavailable(w, "the body did not come whole in time: send the change again")
 	}
 }
 
-// parseBaseVersion returns the version on which a change builds. Its errors say what is wrong with the header.
+// parseBaseVersion returns the version on which a change builds. Its errors go into the response and describe what is wrong with the
+// header.
 func parseBaseVersion(h http.Header) (int64, error) {
 	values := h.Values("X-Base-Version")
 	if len(values) != 1 {
@@ -86,7 +87,7 @@
 	a.respondToChange(w, r, request, verdict, err)
 }
 
-// handleConfigRead serves GET /Config.Read: the configuration of a linearizable read, as it was submitted.
+// handleConfigRead serves GET /Config.Read with the configuration of a linearizable read, byte for byte as it was submitted.
 func (a *api) handleConfigRead(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), chainTimeout)
 	defer cancel()
--- a/internal/system/operatorapi/connection.go
+++ b/internal/system/operatorapi/connection.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The bounds for requests that may have been delayed by a network partition. TCP retransmits what a partition swallowed, also
+// The bounds for requests that may have been delayed by a network partition. TCP retransmits bytes that a partition dropped, even
 // after the caller has closed its connection: the bytes arrive as soon as the partition heals, and the end of the connection a
 // round trip later.
 const (
@@ -24,12 +24,12 @@
 
 type connectionKey struct{}
 
-// connectionTracker is the API with the times of its connections.
+// connectionTracker serves the API and records how long each connection has been idle.
 type connectionTracker struct {
 	router http.Handler
 }
 
-// ConnContext records that a connection was accepted. It belongs into the http.Server; without it no request counts as delayed.
+// ConnContext records when a connection was accepted. It must be set in the http.Server; without it no request counts as delayed.
 func (h *connectionTracker) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, &connection{acceptedAt: time.Now()})
 }
@@ -42,14 +42,15 @@
 	}
 }
 
-// mayHaveBeenDelayed reports whether a request that arrived at a time may have been on its way for longer than idleThreshold:
-// its connection was idle for that long before.
+// mayHaveBeenDelayed reports whether a request that arrived at the given time may have been in transit for longer than
+// idleThreshold, which is the case if its connection was idle for that long before it arrived.
 func mayHaveBeenDelayed(ctx context.Context, arrived time.Time) bool {
 	c, ok := ctx.Value(connectionKey{}).(*connection)
 	return ok && arrived.Sub(c.acceptedAt)-time.Duration(c.idleSince.Load()) > idleThreshold
 }
 
-// awaitConnectionEnd waits until the caller's connection has ended, for as long as that end can take to follow its bytes.
+// awaitConnectionEnd waits until the caller's connection has ended, but at most for connectionEndTimeout, the longest time by which the
+// end of a connection can follow its last bytes.
 func awaitConnectionEnd(ctx context.Context) {
 	timer := time.NewTimer(connectionEndTimeout)
 	defer timer.Stop()
--- a/internal/system/operatorapi/evacuation.go
+++ b/internal/system/operatorapi/evacuation.go
@@ -13,25 +13,25 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// The bounds of a request for an evacuation.
+// The bounds of a request that starts or ends an evacuation.
 const (
 	maxZoneNameBytes      = 128                    // longer names are rejected
-	maxDiscardedBodyBytes = 64 << 10               // of a body, which these requests do not need
+	maxDiscardedBodyBytes = 64 << 10               // of a body, which these requests do not need to have
 	discardBodyTimeout    = 200 * time.Millisecond // for such a body to arrive
 )
 
-// Reasons why a request is not submitted: it has not taken effect and never will.
+// Reasons why a change was not submitted: it has not taken effect and never will.
 var (
 	errStalled     = errors.New("this keeper stood still, and the order may have waited since before that: send it again")
 	errPartitioned = errors.New("this keeper does not reach the chain and has not passed this order on: send it again as it was, to another keeper")
 	errCallerGone  = errors.New("the caller has gone, or waits too long: send the order again if it is still wanted")
 )
 
-// handleEvacuation serves POST /Evacuation.Start, after which no request is sent to a zone, and /Evacuation.Finish, which ends
-// that.
+// handleEvacuation serves POST /Evacuation.Start, after which no request is sent to the servers of a zone, and
+// /Evacuation.Finish, which readmits the zone.
 func (a *api) handleEvacuation(op controlstate.Op) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// These come first: whatever delays the request from here on, it is fenced by what was known on arrival.
+		// These are taken first, so that the request is fenced by the state known on its arrival, however long it is delayed after that.
 		receivedAt, fence := time.Now(), a.committedState()
 		zone := mux.Vars(r)["zone"]
 		if len(zone) > maxZoneNameBytes {
@@ -63,7 +63,7 @@
 	return a.options.Stalled != nil && a.options.Stalled() && !a.options.knobs.AcceptAfterStalls
 }
 
-// discardBody reads a body to its end. Before that net/http does not notice that the caller has closed the connection.
+// discardBody reads a body to its end. Until then net/http does not notice that the caller has closed the connection.
 func discardBody(w http.ResponseWriter, r *http.Request) error {
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil
@@ -73,7 +73,7 @@
 	return err
 }
 
-// writeDiscardError writes the response to an evacuation whose body did not come to its end.
+// writeDiscardError writes the response to an evacuation whose body could not be read to its end.
 func writeDiscardError(w http.ResponseWriter, err error) {
 	closeConnection(w)
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
@@ -85,10 +85,10 @@
 
 // submitWithFence submits an evacuation with its fence, the number of the newest committed record that was known on arrival.
 //
-// Before that it makes a linearizable read and, where the request may have been delayed, waits for the end of its connection:
-// a caller that hung up before its bytes arrived is then known to have gone, and the request is dropped. A request that turns
-// out to be superseded is not retried with a newer fence, since its caller may have gone unnoticed; a caller that still waits
-// retries by itself.
+// Before that it makes a linearizable read and, if the request may have been delayed, waits for the end of its connection: a
+// caller that disconnected before its bytes arrived is then known to have disconnected, and the request is dropped. A request that
+// turns out to be superseded is not retried with a newer fence, since its caller may have disconnected without this node noticing;
+// a caller that still waits retries by itself.
 func (a *api) submitWithFence(caller context.Context, request *changeRequest, fence *controlstate.State) (controlstate.Verdict, error) {
 	ctx, cancel := context.WithDeadline(caller, request.receivedAt.Add(chainTimeout))
 	defer cancel()
@@ -111,14 +111,15 @@
 	return a.options.Chain.Submit(ctx, request.change)
 }
 
-// callerGone reports whether the caller has hung up, or the deadline of its request has passed. The clock decides beside ctx, as
-// the timer of ctx may not have fired yet after a stall; and so does the caller's context, as ctx, its child, ends a moment later.
+// callerGone reports whether the caller has disconnected or the deadline of its request has passed. It compares the deadline of ctx
+// with the clock, since the timer of ctx may not have fired yet after a stall. It checks the context of the caller and not ctx, since
+// ctx is derived from it and is canceled a moment later.
 func callerGone(caller, ctx context.Context) bool {
 	deadline, _ := ctx.Deadline()
 	return caller.Err() != nil || !time.Now().Before(deadline)
 }
 
-// committedState returns the newest committed state of this node, nil where there is none.
+// committedState returns the newest committed state of this node, or nil if there is none.
 func (a *api) committedState() *controlstate.State {
 	if a.options.CommittedState == nil {
 		return nil
--- a/internal/system/operatorapi/handler.go
+++ b/internal/system/operatorapi/handler.go
@@ -8,18 +8,19 @@
 // request is one attempt to submit it; a verdict is what the state machine at the head of the chain decides
 // (controlstate.State.Check); a fence is the number of the newest committed record that a node knew when a request arrived.
 //
-// The texts of responses keep the operators' words: an order is the change of a zone, a call a request, a keeper a control-plane node.
+// The texts of responses use the operators' terms: an order is a change of a zone, a call is a request, and a keeper is a control-plane
+// node.
 //
 // Invariants (docs/hardening/operatorapi.md, C1 to C8, has the argument for each):
 //
-//   - A 4xx status follows from the bytes of the request alone, or from a verdict that a majority has confirmed. Everything that
-//     one node believes by itself is answered with 503, at which callers go on to another node.
+//   - A 4xx status follows from the bytes of the request alone, or from a verdict that a majority has confirmed. Where a node has
+//     only its own unconfirmed view, it answers 503, after which callers try another node.
 //   - A 200 to a change follows from a verdict, a 200 to Config.Read from a linearizable read. An elapsed timer proves nothing.
-//   - Every version of the configuration is the base of one change at most.
+//   - Every version of the configuration is the base of at most one change.
 //   - No request for a zone takes effect once a later request for that zone was acknowledged: requests carry their fence, and the
 //     state machine rejects those that are older than the zone's newest change. Fencing tokens are described by M. Kleppmann,
 //     "How to do distributed locking" (2016), and as sequencers by M. Burrows, "The Chubby lock service" (OSDI 2006).
-//   - A response belongs to the request that it answers: where a body was not read to its end, the connection is closed.
+//   - A response is matched to the request that it answers: if a body was not read to its end, the connection is closed.
 package operatorapi
 
 import (
@@ -39,9 +40,9 @@
 	bodyBudget byteBudget
 }
 
-// Handler serves the operator's API. Its result has a method ConnContext, which belongs into the http.Server that serves it.
-// Every response but the 200 of Config.Read is a JSON object; an error response carries the reason, which names the remedy,
-// under "error".
+// Handler returns the handler of the operator's API. It has a method ConnContext, which must be set as ConnContext of the
+// http.Server that serves it. Every response except the 200 of Config.Read is a JSON object; an error response carries the
+// reason and its remedy under "error".
 func Handler(options Options) http.Handler {
 	options.AckTimeout = defaults.IfNotPositive(options.AckTimeout, 5*time.Second)
 	if options.Log == nil {
@@ -53,7 +54,7 @@
 
 // newRouter maps the paths of the API to their handlers.
 func (a *api) newRouter() *mux.Router {
-	// Cleaning a path would answer it with a redirect, which callers count as an error.
+	// Without SkipClean the router would redirect paths that are not clean, and callers count a redirect as an error.
 	router := mux.NewRouter().SkipClean(true)
 	router.HandleFunc("/Config.Replace", a.handleConfigChange(controlstate.OpReplace)).Methods(http.MethodPost)
 	router.HandleFunc("/Config.Amend", a.handleConfigChange(controlstate.OpAmend)).Methods(http.MethodPost)
--- a/internal/system/operatorapi/response.go
+++ b/internal/system/operatorapi/response.go
@@ -11,7 +11,7 @@
 	writeJSON(w, status, map[string]any{"error": reason})
 }
 
-// writeUnavailable writes a 503, at which callers go on to another control-plane node.
+// writeUnavailable writes a 503, after which callers try another control-plane node.
 func writeUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", "0.2")
 	writeError(w, http.StatusServiceUnavailable, reason)
@@ -35,14 +35,14 @@
 		"the body has more than "+strconv.Itoa(maxBodyBytes)+" bytes: send the change in parts with POST /Config.Amend")
 }
 
-// setResponseHeaders sets the headers that all responses share; length is that of the body in bytes.
+// setResponseHeaders sets the headers that all responses share; length is the length of the body in bytes.
 func setResponseHeaders(w http.ResponseWriter, length int) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(length))
 	w.Header().Set("Cache-Control", "no-store")
 }
 
-// closeConnection closes the connection after the response, so that what is left of a body is never parsed as a request.
+// closeConnection closes the connection after the response, so that the rest of a body is never parsed as a request.
 func closeConnection(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 }
--- a/internal/system/operatorapi/stall_detector.go
+++ b/internal/system/operatorapi/stall_detector.go
@@ -10,25 +10,25 @@
 const (
 	stallCheckInterval = 25 * time.Millisecond
 	stallThreshold     = 250 * time.Millisecond // a longer pause of the process counts as a stall
-	stallCooldown      = time.Second            // bytes that are read so soon after a stall may have arrived before it
+	stallCooldown      = time.Second            // bytes that are read within this time after a stall may have arrived before it
 )
 
-// StallDetector reports whether the process was paused a moment ago (it was frozen or stopped, or got no processor), so that
-// what it reads now may have waited in its sockets for long. It measures with the monotonic clock: steps of the wall clock
-// have no effect. Its methods may be called by several goroutines at once.
+// StallDetector reports whether the process was paused recently (it was frozen or stopped, or got no CPU time), so that
+// bytes that it reads now may have waited in its sockets for a long time. It measures with the monotonic clock: steps of the wall
+// clock have no effect. It is safe for concurrent use.
 //
-// The data plane has a detector of its own (stallDetector in internal/system/proxy): that one is asked under the picker's lock, has a
-// threshold of its own, and ends a stall when the control plane has answered and not after a time.
+// The data plane has a detector of its own (stallDetector in internal/system/proxy): that one is called under the picker's lock, has
+// its own threshold, and ends a stall when the control plane has answered, not after a fixed time.
 type StallDetector struct {
 	mu           sync.Mutex
 	lastObserved time.Time // when the process was last seen running
-	trustedFrom  time.Time // what is read from then on arrived after the last stall
+	trustedFrom  time.Time // bytes that are read from then on arrived after the last stall
 }
 
-// NewStallDetector returns a detector that reports a stall until Run has been called.
+// NewStallDetector returns a detector that reports a stall until Run is called.
 func NewStallDetector() *StallDetector { return &StallDetector{} }
 
-// Run observes every 25 ms that the process runs, until ctx is done.
+// Run records every 25 ms that the process is running, until ctx is done.
 func (d *StallDetector) Run(ctx context.Context) {
 	d.start(time.Now())
 	ticker := time.NewTicker(stallCheckInterval)
@@ -43,8 +43,8 @@
 	}
 }
 
-// Stalled reports whether the process was paused for more than 250 ms and has been running again for less than a second. Whoever
-// comes first after the pause detects it, be it Run or a caller.
+// Stalled reports whether the process was paused for more than 250 ms and has been running again for less than a second. A pause is
+// detected by the first observation after it, which either Run or a caller of Stalled makes.
 func (d *StallDetector) Stalled() bool {
 	return d.observeRunning(time.Now())
 }
@@ -57,7 +57,7 @@
 	d.advance(now)
 }
 
-// observeRunning records that the process runs at now, and reports whether it stalled shortly before.
+// observeRunning records that the process is running at now, and reports whether it stalled shortly before.
 func (d *StallDetector) observeRunning(now time.Time) (stalled bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,8 +68,8 @@
 	return now.Before(d.trustedFrom)
 }
 
-// advance moves the last observation to now. Goroutines may come here in another order than they read the clock, so that it
-// never moves back.
+// advance moves the last observation forward to now. Goroutines may get here in a different order than they read the clock in, so
+// the last observation never moves back.
 func (d *StallDetector) advance(now time.Time) {
 	if now.After(d.lastObserved) {
 		d.lastObserved = now
