--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -27,7 +27,7 @@
 	if want := "SPEAKING\t0\nFORWARD\t9\t10.0.0.1:80\t0\n"; replies[2] != want {
 		t.Errorf("reply to the request %q, want %q", replies[2], want)
 	}
-	if !strings.Contains(replies[3], "NOT_NOW\t9\t") { // the only server has had its try
+	if !strings.Contains(replies[3], "NOT_NOW\t9\t") { // the only server was already tried
 		t.Errorf("reply to the error %q", replies[3])
 	}
 }
--- a/cmd/controlplane/chain_test.go
+++ b/cmd/controlplane/chain_test.go
@@ -24,7 +24,7 @@
 
 func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.ErrorLevel} }
 
-// newTestNode returns a node that was not started; dataDir may be empty.
+// newTestNode returns a node that is not started. It is an observer if dataDir is empty.
 func newTestNode(dataDir string) *node {
 	return &node{log: discardLog(), settings: &settings.Settings{Node: "n", IP: "127.0.0.1", Zone: "za", Region: "r",
 		Ports: []int{1, 2}, Seeds: []string{"127.0.0.1:3"}, DataDir: dataDir, Bootstrap: true}}
@@ -41,8 +41,8 @@
 	return n.chain.Self().ID
 }
 
-// TestUnreadableDiskIsQuarantined: danger: the process ends at each start, for good, or the disk's content is deleted, or
-// served.
+// TestUnreadableDiskIsQuarantined guards against a process that exits at every start because of unreadable files, and against deleting
+// or serving their content.
 func TestUnreadableDiskIsQuarantined(t *testing.T) {
 	for name, spoil := range map[string]func(*wal.Log) error{
 		"register that is none":        func(l *wal.Log) error { return l.SaveMeta("register", []byte("\xff\xff not one")) },
@@ -76,7 +76,7 @@
 	}
 }
 
-// countFilesWith counts the files of a folder that hold one of the texts.
+// countFilesWith counts the files in a directory that contain one of the texts.
 func countFilesWith(t *testing.T, folder string, texts ...string) (n int) {
 	t.Helper()
 	files, err := os.ReadDir(folder)
@@ -98,7 +98,7 @@
 	return n
 }
 
-// TestObserverHasNoState: danger: a node without a disk takes an identity that has voted, or writes somewhere.
+// TestObserverHasNoState guards against a node without a disk that reuses an identity that has voted, or that writes state somewhere.
 func TestObserverHasNoState(t *testing.T) {
 	n := newTestNode("")
 	if err := n.openChain(context.Background()); err != nil {
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestPartitionedNodeAnswersAtOnce: danger: a node that has reached no other for seconds holds each change until its deadline,
-// and the caller, who hears nothing, sends it to no other node.
+// TestPartitionedNodeAnswersAtOnce guards against a node that has reached no other node for seconds and holds each change until its
+// deadline: its callers get no response meanwhile and do not try another node.
 func TestPartitionedNodeAnswersAtOnce(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		partitioned := newTestNode("")
@@ -141,7 +141,7 @@
 	})
 }
 
-// TestNoBootstrapAfterQuarantine: danger: nodes whose logs were quarantined form a first view again, with an empty state.
+// TestNoBootstrapAfterQuarantine guards against nodes whose logs were quarantined forming a first view again, with an empty state.
 func TestNoBootstrapAfterQuarantine(t *testing.T) {
 	options := newTestNode(t.TempDir()).replicationOptions()
 	if !options.Bootstrap || withoutBootstrap(options).Bootstrap {
@@ -149,7 +149,7 @@
 	}
 }
 
-// TestDiskOptions: danger: a log that is let grow past a small disk fails with the disk full, and takes no more changes.
+// TestDiskOptions guards against a log that grows until a small disk is full and then accepts no more changes.
 func TestDiskOptions(t *testing.T) {
 	for diskMB, want := range map[int64]wal.Options{0: {}, 64: {}, 1 << 20: {},
 		16: {MaxBytes: 10 << 20, DiskBytes: 15e6}, 32: {MaxBytes: 20 << 20, DiskBytes: 30e6}, 63: {MaxBytes: 63 << 20 * 40 / 64, DiskBytes: 63e6 * 60 / 64}} {
@@ -159,7 +159,8 @@
 	}
 }
 
-// TestLeaveTimeout: danger: a node with the only replica of a record gives up though there was time, or is killed while it waits.
+// TestLeaveTimeout guards against a node with the only replica of a record that stops waiting before the grace period allows, or that
+// is killed while it waits.
 func TestLeaveTimeout(t *testing.T) {
 	for grace, want := range map[float64]time.Duration{0.1: time.Second, 1.5: time.Second, 8: 7300 * time.Millisecond} {
 		if got := leaveTimeout(grace); got != want {
--- a/cmd/controlplane/compat_test.go
+++ b/cmd/controlplane/compat_test.go
@@ -10,9 +10,9 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-var publishOnce sync.Once // the metrics of a process are named once
+var publishOnce sync.Once // metrics can be registered only once in a process
 
-// TestMetricNames: dashboards and alerts name these.
+// TestMetricNames checks the names of the metrics, which dashboards and alerts use.
 func TestMetricNames(t *testing.T) {
 	publishOnce.Do(func() { newAllocation(&settings.Settings{IP: "127.0.0.1"}, discardLog(), nil, "").Publish() })
 	got := metrics.ListMetricNames()
--- a/cmd/controlplane/damaged_test.go
+++ b/cmd/controlplane/damaged_test.go
@@ -12,8 +12,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestDamagedLogOfABootstrapNode damages the log of a node that is still told to form the first view. Danger: under its
-// new identity it helps to form another first view, beside the one that it has voted for.
+// TestDamagedLogOfABootstrapNode damages the log of a node whose settings still have bootstrap = true. It guards against a node that,
+// under its new identity, helps to form another first view besides the one for which it has voted.
 func TestDamagedLogOfABootstrapNode(t *testing.T) {
 	folder := t.TempDir()
 	bubble.Test(t, func(t *testing.T) {
@@ -35,7 +35,7 @@
 		damage(t, folder)
 
 		start().chain.Stop()
-		restarted = start() // a life later, and the settings are the same
+		restarted = start() // another restart with the same settings
 		defer func() { restarted.chain.Stop() }()
 		time.Sleep(10 * time.Second) // of the bubble's clock
 		if view := restarted.chain.View(); view.Epoch > 0 {
--- a/cmd/proxy/compat_test.go
+++ b/cmd/proxy/compat_test.go
@@ -8,9 +8,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-var publishOnce sync.Once // the metrics of a process are named once
+var publishOnce sync.Once // metrics can be registered only once in a process
 
-// TestMetricNames: dashboards and alerts name these.
+// TestMetricNames checks the names of the metrics, which dashboards and alerts use.
 func TestMetricNames(t *testing.T) {
 	publishOnce.Do(func() {
 		p := newTestServer(t)
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -22,7 +22,7 @@
 "target_latency_ms":100,"priority":0,"target":"a","max_tries":2}],"services":[{"name":"a","health_path":"/health","max_conns":10,
 "cold_s":3.0,"cold_per_s":31.0}],"limits":{}}`
 
-// newTestServer returns a proxy's parts, without a control plane and without clients.
+// newTestServer returns a proxy's components, without a control plane and without clients.
 func newTestServer(t *testing.T) *proxyProcess {
 	t.Helper()
 	discardLog := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
@@ -41,7 +41,7 @@
 	return created
 }
 
-// applyChanges returns the state after changes, in their order.
+// applyChanges returns the state after applying the changes in order.
 func applyChanges(t *testing.T, state *controlstate.State, changes ...controlstate.Change) *controlstate.State {
 	t.Helper()
 	for _, c := range changes {
@@ -58,8 +58,9 @@
 	return state
 }
 
-// TestEvacuationBetweenUpdates: a zone is evacuated and readmitted while the proxy has no contact, and both reach it at once. Danger:
-// neither the state before nor the one after names the zone, though its servers may just have begun to warm up.
+// TestEvacuationBetweenUpdates evacuates and readmits a zone while the proxy has no contact, so that both changes reach it in one update.
+// It guards against missing the evacuation: the zone is evacuated neither in the state before nor in the one after, although its
+// servers may just have begun to warm up.
 func TestEvacuationBetweenUpdates(t *testing.T) {
 	p := newTestServer(t)
 	before := applyChanges(t, controlstate.Empty().WithoutHistory(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
@@ -78,7 +79,7 @@
 	}
 }
 
-// TestEvacuationIsSeenInASnapshot is the same where the proxy lags so far that it gets a snapshot.
+// TestEvacuationIsSeenInASnapshot is the same test for a proxy that lags so far behind that it gets a snapshot.
 func TestEvacuationIsSeenInASnapshot(t *testing.T) {
 	p := newTestServer(t)
 	state := applyChanges(t, controlstate.Empty(), controlstate.Change{Op: controlstate.OpReplace, Body: []byte(configuration)})
--- a/internal/system/admin/quota_test.go
+++ b/internal/system/admin/quota_test.go
@@ -8,7 +8,8 @@
 	"gradeusher.example/gradeusher/internal/system/quota"
 )
 
-// TestFleetQuota: the word of the allocator of the newest epoch counts, and the others name it.
+// TestFleetQuota checks that only the quotas of the current allocator of the newest epoch are used, and that the
+// owner of the role is always listed.
 func TestFleetQuota(t *testing.T) {
 	leased := []TenantQuota{{Tenant: "t", Fraction: 0.5}}
 	answer := func(epoch uint64, current bool, tenants []TenantQuota) NodeAnswer {
@@ -34,7 +35,7 @@
 	}
 }
 
-// TestTenantQuotas: each holder is in the status once, with its part.
+// TestTenantQuotas checks that the status has each holder once, with its share.
 func TestTenantQuotas(t *testing.T) {
 	share := quota.Share{Fraction: 0.25, Extra: 1}
 	got := TenantQuotas([]quota.TenantUsage{{Tenant: "t", Leased: share, RatePerSecond: 3,
--- a/internal/system/admin/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -23,7 +23,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/memorynet"
 )
 
-// testSystem is three nodes that talk in memory and write to real folders.
+// testSystem is three nodes with a network in memory that write to real directories.
 type testSystem struct {
 	t       *testing.T
 	network *memorynet.Network
@@ -70,7 +70,7 @@
 	}
 }
 
-// call asks the operator's API of a machine until it answers something else than 503.
+// call sends a request to the operator's API of a machine until the response is not a 503.
 func (s *testSystem) call(addr, method, path, base string, body []byte) *httptest.ResponseRecorder {
 	s.t.Helper()
 	for range 20 {
@@ -98,7 +98,7 @@
 	return data
 }
 
-// fillSystem runs a system, gives it a configuration and an evacuated zone, and returns the backup and what Config.Read says.
+// fillSystem runs a system with a configuration and an evacuated zone, and returns its backup and the response of Config.Read.
 func fillSystem(t *testing.T, root string) (backup, config []byte) {
 	t.Helper()
 	system := newSystem(t, root)
@@ -126,8 +126,8 @@
 	return w.Body.Bytes(), config
 }
 
-// TestRestoreIntoAnEmptySystem writes a backup to the disks of three new nodes. Danger: the system is lost, and a backup of it cannot be
-// brought back.
+// TestRestoreIntoAnEmptySystem writes a backup to the disks of three new nodes. It guards against a backup that cannot be restored after
+// the loss of all nodes.
 func TestRestoreIntoAnEmptySystem(t *testing.T) {
 	first, second := t.TempDir(), t.TempDir()
 	bubble.Test(t, func(t *testing.T) {
@@ -145,7 +145,7 @@
 		}
 		system.checkConfig("restored", config)
 		system.checkCommitted("restored", state.Seq, true)
-		// What was accepted before the backup is known again, and what is new continues from there.
+		// A change that was accepted before the backup is recognized, and new changes continue from there.
 		if w := system.call(machines[1], http.MethodPost, "/Config.Amend", "7", readExample(t, "amend.json")); w.Code != http.StatusOK {
 			t.Errorf("the last change, sent again: %d %s", w.Code, w.Body)
 		}
@@ -163,7 +163,7 @@
 	})
 }
 
-// checkConfig checks the configuration that all nodes answer.
+// checkConfig checks that all nodes return the configuration.
 func (s *testSystem) checkConfig(when string, config []byte) {
 	s.t.Helper()
 	for _, addr := range machines {
@@ -173,7 +173,7 @@
 	}
 }
 
-// checkCommitted checks the newest record of all nodes, and whether the zone is evacuated after it, and no other.
+// checkCommitted checks the newest committed record of all nodes, and whether the zone "away" is evacuated after it.
 func (s *testSystem) checkCommitted(when string, seq uint64, evacuated bool) {
 	s.t.Helper()
 	for _, addr := range machines {
@@ -184,7 +184,7 @@
 	}
 }
 
-// checkDisk checks that the disk of a stopped node has one record after a state, with which no zone is evacuated.
+// checkDisk checks that the disk of a stopped node has one record after a state, and that no zone is evacuated after that record.
 func (s *testSystem) checkDisk(addr string, before *controlstate.State) {
 	s.t.Helper()
 	state, err := From(s.dirs[addr])
--- a/internal/system/admin/status.go
+++ b/internal/system/admin/status.go
@@ -66,7 +66,7 @@
 	Version   int             `json:"version"` // 0: the node predates versions; the same as 1
 	Node      string          `json:"node"`
 	Observer  bool            `json:"observer"`           // without a disk: it has no vote and forwards requests
-	Current   bool            `json:"current"`            // a majority has confirmed its epoch recently; it is in the chain or up to date with it
+	Current   bool            `json:"current"`            // a majority recently confirmed its epoch; it is in the chain or up to date with it
 	Capacity  *Capacity       `json:"capacity,omitempty"` // nil: not known to the node
 	Epoch     uint64          `json:"epoch"`
 	Chain     []string        `json:"chain"` // IPs, the head first
--- a/internal/system/admin/status_test.go
+++ b/internal/system/admin/status_test.go
@@ -18,7 +18,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/memorynet"
 )
 
-// nodeHandler answers like a node.
+// nodeHandler serves the status of a node.
 func nodeHandler(s NodeStatus) http.Handler {
 	return allowOnlyReads(func(w http.ResponseWriter, _ *http.Request) {
 		data, _ := json.Marshal(s)
@@ -26,8 +26,8 @@
 	})
 }
 
-// fleetOf is three nodes: the third is behind and outside the chain; b has moved from the first to the second; d follows
-// none.
+// fleetOf returns the statuses of three nodes: the third lags and is outside the chain; proxy b has moved from the first to the second;
+// proxy d subscribes to none.
 func fleetOf() map[string]NodeStatus {
 	voters := []Voter{{"10.0.0.1", "za", "r"}, {"10.0.0.2", "zb", "r"}, {"10.0.0.3", "zc", "r"}}
 	chain := []string{"10.0.0.2", "10.0.0.1"}
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestFleetCapacity: one node's word counts: of the newest epoch, current, and with a disk before observers.
+// TestFleetCapacity checks that the capacity is that of one current node of the newest epoch, preferably one with a disk.
 func TestFleetCapacity(t *testing.T) {
 	answerWith := func(epoch uint64, current, observer bool, voters int) NodeAnswer {
 		return NodeAnswer{Status: &NodeStatus{Epoch: epoch, Current: current, Observer: observer, Capacity: &Capacity{Voters: voters}}}
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestWaitForARevision has a later change come about while some proxies lack both. Danger: the wait runs after every new
-// change and does not end.
+// TestWaitForARevision applies a later change while some proxies lack both changes. It guards against a wait that follows every new
+// change and never ends.
 func TestWaitForARevision(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		var acknowledged, number atomic.Uint64
@@ -268,7 +268,7 @@
 	}
 }
 
-// TestClientFollowsNoRedirect has the asked address name another: its answer is not taken for that of the address asked.
+// TestClientFollowsNoRedirect checks that a redirect to another node is an error, and not followed to that node's status.
 func TestClientFollowsNoRedirect(t *testing.T) {
 	all := networkOf(fleetOf())
 	all.Set("10.0.0.9", http.RedirectHandler("http://10.0.0.1:1"+statusPath, http.StatusTemporaryRedirect))
--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// rendezvousChain is a chain that answers once so many changes are under way.
+// rendezvousChain answers once as many changes are in flight as were added to arrivals.
 type rendezvousChain struct {
 	fakeChain
 	arrivals sync.WaitGroup
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestEightChunkedChanges: eight changes may be under way at once, also where their bodies' lengths are not declared.
+// TestEightChunkedChanges checks that eight changes may be in flight concurrently, even if their bodies are chunked.
 func TestEightChunkedChanges(t *testing.T) {
 	const orders = 8
 	chain := &rendezvousChain{}
@@ -60,8 +60,8 @@
 	calls.Wait()
 }
 
-// TestChunkedBodiesAreBounded: bodies whose lengths are not declared are bounded all the same, each and all together, and what
-// they held is given back.
+// TestChunkedBodiesAreBounded checks that bodies of undeclared length are bounded too, each and all together, and that their
+// reservations are released.
 func TestChunkedBodiesAreBounded(t *testing.T) {
 	bounded := &api{options: Options{Log: discardLog()}, bodyBudget: byteBudget{available: 1 << 20}}
 	read := func(size int64) error {
--- a/internal/system/operatorapi/cluster_test.go
+++ b/internal/system/operatorapi/cluster_test.go
@@ -26,20 +26,20 @@
 // observer is a machine without a disk, which only some tests start.
 const observer = "10.0.0.4"
 
-// apiCluster is three nodes with their APIs, over disks and a network in memory.
+// apiCluster is three nodes and their APIs, with disks and a network in memory.
 type apiCluster struct {
 	tb                  testing.TB
 	disks               map[string]*waltest.Mem
 	nodes               map[string]*replication.Node
 	apis                map[string]http.Handler
-	waitWhenPartitioned bool // the APIs hold changes also where a node is partitioned
+	waitWhenPartitioned bool // the API of a partitioned node holds changes until they time out
 
 	mu           sync.Mutex
 	peerHandlers map[string]http.Handler
 	partitioned  map[string]bool
 }
 
-// network is one node's way to the others.
+// network is the transport from one node to the others.
 type network struct {
 	*apiCluster
 	from string
@@ -80,7 +80,7 @@
 	}
 }
 
-// startNode starts the node of one machine, as an observer where the machine has no disk.
+// startNode starts the node of one machine, as an observer if the machine has no disk.
 func (c *apiCluster) startNode(addr string) {
 	c.tb.Helper()
 	quiet := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
@@ -140,7 +140,7 @@
 	return w.Code, w.Body.String()
 }
 
-// callUntilResolved calls until there is a clear answer.
+// callUntilResolved sends a request until its response is not a 503, at most 50 times.
 func (c *apiCluster) callUntilResolved(addr string, o apiRequest) (status int, body string) {
 	for range 50 {
 		if status, body = c.call(addr, o); status != http.StatusServiceUnavailable {
@@ -152,7 +152,7 @@
 	return status, body
 }
 
-// callAllNodes sends changes to all nodes at once, and counts the answers by status.
+// callAllNodes sends changes to all nodes concurrently, and counts the responses by status.
 func (c *apiCluster) callAllNodes(orders ...apiRequest) map[int]int {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -169,7 +169,7 @@
 	return out
 }
 
-// mustSucceed sends a request until there is a clear response, which must be 200.
+// mustSucceed sends a request until there is a definite response, which must be 200.
 func (c *apiCluster) mustSucceed(addr string, request apiRequest) {
 	c.tb.Helper()
 	if status, body := c.callUntilResolved(addr, request); status != http.StatusOK {
@@ -197,7 +197,7 @@
 	}
 }
 
-// mustReadWithin reads the configuration at a node until that succeeds, which must be within a time.
+// mustReadWithin reads the configuration at a node until the read succeeds, which must be within the bound.
 func (c *apiCluster) mustReadWithin(addr string, bound time.Duration) {
 	c.tb.Helper()
 	healedAt := time.Now()
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -11,14 +11,14 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestDelayedRequestWaits: a change that comes on a connection that was quiet for long may have been delayed by a partition. It
-// waits as long as the end of its connection takes to follow; a call that follows closely on another, or on the connection's
-// begin, does not.
+// TestDelayedRequestWaits checks that a change waits for the end of its connection if that was idle for long before, since the change
+// may have been delayed by a partition. A request that arrives soon after another one, or after the connection was accepted, does not
+// wait.
 func TestDelayedRequestWaits(t *testing.T) {
 	for name, test := range map[string]struct {
-		quiet   time.Duration // before the change
-		earlier bool          // another call came before that
-		ends    time.Duration // the end of the connection comes so long after the change; 0: it goes on
+		quiet   time.Duration // idle time before the change
+		earlier bool          // another request came before that
+		ends    time.Duration // the connection ends this long after the change; 0: it stays open
 		status  int
 		took    time.Duration
 	}{
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -17,7 +17,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// scriptedChain answers as its functions say, and records what it was asked.
+// scriptedChain answers with the results of its functions, and records the submitted changes.
 type scriptedChain struct {
 	read      func(ctx context.Context) (*controlstate.State, error)
 	submit    func(controlstate.Change) controlstate.Verdict
@@ -37,8 +37,8 @@
 	return controlstate.Verdict{Kind: controlstate.Accepted, Seq: 1}
 }
 
-// TestEvacuationFence: the fence is what was known as the request came, not what a majority confirmed later, and a superseded change gets
-// no newer one.
+// TestEvacuationFence checks that the fence is the state known when the request arrived, not one that a majority confirmed later, and
+// that a superseded change is not retried with a newer fence.
 func TestEvacuationFence(t *testing.T) {
 	for name, test := range map[string]struct {
 		superseded, known, late bool
@@ -69,10 +69,10 @@
 	}
 }
 
-// TestEvacuationDropped: a change whose caller hung up, or that took too long to confirm, is not submitted.
+// TestEvacuationDropped checks that a change is not submitted if its caller disconnected or the linearizable read took too long.
 func TestEvacuationDropped(t *testing.T) {
 	for name, test := range map[string]struct {
-		read func(cancel func()) // what happens while a majority is asked
+		read func(cancel func()) // runs during the linearizable read
 		sent int
 	}{
 		"in time":         {func(func()) { time.Sleep(chainTimeout - time.Millisecond) }, 1}, // of the bubble's clock
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestEvacuationOfACallerThatHungUp: over a real connection: the bytes of a change and the end of its connection come together,
-// as after a partition. net/http tells of it by the request's context, however the change's body is framed.
+// TestEvacuationOfACallerThatHungUp checks, over a real connection, that a change is dropped if its bytes and the end of its connection
+// arrive together, as after a partition. net/http cancels the request's context then, however the request's body is framed.
 func TestEvacuationOfACallerThatHungUp(t *testing.T) {
 	for name, body := range map[string]string{
 		"no body": "\r\n", "an empty body": "Content-Length: 0\r\n\r\n", "a body": "Content-Length: 2\r\n\r\n{}",
@@ -152,13 +152,13 @@
 	}
 }
 
-// canceledContext is the context of a caller that has gone, of which contexts made of it have not heard yet.
+// canceledContext is the context of a caller that has disconnected, where the cancellation has not reached derived contexts yet.
 type canceledContext struct{ context.Context }
 
 func (canceledContext) Err() error { return context.Canceled }
 
-// TestEvacuationOfACallerThatHasJustGone: the caller's end is known, and has not reached the context of the change. Danger: the change is
-// submitted though its caller has gone.
+// TestEvacuationOfACallerThatHasJustGone guards against submitting a change whose caller has disconnected: the caller's context is
+// canceled, and the cancellation has not reached the context of the change yet.
 func TestEvacuationOfACallerThatHasJustGone(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	a := &api{options: Options{Chain: chain, Log: discardLog()}}
@@ -168,7 +168,7 @@
 	}
 }
 
-// TestEvacuationAfterAStall: a change that is read after a stall is not taken, and its connection ends.
+// TestEvacuationAfterAStall checks that a change that is read after a stall is rejected, and that its connection is closed.
 func TestEvacuationAfterAStall(t *testing.T) {
 	chain := &scriptedChain{submit: accepted, read: func(context.Context) (*controlstate.State, error) { return stateAt(4), nil }}
 	stalled := true
@@ -191,7 +191,7 @@
 	}
 }
 
-// TestEvacuationWithABody: bodies that evacuations need not have are read, within bounds.
+// TestEvacuationWithABody checks that the optional bodies of evacuations are read, within bounds.
 func TestEvacuationWithABody(t *testing.T) {
 	for name, test := range map[string]struct {
 		body   string
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -63,12 +63,12 @@
 	return w
 }
 
-// answersBody is the body that TestAnswers sends; answersBase the header with its base.
+// answersBody is the request body that TestAnswers sends, and answersBase the header with its base version.
 const answersBody = `{"revision":7,"routes":[],"services":[]}`
 
 var answersBase = []string{"X-Base-Version", "5"}
 
-// answerTest is a request, the chain's outcome for it, and the response that is due.
+// answerTest is a request, the chain's outcome for it, and the expected response.
 type answerTest struct {
 	method, target string
 	headers        []string
@@ -205,7 +205,7 @@
 	r.Header.Set("X-Base-Version", "0")
 	w := httptest.NewRecorder()
 	Handler(Options{Chain: chain, Log: discardLog()}).ServeHTTP(w, r)
-	// No 4xx, at the third of which an operator gives the change up for good.
+	// Not a 4xx: an operator gives a change up at the third 4xx.
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Connection") != "close" || len(chain.submitted) != 0 {
 		t.Errorf("status %d, %d changes", w.Code, len(chain.submitted))
 	}
@@ -249,7 +249,8 @@
 	}
 }
 
-// TestResponseNamesWhatIsWaitedFor checks that the response to a change that is not durable in time names what it waits for, where that is known.
+// TestResponseNamesWhatIsWaitedFor checks that the response to a change that is not durable in time names what the change waits for, if
+// that is known.
 func TestResponseNamesWhatIsWaitedFor(t *testing.T) {
 	for _, cause := range []string{"", "the first view, which is not formed yet (1 of 3 seeds in contact)"} {
 		bubble.Test(t, func(t *testing.T) {
@@ -266,8 +267,8 @@
 	}
 }
 
-// TestPartitionedNodeDoesNotForward: what a node without a way to the chain answers at once it has not submitted; what the
-// request's bytes alone decide is answered as ever, and reads are asked for.
+// TestPartitionedNodeDoesNotForward checks that a node that is partitioned from the chain answers changes immediately and does not
+// submit them. Requests that are invalid by their bytes alone are rejected as usual, and reads are still forwarded to the chain.
 func TestPartitionedNodeDoesNotForward(t *testing.T) {
 	const waits = 700 * time.Millisecond
 	base := []string{"X-Base-Version", "5"}
@@ -319,7 +320,7 @@
 	}
 }
 
-// TestOverLoopback: over a real connection: an answer before the whole body is read, and HEAD without a body.
+// TestOverLoopback checks, over a real connection, a change with a chunked body, and that the response to HEAD has no body.
 func TestOverLoopback(t *testing.T) {
 	state := &controlstate.State{Config: &config.Config{Revision: 5, Raw: []byte(`{"revision":5}`)}}
 	server := httptest.NewServer(Handler(Options{Chain: &fakeChain{verdict: controlstate.Verdict{Kind: controlstate.Accepted}, state: state}, Log: discardLog()}))
--- a/internal/system/operatorapi/keys_test.go
+++ b/internal/system/operatorapi/keys_test.go
@@ -40,7 +40,8 @@
 	return c.state, nil
 }
 
-// TestAcknowledgedRevisionIsLogged: the log line of a change that was acknowledged names its revision, as versions rise in uneven steps.
+// TestAcknowledgedRevisionIsLogged checks that the log line of an acknowledged change has its revision, which cannot be derived from its
+// base since versions rise in uneven steps.
 func TestAcknowledgedRevisionIsLogged(t *testing.T) {
 	entries := memory.New()
 	handler := Handler(Options{Chain: &stateChain{state: controlstate.Empty()}, Log: &log.Logger{Handler: entries, Level: log.DebugLevel}})
@@ -53,7 +54,8 @@
 	}
 }
 
-// TestKeysAreNotLogged: neither the log nor the response to a change holds an API key of its body, whether it is accepted or not.
+// TestKeysAreNotLogged checks that neither the log nor the response to a change contains an API key of its body, whether the change is
+// accepted or not.
 func TestKeysAreNotLogged(t *testing.T) {
 	const key = "92cqf75rjvz48wuakn2f"
 	tenants := `[{"name":"a","api_keys":["` + key + `"]}]`
--- a/internal/system/operatorapi/model_client_test.go
+++ b/internal/system/operatorapi/model_client_test.go
@@ -14,14 +14,14 @@
 
 const callerTimeout = time.Second
 
-// modelChange is what an operator wants, and what it got.
+// modelChange is a change that an operator sends, and its outcome.
 type modelChange struct {
 	change   controlstate.Change
 	revision int64
-	resent   bool // was sent and settled before
+	resent   bool // was sent and resolved before
 
 	startedAt, endedAt time.Duration // endedAt: when it was resolved or given up
-	status             int           // 0: no clear answer
+	status             int           // 0: no definite response
 	body               string
 	attempts           []modelAttempt
 }
@@ -54,7 +54,7 @@
 	return r
 }
 
-// sendRequest sends one request to a node, and waits for its response for a second; nil: none arrived.
+// sendRequest sends one request to a node and returns its response, or nil if none arrives within a second.
 func (w *modelCluster) sendRequest(node *modelNode, r *http.Request) *httptest.ResponseRecorder {
 	caller, hangUp := context.WithCancel(r.Context())
 	defer hangUp()
@@ -73,9 +73,9 @@
 	}
 }
 
-// deliverRequest brings a request to a node, perhaps late, and its response back. The end of the caller's connection follows its
-// bytes within a round trip of up to 200 ms; while the node is frozen, or where its connection was reset, it may be lost.
-// The context incarnation ends with the node's process, caller with the caller's connection.
+// deliverRequest delivers a request to a node, perhaps late, and its response to the caller. The end of the caller's connection follows
+// its bytes within a round trip of up to 200 ms; it may be lost while the node is frozen, or if the connection was reset. The context
+// incarnation ends with the node's process, and caller with the caller's connection.
 func (w *modelCluster) deliverRequest(incarnation, caller context.Context, node *modelNode, r *http.Request,
 	responses chan<- *httptest.ResponseRecorder,
 ) {
@@ -92,7 +92,7 @@
 	node.waitWhileFrozen()
 	stalled := time.Since(arrivedAt) > 0
 	if incarnation.Err() != nil {
-		return // of a process that is gone, and its sockets with it
+		return // the process that had the connection has ended
 	}
 	if stalled {
 		w.recordEvent("request waited through a freeze")
@@ -114,7 +114,7 @@
 	responses <- response
 }
 
-// sendUntilResolved sends a change until it gets a clear response or its operator gives up.
+// sendUntilResolved sends a change until it gets a definite response or its operator gives up.
 func (w *modelCluster) sendUntilResolved(change *modelChange) {
 	const giveUpAfter = 6 * time.Second
 	change.startedAt = w.elapsed()
@@ -140,8 +140,8 @@
 	change.endedAt = w.elapsed()
 }
 
-// runConfigOperator sends changes of the configuration on the version that it believes to be current, whole ones and
-// amendments, its own and those that others send as well, and at times a change that was resolved long before.
+// runConfigOperator sends changes based on the version of the configuration that was current just before: replacements and amendments,
+// changes of its own and changes that other operators send too, and sometimes a change that was resolved long before.
 func (w *modelCluster) runConfigOperator(number, orders int, old []*modelChange, done func(*modelChange)) {
 	var mine []*modelChange
 	for range orders {
@@ -177,7 +177,7 @@
 	return fmt.Appendf(nil, `{"revision":%d,"built_on":%d,"routes":[],"services":[{"name":%q}]}`, revision, base, mark)
 }
 
-// runZoneOperator evacuates a zone and takes it back, again and again.
+// runZoneOperator repeatedly evacuates and readmits a zone, in random order.
 func (w *modelCluster) runZoneOperator(zone string, orders int, done func(*modelChange)) {
 	op := controlstate.OpEvacuate
 	for range orders {
--- a/internal/system/operatorapi/model_cluster_test.go
+++ b/internal/system/operatorapi/model_cluster_test.go
@@ -11,18 +11,18 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// chainKnobs take protections of the state machine and the chain out.
+// chainKnobs disable protections of the state machine and the chain.
 type chainKnobs struct {
-	forgetHistoryAndReject bool // nothing is remembered, and what cannot be decided is rejected
+	forgetHistoryAndReject bool // no history is kept, and changes that cannot be decided are rejected
 	ignoreFences           bool // evacuations are not fenced
-	omitRecordsInForce     bool // a change that is in force already leaves no record
-	rejectByLocalState     bool // a node refuses by what it alone holds
+	omitRecordsInForce     bool // a change that is already in force leaves no record
+	rejectByLocalState     bool // a node rejects changes by its local state alone
 
-	frequentFaults map[string]bool // troubles that come about four times as often, so that a control finds its fault soon
+	frequentFaults map[string]bool // faults that happen four times as often, so that a control finds a violation soon
 }
 
-// modelCluster is the APIs of nodes over one chain, which is modelled as a state that takes each change at one moment; the ways to
-// it and back lose, hold up and repeat. All of it runs in the time of a synctest bubble.
+// modelCluster has the APIs of three nodes over one chain. The chain is modelled as a state that applies each change atomically; changes
+// and verdicts may be lost, delayed and duplicated on the way to it and back. All of it runs in the fake time of a synctest bubble.
 type modelCluster struct {
 	knobs     chainKnobs
 	nodes     []*modelNode
@@ -34,7 +34,7 @@
 	state          *controlstate.State
 	applied        map[string]time.Duration // change -> when it was applied
 	configurations map[int64]string         // version -> configuration
-	eventCounts    map[string]int           // of what came about
+	eventCounts    map[string]int           // by event
 }
 
 type modelNode struct {
@@ -47,7 +47,7 @@
 	kill             context.CancelFunc
 	frozenUntil      time.Time // until then it is frozen
 	partitionedUntil time.Time // until then it does not reach the other nodes
-	stalledUntil     time.Time // until then it counts as just thawed
+	stalledUntil     time.Time // until then it reports a stall
 }
 
 func newModelCluster(seed uint64, start *controlstate.State, knobs TestingKnobs, chain chainKnobs) *modelCluster {
@@ -67,14 +67,14 @@
 
 func (w *modelCluster) elapsed() time.Duration { return time.Since(w.startedAt) }
 
-// randomDuration draws a span, evenly.
+// randomDuration returns a uniformly distributed duration from low up to but not including high.
 func (w *modelCluster) randomDuration(low, high time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return low + time.Duration(w.rng.Int64N(int64(high-low)))
 }
 
-// happens reports whether what comes about once in n times does.
+// happens reports whether an event with a probability of one in n happens, and counts it if so.
 func (w *modelCluster) happens(n int, what string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -98,7 +98,7 @@
 	return string(rune('0'+c.Op)) + string(c.Body)
 }
 
-// decide is the head's judgement, and the commit.
+// decide returns the head's verdict on a change, and commits the change if it is accepted.
 func (w *modelCluster) decide(change controlstate.Change) controlstate.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -131,7 +131,7 @@
 	if err != nil {
 		return controlstate.Verdict{Kind: controlstate.Invalid, Reason: err.Error()}
 	}
-	if w.rng.IntN(8) == 0 { // a restart, a new head or a restore: the state comes from its encoding
+	if w.rng.IntN(8) == 0 { // models a restart, a new head or a restore: the state is decoded from its encoding
 		if next, err = controlstate.Decode(next.Encode()); err != nil {
 			return controlstate.Verdict{Kind: controlstate.Invalid, Reason: err.Error()}
 		}
@@ -149,7 +149,7 @@
 	return verdict
 }
 
-// learnCommitted has a node learn of a committed state.
+// learnCommitted delivers a committed state to a node after a lag.
 func (k *modelNode) learnCommitted(s *controlstate.State, lag time.Duration) {
 	time.Sleep(lag)
 	k.waitUntil(func() time.Time { return later(k.frozenUntil, k.partitionedUntil) })
@@ -167,7 +167,7 @@
 	return b
 }
 
-// waitUntil waits until a time that the node's faults set.
+// waitUntil waits until a time that fault injection may postpone.
 func (k *modelNode) waitUntil(until func() time.Time) {
 	for {
 		k.mu.Lock()
@@ -207,7 +207,7 @@
 	return k.incarnation
 }
 
-// Submit implements Chain: the change goes to the head, perhaps late, never or twice, and so does the answer come back.
+// Submit implements Chain: the change may reach the head late, twice or never, and the verdict may be lost.
 func (k *modelNode) Submit(ctx context.Context, change controlstate.Change) (controlstate.Verdict, error) {
 	k.waitWhileFrozen()
 	if k.knobs.rejectByLocalState {
@@ -264,7 +264,7 @@
 	s := k.state
 	k.modelCluster.mu.Unlock()
 	time.Sleep(k.randomDuration(2*time.Millisecond, 5*time.Millisecond))
-	k.learnCommitted(s, 0) // a read waits until the node holds what it answers
+	k.learnCommitted(s, 0) // a read waits until the node has the state that it returns
 	return s, nil
 }
 
--- a/internal/system/operatorapi/model_linear_test.go
+++ b/internal/system/operatorapi/model_linear_test.go
@@ -9,14 +9,14 @@
 	"gradeusher.example/gradeusher/internal/system/controlstate"
 )
 
-// version is one version of the configuration, with all before it. Equal lines of versions are the same pointer.
+// version is one version of the configuration and its predecessors. Equal sequences of versions are interned as the same pointer.
 type version struct {
 	revision    int64
 	madeBy      string // key of the change that made it
 	predecessor *version
 }
 
-// versionSet makes versions.
+// versionSet interns versions.
 type versionSet map[version]*version
 
 func (l versionSet) intern(v version) *version {
@@ -36,7 +36,7 @@
 }
 
 // linearizableConfig checks changes and reads of the configuration: a change is one operation from its first attempt to its
-// clear answer, however often it was sent. One without a clear answer may take effect at any later time.
+// definite response, however often it was sent. A change without a definite response may take effect at any later time.
 func (h *modelHistory) linearizableConfig(within time.Duration) porcupine.CheckResult {
 	all := versionSet{}
 	start := &version{}
@@ -72,7 +72,7 @@
 	var operations []porcupine.Operation
 	for i, o := range h.changes {
 		if o.change.Zone != "" || o.resent {
-			continue // what was resolved before is checked by itself
+			continue // a change that was resolved before is checked by configViolations
 		}
 		op := porcupine.Operation{ClientId: i, Input: o, Call: int64(o.startedAt), Return: int64(o.endedAt)}
 		if o.status == 0 {
@@ -92,8 +92,8 @@
 	evacuate bool
 }
 
-// linearizableZone checks the changes of one zone against what was seen of it. Every attempt is an operation of its own,
-// since a change that is sent again is meant again. One without an acknowledgement may take effect late or never; but not
+// linearizableZone checks the changes of one zone against the observations of it. Every attempt is an operation of its own, since an
+// operator that sends a change again wants it again. An attempt without an acknowledgement may take effect late or never, but not
 // after the acknowledgement of an attempt that began after it was given up.
 func (h *modelHistory) linearizableZone(zone string, within time.Duration) porcupine.CheckResult {
 	model := &porcupine.NondeterministicModel{
@@ -137,7 +137,7 @@
 	return porcupine.CheckOperationsTimeout(model.ToModel(), operations, within)
 }
 
-// firstAcknowledgementAfter is the first acknowledgement of an attempt for the zone that began after a moment.
+// firstAcknowledgementAfter returns the time of the first acknowledgement of an attempt for the zone that began after the given time.
 func (h *modelHistory) firstAcknowledgementAfter(zone string, moment time.Duration) time.Duration {
 	at := time.Duration(endOfTime)
 	for _, o := range h.changes {
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -21,7 +21,7 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// history is what operators and readers saw.
+// modelHistory is what operators and readers observed.
 type modelHistory struct {
 	mu           sync.Mutex
 	changes      []*modelChange
@@ -30,13 +30,13 @@
 	cluster      *modelCluster
 }
 
-// modelRead is an answer of Config.Read.
+// modelRead is a response of Config.Read.
 type modelRead struct {
 	startedAt, endedAt time.Duration
 	body               string
 }
 
-// zoneObservation is whether a zone was evacuated at a moment.
+// zoneObservation records whether a zone was evacuated at some time.
 type zoneObservation struct {
 	at        time.Duration
 	zone      string
@@ -49,7 +49,7 @@
 	h.changes = append(h.changes, o)
 }
 
-// observe records every little while which zones are evacuated, and what Config.Read answers.
+// observe records every 10 to 150 ms which zones are evacuated and what Config.Read returns, until ctx ends.
 func (h *modelHistory) observe(ctx context.Context) {
 	w := h.cluster
 	for ctx.Err() == nil {
@@ -73,8 +73,8 @@
 
 var modelZones = []string{"north", "south"}
 
-// longHistory is a state whose oldest changes are forgotten, and some of the changes that made it: forgotten ones, the oldest
-// that are known, and the newest.
+// longHistory returns a state that no longer has its oldest changes in its history, and some of the changes that led to it: changes
+// that are no longer in the history, the oldest ones that are, and the newest.
 var longHistory = sync.OnceValues(func() (*controlstate.State, []*modelChange) {
 	s, all := controlstate.Empty(), []*modelChange(nil)
 	for i := range int64(controlstate.MaxHistory + 20) {
@@ -89,7 +89,7 @@
 	return s, slices.Concat(all[:5], all[20:25], all[len(all)-5:])
 })
 
-// simulate has eight operators of the configuration and two a zone send changes through three nodes with faults.
+// simulate runs eight operators that change the configuration and two for each zone, which send changes through three faulty nodes.
 func simulate(t *testing.T, seed uint64, knobs TestingKnobs, chain chainKnobs) *modelHistory {
 	t.Helper()
 	start, old := controlstate.Empty(), []*modelChange(nil)
@@ -118,7 +118,7 @@
 		operators.Wait()
 		stop()
 		others.Wait()
-		w.pending.Wait() // what was delayed comes now
+		w.pending.Wait() // let delayed requests arrive
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, zone := range modelZones {
@@ -128,7 +128,7 @@
 	return out
 }
 
-// violations lists what is wrong with a history; undecided says that some part of it could not be decided in time.
+// violations lists the violations in a history; undecided reports that the check of some part of it did not finish in time.
 func (h *modelHistory) violations(within time.Duration) (wrong []string, undecided bool) {
 	wrong = slices.Concat(h.zoneViolations(), h.configViolations(), h.readViolations())
 	results := map[string]porcupine.CheckResult{"the configuration": h.linearizableConfig(within)}
@@ -156,9 +156,10 @@
 	return wrong
 }
 
-// configViolations lists the changes of the configuration whose response contradicts what was applied, or that of another.
+// configViolations lists the changes of the configuration whose response contradicts the applied state or the response to another
+// change.
 func (h *modelHistory) configViolations() (wrong []string) {
-	winner := map[int64]string{} // base -> key of the change that was confirmed
+	winner := map[int64]string{} // base -> key of the change that was acknowledged
 	for _, change := range h.changes {
 		if change.change.Zone != "" {
 			continue
@@ -185,7 +186,7 @@
 	return wrong
 }
 
-// readViolations lists the reads of a configuration that never was current.
+// readViolations lists the reads that returned a configuration that was never current.
 func (h *modelHistory) readViolations() (wrong []string) {
 	for _, read := range h.reads {
 		known := slices.Contains(slices.Collect(maps.Values(h.cluster.configurations)), read.body)
@@ -236,7 +237,7 @@
 	return out
 }
 
-// TestModelControls: each control takes one protection out; the same runs must then find something wrong.
+// TestModelControls disables one protection in each subtest. The same simulations must then find a violation.
 func TestModelControls(t *testing.T) {
 	for name, protections := range map[string]struct {
 		api   TestingKnobs
--- a/internal/system/operatorapi/over_chain_test.go
+++ b/internal/system/operatorapi/over_chain_test.go
@@ -10,8 +10,9 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// TestSameOrderOverTheChain: over the chain itself: hundreds of changes, each sent to all nodes at once, are each applied once
-// and confirmed to all; sent again later they are confirmed again, also after a restart of all nodes.
+// TestSameOrderOverTheChain checks, with the real chain, that each of hundreds of changes that are sent to all nodes concurrently is
+// applied once and acknowledged by all nodes. Changes that are sent again later are acknowledged again, also after a restart of all
+// nodes.
 func TestSameOrderOverTheChain(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
@@ -46,7 +47,7 @@
 	})
 }
 
-// TestRaceOverTheChain: over the chain itself: of three changes on one version one is confirmed, the others are refused.
+// TestRaceOverTheChain checks, with the real chain, that of three changes on the same version one is acknowledged and two are rejected.
 func TestRaceOverTheChain(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
@@ -61,9 +62,9 @@
 	})
 }
 
-// TestPartitionedNode: a node that is partitioned from the others, and still reached by callers, confirms nothing, refuses
-// nothing that the state decides, and answers no configuration; when the partition ends it is back within two seconds. That
-// holds by the chain alone, and also where the API answers changes at once.
+// TestPartitionedNode checks that a node that is partitioned from the others, and can still be reached by callers, acknowledges no
+// change, rejects no change for a reason that depends on the state, and returns no configuration. After the partition it must answer
+// again within two seconds. This must hold by the chain alone, and also if the API answers changes immediately.
 func TestPartitionedNode(t *testing.T) {
 	for name, patient := range map[string]bool{"orders are held": true, "orders are answered at once": false} {
 		t.Run(name, func(t *testing.T) { testPartitionedNode(t, patient) })
@@ -95,9 +96,9 @@
 	})
 }
 
-// TestChangesAtAPartitionedNodeAreAnsweredAtOnce: a node that has been without a way to the chain for two seconds, whatever its
-// place, answers changes at once, so that callers move on to another node. Through the others the change comes into force
-// meanwhile, and soon after the partition through this one again.
+// TestChangesAtAPartitionedNodeAreAnsweredAtOnce checks that a node that has been partitioned from the chain for two seconds, whatever
+// its position, answers changes immediately, so that callers try another node. The other nodes accept changes meanwhile, and so does
+// this node soon after the partition.
 func TestChangesAtAPartitionedNodeAreAnsweredAtOnce(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		cluster := newCluster(t)
@@ -118,7 +119,7 @@
 					t.Errorf("%s at %s: status %d after %v, want 503 at once: %s", o.path, addr, status, took, body)
 				}
 			}
-			other := machines[(index+1)%len(machines)] // never m
+			other := machines[(index+1)%len(machines)] // never addr
 			if status, body := cluster.callUntilResolved(other, start); status != 200 {
 				t.Errorf("%s at %s: status %d: %s", start.path, other, status, body)
 			}
@@ -131,8 +132,8 @@
 	})
 }
 
-// BenchmarkEvacuation measures an evacuation over a chain in memory, against a change without the round before it. Run
-// it with -benchtime 500x: a head takes 4,096 changes in 15 s at most.
+// BenchmarkEvacuation measures an evacuation over a chain in memory, and for comparison a change without the linearizable read before
+// it. Run it with -benchtime 500x: a head accepts at most 4,096 changes in 15 s.
 func BenchmarkEvacuation(b *testing.B) {
 	cluster := newCluster(b)
 	cluster.start()
--- a/internal/system/operatorapi/stall_detector_test.go
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -39,7 +39,7 @@
 			if got := detector.observeRunning(now); got != test.stalled {
 				t.Errorf("stalled = %v, want %v", got, test.stalled)
 			}
-			// A clock that was read before the last observation counts as no pause, and the observation does not move back.
+			// A clock reading from before the last observation is not a pause, and does not move the last observation back.
 			detector.observeRunning(now.Add(-stallCheckInterval))
 			if !detector.lastObserved.Equal(now) {
 				t.Errorf("a late observation moves back by %v", now.Sub(detector.lastObserved))
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -101,7 +101,7 @@
 	return fmt.Sprintf("POST /Config.Replace HTTP/1.1\r\nHost: k\r\nX-Base-Version: 5\r\nContent-Length: %d\r\n%s\r\n%s", len(body), extra, body)
 }
 
-// TestWirePipelined: requests that come together in one packet are answered in their order, each with its own answer.
+// TestWirePipelined checks that pipelined requests that arrive together are answered in order, each with its own response.
 func TestWirePipelined(t *testing.T) {
 	client := dialAPI(t)
 	const calls = 8
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestWireBodyLongerThanDeclared: what follows a body that is longer than declared is no answer to anything, and ends the
-// connection.
+// TestWireBodyLongerThanDeclared checks that bytes after the declared length of a body are rejected as a malformed request, and that
+// the connection is closed.
 func TestWireBodyLongerThanDeclared(t *testing.T) {
 	c := dialAPI(t)
 	c.send(rawChange(100, "") + "surplus bytes\r\n\r\n")
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestWireBodyTruncated: a body that ends before its declared length, or whose chunks are broken, is no change; nor is it
-// refused for good.
+// TestWireBodyTruncated checks that a body that ends before its declared length, or whose chunks are malformed, is not submitted as a
+// change, and that its response, a 503, allows a retry.
 func TestWireBodyTruncated(t *testing.T) {
 	for name, framing := range map[string]string{
 		"by its length":  "Content-Length: 100\r\n\r\n{\"revision\":100}",
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestWireRefusedBodyIsNoCall: what is left of a refused body is never taken for a request.
+// TestWireRefusedBodyIsNoCall checks that the rest of a rejected body is never parsed as a request.
 func TestWireRefusedBodyIsNoCall(t *testing.T) {
 	const hidden = "POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n"
 	for name, head := range map[string]string{
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestWireExpectContinue: a caller that asks first is asked to go on, or rejected before it sends its body.
+// TestWireExpectContinue checks that a caller that sends Expect: 100-continue gets a 100, or is rejected before it sends its body.
 func TestWireExpectContinue(t *testing.T) {
 	c := dialAPI(t)
 	whole := rawChange(100, "Expect: 100-continue\r\n")
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestAnswerWithinASecond: callers move on after a second of silence: the whole of a call that is not large takes less, however
-// late the chain answers and however slow the proxies are.
+// TestAnswerWithinASecond checks that a request with a body that is not large is answered within a second, after which callers try
+// another node, however late the chain answers and however slow the proxies are.
 func TestAnswerWithinASecond(t *testing.T) {
 	for _, target := range []string{"/Config.Replace", "/Evacuation.Start/z"} {
 		t.Run(target, func(t *testing.T) {
