--- a/cmd/adapter/player.go
+++ b/cmd/adapter/player.go
@@ -25,7 +25,7 @@
 		p.now, p.current = event.Now, noInstance
 	case wire.EndOfBatch:
 		if err := p.out.End(); err != nil {
-			return fmt.Errorf("reply: %w", err)
+			return fmt.Errorf("write the reply: %w", err)
 		}
 	case wire.Instance:
 		p.current = event.Instance
--- a/cmd/controlplane/chain.go
+++ b/cmd/controlplane/chain.go
@@ -45,7 +45,7 @@
 	}
 	n.log.WithError(err).Error("controlplane: the log is damaged and quarantined; this node starts with a new identity and catches up from the others")
 	if err := disk.Quarantine(); err != nil {
-		return errors.Wrapf(err, "the damaged log in %s cannot be put aside: empty the folder", directory)
+		return errors.Wrapf(err, "the damaged log in %s cannot be quarantined: empty the directory", directory)
 	}
 	return n.startReplica(ctx, withoutBootstrap(options))
 }
--- a/cmd/controlplane/chain_test.go
+++ b/cmd/controlplane/chain_test.go
@@ -69,7 +69,7 @@
 			}
 			startAndStop(t, dir)
 			if kept := countFilesWith(t, folder, "not one", "\x08\x09"); kept == 0 && name != "register without identity" {
-				t.Error("what was on the disk is gone")
+				t.Error("the content of the disk was deleted")
 			}
 			startAndStop(t, dir)
 		})
@@ -106,13 +106,13 @@
 	}
 	defer n.chain.Stop()
 	if status, ok := n.status().(admin.NodeStatus); !ok || !status.Observer || status.Current {
-		t.Errorf("its status is %+v", status)
+		t.Errorf("status of the observer: %+v", status)
 	}
 	if c := n.chain.Capacity(); c.Observers != 1 || c.Nodes != 0 {
-		t.Errorf("it counts itself as %+v", c)
+		t.Errorf("capacity seen by the observer: %+v", c)
 	}
 	if first, second := n.chain.Self().ID, startAndStop(t, ""); first == second {
-		t.Error("two lives have one identity")
+		t.Error("an observer has the same identity after a restart")
 	}
 }
 
--- a/cmd/controlplane/damaged_test.go
+++ b/cmd/controlplane/damaged_test.go
@@ -39,16 +39,16 @@
 		defer func() { restarted.chain.Stop() }()
 		time.Sleep(10 * time.Second) // of the bubble's clock
 		if view := restarted.chain.View(); view.Epoch > 0 {
-			t.Errorf("formed %v", view)
+			t.Errorf("formed the view %v", view)
 		}
 		if state, _ := restarted.chain.Committed(); state.Seq > 0 {
 			t.Errorf("serves record %d of a damaged log", state.Seq)
 		}
 		if _, ok := restarted.chain.View().Voter(old); ok {
-			t.Error("goes on under the old identity")
+			t.Error("the node still uses the old identity")
 		}
 		if copies, _ := filepath.Glob(filepath.Join(folder, "control", "damaged-*")); len(copies) == 0 {
-			t.Error("nothing is put aside")
+			t.Error("the damaged log was not quarantined")
 		}
 	})
 }
--- a/cmd/proxy/failuredetector.go
+++ b/cmd/proxy/failuredetector.go
@@ -26,7 +26,7 @@
 	}
 	conn, ok := packets.(*net.UDPConn)
 	if !ok {
-		return errors.Newf("%s gave no UDP socket: run on a system that has them", address)
+		return errors.Newf("listening at %s did not yield a UDP socket: run on a system that supports UDP sockets", address)
 	}
 	interval := heartbeatInterval
 	if maxInterval := settings.Milliseconds(p.settings.HeartbeatMS); maxInterval > 0 {
--- a/cmd/proxy/quota.go
+++ b/cmd/proxy/quota.go
@@ -52,6 +52,6 @@
 // leaveLimiter returns the leases of this proxy, so that others need not wait until they expire.
 func (p *proxyProcess) leaveLimiter(ctx context.Context) {
 	if err := p.limiter.Leave(ctx); err != nil {
-		p.log.WithError(err).Info("proxy: the quota leases were not given back; they end by themselves")
+		p.log.WithError(err).Info("proxy: failed to release the quota leases; they will expire")
 	}
 }
--- a/cmd/proxy/update_test.go
+++ b/cmd/proxy/update_test.go
@@ -70,12 +70,12 @@
 		Servers: []pick.Server{{ID: "s0", Service: "a", Zone: "z", Address: "127.0.0.1:1"}}}
 	p.applyUpdate(update)
 	if p.dataPlane.AwaitsServerList() {
-		t.Fatal("the zone was never evacuated")
+		t.Fatal("awaits a server list before the zone was evacuated")
 	}
 	update.State = after
 	p.applyUpdate(update)
 	if !p.dataPlane.AwaitsServerList() {
-		t.Error("the servers of a zone that was evacuated meanwhile are taken for warm, by a reading from before")
+		t.Error("the servers of a zone that was evacuated meanwhile count as warm according to an older server list")
 	}
 }
 
@@ -91,7 +91,7 @@
 	update.State = snapshot(t, state)
 	p.applyUpdate(update)
 	if !p.dataPlane.AwaitsServerList() {
-		t.Error("the servers of a zone that was evacuated meanwhile are taken for warm, by a reading from before")
+		t.Error("the servers of a zone that was evacuated meanwhile count as warm according to an older server list")
 	}
 }
 
--- a/internal/system/admin/backup.go
+++ b/internal/system/admin/backup.go
@@ -26,12 +26,12 @@
 // replace an existing file.
 func WriteBackup(file string, data []byte) error {
 	if _, err := os.Lstat(file); err == nil {
-		return errors.Newf("%s is there already: name another file", file)
+		return errors.Newf("%s already exists: choose another file name", file)
 	}
 	directory := filepath.Dir(file)
 	temporary, err := os.CreateTemp(directory, ".backup-*")
 	if err != nil {
-		return errors.Wrapf(err, "no file can be made in %s: name a folder that can be written", directory)
+		return errors.Wrapf(err, "cannot create a file in %s: choose a writable directory", directory)
 	}
 	defer func() { _ = os.Remove(temporary.Name()) }()
 	err = writeSynced(temporary, data)
@@ -41,7 +41,7 @@
 	if err == nil {
 		err = syncDirectory(directory)
 	}
-	return errors.Wrapf(err, "%s cannot be written: check the room and the rights there", file)
+	return errors.Wrapf(err, "cannot write %s: check the free space and the permissions there", file)
 }
 
 // writeSynced writes data to a new file, syncs the file and closes it.
@@ -66,7 +66,7 @@
 func ReadBackup(file string) (*controlstate.State, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errors.Wrap(err, "the backup cannot be read: check its name and rights")
+		return nil, errors.Wrap(err, "cannot read the backup: check its name and permissions")
 	}
 	return decodeState(data, file)
 }
@@ -75,7 +75,7 @@
 func decodeState(data []byte, source string) (*controlstate.State, error) {
 	s, err := controlstate.Decode(data)
 	if err != nil {
-		return nil, errors.Mark(errors.Wrapf(err, "%s is no backup of a control state", source), ErrFormat)
+		return nil, errors.Mark(errors.Wrapf(err, "%s is not a backup of a control state", source), ErrFormat)
 	}
 	return s, nil
 }
--- a/internal/system/admin/backup_test.go
+++ b/internal/system/admin/backup_test.go
@@ -22,13 +22,13 @@
 		t.Fatal(err)
 	}
 	if err := WriteBackup(file, data); err == nil {
-		t.Error("a backup was written over")
+		t.Error("an existing backup was overwritten")
 	}
 	if s, err := ReadBackup(file); err != nil || s.Seq != 1 || !s.Evacuated["z"] {
 		t.Errorf("%+v %v", s, err)
 	}
 	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
-		t.Errorf("left in the folder: %v %v", left, err)
+		t.Errorf("files left in the directory: %v %v", left, err)
 	}
 	for i := range data {
 		for what, bad := range map[string][]byte{"cut": data[:i], "changed": append(append(bytes.Clone(data[:i]), data[i]^4), data[i+1:]...)} {
--- a/internal/system/admin/restore/restore.go
+++ b/internal/system/admin/restore/restore.go
@@ -41,7 +41,7 @@
 	if _, err := log.Load(); err != nil {
 		return errors.Wrapf(err, "the log in %s cannot be read", dataDir)
 	}
-	return errors.Wrapf(log.Install(image), "the state cannot be laid into %s: empty it before the next try", dataDir)
+	return errors.Wrapf(log.Install(image), "cannot write the state into %s: empty the directory before the next attempt", dataDir)
 }
 
 // prepareEmpty creates a data directory, or checks that an existing one is empty except for the lost+found of a file system.
@@ -66,7 +66,7 @@
 func From(dataDir string) (state *controlstate.State, err error) {
 	directory := filepath.Join(dataDir, logDirectory)
 	if _, err := os.Stat(directory); err != nil {
-		return nil, errors.Wrapf(err, "%s is no data directory of a keeper: name its data_dir", dataDir)
+		return nil, errors.Wrapf(err, "%s is not the data directory of a keeper: give its data_dir", dataDir)
 	}
 	log, err := wal.Open(directory, wal.Options{ReadOnly: true})
 	if err != nil {
--- a/internal/system/admin/restore/restore_test.go
+++ b/internal/system/admin/restore/restore_test.go
@@ -85,7 +85,7 @@
 		}
 		time.Sleep(200 * time.Millisecond) // of the bubble's clock
 	}
-	s.t.Fatalf("%s %s of %s: no answer", method, path, addr)
+	s.t.Fatalf("%s %s at %s: no response other than 503", method, path, addr)
 	return nil
 }
 
@@ -209,9 +209,9 @@
 		t.Errorf("read again: %+v %v", s, err)
 	}
 	if _, err := From(t.TempDir()); err == nil {
-		t.Error("a folder that is no keeper's was read")
+		t.Error("a directory that is not a node's data directory was read")
 	}
 	if err := Into(t.TempDir(), controlstate.Empty()); err == nil {
-		t.Error("a state without a record was laid down")
+		t.Error("a state without a record was written")
 	}
 }
--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -79,7 +79,7 @@
 			t.Errorf("%d bytes: %v", size, err)
 		}
 		if bounded.bodyBudget.available != 1<<20 {
-			t.Fatalf("%d bytes: %d bytes left", size, bounded.bodyBudget.available)
+			t.Fatalf("%d bytes: %d bytes available afterwards", size, bounded.bodyBudget.available)
 		}
 	}
 }
--- a/internal/system/operatorapi/cluster_test.go
+++ b/internal/system/operatorapi/cluster_test.go
@@ -148,7 +148,7 @@
 		}
 		time.Sleep(100 * time.Millisecond) // of the bubble's clock
 	}
-	c.tb.Errorf("%s %s: no clear answer from %s", o.method, o.path, addr)
+	c.tb.Errorf("%s %s: no definite response from %s", o.method, o.path, addr)
 	return status, body
 }
 
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -49,7 +49,7 @@
 				w, start := httptest.NewRecorder(), time.Now()
 				handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, http.MethodPost, "/Evacuation.Start/z", nil))
 				if took := time.Since(start); w.Code != test.status || took != test.took || (len(chain.submitted) == 1) != (test.status == 200) {
-					t.Errorf("status %d after %v, %d orders passed on", w.Code, took, len(chain.submitted))
+					t.Errorf("status %d after %v, %d changes submitted", w.Code, took, len(chain.submitted))
 				}
 			})
 		})
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -63,7 +63,7 @@
 			}
 			w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", "")
 			if w.Code != test.status || len(chain.submitted) != 1 || chain.submitted[0].Base != test.fence {
-				t.Errorf("status %d, passed on %+v", w.Code, chain.submitted)
+				t.Errorf("status %d, submitted %+v", w.Code, chain.submitted)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 						want = 1 // the control: without the protection it is submitted
 					}
 					if len(chain.submitted) != want || !unprotected && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
-						t.Errorf("unprotected %v: %d orders passed on, want %d; status %d", unprotected, len(chain.submitted), want, w.Code)
+						t.Errorf("unprotected %v: %d changes submitted, want %d; status %d", unprotected, len(chain.submitted), want, w.Code)
 					}
 				})
 			}
@@ -146,7 +146,7 @@
 			}
 			<-done
 			if !<-noticed || len(chain.submitted) > 0 {
-				t.Errorf("%d orders passed on", len(chain.submitted))
+				t.Errorf("%d changes submitted", len(chain.submitted))
 			}
 		})
 	}
@@ -164,7 +164,7 @@
 	a := &api{options: Options{Chain: chain, Log: discardLog()}}
 	o := changeRequest{change: controlstate.Change{Op: controlstate.OpEvacuate, Zone: "z"}, receivedAt: time.Now()}
 	if _, err := a.submitWithFence(canceledContext{t.Context()}, &o, nil); !errors.Is(err, errCallerGone) || len(chain.submitted) > 0 {
-		t.Errorf("%v, %d orders passed on", err, len(chain.submitted))
+		t.Errorf("%v, %d changes submitted", err, len(chain.submitted))
 	}
 }
 
@@ -175,7 +175,7 @@
 	options := Options{Chain: chain, Log: discardLog(), Stalled: func() bool { return stalled }}
 	w := serve(t, Handler(options), "POST", "/Evacuation.Start/z", "")
 	if w.Code != 503 || w.Header().Get("Connection") != "close" || len(chain.submitted) > 0 {
-		t.Errorf("status %d, %d orders passed on", w.Code, len(chain.submitted))
+		t.Errorf("status %d, %d changes submitted", w.Code, len(chain.submitted))
 	}
 	// A change of the configuration is fenced by its base.
 	if w := serve(t, Handler(options), "POST", "/Config.Replace", "{}", "X-Base-Version", "0"); w.Code != 200 {
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -139,14 +139,14 @@
 			if test.answer == "" {
 				checkError(t, w.Body.Bytes())
 			} else if w.Body.String() != test.answer {
-				t.Errorf("answer %s, want %s", w.Body, test.answer)
+				t.Errorf("response %s, want %s", w.Body, test.answer)
 			}
 			if test.change != nil {
 				checkChange(t, chain.submitted[0], *test.change)
 			}
 			acknowledged := test.status == http.StatusOK && test.method == http.MethodPost
 			if want := []uint64{4}; acknowledged != slices.Equal(delivered, want) || !acknowledged && len(delivered) > 0 {
-				t.Errorf("waited for the delivery of %v", delivered)
+				t.Errorf("waited for the delivery of records %v", delivered)
 			}
 		})
 	}
@@ -157,7 +157,7 @@
 	t.Helper()
 	var response struct{ Error string }
 	if err := json.Unmarshal(body, &response); err != nil || response.Error == "" {
-		t.Errorf("answer %s, %v", body, err)
+		t.Errorf("response %s, want a JSON object with an error: %v", body, err)
 	}
 }
 
@@ -214,11 +214,11 @@
 func TestBodiesTogetherAreBounded(t *testing.T) {
 	b := byteBudget{available: 100}
 	if !b.tryReserve(60) || b.tryReserve(50) || !b.tryReserve(40) {
-		t.Error("the budget lets through what it should not, or the reverse")
+		t.Error("the budget granted or rejected the wrong reservations")
 	}
 	b.release(60)
 	if !b.tryReserve(50) {
-		t.Error("what was given back cannot be taken")
+		t.Error("released bytes cannot be reserved again")
 	}
 }
 
@@ -290,14 +290,14 @@
 				start := time.Now()
 				w := serve(t, handler, test.method, test.target, "{}", test.headers...)
 				if took := time.Since(start); w.Code != test.status || took != test.took || len(chain.submitted) > 0 {
-					t.Errorf("status %d after %v, want %d after %v; passed on %+v", w.Code, took, test.status, test.took, chain.submitted)
+					t.Errorf("status %d after %v, want %d after %v; submitted %+v", w.Code, took, test.status, test.took, chain.submitted)
 				}
 				checkError(t, w.Body.Bytes())
 				cut = false
 				start = time.Now()
 				w = serve(t, handler, test.method, test.target, "{}", test.headers...)
 				if took := time.Since(start); test.status == 503 && (w.Code != 503 || took != waits) {
-					t.Errorf("not cut off: status %d after %v", w.Code, took)
+					t.Errorf("not partitioned: status %d after %v", w.Code, took)
 				}
 			})
 		})
--- a/internal/system/operatorapi/keys_test.go
+++ b/internal/system/operatorapi/keys_test.go
@@ -79,15 +79,15 @@
 			t.Errorf("%s: status %d, want %d: %s", change.body, w.Code, change.status, w.Body)
 		}
 		if strings.Contains(w.Body.String(), key) {
-			t.Errorf("%s: the response holds the key: %s", change.body, w.Body)
+			t.Errorf("%s: the response contains the key: %s", change.body, w.Body)
 		}
 	}
 	if len(entries.Entries) < len(changes) {
-		t.Errorf("%d log entries of %d changes", len(entries.Entries), len(changes))
+		t.Errorf("%d log entries for %d changes", len(entries.Entries), len(changes))
 	}
 	for _, entry := range entries.Entries {
 		if text := fmt.Sprint(entry.Message, entry.Fields); strings.Contains(text, key) {
-			t.Errorf("the log holds the key: %s", text)
+			t.Errorf("the log contains the key: %s", text)
 		}
 	}
 }
--- a/internal/system/operatorapi/model_client_test.go
+++ b/internal/system/operatorapi/model_client_test.go
@@ -146,7 +146,7 @@
 	var mine []*modelChange
 	for range orders {
 		time.Sleep(w.randomDuration(0, 300*time.Millisecond))
-		if len(mine)+len(old) > 0 && w.happens(4, "order sent again after it was settled") {
+		if len(mine)+len(old) > 0 && w.happens(4, "change sent again after it was resolved") {
 			all := append(append([]*modelChange(nil), old...), mine...)
 			was := all[w.randomDuration(0, time.Duration(len(all)))]
 			o := &modelChange{change: was.change, revision: was.revision, resent: true}
@@ -158,7 +158,7 @@
 		base := w.state.Revision()
 		w.mu.Unlock()
 		mark := fmt.Sprint("operator-", number)
-		if w.happens(3, "order that others send as well") {
+		if w.happens(3, "change that others send too") {
 			mark = "shared"
 		}
 		o := &modelChange{revision: base + 1 + int64(w.randomDuration(0, 2))}
--- a/internal/system/operatorapi/model_cluster_test.go
+++ b/internal/system/operatorapi/model_cluster_test.go
@@ -217,7 +217,7 @@
 	}
 	answers := make(chan controlstate.Verdict, 1)
 	k.pending.Go(func() {
-		if k.happens(40, "change lost") || k.partitioned() && k.happens(2, "change lost by a cut") {
+		if k.happens(40, "change lost") || k.partitioned() && k.happens(2, "change lost by a partition") {
 			return
 		}
 		time.Sleep(k.randomDuration(500*time.Microsecond, 5*time.Millisecond))
@@ -226,7 +226,7 @@
 		}
 		k.waitUntil(func() time.Time { return k.partitionedUntil })
 		verdict := k.decide(change)
-		if k.happens(30, "change taken up twice") {
+		if k.happens(30, "change decided twice") {
 			k.pending.Go(func() {
 				time.Sleep(k.randomDuration(0, 20*time.Second))
 				k.decide(change)
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -167,20 +167,20 @@
 		base, key := change.change.Base, changeKey(change.change)
 		appliedAt, applied := h.cluster.applied[key]
 		if change.status >= 400 && applied {
-			wrong = append(wrong, fmt.Sprintf("on version %d: applied and refused with %d", base, change.status))
+			wrong = append(wrong, fmt.Sprintf("on version %d: applied and rejected with %d", base, change.status))
 		}
 		if change.status != http.StatusOK {
 			continue
 		}
 		if !applied || appliedAt > change.endedAt {
-			wrong = append(wrong, fmt.Sprintf("on version %d: confirmed and not applied", base))
+			wrong = append(wrong, fmt.Sprintf("on version %d: acknowledged and not applied", base))
 		}
 		if other := winner[base]; other != "" && other != key {
-			wrong = append(wrong, fmt.Sprintf("on version %d: two changes confirmed", base))
+			wrong = append(wrong, fmt.Sprintf("on version %d: two changes acknowledged", base))
 		}
 		winner[base] = key
 		if want := fmt.Sprintf(`{"revision":%d}`, change.revision); change.body != want {
-			wrong = append(wrong, fmt.Sprintf("on version %d: the answer %s is not that of revision %d", base, change.body, change.revision))
+			wrong = append(wrong, fmt.Sprintf("on version %d: the response %s is not the one for revision %d", base, change.body, change.revision))
 		}
 	}
 	return wrong
@@ -191,7 +191,7 @@
 	for _, read := range h.reads {
 		known := slices.Contains(slices.Collect(maps.Values(h.cluster.configurations)), read.body)
 		if !known {
-			wrong = append(wrong, "read what never was: "+read.body)
+			wrong = append(wrong, "read a configuration that was never current: "+read.body)
 		}
 	}
 	return wrong
@@ -218,14 +218,14 @@
 	for _, what := range slices.Sorted(maps.Keys(counts)) {
 		t.Logf("%6d %s", counts[what], what)
 	}
-	t.Logf("answers by status (0: none that is clear): %v", statuses)
-	for _, what := range []string{"superseded", "confirmed again", "request waited through a freeze", "change taken up twice", "kill", "snapshot"} {
+	t.Logf("responses by status (0: no definite response): %v", statuses)
+	for _, what := range []string{"superseded", "confirmed again", "request waited through a freeze", "change decided twice", "kill", "snapshot"} {
 		if counts[what] == 0 {
-			t.Errorf("%s: never came about", what)
+			t.Errorf("%s: never happened", what)
 		}
 	}
 	if statuses[http.StatusPreconditionFailed] == 0 || statuses[0] == 0 || statuses[http.StatusOK] == 0 {
-		t.Error("some answers never came about")
+		t.Error("some kinds of responses never occurred")
 	}
 }
 
@@ -260,7 +260,7 @@
 					return
 				}
 			}
-			t.Error("nothing is found without the protection")
+			t.Error("no violation was found without the protection")
 		})
 	}
 }
--- a/internal/system/operatorapi/over_chain_test.go
+++ b/internal/system/operatorapi/over_chain_test.go
@@ -126,7 +126,7 @@
 			cluster.setPartitioned(addr, false)
 			time.Sleep(2 * time.Second)
 			if status, body := cluster.call(addr, replacement(index+1, index+2, addr)); status != 200 {
-				t.Errorf("at %s after the cut: status %d: %s", addr, status, body)
+				t.Errorf("at %s after the partition: status %d: %s", addr, status, body)
 			}
 		}
 	})
--- a/internal/system/operatorapi/stall_detector_test.go
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -42,33 +42,33 @@
 			// A clock reading from before the last observation is not a pause, and does not move the last observation back.
 			detector.observeRunning(now.Add(-stallCheckInterval))
 			if !detector.lastObserved.Equal(now) {
-				t.Errorf("a late observation moves back by %v", now.Sub(detector.lastObserved))
+				t.Errorf("a late observation moved the last one back by %v", now.Sub(detector.lastObserved))
 			}
 		})
 	}
 	if !NewStallDetector().Stalled() {
-		t.Error("a detector that does not run counts as no stall")
+		t.Error("a detector that is not running reports no stall")
 	}
 	bubble.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		detector := NewStallDetector()
 		if !detector.Stalled() {
-			t.Error("no stall before it runs")
+			t.Error("no stall reported before Run")
 		}
 		go detector.Run(ctx)
 		synctest.Wait()
 		if detector.Stalled() {
-			t.Error("stalled as it begins to run")
+			t.Error("stall reported when Run begins")
 		}
 		time.Sleep(time.Hour) // of the bubble's clock
 		if detector.Stalled() {
-			t.Error("stalled after an hour of running")
+			t.Error("stall reported after an hour of running")
 		}
 		stop()
 		synctest.Wait()
 		time.Sleep(stallThreshold + time.Millisecond)
 		if !detector.Stalled() {
-			t.Error("no stall after a pause")
+			t.Error("no stall reported after a pause")
 		}
 	})
 }
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -139,7 +139,7 @@
 		t.Errorf("status %d: %s", response.status, response.body)
 	}
 	if response := c.readResponse("POST"); response.status != 400 || !c.connectionEnded() {
-		t.Errorf("status %d for the surplus, or the connection goes on", response.status)
+		t.Errorf("status %d for the surplus bytes, want 400 and the connection closed", response.status)
 	}
 	if n := len(c.changes()); n != 1 {
 		t.Errorf("%d changes", n)
