--- a/cmd/adapter/player.go
+++ b/cmd/adapter/player.go
@@ -38,11 +38,11 @@
 		}
 		p.instances[p.current] = started
 	default:
-		addressed := p.instances[p.current]
-		if addressed == nil {
+		target := p.instances[p.current]
+		if target == nil {
 			return fmt.Errorf("event for instance %d, which is not running", p.current)
 		}
-		if err := addressed.handle(p.now, event); err != nil {
+		if err := target.handle(p.now, event); err != nil {
 			return fmt.Errorf("instance %d: %w", p.current, err)
 		}
 	}
--- a/cmd/controlplane/chain_test.go
+++ b/cmd/controlplane/chain_test.go
@@ -44,7 +44,7 @@
 // TestUnreadableDiskIsQuarantined guards against a process that exits at every start because of unreadable files, and against deleting
 // or serving their content.
 func TestUnreadableDiskIsQuarantined(t *testing.T) {
-	for name, spoil := range map[string]func(*wal.Log) error{
+	for name, corrupt := range map[string]func(*wal.Log) error{
 		"register that is none":        func(l *wal.Log) error { return l.SaveMeta("register", []byte("\xff\xff not one")) },
 		"register without identity":    func(l *wal.Log) error { return l.SaveMeta("register", nil) },
 		"snapshot that is none":        func(l *wal.Log) error { return l.Install(wal.Snapshot{Seq: 7, Data: []byte("\xff\xff not one")}) },
@@ -61,7 +61,7 @@
 			if _, err := disk.Load(); err != nil {
 				t.Fatal(err)
 			}
-			if err := spoil(disk); err != nil {
+			if err := corrupt(disk); err != nil {
 				t.Fatal(err)
 			}
 			if err := disk.Close(); err != nil {
--- a/cmd/controlplane/damaged_test.go
+++ b/cmd/controlplane/damaged_test.go
@@ -32,7 +32,7 @@
 		}
 		old := restarted.chain.View().Voters[0].ID
 		restarted.chain.Stop()
-		damage(t, folder)
+		damageRegister(t, folder)
 
 		start().chain.Stop()
 		restarted = start() // another restart with the same settings
@@ -54,7 +54,7 @@
 }
 
 // damage changes a byte of the register.
-func damage(t *testing.T, folder string) {
+func damageRegister(t *testing.T, folder string) {
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(folder, "control", "meta-*"))
 	if len(names) == 0 {
--- a/cmd/controlplane/distributor.go
+++ b/cmd/controlplane/distributor.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	pollInterval  = 500 * time.Millisecond // of the platform's server list
-	pollRateShare = 0.1                    // of the calls that the platform accepts, at most
-	listRole      = "list"
+	pollInterval     = 500 * time.Millisecond // of the platform's server list
+	maxPollRateShare = 0.1                    // of the calls that the platform accepts, at most
+	listRole         = "list"
 )
 
 // distributor serves the proxies: it publishes the control state and the server list to those that subscribe to this node, and polls the
@@ -60,7 +60,7 @@
 		Newest:            created.listVersion,
 		OnResult:          created.publishList,
 		Interval:          pollInterval,
-		MaxCallsPerSecond: max(config.Cloud.CallsPerSecond*pollRateShare, 1),
+		MaxCallsPerSecond: max(config.Cloud.CallsPerSecond*maxPollRateShare, 1),
 		Log:               logger,
 	})
 	return created
--- a/cmd/proxy/quota.go
+++ b/cmd/proxy/quota.go
@@ -49,8 +49,8 @@
 	return peers
 }
 
-// leaveLimiter returns the leases of this proxy, so that others need not wait until they expire.
-func (p *proxyProcess) leaveLimiter(ctx context.Context) {
+// releaseLeases returns the leases of this proxy, so that others need not wait until they expire.
+func (p *proxyProcess) releaseLeases(ctx context.Context) {
 	if err := p.limiter.Leave(ctx); err != nil {
 		p.log.WithError(err).Info("proxy: failed to release the quota leases; they will expire")
 	}
--- a/cmd/proxy/run.go
+++ b/cmd/proxy/run.go
@@ -187,10 +187,10 @@
 		p.log.WithError(err).Warn("proxy: no control-plane node was notified")
 	}
 	if p.quotas.HasPeers() {
-		p.leaveLimiter(ctx) // the zone's other proxies know that this one is draining, and their limiters decide on its requests too
+		p.releaseLeases(ctx) // the zone's other proxies know that this one is draining, and their limiters decide on its requests too
 	}
 	p.dataPlane.Drain(ctx)
-	p.leaveLimiter(ctx)
+	p.releaseLeases(ctx)
 	p.quotas.Close()
 	p.log.Info("proxy: ended")
 }
--- a/internal/system/admin/fleet.go
+++ b/internal/system/admin/fleet.go
@@ -50,8 +50,8 @@
 // marked ErrUnreachable.
 func (c *Client) Fleet(ctx context.Context, addresses []string) (*Fleet, error) {
 	answers := c.askNodes(ctx, addresses)
-	if more := unaskedVoters(answers); len(more) > 0 {
-		answers = append(answers, c.askNodes(ctx, more)...)
+	if unasked := unaskedVoters(answers); len(unasked) > 0 {
+		answers = append(answers, c.askNodes(ctx, unasked)...)
 	}
 	slices.SortFunc(answers, func(a, b NodeAnswer) int { return cmp.Compare(a.Address, b.Address) })
 	fleet := mergeAnswers(answers)
@@ -91,14 +91,14 @@
 		asked[host] = true
 	}
 	_, port, _ := net.SplitHostPort(answers[0].Address)
-	var more []string
+	var unasked []string
 	for _, v := range mergeAnswers(answers).Voters {
 		if !asked[v.Address] {
 			asked[v.Address] = true
-			more = append(more, net.JoinHostPort(v.Address, port))
+			unasked = append(unasked, net.JoinHostPort(v.Address, port))
 		}
 	}
-	return more
+	return unasked
 }
 
 // mergeAnswers combines the answers of the nodes: the view of the newest epoch, the newest committed record, and each proxy once.
--- a/internal/system/admin/restore/restore.go
+++ b/internal/system/admin/restore/restore.go
@@ -26,7 +26,7 @@
 // system that start on it with bootstrap = true begin with this state. Use the same backup for all of them. An error is marked
 // ErrNotEmpty, or comes from the disk.
 func Into(dataDir string, state *controlstate.State) (err error) {
-	image, err := replication.RestoredSnapshot(state)
+	snapshot, err := replication.RestoredSnapshot(state)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	if _, err := log.Load(); err != nil {
 		return errors.Wrapf(err, "the log in %s cannot be read", dataDir)
 	}
-	return errors.Wrapf(log.Install(image), "cannot write the state into %s: empty the directory before the next attempt", dataDir)
+	return errors.Wrapf(log.Install(snapshot), "cannot write the state into %s: empty the directory before the next attempt", dataDir)
 }
 
 // prepareEmpty creates a data directory, or checks that an existing one is empty except for the lost+found of a file system.
--- a/internal/system/operatorapi/body_test.go
+++ b/internal/system/operatorapi/body_test.go
@@ -20,10 +20,10 @@
 
 func (m *rendezvousChain) Submit(ctx context.Context, _ controlstate.Change) (controlstate.Verdict, error) {
 	m.arrivals.Done()
-	met := make(chan struct{})
-	go func() { m.arrivals.Wait(); close(met) }()
+	allArrived := make(chan struct{})
+	go func() { m.arrivals.Wait(); close(allArrived) }()
 	select {
-	case <-met:
+	case <-allArrived:
 		return controlstate.Verdict{Kind: controlstate.Accepted}, nil
 	case <-ctx.Done():
 		return controlstate.Verdict{}, ctx.Err()
@@ -32,13 +32,13 @@
 
 // TestEightChunkedChanges checks that eight changes may be in flight concurrently, even if their bodies are chunked.
 func TestEightChunkedChanges(t *testing.T) {
-	const orders = 8
+	const changes = 8
 	chain := &rendezvousChain{}
-	chain.arrivals.Add(orders)
+	chain.arrivals.Add(changes)
 	s := httptest.NewServer(Handler(Options{Chain: chain, Log: discardLog()}))
 	defer s.Close()
 	var calls sync.WaitGroup
-	for range orders {
+	for range changes {
 		calls.Go(func() {
 			r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.URL+"/Config.Replace", io.MultiReader(strings.NewReader(`{"revision":9}`), strings.NewReader(strings.Repeat(" ", 100<<10))))
 			if err != nil {
--- a/internal/system/operatorapi/change.go
+++ b/internal/system/operatorapi/change.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		cause := a.waitsFor()
 		entry.WithError(err).WithField("waits_for", cause).Warn("operatorapi: change not acknowledged, its outcome is unknown")
-		writeUnavailable(w, notDurable(cause))
+		writeUnavailable(w, notDurableReason(cause))
 		return
 	}
 	switch verdict.Kind {
@@ -90,8 +90,8 @@
 	return a.options.WaitsFor()
 }
 
-// notDurable returns the reason for the response to a change that was not durable in time. A known cause is appended.
-func notDurable(cause string) string {
+// notDurableReason returns the reason for the response to a change that was not durable in time. A known cause is appended.
+func notDurableReason(cause string) string {
 	if cause != "" {
 		return reasonNotDurable + " (it waits for " + cause + ")"
 	}
--- a/internal/system/operatorapi/cluster_test.go
+++ b/internal/system/operatorapi/cluster_test.go
@@ -48,9 +48,9 @@
 func (n network) RoundTrip(r *http.Request) (*http.Response, error) {
 	to := r.URL.Hostname()
 	n.mu.Lock()
-	h, cut := n.peerHandlers[to], n.partitioned[to] || n.partitioned[n.from]
+	h, partitioned := n.peerHandlers[to], n.partitioned[to] || n.partitioned[n.from]
 	n.mu.Unlock()
-	if h == nil || cut {
+	if h == nil || partitioned {
 		return nil, errors.New("unreachable")
 	}
 	body, err := io.ReadAll(r.Body)
@@ -83,9 +83,9 @@
 // startNode starts the node of one machine, as an observer if the machine has no disk.
 func (c *apiCluster) startNode(addr string) {
 	c.tb.Helper()
-	quiet := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
+	discardLog := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	options := replication.Options{Addr: addr, Zone: "zone of " + addr, Region: "r", Port: 1,
-		Seeds: machines, Bootstrap: true, MachineLosses: 1, Transport: network{c, addr}, Log: quiet}
+		Seeds: machines, Bootstrap: true, MachineLosses: 1, Transport: network{c, addr}, Log: discardLog}
 	if disk := c.disks[addr]; disk != nil {
 		options.Disk = disk
 	} else {
@@ -96,7 +96,7 @@
 		c.tb.Fatal(err)
 	}
 	c.nodes[addr] = k
-	api := operatorapi.Options{Chain: k, Log: quiet, Partitioned: k.Partitioned,
+	api := operatorapi.Options{Chain: k, Log: discardLog, Partitioned: k.Partitioned,
 		CommittedState: func() *controlstate.State { s, _ := k.Committed(); return s }}
 	if c.waitWhenPartitioned {
 		api.Partitioned = nil
@@ -116,10 +116,10 @@
 	}
 }
 
-func (c *apiCluster) setPartitioned(addr string, cut bool) {
+func (c *apiCluster) setPartitioned(addr string, partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.partitioned[addr] = cut
+	c.partitioned[addr] = partitioned
 }
 
 // apiRequest is one request of the operator.
--- a/internal/system/operatorapi/connection_test.go
+++ b/internal/system/operatorapi/connection_test.go
@@ -16,11 +16,11 @@
 // wait.
 func TestDelayedRequestWaits(t *testing.T) {
 	for name, test := range map[string]struct {
-		quiet   time.Duration // idle time before the change
-		earlier bool          // another request came before that
-		ends    time.Duration // the connection ends this long after the change; 0: it stays open
-		status  int
-		took    time.Duration
+		idle              time.Duration // idle time before the change
+		hadEarlierRequest bool          // another request came before that
+		endsAfter         time.Duration // the connection ends this long after the change; 0: it stays open
+		status            int
+		took              time.Duration
 	}{
 		"a new connection":              {time.Millisecond, false, 0, 200, 0},
 		"as quiet as may be":            {idleThreshold, false, 0, 200, 0},
@@ -38,13 +38,13 @@
 				handler, _ := Handler(Options{Chain: chain, Log: discardLog()}).(*connectionTracker)
 				ctx, end := context.WithCancel(handler.ConnContext(t.Context(), nil))
 				defer end()
-				if test.earlier {
+				if test.hadEarlierRequest {
 					time.Sleep(time.Minute) // of the bubble's clock, as below
 					handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(ctx, http.MethodGet, "/Config.Read", nil))
 				}
-				time.Sleep(test.quiet)
-				if test.ends > 0 {
-					time.AfterFunc(test.ends, end)
+				time.Sleep(test.idle)
+				if test.endsAfter > 0 {
+					time.AfterFunc(test.endsAfter, end)
 				}
 				w, start := httptest.NewRecorder(), time.Now()
 				handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, http.MethodPost, "/Evacuation.Start/z", nil))
--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -81,7 +81,7 @@
 		"the caller left": {func(cancel func()) { cancel() }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, unprotected := range []bool{false, true} {
+			for _, submitForGoneCallers := range []bool{false, true} {
 				bubble.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
 					defer cancel()
@@ -89,15 +89,15 @@
 						test.read(cancel)
 						return stateAt(4), nil
 					}}
-					handler := Handler(Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{SubmitForGoneCallers: unprotected}})
+					handler := Handler(Options{Chain: chain, Log: discardLog(), knobs: TestingKnobs{SubmitForGoneCallers: submitForGoneCallers}})
 					w := httptest.NewRecorder()
 					handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, "POST", "/Evacuation.Finish/z", nil))
 					want := test.sent
-					if unprotected {
+					if submitForGoneCallers {
 						want = 1 // the control: without the protection it is submitted
 					}
-					if len(chain.submitted) != want || !unprotected && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
-						t.Errorf("unprotected %v: %d changes submitted, want %d; status %d", unprotected, len(chain.submitted), want, w.Code)
+					if len(chain.submitted) != want || !submitForGoneCallers && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
+						t.Errorf("unprotected %v: %d changes submitted, want %d; status %d", submitForGoneCallers, len(chain.submitted), want, w.Code)
 					}
 				})
 			}
--- a/internal/system/operatorapi/handler_test.go
+++ b/internal/system/operatorapi/handler_test.go
@@ -34,9 +34,9 @@
 func (f *fakeChain) Submit(ctx context.Context, c controlstate.Change) (controlstate.Verdict, error) {
 	f.mu.Lock()
 	f.submitted = append(f.submitted, c)
-	silent := f.unresponsive
+	unresponsive := f.unresponsive
 	f.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return controlstate.Verdict{}, ctx.Err()
 	}
@@ -270,7 +270,7 @@
 // TestPartitionedNodeDoesNotForward checks that a node that is partitioned from the chain answers changes immediately and does not
 // submit them. Requests that are invalid by their bytes alone are rejected as usual, and reads are still forwarded to the chain.
 func TestPartitionedNodeDoesNotForward(t *testing.T) {
-	const waits = 700 * time.Millisecond
+	const wantTimeout = 700 * time.Millisecond
 	base := []string{"X-Base-Version", "5"}
 	for name, test := range map[string]struct {
 		method, target string
@@ -281,22 +281,22 @@
 		"evacuate": {"POST", "/Evacuation.Start/z", nil, 503, 0}, "readmit": {"POST", "/Evacuation.Finish/z", nil, 503, 0},
 		"replace": {"POST", "/Config.Replace", base, 503, 0}, "amend": {"POST", "/Config.Amend", base, 503, 0},
 		"no base": {"POST", "/Config.Amend", nil, 400, 0}, "long zone": {"POST", "/Evacuation.Start/" + strings.Repeat("z", 200), nil, 400, 0},
-		"read": {"GET", "/Config.Read", nil, 503, waits},
+		"read": {"GET", "/Config.Read", nil, 503, wantTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				chain, cut := &fakeChain{unresponsive: true}, true
-				handler := Handler(Options{Chain: chain, Log: discardLog(), Partitioned: func() bool { return cut }})
+				chain, partitioned := &fakeChain{unresponsive: true}, true
+				handler := Handler(Options{Chain: chain, Log: discardLog(), Partitioned: func() bool { return partitioned }})
 				start := time.Now()
 				w := serve(t, handler, test.method, test.target, "{}", test.headers...)
 				if took := time.Since(start); w.Code != test.status || took != test.took || len(chain.submitted) > 0 {
 					t.Errorf("status %d after %v, want %d after %v; submitted %+v", w.Code, took, test.status, test.took, chain.submitted)
 				}
 				checkError(t, w.Body.Bytes())
-				cut = false
+				partitioned = false
 				start = time.Now()
 				w = serve(t, handler, test.method, test.target, "{}", test.headers...)
-				if took := time.Since(start); test.status == 503 && (w.Code != 503 || took != waits) {
+				if took := time.Since(start); test.status == 503 && (w.Code != 503 || took != wantTimeout) {
 					t.Errorf("not partitioned: status %d after %v", w.Code, took)
 				}
 			})
--- a/internal/system/operatorapi/model_client_test.go
+++ b/internal/system/operatorapi/model_client_test.go
@@ -118,7 +118,7 @@
 func (w *modelCluster) sendUntilResolved(change *modelChange) {
 	const giveUpAfter = 6 * time.Second
 	change.startedAt = w.elapsed()
-	once := change.change.Zone != "" && w.happens(6, "change given up after one attempt")
+	singleAttempt := change.change.Zone != "" && w.happens(6, "change given up after one attempt")
 	backoff := 20 * time.Millisecond
 	for w.elapsed()-change.startedAt < giveUpAfter {
 		attempt := modelAttempt{startedAt: w.elapsed()}
@@ -131,7 +131,7 @@
 			change.status, change.body = response.Code, response.Body.String()
 			break
 		}
-		if once {
+		if singleAttempt {
 			break
 		}
 		time.Sleep(backoff)
@@ -142,14 +142,14 @@
 
 // runConfigOperator sends changes based on the version of the configuration that was current just before: replacements and amendments,
 // changes of its own and changes that other operators send too, and sometimes a change that was resolved long before.
-func (w *modelCluster) runConfigOperator(number, orders int, old []*modelChange, done func(*modelChange)) {
+func (w *modelCluster) runConfigOperator(number, changeCount int, old []*modelChange, done func(*modelChange)) {
 	var mine []*modelChange
-	for range orders {
+	for range changeCount {
 		time.Sleep(w.randomDuration(0, 300*time.Millisecond))
 		if len(mine)+len(old) > 0 && w.happens(4, "change sent again after it was resolved") {
 			all := append(append([]*modelChange(nil), old...), mine...)
-			was := all[w.randomDuration(0, time.Duration(len(all)))]
-			o := &modelChange{change: was.change, revision: was.revision, resent: true}
+			earlier := all[w.randomDuration(0, time.Duration(len(all)))]
+			o := &modelChange{change: earlier.change, revision: earlier.revision, resent: true}
 			w.sendUntilResolved(o)
 			done(o)
 			continue
@@ -157,15 +157,15 @@
 		w.mu.Lock()
 		base := w.state.Revision()
 		w.mu.Unlock()
-		mark := fmt.Sprint("operator-", number)
+		serviceName := fmt.Sprint("operator-", number)
 		if w.happens(3, "change that others send too") {
-			mark = "shared"
+			serviceName = "shared"
 		}
 		o := &modelChange{revision: base + 1 + int64(w.randomDuration(0, 2))}
-		o.change = controlstate.Change{Op: controlstate.OpReplace, Base: base, Body: modelConfig(base, o.revision, mark)}
+		o.change = controlstate.Change{Op: controlstate.OpReplace, Base: base, Body: modelConfig(base, o.revision, serviceName)}
 		if base > 0 && w.happens(3, "amendment") {
 			o.change.Op = controlstate.OpAmend
-			o.change.Body = fmt.Appendf(nil, `{"revision":%d,"built_on":%d,"upsert":{"services":[{"name":%q}]}}`, o.revision, base, mark)
+			o.change.Body = fmt.Appendf(nil, `{"revision":%d,"built_on":%d,"upsert":{"services":[{"name":%q}]}}`, o.revision, base, serviceName)
 		}
 		w.sendUntilResolved(o)
 		done(o)
@@ -173,14 +173,14 @@
 	}
 }
 
-func modelConfig(base, revision int64, mark string) []byte {
-	return fmt.Appendf(nil, `{"revision":%d,"built_on":%d,"routes":[],"services":[{"name":%q}]}`, revision, base, mark)
+func modelConfig(base, revision int64, serviceName string) []byte {
+	return fmt.Appendf(nil, `{"revision":%d,"built_on":%d,"routes":[],"services":[{"name":%q}]}`, revision, base, serviceName)
 }
 
 // runZoneOperator repeatedly evacuates and readmits a zone, in random order.
-func (w *modelCluster) runZoneOperator(zone string, orders int, done func(*modelChange)) {
+func (w *modelCluster) runZoneOperator(zone string, changeCount int, done func(*modelChange)) {
 	op := controlstate.OpEvacuate
-	for range orders {
+	for range changeCount {
 		time.Sleep(w.randomDuration(0, 200*time.Millisecond))
 		o := &modelChange{change: controlstate.Change{Op: op, Zone: zone}}
 		w.sendUntilResolved(o)
--- a/internal/system/operatorapi/model_cluster_test.go
+++ b/internal/system/operatorapi/model_cluster_test.go
@@ -110,11 +110,11 @@
 	if w.knobs.omitRecordsInForce && inForce {
 		return controlstate.Verdict{Kind: controlstate.AlreadyApplied, Seq: w.state.Seq}
 	}
-	judge := w.state
+	checkedState := w.state
 	if w.knobs.forgetHistoryAndReject {
-		judge = judge.WithoutHistory()
+		checkedState = checkedState.WithoutHistory()
 	}
-	verdict := judge.Check(change)
+	verdict := checkedState.Check(change)
 	if w.knobs.forgetHistoryAndReject && verdict.Kind == controlstate.Uncertain {
 		verdict.Kind = controlstate.Stale
 	}
--- a/internal/system/operatorapi/model_linear_test.go
+++ b/internal/system/operatorapi/model_linear_test.go
@@ -56,17 +56,17 @@
 			}
 			o, _ := input.(*modelChange)
 			key := changeKey(o.change)
-			fits := now.revision == o.change.Base
+			baseIsCurrent := now.revision == o.change.Base
 			next := all.intern(version{revision: o.revision, madeBy: key, predecessor: now})
 			switch {
-			case o.status == http.StatusOK && fits, o.status == 0 && fits:
+			case o.status == http.StatusOK && baseIsCurrent, o.status == 0 && baseIsCurrent:
 				return true, next
 			case o.status == http.StatusOK:
 				return now.includes(key), now
 			case o.status == 0:
 				return true, now
 			}
-			return !fits && !now.includes(key), now
+			return !baseIsCurrent && !now.includes(key), now
 		},
 	}
 	var operations []porcupine.Operation
@@ -121,12 +121,12 @@
 		if o.change.Zone != zone {
 			continue
 		}
-		for _, try := range o.attempts {
-			end := try.endedAt
-			if !try.acknowledged {
-				end = h.firstAcknowledgementAfter(zone, try.endedAt)
+		for _, attempt := range o.attempts {
+			end := attempt.endedAt
+			if !attempt.acknowledged {
+				end = h.firstAcknowledgementAfter(zone, attempt.endedAt)
 			}
-			add(zoneAttempt{try, o.change.Op == controlstate.OpEvacuate}, try.startedAt, end)
+			add(zoneAttempt{attempt, o.change.Op == controlstate.OpEvacuate}, attempt.startedAt, end)
 		}
 	}
 	for _, s := range h.observations {
@@ -141,9 +141,9 @@
 func (h *modelHistory) firstAcknowledgementAfter(zone string, moment time.Duration) time.Duration {
 	at := time.Duration(endOfTime)
 	for _, o := range h.changes {
-		for _, try := range o.attempts {
-			if o.change.Zone == zone && try.acknowledged && try.startedAt > moment {
-				at = min(at, try.endedAt)
+		for _, attempt := range o.attempts {
+			if o.change.Zone == zone && attempt.acknowledged && attempt.startedAt > moment {
+				at = min(at, attempt.endedAt)
 			}
 		}
 	}
--- a/internal/system/operatorapi/model_test.go
+++ b/internal/system/operatorapi/model_test.go
@@ -229,9 +229,9 @@
 	}
 }
 
-func faults(troubles ...string) map[string]bool {
+func faults(names ...string) map[string]bool {
 	out := map[string]bool{}
-	for _, what := range troubles {
+	for _, what := range names {
 		out[what] = true
 	}
 	return out
--- a/internal/system/operatorapi/over_chain_test.go
+++ b/internal/system/operatorapi/over_chain_test.go
@@ -30,7 +30,7 @@
 			}
 			all = append(all, o)
 		}
-		again := func(when string) {
+		resendAll := func(when string) {
 			for i, o := range all {
 				if status, body := cluster.callUntilResolved(machines[i%3], o); status != 200 || body != fmt.Sprintf(`{"revision":%d}`, i+1) {
 					t.Fatalf("%s: change %d: status %d: %s", when, i, status, body)
@@ -40,10 +40,10 @@
 				t.Errorf("%s: records up to %d, %v", when, state.Seq, err)
 			}
 		}
-		again("later")
+		resendAll("later")
 		cluster.stop()
 		cluster.start()
-		again("after a restart")
+		resendAll("after a restart")
 	})
 }
 
@@ -66,8 +66,8 @@
 // change, rejects no change for a reason that depends on the state, and returns no configuration. After the partition it must answer
 // again within two seconds. This must hold by the chain alone, and also if the API answers changes immediately.
 func TestPartitionedNode(t *testing.T) {
-	for name, patient := range map[string]bool{"orders are held": true, "orders are answered at once": false} {
-		t.Run(name, func(t *testing.T) { testPartitionedNode(t, patient) })
+	for name, waitWhenPartitioned := range map[string]bool{"orders are held": true, "orders are answered at once": false} {
+		t.Run(name, func(t *testing.T) { testPartitionedNode(t, waitWhenPartitioned) })
 	}
 }
 
--- a/internal/system/operatorapi/stall_detector_test.go
+++ b/internal/system/operatorapi/stall_detector_test.go
@@ -12,7 +12,7 @@
 func TestStallDetector(t *testing.T) {
 	// The process runs, is frozen, and runs again; then a caller asks.
 	for name, test := range map[string]struct {
-		still, runs time.Duration
+		paused, ran time.Duration
 		stalled     bool
 	}{
 		"no stall":                   {0, time.Second, false},
@@ -34,8 +34,8 @@
 				}
 			}
 			run(time.Second)
-			now = now.Add(test.still)
-			run(test.runs)
+			now = now.Add(test.paused)
+			run(test.ran)
 			if got := detector.observeRunning(now); got != test.stalled {
 				t.Errorf("stalled = %v, want %v", got, test.stalled)
 			}
--- a/internal/system/operatorapi/wire_test.go
+++ b/internal/system/operatorapi/wire_test.go
@@ -104,15 +104,15 @@
 // TestWirePipelined checks that pipelined requests that arrive together are answered in order, each with its own response.
 func TestWirePipelined(t *testing.T) {
 	client := dialAPI(t)
-	const calls = 8
-	var all strings.Builder
-	for i := range calls {
-		all.WriteString(rawChange(100+i, ""))
-		all.WriteString("HEAD /Config.Read HTTP/1.1\r\nHost: k\r\n\r\n")
-		all.WriteString("POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n")
-	}
-	client.send(all.String())
-	for i := range calls {
+	const rounds = 8
+	var pipelined strings.Builder
+	for i := range rounds {
+		pipelined.WriteString(rawChange(100+i, ""))
+		pipelined.WriteString("HEAD /Config.Read HTTP/1.1\r\nHost: k\r\n\r\n")
+		pipelined.WriteString("POST /Evacuation.Start/z HTTP/1.1\r\nHost: k\r\n\r\n")
+	}
+	client.send(pipelined.String())
+	for i := range rounds {
 		if response := client.readResponse("POST"); response.status != 200 || response.body != fmt.Sprintf(`{"revision":%d}`, 100+i) {
 			t.Fatalf("change %d: status %d: %s", i, response.status, response.body)
 		}
@@ -191,8 +191,8 @@
 // TestWireExpectContinue checks that a caller that sends Expect: 100-continue gets a 100, or is rejected before it sends its body.
 func TestWireExpectContinue(t *testing.T) {
 	c := dialAPI(t)
-	whole := rawChange(100, "Expect: 100-continue\r\n")
-	head, body, _ := strings.Cut(whole, "\r\n\r\n")
+	request := rawChange(100, "Expect: 100-continue\r\n")
+	head, body, _ := strings.Cut(request, "\r\n\r\n")
 	c.send(head + "\r\n\r\n")
 	if response := c.readResponse("POST"); response.status != 100 {
 		t.Fatalf("status %d", response.status)
