--- a/internal/system/operatorapi/evacuation_test.go
+++ b/internal/system/operatorapi/evacuation_test.go
@@ -97,7 +97,7 @@
 						want = 1 // the control: without the protection it is submitted
 					}
 					if len(chain.submitted) != want || !submitForGoneCallers && (w.Code == 200) != (want == 1) || w.Code != 200 && w.Code != 503 {
-						t.Errorf("unprotected %v: %d changes submitted, want %d; status %d", submitForGoneCallers, len(chain.submitted), want, w.Code)
+						t.Errorf("SubmitForGoneCallers %v: %d changes submitted, want %d; status %d", submitForGoneCallers, len(chain.submitted), want, w.Code)
 					}
 				})
 			}
