--- a/internal/system/config/amend.go
+++ b/internal/system/config/amend.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Amend merges an amendment into base, which it does not change, and validates the result as a whole. Items that are replaced keep
-// their position, new ones follow, unknown fields stay. Removing an item that is not there is no error. An item that is removed
-// and upserted under one name is replaced. Every error is an ErrInvalid.
+// Amend merges an amendment into base, which it does not change, and validates the merged configuration. Replaced items keep their
+// position, new ones follow, and unknown fields are preserved. Removing an item that does not exist is not an error. An item that is
+// both removed and upserted is replaced. Every error matches ErrInvalid.
 func Amend(base *Config, raw []byte) (*Config, error) { return amend(base, raw, newDecoder()) }
 
-// AmendAccepted is to Amend what ParseAccepted is to Parse.
+// AmendAccepted is like Amend, but tolerates shared keys as ParseAccepted does.
 func AmendAccepted(base *Config, raw []byte) (*Config, error) {
 	return amend(base, raw, newDecoderOfAccepted())
 }
@@ -52,7 +52,7 @@
 	return merge.merge()
 }
 
-// amendment is an amendment while it is merged into base.
+// amendment holds the state of merging an amendment into base.
 type amendment struct {
 	base, next     *Config
 	decoder        *itemDecoder
@@ -60,7 +60,7 @@
 	upsert, remove []member
 }
 
-// readGroup returns the lists of upsert or remove.
+// readGroup returns the lists under upsert or remove.
 func (a *amendment) readGroup(f member) ([]member, error) {
 	if f.isNull {
 		return nil, nil
@@ -68,7 +68,7 @@
 	return members(f.value, f.key)
 }
 
-// findMember returns the member called key; nil where it is absent or null.
+// findMember returns the member named key, or nil if it is absent or null.
 func findMember(all []member, key string) *member {
 	for i := range all {
 		if all[i].key == key && !all[i].isNull {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// merge writes the top-level fields of base again, with the amendment's changes.
+// merge returns the configuration that consists of the top-level fields of base with the amendment's changes.
 func (a *amendment) merge() (*Config, error) {
 	fields, err := members(a.base.Raw, "the configuration")
 	if err != nil {
@@ -103,7 +103,7 @@
 	return a.next, nil
 }
 
-// withNewLists returns fields with the lists that the amendment names and base lacks at the end, in the amendment's order.
+// withNewLists appends to fields the lists that the amendment names and base lacks, in the amendment's order.
 func (a *amendment) withNewLists(fields []member) []member {
 	addMissing := func(list member) {
 		if !list.isNull && !slices.ContainsFunc(fields, func(f member) bool { return f.key == list.key }) {
@@ -121,7 +121,7 @@
 	return fields
 }
 
-// encodedBytes returns the bytes of an object of these members, at least.
+// encodedBytes returns a lower bound of the encoded size of an object with these members.
 func encodedBytes(all []member) int {
 	n := 2
 	for _, f := range all {
@@ -130,7 +130,7 @@
 	return n
 }
 
-// listChange is what an amendment does to one top-level field of the base.
+// listChange is the change that an amendment makes to one top-level field of base.
 type listChange struct {
 	field           member
 	upsert, removal *member // nil: none
@@ -198,8 +198,8 @@
 	return merged.appendJSON(out), nil
 }
 
-// appendTenants appends the tenants. Removal from a configuration that includes none does not add the list, since its presence
-// says that requests need keys.
+// appendTenants appends the tenants. A removal from a configuration without the list does not add the list, since its presence means
+// that requests need keys.
 func (a *amendment) appendTenants(out []byte, change listChange) ([]byte, error) {
 	if change.isEmpty() || !a.base.HasTenants && change.upsert == nil {
 		a.next.Tenants, a.next.HasTenants, a.next.tenantOfKey = a.base.Tenants, a.base.HasTenants, a.base.tenantOfKey
@@ -219,8 +219,8 @@
 	return merged.appendJSON(out), nil
 }
 
-// mergeItems merges a change into a list whose items base has decoded already. It returns the list and its items: those decoded
-// from the amendment, otherwise those of base.
+// mergeItems merges a change into a list whose items are already decoded in base. It returns the list and its items: those decoded
+// from the amendment, and otherwise those of base.
 func mergeItems[T any](a *amendment, change listChange, base []*T, nameOf func(*T) string, decode func([]byte) (*T, error)) (
 	*namedList, []*T, error) {
 	baseNames, current := make([]string, len(base)), make(map[string]*T, len(base))
@@ -276,8 +276,8 @@
 	return merged.appendJSON(out), nil
 }
 
-// namedAfterBase returns a function for mergeList: the base's items come first and are decoded already, so that their names are
-// known; decode is called for the items of the amendment.
+// namedAfterBase returns a function for mergeList: base's items come first and are already decoded, so their names are
+// known; decode is called only for the items of the amendment.
 func namedAfterBase(baseNames []string, decode func([]byte) (string, error)) func([]byte) (string, error) {
 	return func(raw []byte) (string, error) {
 		if len(baseNames) > 0 {
@@ -289,7 +289,7 @@
 	}
 }
 
-// mergeList splits a list of base, removes items and puts the amendment's items in their places. nameOf is called for the items
+// mergeList splits a list of base into its items, removes items and upserts the amendment's items. nameOf is called for the items
 // of base in order, then for those of the amendment.
 func (a *amendment) mergeList(change listChange, nameOf func([]byte) (string, error)) (*namedList, error) {
 	merged := &namedList{indexOf: map[string]int{}}
--- a/internal/system/config/decoder.go
+++ b/internal/system/config/decoder.go
@@ -6,27 +6,27 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxExactInteger is the largest integer up to which a float64 has each.
+// maxExactInteger is 2^53: a float64 represents every integer up to it exactly.
 const maxExactInteger = 1 << 53
 
-// itemDecoder decodes items with one parser, so that the JSON of one item is all that is in memory at a time.
+// itemDecoder decodes items with one parser, so that only the parsed JSON of one item is in memory at a time.
 type itemDecoder struct {
 	parser fastjson.Parser
-	names  map[string]string // one copy of each text, however many items have it
+	names  map[string]string // interned strings, which many items share
 
-	allowsSharedKeys bool // a key that tenants share is nobody's, and no error
+	allowsSharedKeys bool // a key that tenants share belongs to no tenant instead of being an error
 }
 
 func newDecoder() *itemDecoder { return &itemDecoder{names: map[string]string{}} }
 
-// newDecoderOfAccepted is newDecoder for what was accepted before.
+// newDecoderOfAccepted returns a decoder for configurations that were accepted before.
 func newDecoderOfAccepted() *itemDecoder {
 	decoder := newDecoder()
 	decoder.allowsSharedKeys = true
 	return decoder
 }
 
-// parse decodes one JSON value without duplicate names. The value is valid until the next call.
+// parse decodes one JSON value and rejects duplicate names. The returned value is valid until the next call.
 func (d *itemDecoder) parse(raw []byte, what string) (*fastjson.Value, error) {
 	v, err := d.parser.ParseBytes(raw)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return v, rejectDuplicateKeys(v, what)
 }
 
-// intern returns b as a string, shared with equal ones.
+// intern returns b as a string that equal values share.
 func (d *itemDecoder) intern(b []byte) string {
 	if s, ok := d.names[string(b)]; ok {
 		return s
@@ -45,7 +45,7 @@
 	return s
 }
 
-// forEachItem calls visit with the JSON of each element of a list.
+// forEachItem calls item with the JSON of each element of a list.
 func (d *itemDecoder) forEachItem(f member, item func([]byte) error) error {
 	ok, err := forEachElement(f.value, item)
 	if !ok {
--- a/internal/system/config/errors.go
+++ b/internal/system/config/errors.go
@@ -6,18 +6,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrInvalid is what every error of Parse and Amend is by errors.Is: the operator has to send something else.
+// ErrInvalid matches every error of Parse and Amend by errors.Is. The operator has to correct the request.
 var ErrInvalid = errors.New("invalid configuration")
 
-// InvalidError says why a body was refused.
+// InvalidError contains the reason why a body was rejected.
 type InvalidError struct {
-	Reason string // the fault and the remedy, in one line; the answer to the operator
+	Reason string // the fault and the remedy, in one line; sent to the operator
 }
 
 // Error returns the reason.
 func (e *InvalidError) Error() string { return e.Reason }
 
-// Is makes an InvalidError an ErrInvalid.
+// Is makes every InvalidError match ErrInvalid.
 func (*InvalidError) Is(target error) bool { return target == ErrInvalid }
 
 func invalid(format string, args ...any) error {
--- a/internal/system/config/json.go
+++ b/internal/system/config/json.go
@@ -10,11 +10,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxDepth bounds the nesting of a body, so that reading it needs a bounded stack.
+// maxDepth limits the nesting of a body, so that parsing needs a bounded stack.
 const maxDepth = 64
 
-// validateJSON fails unless raw is one complete JSON value in UTF-8 that nests at most maxDepth deep. It checks the depth first, so
-// that the parser's recursion is bounded.
+// validateJSON returns an error unless raw is one complete JSON value in UTF-8 that is nested at most maxDepth deep. It checks the
+// depth first, so that the parser's recursion is bounded.
 func validateJSON(raw []byte) error {
 	depth := 0
 	for i := 0; i < len(raw); i++ {
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// syntaxError says where raw stops being JSON, and not what stands there: it may be an API key.
+// syntaxError returns an error with the position at which raw is not valid JSON. It does not quote the text there, which may be an API
+// key.
 func syntaxError(raw []byte) error {
 	var syntax *json.SyntaxError
 	if err := json.Unmarshal(raw, new(json.RawMessage)); errors.As(err, &syntax) {
@@ -47,7 +48,7 @@
 	return invalid("the body is not one whole JSON value: check its texts and numbers")
 }
 
-// stringEnd returns the index behind the string that opens at i, or len(raw) where it does not end.
+// stringEnd returns the index after the string that starts at i, or len(raw) if the string is unterminated.
 func stringEnd(raw []byte, i int) int {
 	for j := i + 1; j < len(raw); {
 		n := bytes.IndexByte(raw[j:], '"')
@@ -67,7 +68,7 @@
 	return len(raw)
 }
 
-// skipSpace returns the index of the first byte from i on that is no white space.
+// skipSpace returns the index of the first byte at or after i that is not white space.
 func skipSpace(raw []byte, i int) int {
 	for i < len(raw) && (raw[i] == ' ' || raw[i] == '\n' || raw[i] == '\t' || raw[i] == '\r') {
 		i++
@@ -75,7 +76,7 @@
 	return i
 }
 
-// valueEnd returns the index behind the value that begins at start of a valid body.
+// valueEnd returns the index after the value that begins at start of a valid body.
 func valueEnd(raw []byte, start int) int {
 	if start >= len(raw) {
 		return len(raw)
@@ -93,7 +94,7 @@
 	return end
 }
 
-// compositeEnd returns the index behind the object or array that begins at start.
+// compositeEnd returns the index after the object or array that begins at start.
 func compositeEnd(raw []byte, start int) int {
 	depth := 0
 	for i := start; i < len(raw); i++ {
@@ -111,7 +112,7 @@
 	return len(raw)
 }
 
-// forEachElement calls visit with each element of raw, a valid array; false where raw is no array.
+// forEachElement calls visit with each element of raw, which must be valid JSON. It returns false if raw is not an array.
 func forEachElement(raw []byte, visit func(value []byte) error) (bool, error) {
 	position := skipSpace(raw, 0)
 	if position >= len(raw) || raw[position] != '[' {
@@ -127,7 +128,7 @@
 	return true, nil
 }
 
-// member is one name and value of an object.
+// member is one name/value pair of an object.
 type member struct {
 	key    string
 	rawKey []byte // with its quotes
@@ -135,7 +136,7 @@
 	isNull bool
 }
 
-// members returns the members of raw, a valid object, in order. A name that comes twice is an error.
+// members returns the members of raw, which must be valid JSON, in order. A duplicate name is an error.
 func members(raw []byte, what string) ([]member, error) {
 	position := skipSpace(raw, 0)
 	if position >= len(raw) || raw[position] != '{' {
@@ -158,7 +159,7 @@
 	return all, nil
 }
 
-// memberAt reads the member that begins at position, and returns the index behind it.
+// memberAt reads the member that begins at position, and returns the index after it.
 func memberAt(raw []byte, position int, what string) (found member, end int, err error) {
 	keyEnd := valueEnd(raw, position)
 	key, err := unquote(raw[position:keyEnd])
@@ -175,7 +176,7 @@
 	return member{key: key, rawKey: raw[position:keyEnd], value: value, isNull: string(value) == "null"}, end, nil
 }
 
-// skipComma returns the index of the next element or member behind the one that ends at i.
+// skipComma returns the index of the next element or member after the one that ends at i.
 func skipComma(raw []byte, i int) int {
 	i = skipSpace(raw, i)
 	if i < len(raw) && raw[i] == ',' {
@@ -196,8 +197,8 @@
 	return string(v.GetStringBytes()), nil
 }
 
-// rejectDuplicateKeys fails where an object inside v has a name twice: which of the values counts is not defined (RFC 8259, 4). The
-// error names members of v itself only: what lies deeper may be an API key.
+// rejectDuplicateKeys returns an error if an object inside v has a duplicate name: which of the values applies is undefined (RFC 8259,
+// section 4). The error names only members of v itself: text that is nested deeper may be an API key.
 func rejectDuplicateKeys(v *fastjson.Value, what string) error {
 	object, err := v.Object()
 	if err != nil {
@@ -218,7 +219,7 @@
 	return duplicate
 }
 
-// hasDuplicateKeys tells whether v is or holds an object that has a name twice.
+// hasDuplicateKeys reports whether v is or contains an object with a duplicate name.
 func hasDuplicateKeys(v *fastjson.Value) bool {
 	switch v.Type() {
 	case fastjson.TypeArray:
@@ -232,7 +233,7 @@
 	return false
 }
 
-// duplicateKey returns the first name that object has twice.
+// duplicateKey returns the first duplicate name of object.
 func duplicateKey(object *fastjson.Object) (duplicate string, found bool) {
 	var keys keySet
 	if object.Len() > len(keys.few) {
@@ -246,14 +247,14 @@
 	return duplicate, found
 }
 
-// keySet is a set of an object's names. Most objects have few, which need no map.
+// keySet is a set of an object's names. Most objects have few names and need no map.
 type keySet struct {
 	few   [24][]byte
 	count int             // of few
-	many  map[string]bool // in place of few where it is not nil
+	many  map[string]bool // used instead of few if not nil
 }
 
-// add returns false where key is in the set already.
+// add adds key, and returns false if the set already contains it.
 func (s *keySet) add(key []byte) bool {
 	if s.many != nil {
 		if s.many[string(key)] {
--- a/internal/system/config/match.go
+++ b/internal/system/config/match.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// hostIndex has the routes of one host.
+// hostIndex holds the routes of one host.
 type hostIndex struct {
 	routes        map[string]*Route
-	prefixLengths []int // of the prefixes in bytes, each once, longest first
+	prefixLengths []int // distinct lengths of the prefixes in bytes, longest first
 }
 
-// Match returns the route of host with the longest prefix of path; nil where there is none. Case and port of host are ignored. It
-// takes one look-up for each length of a prefix of the host.
+// Match returns the route of host whose Prefix is the longest prefix of path, or nil if there is none. Case and port of host are
+// ignored. It takes at most one look-up per distinct prefix length of the host.
 func (c *Config) Match(host, path string) *Route {
 	if c == nil {
 		return nil
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// hostKey returns host in lower case without its port and the dot of the root.
+// hostKey returns host in lower case, without its port and the trailing dot of the root.
 func hostKey(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		if strings.HasPrefix(host, "[") || strings.IndexByte(host, ':') == i {
@@ -46,7 +46,7 @@
 // indexHosts builds the index of Match, and checks that pairs of host and prefix are unique.
 func (c *Config) indexHosts() error {
 	c.hosts = make(map[string]*hostIndex)
-	last, lastKey := "", "" // most routes follow one of the same host
+	last, lastKey := "", "" // most routes directly follow another one of the same host
 	for _, r := range c.Routes {
 		if r.Host != last || last == "" {
 			last, lastKey = r.Host, hostKey(r.Host)
--- a/internal/system/config/namedlist.go
+++ b/internal/system/config/namedlist.go
@@ -1,6 +1,6 @@
 package config
 
-// namedList is a top-level list of named items while an amendment is merged into it. An item that was removed is nil.
+// namedList is a top-level list of named items during the merge of an amendment. A removed item is nil.
 type namedList struct {
 	names   []string
 	items   [][]byte
@@ -13,7 +13,7 @@
 	l.names, l.items = append(l.names, name), append(l.items, raw)
 }
 
-// remove takes out the item called name; its position stays for an item of that name that is upserted later.
+// remove removes the item named name; its position is kept for an item of that name that is upserted later.
 func (l *namedList) remove(name string) {
 	if i, ok := l.indexOf[name]; ok && l.items[i] != nil {
 		l.items[i] = nil
@@ -21,7 +21,7 @@
 	}
 }
 
-// upsert replaces the item called name at its position, and adds it at the end where there is none.
+// upsert replaces the item named name at its position, or adds it at the end if there is none.
 func (l *namedList) upsert(name string, raw []byte) {
 	i, ok := l.indexOf[name]
 	if !ok {
--- a/internal/system/config/object.go
+++ b/internal/system/config/object.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxDuration bounds durations, so that sums of them do not overflow.
+// maxDuration limits durations, so that sums of them do not overflow.
 const maxDuration = 365 * 24 * time.Hour
 
 // objectReader reads the fields of one JSON object and keeps the first error.
@@ -19,7 +19,7 @@
 	err     error
 }
 
-// object decodes one JSON object; label names it in errors.
+// object decodes one JSON object; what names it in errors.
 func (d *itemDecoder) object(raw []byte, what string) (*objectReader, error) {
 	v, err := d.parse(raw, what)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return &objectReader{decoder: d, value: v, label: what}, nil
 }
 
-// namedObject is object for items that must have a name, which it returns.
+// namedObject decodes an object that must have a name, and also returns the name.
 func (d *itemDecoder) namedObject(raw []byte, kind string) (*objectReader, string, error) {
 	object, err := d.object(raw, "a "+kind)
 	if err != nil {
@@ -42,14 +42,14 @@
 	return object, name, object.err
 }
 
-// fail records the first error.
+// fail records an error unless one is already recorded.
 func (it *objectReader) fail(format string, args ...any) {
 	if it.err == nil {
 		it.err = invalid("%s: %s", it.label, fmt.Sprintf(format, args...))
 	}
 }
 
-// get returns a field; nil where it is absent or null.
+// get returns a field, or nil if it is absent or null.
 func (it *objectReader) get(key string) *fastjson.Value {
 	v := it.value.Get(key)
 	if v == nil || v.Type() == fastjson.TypeNull {
@@ -58,7 +58,7 @@
 	return v
 }
 
-// stringField returns a text; one that is needed must be there and not be empty.
+// stringField returns a string. If needed is true, it must be present and not empty.
 func (it *objectReader) stringField(key string, needed bool) string {
 	v := it.get(key)
 	if v == nil {
@@ -78,7 +78,7 @@
 	return it.decoder.intern(b)
 }
 
-// listField returns the elements of a list; none where the field is missing.
+// listField returns the elements of a list, or none if the field is missing.
 func (it *objectReader) listField(key string) []*fastjson.Value {
 	v := it.get(key)
 	if v == nil {
@@ -90,7 +90,7 @@
 	return v.GetArray()
 }
 
-// boolField returns a truth value; false where the field is missing.
+// boolField returns a boolean, or false if the field is missing.
 func (it *objectReader) boolField(key string) bool {
 	v := it.get(key)
 	if v == nil {
@@ -103,7 +103,7 @@
 	return b
 }
 
-// nonNegativeNumber returns a finite number, 0 or more; absent where the field is missing.
+// nonNegativeNumber returns a finite number that is 0 or more, or absent if the field is missing.
 func (it *objectReader) nonNegativeNumber(key string, absent float64) float64 {
 	v := it.get(key)
 	if v == nil {
@@ -126,8 +126,8 @@
 	return int64(math.Min(it.nonNegativeNumber(key, 0), float64(maximum)))
 }
 
-// durationField returns a duration given as a number of unit, at most maxDuration; absent where the field is missing. One above 0
-// is rounded up to a nanosecond at least.
+// durationField returns a duration given as a multiple of unit, at most maxDuration, or absent if the field is missing. It is rounded
+// up to whole nanoseconds, so a number above 0 never becomes 0.
 func (it *objectReader) durationField(key string, unit, absent time.Duration) time.Duration {
 	f := it.nonNegativeNumber(key, -1)
 	if f < 0 {
--- a/internal/system/config/parse.go
+++ b/internal/system/config/parse.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// defaultLimits are the limits of a configuration that has none.
+// defaultLimits are the limits of a configuration that specifies none.
 var defaultLimits = Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
 // Parse decodes and validates a complete configuration. The result retains raw, which must not be changed afterwards. Unknown
-// fields must be valid JSON and are ignored. Every error is an ErrInvalid.
+// fields must be valid JSON and are ignored. Every error matches ErrInvalid.
 func Parse(raw []byte) (*Config, error) { return parse(raw, newDecoder()) }
 
-// ParseAccepted is Parse for a configuration that was accepted before, maybe by a version of the software that did not check for shared
-// keys: a key that tenants share is not refused, and is nobody's.
+// ParseAccepted is like Parse, for a configuration that was accepted before, possibly by a version that did not check for shared keys:
+// a key that tenants share is not an error, and belongs to no tenant.
 func ParseAccepted(raw []byte) (*Config, error) { return parse(raw, newDecoderOfAccepted()) }
 
 func parse(raw []byte, decoder *itemDecoder) (*Config, error) {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// checkReferences checks that names are unique and that shares name services, and builds the index of Match.
+// checkReferences checks that route names are unique and that shares name existing services, and builds the index for Match.
 func (c *Config) checkReferences() error {
 	names := make(map[string]struct{}, len(c.Routes))
 	for _, r := range c.Routes {
--- a/internal/system/config/route.go
+++ b/internal/system/config/route.go
@@ -33,10 +33,10 @@
 	return route, object.err
 }
 
-// noDuration stands for a duration that is absent.
+// noDuration represents an absent duration.
 const noDuration = time.Duration(-1)
 
-// readCategory reads the category. A route without one is not idempotent, since its requests must not run twice by mistake.
+// readCategory reads the category. It defaults to NonIdempotent, since a request must not run twice by mistake.
 func (it *objectReader) readCategory() Category {
 	switch category := it.stringField("category", false); category {
 	case "idempotent":
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkRoute checks the fields that a route must have.
+// checkRoute validates the required fields of a route.
 func (it *objectReader) checkRoute(route *Route) {
 	if it.err == nil && route.Timeout < 0 {
 		it.fail("timeout_ms is missing: add it")
@@ -67,7 +67,7 @@
 	}
 }
 
-// readShares reads the shares, or the one target. Shares of one service are added up, at the position of the first.
+// readShares reads the shares, or the single target. Shares of the same service are added up at the position of the first.
 func (it *objectReader) readShares(route *Route) {
 	target, list := it.get("target"), it.get("shares")
 	if list != nil && list.Type() != fastjson.TypeArray {
@@ -102,7 +102,7 @@
 	}
 }
 
-// readShare reads one element of shares; false where it is no object.
+// readShare reads one element of shares, and returns false if it is not an object.
 func (it *objectReader) readShare(value *fastjson.Value) (Share, bool) {
 	if value.Type() != fastjson.TypeObject {
 		it.fail("a share is no object: send {...}")
--- a/internal/system/config/service.go
+++ b/internal/system/config/service.go
@@ -26,7 +26,7 @@
 	return service, nil
 }
 
-// readEngine reads the engine; nil where there is none.
+// readEngine reads the engine, or returns nil if there is none.
 func (it *objectReader) readEngine() *Engine {
 	value := it.get("engine")
 	if value == nil {
--- a/internal/system/config/tenant.go
+++ b/internal/system/config/tenant.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// NoPriority is the Priority of a tenant that has none of its own: that of the route counts.
+// NoPriority is the Priority of a tenant without its own priority: the route's priority applies.
 const NoPriority = -1
 
-// KeyDigest is the SHA-256 digest of an API key. Keys are kept only so, and so that neither what is logged nor how long a look-up
-// takes tells anything of them.
+// KeyDigest is the SHA-256 digest of an API key. Only the digests of keys are kept, so that neither logs nor the duration of a
+// look-up reveal anything about the keys.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of an API key.
@@ -18,15 +18,15 @@
 // Tenant is one entry of tenants: a customer, whose requests carry one of its API keys.
 type Tenant struct {
 	Name          string
-	Keys          []KeyDigest // in the operator's order; none: nobody can send in its name
-	Priority      int         // 0 is the highest, goes before that of the route; NoPriority where absent
-	RatePerSecond float64     // requests a second over the whole fleet, finite; 0: no limit, whatever Burst is
-	Burst         float64     // requests beyond RatePerSecond that are allowed at once, 0 or more and finite
-	HomeRegions   []string    // by name, besides those of the route; empty: all regions
+	Keys          []KeyDigest // in the operator's order; if empty, no request can authenticate as the tenant
+	Priority      int         // 0 is the highest; overrides the route's priority; NoPriority if absent
+	RatePerSecond float64     // requests per second across all proxies, finite; 0: no limit, regardless of Burst
+	Burst         float64     // requests beyond RatePerSecond that may arrive at the same time, 0 or more and finite
+	HomeRegions   []string    // by name, in addition to those of the route; empty: all regions
 }
 
-// TenantOfKey returns the tenant that holds an API key; nil where there is none. It takes one look-up by the key's digest, so that
-// its time does not depend on which keys there are.
+// TenantOfKey returns the tenant to which an API key belongs, or nil if there is none. It takes one look-up by the key's digest, so
+// that its duration does not depend on which keys exist.
 func (c *Config) TenantOfKey(key string) *Tenant {
 	if c == nil {
 		return nil
@@ -34,7 +34,7 @@
 	return c.tenantOfKey[DigestKey(key)]
 }
 
-// tenant decodes one item of tenants. Its errors name no key.
+// tenant decodes one item of tenants. Its errors do not contain keys.
 func (d *itemDecoder) tenant(raw []byte) (*Tenant, error) {
 	object, name, err := d.namedObject(raw, "tenant")
 	if err != nil {
@@ -51,7 +51,7 @@
 	return tenant, object.err
 }
 
-// readKeys returns the digests of api_keys. An empty key is refused, since a request without a key would match it.
+// readKeys returns the digests of api_keys. An empty key is rejected, since a request without a key would match it.
 func (it *objectReader) readKeys() []KeyDigest {
 	var keys []KeyDigest
 	for _, element := range it.listField("api_keys") {
@@ -82,8 +82,8 @@
 	return c.indexTenants(decoder.allowsSharedKeys)
 }
 
-// indexTenants builds the index of TenantOfKey, and checks that names are unique. A key that two tenants share is an error or, where it is
-// allowed, nobody's.
+// indexTenants builds the index for TenantOfKey, and checks that names are unique. A key that two tenants share is an error or, if
+// allowsSharedKeys, belongs to no tenant.
 func (c *Config) indexTenants(allowsSharedKeys bool) error {
 	names := make(map[string]struct{}, len(c.Tenants))
 	c.tenantOfKey = make(map[KeyDigest]*Tenant, len(c.Tenants))
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory answers clients which proxies to use (GET /resolve), and the platform whether this proxy is ready for clients
+// Package directory tells clients which proxies to use (GET /resolve), and the platform whether this proxy is ready for clients
 // (GET /readiness). Source: PROTOCOL.md, "Ingress".
 //
-// The problem: clients choose proxies by themselves, so that each is to get proxies close to it, all together are to spread evenly over
-// the proxies, and a proxy that drains is to be named no longer. A response holds for a time to live, for which a client may use a
-// proxy that has ended meanwhile.
+// The problem: clients choose among the returned proxies themselves. So each client must get proxies close to it, the clients must
+// spread evenly over the proxies, and a draining proxy must no longer be returned. A response is valid for a time to live, during which
+// a client may use a proxy that has terminated meanwhile.
 package directory
 
 import (
@@ -21,8 +21,8 @@
 )
 
 const (
-	maxAddresses = 64 // of one response, by PROTOCOL.md
-	minNearby    = 2  // ready proxies of a client's zone, or else region, with which farther ones are not named
+	maxAddresses = 64 // per response, as defined in PROTOCOL.md
+	minNearby    = 2  // with this many ready proxies in a client's zone, or else region, farther ones are not returned
 )
 
 // Endpoint is a proxy that is ready for clients; Address is host:port.
@@ -30,14 +30,14 @@
 	Address, Zone, Region string
 }
 
-// Response is the body of a 200 to GET /resolve.
+// Response is the body of a response to GET /resolve with status 200.
 type Response struct {
 	Addresses []string `json:"addresses"`
 	TTL       float64  `json:"ttl_s"` // seconds
 }
 
-// Nearest returns the addresses of the proxies for a client: those of its zone, or of its region where the zone has fewer than minNearby,
-// or else all. Of more than maxAddresses it returns those that selectByRank selects.
+// Nearest returns the addresses of the proxies for a client: those of its zone, or of its region if the zone has fewer than minNearby,
+// or else all. selectByRank limits them to maxAddresses.
 func Nearest(endpoints []Endpoint, zone, region, client string) []string {
 	for _, isNear := range []func(Endpoint) bool{
 		func(e Endpoint) bool { return zone != "" && e.Zone == zone },
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// selectByRank sorts addresses by a hash of client and address, the highest first, and returns the first maxAddresses. So clients
-// spread evenly over all addresses (rendezvous hashing, as in package ownership), and a client gets the same ones each time.
+// selectByRank sorts addresses by a hash of client and address, the highest first, and returns the first maxAddresses. This
+// rendezvous hashing, as in package ownership, spreads clients evenly over all addresses and returns the same ones to a client each time.
 func selectByRank(addresses []string, client string) []string {
 	slices.SortFunc(addresses, func(a, b string) int {
 		rankA, rankB := xxhash.Sum64String(client+a), xxhash.Sum64String(client+b)
@@ -67,13 +67,13 @@
 	return addresses[:min(len(addresses), maxAddresses)]
 }
 
-// Directory serves GET /resolve from the endpoints that were set last. It may be used by several goroutines at once.
+// Directory serves GET /resolve from the endpoints that were set last. It is safe for concurrent use.
 type Directory struct {
 	ttl       time.Duration
 	endpoints atomic.Pointer[[]Endpoint]
 }
 
-// NewDirectory returns a directory without endpoints, whose responses hold for ttl.
+// NewDirectory returns a directory without endpoints, whose responses are valid for ttl.
 func NewDirectory(ttl time.Duration) *Directory { return &Directory{ttl: ttl} }
 
 // SetEndpoints replaces the endpoints. The slice must not be changed afterwards.
--- a/internal/system/failuredetector/agent.go
+++ b/internal/system/failuredetector/agent.go
@@ -12,32 +12,32 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The bounds of an Agent.
+// Limits of an Agent.
 const (
-	maxProbes      = 8  // at one time
-	maxDownReports = 64 // waiting for OnDownReport; more are dropped, and repeated by the Detector
+	maxProbes      = 8  // at a time
+	maxDownReports = 64 // queued for OnDownReport; further ones are dropped, and the Detector repeats them
 )
 
 // AgentOptions configure an Agent.
 type AgentOptions struct {
 	Options
-	Conn         *net.UDPConn     // of the internal port; Run closes it
+	Conn         *net.UDPConn     // bound to the internal port; Run closes it
 	OnDownReport func(DownReport) // called by Run, one at a time
 	Log          log.Interface
 }
 
-// Agent drives a Detector over UDP, with HTTP as the second path. Its methods may be called by several goroutines at once.
+// Agent drives a Detector over UDP, with HTTP as the second path. Its methods are safe for concurrent use.
 // Run owns all goroutines: one that receives datagrams and one for each probe.
 type Agent struct {
 	options   AgentOptions
 	startedAt time.Time
 	client    *http.Client
 
-	mu           sync.Mutex // guards all down to ctx
+	mu           sync.Mutex // guards the fields up to and including ctx
 	detector     *Detector
 	addresses    map[string]netip.AddrPort
 	activeProbes map[string]bool // by node
-	ctx          context.Context // of Run, nil before and after; probes end with it
+	ctx          context.Context // of Run, nil before and after; probes are canceled with it
 
 	probes sync.WaitGroup
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// SetMembers replaces the membership list. Nodes whose address is not an ip:port get no messages.
+// SetMembers replaces the membership list. No messages are sent to nodes whose address is not an ip:port.
 func (a *Agent) SetMembers(members []Member) {
 	addresses := make(map[string]netip.AddrPort, len(members))
 	for _, m := range members {
@@ -93,10 +93,11 @@
 	a.processReady(a.ctx)
 }
 
-// now is the time of the detector: since the agent was made.
+// now returns the detector's time, which counts from the creation of the agent.
 func (a *Agent) now() Time { return time.Since(a.startedAt) }
 
-// Run sends heartbeats, receives messages and hands out down reports until ctx ends, then closes the connection. It may be called once.
+// Run sends heartbeats, receives messages and passes on down reports until ctx is done, then closes the connection. It must be called
+// at most once.
 func (a *Agent) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	a.mu.Lock()
@@ -128,12 +129,12 @@
 	}
 }
 
-// shutDown closes the connection and waits for the receiving goroutine and the probes, whose context has ended.
+// shutDown closes the connection and waits for the receiving goroutine and the probes, whose context has been canceled.
 func (a *Agent) shutDown(reader *sync.WaitGroup) {
 	_ = a.options.Conn.Close()
 	reader.Wait()
 	a.mu.Lock()
-	a.ctx = nil // no more probes
+	a.ctx = nil // no further probes start
 	a.mu.Unlock()
 	a.probes.Wait()
 	a.client.CloseIdleConnections()
@@ -148,7 +149,7 @@
 			return
 		}
 		if err != nil {
-			continue // such as an ICMP error for a datagram that was sent before
+			continue // such as an ICMP error for an earlier datagram
 		}
 		m, err := Decode(buf[:n])
 		if err != nil {
@@ -161,7 +162,7 @@
 	}
 }
 
-// processReady does what the detector wants done; probes end with ctx. Its caller holds mu.
+// processReady carries out the actions that the detector requests; probes are canceled with ctx. The caller holds mu.
 func (a *Agent) processReady(ctx context.Context) {
 	out := a.detector.Ready()
 	var buf [MaxDatagramBytes]byte
@@ -188,7 +189,7 @@
 	}
 }
 
-// startProbe probes a node over the second path, unless a probe of it is under way. Its caller holds mu.
+// startProbe probes a node over the second path, unless a probe of it is in flight. The caller holds mu.
 func (a *Agent) startProbe(ctx context.Context, node string) {
 	addr, ok := a.addresses[node]
 	if !ok || a.ctx == nil || a.activeProbes[node] || len(a.activeProbes) >= maxProbes {
--- a/internal/system/failuredetector/detector.go
+++ b/internal/system/failuredetector/detector.go
@@ -4,22 +4,22 @@
 // The problem: decide within some seconds that a process is down, without doing so where only one path to it is lost, where the
 // deciding process was itself paused or partitioned, or where messages of a former process at the same address arrive late.
 //
-// Terms: the watchers of a node are the few nodes to which it sends heartbeats; rendezvous hashing names them (package ownership),
-// so that all who know the same members agree on them. An incarnation is the random number of one process of a node. A watcher
-// suspects a node that has been silent for SuspectTimeout; it then sends indirect pings to the other watchers, which reply when
-// they had contact last, and probes the node over a second path (HTTP). Contact refutes the suspicion; a failed probe and no
+// Terms: the watchers of a node are the few nodes to which it sends heartbeats; rendezvous hashing selects them (package ownership),
+// so all nodes with the same membership list agree on them. An incarnation is the random number of one process of a node. A watcher
+// suspects a node that has been silent for SuspectTimeout; it then sends indirect pings to the other watchers, which reply with the
+// age of their last contact, and probes the node over a second path (HTTP). Contact refutes the suspicion; a failed probe and no
 // refutation until the deadline confirm it, and the watcher reports that incarnation as down.
 //
-// Two things differ from SWIM: the nodes push heartbeats in place of being pinged in random order, and down reports go to an agreed
-// membership list in place of gossip. A process that is called down wrongly refutes the report there by registering again.
+// Two things differ from SWIM: nodes push heartbeats instead of being pinged in random order, and down reports go to an agreed
+// membership list instead of being gossiped. A process that is wrongly reported as down refutes the report by registering again.
 //
 // Invariants:
 //
 //   - A node is reported down only while the detector is connected: another node has replied to one of its pings since it started or
-//     resumed from a pause, and there was contact within SuspectTimeout. A paused process forgets its suspicions.
-//   - A reply counts from when its ping was sent and only for SuspectTimeout, and with the age that the replying node states. So
-//     neither buffered replies nor hearsay keep a dead process alive.
-//   - A down report names an incarnation and never concerns another one.
+//     resumed from a pause, and there was contact within SuspectTimeout. A process that was paused discards its suspicions.
+//   - A reply is dated back to when its ping was sent, minus the age that the replying node states, and is valid only for
+//     SuspectTimeout. So neither buffered nor second-hand replies keep a dead process in the membership list.
+//   - A down report names an incarnation and never affects another one.
 //
 // Bound: every connected watcher reports a dead process as down within SuspectTimeout + ProbeTimeout and two ticks after the
 // arrival of its last heartbeat at any watcher.
@@ -40,7 +40,7 @@
 	Address     string // ip:port of its internal port; the Detector does not use it
 }
 
-// DownReport says that a process is down, or takes that back.
+// DownReport reports that a process is down, or retracts an earlier report.
 type DownReport struct {
 	Node        string
 	Incarnation uint64
@@ -53,30 +53,30 @@
 	Message Message
 }
 
-// Output is what a Detector wants done.
+// Output holds the actions that a Detector requests of its caller.
 type Output struct {
 	Send        []Envelope
-	Probe       []string // nodes to probe over a second path; ProbeResult takes the outcome
+	Probe       []string // nodes to probe over a second path; the outcome goes to ProbeResult
 	DownReports []DownReport
-	Resumed     bool // this process was paused: it does not act on its beliefs until it is connected again
+	Resumed     bool // this process was paused: it must not act on its view of other nodes until it is connected again
 }
 
-// Detector is the pure core of a failure detector: Receive, ProbeResult, SetMembers and Tick feed it, Ready hands out what it
-// wants done. It is not safe for concurrent use. The times that it is given never decrease.
+// Detector is the pure core of a failure detector: Receive, ProbeResult, SetMembers and Tick are its inputs, and Ready returns the
+// actions that it requests. It does no I/O and is not safe for concurrent use. The times passed to it must not decrease.
 type Detector struct {
 	options       Options
 	started       bool
 	lastInput     Time
 	nextHeartbeat Time
 
-	lastMembers []Member        // as given to SetMembers last
+	lastMembers []Member        // as last passed to SetMembers
 	isMember    map[string]bool // self included
 	live        []string        // the members in order, self included
-	watchers    []string        // of this node
+	watchers    []string        // watchers of this node
 	watched     map[string]*watchedNode
 
 	pings       pingLog
-	connected   bool // a ping was answered since the process started or resumed
+	connected   bool // a ping has been answered since the process started or resumed
 	lastContact Time // with any node
 
 	output Output
@@ -92,15 +92,16 @@
 	}
 }
 
-// Ready returns what is to be done since the last call of Ready.
+// Ready returns the actions requested since the last call to Ready.
 func (d *Detector) Ready() Output {
 	out := d.output
 	d.output = Output{}
 	return out
 }
 
-// Connected reports whether a ping of this process was answered since it started or resumed, and it had contact lately. A process
-// that is not connected may itself be partitioned or replaced, and must not act on its beliefs.
+// Connected reports whether a ping of this process has been answered since it started or resumed, and it had contact with another
+// node within SuspectTimeout. A process that is not connected may itself be partitioned or replaced, and must not act on its view of
+// other nodes.
 func (d *Detector) Connected(now Time) bool {
 	return d.connected && now-d.lastInput <= d.options.PauseThreshold && now-d.lastContact <= d.options.SuspectTimeout
 }
@@ -133,7 +134,7 @@
 	return incarnations
 }
 
-// setWatched begins to watch the nodes and processes that are new, and ends to watch those that are this node's no more.
+// setWatched starts watching new nodes and incarnations, and stops watching nodes that are no longer assigned to this node.
 func (d *Detector) setWatched(now Time, incarnations map[string]uint64) {
 	watched := map[string]*watchedNode{}
 	for _, node := range Watched(d.options.Self, d.live, d.options.Watchers) {
@@ -157,7 +158,7 @@
 	d.started, d.lastInput = true, max(d.lastInput, now)
 }
 
-// resumeAfterPause forgets all beliefs that rest on silence: it was this process that did not listen.
+// resumeAfterPause discards all suspicions and down states: the silence of other nodes may only mean that this process was not receiving.
 func (d *Detector) resumeAfterPause(now Time) {
 	d.output.Resumed = true
 	d.connected = false
@@ -169,7 +170,7 @@
 	}
 }
 
-// Tick sends heartbeats that are due and evaluates the watched nodes. It is to be called several times per HeartbeatInterval.
+// Tick sends heartbeats that are due and evaluates the watched nodes. It must be called several times per HeartbeatInterval.
 func (d *Detector) Tick(now Time) {
 	d.advanceClock(now)
 	if now >= d.nextHeartbeat {
@@ -191,7 +192,7 @@
 }
 
 // sendHeartbeats sends a heartbeat to each watcher. Without recent contact it sends pings, whose replies show that this node is
-// connected even where it watches nobody; while it is not connected, to those that it watches as well.
+// connected even if it watches no node; while it is not connected, it also sends them to the nodes that it watches.
 func (d *Detector) sendHeartbeats(now Time) {
 	d.scheduleHeartbeat(now)
 	message, recipients := Message{Kind: Heartbeat}, d.watchers
@@ -206,7 +207,7 @@
 	}
 }
 
-// scheduleHeartbeat sets when the next heartbeat is due. Missed ones are not made up for.
+// scheduleHeartbeat sets when the next heartbeat is due. Missed heartbeats are not sent later.
 func (d *Detector) scheduleHeartbeat(now Time) {
 	d.nextHeartbeat += d.options.HeartbeatInterval
 	if d.nextHeartbeat <= now {
@@ -230,7 +231,7 @@
 	d.output.Send = append(d.output.Send, Envelope{To: to, Message: m})
 }
 
-// Leave announces a graceful shutdown to the watchers, so that they do not report it as down.
+// Leave announces a graceful shutdown to the watchers, so that they do not report this process as down.
 func (d *Detector) Leave(now Time) {
 	d.advanceClock(now)
 	for _, node := range d.watchers {
--- a/internal/system/failuredetector/message.go
+++ b/internal/system/failuredetector/message.go
@@ -12,7 +12,7 @@
 // Kind is the kind of a message. The numbers are on the wire: never reuse one.
 type Kind uint8
 
-// The kinds of messages. All but Leave are signs of life of their senders.
+// The kinds of messages. All but Leave show that their sender is alive.
 const (
 	Heartbeat    Kind = 1 // periodic, without a reply
 	Ping         Kind = 2 // asks for a Pong
@@ -34,10 +34,10 @@
 	Age             time.Duration // of IndirectAck; whole milliseconds on the wire
 }
 
-// ErrMalformedMessage is returned by Decode for bytes that are not a message, or one of another version of the protocol.
+// ErrMalformedMessage is returned by Decode for data that is not a message or has another protocol version.
 var ErrMalformedMessage = errors.New("failuredetector: not a message of this protocol version: drop it")
 
-// The bounds of a datagram.
+// Size limits of a datagram.
 const (
 	maxNameBytes     = 128
 	MaxDatagramBytes = 512
@@ -47,7 +47,7 @@
 
 const headerBytes = len(magic) + 1 // magic and kind
 
-// Append appends the encoding of a message to dst. Names longer than 128 bytes are truncated, and then match no member.
+// Append appends the encoding of a message to dst. Names longer than 128 bytes are truncated, so that they match no member.
 func (m Message) Append(dst []byte) []byte {
 	dst = append(dst, magic[:]...)
 	dst = append(dst, byte(m.Kind))
@@ -62,7 +62,7 @@
 	return binary.AppendUvarint(dst, uint64(max(0, m.Age)/time.Millisecond))
 }
 
-// isIndirect reports whether messages of the kind concern another node than their sender.
+// isIndirect reports whether messages of the kind concern a node other than their sender.
 func (k Kind) isIndirect() bool { return k == IndirectPing || k == IndirectAck || k == IndirectNack }
 
 func appendName(dst []byte, s string) []byte {
@@ -97,7 +97,7 @@
 	return [len(magic)]byte(data) == magic && kind >= Heartbeat && kind <= Leave
 }
 
-// readName reads a name as appendName writes it.
+// readName reads a name encoded by appendName.
 func readName(in *fields.Reader) string {
 	length := in.Byte()
 	if length > maxNameBytes {
--- a/internal/system/failuredetector/options.go
+++ b/internal/system/failuredetector/options.go
@@ -6,15 +6,15 @@
 	"gradeusher.example/gradeusher/internal/system/defaults"
 )
 
-// Options configure a Detector. Zero values take the defaults, which are given here.
+// Options configure a Detector. Zero values select the defaults, which are given in the comments of the fields.
 type Options struct {
 	Self              string
 	Incarnation       uint64        // of this process, chosen at random when it starts
-	Watchers          int           // of each node; 3
-	HeartbeatInterval time.Duration // 400 ms
-	SuspectTimeout    time.Duration // without contact, until a node is suspected; 3.5 heartbeat intervals
-	ProbeTimeout      time.Duration // from suspicion to the down report; 2 heartbeat intervals
-	PauseThreshold    time.Duration // between two inputs, above which this process was paused; 1 s
+	Watchers          int           // per node; default 3
+	HeartbeatInterval time.Duration // default 400 ms
+	SuspectTimeout    time.Duration // without contact, until a node is suspected; default 3.5 heartbeat intervals
+	ProbeTimeout      time.Duration // from suspicion to the down report; default 2 heartbeat intervals
+	PauseThreshold    time.Duration // a longer time between two inputs means that this process was paused; default 1 s
 
 	knobs TestingKnobs
 }
--- a/internal/system/failuredetector/ping.go
+++ b/internal/system/failuredetector/ping.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// maxRecentPings bounds the pings that are remembered: those of some seconds.
+// maxRecentPings bounds the number of remembered pings, which cover several seconds.
 const maxRecentPings = 64
 
-// sentPing is a ping, or several of one moment, that may still be answered.
+// sentPing is a ping, or several sent at the same time, that may still be answered.
 type sentPing struct {
 	nonce  uint64
 	sentAt Time
 }
 
-// pingLog remembers the nonces of recent pings. They distinguish replies to these from replies that waited in a buffer, or that
-// answer a former process at this address.
+// pingLog remembers the nonces of recent pings. They distinguish replies to these pings from replies that waited in a buffer, or
+// that answer a former process at this address.
 type pingLog struct {
 	nonce  uint64     // of the newest ping
 	recent []sentPing // the newest last
 }
 
-// record returns the nonce for the pings that are sent now.
+// record returns the nonce for the pings sent at now, and remembers it.
 func (p *pingLog) record(now Time) uint64 {
 	if last := len(p.recent) - 1; last >= 0 && p.recent[last].sentAt == now {
 		return p.recent[last].nonce
@@ -31,7 +31,7 @@
 	return p.nonce
 }
 
-// sentAt returns when the ping with a nonce was sent; false where no such ping is remembered.
+// sentAt returns when the ping with a nonce was sent, or false if no such ping is remembered.
 func (p *pingLog) sentAt(nonce uint64) (Time, bool) {
 	for _, ping := range p.recent {
 		if ping.nonce == nonce {
@@ -41,5 +41,5 @@
 	return 0, false
 }
 
-// forget makes all replies to the pings so far stale. Nonces go on, so that later pings are not confused with them.
+// forget makes replies to all earlier pings stale. Nonces keep increasing, so that later pings are not confused with earlier ones.
 func (p *pingLog) forget() { p.recent = nil }
--- a/internal/system/failuredetector/probe.go
+++ b/internal/system/failuredetector/probe.go
@@ -15,12 +15,12 @@
 
 const maxAliveBytes = 4 << 10 // of a response
 
-// errOtherNode says that another node, or another program, responds at the address of a node.
+// errOtherNode is returned if another node, or another program, responds at the address of the probed node.
 var errOtherNode = errors.New("failuredetector: another node responds at this address: wait for the membership list to have the new one")
 
-// Handler serves the second path, GET AlivePath.
+// Handler serves GET AlivePath, the second path.
 func (a *Agent) Handler() http.Handler {
-	body, _ := json.Marshal(aliveResponse{Node: a.options.Self, Incarnation: a.options.Incarnation}) // which cannot fail for strings and numbers
+	body, _ := json.Marshal(aliveResponse{Node: a.options.Self, Incarnation: a.options.Incarnation}) // cannot fail for strings and numbers
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet {
 			w.WriteHeader(http.StatusMethodNotAllowed)
@@ -37,8 +37,8 @@
 	Incarnation uint64 `json:"incarnation,string"` // as a string, since some decoders read JSON numbers as floating point
 }
 
-// requestIncarnation probes a node over the second path and returns the incarnation of its process. It fails where the node does
-// not respond in time, or another node has its address by now.
+// requestIncarnation probes a node over the second path and returns the incarnation of its process. It fails if the node does
+// not respond in time, or if another node now uses its address.
 func (a *Agent) requestIncarnation(ctx context.Context, node string, addr netip.AddrPort) (uint64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+AlivePath, nil)
 	if err != nil {
--- a/internal/system/failuredetector/receive.go
+++ b/internal/system/failuredetector/receive.go
@@ -1,12 +1,12 @@
 package failuredetector
 
-// Receive applies a message. Messages of nodes that are not members, and stale replies, are dropped.
+// Receive applies a message. Messages from nodes that are not members, and stale replies, are dropped.
 func (d *Detector) Receive(now Time, message Message) {
 	d.advanceClock(now)
 	if message.From == d.options.Self || !d.isMember[message.From] {
 		return
 	}
-	sentAt := now // of a reply, when its ping was sent
+	sentAt := now // for a reply: when its ping was sent
 	switch message.Kind {
 	case Pong, IndirectNack, IndirectAck:
 		var fresh bool
@@ -34,8 +34,8 @@
 	}
 }
 
-// freshReply returns when the ping of a reply was sent, and whether the reply is recent enough to say anything about now: others
-// waited in a buffer, or answer a former process.
+// freshReply returns when the ping of a reply was sent, and whether the reply is recent enough to be valid evidence: other
+// replies waited in a buffer, or answer a ping of a former process.
 func (d *Detector) freshReply(now Time, nonce uint64) (sentAt Time, fresh bool) {
 	if d.options.knobs.AcceptStaleReplies {
 		return now, true
@@ -44,7 +44,7 @@
 	return sentAt, known && now-sentAt < d.options.SuspectTimeout
 }
 
-// observeSender applies what a message says of its sender, where that is watched.
+// observeSender updates the state of a message's sender, if this node watches it.
 func (d *Detector) observeSender(now Time, message Message) {
 	w := d.watched[message.From]
 	switch {
@@ -58,8 +58,8 @@
 	}
 }
 
-// answerIndirectPing replies with the last contact that this node had with the node in question. Contact that it knows from others
-// counts with its age, so that hearsay does not keep a dead process alive.
+// answerIndirectPing replies with the last contact that this node had with the requested node. Contact reported by other watchers
+// keeps its age, so that second-hand reports do not keep a dead process in the membership list.
 func (d *Detector) answerIndirectPing(now Time, ping Message) {
 	reply := Message{Kind: IndirectNack, Nonce: ping.Nonce, Node: ping.Node, NodeIncarnation: ping.NodeIncarnation}
 	w := d.watched[ping.Node]
--- a/internal/system/failuredetector/suspicion.go
+++ b/internal/system/failuredetector/suspicion.go
@@ -9,7 +9,7 @@
 // may have been lost with the node that received it.
 const reportRepeatInterval = time.Second
 
-// evaluateLiveness moves one watched node on, from time-out to suspicion and from suspicion to a down report.
+// evaluateLiveness advances the state of one watched node: from a timeout to a suspicion, and from a suspicion to a down report.
 func (d *Detector) evaluateLiveness(now Time, node string, w *watchedNode) {
 	switch {
 	case w.left:
@@ -26,20 +26,20 @@
 	case d.isConfirmed(now, node, w) && d.Connected(now):
 		d.reportDown(now, node, w)
 	case now >= w.suspicionDeadline+d.options.ProbeTimeout:
-		// The probe was not made, or this node may itself be the partitioned one: the suspicion begins anew.
+		// The probe was not made, or this node may itself be the partitioned one: start a new suspicion.
 		w.clearSuspicion()
 	case now-w.lastIndirectPing >= d.options.ProbeTimeout/4:
 		d.sendIndirectPings(now, node, w) // a ping or its reply may have been lost
 	}
 }
 
-// isConfirmed reports whether a suspicion is confirmed: the second path failed, and either nobody refuted the suspicion in time
-// or all other watchers have not heard the node either.
+// isConfirmed reports whether a suspicion is confirmed: the second path failed, and either the deadline passed without a
+// refutation or all other watchers replied that they have had no recent contact with the node.
 func (d *Detector) isConfirmed(now Time, node string, w *watchedNode) bool {
 	return w.probeFailed && (now >= w.suspicionDeadline || d.allOthersNacked(node, w))
 }
 
-// sendIndirectPings asks the other watchers of a node for its last sign of life. Any reply also shows that this node is connected.
+// sendIndirectPings asks the other watchers of a node for their last contact with it. Any reply also shows that this node is connected.
 func (d *Detector) sendIndirectPings(now Time, node string, w *watchedNode) {
 	w.lastIndirectPing = now
 	nonce := d.pings.record(now)
@@ -53,7 +53,8 @@
 	return slices.DeleteFunc(Watchers(node, d.live, d.options.Watchers), func(n string) bool { return n == d.options.Self })
 }
 
-// allOthersNacked reports whether there are other watchers, and all of them have replied that they have not heard the node.
+// allOthersNacked reports whether there are other watchers, and all of them have replied that they have had no recent
+// contact with the node.
 func (d *Detector) allOthersNacked(node string, w *watchedNode) bool {
 	others := d.otherWatchers(node)
 	for _, n := range others {
@@ -69,8 +70,8 @@
 	d.output.DownReports = append(d.output.DownReports, DownReport{Node: node, Incarnation: w.incarnation, Down: true})
 }
 
-// recordContact records that a process gave a sign of life at contactedAt, which is now or earlier. A recent one refutes a
-// suspicion and takes back a down report.
+// recordContact records contact with a process at contactedAt, which is now or earlier. Recent contact refutes a suspicion and
+// retracts a down report.
 func (d *Detector) recordContact(now Time, node string, incarnation uint64, contactedAt Time) {
 	w := d.watched[node]
 	if w == nil || incarnation != w.incarnation {
@@ -89,8 +90,8 @@
 	}
 }
 
-// confirmIncarnation has a node probed for its present incarnation. Incarnations have no order, so that of two only a fresh reply
-// shows which is the present one: a datagram of a process that is gone may arrive late.
+// confirmIncarnation requests a probe of a node for its current incarnation. Incarnations are unordered, and a datagram of a process
+// that has ended may arrive late, so only a fresh reply shows which of two incarnations is the current one.
 func (d *Detector) confirmIncarnation(now Time, node string, w *watchedNode) {
 	if w.lastIncarnationProbe == 0 || now-w.lastIncarnationProbe >= d.options.HeartbeatInterval {
 		w.lastIncarnationProbe = now
@@ -99,7 +100,7 @@
 }
 
 // ProbeResult applies the outcome of a probe over the second path that began at sentAt: the incarnation of the process that
-// replied, or that none did in time.
+// replied, or alive == false if none replied in time.
 func (d *Detector) ProbeResult(now, sentAt Time, node string, incarnation uint64, alive bool) {
 	d.advanceClock(now)
 	if alive && now-sentAt >= d.options.SuspectTimeout {
--- a/internal/system/failuredetector/testing_knobs.go
+++ b/internal/system/failuredetector/testing_knobs.go
@@ -1,7 +1,7 @@
 package failuredetector
 
-// TestingKnobs take protections out, so that tests can show what each is for.
+// TestingKnobs disable protections, so that tests can show which failure each one prevents.
 type TestingKnobs struct {
-	// AcceptStaleReplies accepts replies however long after their ping they arrive.
+	// AcceptStaleReplies accepts replies regardless of how long after their ping they arrive.
 	AcceptStaleReplies bool
 }
--- a/internal/system/failuredetector/watched_node.go
+++ b/internal/system/failuredetector/watched_node.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// maxRetiredIncarnations bounds the former incarnations of a node that are remembered.
+// maxRetiredIncarnations bounds the number of former incarnations that are remembered per node.
 const maxRetiredIncarnations = 4
 
-// watchedNode is what this detector believes of a node that it watches.
+// watchedNode holds the state of a node that this detector watches.
 type watchedNode struct {
 	incarnation         uint64
-	retiredIncarnations []uint64 // the newest last; a membership list that lags may still name one
-	watchedSince        Time     // moved on when this process resumes from a pause
-	lastContact         Time     // when the newest known sign of life was given, directly or to another watcher
+	retiredIncarnations []uint64 // the newest last; a stale membership list may still name one
+	watchedSince        Time     // reset when this process resumes from a pause
+	lastContact         Time     // time of the latest known contact, with this node or with another watcher
 	contacted           bool     // lastContact is set
-	left                bool     // it announced a graceful shutdown
+	left                bool     // the node announced a graceful shutdown
 
 	suspected            bool
 	suspicionDeadline    Time
 	lastIndirectPing     Time
 	lastIncarnationProbe Time            // when it was last probed for its incarnation
-	probeFailed          bool            // the second path failed since the suspicion began
-	nacks                map[string]bool // the watchers that have not heard it either
+	probeFailed          bool            // the second path has failed since the suspicion began
+	nacks                map[string]bool // the watchers that had no recent contact with it either
 
-	down           bool // it was reported as down
+	down           bool // the node was reported as down
 	lastReportedAt Time
 }
 
-// replace begins to watch a new process of the node.
+// replace starts watching a new incarnation of the node.
 func (w *watchedNode) replace(now Time, incarnation uint64) {
 	retired := append(slices.DeleteFunc(w.retiredIncarnations, func(r uint64) bool { return r == incarnation }), w.incarnation)
 	if len(retired) > maxRetiredIncarnations {
@@ -34,12 +34,12 @@
 	*w = watchedNode{incarnation: incarnation, retiredIncarnations: retired, watchedSince: now}
 }
 
-// isNewIncarnation reports whether a membership list names a process that is neither the watched one nor one before it.
+// isNewIncarnation reports whether an incarnation is neither the watched one nor a former one.
 func (w *watchedNode) isNewIncarnation(incarnation uint64) bool {
 	return incarnation != w.incarnation && !slices.Contains(w.retiredIncarnations, incarnation)
 }
 
-// sinceLastContact is how long the node has been silent while it was watched.
+// sinceLastContact returns how long the node has been silent while it was watched.
 func (w *watchedNode) sinceLastContact(now Time) Time {
 	if w.contacted {
 		return now - max(w.watchedSince, w.lastContact)
@@ -47,7 +47,7 @@
 	return now - w.watchedSince
 }
 
-// beginSuspicion starts a suspicion that lasts for a time, within which it is confirmed or refuted.
+// beginSuspicion starts a suspicion, to be confirmed or refuted within timeout.
 func (w *watchedNode) beginSuspicion(now, timeout Time) {
 	w.suspected, w.suspicionDeadline = true, now+timeout
 	w.probeFailed, w.nacks = false, map[string]bool{}
@@ -56,7 +56,7 @@
 // clearSuspicion ends a suspicion without a down report.
 func (w *watchedNode) clearSuspicion() { w.suspected, w.nacks = false, nil }
 
-// recordNack records that another watcher has not heard a process of the node either.
+// recordNack records that another watcher had no recent contact with an incarnation of the node either.
 func (w *watchedNode) recordNack(watcher string, incarnation uint64) {
 	if w.suspected && w.incarnation == incarnation {
 		w.nacks[watcher] = true
--- a/internal/system/failuredetector/watchers.go
+++ b/internal/system/failuredetector/watchers.go
@@ -6,7 +6,7 @@
 	"gradeusher.example/gradeusher/internal/system/ownership"
 )
 
-// Watchers returns the count nodes that watch node, to which it sends heartbeats. It is the same at all who know the same live nodes.
+// Watchers returns the count nodes that watch node and receive its heartbeats. The result depends only on the set of live nodes.
 func Watchers(node string, live []string, count int) []string {
 	others := slices.DeleteFunc(slices.Clone(live), func(n string) bool { return n == node })
 	return ownership.Owners(node, others, count)
--- a/internal/system/platform/client.go
+++ b/internal/system/platform/client.go
@@ -29,12 +29,12 @@
 	ErrUnreachable = errors.New("platform: not reached in time")
 )
 
-// RateError says that the platform rejected a call for its rate (status 429). It is of the kind ErrRateLimited.
+// RateError is returned if the platform rejected a call because of its rate limit (status 429). It matches ErrRateLimited.
 type RateError struct {
-	After time.Duration // the platform's hint; 0: there was none
+	After time.Duration // the platform's Retry-After hint; 0: there was none
 }
 
-// Error names the remedy.
+// Error returns the failure and its remedy.
 func (e *RateError) Error() string {
 	return "the platform answered 429: call less often, next after " + e.After.String()
 }
@@ -42,7 +42,7 @@
 // Is makes every RateError match ErrRateLimited.
 func (e *RateError) Is(target error) bool { return target == ErrRateLimited }
 
-// RetryAfter returns the hint of a RateError, 0 where err is none or has no hint.
+// RetryAfter returns the hint of a RateError, or 0 if err is not a RateError or has no hint.
 func RetryAfter(err error) time.Duration {
 	var r *RateError
 	if errors.As(err, &r) {
@@ -51,21 +51,21 @@
 	return 0
 }
 
-// The bounds of a list.
+// Size limits of a list.
 const (
 	maxPageBytes   = 8 << 20
 	maxHeaderBytes = 64 << 10 // of a response
-	maxErrorBytes  = 4 << 10  // read of an error response
+	maxErrorBytes  = 4 << 10  // read from an error response
 	maxPages       = 100
 )
 
 // Options configure a Client.
 type Options struct {
 	Address string        // host:port of the platform's list
-	Timeout time.Duration // of one page; 0: 1 s
+	Timeout time.Duration // per page; 0: 1 s
 }
 
-// Client reads the platform's server list. It may be used by several goroutines at once.
+// Client reads the platform's server list. It is safe for concurrent use.
 type Client struct {
 	listURL string
 	timeout time.Duration
@@ -73,7 +73,7 @@
 	calls   atomic.Uint64
 }
 
-// NewClient returns a client, which connects with its first request.
+// NewClient returns a client, which connects on its first request.
 func NewClient(options Options) *Client {
 	options.Timeout = defaults.IfNotPositive(options.Timeout, time.Second)
 	dialer := net.Dialer{Timeout: 500 * time.Millisecond, Control: setUserTimeout}
@@ -87,7 +87,7 @@
 					if err != nil {
 						return nil, err
 					}
-					return framing.NewServerConn(conn, maxHeaderBytes), nil // surplus bytes after a response are not taken for the next one
+					return framing.NewServerConn(conn, maxHeaderBytes), nil // so that surplus bytes after a response are not read as the next one
 				},
 				DisableCompression:     true,
 				MaxIdleConns:           2,
@@ -100,7 +100,7 @@
 	}
 }
 
-// setUserTimeout has the kernel close a connection whose packets are not acknowledged for a second, as in a network partition.
+// setUserTimeout makes the kernel close a connection whose packets are not acknowledged for one second, as in a network partition.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var set error
 	if err := c.Control(func(fd uintptr) {
@@ -111,19 +111,19 @@
 	return set
 }
 
-// Calls returns how many requests were sent so far.
+// Calls returns the number of requests sent so far.
 func (c *Client) Calls() uint64 { return c.calls.Load() }
 
 // Close closes the idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// pageArrival is when a page arrived, and how many instances the list had then.
+// pageArrival holds when a page arrived and the number of instances in the list after it.
 type pageArrival struct {
 	at        time.Time
 	instances int
 }
 
-// ageWarmUps shortens the remaining warm-ups of a list so that all count from the arrival of the last page.
+// ageWarmUps adjusts the remaining warm-up times of a list so that all are relative to the arrival of the last page.
 func ageWarmUps(list []Instance, pages []pageArrival) {
 	last := pages[len(pages)-1].at
 	first := 0
@@ -135,9 +135,9 @@
 	}
 }
 
-// List returns the servers of a zone, or of all zones where it is empty, sorted by id, with their warm-ups as of the last page. The list
-// is complete, or there is an error of the kind ErrRateLimited, ErrMalformed or ErrUnreachable. Each page has the client's time-out;
-// ctx bounds them together.
+// List returns the servers of a zone, or of all zones where it is empty, sorted by id, with warm-up times relative to the arrival of the
+// last page. It returns either the complete list or an error that matches ErrRateLimited, ErrMalformed or ErrUnreachable. The client's
+// timeout applies to each page; ctx bounds all pages together.
 func (c *Client) List(ctx context.Context, zone string) ([]Instance, error) {
 	var (
 		list   []Instance
@@ -182,7 +182,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		// A short body is read to its end, so that the connection can be used again.
+		// Drain a short body, so that the connection can be reused.
 		_, _ = io.CopyN(io.Discard, response.Body, maxErrorBytes)
 		return statusError(response)
 	}
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// statusError is the error for a response other than 200.
+// statusError returns the error for a response with a status other than 200.
 func statusError(response *http.Response) error {
 	if response.StatusCode == http.StatusTooManyRequests {
 		return &RateError{After: parseRetryAfter(response.Header.Get("Retry-After"))}
@@ -205,7 +205,7 @@
 	return errors.Mark(errors.Newf("the platform answered %d: keep the old list and ask again", response.StatusCode), ErrUnreachable)
 }
 
-// pageURL is the URL of a page of the list.
+// pageURL returns the URL of a page of the list.
 func (c *Client) pageURL(zone, token string) string {
 	query := url.Values{}
 	if zone != "" {
@@ -220,8 +220,8 @@
 	return c.listURL + "?" + query.Encode()
 }
 
-// request sends a request, and once more on a new connection where a reused one broke: a partition may have silenced that one, or
-// the platform may have closed it.
+// request sends a request. If a reused connection fails, it retries once on a new connection: the old one may have been cut by a
+// partition or closed by the platform.
 func (c *Client) request(ctx context.Context, target string) (*http.Response, error) {
 	response, reused, err := c.sendRequest(ctx, target)
 	if err == nil {
@@ -238,7 +238,7 @@
 	return response, nil
 }
 
-// sendRequest sends one request and counts it. It reports whether the request went out on a connection that was used before.
+// sendRequest sends one request and counts it. It reports whether the request was sent on a reused connection.
 func (c *Client) sendRequest(ctx context.Context, target string) (response *http.Response, reused bool, err error) {
 	trace := &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { reused = got.Reused }}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, target, nil)
@@ -252,13 +252,13 @@
 }
 
 // preventRetry keeps http.Transport from retrying a request without a body when a reused connection breaks before a response: the
-// platform would count two, and Calls one. The transport does not retry a request that has a body and no GetBody, so the request
-// gets an empty one; the encoding "identity" keeps it from being announced.
+// platform would count two calls, and Calls one. The transport does not retry a request that has a body and no GetBody, so the request
+// gets an empty body; the transfer encoding "identity" keeps that body out of the request's headers.
 func preventRetry(r *http.Request) {
 	r.Body, r.GetBody, r.TransferEncoding = io.NopCloser(strings.NewReader("")), nil, []string{"identity"}
 }
 
-// parseRetryAfter parses seconds, also fractions of them, and bounds them to a minute.
+// parseRetryAfter parses a number of seconds, which may have a fraction, and caps it at one minute.
 func parseRetryAfter(value string) time.Duration {
 	s, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || !(s > 0) {
--- a/internal/system/platform/instance.go
+++ b/internal/system/platform/instance.go
@@ -1,9 +1,9 @@
-// Package platform is a client of the platform's service discovery: it reads the paged list of servers and polls it for the whole
-// system.
+// Package platform is a client of the platform's service discovery: it reads the paged list of servers and polls it on behalf of the
+// entire system.
 //
-// The problem: the platform bounds the rate of calls, answers in pages while its list changes, and may be slow, unreachable or
-// partitioned from some of our nodes. So one node, the owner of a singleton role, polls for all; a list is complete or an error; and
-// where the list in use becomes stale, other nodes poll as well, rarely and at random moments (package ownership, Standby).
+// The problem: the platform limits the rate of calls, returns its list in pages while the list changes, and may be slow, unreachable
+// or partitioned from some of our nodes. So one node, the owner of a singleton role, polls for all; a read returns a complete list or
+// an error; and if the list in use becomes stale, other nodes poll as well, rarely and at random times (package ownership, Standby).
 //
 // Invariants: the owner sends at most MaxCallsPerSecond on average, and waits longer after failures; every result carries the
 // fencing token of its owner and a version, and of two results the one with the higher (Fence, Version) is in use.
@@ -18,7 +18,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// Phase says whether a server may get new requests.
+// Phase determines whether a server may get new requests.
 type Phase uint8
 
 // The phases of the platform's list.
@@ -42,8 +42,8 @@
 	Zone       string
 	Slots      int
 	Phase      Phase
-	WarmUpLeft time.Duration // until it is warm; 0: it is
-	Remaining  time.Duration // until a server that is withdrawn at short notice ends; 0: not known
+	WarmUpLeft time.Duration // until it is warm; 0: it is warm already
+	Remaining  time.Duration // until a server that is withdrawn at short notice terminates; 0: not known
 	Revision   string        // of its software
 	Stage      string        // of a model server
 	Models     []Model
@@ -54,7 +54,7 @@
 	maxDuration = 7 * 24 * time.Hour
 )
 
-// interner keeps one copy in memory of strings that many instances share.
+// interner deduplicates strings that many instances share.
 type interner map[string]string
 
 func (in interner) intern(b []byte) string {
@@ -66,7 +66,7 @@
 	return s
 }
 
-// getDuration reads a field of milliseconds, fractions included, bounded to 0 and maxDuration.
+// getDuration reads a field in milliseconds, which may have a fraction, clamped to the range from 0 to maxDuration.
 func getDuration(object *fastjson.Value, name string) time.Duration {
 	ms := object.GetFloat64(name)
 	switch {
@@ -115,7 +115,7 @@
 		instance.Phase = Draining
 	}
 	if r := entry.Get("remaining_ms"); r != nil && r.Type() == fastjson.TypeNumber {
-		// 0 means "not known" in Remaining, so that what has run out is the shortest time there is.
+		// 0 means "not known" in Remaining, so a time that has run out is represented by 1 ms.
 		instance.Remaining = max(getDuration(entry, "remaining_ms"), time.Millisecond)
 	}
 	for _, m := range entry.GetArray("models") {
@@ -124,7 +124,7 @@
 	return instance
 }
 
-// parseModel reads a model with its adapters, which are names, or objects with a name.
+// parseModel reads a model with its adapters, each of which is a name or an object with a name.
 func parseModel(entry *fastjson.Value, shared interner) Model {
 	model := Model{Name: shared.intern(entry.GetStringBytes("name")), Revision: int64(entry.GetFloat64("revision"))}
 	for _, adapter := range entry.GetArray("adapters") {
@@ -139,7 +139,7 @@
 	return model
 }
 
-// nextToken returns the token of the next page. It may be of any JSON type: what is not a string is sent back as it was written.
+// nextToken returns the token of the next page. It may be of any JSON type: a token that is not a string is sent back in its JSON encoding.
 func nextToken(document *fastjson.Value) string {
 	token := document.Get("next_token")
 	if token == nil || token.Type() == fastjson.TypeNull {
--- a/internal/system/platform/poller.go
+++ b/internal/system/platform/poller.go
@@ -12,10 +12,10 @@
 	"gradeusher.example/gradeusher/internal/system/ownership"
 )
 
-// Lister reads the list for a Poller; a Client is one.
+// Lister reads the list for a Poller. Client implements it.
 type Lister interface {
 	List(ctx context.Context, zone string) ([]Instance, error)
-	Calls() uint64 // requests sent so far: one for each page
+	Calls() uint64 // requests sent so far, one per page
 }
 
 // Result is a complete list. One with a higher (Fence, Version) replaces one with a lower.
@@ -28,14 +28,14 @@
 	RequestedAt, ReceivedAt time.Time
 }
 
-// ListVersion is how new a list is. One with a higher (Fence, Version) replaces one with a lower.
+// ListVersion identifies how recent a list is. One with a higher (Fence, Version) replaces one with a lower.
 type ListVersion struct {
 	Fence   uint64 // the fencing token under which it was read
 	Version uint64
-	Age     time.Duration // since it was read from the platform, at most
+	Age     time.Duration // upper bound of the time since it was read from the platform
 }
 
-// next returns the version of a result that is read under fence, which is no lower than v's.
+// next returns the version of a result that is read under fence, which must not be lower than v.Fence.
 func (v ListVersion) next(fence uint64) uint64 {
 	if fence == v.Fence {
 		return v.Version + 1
@@ -46,21 +46,21 @@
 // PollerOptions configure a Poller. Lister, Ownership, Newest and OnResult are required.
 type PollerOptions struct {
 	Lister Lister
-	// Ownership reports whether this process is to poll now, and its fencing token.
+	// Ownership returns the fencing token of this process and whether the process owns the polling role.
 	Ownership func() (fence uint64, holds bool)
-	// Newest returns the version and age of the list in use, whoever read it. Versions continue from there, so that the results of a
-	// restarted poller are newer than those before.
+	// Newest returns the version and age of the list in use, regardless of which node read it. Versions continue from there, so that
+	// results of a restarted poller are newer than earlier ones.
 	Newest   func() ListVersion
 	OnResult func(Result) // called by Run, one at a time
 
 	Interval          time.Duration // from the start of one poll to that of the next; 0: 500 ms
-	MaxCallsPerSecond float64       // of the owner, each page counted; 0: 4. A tenth of the platform's rate_per_s is meant
-	StaleAfter        time.Duration // the age from which others than the owner poll as well; 0: 2 s
+	MaxCallsPerSecond float64       // of the owner, counting each page; 0: 4. The intended value is a tenth of the platform's rate_per_s
+	StaleAfter        time.Duration // the age from which nodes other than the owner poll as well; 0: 2 s
 	Log               log.Interface
 }
 
-// Poller reads the list periodically while its process owns the role. Others poll rarely, at random moments, once the list in use is
-// stale, so that an owner that is partitioned from the platform delays updates for a bounded time only.
+// Poller reads the list periodically while its process owns the role. Other nodes poll rarely, at random times, once the list in use
+// is stale, so that an owner that is partitioned from the platform delays updates only for a bounded time.
 type Poller struct {
 	options PollerOptions
 	backoff pollBackoff
@@ -98,12 +98,12 @@
 	}
 }
 
-// poll reads the list once if it is this process's turn, and returns how long to wait until the next call of poll.
+// poll reads the list if this process should poll now, and returns how long to wait until the next call to poll.
 func (p *Poller) poll(ctx context.Context) time.Duration {
 	fence, owns := p.options.Ownership()
 	newest := p.options.Newest()
 	if fence < newest.Fence {
-		// Another node acts under a newer token: a result under this one would be rejected.
+		// Another node polls under a newer fencing token: a result under this one would be rejected.
 		return p.options.Interval
 	}
 	act, next := p.standby.Next(owns, newest.Age, rand.Float64())
@@ -124,7 +124,7 @@
 	return max(0, wait-result.ReceivedAt.Sub(start))
 }
 
-// read reads the list, and counts the calls that it took. The times of the result are set also where there is an error.
+// read reads the list and counts the calls it took. RequestedAt and ReceivedAt of the result are set even if there is an error.
 func (p *Poller) read(ctx context.Context, start time.Time) (result Result, calls int, err error) {
 	callsBefore := p.options.Lister.Calls()
 	result.RequestedAt = start
@@ -135,18 +135,19 @@
 
 // pollBackoff computes the wait from the start of one poll to that of the next.
 type pollBackoff struct {
-	interval time.Duration // the least wait
-	perCall  time.Duration // the wait for each call of a poll, which bounds their rate
-	failures int           // consecutive ones
+	interval time.Duration // the minimum wait
+	perCall  time.Duration // the wait per call of a poll, which bounds the call rate
+	failures int           // consecutive failures
 }
 
-// The bounds of the wait after consecutive failures.
+// Maximum waits after consecutive failures.
 const (
 	maxFailureWait   = 2 * time.Second
 	maxRateLimitWait = 4 * time.Second
 )
 
-// next returns the wait after a poll that took some calls and ended with err. It doubles with each consecutive failure, up to a bound.
+// next returns the wait after a poll that took the given number of calls and returned err. The wait doubles with each consecutive
+// failure, up to a maximum.
 func (p *pollBackoff) next(calls int, err error) time.Duration {
 	wait := max(p.interval, time.Duration(calls)*p.perCall)
 	if err == nil {
--- a/internal/system/process/doc.go
+++ b/internal/system/process/doc.go
@@ -1,3 +1,3 @@
-// Package process is the skeleton of the system's programs: command line, settings, logs, signals, metrics, listeners, HTTP servers
-// of the system's own surfaces, and a group of goroutines that ends as one.
+// Package process contains what all programs of the system share: command line, settings, logs, signals, metrics, listeners, HTTP
+// servers of the system's own endpoints, and a group of goroutines that ends together.
 package process
--- a/internal/system/process/group.go
+++ b/internal/system/process/group.go
@@ -12,15 +12,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of the system's own HTTP servers.
+// Limits of the system's own HTTP servers.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = time.Minute
 	maxHeaderBytes    = 16 << 10
-	shutdownTimeout   = 300 * time.Millisecond // for calls that are under way when the server ends
+	shutdownTimeout   = 300 * time.Millisecond // for calls in flight when the server shuts down
 )
 
-// Group owns the goroutines of a process: the first that fails ends all, and Wait returns once all have ended. NewGroup makes one.
+// Group owns the goroutines of a process: the first failure cancels all, and Wait returns once all have ended. Use NewGroup to create one.
 type Group struct {
 	wait sync.WaitGroup
 	mu   sync.Mutex
@@ -28,13 +28,13 @@
 	stop context.CancelFunc
 }
 
-// NewGroup returns a group and its context, which ends with parent or when a goroutine of the group fails.
+// NewGroup returns a group and its context, which is canceled with parent or when a goroutine of the group fails.
 func NewGroup(parent context.Context) (*Group, context.Context) {
 	ctx, cancel := context.WithCancel(parent)
 	return &Group{stop: cancel}, ctx
 }
 
-// Go runs run in a goroutine of the group. An error ends the group's context.
+// Go runs run in a goroutine of the group. An error cancels the group's context.
 func (g *Group) Go(run func() error) {
 	g.wait.Go(func() {
 		if err := run(); err != nil {
@@ -48,8 +48,8 @@
 	})
 }
 
-// ServeHTTP serves handler at listener until ctx ends, with handler's ConnContext if it has one. Calls that are under way then have
-// shutdownTimeout to end. It returns at once; an error of the listener, an ErrListen, ends the group.
+// ServeHTTP serves handler at listener until ctx is done, with handler's ConnContext if it has one. Calls in flight then have
+// shutdownTimeout to complete. ServeHTTP does not block; an error of the listener, marked ErrListen, cancels the group.
 func (g *Group) ServeHTTP(ctx context.Context, listener net.Listener, handler http.Handler) {
 	server := newServer(ctx, handler)
 	g.Go(func() error {
@@ -67,7 +67,7 @@
 	})
 }
 
-// connContexter is a handler that adds to the context of each connection, as http.Server.ConnContext does.
+// connContexter is implemented by handlers that provide http.Server.ConnContext.
 type connContexter interface {
 	ConnContext(context.Context, net.Conn) context.Context
 }
--- a/internal/system/process/listen.go
+++ b/internal/system/process/listen.go
@@ -12,14 +12,14 @@
 
 const (
 	keepAliveInterval = 15 * time.Second
-	// unacknowledgedTimeout ends a connection whose peer has not acknowledged bytes for so long.
+	// unacknowledgedTimeout is how long sent bytes may remain unacknowledged before the connection is closed.
 	unacknowledgedTimeout = 5 * time.Second
 )
 
-// ErrListen marks errors of an address that cannot be listened at. Test with errors.Is of github.com/cockroachdb/errors.
+// ErrListen marks errors of listening on an address. Test with errors.Is of github.com/cockroachdb/errors.
 var ErrListen = errors.New("listen")
 
-// Listen opens an IPv4 TCP listener whose connections end when their peer vanishes. Errors are ErrListen.
+// Listen opens an IPv4 TCP listener whose connections are closed when their peer vanishes. Errors are marked ErrListen.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: keepAliveInterval, Control: setUserTimeout}
 	listener, err := config.Listen(ctx, "tcp4", address)
--- a/internal/system/process/metrics.go
+++ b/internal/system/process/metrics.go
@@ -12,10 +12,11 @@
 	"gradeusher.example/gradeusher/internal/system/invariant"
 )
 
-// MetricsPath is the path at which a process serves its metrics, in Prometheus' text format, if it was started with a port for them.
+// MetricsPath is the path at which a process serves its metrics, in the Prometheus text format, if it was started with a metrics port.
 const MetricsPath = "/metrics"
 
-// ServeMetrics serves the process's metrics in group until ctx ends. Without a port it does nothing. Errors are ErrListen.
+// ServeMetrics serves the process's metrics in group until ctx is done. Without a metrics port it does nothing. Errors are marked
+// ErrListen.
 func (p *Process) ServeMetrics(ctx context.Context, group *Group) error {
 	if p.metricsPort == 0 {
 		return nil
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// logViolations logs violations of invariants.
+// logViolations logs each violation of an invariant.
 func logViolations(logger log.Interface, node string) {
 	invariant.Notify(func(v invariant.Violation) {
 		logger.WithField("node", node).WithField("invariant", v.Name).WithField("count", v.Count).Error("invariant violated: " + v.Statement)
--- a/internal/system/process/process.go
+++ b/internal/system/process/process.go
@@ -14,27 +14,27 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// killMargin is kept free between a process's own end and the moment at which the platform kills it.
+// killMargin is the time left between a process's own exit and the moment at which the platform kills it.
 const killMargin = 700 * time.Millisecond
 
-// GracePeriod returns how long a process may take to end after SIGTERM, where the platform kills it graceSeconds after that. It is negative
-// where graceSeconds is shorter than the margin that is kept free.
+// GracePeriod returns how long a process may take to exit after SIGTERM if the platform kills it graceSeconds after the signal. It is
+// negative if graceSeconds is shorter than killMargin.
 func GracePeriod(graceSeconds float64) time.Duration {
 	return settings.Seconds(graceSeconds) - killMargin
 }
 
-// Process is a running program: from one start to its end.
+// Process is one run of a program.
 type Process struct {
 	Settings *settings.Settings
 	Log      log.Interface
 
 	program     Program
-	metricsPort int              // port of /metrics; 0: nowhere
-	terminated  context.Context  // ends with SIGTERM or an interrupt
+	metricsPort int              // port of /metrics; 0: metrics are not served
+	terminated  context.Context  // done on SIGTERM or an interrupt
 	reload      <-chan os.Signal // SIGHUPs
 }
 
-// newLogger returns a logger to standard error, one line an entry, in logfmt.
+// newLogger returns a logger that writes one logfmt line per entry to standard error.
 func newLogger(level string) (log.Interface, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return &log.Logger{Handler: logfmt.New(os.Stderr), Level: parsed}, nil
 }
 
-// notifySignals returns a context that ends with SIGTERM or an interrupt, and a channel that receives SIGHUPs. The caller must call
+// notifySignals returns a context that is canceled by SIGTERM or an interrupt, and a channel that receives SIGHUPs. The caller must call
 // stop.
 func notifySignals(parent context.Context) (ctx context.Context, reload <-chan os.Signal, stop func()) {
 	ctx, cancel := signal.NotifyContext(parent, syscall.SIGTERM, syscall.SIGINT)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Wait returns when the process is to end: by SIGTERM or an interrupt, or when ctx is done. On SIGHUP it validates the settings file
-// again and logs the result; a process does not change its settings while it runs, so changes count from its next start.
+// Wait returns when the process must shut down: on SIGTERM or an interrupt, or when ctx is done. On SIGHUP it validates the settings
+// file again and logs the result; a process does not change its settings while it runs, so changes take effect at its next start.
 func (p *Process) Wait(ctx context.Context) {
 	for {
 		select {
--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -16,12 +16,12 @@
 	exitUsage   = 2 // the command line is wrong
 )
 
-// Program describes a program of the system.
+// Program describes one of the system's programs.
 type Program struct {
-	Name        string // in messages
-	Description string // in the help
+	Name        string // used in messages
+	Description string // used in the help text
 	Role        settings.Role
-	Run         func(*Process) error // runs the role until the process is to end
+	Run         func(*Process) error // runs the role until the process must shut down
 }
 
 // commandLine is the command line of every program of the system.
@@ -39,8 +39,8 @@
 	File string `arg:"" optional:"" help:"The settings file; otherwise the one that GRADEUSHER_BOOT names."`
 }
 
-// Main runs a program by its command line and, where that fails, ends the process: with status 2 where the command line is wrong, with
-// 1 where the command fails, after one line on standard error that says why.
+// Main runs a program according to its command line. On failure it writes one line with the reason to standard error and exits, with
+// status 2 if the command line is invalid and with status 1 if the command fails.
 func Main(program Program) {
 	var commands commandLine
 	parser, err := kong.New(&commands, kong.Name(program.Name), kong.Description(program.Description), kong.UsageOnError())
@@ -56,7 +56,7 @@
 	}
 }
 
-// fail ends the process after one line that says why.
+// fail writes one line with the reason to standard error and exits.
 func (p Program) fail(code int, err error) {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
 	os.Exit(code)
--- a/internal/system/settings/runtime.go
+++ b/internal/system/settings/runtime.go
@@ -5,8 +5,8 @@
 	"runtime/debug"
 )
 
-// ApplyToRuntime configures Go's runtime for the limits. Memory is priced by its peak, so garbage is collected early: the heap may
-// grow by growthPercent over what is live, and its soft limit is a part of the process's memory.
+// ApplyToRuntime configures Go's runtime for the limits. The cost of memory depends on its peak, so garbage is collected early: the
+// heap may grow by growthPercent over the live heap, and its soft limit is the fraction heapPart of the process's memory.
 func (l Limits) ApplyToRuntime() {
 	const (
 		growthPercent = 35
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings reads and validates the settings file of a process of the system (TOML; DEPLOY.md, "Settings of a process").
 //
-// The file is the same for all roles, and each role needs only a part of it. A process must not start on settings with which it
-// would fail later or break a rule, so Parse checks the range of each figure and the addresses that the role needs, and its error is
+// The file is the same for all roles, and each role needs only a part of it. A process must not start with settings with which it
+// would fail later or break a rule. So Parse checks the range of each figure and the addresses that the role needs, and its error is
 // one line that names the key and the remedy. Unknown keys are ignored, since the file may gain new ones.
 package settings
 
@@ -22,7 +22,7 @@
 // Test with errors.Is of github.com/cockroachdb/errors.
 var ErrSettings = errors.New("settings")
 
-// Bind has the addresses, as IP:PORT, that a process listens at; empty where it does not serve that.
+// Bind holds the addresses, as IP:PORT, that a process listens on; an endpoint that it does not serve is empty.
 type Bind struct {
 	Front     string `toml:"front"`
 	Readiness string `toml:"readiness"`
@@ -30,7 +30,7 @@
 	Directory string `toml:"directory"`
 }
 
-// Limits are the resources that the machine gives a process.
+// Limits are the resources that a process may use on its machine.
 type Limits struct {
 	CPUShare        float64 `toml:"cpu_share"` // of a core
 	Cores           float64 `toml:"cores"`
@@ -40,14 +40,14 @@
 	DiskMB          int64   `toml:"disk_mb"` // MB; 0: no disk
 }
 
-// Tolerance is what the system may lose at once while all rules still hold.
+// Tolerance is how many simultaneous losses the system must survive without breaking a rule.
 type Tolerance struct {
 	Machines int `toml:"machine_losses"`
 	Zones    int `toml:"zones"`
 	Regions  int `toml:"region_losses"`
 }
 
-// Bounds are the figures of the operators' rules. Keys end in their unit: _ms or _s; ratios, excesses and slacks of requests have none.
+// Bounds are the figures of the operators' rules. Keys end in their unit, _ms or _s, except for ratios, excesses and slacks of requests.
 type Bounds struct {
 	SeedLagSeconds     float64 `toml:"seed_lag_s"`
 	ContactMS          float64 `toml:"contact_ms"`
@@ -58,16 +58,16 @@
 	LossSlackMS        float64 `toml:"loss_slack_ms"`
 	ConfigApplyMS      float64 `toml:"config_apply_ms"`
 	RevertSlackMS      float64 `toml:"revert_slack_ms"`
-	RevocationGlobal   bool    `toml:"revocation_global"` // revoke_ms binds machines without contact to the control plane, too
-	RevokeMS           float64 `toml:"revoke_ms"`         // within which a key that was taken away is refused everywhere
+	RevocationGlobal   bool    `toml:"revocation_global"` // revoke_ms also applies to machines without contact to the control plane
+	RevokeMS           float64 `toml:"revoke_ms"`         // within which a revoked key is rejected everywhere
 	RetryRatio         float64 `toml:"retry_ratio"`
 	RetryWindowSeconds float64 `toml:"retry_window_s"`
 	RetrySlack         float64 `toml:"retry_slack"`
 	ColdExcess         float64 `toml:"cold_excess"`
 	ColdSlack          float64 `toml:"cold_slack"`
 	QuotaWindowSeconds float64 `toml:"quota_window_s"`
-	QuotaExcess        float64 `toml:"quota_excess"` // of a window's quota; 0.1: a tenth more
-	QuotaSlack         float64 `toml:"quota_slack"`  // requests beside that
+	QuotaExcess        float64 `toml:"quota_excess"` // as a fraction of a window's quota; 0.1: a tenth more
+	QuotaSlack         float64 `toml:"quota_slack"`  // requests in addition to that
 	EvacuateMS         float64 `toml:"evacuate_ms"`
 	RecoverySeconds    float64 `toml:"recovery_s"`
 	TTLMaxSeconds      float64 `toml:"ttl_max_s"`
@@ -76,8 +76,8 @@
 // Cloud is the platform's API that lists the servers.
 type Cloud struct {
 	Address        string  `toml:"address"`
-	CallsPerSecond float64 `toml:"rate_per_s"` // that it accepts from all processes together
-	LagMS          float64 `toml:"lag_ms"`     // of the list behind the servers
+	CallsPerSecond float64 `toml:"rate_per_s"` // accepted from all processes together
+	LagMS          float64 `toml:"lag_ms"`     // delay of the list behind the state of the servers
 }
 
 // Settings are the settings of one process.
@@ -93,7 +93,7 @@
 	Bootstrap   bool              `toml:"bootstrap"`  // this node may form the first view
 	Counted     bool              `toml:"loss_counted"`
 	DataDir     string            `toml:"data_dir"` // empty: no disk
-	HeartbeatMS float64           `toml:"beat_ms"`  // at most; 0: not given
+	HeartbeatMS float64           `toml:"beat_ms"`  // maximum heartbeat interval; 0: not given
 	Zones       map[string]string `toml:"zones"`    // region by zone
 	Bind        Bind              `toml:"bind"`
 	Limits      Limits            `toml:"limits"`
@@ -111,7 +111,7 @@
 	ControlPlane             // replicates or observes the control state and serves the operator
 )
 
-// The system's own traffic takes the first ports of the range, the same on all machines. These are offsets from the first.
+// The system's own traffic uses the first ports of the range, the same on all machines. These are offsets from the first port.
 const (
 	controlPlanePortOffset = iota // traffic to control-plane nodes
 	proxyPortOffset               // traffic between proxies
@@ -120,7 +120,7 @@
 
 const maxPort = 65535
 
-// HasDisk tells whether the machine has a disk for this process. A control-plane node without one is an observer: it has no vote.
+// HasDisk reports whether the machine has a disk for this process. A control-plane node without one is an observer: it has no vote.
 func (s *Settings) HasDisk() bool { return s.DataDir != "" }
 
 // ControlPlanePort returns the port of a control-plane node for the system's own traffic.
@@ -146,7 +146,7 @@
 // Seconds converts a figure of the file, in seconds, to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// FromEnvironment loads the file that the environment variable PathEnv names. Errors are ErrSettings.
+// FromEnvironment loads the file that the environment variable PathEnv names. Errors are marked ErrSettings.
 func FromEnvironment(role Role) (*Settings, error) {
 	path := os.Getenv(PathEnv)
 	if path == "" {
@@ -155,7 +155,7 @@
 	return Load(path, role)
 }
 
-// Load reads and validates a file. Errors are ErrSettings.
+// Load reads and validates a file. Errors are marked ErrSettings.
 func Load(path string, role Role) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return Parse(text, role)
 }
 
-// Parse decodes and validates the text of a file. The error, an ErrSettings, is one line that names the key and the remedy.
+// Parse decodes and validates the text of a file. The error, marked ErrSettings, is one line that names the key and the remedy.
 func Parse(text []byte, role Role) (*Settings, error) {
 	s := &Settings{}
 	if _, err := toml.Decode(string(text), s); err != nil {
--- a/internal/system/settings/validate.go
+++ b/internal/system/settings/validate.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// validate refuses settings with which a role cannot do its work.
+// validate rejects settings with which a role cannot work.
 func (s *Settings) validate(role Role) error {
 	for _, check := range []func() error{
 		s.checkLocation,
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// hasPorts tells whether a range, its first and last port, has as many ports as the system needs.
+// hasPorts reports whether a range, given as its first and last port, is valid and contains at least portsNeeded ports.
 func hasPorts(ports []int) bool {
 	if len(ports) != 2 {
 		return false
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// checkListenAddresses checks the addresses that a role serves at. Others may be empty.
+// checkListenAddresses checks the addresses that a role listens on. Others may be empty.
 func (s *Settings) checkListenAddresses(role Role) error {
 	needed := []setting{{"bind.control_api", s.Bind.Control}}
 	if role == Proxy {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// checkBounds refuses figures outside the range in which the system works.
+// checkBounds rejects figures outside the range in which the system works.
 func (s *Settings) checkBounds() error {
 	for _, figure := range []struct {
 		key              string
