--- a/internal/system/failuredetector/agent.go
+++ b/internal/system/failuredetector/agent.go
@@ -121,10 +121,10 @@
 			a.processReady(ctx)
 			a.mu.Unlock()
 		case v := <-a.downReports:
-			a.options.Log.WithFields(log.Fields{"node": v.Node, "incarnation": v.Incarnation, "down": v.Down}).Info("failuredetector: verdict")
+			a.options.Log.WithFields(log.Fields{"node": v.Node, "incarnation": v.Incarnation, "down": v.Down}).Info("failuredetector: node liveness report")
 			a.options.OnDownReport(v)
 		case <-a.resumed:
-			a.options.Log.Warn("failuredetector: this process has slept, it asks before it acts")
+			a.options.Log.Warn("failuredetector: this process was paused; it reports no node as down until a peer answers a ping")
 		}
 	}
 }
--- a/internal/system/failuredetector/probe.go
+++ b/internal/system/failuredetector/probe.go
@@ -16,7 +16,7 @@
 const maxAliveBytes = 4 << 10 // of a response
 
 // errOtherNode is returned if another node, or another program, responds at the address of the probed node.
-var errOtherNode = errors.New("failuredetector: another node responds at this address: wait for the membership list to have the new one")
+var errOtherNode = errors.New("failuredetector: another node responds at this address: wait for the membership list to be updated")
 
 // Handler serves GET AlivePath, the second path.
 func (a *Agent) Handler() http.Handler {
@@ -42,16 +42,16 @@
 func (a *Agent) requestIncarnation(ctx context.Context, node string, addr netip.AddrPort) (uint64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+AlivePath, nil)
 	if err != nil {
-		return 0, errors.Wrap(err, "failuredetector: the address makes no valid URL")
+		return 0, errors.Wrapf(err, "failuredetector: address %s of node %s does not form a valid URL", addr, node)
 	}
 	response, err := a.client.Do(request)
 	if err != nil {
-		return 0, errors.Wrap(err, "failuredetector: the node was not reached")
+		return 0, errors.Wrapf(err, "failuredetector: node %s cannot be reached at %s", node, addr)
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxAliveBytes))
 	if err != nil {
-		return 0, errors.Wrap(err, "failuredetector: the response was truncated")
+		return 0, errors.Wrapf(err, "failuredetector: response of node %s at %s was truncated", node, addr)
 	}
 	var process aliveResponse
 	err = json.Unmarshal(data, &process)
--- a/internal/system/platform/client.go
+++ b/internal/system/platform/client.go
@@ -24,9 +24,9 @@
 
 // The kinds of errors of List, for errors.Is.
 var (
-	ErrRateLimited = errors.New("platform: more calls than its rate accepts") // a *RateError; RetryAfter returns its hint
-	ErrMalformed   = errors.New("platform: an answer that is no list")        // also one that is too long
-	ErrUnreachable = errors.New("platform: not reached in time")
+	ErrRateLimited = errors.New("platform: call rate limit exceeded")                // a *RateError; RetryAfter returns its hint
+	ErrMalformed   = errors.New("platform: the response is not a valid server list") // or it is too long
+	ErrUnreachable = errors.New("platform: no response in time")
 )
 
 // RateError is returned if the platform rejected a call because of its rate limit (status 429). It matches ErrRateLimited.
@@ -36,7 +36,7 @@
 
 // Error returns the failure and its remedy.
 func (e *RateError) Error() string {
-	return "the platform answered 429: call less often, next after " + e.After.String()
+	return "the platform responded with status 429: call less often, next after " + e.After.String()
 }
 
 // Is makes every RateError match ErrRateLimited.
@@ -165,7 +165,7 @@
 			ageWarmUps(list, pages)
 			return sortAndDeduplicate(list), nil
 		case token:
-			return nil, errors.Mark(errors.Newf("the platform's page %q names itself as the next: ask again", token), ErrMalformed)
+			return nil, errors.Mark(errors.Newf("page %q of the platform's list names itself as the next page: retry", token), ErrMalformed)
 		}
 		token = next
 	}
@@ -178,7 +178,7 @@
 	defer cancel()
 	response, err := c.request(ctx, c.pageURL(zone, token))
 	if err != nil {
-		return errors.Mark(errors.Wrap(err, "the platform's list was not reached: keep the old list and ask again"), ErrUnreachable)
+		return errors.Mark(errors.Wrap(err, "the platform's list cannot be reached: keep the previous list and retry"), ErrUnreachable)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
@@ -190,7 +190,7 @@
 	n, err := page.ReadFrom(io.LimitReader(response.Body, maxPageBytes+1))
 	switch {
 	case err != nil:
-		return errors.Mark(errors.Wrap(err, "the platform's answer broke off: keep the old list and ask again"), ErrUnreachable)
+		return errors.Mark(errors.Wrap(err, "the platform's response was truncated: keep the previous list and retry"), ErrUnreachable)
 	case n > maxPageBytes:
 		return errors.Mark(errors.Newf("a page of the platform's list has more than %d bytes: poll it by zone", maxPageBytes), ErrMalformed)
 	}
@@ -202,7 +202,7 @@
 	if response.StatusCode == http.StatusTooManyRequests {
 		return &RateError{After: parseRetryAfter(response.Header.Get("Retry-After"))}
 	}
-	return errors.Mark(errors.Newf("the platform answered %d: keep the old list and ask again", response.StatusCode), ErrUnreachable)
+	return errors.Mark(errors.Newf("the platform responded with status %d: keep the previous list and retry", response.StatusCode), ErrUnreachable)
 }
 
 // pageURL returns the URL of a page of the list.
@@ -243,7 +243,7 @@
 	trace := &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) { reused = got.Reused }}
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodGet, target, nil)
 	if err != nil {
-		return nil, false, errors.Wrap(err, "the platform's address is no host:port: check cloud_api.address")
+		return nil, false, errors.Wrap(err, "the platform's address is not a valid host:port: check cloud_api.address")
 	}
 	preventRetry(request)
 	c.calls.Add(1)
--- a/internal/system/platform/instance.go
+++ b/internal/system/platform/instance.go
@@ -83,11 +83,11 @@
 func parsePage(parser *fastjson.Parser, body []byte, shared interner, list []Instance) ([]Instance, string, error) {
 	document, err := parser.ParseBytes(body)
 	if err != nil {
-		return list, "", errors.Mark(errors.Wrap(err, "the platform's list cannot be read: ask again"), ErrMalformed)
+		return list, "", errors.Mark(errors.Wrap(err, "the platform's list is not valid JSON: retry"), ErrMalformed)
 	}
 	entries := document.Get("instances")
 	if entries == nil || entries.Type() != fastjson.TypeArray {
-		return list, "", errors.Mark(errors.New("the platform's answer has no list under instances: check cloud_api.address"), ErrMalformed)
+		return list, "", errors.Mark(errors.New("the platform's response has no array \"instances\": check cloud_api.address"), ErrMalformed)
 	}
 	for _, entry := range entries.GetArray() {
 		instance := parseInstance(entry, shared)
--- a/internal/system/platform/poller.go
+++ b/internal/system/platform/poller.go
@@ -119,7 +119,7 @@
 		result.Fence, result.Version = fence, newest.next(fence)
 		p.options.OnResult(result)
 	case ctx.Err() == nil:
-		p.options.Log.WithError(err).Warn("platform: list not read, the old one stays in use")
+		p.options.Log.WithError(err).Warn("platform: failed to read the server list; the previous list stays in use")
 	}
 	return max(0, wait-result.ReceivedAt.Sub(start))
 }
--- a/internal/system/process/group.go
+++ b/internal/system/process/group.go
@@ -54,7 +54,7 @@
 	server := newServer(ctx, handler)
 	g.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			return errors.Mark(errors.Wrapf(err, "no more calls are accepted at %s", listener.Addr()), ErrListen)
+			return errors.Mark(errors.Wrapf(err, "the HTTP server at %s stopped accepting connections", listener.Addr()), ErrListen)
 		}
 		return nil
 	})
--- a/internal/system/process/listen.go
+++ b/internal/system/process/listen.go
@@ -24,7 +24,7 @@
 	config := net.ListenConfig{KeepAlive: keepAliveInterval, Control: setUserTimeout}
 	listener, err := config.Listen(ctx, "tcp4", address)
 	if err != nil {
-		return nil, errors.Mark(errors.Wrapf(err, "cannot listen at %s: check that the address is this machine's and free", address), ErrListen)
+		return nil, errors.Mark(errors.Wrapf(err, "cannot listen on %s: check that the address belongs to this machine and is free", address), ErrListen)
 	}
 	return listener, nil
 }
--- a/internal/system/process/process.go
+++ b/internal/system/process/process.go
@@ -38,7 +38,7 @@
 func newLogger(level string) (log.Interface, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
-		return nil, errors.Newf("log level %q: give debug, info, warn or error", level)
+		return nil, errors.Newf("log level %q is unknown: use debug, info, warn or error", level)
 	}
 	return &log.Logger{Handler: logfmt.New(os.Stderr), Level: parsed}, nil
 }
@@ -66,10 +66,10 @@
 			return
 		case <-p.reload:
 			if _, err := settings.FromEnvironment(p.program.Role); err != nil {
-				p.Log.WithError(err).Warn(p.program.Name + ": settings not taken over")
+				p.Log.WithError(err).Warn(p.program.Name + ": settings file rejected; the running settings stay in use")
 				continue
 			}
-			p.Log.Info(p.program.Name + ": settings read again; what changed counts from the next start")
+			p.Log.Info(p.program.Name + ": the settings file is valid; changes take effect at the next start")
 		}
 	}
 }
--- a/internal/system/process/program.go
+++ b/internal/system/process/program.go
@@ -27,12 +27,12 @@
 // commandLine is the command line of every program of the system.
 type commandLine struct {
 	Run   runCommand   `cmd:"" help:"Run the role until SIGTERM."`
-	Check checkCommand `cmd:"" help:"Check the settings file and say what is wrong in one line."`
+	Check checkCommand `cmd:"" help:"Check the settings file and report the first error in one line."`
 }
 
 type runCommand struct {
-	LogLevel string `default:"info" help:"Least level that is logged: debug, info, warn or error."`
-	Metrics  int    `default:"0" placeholder:"PORT" help:"Port of the machine's address at which /metrics answers; 0: nowhere."`
+	LogLevel string `default:"info" help:"Minimum level of log entries: debug, info, warn or error."`
+	Metrics  int    `default:"0" placeholder:"PORT" help:"Port of the machine's address that serves /metrics; 0: metrics are not served."`
 }
 
 type checkCommand struct {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -150,7 +150,7 @@
 func FromEnvironment(role Role) (*Settings, error) {
 	path := os.Getenv(PathEnv)
 	if path == "" {
-		return nil, errors.Mark(errors.Newf("%s is not set: name the settings file in it", PathEnv), ErrSettings)
+		return nil, errors.Mark(errors.Newf("%s is not set: set it to the path of the settings file", PathEnv), ErrSettings)
 	}
 	return Load(path, role)
 }
