--- a/internal/system/config/config_test.go
+++ b/internal/system/config/config_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// tableRun is the configuration in place while a table runs.
+// tableRun holds the current configuration of a table.
 type tableRun struct{ current *Config }
 
 func (r *tableRun) run(t *testing.T, data *datadriven.TestData) string {
@@ -59,7 +59,7 @@
 	return ""
 }
 
-// change replaces the configuration in place by what next returns, and returns the result as text.
+// change replaces the current configuration with the result of next, and returns the outcome as text.
 func (r *tableRun) change(t *testing.T, next func() (*Config, error)) string {
 	t.Helper()
 	before := r.current.describe()
@@ -77,7 +77,7 @@
 	return fmt.Sprintf("revision %d", changed.Revision)
 }
 
-// describe returns all fields of a configuration as text, in its order.
+// describe returns all fields of a configuration as text, in the configuration's order.
 func (c *Config) describe() string {
 	if c == nil {
 		return "none"
@@ -131,7 +131,7 @@
 	return b
 }
 
-// TestTruncatedOrChangedBytes truncates the example anywhere, and changes every byte: the only error may be ErrInvalid.
+// TestTruncatedOrChangedBytes truncates the example at every byte and changes every byte: all errors must match ErrInvalid.
 func TestTruncatedOrChangedBytes(t *testing.T) {
 	whole := readExample(t, "replace.json")
 	for i := range whole {
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestNestingIsBounded: a body that nests deeper than maxDepth is refused without much stack.
+// TestNestingIsBounded: a body that is nested deeper than maxDepth is rejected without deep recursion.
 func TestNestingIsBounded(t *testing.T) {
 	for _, open := range []string{"[", `{"a":`} {
 		body := []byte(`{"revision":1,"routes":[],"services":[],"x":` + strings.Repeat(open, 1<<20))
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestManyPrefixes looks up a path of many slashes.
+// TestManyPrefixes looks up a path with many slashes: the cost of Match must not depend on their number.
 func TestManyPrefixes(t *testing.T) {
 	c := largeConfig(t, 1000)
 	path := "/p999" + strings.Repeat("/", 1<<16)
@@ -224,7 +224,7 @@
 		`"category":"idempotent","timeout_ms":500,"target":"service-1","max_tries":2}]},"remove":{"routes":["route-5"]}}`)
 }
 
-// TestAmendSharesUnchangedRoutes: what an amendment does not name is neither parsed nor copied again.
+// TestAmendSharesUnchangedRoutes: items that an amendment does not name are neither parsed nor copied again.
 func TestAmendSharesUnchangedRoutes(t *testing.T) {
 	base := largeConfig(t, 100)
 	next, err := Amend(base, largeAmendment())
@@ -264,7 +264,7 @@
 	})
 }
 
-// requireValid checks what holds of every valid configuration.
+// requireValid checks the properties of every valid configuration.
 func (c *Config) requireValid(t *testing.T) {
 	t.Helper()
 	if c.Revision < 1 || len(c.serviceNames) != len(c.Services) {
@@ -331,7 +331,7 @@
 	})
 }
 
-// benchmarkSizes are numbers of routes, and as many tenants with two keys each.
+// benchmarkSizes are numbers of routes; there are equally many tenants, with two keys each.
 var benchmarkSizes = []int{1000, 4000, 16000}
 
 func BenchmarkParse(b *testing.B) {
--- a/internal/system/config/errors_test.go
+++ b/internal/system/config/errors_test.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestInvalidError: an error of this package is an ErrInvalid and an InvalidError for the standard library's errors and for
-// cockroachdb's, also where it is wrapped.
+// TestInvalidError: errors of this package, also when wrapped, match ErrInvalid and InvalidError with the standard library's errors
+// package and with cockroachdb's.
 func TestInvalidError(t *testing.T) {
 	_, err := Parse([]byte("{"))
 	for name, err := range map[string]error{"as it is": err, "wrapped": errors.Wrap(err, "state")} {
--- a/internal/system/config/model_test.go
+++ b/internal/system/config/model_test.go
@@ -12,7 +12,7 @@
 
 type jsonObject = map[string]any
 
-// drawRoute draws a route, which may clash with others or name a service that is not there.
+// drawRoute draws a route, which may conflict with others or name a service that does not exist.
 func drawRoute(t *rapid.T) jsonObject {
 	r := jsonObject{
 		"name": rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name"), "hostname": "h",
@@ -48,7 +48,7 @@
 	return unique
 }
 
-// mergedModel is the plain model of an amendment to one list.
+// mergedModel is the reference implementation of an amendment to one list.
 func mergedModel(base, upsert []jsonObject, remove []string) []any {
 	var out []any
 	for _, o := range base {
@@ -76,7 +76,7 @@
 	return b
 }
 
-// TestAmendModel compares Amend to Parse of what a plain model merges.
+// TestAmendModel compares Amend with Parse of a configuration merged by a reference model.
 func TestAmendModel(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -107,11 +107,11 @@
 	}
 }
 
-// configModel is a configuration as a plain model has it.
+// configModel is a configuration in the reference model.
 type configModel struct {
 	revision                  int
 	routes, services, tenants []jsonObject
-	hasTenants                bool // without it tenants are empty
+	hasTenants                bool // if false, tenants is empty
 }
 
 func drawModel(t *rapid.T) configModel {
@@ -131,7 +131,7 @@
 	return m.amended(amendmentModel{revision: m.revision})
 }
 
-// amended returns the body after an amendment. Upserted tenants bring their list where there was none, removed ones do not.
+// amended returns the body after an amendment. Upserting tenants adds the list if there was none; removing tenants does not.
 func (m configModel) amended(a amendmentModel) jsonObject {
 	body := jsonObject{"revision": a.revision, "other": []any{1, "x"},
 		"routes":   append([]any{}, mergedModel(m.routes, a.routes, a.removedRoutes)...),
@@ -143,7 +143,7 @@
 	return body
 }
 
-// amendmentModel is an amendment as a plain model has it.
+// amendmentModel is an amendment in the reference model.
 type amendmentModel struct {
 	revision                                       int
 	routes, services, tenants                      []jsonObject
@@ -163,7 +163,7 @@
 	}
 }
 
-// body leaves empty lists out.
+// body returns the amendment's JSON object, without empty lists.
 func (a amendmentModel) body() jsonObject {
 	upsert, remove := jsonObject{}, jsonObject{}
 	if len(a.routes) > 0 {
@@ -187,7 +187,8 @@
 	return jsonObject{"revision": a.revision, "upsert": upsert, "remove": remove}
 }
 
-// requireSameConfig checks that two configurations are equal, their JSON included, and that the first is read again as it is.
+// requireSameConfig checks that two configurations are equal, including their JSON, and that parsing the first one's JSON again yields an
+// equal configuration.
 func requireSameConfig(t *rapid.T, got, want *Config) {
 	t.Helper()
 	if got.describe() != want.describe() {
@@ -202,7 +203,7 @@
 	}
 }
 
-// requireSameHolders checks that each key is held by the tenant of the model that has it.
+// requireSameHolders checks that each key belongs to the tenant that has it in the model.
 func requireSameHolders(t *rapid.T, got *Config, tenants []any) {
 	t.Helper()
 	for _, key := range []string{"k", "l", "m", "n"} {
--- a/internal/system/config/tenant_test.go
+++ b/internal/system/config/tenant_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestAmendSharesUnchangedTenants: tenants that an amendment does not name are neither decoded nor copied again, and the index of keys
-// is built again only where it changes a tenant.
+// is rebuilt only if the amendment changes a tenant.
 func TestAmendSharesUnchangedTenants(t *testing.T) {
 	base := largeConfig(t, 100)
 	next, err := Amend(base, tenantAmendment())
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestSharedKeyIsInvalid: no configuration in which two tenants hold one key comes about, neither by a replacement nor by an amendment.
+// TestSharedKeyIsInvalid: neither a replacement nor an amendment may give the same key to two tenants.
 func TestSharedKeyIsInvalid(t *testing.T) {
 	const rest = `"revision":%d,"routes":[],"services":[]`
 	body := func(revision int, tenants string) []byte {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestAcceptedSharedKeyIsNobodys: a configuration with a shared key that an earlier version accepted is read, the key lets nobody in, and
-// other changes are possible, but none that leaves the key with two tenants.
+// TestAcceptedSharedKeyIsNobodys: a configuration with a shared key that an earlier version accepted can still be read, the key
+// authenticates no tenant, and amendments are accepted unless they change tenants and leave the key with two of them.
 func TestAcceptedSharedKeyIsNobodys(t *testing.T) {
 	accepted, err := ParseAccepted([]byte(`{"revision":1,"routes":[],"services":[],"tenants":[` +
 		`{"name":"a","api_keys":["k","l"]},{"name":"b","api_keys":["k"]},{"name":"c","api_keys":["k","m"]}]}`))
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestKeysAreKeptAsDigests: apart from Raw, a configuration holds no key.
+// TestKeysAreKeptAsDigests: a configuration contains no plain-text key except in Raw.
 func TestKeysAreKeptAsDigests(t *testing.T) {
 	const key = "92cqf75rjvz48wuakn2f"
 	c, err := Parse([]byte(`{"revision":1,"routes":[],"services":[],"tenants":[{"name":"a","api_keys":["` + key + `"]}]}`))
@@ -116,7 +116,7 @@
 	}
 }
 
-// TestTenantOfEmptyKey: a request without a key is nobody's.
+// TestTenantOfEmptyKey: a request without a key belongs to no tenant.
 func TestTenantOfEmptyKey(t *testing.T) {
 	if largeConfig(t, 3).TenantOfKey("") != nil || (*Config)(nil).TenantOfKey("k") != nil {
 		t.Error("a tenant was found")
@@ -146,7 +146,7 @@
 	}
 }
 
-// TestNoErrorNamesKeys: no error of Parse or Amend holds an API key, wherever a body that is refused holds it.
+// TestNoErrorNamesKeys: no error of Parse or Amend contains an API key, wherever it is in the rejected body.
 func TestNoErrorNamesKeys(t *testing.T) {
 	const key = "92cqf75rjvz48wuakn2f"
 	base, err := Parse([]byte(`{"revision":1,"routes":[],"services":[],"tenants":[{"name":"a","api_keys":["` + key + `"]}]}`))
--- a/internal/system/directory/directory_test.go
+++ b/internal/system/directory/directory_test.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestNearest asks for clients of each zone and region. Danger: all of a zone's clients use one proxy, or there is none for them.
+// TestNearest resolves for clients of each zone and region. It guards against all clients of a zone using one proxy, or getting none.
 func TestNearest(t *testing.T) {
 	var endpoints []Endpoint
 	datadriven.RunTest(t, "testdata/nearest", func(_ *testing.T, data *datadriven.TestData) string {
@@ -35,7 +35,8 @@
 	})
 }
 
-// TestAddressesAreBoundedAndSpread: of more than a response holds, each client gets its own selection, and all are used.
+// TestAddressesAreBoundedAndSpread: if there are more proxies than a response may contain, each client gets its own selection, and
+// every proxy is used.
 func TestAddressesAreBoundedAndSpread(t *testing.T) {
 	var endpoints []Endpoint
 	for i := range 200 {
--- a/internal/system/failuredetector/agent_test.go
+++ b/internal/system/failuredetector/agent_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testNode is an agent with both of its paths on one port of loopback.
+// testNode is an agent that uses the same loopback port for both paths.
 type testNode struct {
 	agent   *Agent
 	member  Member
@@ -28,7 +28,7 @@
 func startNode(t *testing.T, name string, incarnation uint64) *testNode {
 	t.Helper()
 	node := &testNode{reports: make(chan DownReport, 100)}
-	// The port that TCP is given may be taken in UDP, by whomever: then try another.
+	// The port assigned for TCP may be in use for UDP: then try another one.
 	var (
 		listener net.Listener
 		conn     *net.UDPConn
@@ -74,7 +74,7 @@
 	return node
 }
 
-// connected reports whether the agent's detector may act on what it believes.
+// connected reports whether the agent's detector is connected.
 func (n *testNode) connected() bool {
 	n.agent.mu.Lock()
 	defer n.agent.mu.Unlock()
--- a/internal/system/failuredetector/detector_test.go
+++ b/internal/system/failuredetector/detector_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// detectionBound is the time within which all watchers detect a crash, at heartbeats every 400 ms.
+// detectionBound is the time within which all watchers detect a crash, with heartbeats every 400 ms.
 const detectionBound = 2500 * time.Millisecond
 
 func TestWatchersAndWatchedAgree(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestNoFalsePositives: with packet loss and partitions between a few pairs nobody that lives and is reachable is called down.
+// TestNoFalsePositives: with packet loss and partitions between a few pairs, no live and reachable process is reported as down.
 func TestNoFalsePositives(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		sim := newSimulation(t, seed, 24, Options{})
@@ -77,7 +77,7 @@
 		sim := newSimulation(t, seed, 24, Options{})
 		sim.interRegion, sim.loss = seed%2 == 0, float64(seed%3)*0.02
 		sim.run(3*time.Second + time.Duration(sim.rng.IntN(500))*time.Millisecond)
-		// A whole zone at once, or one node.
+		// Either all nodes of a zone at the same time, or one node.
 		dead := sim.names[4:8]
 		if seed%2 == 1 {
 			dead = sim.names[9:10]
@@ -105,8 +105,8 @@
 	})
 }
 
-// TestEveryWatcherReportsADownNode: a down report must come from every watcher, not only from the first: here the membership list does
-// not change.
+// TestEveryWatcherReportsADownNode: a down report must come from every watcher, not only from the first one. In this test the
+// membership list does not change.
 func TestEveryWatcherReportsADownNode(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		sim := newSimulation(t, seed, 12, Options{})
@@ -148,7 +148,7 @@
 func playFreezes(sim *simulation) {
 	sim.run(3 * time.Second)
 	for range 8 {
-		// Several at once, so that some who watch each other are paused together.
+		// Pause several nodes at the same time, so that some that watch each other are paused together.
 		paused := []string{sim.randomNode(), sim.randomNode(), sim.randomNode()}
 		for _, name := range paused {
 			sim.freeze(name)
@@ -194,9 +194,9 @@
 	sim.freeze(name)
 	sim.run(10 * time.Second)
 	for _, other := range sim.names[1:] {
-		sim.setPartitioned(other, name, true) // nobody's answers come through
+		sim.setPartitioned(other, name, true) // no replies arrive
 	}
-	sim.thaw(name) // with a buffer full of what came while it was paused
+	sim.thaw(name) // its buffer contains the messages that arrived while it was paused
 	sim.run(100 * time.Millisecond)
 	if sim.nodes[name].detector.Connected(sim.now) {
 		t.Error("connected after its pause, though nobody has answered")
@@ -218,7 +218,7 @@
 	sim.checkCalm()
 }
 
-// TestPartitionHeals: halves that cannot reach each other call each other down, and none stays down when the partition ends.
+// TestPartitionHeals: the sides of a partition report each other as down, and no node stays down after the partition heals.
 func TestPartitionHeals(t *testing.T) {
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		sim := newSimulation(t, seed, 12, Options{})
@@ -263,7 +263,7 @@
 	}
 }
 
-// TestProtectionsAreNeeded: controls: with a protection taken out, the harness must find what it guards against.
+// TestProtectionsAreNeeded is a control: with a protection disabled, the simulation must produce the failure that it prevents.
 func TestProtectionsAreNeeded(t *testing.T) {
 	found := func(o Options, faults func(*simulation)) bool {
 		for seed := range uint64(20) {
@@ -275,7 +275,7 @@
 		}
 		return false
 	}
-	// One is paused while it suspects another that was paused, and resumes long after that one.
+	// A watcher is paused while it suspects a node that was paused, and resumes long after that node.
 	turns := func(sim *simulation) {
 		sim.run(3 * time.Second)
 		for range 10 {
--- a/internal/system/failuredetector/event_queue_test.go
+++ b/internal/system/failuredetector/event_queue_test.go
@@ -1,13 +1,13 @@
 package failuredetector
 
-// event is something that happens at a time; order decides between events of one time.
+// event is a function scheduled for a time; order breaks ties between events with the same time.
 type event struct {
 	at    Time
 	order int
 	run   func()
 }
 
-// events is a heap, the earliest event first.
+// events is a min-heap by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/internal/system/failuredetector/golden_trace_test.go
+++ b/internal/system/failuredetector/golden_trace_test.go
@@ -7,21 +7,21 @@
 	"gradeusher.example/gradeusher/internal/testsupport/golden"
 )
 
-// goldenFile holds a line "scenario seed steps digest" for each play; GRADEUSHER_WRITE_GOLDEN=1 writes it anew.
+// goldenFile contains one line "scenario seed steps digest" per run; GRADEUSHER_WRITE_GOLDEN=1 rewrites it.
 const goldenFile = "testdata/golden_trace.txt"
 
-// goldenTrace is the digest of all that goes out of the detectors of a world, in the order of the simulation. It takes wire
-// bytes, numbers and fixed tags, and no name of the code nor text meant for people. Nothing is sorted here: a play runs in one
-// goroutine, on the clock and the random numbers of its world, and the detectors put out all in an order of their own. The
-// digests also rest on what the harness draws: a change of the world needs them written anew.
+// goldenTrace is the digest of all output of the detectors of a simulation, in the order of the simulation. It includes wire bytes,
+// numbers and fixed tags, but no identifiers of the code and no human-readable text. Nothing is sorted here: a simulation runs in one
+// goroutine, on its own clock and random numbers, and the output of a detector has a deterministic order. The digests also depend on
+// the random numbers that the harness draws: a change to the simulation requires rewriting them.
 type goldenTrace struct{ *golden.Digest }
 
-// traceOutputs takes in what the detectors of a simulation put out from now on.
+// traceOutputs records the output of the detectors of a simulation from now on.
 func (g goldenTrace) traceOutputs(sim *simulation) {
 	sim.onOutput = func(n *simNode, out *Output) { g.step(sim, n, out) }
 }
 
-// step records one Take of a detector: when, whose, what it wants done, and whether it is connected then.
+// step records one Output of a detector: its time, its node, the requested actions, and whether the detector is connected.
 func (g goldenTrace) step(sim *simulation, node *simNode, out *Output) {
 	g.TextStep("step", uint64(sim.now), node.incarnation)
 	g.Text(node.name)
@@ -45,7 +45,7 @@
 	g.Bools(node.detector.Connected(sim.now))
 }
 
-// end records what is counted live at the end of a play.
+// end records the membership list at the end of a simulation.
 func (g goldenTrace) end(sim *simulation) {
 	g.Text("end")
 	g.Uints(uint64(sim.now))
@@ -56,7 +56,7 @@
 	}
 }
 
-// goldenScenario is a number of nodes and what happens to them.
+// goldenScenario is a number of nodes and the sequence of faults that they experience.
 type goldenScenario struct {
 	name  string
 	nodes int
@@ -64,7 +64,7 @@
 	play  func(*simulation)
 }
 
-// trace plays the scenario and digests what goes out.
+// trace runs the scenario and adds the output of the detectors to the digest.
 func (s goldenScenario) trace(t *testing.T, digest *golden.Digest, seed uint64) {
 	sim := newSimulation(t, seed, s.nodes, Options{})
 	sim.loss = s.loss
@@ -74,9 +74,9 @@
 	traced.end(sim)
 }
 
-const goldenSeeds = 3 // of each scenario
+const goldenSeeds = 3 // per scenario
 
-// goldenScenarios are played in turn, with each seed.
+// goldenScenarios are run in order, each with every seed.
 var goldenScenarios = []goldenScenario{
 	{name: "normal", nodes: 12, play: func(w *simulation) { w.run(10 * time.Second) }},
 	{name: "cuts", nodes: 24, loss: 0.05, play: playPairPartitions},
@@ -96,7 +96,7 @@
 	sim.run(5 * time.Second)
 }
 
-// playPartition cuts a third of the nodes off in both directions.
+// playPartition partitions a third of the nodes from the others in both directions.
 func playPartition(sim *simulation) {
 	sim.run(3 * time.Second)
 	sim.calmSince = sim.now + time.Hour
@@ -113,7 +113,7 @@
 	sim.run(3 * time.Second)
 }
 
-// playCrashes ends four nodes at once, and another later.
+// playCrashes crashes four nodes at the same time, and another one later.
 func playCrashes(sim *simulation) {
 	sim.run(3 * time.Second)
 	for _, name := range sim.names[4:8] {
@@ -136,7 +136,7 @@
 	sim.run(5 * time.Second)
 }
 
-// playLeave has a node leave and come back.
+// playLeave shuts a node down gracefully and restarts it.
 func playLeave(sim *simulation) {
 	sim.run(3 * time.Second)
 	n := sim.nodes[sim.names[0]]
@@ -148,8 +148,8 @@
 	sim.run(5 * time.Second)
 }
 
-// TestGoldenTrace holds the detectors to the recorded digests of all that goes out of them, step by step. A change of form alone,
-// such as of names, leaves them as they are.
+// TestGoldenTrace compares all output of the detectors, step by step, with recorded digests. Refactorings, such as renames, must not
+// change the digests.
 func TestGoldenTrace(t *testing.T) {
 	var scenarios []golden.Scenario
 	for _, s := range goldenScenarios {
--- a/internal/system/failuredetector/simulation_test.go
+++ b/internal/system/failuredetector/simulation_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// simulation runs the detectors of many nodes over a faulty network, on a clock of its own. A table stands for the agreed
-// membership list: down reports reach it late, its changes reach the nodes late, and a live process that it has as down refutes that.
+// simulation runs the detectors of many nodes over a faulty network, on a simulated clock. A table models the agreed
+// membership list: down reports reach it with a delay, its changes reach the nodes with a delay, and a live process that it lists as
+// down refutes the report.
 type simulation struct {
 	t           testing.TB
 	rng         *rand.Rand
@@ -26,13 +27,13 @@
 	partitioned map[networkPath]bool
 	options     Options
 
-	onOutput func(*simNode, *Output) // told all that a detector wants done, before any of it is
+	onOutput func(*simNode, *Output) // called with the requested actions before they are carried out
 
 	members      map[string]*memberRecord
-	calmSince    Time // since when no fault that excuses a down report has been there
+	calmSince    Time // since when there has been no fault that justifies a down report
 	wrongReports []string
-	reportedDown map[string]map[string]Time // node/incarnation → who → when it was called down
-	disconnected int                        // down reports of nodes that were not connected
+	reportedDown map[string]map[string]Time // node/incarnation → reporting watcher → time of its first report
+	disconnected int                        // number of down reports from watchers that were not connected
 }
 
 // networkPath is the path from one node to another, in one direction.
@@ -52,7 +53,7 @@
 	detector    *Detector
 	alive       bool
 	frozen      bool
-	lastFault   Time // the end of its last freeze, start or isolation
+	lastFault   Time // end of its last freeze, start or isolation
 	inbox       []func()
 	resumed     int
 }
@@ -73,7 +74,7 @@
 	heap.Push(&sim.queue, event{sim.now + d, sim.eventCount, run})
 }
 
-// run advances the simulation by a span.
+// run advances the simulation by span.
 func (sim *simulation) run(span Time) {
 	until := sim.now + span
 	for len(sim.queue) > 0 && sim.queue[0].at <= until {
@@ -105,7 +106,7 @@
 	sim.schedule(sim.membershipDelay(), func() { sim.register(node) })
 }
 
-// register has a process enter itself into the membership list, where it is missing or down there.
+// register adds a process to the membership list if it is missing or listed as down.
 func (sim *simulation) register(n *simNode) {
 	if !n.alive || n.frozen {
 		return
@@ -138,7 +139,7 @@
 	}
 }
 
-// publishMembers gives a node the present membership list; where the node finds itself down, it registers again.
+// publishMembers passes the current membership list to a node; a node that is listed as down registers again.
 func (sim *simulation) publishMembers(n *simNode) {
 	if sim.nodes[n.name] != n {
 		return
@@ -149,7 +150,7 @@
 	}
 }
 
-// deliver gives an input to a process, which handles it once it runs.
+// deliver passes an input to a process, which handles it when it is not frozen.
 func (sim *simulation) deliver(n *simNode, run func()) {
 	switch {
 	case !n.alive:
@@ -181,7 +182,7 @@
 	return lost
 }
 
-// processReady does what a detector wants done.
+// processReady carries out the actions that a detector requests.
 func (sim *simulation) processReady(sender *simNode) {
 	out := sender.detector.Ready()
 	if sim.onOutput != nil {
@@ -212,7 +213,7 @@
 	}
 }
 
-// probe models a fresh TCP connection: a lost first packet costs more time than there is, a later one some of it.
+// probe models a new TCP connection: loss of the first packet exceeds the timeout, loss of a later one only adds delay.
 func (sim *simulation) probe(prober *simNode, node string) {
 	timeout := sim.options.withDefaults().ProbeTimeout
 	took, asked := 4*sim.networkDelay(), sim.now
@@ -226,13 +227,13 @@
 		to := sim.nodes[node]
 		ok := took < timeout && sim.connects(prober.name, node) && to != nil && to.alive && !to.frozen
 		if !ok && (to == nil || to.alive) && took < timeout {
-			// Nothing refuses the connection, so only time ends it.
+			// Nothing refuses the connection, so the probe ends only by its timeout.
 			sim.schedule(timeout-took, func() { sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, asked, node, 0, false) }) })
 			return
 		}
 		var incarnation uint64
 		if prober.frozen {
-			ok = false // its own time-out comes first when it resumes
+			ok = false // its own timeout fires first when it resumes
 		}
 		if ok {
 			incarnation = to.incarnation
@@ -246,7 +247,7 @@
 	return !sim.partitioned[networkPath{a, b}] && !sim.partitioned[networkPath{b, a}]
 }
 
-// applyReport applies a applyReport of a watcher: late, and only where it names the process in the membership list.
+// applyReport applies a watcher's report to the membership list, with a delay and only if it names the listed incarnation.
 func (sim *simulation) applyReport(watcher *simNode, report DownReport) {
 	if report.Down {
 		sim.recordReport(watcher, report)
@@ -259,7 +260,7 @@
 	})
 }
 
-// recordReport records the first down report of a watcher on a process, and whether it is wrong.
+// recordReport records the first down report of a watcher about a process, and whether it is wrong.
 func (sim *simulation) recordReport(watcher *simNode, report DownReport) {
 	if !watcher.detector.Connected(sim.now) {
 		sim.disconnected++
@@ -276,7 +277,7 @@
 	}
 }
 
-// isReachable reports whether a process runs and has had no fault for so long that no down report on it is excused.
+// isReachable reports whether a process is running and its last fault is so long ago that a down report about it is wrong.
 func (sim *simulation) isReachable(n *simNode, incarnation uint64) bool {
 	runs := n.alive && !n.frozen && n.incarnation == incarnation
 	return runs && sim.now-max(n.lastFault, sim.calmSince) > sim.options.withDefaults().SuspectTimeout
@@ -289,7 +290,7 @@
 func (sim *simulation) thaw(name string) {
 	n := sim.nodes[name]
 	n.frozen, n.lastFault = false, sim.now
-	// Which of the process's threads runs first is open: that of its timers, or one that reads.
+	// Either the timer goroutine or a receiving goroutine of the process may run first.
 	inbox := append(slices.Clone(n.inbox), func() { n.detector.Tick(sim.now) })
 	n.inbox = nil
 	sim.rng.Shuffle(len(inbox), func(a, b int) { inbox[a], inbox[b] = inbox[b], inbox[a] })
@@ -307,8 +308,8 @@
 	}
 }
 
-// checkCalm checks what must hold once faults have ended and some time has passed: everybody that lives is counted
-// live, and nobody else.
+// checkCalm checks the conditions that must be met some time after the last fault: the membership list contains exactly the live
+// processes, and no down report was wrong or came from a watcher that was not connected.
 func (sim *simulation) checkCalm() {
 	sim.t.Helper()
 	for _, name := range sim.names {
@@ -328,7 +329,7 @@
 	}
 }
 
-// seeds is how many seeds a test runs: FAILUREDETECTOR_SEEDS, or a few.
+// seeds returns the number of seeds per test: FAILUREDETECTOR_SEEDS, or 6 by default.
 func seeds() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("FAILUREDETECTOR_SEEDS"), 10, 32); err == nil {
 		return n
@@ -338,7 +339,7 @@
 
 func (sim *simulation) randomNode() string { return sim.names[sim.rng.IntN(len(sim.names))] }
 
-// watchersOf names those that watched a node while all were live.
+// watchersOf returns the nodes that watch a node while all nodes are live.
 func (sim *simulation) watchersOf(name string) []string { return Watchers(name, sim.names, 3) }
 
 func sortStrings(list []string) []string {
--- a/internal/system/failuredetector/stale_test.go
+++ b/internal/system/failuredetector/stale_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tickUntilIndirectPing has a detector of node a watch b, gives it one sign of life of b, and ticks until it sends an indirect ping
+// tickUntilIndirectPing makes a detector of node a watch b, passes it one heartbeat of b, and ticks until it sends an indirect ping
 // about b. It returns the time, the ping and its recipient.
 func tickUntilIndirectPing(t *testing.T, d *Detector) (now Time, ask Envelope) {
 	t.Helper()
@@ -23,7 +23,7 @@
 	return 0, Envelope{}
 }
 
-// replyAfter gives a detector the reply to an indirect ping after a wait in which it ticks, and returns whether the reply counts
+// replyAfter passes a detector the reply to an indirect ping after a wait during which it ticks, and returns whether the reply counts
 // as contact with b, and whether the detector is connected.
 func replyAfter(t *testing.T, wait time.Duration, anyAnswer bool) (heard, connected bool) {
 	t.Helper()
@@ -37,8 +37,8 @@
 	return d.watched["b"].lastContact > before, d.Connected(now)
 }
 
-// TestStaleRepliesAreIgnored: a reply that comes 20 s after its ping is neither contact with a node nor makes this one connected,
-// though this process was not paused. Danger: when a partition heals, old replies arrive, and a dead node stays live.
+// TestStaleRepliesAreIgnored: a reply that arrives 20 s after its ping neither counts as contact with a node nor makes this node
+// connected, even if this process was not paused. Otherwise old replies that arrive when a partition heals would keep a dead node live.
 func TestStaleRepliesAreIgnored(t *testing.T) {
 	if heard, connected := replyAfter(t, 100*time.Millisecond, false); !heard || !connected {
 		t.Errorf("in time: heard %v, connected %v", heard, connected)
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestReplyToFormerIncarnationIsIgnored: a reply to a ping of the former process at this address is none to this one.
+// TestReplyToFormerIncarnationIsIgnored: a reply to a ping of the former process at this address is not valid for this process.
 func TestReplyToFormerIncarnationIsIgnored(t *testing.T) {
 	_, ask := tickUntilIndirectPing(t, NewDetector(Options{Self: "a", Incarnation: 1}))
 	next := NewDetector(Options{Self: "a", Incarnation: 9})
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestIndirectAckIsDatedByItsPing: a reply counts from when its ping was sent, since it may have been under way since.
+// TestIndirectAckIsDatedByItsPing: a reply is dated back to when its ping was sent, since it may have been in flight since then.
 func TestIndirectAckIsDatedByItsPing(t *testing.T) {
 	d := NewDetector(Options{Self: "a", Incarnation: 1})
 	now, ask := tickUntilIndirectPing(t, d)
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestStaleProbeResultIsIgnored: a response over the second path that was read long after its request says nothing about now.
+// TestStaleProbeResultIsIgnored: a probe response that is read long after its request is not evidence that the node is alive.
 func TestStaleProbeResultIsIgnored(t *testing.T) {
 	for _, late := range []time.Duration{100 * time.Millisecond, 20 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
--- a/internal/system/platform/client_test.go
+++ b/internal/system/platform/client_test.go
@@ -51,7 +51,7 @@
 	if a := list[0]; a.Phase != Draining || a.Remaining != 900*time.Millisecond || a.Slots != 4 || a.Target != "wuno96b" {
 		t.Errorf("first = %+v", a)
 	}
-	// The later page is the newer, and what has run out is still told.
+	// The later page is the more recent one, and a remaining time that has run out is still reported.
 	if b := list[1]; b.Phase != Draining || b.Remaining != time.Millisecond {
 		t.Errorf("second = %+v", b)
 	}
@@ -157,13 +157,13 @@
 	}
 }
 
-// TestRetryIsCounted has the platform break connections: a call on one that it answered on before is made once more, on a
-// new one, and both are counted for the rate; one that breaks a new connection is not made again.
+// TestRetryIsCounted has the platform break connections: a call that fails on a reused connection is retried once on a new one, and
+// both calls count towards the rate; a call that fails on a new connection is not retried.
 func TestRetryIsCounted(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		breaks []int64 // which of the calls that come
-		failed []bool  // of three lists
+		breaks []int64 // which of the received calls
+		failed []bool  // for each of three lists
 		calls  uint64
 	}{
 		{"a reused connection", []int64{2}, []bool{false, false, false}, 4},
@@ -190,7 +190,8 @@
 	}
 }
 
-// TestSurplusAnswer has the platform send a second response after each, in the same packet: it is never that of the next request.
+// TestSurplusAnswer has the platform send a second response after each response, in the same packet: it must never be used for the next
+// request.
 func TestSurplusAnswer(t *testing.T) {
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -202,7 +203,7 @@
 	for range 50 {
 		list, err := client.List(context.Background(), "")
 		switch {
-		case err != nil && !errors.Is(err, ErrUnreachable): // it may meet the connection's end
+		case err != nil && !errors.Is(err, ErrUnreachable): // the request may hit the closing connection
 			t.Errorf("error %v", err)
 		case err == nil && (len(list) != 1 || list[0].ID != "own"):
 			t.Errorf("list %+v", list)
@@ -213,7 +214,7 @@
 	serving.Wait()
 }
 
-// serveSurplus answers every request on every connection with two responses, until the listener is closed.
+// serveSurplus sends two responses to every request, on every connection, until the listener is closed.
 func serveSurplus(listener net.Listener, serving *sync.WaitGroup) {
 	responses := listResponse("own") + listResponse("surplus")
 	for {
@@ -235,7 +236,7 @@
 	}
 }
 
-// listResponse is a response with a list of one instance.
+// listResponse returns a response with a list of one instance.
 func listResponse(id string) string {
 	body := `{"instances":[{"id":"` + id + `","target":"s","address":"10.0.0.1:1","zone":"z","phase":"serving"}],"next_token":null}`
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -16,7 +16,7 @@
 
 type fakeList struct {
 	mu    sync.Mutex
-	pages uint64 // calls that one list takes
+	pages uint64 // calls per list
 	calls uint64
 	err   error
 }
@@ -43,7 +43,7 @@
 	f.err = err
 }
 
-// listTable is the list in use, as all pollers of a test see it.
+// listTable holds the version of the list in use, shared by all pollers of a test.
 type listTable struct {
 	mu             sync.Mutex
 	fence, version uint64
@@ -72,7 +72,7 @@
 
 func discardLog() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
 
-// runPoller runs a poller for a span of the bubble's clock.
+// runPoller runs a poller for a span of the test's synthetic clock.
 func runPoller(o PollerOptions, span time.Duration) {
 	o.Log = discardLog()
 	ctx, cancel := context.WithTimeout(context.Background(), span)
@@ -139,7 +139,7 @@
 		}
 		table.mu.Unlock()
 		wg.Wait()
-		// Both together stay under the rate of a holder: one list every two seconds or so.
+		// Both together stay below the rate of an owner: about one list every two seconds.
 		if calls := lists[0].calls + lists[1].calls; calls < 6 || calls > 16 {
 			t.Errorf("%d calls in 20 s", calls)
 		}
@@ -156,7 +156,7 @@
 		}()
 		runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 1, true }, Newest: table.newest, OnResult: table.put},
 			30*time.Second)
-		// Calls at 0, 3 and 6 s fail, and from 10 s on there are two a second.
+		// Calls at 0, 3 and 6 s fail, and from 10 s on there are two per second.
 		if table.taken < 40 || table.taken > 41 {
 			t.Errorf("%d lists taken", table.taken)
 		}
--- a/internal/system/platform/warmup_test.go
+++ b/internal/system/platform/warmup_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestWarmUpsCountFromTheLastPage: of a list in several pages each server is as of when its page arrived. Danger: those
-// of the first count as warming up for as long as the other pages take.
+// TestWarmUpsCountFromTheLastPage: warm-up times of a paged list are relative to the arrival of each page. Without a
+// correction, servers of the first page would count as warming up for as long as the other pages take to arrive.
 func TestWarmUpsCountFromTheLastPage(t *testing.T) {
 	start := time.Now()
 	list := []Instance{{ID: "a", WarmUpLeft: 3 * time.Second}, {ID: "b", WarmUpLeft: 100 * time.Millisecond}, {ID: "c", WarmUpLeft: 2 * time.Second}}
--- a/internal/system/process/compat_test.go
+++ b/internal/system/process/compat_test.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// TestCommandNames: deployments name these commands and flags of the proxy and the control plane.
+// TestCommandNames checks the commands and flags that deployments use for the proxy and the control plane.
 func TestCommandNames(t *testing.T) {
 	parser, err := kong.New(&commandLine{})
 	if err != nil {
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/internal/system/settings"
 )
 
-// TestParse replaces lines of a good file, one case at a time. Danger: a process that starts on settings that make no sense and
+// TestParse replaces lines of a valid file, one case at a time. It guards against a process that starts with invalid settings and
 // fails later.
 func TestParse(t *testing.T) {
 	good, err := os.ReadFile("testdata/good.toml")
@@ -40,7 +40,7 @@
 	})
 }
 
-// replaceLines replaces what each line of data, of the form "old => new", has on its left.
+// replaceLines applies each line of data, of the form "old => new", to text as a replacement.
 func replaceLines(t *testing.T, text string, data *datadriven.TestData) string {
 	t.Helper()
 	for _, line := range strings.Split(data.Input, "\n") {
@@ -56,7 +56,7 @@
 	return text
 }
 
-// TestFromEnvironment: without the variable, or the file that it names, the error says so.
+// TestFromEnvironment checks the errors for a missing environment variable and a missing file.
 func TestFromEnvironment(t *testing.T) {
 	t.Setenv(settings.PathEnv, "")
 	if _, err := settings.FromEnvironment(settings.Proxy); err == nil || !strings.Contains(err.Error(), settings.PathEnv) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// FuzzParse: a file that is accepted has a port for the system's own traffic.
+// FuzzParse checks that an accepted file has a port for the system's own traffic.
 func FuzzParse(f *testing.F) {
 	good, err := os.ReadFile("testdata/good.toml")
 	if err != nil {
