--- a/internal/system/config/config_test.go
+++ b/internal/system/config/config_test.go
@@ -65,7 +65,7 @@
 	before := r.current.describe()
 	changed, err := next()
 	if r.current.describe() != before {
-		t.Error("the configuration in place has been changed")
+		t.Error("the current configuration was modified")
 	}
 	if err != nil {
 		if !errors.Is(err, ErrInvalid) {
@@ -136,13 +136,13 @@
 	whole := readExample(t, "replace.json")
 	for i := range whole {
 		if _, err := Parse(whole[:i]); !errors.Is(err, ErrInvalid) {
-			t.Fatalf("cut at %d: %v", i, err)
+			t.Fatalf("truncated at byte %d: %v", i, err)
 		}
 		for _, c := range []byte{0, ' ', '"', '\\', '}', ']', ',', '0', '-', 0xff} {
 			other := slices.Clone(whole)
 			other[i] = c
 			if _, err := Parse(other); err != nil && !errors.Is(err, ErrInvalid) {
-				t.Fatalf("byte %d is %q: %v", i, c, err)
+				t.Fatalf("byte %d replaced by %q: %v", i, c, err)
 			}
 		}
 	}
@@ -150,7 +150,7 @@
 		t.Fatalf("twice in one body: %v", err)
 	}
 	if _, err := Parse(append(slices.Clone(whole), " \n"...)); err != nil {
-		t.Fatalf("space behind: %v", err)
+		t.Fatalf("with trailing white space: %v", err)
 	}
 }
 
@@ -232,10 +232,10 @@
 		t.Fatal(err)
 	}
 	if next.Routes[0] != base.Routes[0] || next.Routes[4] != base.Routes[4] || next.Routes[5] != base.Routes[6] {
-		t.Error("routes that stay are not shared")
+		t.Error("unchanged routes are not shared")
 	}
 	if next.Routes[3] == base.Routes[3] || len(next.Routes) != 99 {
-		t.Error("the routes named are not changed")
+		t.Error("the named routes were not changed")
 	}
 }
 
@@ -255,7 +255,7 @@
 			return
 		}
 		if !json.Valid(raw) {
-			t.Fatal("what is no JSON was accepted")
+			t.Fatal("invalid JSON was accepted")
 		}
 		c.requireValid(t)
 		if accepted, err := ParseAccepted(raw); err != nil || !reflect.DeepEqual(accepted, c) {
@@ -309,7 +309,7 @@
 		before := base.describe()
 		next, err := Amend(base, second)
 		if base.describe() != before || !bytes.Equal(base.Raw, first) {
-			t.Fatal("the base has been changed")
+			t.Fatal("the base was modified")
 		}
 		if err != nil {
 			if !errors.Is(err, ErrInvalid) {
@@ -323,7 +323,7 @@
 			t.Fatalf("%v\n%s", err, next.Raw)
 		}
 		if !reflect.DeepEqual(again, next) {
-			t.Fatalf("read again it differs\n%s\n%s", next.describe(), again.describe())
+			t.Fatalf("parsed again it differs\n%s\n%s", next.describe(), again.describe())
 		}
 		if accepted, err := AmendAccepted(base, second); err != nil || !reflect.DeepEqual(accepted, next) {
 			t.Fatalf("read as accepted it differs: %v", err)
--- a/internal/system/config/errors_test.go
+++ b/internal/system/config/errors_test.go
@@ -17,7 +17,7 @@
 				t.Errorf("not of kind ErrInvalid: %v", err)
 			}
 			if found := new(InvalidError); !errors.As(err, &found) || found.Reason == "" {
-				t.Errorf("no InvalidError: %v", err)
+				t.Errorf("not an InvalidError: %v", err)
 			}
 		})
 	}
--- a/internal/system/config/model_test.go
+++ b/internal/system/config/model_test.go
@@ -199,7 +199,7 @@
 		t.Fatalf("%s\nwant\n%s", got.Raw, want.Raw)
 	}
 	if again, err := Parse(got.Raw); err != nil || !reflect.DeepEqual(again, got) {
-		t.Fatalf("read again it differs: %v", err)
+		t.Fatalf("parsed again it differs: %v", err)
 	}
 }
 
@@ -212,7 +212,7 @@
 		})
 		holder := got.TenantOfKey(key)
 		if (holder == nil) != (want < 0) || holder != nil && holder.Name != tenants[want].(jsonObject)["name"] {
-			t.Fatalf("key %s is held by %+v, want that of index %d in %v", key, holder, want, tenants)
+			t.Fatalf("key %s belongs to tenant %+v, want index %d in %v", key, holder, want, tenants)
 		}
 	}
 }
--- a/internal/system/config/tenant_test.go
+++ b/internal/system/config/tenant_test.go
@@ -37,17 +37,17 @@
 		t.Fatal(err)
 	}
 	if next.Tenants[0] != base.Tenants[0] || next.Tenants[4] != base.Tenants[4] || next.Tenants[5] != base.Tenants[6] {
-		t.Error("tenants that stay are not shared")
+		t.Error("unchanged tenants are not shared")
 	}
 	if len(next.Tenants) != 99 || next.TenantOfKey("new") != next.Tenants[3] || next.TenantOfKey("key-3-a") != nil || next.TenantOfKey("key-5-a") != nil {
-		t.Error("the tenants named are not changed")
+		t.Error("the named tenants were not changed")
 	}
 	next, err = Amend(base, largeAmendment())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if reflect.ValueOf(next.tenantOfKey).Pointer() != reflect.ValueOf(base.tenantOfKey).Pointer() {
-		t.Error("an amendment that names no tenant has built the index of keys again")
+		t.Error("an amendment that names no tenant rebuilt the index of keys")
 	}
 }
 
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if accepted.TenantOfKey("k") != nil || accepted.TenantOfKey("l") != accepted.Tenants[0] || accepted.TenantOfKey("m") != accepted.Tenants[2] {
-		t.Error("the keys are found at others")
+		t.Error("the keys belong to the wrong tenants")
 	}
 	if _, err := Amend(accepted, []byte(`{"revision":2,"upsert":{"services":[{"name":"s"}]}}`)); err != nil {
 		t.Error(err)
@@ -112,14 +112,14 @@
 	withoutRaw := *c
 	withoutRaw.Raw = nil
 	if text := fmt.Sprintf("%+v %+v", withoutRaw, *c.Tenants[0]); strings.Contains(text, key) {
-		t.Errorf("the key is in %s", text)
+		t.Errorf("the plain-text key is in %s", text)
 	}
 }
 
 // TestTenantOfEmptyKey: a request without a key belongs to no tenant.
 func TestTenantOfEmptyKey(t *testing.T) {
 	if largeConfig(t, 3).TenantOfKey("") != nil || (*Config)(nil).TenantOfKey("k") != nil {
-		t.Error("a tenant was found")
+		t.Error("a tenant was found for an empty key or a nil configuration")
 	}
 }
 
@@ -136,13 +136,13 @@
 		names[tenant.Name] = true
 		for _, key := range tenant.Keys {
 			if holder := holders[key]; holder != nil && holder != tenant || c.tenantOfKey[key] != tenant {
-				t.Fatalf("key %x is held by %v, and found at %v", key, holder, c.tenantOfKey[key])
+				t.Fatalf("key %x belongs to %v, but the look-up returns %v", key, holder, c.tenantOfKey[key])
 			}
 			holders[key] = tenant
 		}
 	}
 	if len(holders) != len(c.tenantOfKey) {
-		t.Fatalf("%d keys are found, %d are held", len(c.tenantOfKey), len(holders))
+		t.Fatalf("the index has %d keys, the tenants have %d", len(c.tenantOfKey), len(holders))
 	}
 }
 
--- a/internal/system/directory/directory_test.go
+++ b/internal/system/directory/directory_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if len(used) != len(endpoints) {
-		t.Errorf("%d of %d proxies are ever named", len(used), len(endpoints))
+		t.Errorf("only %d of %d proxies are returned to any client", len(used), len(endpoints))
 	}
 }
 
@@ -65,7 +65,7 @@
 		return w
 	}
 	if w := get(directory.Handler(), "/resolve?zone=z&region=r"); w.Code != http.StatusServiceUnavailable {
-		t.Errorf("knowing nobody: %d", w.Code)
+		t.Errorf("without endpoints: status %d", w.Code)
 	}
 	directory.SetEndpoints([]Endpoint{{"10.0.0.1:80", "z", "r"}})
 	var response Response
@@ -74,15 +74,15 @@
 		t.Errorf("%s: %v", w.Body, err)
 	}
 	if w := get(directory.Handler(), "/other"); w.Code != http.StatusNotFound {
-		t.Errorf("unknown path: %d", w.Code)
+		t.Errorf("unknown path: status %d", w.Code)
 	}
 	ready := false
 	readiness := Readiness(func() bool { return ready })
 	if w := get(readiness, "/readiness"); w.Code != http.StatusServiceUnavailable {
-		t.Errorf("unready: %d", w.Code)
+		t.Errorf("not ready: status %d", w.Code)
 	}
 	ready = true
 	if w := get(readiness, "/readiness"); w.Code != http.StatusOK {
-		t.Errorf("ready: %d", w.Code)
+		t.Errorf("ready: status %d", w.Code)
 	}
 }
--- a/internal/system/failuredetector/agent_test.go
+++ b/internal/system/failuredetector/agent_test.go
@@ -99,7 +99,7 @@
 			select {
 			case <-tick.C:
 			case <-deadline:
-				t.Fatalf("%s has heard from nobody", n.member.Node)
+				t.Fatalf("%s did not become connected", n.member.Node)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 			select {
 			case v = <-nodes[name].reports:
 			case <-deadline:
-				t.Fatalf("%s has not called d down", name)
+				t.Fatalf("%s did not report d as down", name)
 			}
 			if v == (DownReport{Node: "d", Incarnation: 4, Down: true}) {
 				break
@@ -127,10 +127,10 @@
 	n.agent.mu.Unlock()
 	ctx := context.Background()
 	if inc, err := n.agent.requestIncarnation(ctx, "a", addr); err != nil || inc != 1<<63+1 {
-		t.Errorf("ask a = %d, %v", inc, err)
+		t.Errorf("requestIncarnation for a = %d, %v", inc, err)
 	}
 	if _, err := n.agent.requestIncarnation(ctx, "b", addr); err == nil {
-		t.Error("a answered for b")
+		t.Error("requestIncarnation for b succeeded at the address of a")
 	}
 }
 
--- a/internal/system/failuredetector/detector_test.go
+++ b/internal/system/failuredetector/detector_test.go
@@ -26,12 +26,12 @@
 			count += len(watched)
 			for _, n := range watched {
 				if !slices.Contains(Watchers(n, live, watcherCount), node) {
-					t.Fatalf("%s watches %s, which beats to %v", node, n, Watchers(n, live, watcherCount))
+					t.Fatalf("%s watches %s, which sends heartbeats to %v", node, n, Watchers(n, live, watcherCount))
 				}
 			}
 		}
 		if want := len(live) * min(watcherCount, len(live)-1); count != want {
-			t.Fatalf("%d pairs, want %d", count, want)
+			t.Fatalf("%d pairs of watcher and watched node, want %d", count, want)
 		}
 	})
 }
@@ -90,15 +90,15 @@
 		for _, name := range dead {
 			told := sim.reportedDown[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
 			if len(told) == 0 {
-				t.Errorf("nobody called %s down", name)
+				t.Errorf("no watcher reported %s as down", name)
 			}
 			for who, at := range told {
 				if at-killed > detectionBound {
-					t.Errorf("%s called %s down after %v", who, name, at-killed)
+					t.Errorf("%s reported %s as down after %v", who, name, at-killed)
 				}
 			}
 			if r := sim.members[name]; !r.down || r.since-killed > detectionBound+220*time.Millisecond {
-				t.Errorf("%s is counted down: %v, after %v", name, r.down, r.since-killed)
+				t.Errorf("%s is listed as down: %v, after %v", name, r.down, r.since-killed)
 			}
 		}
 		sim.checkCalm()
@@ -124,7 +124,7 @@
 			who = append(who, n)
 		}
 		if want := sortStrings(sim.watchersOf(name)); !slices.Equal(sortStrings(who), want) {
-			t.Errorf("%v called %s down %v after its end, want %v", who, name, sim.now-killed, want)
+			t.Errorf("%v reported %s as down %v after its crash, want %v", who, name, sim.now-killed, want)
 		}
 	})
 }
@@ -138,7 +138,7 @@
 		for _, name := range sim.names {
 			for _, watcher := range sim.watchersOf(name) {
 				if got := sim.nodes[watcher].detector.watched[name]; got == nil || got.incarnation != sim.nodes[name].incarnation {
-					t.Errorf("%s does not watch the present process of %s", watcher, name)
+					t.Errorf("%s does not watch the current process of %s", watcher, name)
 				}
 			}
 		}
@@ -172,11 +172,11 @@
 		for _, n := range sim.nodes {
 			resumed += n.resumed
 			if !n.detector.Connected(sim.now) {
-				t.Errorf("%s is not connected in calm times", n.name)
+				t.Errorf("%s is not connected although there are no faults", n.name)
 			}
 		}
 		if resumed == 0 {
-			t.Error("nobody noticed that it was paused")
+			t.Error("no process detected that it was paused")
 		}
 	})
 }
@@ -185,11 +185,11 @@
 	sim := newSimulation(t, 1, 6, Options{})
 	name := sim.names[0]
 	if sim.nodes[name].detector.Connected(sim.now) {
-		t.Error("connected at its start")
+		t.Error("connected when it starts")
 	}
 	sim.run(3 * time.Second)
 	if !sim.nodes[name].detector.Connected(sim.now) {
-		t.Error("not connected in calm times")
+		t.Error("not connected although there are no faults")
 	}
 	sim.freeze(name)
 	sim.run(10 * time.Second)
@@ -199,12 +199,12 @@
 	sim.thaw(name) // its buffer contains the messages that arrived while it was paused
 	sim.run(100 * time.Millisecond)
 	if sim.nodes[name].detector.Connected(sim.now) {
-		t.Error("connected after its pause, though nobody has answered")
+		t.Error("connected after its pause, although no ping was answered")
 	}
 	sim.run(20 * time.Second)
 	for key, told := range sim.reportedDown {
 		if _, ok := told[name]; ok {
-			t.Errorf("cut off, it called %s down", key)
+			t.Errorf("while partitioned, it reported %s as down", key)
 		}
 	}
 	for _, other := range sim.names[1:] {
@@ -213,7 +213,7 @@
 	sim.calmSince = sim.now
 	sim.run(2 * time.Second)
 	if !sim.nodes[name].detector.Connected(sim.now) {
-		t.Error("not connected after it was answered")
+		t.Error("not connected after its pings were answered")
 	}
 	sim.checkCalm()
 }
@@ -252,14 +252,14 @@
 	sim.kill(n.name)
 	sim.run(10 * time.Second)
 	if len(sim.reportedDown) > 0 {
-		t.Errorf("down reports on one that left: %v", sim.reportedDown)
+		t.Errorf("down reports about a node that left: %v", sim.reportedDown)
 	}
 	sim.start(n.name)
 	sim.run(3 * time.Second)
 	sim.kill(n.name)
 	sim.run(3 * time.Second)
 	if len(sim.reportedDown) != 1 {
-		t.Errorf("down reports on the process after it: %v, want one", sim.reportedDown)
+		t.Errorf("down reports about the next process of the node: %v, want one", sim.reportedDown)
 	}
 }
 
@@ -294,7 +294,7 @@
 		t.Error("a process that was paused while it suspected another gives a wrong down report")
 	}
 	if !found(Options{PauseThreshold: time.Hour}, turns) {
-		t.Error("processes that do not notice their pause give no wrong down report: the harness does not test it")
+		t.Error("processes that do not detect their pause give no wrong down report: the simulation does not exercise this")
 	}
 	if !found(Options{Watchers: 1}, func(sim *simulation) {
 		sim.run(3 * time.Second)
@@ -303,7 +303,7 @@
 			sim.run(4 * time.Second)
 		}
 	}) {
-		t.Error("watchers that ask nobody else give no wrong down report: the harness does not test it")
+		t.Error("a single watcher per node gives no wrong down report: the simulation does not exercise this")
 	}
 }
 
--- a/internal/system/failuredetector/message_test.go
+++ b/internal/system/failuredetector/message_test.go
@@ -20,17 +20,17 @@
 		}
 		data := m.Append(nil)
 		if len(data) > MaxDatagramBytes {
-			t.Fatalf("%d bytes", len(data))
+			t.Fatalf("encoding has %d bytes", len(data))
 		}
 		if got, err := Decode(data); err != nil || got != m {
 			t.Fatalf("%+v became %+v, %v", m, got, err)
 		}
 		cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
 		if _, err := Decode(data[:cut]); !errors.Is(err, ErrMalformedMessage) {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated at byte %d: %v", cut, err)
 		}
 		if _, err := Decode(append(data, 0)); !errors.Is(err, ErrMalformedMessage) {
-			t.Fatalf("one byte more: %v", err)
+			t.Fatalf("with a surplus byte: %v", err)
 		}
 	})
 }
--- a/internal/system/failuredetector/simulation_test.go
+++ b/internal/system/failuredetector/simulation_test.go
@@ -194,7 +194,7 @@
 	for _, e := range out.Send {
 		m, err := Decode(e.Message.Append(nil))
 		if err != nil {
-			sim.t.Fatalf("%+v: %v", e.Message, err)
+			sim.t.Fatalf("decoding %+v: %v", e.Message, err)
 		}
 		if sim.partitioned[networkPath{sender.name, e.To}] || sim.dropsPacket() {
 			continue
@@ -273,7 +273,7 @@
 		sim.reportedDown[key][watcher.name] = sim.now
 	}
 	if sim.isReachable(sim.nodes[report.Node], report.Incarnation) {
-		sim.wrongReports = append(sim.wrongReports, fmt.Sprintf("%v: %s called %s down", sim.now, watcher.name, report.Node))
+		sim.wrongReports = append(sim.wrongReports, fmt.Sprintf("at %v %s reported %s as down", sim.now, watcher.name, report.Node))
 	}
 }
 
@@ -316,16 +316,16 @@
 		n, r := sim.nodes[name], sim.members[name]
 		switch {
 		case n.alive && (r.down || r.incarnation != n.incarnation):
-			sim.t.Errorf("%s lives and is counted down since %v", name, r.since)
+			sim.t.Errorf("%s is live but listed as down since %v", name, r.since)
 		case !n.alive && !r.down:
-			sim.t.Errorf("%s is dead and is counted live", name)
+			sim.t.Errorf("%s is dead but listed as live", name)
 		}
 	}
 	for _, wrong := range sim.wrongReports {
-		sim.t.Errorf("wrong: %s", wrong)
+		sim.t.Errorf("wrong down report: %s", wrong)
 	}
 	if sim.disconnected > 0 {
-		sim.t.Errorf("%d down reports of nodes that were not connected", sim.disconnected)
+		sim.t.Errorf("%d down reports from watchers that were not connected", sim.disconnected)
 	}
 }
 
--- a/internal/system/failuredetector/stale_test.go
+++ b/internal/system/failuredetector/stale_test.go
@@ -19,7 +19,7 @@
 			return now, out.Send[i]
 		}
 	}
-	t.Fatal("asks nobody though b is silent")
+	t.Fatal("no indirect ping was sent although b is silent")
 	return 0, Envelope{}
 }
 
@@ -41,13 +41,13 @@
 // connected, even if this process was not paused. Otherwise old replies that arrive when a partition heals would keep a dead node live.
 func TestStaleRepliesAreIgnored(t *testing.T) {
 	if heard, connected := replyAfter(t, 100*time.Millisecond, false); !heard || !connected {
-		t.Errorf("in time: heard %v, connected %v", heard, connected)
+		t.Errorf("reply in time: contact with b %v, connected %v; want true, true", heard, connected)
 	}
 	if heard, connected := replyAfter(t, 20*time.Second, false); heard || connected {
-		t.Errorf("late: heard %v, connected %v", heard, connected)
+		t.Errorf("stale reply: contact with b %v, connected %v; want false, false", heard, connected)
 	}
 	if heard, connected := replyAfter(t, 20*time.Second, true); !heard || !connected {
-		t.Errorf("control: heard %v, connected %v", heard, connected)
+		t.Errorf("stale reply accepted by knob: contact with b %v, connected %v; want true, true", heard, connected)
 	}
 }
 
@@ -58,7 +58,7 @@
 	now, _ := tickUntilIndirectPing(t, next)
 	next.Receive(now, Message{Kind: IndirectNack, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b", NodeIncarnation: 2})
 	if next.Connected(now) || next.watched["b"].nacks["c"] {
-		t.Error("the answer counts")
+		t.Error("a reply to a ping of the former incarnation was accepted")
 	}
 }
 
@@ -69,7 +69,7 @@
 	d.Receive(now+300*time.Millisecond, Message{Kind: IndirectAck, From: "c", Incarnation: 3, Nonce: ask.Message.Nonce, Node: "b",
 		NodeIncarnation: 2, Age: 200 * time.Millisecond})
 	if got := d.watched["b"].lastContact; got != now-200*time.Millisecond {
-		t.Errorf("heard at %v, asked at %v", got, now)
+		t.Errorf("last contact with b at %v, want 200 ms before the ping at %v", got, now)
 	}
 }
 
@@ -84,7 +84,7 @@
 			}
 			d.ProbeResult(now, now-late, "b", 2, true)
 			if got, want := d.watched["b"].lastContact > 0, late < time.Second; got != want {
-				t.Errorf("after %v: heard %v", late, got)
+				t.Errorf("probe result after %v: contact with b %v", late, got)
 			}
 		})
 	}
--- a/internal/system/platform/client_test.go
+++ b/internal/system/platform/client_test.go
@@ -151,7 +151,7 @@
 	} {
 		t.Run(value, func(t *testing.T) {
 			if got := parseRetryAfter(value); got != want {
-				t.Errorf("retryAfter(%q) = %v, want %v", value, got, want)
+				t.Errorf("parseRetryAfter(%q) = %v, want %v", value, got, want)
 			}
 		})
 	}
@@ -184,7 +184,7 @@
 				}
 			}
 			if uint64(got.Load()) != test.calls || client.Calls() != test.calls {
-				t.Errorf("%d calls came, %d were counted, want %d", got.Load(), client.Calls(), test.calls)
+				t.Errorf("%d calls were received, %d were counted, want %d", got.Load(), client.Calls(), test.calls)
 			}
 		})
 	}
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -135,7 +135,7 @@
 		time.Sleep(3 * time.Second)
 		table.mu.Lock()
 		if table.taken == 0 || table.at.Sub(start) < 2*time.Second {
-			t.Errorf("after 3 s: %d lists taken, the newest of %v", table.taken, table.at.Sub(start))
+			t.Errorf("after 3 s: %d lists accepted, the newest requested at %v", table.taken, table.at.Sub(start))
 		}
 		table.mu.Unlock()
 		wg.Wait()
@@ -158,7 +158,7 @@
 			30*time.Second)
 		// Calls at 0, 3 and 6 s fail, and from 10 s on there are two per second.
 		if table.taken < 40 || table.taken > 41 {
-			t.Errorf("%d lists taken", table.taken)
+			t.Errorf("%d lists accepted", table.taken)
 		}
 		if list.calls != uint64(table.taken)+3 {
 			t.Errorf("%d calls for %d lists", list.calls, table.taken)
--- a/internal/system/platform/warmup_test.go
+++ b/internal/system/platform/warmup_test.go
@@ -14,7 +14,7 @@
 	ageWarmUps(list, pages)
 	for i, want := range []time.Duration{2700 * time.Millisecond, 0, 2000 * time.Millisecond} {
 		if list[i].WarmUpLeft != want {
-			t.Errorf("%s is cold for %v more, want %v", list[i].ID, list[i].WarmUpLeft, want)
+			t.Errorf("%s is still warming up for %v, want %v", list[i].ID, list[i].WarmUpLeft, want)
 		}
 	}
 }
--- a/internal/system/process/compat_test.go
+++ b/internal/system/process/compat_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	if want := []string{"run", "run --log-level", "run --metrics", "check", "check <file>"}; !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("commands and flags are %q, want %q", got, want)
 	}
 	if MetricsPath != "/metrics" {
 		t.Errorf("metrics are at %q", MetricsPath)
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -27,7 +27,7 @@
 		parsed, err := settings.Parse([]byte(replaceLines(t, string(good), data)), role)
 		if err != nil {
 			if !errors.Is(err, settings.ErrSettings) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %q is not one line of this package's kind", data.Pos, err)
+				t.Errorf("%s: error %q is not a single line marked ErrSettings", data.Pos, err)
 			}
 			return err.Error()
 		}
@@ -49,7 +49,7 @@
 		}
 		old, with, found := strings.Cut(line, " =>")
 		if !found || !strings.Contains(text, old) {
-			t.Fatalf("%s: %q is not in the good file", data.Pos, old)
+			t.Fatalf("%s: %q is not in the valid file", data.Pos, old)
 		}
 		text = strings.Replace(text, old, strings.TrimSpace(with), 1)
 	}
@@ -60,7 +60,7 @@
 func TestFromEnvironment(t *testing.T) {
 	t.Setenv(settings.PathEnv, "")
 	if _, err := settings.FromEnvironment(settings.Proxy); err == nil || !strings.Contains(err.Error(), settings.PathEnv) {
-		t.Errorf("without the variable: %v", err)
+		t.Errorf("without the environment variable: %v", err)
 	}
 	t.Setenv(settings.PathEnv, t.TempDir()+"/none")
 	if _, err := settings.FromEnvironment(settings.Proxy); !errors.Is(err, settings.ErrSettings) {
@@ -81,7 +81,7 @@
 	f.Add(string(good))
 	f.Fuzz(func(t *testing.T, text string) {
 		if parsed, err := settings.Parse([]byte(text), settings.ControlPlane); err == nil && parsed.ControlPlanePort() < 1 {
-			t.Error("accepted without a port")
+			t.Error("settings without a port were accepted")
 		}
 	})
 }
