--- a/internal/system/config/amend.go
+++ b/internal/system/config/amend.go
@@ -12,7 +12,7 @@
 
 // AmendAccepted is like Amend, but tolerates shared keys as ParseAccepted does.
 func AmendAccepted(base *Config, raw []byte) (*Config, error) {
-	return amend(base, raw, newDecoderOfAccepted())
+	return amend(base, raw, newDecoderForAccepted())
 }
 
 func amend(base *Config, raw []byte, decoder *itemDecoder) (*Config, error) {
@@ -228,7 +228,7 @@
 		baseNames[i] = nameOf(item)
 		current[baseNames[i]] = item
 	}
-	merged, err := a.mergeList(change, namedAfterBase(baseNames, func(raw []byte) (string, error) {
+	merged, err := a.mergeList(change, itemNamer(baseNames, func(raw []byte) (string, error) {
 		item, err := decode(raw)
 		if err != nil {
 			return "", err
@@ -254,7 +254,7 @@
 		return append(out, change.field.value...), nil
 	}
 	services := maps.Clone(a.base.Services)
-	merged, err := a.mergeList(change, namedAfterBase(a.base.serviceNames, func(raw []byte) (string, error) {
+	merged, err := a.mergeList(change, itemNamer(a.base.serviceNames, func(raw []byte) (string, error) {
 		service, err := a.decoder.service(raw)
 		if err != nil {
 			return "", err
@@ -276,9 +276,9 @@
 	return merged.appendJSON(out), nil
 }
 
-// namedAfterBase returns a function for mergeList: base's items come first and are already decoded, so their names are
+// itemNamer returns a function for mergeList: base's items come first and are already decoded, so their names are
 // known; decode is called only for the items of the amendment.
-func namedAfterBase(baseNames []string, decode func([]byte) (string, error)) func([]byte) (string, error) {
+func itemNamer(baseNames []string, decode func([]byte) (string, error)) func([]byte) (string, error) {
 	return func(raw []byte) (string, error) {
 		if len(baseNames) > 0 {
 			name := baseNames[0]
--- a/internal/system/config/config_test.go
+++ b/internal/system/config/config_test.go
@@ -133,23 +133,23 @@
 
 // TestTruncatedOrChangedBytes truncates the example at every byte and changes every byte: all errors must match ErrInvalid.
 func TestTruncatedOrChangedBytes(t *testing.T) {
-	whole := readExample(t, "replace.json")
-	for i := range whole {
-		if _, err := Parse(whole[:i]); !errors.Is(err, ErrInvalid) {
+	example := readExample(t, "replace.json")
+	for i := range example {
+		if _, err := Parse(example[:i]); !errors.Is(err, ErrInvalid) {
 			t.Fatalf("truncated at byte %d: %v", i, err)
 		}
 		for _, c := range []byte{0, ' ', '"', '\\', '}', ']', ',', '0', '-', 0xff} {
-			other := slices.Clone(whole)
+			other := slices.Clone(example)
 			other[i] = c
 			if _, err := Parse(other); err != nil && !errors.Is(err, ErrInvalid) {
 				t.Fatalf("byte %d replaced by %q: %v", i, c, err)
 			}
 		}
 	}
-	if _, err := Parse(append(slices.Clone(whole), whole...)); !errors.Is(err, ErrInvalid) {
+	if _, err := Parse(append(slices.Clone(example), example...)); !errors.Is(err, ErrInvalid) {
 		t.Fatalf("twice in one body: %v", err)
 	}
-	if _, err := Parse(append(slices.Clone(whole), " \n"...)); err != nil {
+	if _, err := Parse(append(slices.Clone(example), " \n"...)); err != nil {
 		t.Fatalf("with trailing white space: %v", err)
 	}
 }
--- a/internal/system/config/decoder.go
+++ b/internal/system/config/decoder.go
@@ -19,8 +19,8 @@
 
 func newDecoder() *itemDecoder { return &itemDecoder{names: map[string]string{}} }
 
-// newDecoderOfAccepted returns a decoder for configurations that were accepted before.
-func newDecoderOfAccepted() *itemDecoder {
+// newDecoderForAccepted returns a decoder for configurations that were accepted before.
+func newDecoderForAccepted() *itemDecoder {
 	decoder := newDecoder()
 	decoder.allowsSharedKeys = true
 	return decoder
--- a/internal/system/config/object.go
+++ b/internal/system/config/object.go
@@ -43,15 +43,15 @@
 }
 
 // fail records an error unless one is already recorded.
-func (it *objectReader) fail(format string, args ...any) {
-	if it.err == nil {
-		it.err = invalid("%s: %s", it.label, fmt.Sprintf(format, args...))
+func (r *objectReader) fail(format string, args ...any) {
+	if r.err == nil {
+		r.err = invalid("%s: %s", r.label, fmt.Sprintf(format, args...))
 	}
 }
 
 // get returns a field, or nil if it is absent or null.
-func (it *objectReader) get(key string) *fastjson.Value {
-	v := it.value.Get(key)
+func (r *objectReader) get(key string) *fastjson.Value {
+	v := r.value.Get(key)
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return nil
 	}
@@ -59,77 +59,77 @@
 }
 
 // stringField returns a string. If needed is true, it must be present and not empty.
-func (it *objectReader) stringField(key string, needed bool) string {
-	v := it.get(key)
+func (r *objectReader) stringField(key string, needed bool) string {
+	v := r.get(key)
 	if v == nil {
 		if needed {
-			it.fail("%s is missing: add it", key)
+			r.fail("%s is missing: add it", key)
 		}
 		return ""
 	}
 	b, err := v.StringBytes()
 	if err != nil {
-		it.fail("%s is no string: quote it", key)
+		r.fail("%s is no string: quote it", key)
 		return ""
 	}
 	if needed && len(b) == 0 {
-		it.fail("%s is empty: fill it", key)
+		r.fail("%s is empty: fill it", key)
 	}
-	return it.decoder.intern(b)
+	return r.decoder.intern(b)
 }
 
 // listField returns the elements of a list, or none if the field is missing.
-func (it *objectReader) listField(key string) []*fastjson.Value {
-	v := it.get(key)
+func (r *objectReader) listField(key string) []*fastjson.Value {
+	v := r.get(key)
 	if v == nil {
 		return nil
 	}
 	if v.Type() != fastjson.TypeArray {
-		it.fail("%s is no list: send [...]", key)
+		r.fail("%s is no list: send [...]", key)
 	}
 	return v.GetArray()
 }
 
 // boolField returns a boolean, or false if the field is missing.
-func (it *objectReader) boolField(key string) bool {
-	v := it.get(key)
+func (r *objectReader) boolField(key string) bool {
+	v := r.get(key)
 	if v == nil {
 		return false
 	}
 	b, err := v.Bool()
 	if err != nil {
-		it.fail("%s is neither true nor false: send one of them", key)
+		r.fail("%s is neither true nor false: send one of them", key)
 	}
 	return b
 }
 
 // nonNegativeNumber returns a finite number that is 0 or more, or absent if the field is missing.
-func (it *objectReader) nonNegativeNumber(key string, absent float64) float64 {
-	v := it.get(key)
+func (r *objectReader) nonNegativeNumber(key string, absent float64) float64 {
+	v := r.get(key)
 	if v == nil {
 		return absent
 	}
 	f, err := v.Float64()
 	switch {
 	case v.Type() != fastjson.TypeNumber || err != nil || math.IsInf(f, 0) || math.IsNaN(f):
-		it.fail("%s is no number that can be read: send a number without quotes", key)
+		r.fail("%s is no number that can be read: send a number without quotes", key)
 		return 0
 	case f < 0:
-		it.fail("%s is %g: send 0 or more", key, f)
+		r.fail("%s is %g: send 0 or more", key, f)
 		return 0
 	}
 	return f
 }
 
 // integerField returns a number without its fraction, at most maximum.
-func (it *objectReader) integerField(key string, maximum int64) int64 {
-	return int64(math.Min(it.nonNegativeNumber(key, 0), float64(maximum)))
+func (r *objectReader) integerField(key string, maximum int64) int64 {
+	return int64(math.Min(r.nonNegativeNumber(key, 0), float64(maximum)))
 }
 
 // durationField returns a duration given as a multiple of unit, at most maxDuration, or absent if the field is missing. It is rounded
 // up to whole nanoseconds, so a number above 0 never becomes 0.
-func (it *objectReader) durationField(key string, unit, absent time.Duration) time.Duration {
-	f := it.nonNegativeNumber(key, -1)
+func (r *objectReader) durationField(key string, unit, absent time.Duration) time.Duration {
+	f := r.nonNegativeNumber(key, -1)
 	if f < 0 {
 		return absent
 	}
--- a/internal/system/config/parse.go
+++ b/internal/system/config/parse.go
@@ -14,7 +14,7 @@
 
 // ParseAccepted is like Parse, for a configuration that was accepted before, possibly by a version that did not check for shared keys:
 // a key that tenants share is not an error, and belongs to no tenant.
-func ParseAccepted(raw []byte) (*Config, error) { return parse(raw, newDecoderOfAccepted()) }
+func ParseAccepted(raw []byte) (*Config, error) { return parse(raw, newDecoderForAccepted()) }
 
 func parse(raw []byte, decoder *itemDecoder) (*Config, error) {
 	if err := validateJSON(raw); err != nil {
--- a/internal/system/config/service.go
+++ b/internal/system/config/service.go
@@ -27,41 +27,41 @@
 }
 
 // readEngine reads the engine, or returns nil if there is none.
-func (it *objectReader) readEngine() *Engine {
-	value := it.get("engine")
+func (r *objectReader) readEngine() *Engine {
+	value := r.get("engine")
 	if value == nil {
 		return nil
 	}
 	if value.Type() != fastjson.TypeObject {
-		it.fail("engine is no object: send {...}")
+		r.fail("engine is no object: send {...}")
 		return nil
 	}
-	it.value = value
+	r.value = value
 	return &Engine{
-		Slots:          int(it.integerField("slots", math.MaxInt32)),
-		CacheTokens:    it.integerField("cache_tokens", maxExactInteger),
-		TokensPerEvent: int(it.integerField("stride", math.MaxInt32)),
-		Models:         it.readModels(),
+		Slots:          int(r.integerField("slots", math.MaxInt32)),
+		CacheTokens:    r.integerField("cache_tokens", maxExactInteger),
+		TokensPerEvent: int(r.integerField("stride", math.MaxInt32)),
+		Models:         r.readModels(),
 	}
 }
 
 // readModels reads the names of the models.
-func (it *objectReader) readModels() []string {
-	list := it.get("models")
+func (r *objectReader) readModels() []string {
+	list := r.get("models")
 	if list == nil {
 		return nil
 	}
 	if list.Type() != fastjson.TypeArray {
-		it.fail("models is no list: send [...]")
+		r.fail("models is no list: send [...]")
 	}
 	var names []string
 	for _, model := range list.GetArray() {
 		if model.Type() != fastjson.TypeObject {
-			it.fail("a model is no object: send {...}")
+			r.fail("a model is no object: send {...}")
 			break
 		}
-		it.value = model
-		names = append(names, it.stringField("name", true))
+		r.value = model
+		names = append(names, r.stringField("name", true))
 	}
 	return names
 }
--- a/internal/system/config/tenant.go
+++ b/internal/system/config/tenant.go
@@ -52,12 +52,12 @@
 }
 
 // readKeys returns the digests of api_keys. An empty key is rejected, since a request without a key would match it.
-func (it *objectReader) readKeys() []KeyDigest {
+func (r *objectReader) readKeys() []KeyDigest {
 	var keys []KeyDigest
-	for _, element := range it.listField("api_keys") {
+	for _, element := range r.listField("api_keys") {
 		key, err := element.StringBytes()
 		if err != nil || len(key) == 0 {
-			it.fail("api_keys holds something that is no key: send texts that are not empty, in quotes")
+			r.fail("api_keys holds something that is no key: send texts that are not empty, in quotes")
 			return nil
 		}
 		keys = append(keys, sha256.Sum256(key))
--- a/internal/system/failuredetector/detector_test.go
+++ b/internal/system/failuredetector/detector_test.go
@@ -53,7 +53,7 @@
 		sim.run(20 * time.Second)
 		partitionPairs(sim, false)
 		sim.run(5 * time.Second)
-		sim.checkCalm()
+		sim.checkConverged()
 		if len(sim.reportedDown) > 0 {
 			t.Errorf("down reports: %v", sim.reportedDown)
 		}
@@ -88,11 +88,11 @@
 		}
 		sim.run(10 * time.Second)
 		for _, name := range dead {
-			told := sim.reportedDown[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
-			if len(told) == 0 {
+			reports := sim.reportedDown[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
+			if len(reports) == 0 {
 				t.Errorf("no watcher reported %s as down", name)
 			}
-			for who, at := range told {
+			for who, at := range reports {
 				if at-killed > detectionBound {
 					t.Errorf("%s reported %s as down after %v", who, name, at-killed)
 				}
@@ -101,7 +101,7 @@
 				t.Errorf("%s is listed as down: %v, after %v", name, r.down, r.since-killed)
 			}
 		}
-		sim.checkCalm()
+		sim.checkConverged()
 	})
 }
 
@@ -119,12 +119,12 @@
 		killed := sim.now
 		sim.run(detectionBound)
 		told := sim.reportedDown[fmt.Sprint(name, "/", sim.nodes[name].incarnation)]
-		var who []string
+		var reporters []string
 		for n := range told {
-			who = append(who, n)
+			reporters = append(reporters, n)
 		}
-		if want := sortStrings(sim.watchersOf(name)); !slices.Equal(sortStrings(who), want) {
-			t.Errorf("%v reported %s as down %v after its crash, want %v", who, name, sim.now-killed, want)
+		if want := sortStrings(sim.watchersOf(name)); !slices.Equal(sortStrings(reporters), want) {
+			t.Errorf("%v reported %s as down %v after its crash, want %v", reporters, name, sim.now-killed, want)
 		}
 	})
 }
@@ -134,7 +134,7 @@
 		sim := newSimulation(t, seed, 12, Options{})
 		sim.loss = 0.02
 		playRestarts(sim)
-		sim.checkCalm()
+		sim.checkConverged()
 		for _, name := range sim.names {
 			for _, watcher := range sim.watchersOf(name) {
 				if got := sim.nodes[watcher].detector.watched[name]; got == nil || got.incarnation != sim.nodes[name].incarnation {
@@ -167,7 +167,7 @@
 		sim := newSimulation(t, seed, 12, Options{})
 		sim.loss = 0.02
 		playFreezes(sim)
-		sim.checkCalm()
+		sim.checkConverged()
 		resumed := 0
 		for _, n := range sim.nodes {
 			resumed += n.resumed
@@ -202,20 +202,20 @@
 		t.Error("connected after its pause, although no ping was answered")
 	}
 	sim.run(20 * time.Second)
-	for key, told := range sim.reportedDown {
-		if _, ok := told[name]; ok {
+	for key, reports := range sim.reportedDown {
+		if _, ok := reports[name]; ok {
 			t.Errorf("while partitioned, it reported %s as down", key)
 		}
 	}
 	for _, other := range sim.names[1:] {
 		sim.setPartitioned(other, name, false)
 	}
-	sim.calmSince = sim.now
+	sim.faultFreeSince = sim.now
 	sim.run(2 * time.Second)
 	if !sim.nodes[name].detector.Connected(sim.now) {
 		t.Error("not connected after its pings were answered")
 	}
-	sim.checkCalm()
+	sim.checkConverged()
 }
 
 // TestPartitionHeals: the sides of a partition report each other as down, and no node stays down after the partition heals.
@@ -223,7 +223,7 @@
 	eachSeed(t, func(t *testing.T, seed uint64) {
 		sim := newSimulation(t, seed, 12, Options{})
 		sim.run(3 * time.Second)
-		part := func(on bool) {
+		setPartition := func(on bool) {
 			for _, a := range sim.names[:4] {
 				for _, b := range sim.names[4:] {
 					sim.setPartitioned(a, b, on)
@@ -233,13 +233,13 @@
 				}
 			}
 		}
-		part(true)
-		sim.calmSince = sim.now + time.Hour
+		setPartition(true)
+		sim.faultFreeSince = sim.now + time.Hour
 		sim.run(10 * time.Second)
-		part(false)
-		sim.calmSince = sim.now
+		setPartition(false)
+		sim.faultFreeSince = sim.now
 		sim.run(3 * time.Second)
-		sim.checkCalm()
+		sim.checkConverged()
 	})
 }
 
@@ -265,7 +265,7 @@
 
 // TestProtectionsAreNeeded is a control: with a protection disabled, the simulation must produce the failure that it prevents.
 func TestProtectionsAreNeeded(t *testing.T) {
-	found := func(o Options, faults func(*simulation)) bool {
+	findsWrongReport := func(o Options, faults func(*simulation)) bool {
 		for seed := range uint64(20) {
 			sim := newSimulation(t, seed, 12, o)
 			faults(sim)
@@ -276,7 +276,7 @@
 		return false
 	}
 	// A watcher is paused while it suspects a node that was paused, and resumes long after that node.
-	turns := func(sim *simulation) {
+	pauseNodeThenWatcher := func(sim *simulation) {
 		sim.run(3 * time.Second)
 		for range 10 {
 			name := sim.randomNode()
@@ -290,13 +290,13 @@
 			sim.run(5 * time.Second)
 		}
 	}
-	if found(Options{}, turns) {
+	if findsWrongReport(Options{}, pauseNodeThenWatcher) {
 		t.Error("a process that was paused while it suspected another gives a wrong down report")
 	}
-	if !found(Options{PauseThreshold: time.Hour}, turns) {
+	if !findsWrongReport(Options{PauseThreshold: time.Hour}, pauseNodeThenWatcher) {
 		t.Error("processes that do not detect their pause give no wrong down report: the simulation does not exercise this")
 	}
-	if !found(Options{Watchers: 1}, func(sim *simulation) {
+	if !findsWrongReport(Options{Watchers: 1}, func(sim *simulation) {
 		sim.run(3 * time.Second)
 		for _, name := range sim.names {
 			sim.setPartitioned(name, Watchers(name, sim.names, 1)[0], true)
--- a/internal/system/failuredetector/golden_trace_test.go
+++ b/internal/system/failuredetector/golden_trace_test.go
@@ -99,7 +99,7 @@
 // playPartition partitions a third of the nodes from the others in both directions.
 func playPartition(sim *simulation) {
 	sim.run(3 * time.Second)
-	sim.calmSince = sim.now + time.Hour
+	sim.faultFreeSince = sim.now + time.Hour
 	for _, on := range []bool{true, false} {
 		for _, a := range sim.names[:4] {
 			for _, b := range sim.names[4:] {
@@ -109,7 +109,7 @@
 		}
 		sim.run(8 * time.Second)
 	}
-	sim.calmSince = sim.now
+	sim.faultFreeSince = sim.now
 	sim.run(3 * time.Second)
 }
 
--- a/internal/system/failuredetector/simulation_test.go
+++ b/internal/system/failuredetector/simulation_test.go
@@ -29,11 +29,11 @@
 
 	onOutput func(*simNode, *Output) // called with the requested actions before they are carried out
 
-	members      map[string]*memberRecord
-	calmSince    Time // since when there has been no fault that justifies a down report
-	wrongReports []string
-	reportedDown map[string]map[string]Time // node/incarnation → reporting watcher → time of its first report
-	disconnected int                        // number of down reports from watchers that were not connected
+	members        map[string]*memberRecord
+	faultFreeSince Time // since when there has been no fault that justifies a down report
+	wrongReports   []string
+	reportedDown   map[string]map[string]Time // node/incarnation → reporting watcher → time of its first report
+	disconnected   int                        // number of down reports from watchers that were not connected
 }
 
 // networkPath is the path from one node to another, in one direction.
@@ -216,7 +216,7 @@
 // probe models a new TCP connection: loss of the first packet exceeds the timeout, loss of a later one only adds delay.
 func (sim *simulation) probe(prober *simNode, node string) {
 	timeout := sim.options.withDefaults().ProbeTimeout
-	took, asked := 4*sim.networkDelay(), sim.now
+	took, sentAt := 4*sim.networkDelay(), sim.now
 	if sim.dropsAnyOf(2) {
 		took = timeout
 	}
@@ -228,7 +228,7 @@
 		ok := took < timeout && sim.connects(prober.name, node) && to != nil && to.alive && !to.frozen
 		if !ok && (to == nil || to.alive) && took < timeout {
 			// Nothing refuses the connection, so the probe ends only by its timeout.
-			sim.schedule(timeout-took, func() { sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, asked, node, 0, false) }) })
+			sim.schedule(timeout-took, func() { sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, sentAt, node, 0, false) }) })
 			return
 		}
 		var incarnation uint64
@@ -238,7 +238,7 @@
 		if ok {
 			incarnation = to.incarnation
 		}
-		sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, asked, node, incarnation, ok) })
+		sim.deliver(prober, func() { prober.detector.ProbeResult(sim.now, sentAt, node, incarnation, ok) })
 	})
 }
 
@@ -279,8 +279,8 @@
 
 // isReachable reports whether a process is running and its last fault is so long ago that a down report about it is wrong.
 func (sim *simulation) isReachable(n *simNode, incarnation uint64) bool {
-	runs := n.alive && !n.frozen && n.incarnation == incarnation
-	return runs && sim.now-max(n.lastFault, sim.calmSince) > sim.options.withDefaults().SuspectTimeout
+	isRunning := n.alive && !n.frozen && n.incarnation == incarnation
+	return isRunning && sim.now-max(n.lastFault, sim.faultFreeSince) > sim.options.withDefaults().SuspectTimeout
 }
 
 func (sim *simulation) kill(name string) { sim.nodes[name].alive = false }
@@ -308,9 +308,9 @@
 	}
 }
 
-// checkCalm checks the conditions that must be met some time after the last fault: the membership list contains exactly the live
+// checkConverged checks the conditions that must be met some time after the last fault: the membership list contains exactly the live
 // processes, and no down report was wrong or came from a watcher that was not connected.
-func (sim *simulation) checkCalm() {
+func (sim *simulation) checkConverged() {
 	sim.t.Helper()
 	for _, name := range sim.names {
 		n, r := sim.nodes[name], sim.members[name]
@@ -321,8 +321,8 @@
 			sim.t.Errorf("%s is dead but listed as live", name)
 		}
 	}
-	for _, wrong := range sim.wrongReports {
-		sim.t.Errorf("wrong down report: %s", wrong)
+	for _, report := range sim.wrongReports {
+		sim.t.Errorf("wrong down report: %s", report)
 	}
 	if sim.disconnected > 0 {
 		sim.t.Errorf("%d down reports from watchers that were not connected", sim.disconnected)
--- a/internal/system/platform/poller.go
+++ b/internal/system/platform/poller.go
@@ -47,7 +47,7 @@
 type PollerOptions struct {
 	Lister Lister
 	// Ownership returns the fencing token of this process and whether the process owns the polling role.
-	Ownership func() (fence uint64, holds bool)
+	Ownership func() (fence uint64, owns bool)
 	// Newest returns the version and age of the list in use, regardless of which node read it. Versions continue from there, so that
 	// results of a restarted poller are newer than earlier ones.
 	Newest   func() ListVersion
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -48,7 +48,7 @@
 	mu             sync.Mutex
 	fence, version uint64
 	at             time.Time
-	taken          int
+	accepted       int
 }
 
 func (b *listTable) put(r Result) {
@@ -58,7 +58,7 @@
 		return
 	}
 	b.fence, b.version, b.at = r.Fence, r.Version, r.RequestedAt
-	b.taken++
+	b.accepted++
 }
 
 func (b *listTable) newest() ListVersion {
@@ -90,7 +90,7 @@
 				if list.calls != want {
 					t.Errorf("%d pages: %d calls in 10 s, want %d", pages, list.calls, want)
 				}
-				if table.fence != 3 || table.version != uint64(table.taken) || table.taken != int(want/pages) {
+				if table.fence != 3 || table.version != uint64(table.accepted) || table.accepted != int(want/pages) {
 					t.Errorf("table = %+v", table)
 				}
 			})
@@ -103,7 +103,7 @@
 		list, table := &fakeList{pages: 1}, &listTable{fence: 3, version: 40}
 		o := PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest, OnResult: table.put}
 		runPoller(o, time.Millisecond)
-		if table.version != 41 || table.taken != 1 {
+		if table.version != 41 || table.accepted != 1 {
 			t.Errorf("table = %+v, want version 41", table)
 		}
 	})
@@ -134,8 +134,8 @@
 		}
 		time.Sleep(3 * time.Second)
 		table.mu.Lock()
-		if table.taken == 0 || table.at.Sub(start) < 2*time.Second {
-			t.Errorf("after 3 s: %d lists accepted, the newest requested at %v", table.taken, table.at.Sub(start))
+		if table.accepted == 0 || table.at.Sub(start) < 2*time.Second {
+			t.Errorf("after 3 s: %d lists accepted, the newest requested at %v", table.accepted, table.at.Sub(start))
 		}
 		table.mu.Unlock()
 		wg.Wait()
@@ -157,11 +157,11 @@
 		runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 1, true }, Newest: table.newest, OnResult: table.put},
 			30*time.Second)
 		// Calls at 0, 3 and 6 s fail, and from 10 s on there are two per second.
-		if table.taken < 40 || table.taken > 41 {
-			t.Errorf("%d lists accepted", table.taken)
+		if table.accepted < 40 || table.accepted > 41 {
+			t.Errorf("%d lists accepted", table.accepted)
 		}
-		if list.calls != uint64(table.taken)+3 {
-			t.Errorf("%d calls for %d lists", list.calls, table.taken)
+		if list.calls != uint64(table.accepted)+3 {
+			t.Errorf("%d calls for %d lists", list.calls, table.accepted)
 		}
 	})
 }
