--- a/internal/system/config/config_test.go
+++ b/internal/system/config/config_test.go
@@ -147,7 +147,7 @@
 		}
 	}
 	if _, err := Parse(append(slices.Clone(example), example...)); !errors.Is(err, ErrInvalid) {
-		t.Fatalf("twice in one body: %v", err)
+		t.Fatalf("two configurations in one body: %v", err)
 	}
 	if _, err := Parse(append(slices.Clone(example), " \n"...)); err != nil {
 		t.Fatalf("with trailing white space: %v", err)
@@ -259,7 +259,7 @@
 		}
 		c.requireValid(t)
 		if accepted, err := ParseAccepted(raw); err != nil || !reflect.DeepEqual(accepted, c) {
-			t.Fatalf("read as accepted it differs: %v", err)
+			t.Fatalf("ParseAccepted gives another configuration than Parse: %v", err)
 		}
 	})
 }
@@ -326,7 +326,7 @@
 			t.Fatalf("parsed again it differs\n%s\n%s", next.describe(), again.describe())
 		}
 		if accepted, err := AmendAccepted(base, second); err != nil || !reflect.DeepEqual(accepted, next) {
-			t.Fatalf("read as accepted it differs: %v", err)
+			t.Fatalf("AmendAccepted gives another configuration than Amend: %v", err)
 		}
 	})
 }
--- a/internal/system/failuredetector/message_test.go
+++ b/internal/system/failuredetector/message_test.go
@@ -54,7 +54,7 @@
 	}
 	long := Message{Kind: IndirectPing, From: strings.Repeat("f", 300), Node: strings.Repeat("n", 300)}.Append(nil)
 	if _, err := Decode(long); err != nil || len(long) > MaxDatagramBytes {
-		t.Errorf("long names: %d bytes, %v", len(long), err)
+		t.Errorf("message with long names: %d bytes, %v", len(long), err)
 	}
 }
 
--- a/internal/system/platform/poller_test.go
+++ b/internal/system/platform/poller_test.go
@@ -115,7 +115,7 @@
 		runPoller(PollerOptions{Lister: list, Ownership: func() (uint64, bool) { return 3, true }, Newest: table.newest, OnResult: table.put},
 			10*time.Second)
 		if list.calls != 0 {
-			t.Errorf("%d calls under an old fence", list.calls)
+			t.Errorf("%d calls under a stale fencing token", list.calls)
 		}
 	})
 }
@@ -190,7 +190,7 @@
 	}
 	for n, s := range steps {
 		if got := backoff.next(s.calls, s.err); got != s.want {
-			t.Errorf("step %d: %v, want %v", n, got, s.want)
+			t.Errorf("step %d: wait %v, want %v", n, got, s.want)
 		}
 	}
 }
