--- a/internal/sidecar/answerstream.go
+++ b/internal/sidecar/answerstream.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	chunkBytes   = 16 << 10               // bytes that are read at once of what flows
-	holdTime     = 100 * time.Millisecond // an answer of unknown length is held until its end, after its head
-	stallTimeout = 10 * time.Second       // a peer that takes or sends nothing for so long is given up
+	chunkBytes   = 16 << 10               // size of the buffer for reading and copying bodies
+	holdTime     = 100 * time.Millisecond // an answer of unknown length is buffered for so long after its head, in case it ends by then
+	stallTimeout = 10 * time.Second       // a peer that reads or sends nothing for so long is given up
 )
 
 var (
@@ -23,7 +23,7 @@
 
 var chunks = sync.Pool{New: func() any { return new([chunkBytes]byte) }}
 
-// byteBudget bounds the bytes that are held of bodies and answers, over all connections.
+// byteBudget bounds the bytes of bodies and answers that are buffered, over all connections.
 type byteBudget struct {
 	limit atomic.Int64
 	used  atomic.Int64
@@ -35,10 +35,10 @@
 	return b
 }
 
-// budgetOf is a quarter of the memory.
+// budgetOf returns the buffer budget for a memory limit: a quarter of it.
 func budgetOf(memoryMB int) int64 { return int64(memoryMB) << 20 / 4 }
 
-// reserve books n more bytes, if there is room for them.
+// reserve reserves n more bytes. It reports false, and reserves nothing, if that would exceed the limit.
 func (b *byteBudget) reserve(n int) bool {
 	if b.used.Add(int64(n)) > b.limit.Load() {
 		b.used.Add(-int64(n))
@@ -49,24 +49,24 @@
 
 func (b *byteBudget) release(n int) { b.used.Add(-int64(n)) }
 
-// answerStream is an answer that is being received. Until it starts it is held, so that it can still be dropped; then it goes to
-// the client as it comes, and no faster than the client takes it.
+// answerStream is an answer that is being received. It is buffered until it starts, so that it can still be
+// discarded. From then on it is forwarded to the client as it arrives, no faster than the client reads it.
 type answerStream struct {
 	length      int64 // -1: unknown
 	contentType string
 	budget      *byteBudget
-	begin       func(*answerStream) // called once, when it begins; nil: it must not
-	stop        func()              // ends the attempt
+	begin       func(*answerStream) // called once, when the stream starts; nil: the answer must not be streamed
+	stop        func()              // cancels the attempt
 
 	mu         sync.Mutex
 	moved      sync.Cond
-	pending    []byte // that the client has not got
-	reserved   int    // bytes booked
+	pending    []byte // received, but not yet passed to the client
+	reserved   int    // bytes reserved in budget
 	started    bool
-	ended      bool        // all has come, or err says why not
+	ended      bool        // everything has been received, or err is set
 	err        error       // of the server's side
 	abandoned  bool        // the client's side has ended
-	stallTimer *time.Timer // once it flows: the server's time for the next bytes
+	stallTimer *time.Timer // once started: runs while the server's next bytes are awaited
 }
 
 func newAnswerStream(length int64, ctype string, room *byteBudget, begin func(*answerStream)) *answerStream {
@@ -78,7 +78,7 @@
 	return f
 }
 
-// start has it flow from now on, unless it has ended.
+// start starts the stream, unless the answer has ended.
 func (f *answerStream) start() {
 	f.mu.Lock()
 	first := !f.started && !f.ended
@@ -91,7 +91,7 @@
 	}
 }
 
-// receive takes the answer in, and returns it if it came to its end before it began to flow.
+// receive reads the answer to its end. It returns the body if that end came before the stream started.
 func (f *answerStream) receive(body io.Reader) (whole []byte, err error) {
 	defer f.releaseBudget()
 	if f.begin != nil && f.length > maxBufferedBytes {
@@ -117,8 +117,8 @@
 	}
 }
 
-// add holds the next bytes, or, once the stream has started, hands them over when the client has taken those before. It reports
-// false if they cannot be held.
+// add buffers the next bytes. Once the stream has started, it first waits until the client has taken
+// the bytes before them. It reports false if the bytes cannot be buffered.
 func (f *answerStream) add(chunk []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,7 +129,7 @@
 		f.reserved += len(chunk)
 	}
 	if f.started {
-		f.stallTimer.Stop() // the client's time
+		f.stallTimer.Stop() // the wait below is for the client, not for the server
 		for !f.abandoned && len(f.pending) > 0 {
 			f.moved.Wait()
 		}
@@ -142,7 +142,7 @@
 	return true
 }
 
-// end notes how the server's side ended. A stream that has started waits for the client's side.
+// end records how the server's side ended. A stream that has started waits for the client's side to end too.
 func (f *answerStream) end(err error) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,7 +161,7 @@
 	return nil, f.err
 }
 
-// releaseBudget gives up what was booked.
+// releaseBudget releases the bytes reserved for this answer.
 func (f *answerStream) releaseBudget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,7 +169,7 @@
 	f.reserved = 0
 }
 
-// abandon ends the client's side. What has not come by then is not waited for.
+// abandon ends the client's side. If the server's answer is not complete by then, it cancels the attempt.
 func (f *answerStream) abandon() {
 	f.mu.Lock()
 	early := !f.ended || len(f.pending) > 0
@@ -181,8 +181,8 @@
 	}
 }
 
-// next waits for bytes that the client has not got, which are its own until it asks for more. There are none, and no
-// error, once it has all.
+// next waits for bytes that the client has not got yet. The caller owns them until its next call, to
+// which it passes them back as last. It returns no bytes and no error once the client has everything.
 func (f *answerStream) next(last []byte) (p []byte, more bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,7 +205,7 @@
 	return p, !f.ended, nil
 }
 
-// copy passes the answer on. wait is called before each write, flush when there is nothing to write just now.
+// copy writes the answer to w. wait is called before each write, flush after a write when more is expected from the server.
 func (f *answerStream) copy(w io.Writer, wait, flush func() error) error {
 	var p []byte
 	for {
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -8,7 +8,7 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// Send implements balance.Actions, as do the methods after it. It starts an attempt.
+// Send starts an attempt. It implements balance.Actions, as do the exported methods below.
 func (h *host) Send(id balance.RequestID, endpoint string, timeout time.Duration) {
 	ongoing := h.calls[id]
 	if ongoing == nil {
@@ -26,7 +26,7 @@
 		ctx = endsAt{ctx, end}
 	}
 	if ongoing.finished {
-		started.cancel(nil) // an attempt after the final answer would be an effect that nobody knows of
+		started.cancel(nil) // an attempt sent after the final answer could take effect without anyone knowing
 	}
 	ongoing.attempts = append(ongoing.attempts, started)
 	ongoing.inFlight++
@@ -39,7 +39,7 @@
 	}()
 }
 
-// endsAt is a context that says when it ends, while a timer that can be stopped ends it.
+// endsAt is a context that reports a deadline without enforcing it: the attempt's timer does that, which can be stopped.
 type endsAt struct {
 	context.Context
 	end time.Time
@@ -56,8 +56,8 @@
 	if r.outcome == balance.Served {
 		h.answer(ongoing, answer{kind: served, body: r.body, contentType: r.contentType})
 	}
-	// What a server rejects because of the request is its final answer, and says nothing of the server: one client's nonsense,
-	// retried at other servers, would eject a whole fleet of sound ones.
+	// A server that rejects the request itself gives the final answer, and its rejection is no evidence against the server:
+	// otherwise one client's malformed requests, retried at other servers, would eject a whole fleet of healthy ones.
 	if r.requestRejected {
 		h.counts.requestsRejected.Add(1)
 		h.answer(ongoing, answer{kind: failed})
@@ -68,7 +68,7 @@
 	h.forget(ongoing)
 }
 
-// reportResult reports how an attempt ended to the Balancer. The first outcome counts.
+// reportResult reports to the Balancer how an attempt ended. Only the first outcome counts.
 func (h *host) reportResult(ongoing *call, index int, outcome balance.Outcome) {
 	t := ongoing.attempts[index]
 	if t.reported {
@@ -80,19 +80,19 @@
 		Latency: cmp.Or(t.answerAt, h.now) - t.sentAt, Finished: ongoing.finished})
 }
 
-// Cancel ends an attempt. Its result comes from its own goroutine.
+// Cancel cancels an attempt. Its result is posted by the attempt's own goroutine.
 func (h *host) Cancel(id balance.RequestID, attempt int) {
 	if c := h.calls[id]; c != nil && attempt >= 0 && attempt < len(c.attempts) {
 		c.attempts[attempt].cancel(nil)
 	}
 }
 
-// Refuse answers that a retry does no harm.
+// Refuse answers that the request was refused and that a retry is harmless.
 func (h *host) Refuse(id balance.RequestID, after time.Duration) {
 	h.finishCall(id, answer{kind: refused, retryAfter: after})
 }
 
-// Fail answers without a promise.
+// Fail answers that the request failed. The answer does not say whether the request took effect.
 func (h *host) Fail(id balance.RequestID) { h.finishCall(id, answer{kind: failed}) }
 
 // Timer starts a timer.
@@ -100,5 +100,5 @@
 	time.AfterFunc(after, func() { h.post(func() { h.balancer.Timer(h.now, token) }) })
 }
 
-// Log writes a line of the Balancer.
+// Log writes a log line of the Balancer.
 func (h *host) Log(text string) { h.log.Info(text) }
--- a/internal/sidecar/call.go
+++ b/internal/sidecar/call.go
@@ -8,10 +8,10 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// answerMargin is kept free before the client's deadline for the way of the final answer.
+// answerMargin is subtracted from the client's timeout to leave time for delivering the final answer.
 const answerMargin = 5 * time.Millisecond
 
-// answerKind is a kind of final answer.
+// answerKind is the kind of a final answer.
 type answerKind int
 
 const (
@@ -25,41 +25,41 @@
 	kind        answerKind
 	body        []byte        // served
 	contentType string        // served
-	retryAfter  time.Duration // refused: the wait before a retry; 0: not said
-	stream      *answerStream // served: in place of body, the answer as it comes
+	retryAfter  time.Duration // refused: how long the client should wait before a retry; 0: not stated
+	stream      *answerStream // served: the answer as it arrives, in place of body
 }
 
-// call is a client's request while the host has it. The loop alone touches what follows answered.
+// call is a client's request, from its arrival until the host is done with it. Only the loop touches the fields below answered.
 type call struct {
 	message
 	class    int
 	tenant   int
-	client   uint64    // its key, with Hitters
-	name     string    // and its name
-	reserved int       // bytes of the body
-	deadline time.Time // the final answer is due; zero: the body is still coming
+	client   uint64    // key of the client, with Hitters
+	name     string    // name of the client, with Hitters
+	reserved int       // bytes of the body that are reserved in the budget
+	deadline time.Time // when the final answer is due; zero: the body is still arriving
 	answered chan answer
 
 	number       balance.RequestID
-	finished     bool        // has its final answer
-	overdueTimer *time.Timer // finds it overdue; nil: the body is still coming
+	finished     bool        // it has its final answer, or its client has disconnected
+	overdueTimer *time.Timer // fires if there is no final answer after the deadline; nil: the body is still arriving
 	attempts     []*callAttempt
 	inFlight     int
 }
 
-// callAttempt is an attempt. The loop alone touches it.
+// callAttempt is an attempt. Only the loop touches it.
 type callAttempt struct {
 	endpoint string
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	timer    *time.Timer  // of its end; nil: the body is still coming
-	sentAt   balance.Time // or when the body had come
-	answerAt balance.Time // its answer; 0: not
-	reported bool         // the Balancer knows how it ended
+	timer    *time.Timer  // ends the attempt; nil: the body is still arriving
+	sentAt   balance.Time // when it was sent, or when the body was complete if that was later
+	answerAt balance.Time // when its answer began to be streamed; 0: not yet
+	reported bool         // the Balancer knows its outcome
 }
 
-// serve has the Balancer decide on a request and returns its final answer, or false if ctx, the client's connection,
-// ends first.
+// serve has the Balancer decide on a request and returns the final answer. It returns false if ctx,
+// which lasts as long as the client's connection, ends first.
 func (h *host) serve(ctx context.Context, c *call) (answer, bool) {
 	c.answered = make(chan answer, 1)
 	h.post(func() { h.beginCall(c) })
@@ -88,13 +88,13 @@
 	h.balancer.Request(h.now, r)
 }
 
-// startTimer abandons a request that has no answer after its deadline. One that the Balancer left without an answer would hang
-// until the client gives up.
+// startTimer starts the timer that abandons a request if it has no answer after its deadline. Without
+// it, a request that the Balancer left without an answer would hang until the client gives up.
 func (h *host) startTimer(c *call) {
 	c.overdueTimer = time.AfterFunc(time.Until(c.deadline)+answerMargin/2, func() { h.post(func() { h.abandon(c, true) }) })
 }
 
-// bodyComplete begins a request's time: its body has come.
+// bodyComplete starts the request's deadline once its body has arrived completely.
 func (h *host) bodyComplete(ongoing *call) {
 	if ongoing.finished {
 		return
@@ -111,12 +111,12 @@
 	h.balancer.BodyComplete(h.now, ongoing.number, ongoing.deadline.Sub(now))
 }
 
-// startTimer ends an attempt at a time, unless its timer is stopped before.
+// startTimer ends an attempt at the given time, unless its timer is stopped before.
 func (t *callAttempt) startTimer(end time.Time) {
 	t.timer = time.AfterFunc(time.Until(end), func() { t.cancel(context.DeadlineExceeded) })
 }
 
-// answerStarted handles that an attempt's answer is to be forwarded as it comes, which makes it the request's final one.
+// answerStarted makes an attempt's answer, which is streamed from now on, the request's final one.
 func (h *host) answerStarted(ctx context.Context, ongoing *call, index int, f *answerStream) {
 	if ongoing.finished || ctx.Err() != nil {
 		f.abandon()
@@ -131,7 +131,7 @@
 	h.balancer.AnswerStarted(h.now, ongoing.number, index)
 }
 
-// abandon ends a request that nobody waits for any more, or that is overdue.
+// abandon ends a request whose client has disconnected, or that is overdue.
 func (h *host) abandon(ongoing *call, overdue bool) {
 	if ongoing.finished {
 		return
@@ -139,7 +139,7 @@
 	if overdue {
 		h.log.Warn("request overdue", "class", ongoing.class)
 		h.expire(ongoing)
-		h.answer(ongoing, answer{kind: failed}) // unless the Balancer has answered
+		h.answer(ongoing, answer{kind: failed}) // no effect if there is an answer already
 	} else {
 		h.counts.gone.Add(1)
 		ongoing.finish()
@@ -148,21 +148,21 @@
 	h.forget(ongoing)
 }
 
-// expire reports the attempts of an overdue request as timed out, without waiting for their results. An attempt that is ended at
-// the deadline takes time to return; its timer and the request's race on a busy machine, and the answer must not depend on which
-// of them wins.
+// expire reports the attempts of an overdue request as timed out, without waiting for their results.
+// An attempt that is ended at the deadline takes time to return. On a busy machine its timer and the
+// request's timer race, and the answer must not depend on which of them fires first.
 func (h *host) expire(ongoing *call) {
 	for index, t := range ongoing.attempts {
 		t.cancel(context.DeadlineExceeded)
 		outcome := balance.TimedOut
-		if errors.Is(context.Cause(t.ctx), context.Canceled) { // called off before, or its result is just being posted
+		if errors.Is(context.Cause(t.ctx), context.Canceled) { // cancelled before, or its result is being posted
 			outcome = balance.Cancelled
 		}
 		h.reportResult(ongoing, index, outcome)
 	}
 }
 
-// answer gives a request its final answer. The first counts.
+// answer gives a request its final answer. Only the first one counts.
 func (h *host) answer(c *call, a answer) {
 	if c != nil && !c.finished {
 		c.finish()
@@ -170,7 +170,7 @@
 	}
 }
 
-// finish marks a request as over.
+// finish marks a request as finished.
 func (c *call) finish() {
 	c.finished = true
 	if c.overdueTimer != nil {
@@ -178,7 +178,7 @@
 	}
 }
 
-// forget lets go of a request that has its answer and has nothing out.
+// forget removes a request that is finished and has no attempt in flight.
 func (h *host) forget(c *call) {
 	if c.finished && c.inFlight == 0 {
 		delete(h.calls, c.number)
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -1,20 +1,20 @@
-// Package sidecar is the real sidecar: it drives the decision module (package balance) over sockets, and decides nothing itself.
+// Package sidecar is the production sidecar: it runs the decision module (package balance) over sockets and makes no decisions itself.
 //
 // # Parts
 //
 //   - server answers the application over HTTP/1.1; each request becomes a call.
 //   - host runs the Balancer. Its loop is the only goroutine that touches the Balancer and the calls; what happens elsewhere is
-//     posted to it, with its time.
-//   - upstream holds the connections to the servers and sends attempts; an answer that is too long to be held is a stream.
-//   - serverTable, discovery and the registry's client bring the list of servers; members and their reports bring what other
-//     sidecars saw; control answers operators.
+//     posted to the loop, with its time.
+//   - upstream holds the connections to the servers and sends attempts; an answer that is too long to be buffered is streamed.
+//   - serverTable, discovery and the registry's client provide the list of servers; members and their reports provide what other
+//     sidecars observed; control answers operators.
 //   - process starts and ends all of them.
 //
 // # Invariants
 //
 //   - A request is sent to a server only by an action of the Balancer, and each Send has one result.
 //   - A request gets one final answer, before the client's deadline or as soon as it is overdue.
-//   - What is held of bodies and answers, connections and descriptors is bounded by the configuration.
+//   - Buffered bodies and answers, connections and descriptors are bounded by the configuration.
 //   - A planned restart loses no request: see process, shutdownClock and drainListener.
 package sidecar
 
@@ -34,40 +34,40 @@
 	"gradeusher.example/gradeusher/internal/sidecar/wire"
 )
 
-// Config is what a sidecar gets at its start.
+// Config is the configuration of a sidecar.
 type Config struct {
 	Name         string
 	Listen       string    // where the application connects
-	Discovery    string    // where discovery, or its agent on this machine, listens; "": nowhere, with Registry
-	Registry     *Registry // who has the list, in place of Discovery; nil: nobody does
-	Members      *Members  // how the other sidecars are known; nil: they are not
-	Hitters      *Hitters  // how heavy clients are told apart; nil: they are not looked for
-	Control      string    // where operators call; "": nowhere
-	SharedDir    string    // a directory that outlives a process; "": none
-	KeepSnapshot bool      // what was learned of servers is kept there for the next process
-	InheritedFD  int       // descriptor of the listening socket that the platform holds; 0: none
+	Discovery    string    // address of discovery, or of its agent on this machine; "": none, if there is a Registry
+	Registry     *Registry // serves the list of servers, in place of Discovery; nil: none
+	Members      *Members  // how to reach the other sidecars; nil: this sidecar is on its own
+	Hitters      *Hitters  // how heavy clients are identified; nil: they are not looked for
+	Control      string    // address for operators' commands; "": none
+	SharedDir    string    // a directory that outlives the process; "": none
+	KeepSnapshot bool      // saves what was learned of servers in SharedDir for the next process
+	InheritedFD  int       // descriptor of a listening socket inherited from the platform; 0: none
 	Cores        float64
 	MemoryMB     int
-	Sockets      int  // descriptors that the process may have
-	Known        List // the servers as this sidecar last had them
+	Sockets      int  // limit of file descriptors
+	Known        List // the servers that this sidecar last knew
 	Settings     balance.Settings
 	Names        *wire.Names
 	Limits       wire.Limits
 
-	agentFirstTimeout time.Duration // 0: the constant of this name; only tests wait longer
+	agentFirstTimeout time.Duration // 0: the constant of the same name; tests set longer ones
 }
 
-// Registry is the project's own list service, and how far its lists are believed.
+// Registry configures the project's own list service, and how far its lists are trusted.
 type Registry struct {
 	Addresses    []string
 	ShrinkLimits client.ShrinkLimits
-	MaxAge       time.Duration     // a node that was out of touch for longer is left for another
-	Reach        string            // this machine reaches every server at this host, at the port of its endpoint; "": at its endpoint
-	Routes       bool              // it has the route table too, which takes precedence over the settings' rules
-	Tags         map[string]string // of this client, besides its region, for the rules of that table
+	MaxAge       time.Duration     // a node that has been out of touch for longer is replaced by another
+	Reach        string            // host at which this machine reaches every server, at its endpoint's port; "": the endpoint's own host
+	Routes       bool              // also follow the route table, which takes precedence over the rules in the settings
+	Tags         map[string]string // of this client, in addition to its region, for the rules of the route table
 }
 
-// The limits and settings of a sidecar whose configuration gives none.
+// Defaults for what the configuration leaves out.
 const (
 	defaultCores          = 1
 	defaultMemoryMB       = 192
@@ -76,10 +76,10 @@
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultIdleClose      = 15 * time.Second
 	defaultMaxAge         = 2500 * time.Millisecond
-	stderrFD              = 2 // the last descriptor that is never a socket
+	stderrFD              = 2 // the highest descriptor that cannot be an inherited socket
 )
 
-// configFile is the form of the file that PROXY_CONFIG names. Unknown keys are ignored.
+// configFile is the format of the file that PROXY_CONFIG names. Unknown keys are ignored.
 type configFile struct {
 	Name         string
 	Listen       string
@@ -99,7 +99,7 @@
 	Hitters  *hittersFile
 }
 
-// registryFile is the form of what the file says of the registry. What is left out is the client's default.
+// registryFile is the format of the file's registry section. What is left out gets the client's default.
 type registryFile struct {
 	Addresses              []string
 	MaxShare               *float64 `json:"doubt_share"`
@@ -112,8 +112,8 @@
 	Tags                   map[string]string
 }
 
-// LoadConfig reads the configuration from the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and
-// PROXY_CONTROL take precedence over what the file says. Errors name the key.
+// LoadConfig reads the configuration from the file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN,
+// PROXY_DISCOVERY and PROXY_CONTROL take precedence over the file. Errors name the key.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -134,8 +134,9 @@
 	return c, nil
 }
 
-// DiscoveryAt reads where discovery is, or the registry's nodes are, with commas, from the file that PROXY_CONFIG names, after
-// that was replaced. The environment is not asked: it still says where discovery was at the start.
+// DiscoveryAt reads the address of discovery, or the comma-separated addresses of the registry's
+// nodes, from the file that PROXY_CONFIG names, after the file was replaced. It ignores
+// PROXY_DISCOVERY and PROXY_KEEPERS, which still hold the addresses from the start of the process.
 func DiscoveryAt(getenv func(string) string) (string, error) {
 	c, err := LoadConfig(func(key string) string {
 		if key == "PROXY_DISCOVERY" || key == "PROXY_KEEPERS" {
@@ -152,7 +153,7 @@
 	return c.Discovery, nil
 }
 
-// config checks what the file says, and completes it by the environment and the defaults.
+// config validates the file and completes it from the environment and the defaults.
 func (file *configFile) config(getenv func(string) string) (*Config, error) {
 	config := &Config{
 		Name:         cmp.Or(getenv("PROXY_NAME"), file.Name),
@@ -193,7 +194,7 @@
 	return config, nil
 }
 
-// checkAddresses checks where the sidecar listens and calls. Discovery may be left out where there is a registry.
+// checkAddresses validates the addresses of the listeners and of discovery. Discovery may be left out if there is a registry.
 func (c *Config) checkAddresses() error {
 	if err := checkAddress(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -211,7 +212,7 @@
 	return nil
 }
 
-// parseFD reads the descriptor of an inherited socket; 0: none.
+// parseFD parses the descriptor of an inherited socket; 0: none.
 func parseFD(text string) (int, error) {
 	if text == "" {
 		return 0, nil
@@ -223,7 +224,7 @@
 	return int(fd), nil
 }
 
-// readLimits takes over the machine's limits.
+// readLimits reads the limits of the machine.
 func (file *configFile) readLimits(config *Config) error {
 	config.Cores, config.MemoryMB, config.Sockets = defaultCores, defaultMemoryMB, defaultSockets
 	if cores := file.Limits.Cores; cores != nil {
@@ -247,7 +248,7 @@
 	return nil
 }
 
-// readSettings takes over the Balancer's settings.
+// readSettings reads the Balancer's settings.
 func (file *configFile) readSettings(config *Config, seed uint64) error {
 	if len(file.Settings) == 0 {
 		return errors.New("settings: missing")
@@ -257,7 +258,7 @@
 		return err
 	}
 	if config.Registry != nil {
-		config.Settings.SubscribeToDiscovery = false // a registry publishes without being asked
+		config.Settings.SubscribeToDiscovery = false // the registry publishes without being asked
 		config.Settings.Tags = config.Registry.Tags
 	}
 	config.Limits.ConnectTimeout = cmp.Or(config.Limits.ConnectTimeout, defaultConnectTimeout)
@@ -265,7 +266,7 @@
 	return nil
 }
 
-// readFleet takes over how the other sidecars are known, and what is done about heavy clients.
+// readFleet reads how to reach the other sidecars, and how heavy clients are handled.
 func (file *configFile) readFleet(config *Config, join string) error {
 	var err error
 	if config.Members, err = file.Members.config(config.Name, join); err != nil {
@@ -280,7 +281,7 @@
 	return nil
 }
 
-// config checks what the file says of the registry; environment, if set, names its addresses instead.
+// config validates the file's registry section. Addresses in environment, if set, replace those of the file.
 func (file *registryFile) config(environment string) (*Registry, error) {
 	if file == nil {
 		if environment == "" {
@@ -323,7 +324,7 @@
 	return nil
 }
 
-// readShrinkLimits takes over how much smaller a list may be before it is confirmed, and how long a node may be out of touch.
+// readShrinkLimits reads how far a list may shrink without confirmation, and how long a node may be out of touch.
 func (file *registryFile) readShrinkLimits(r *Registry) error {
 	if share := file.MaxShare; share != nil {
 		if !(*share >= 0 && *share <= 1) {
@@ -353,10 +354,10 @@
 	return nil
 }
 
-// maxSeconds bounds the times of the file.
+// maxSeconds bounds the durations in the file.
 const maxSeconds = 3600
 
-// readSeconds takes over a time that the file gives in seconds, if it does.
+// readSeconds converts an optional duration in seconds.
 func readSeconds(name string, seconds *float64, to *time.Duration) error {
 	if seconds == nil {
 		return nil
@@ -368,10 +369,9 @@
 	return nil
 }
 
-// errMissing says that an address was not given.
 var errMissing = errors.New("missing")
 
-// checkAddress returns why an address is no IP address and port.
+// checkAddress returns an error if address is not an IP address and port.
 func checkAddress(address string) error {
 	if address == "" {
 		return errMissing
--- a/internal/sidecar/connlimiter.go
+++ b/internal/sidecar/connlimiter.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// minIdleTime is how long a client's connection must have idled before it may be closed to make room.
+	// minIdleTime is how long a client's connection must have been idle before it may be closed to free descriptors.
 	minIdleTime = 2 * time.Second
-	// shutdownIdleTime is how long it must have idled before it is closed while this process shuts down.
+	// shutdownIdleTime is how long a connection must have been idle before it is closed while this process shuts down.
 	shutdownIdleTime = 50 * time.Millisecond
 )
 
-// connLimiter keeps the clients' connections within what the descriptors allow.
+// connLimiter keeps the number of client connections within what the descriptor limit allows.
 //
-// A peer that hoards connections would take the descriptors that attempts need, and if all clients were asked to close theirs for
-// it, the busy ones would pay. So those that idle go first, the longest idle before the others.
+// A peer that hoards connections would use up the descriptors that attempts need. If all clients were then asked to close
+// theirs, the busy ones would pay for it. So idle connections are closed first, the longest idle before the others.
 type connLimiter struct {
-	idleThreshold atomic.Int64 // above it, connections that idle are closed and clients are asked to close theirs
-	maxConns      atomic.Int64 // above it, none is let in
-	closed        atomic.Int64 // to make room
+	idleThreshold atomic.Int64 // above this many, idle connections are closed and clients are asked to close theirs
+	maxConns      atomic.Int64 // above this many, no new connection is admitted
+	closed        atomic.Int64 // connections closed to free descriptors
 	count         atomic.Int64
 
 	mu    sync.Mutex
 	conns map[net.Conn]connState
 }
 
-// connState is the state that a connection is in, and since when.
+// connState is the state of a connection, and when it entered that state.
 type connState struct {
 	state http.ConnState
 	since time.Time
@@ -43,9 +43,9 @@
 	return w
 }
 
-// resize sets how many descriptors there are, which another process may share. Half of what one may let in is less than it has on
-// a busy day, and newcomers would be rejected until the other has ended; so the two together may let in somewhat more than one,
-// and what idles goes sooner.
+// resize sets the limits for a number of descriptors, which another process of this sidecar may share. Half of what one
+// process may admit is less than it has on a busy day, and new connections would be rejected until the other process has
+// ended. So the two together may admit somewhat more than one alone, and idle connections are closed sooner.
 func (w *connLimiter) resize(sockets int, shared bool) {
 	some, most := sockets/2, sockets/2+sockets/12
 	if shared {
@@ -55,10 +55,10 @@
 	w.maxConns.Store(int64(most))
 }
 
-// isOverloaded tells whether clients should close their connections.
+// isOverloaded reports whether clients should close their connections.
 func (w *connLimiter) isOverloaded() bool { return w.count.Load() > w.idleThreshold.Load() }
 
-// observeState notes that a connection has changed its state, and closes what is too much then.
+// observeState records a connection's change of state, and closes connections if there are too many.
 func (w *connLimiter) observeState(conn net.Conn, state http.ConnState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// closeExcessIdle closes connections that have idled, the longest first, until few enough are left.
+// closeExcessIdle closes idle connections, the longest idle first, until their number is within the threshold.
 func (w *connLimiter) closeExcessIdle(now time.Time) {
 	for int64(len(w.conns)) > w.idleThreshold.Load() {
 		if !w.closeLongest(http.StateIdle, now.Add(-minIdleTime)) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// closeIdle closes the connections that idle, but for those that have just begun to, whose client may be about to use them, and
-// those on which a request has begun to arrive.
+// closeIdle closes the idle connections, except those that have only just become idle, whose client
+// may be about to use them, and those on which a request has begun to arrive.
 func (w *connLimiter) closeIdle(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,14 +103,14 @@
 	}
 }
 
-// hasBegun tells whether part of a request has been read from a connection.
+// hasBegun reports whether part of a request has been read from a connection.
 func hasBegun(c net.Conn) bool {
 	f, ok := c.(*framing.ClientConn)
 	return ok && f.MidRequest()
 }
 
-// closeLongest closes the connection that has been longest in a state, if it has been since before a time, and tells whether
-// there was one.
+// closeLongest closes the connection that has been in a state for longest, if it entered that state
+// before the given time. It reports whether there was one.
 func (w *connLimiter) closeLongest(state http.ConnState, before time.Time) bool {
 	var found net.Conn
 	for conn, s := range w.conns {
@@ -124,14 +124,14 @@
 	return found != nil
 }
 
-// close ends a connection that has no request. A request that has just been read would run, and its answer be lost; so a connection
-// that idled is only kept from waiting any longer: its server closes it unless there is a request.
+// close closes a connection that has no request. A request that has just been read would still run, and its answer would be
+// lost. So an idle connection only gets a read deadline in the past: the HTTP server closes it unless a request has arrived.
 func (w *connLimiter) close(conn net.Conn) {
 	idle := w.conns[conn].state == http.StateIdle
 	delete(w.conns, conn)
 	w.count.Store(int64(len(w.conns)))
 	w.closed.Add(1)
 	if !idle || conn.SetReadDeadline(time.Unix(1, 0)) != nil {
-		_ = conn.Close() // its server learns of it when it reads
+		_ = conn.Close() // the HTTP server notices at its next read
 	}
 }
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	maxCallers      = 16              // of control at once
-	maxCallBytes    = 512             // bytes of a call's line
-	callTimeout     = 3 * time.Second // a call must be there after it connected
-	answerTimeout   = time.Second     // and an operator waits for the answer
-	maxSurplusBytes = 64 << 10        // bytes of a line that is too long that are read, so that its answer arrives
+	maxCallers      = 16              // connections of operators at the same time
+	maxCallBytes    = 512             // length of a command line
+	callTimeout     = 3 * time.Second // for a command to arrive after its connection was accepted
+	answerTimeout   = time.Second     // for writing the answer
+	maxSurplusBytes = 64 << 10        // bytes of an overlong line that are read after the answer, so that the answer arrives
 )
 
-// control answers operators: one line to a connection, one answer to a line.
+// control answers operators' commands: one line and one answer per connection.
 //
-// Callers that connect and say nothing could shut out the one who has something to say. So there are few places, and whoever has
-// had one longest gives it up to the next.
+// Callers that connect and send nothing could lock out one that has a command. So the number of
+// connections is limited, and the oldest one is closed when a new one arrives.
 type control struct {
 	log        *slog.Logger
-	do         func(call []string) string // answers the words of a line
+	do         func(call []string) string // executes a command, split into words, and returns the answer
 	maxCallers int
 	timeout    time.Duration
 
 	mu       sync.Mutex
-	callers  []net.Conn // in the order of their coming
+	callers  []net.Conn // in order of arrival
 	handlers sync.WaitGroup
 }
 
@@ -41,7 +41,7 @@
 	return &control{log: log, do: do, maxCallers: maxCallers, timeout: callTimeout}
 }
 
-// serve answers at l until ctx is done, and returns once no caller is left.
+// serve answers commands at l until ctx is done, and returns once no connection is left.
 func (c *control) serve(ctx context.Context, l net.Listener) {
 	defer c.handlers.Wait()
 	defer c.evict(0)
@@ -53,7 +53,7 @@
 		case err == nil:
 		case errors.Is(err, net.ErrClosed):
 			return
-		default: // as when descriptors are short: that passes
+		default: // for example out of descriptors, which is temporary
 			c.log.Warn("control", "err", err)
 			select {
 			case <-time.After(minBackoff):
@@ -76,7 +76,7 @@
 	}
 }
 
-// evict ends the callers that came first, until no more than some are left.
+// evict closes the oldest connections until at most most are left.
 func (c *control) evict(most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,14 +86,14 @@
 	}
 }
 
-// removeCaller takes a caller off the list.
+// removeCaller removes a connection from the list.
 func (c *control) removeCaller(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.callers = slices.DeleteFunc(c.callers, func(other net.Conn) bool { return other == conn })
 }
 
-// answer reads a caller's line and answers it.
+// answer reads a command and answers it.
 func (c *control) answer(conn net.Conn) {
 	if conn.SetDeadline(time.Now().Add(c.timeout)) != nil {
 		return
@@ -109,14 +109,14 @@
 	if conn.SetDeadline(time.Now().Add(answerTimeout)) != nil {
 		return
 	}
-	_, _ = io.WriteString(conn, text) // a caller that is gone needs no answer
-	// Closing with something unread resets the connection, and the answer may be lost with it.
+	_, _ = io.WriteString(conn, text) // a caller that has disconnected needs no answer
+	// Closing a connection with unread data resets it, and the answer may be lost.
 	if tcp, ok := conn.(*net.TCPConn); ok && len(line) > maxCallBytes && tcp.CloseWrite() == nil {
 		_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxSurplusBytes))
 	}
 }
 
-// handleCall does what the words of an operator's line say, and returns the answer with its line's end.
+// handleCall executes a command, split into words, and returns the answer including its line feed.
 func (s *server) handleCall(call []string) string {
 	if len(call) == 0 {
 		return "fail the line is empty\n"
@@ -134,7 +134,7 @@
 	return operation.do(s, call)
 }
 
-// operations are the calls that operators may make, with the number of words behind each.
+// operations maps the commands that operators may send to the number of arguments and the handler.
 var operations = map[string]struct {
 	words int
 	do    func(*server, []string) string
@@ -161,7 +161,7 @@
 	errShuttingDown = errors.New("this process is leaving")
 )
 
-// notReady says why no new connections are welcome, if so.
+// notReady returns why this process should get no new connections, or nil.
 func (s *server) notReady() error {
 	select {
 	case <-s.host.ready:
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// setOutOfService takes a server out of service or returns it. Both may be repeated, and change nothing then.
+// setOutOfService takes a server out of service or puts it back. Both are idempotent.
 func (s *server) setOutOfService(id string, out bool) string {
 	known := false
 	if !s.host.ask(func() { known = s.host.balancer.Knows(id) }) {
--- a/internal/sidecar/counts.go
+++ b/internal/sidecar/counts.go
@@ -11,32 +11,32 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// countsInterval is how often the log says what happened since it last did.
+// countsInterval is how often the counters are logged, as increments since the last time.
 const countsInterval = 5 * time.Second
 
-// counts is what happened at the sockets since the start.
+// counts counts what happened at the sockets since the start of the process.
 type counts struct {
-	open             atomic.Int64 // requests taken and not ended
-	requests         atomic.Int64 // handed to the module
-	gone             atomic.Int64 // left by their client
-	busy             atomic.Int64 // of the refused ones, those over the limit of pending requests
-	improper         atomic.Int64 // answered 4xx, or ended for their framing
+	open             atomic.Int64 // requests received completely and not finished
+	requests         atomic.Int64 // passed to the Balancer
+	gone             atomic.Int64 // requests whose client disconnected
+	busy             atomic.Int64 // refused requests that were over the limit of pending requests or too late for a shutdown
+	improper         atomic.Int64 // requests answered 4xx, or ended for bad framing
 	requestsRejected atomic.Int64 // attempts answered 4xx
-	dials            atomic.Int64 // to servers
-	reused           atomic.Int64 // attempts on a connection that had idled
+	dials            atomic.Int64 // connections opened to servers
+	reused           atomic.Int64 // attempts on a connection that had been idle
 
 	classes  []classCounts
 	attempts [balance.NotSent + 1]atomic.Int64 // by outcome
-	slowest  atomic.Int64                      // nanoseconds from an attempt's start until it had a connection, at most, since it was last logged
+	slowest  atomic.Int64                      // maximum time from an attempt's start until it had a connection, in nanoseconds, since it was last logged
 }
 
-// classCounts is what became of the requests of a class.
+// classCounts counts the results of the requests of one class.
 type classCounts struct {
 	name      string
-	fulfilled atomic.Int64 // answered as a server did
+	fulfilled atomic.Int64 // served by a server
 	throttled atomic.Int64 // refused
 	faulted   atomic.Int64 // failed
-	relayed   atomic.Int64 // attempts written completely
+	relayed   atomic.Int64 // attempts written to a server completely
 }
 
 func newCounts(classes []balance.Class) *counts {
@@ -61,7 +61,7 @@
 
 var outcomeNames = [balance.NotSent + 1]string{"ok", "error", "full", "timeout", "connect", "reset", "cancelled", "unsent"}
 
-// connected counts an attempt that has a connection.
+// connected counts an attempt that has got a connection.
 func (n *counts) connected(reused bool, after time.Duration) {
 	if reused {
 		n.reused.Add(1)
@@ -69,7 +69,7 @@
 	raise(&n.slowest, int64(after))
 }
 
-// raise sets a maximum to a value that is above it.
+// raise raises a maximum to value if value is above it.
 func raise(maximum *atomic.Int64, value int64) {
 	for {
 		old := maximum.Load()
@@ -79,7 +79,7 @@
 	}
 }
 
-// metric is one counter by its name in the log.
+// metric is a counter with its name in the log.
 type metric struct {
 	name  string
 	value int64
@@ -101,7 +101,7 @@
 		{"blamed", n.requestsRejected.Load()}, {"relayed", relayed}, {"dials", n.dials.Load()}, {"reused", n.reused.Load()}}, attempts
 }
 
-// report logs what has happened since the last report, which it gets and returns.
+// report logs the increments since the last report, whose values it takes as last; it returns the present ones.
 func (n *counts) report(log *slog.Logger, w *connLimiter, last [2][]metric) [2][]metric {
 	var now [2][]metric
 	now[0], now[1] = n.metrics(w)
@@ -134,7 +134,7 @@
 	}
 }
 
-// info answers with the figures as they stand.
+// info answers with the present metrics.
 func (s *server) info([]string) string {
 	var listed, avoided int
 	if !s.host.ask(func() { listed, avoided = s.host.balancer.CountListed(s.host.now) }) {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	// watchTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s. A machine that is
-	// cut off says nothing, and the old list would be believed for good. What discovery has to say counts as published
-	// publishedWithin after it fell silent all the same, so a new watch must have had the time to get it by then.
+	// watchTimeout is how long a watch may be silent: discovery writes at least an empty line every 2 s.
+	// A machine that is cut off from the network sends nothing, and without a timeout the old list would
+	// be trusted forever. What discovery publishes counts as known publishedWithin after it fell silent
+	// all the same, so a new watch must have had the time to receive it by then.
 	watchTimeout    = 4500 * time.Millisecond
 	publishedWithin = 6 * time.Second
-	// agentWatchTimeout is that of an agent on the own machine. It answers at no cost, so that one that was only late is no loss;
-	// and a new watch may be silent too, which must leave time for one more.
+	// agentWatchTimeout is the watchTimeout for an agent on the same machine. Asking it again is free, so little
+	// is lost if it was merely late; and the new watch may be silent too, which must leave time for one more.
 	agentWatchTimeout = 3500 * time.Millisecond
 	agentFirstTimeout = time.Second
-	maxListBytes      = 4 << 20 // bytes of a list of a watch
+	maxListBytes      = 4 << 20 // size of a list in a watch
 )
 
-// Target is one server of discovery's list.
+// Target is one server in discovery's list.
 type Target struct {
 	ID      string
 	Address string
@@ -39,17 +40,17 @@
 	Cell    int
 	State   balance.State
 	Size    float64
-	Started time.Time // when it last started; zero: long ago
+	Started time.Time // when its process started; zero: long ago
 }
 
-// List is what discovery says at once: all servers, or those that changed.
+// List is one message of discovery: all servers, or those that changed.
 type List struct {
 	Version  int64
 	Complete bool
 	Targets  []Target
 }
 
-// parseList reads discovery's JSON strictly: a list that is wrong in one entry is wrong.
+// parseList parses discovery's JSON strictly: one invalid entry makes the whole list invalid.
 func parseList(text []byte) (List, error) {
 	var form struct {
 		Rev     *int64
@@ -110,20 +111,21 @@
 	errWatchEnded = errors.New("ended")
 )
 
-// discovery is the client of the list of servers.
+// discovery is the client of the discovery service.
 type discovery struct {
 	address      atomic.Value // string
 	client       *http.Transport
 	watchTimeout time.Duration
-	firstTimeout time.Duration // for an agent's complete list; twice as long each time that it says nothing
+	firstTimeout time.Duration // for an agent's first complete list; doubled each time that none arrives
 }
 
-// newDiscovery is the client of the list at an address; pushed: an agent answers there at once and at no cost.
+// newDiscovery returns the client of the list at an address. pushed is set if an agent on this
+// machine answers there, immediately and at no cost.
 func newDiscovery(address string, connect time.Duration, pushed bool) *discovery {
 	d := &discovery{watchTimeout: watchTimeout, firstTimeout: agentFirstTimeout, client: &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: max(connect, time.Second)}).DialContext,
 		DisableCompression: true,
-		DisableKeepAlives:  true, // a watch lasts as long as its connection
+		DisableKeepAlives:  true, // each watch uses a connection of its own
 	}}
 	if pushed {
 		d.watchTimeout = agentWatchTimeout
@@ -132,9 +134,9 @@
 	return d
 }
 
-// watch asks for the changes after version from (below 0: for the complete list) and hands each list to onList, until the watch
-// ends. The first list has to come within first, or as soon as any other where that is 0. It always returns an error, which says
-// why; one that wraps errTimedOut: nothing came for too long.
+// watch requests the changes after version from (negative: the complete list) and passes each list to onList, until the
+// watch ends. The first list must arrive within first, or within the usual timeout if first is 0. It always returns an
+// error, which states why the watch ended; one that wraps errTimedOut means that nothing arrived for too long.
 func (d *discovery) watch(ctx context.Context, from int64, first time.Duration, onList func(List)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -153,9 +155,9 @@
 	reader := &watchReader{from: resp.Body, budget: maxListBytes}
 	onHeartbeat := func() { silence.timer.Reset(d.watchTimeout) }
 	if first == d.watchTimeout {
-		reader.onHeartbeat = onHeartbeat // an empty line will do for a sign of life
+		reader.onHeartbeat = onHeartbeat // an empty line counts as a heartbeat
 	}
-	lists := json.NewDecoder(reader) // a list may be indented, and so have lines of its own
+	lists := json.NewDecoder(reader) // a list may be indented, and so span several lines
 	for {
 		list, err := nextList(ctx, lists)
 		if err != nil {
@@ -168,7 +170,7 @@
 	}
 }
 
-// watchTimer ends a watch on which nothing comes.
+// watchTimer ends a watch on which nothing arrives.
 type watchTimer struct {
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
@@ -195,7 +197,7 @@
 	return resp, nil
 }
 
-// nextList reads the next list of a watch. One that cannot be read is errBadList.
+// nextList reads the next list of a watch. It returns errBadList for one that cannot be parsed.
 func nextList(ctx context.Context, lists *json.Decoder) (List, error) {
 	var text json.RawMessage
 	switch err := lists.Decode(&text); {
@@ -216,9 +218,10 @@
 
 var errLongList = errors.New("too long")
 
-// watchReader reads a watch. It calls onHeartbeat, if any, for each empty line, and bounds what may come up to the end of a list.
+// watchReader reads a watch. It calls onHeartbeat, if set, for each empty line, and bounds the number
+// of bytes up to the end of a list.
 //
-// A list that begins and never ends is silence too, so what is not empty is no sign of life before the list is complete.
+// A list that begins and never ends counts as silence too, so a non-empty line is no heartbeat until the list is complete.
 type watchReader struct {
 	from        io.Reader
 	budget      int // bytes
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -9,14 +9,14 @@
 
 const idleCheckInterval = 100 * time.Millisecond
 
-// lameduck begins the drain that rejoin ends. Both may be repeated.
+// lameduck begins a drain, which rejoin ends. Both are idempotent.
 func (s *server) lameduck([]string) string {
 	s.drainingSince.CompareAndSwap(0, time.Now().UnixNano())
 	s.host.log.Info("lameduck")
 	return "ok draining\n"
 }
 
-// rejoin ends the drain.
+// rejoin ends a drain.
 func (s *server) rejoin([]string) string {
 	s.drainingSince.Store(0)
 	s.host.log.Info("rejoin")
@@ -26,8 +26,8 @@
 	return "ok serving\n"
 }
 
-// closeIdleWhileDraining closes clients' connections that idle once the drain has gone on for some time, until ctx is done: 4 s
-// after its begin none may be left without a request, or with one of the last 2 s.
+// closeIdleWhileDraining closes idle client connections once a drain has lasted longer than after, until ctx is done.
+// 4 s after the drain began, no connection may be left except those that have a request, or had one in the last 2 s.
 func (s *server) closeIdleWhileDraining(ctx context.Context, after time.Duration) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
@@ -43,7 +43,8 @@
 	}
 }
 
-// askToClose asks the client to close its connection behind the answer in hand, if this process is to be left.
+// askToClose asks the client to close its connection after the current answer, if this process is
+// shutting down, draining or has too many connections.
 func (s *server) askToClose(w http.ResponseWriter) {
 	if s.shuttingDown.Load() || s.drainingSince.Load() != 0 || s.connections.isOverloaded() {
 		w.Header().Set("Connection", "close")
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	followInterval   = 100 * time.Millisecond // so often a process looks whether another has changed the file
-	maxHandoverBytes = 1 << 20                // bytes of the file
+	followInterval   = 100 * time.Millisecond // how often a process checks whether another one has changed the file
+	maxHandoverBytes = 1 << 20                // size of the file
 )
 
-// handover keeps what outlives a process: the ids of the servers that operators have taken out of service. Processes of one
-// sidecar that run at the same time share it.
+// handover stores what must outlive a process: the ids of the servers that operators have taken out
+// of service. Processes of one sidecar that run at the same time share it.
 type handover struct {
-	path string // "": there is no common folder, and all is lost with the process
+	path string // "": there is no shared directory, and the ids are lost with the process
 	log  *slog.Logger
 
 	mu        sync.Mutex
 	ids       []string
-	seen      os.FileInfo // the file that ids are from; nil: none
-	lastError string      // what was last wrong with it
+	seen      os.FileInfo // the version of the file that ids was read from; nil: none
+	lastError string      // the last error in reading the file
 }
 
-// handoverJSON is the file's form.
+// handoverJSON is the format of the file.
 type handoverJSON struct {
 	Out []string `json:"out"`
 }
 
-// newHandover reads the file of the sidecar of this name in dir. One that cannot be read is as good as none.
+// newHandover reads the file of the named sidecar in dir. A file that cannot be read counts as empty.
 func newHandover(dir, name string, log *slog.Logger) *handover {
 	f := &handover{log: log}
 	if dir != "" {
@@ -49,13 +49,13 @@
 	return f
 }
 
-// reload reads the file if it is another than the one seen, and reports whether it was.
+// reload reads the file if it has changed since it was last read, and reports whether the ids were replaced.
 func (f *handover) reload() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	info, err := os.Stat(f.path)
 	if f.path == "" || errors.Is(err, fs.ErrNotExist) {
-		return false // never deleted: none was made
+		return false // the file is never deleted, so it was never written
 	}
 	if err == nil && f.seen != nil && os.SameFile(info, f.seen) && info.ModTime().Equal(f.seen.ModTime()) && info.Size() == f.seen.Size() {
 		return false
@@ -85,14 +85,14 @@
 	return stored.Out, nil
 }
 
-// out is the ids of the servers taken out.
+// out returns the ids of the servers that are out of service.
 func (f *handover) out() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.ids)
 }
 
-// set takes a server out or puts it back. On an error this process alone knows.
+// set takes a server out of service or puts it back. After an error, only this process knows of the change.
 func (f *handover) set(id string, out bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +108,7 @@
 	if f.path == "" {
 		return nil
 	}
-	// Two processes that change the file at once would each undo what the other did.
+	// Without the lock, two processes that change the file at the same time could undo each other's change.
 	return sealed.WithLock(f.path, true, func() error {
 		if now, err := f.read(); err == nil {
 			ids = now
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -13,27 +13,27 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// kindHitters is the kind of the states, among members, that are reports of package hitters.
+// kindHitters is the kind of member updates that are reports of package hitters.
 const kindHitters uint8 = 1
 
-// Hitters says how clients are told apart. How heavy ones are found is in the Balancer's settings.
+// Hitters configures how clients are told apart. How heavy clients are detected is part of the Balancer's settings.
 type Hitters struct {
-	Header string // of a request, in canonical form
-	Salt   uint64 // of the keys: the same in all sidecars, and unknown to clients
+	Header string // request header that identifies the client, in canonical form
+	Salt   uint64 // salt of the keys: the same in all sidecars, and unknown to clients
 }
 
-// hittersFile is the form of what the file says of clients that ask for much. What is left out is the default.
+// hittersFile is the format of the file's section on heavy clients. What is left out gets the default.
 type hittersFile struct {
 	Header           *string
 	Salt             string
-	Thresholds       []float64 `json:"Bars"` // the upper, and the lower
+	Thresholds       []float64 `json:"Bars"` // the upper, then the lower
 	WindowSeconds    *float64  `json:"window_s"`
 	SuspicionSeconds *float64  `json:"hold_s"`
 	CoolingSeconds   *float64  `json:"cool_s"`
 	ReportTTLSeconds *float64  `json:"bound_s"`
 }
 
-// config reads what the file says. Bounds of the settings are checked where they are used.
+// config validates the section. The bounds of the detector's settings are checked by package hitters.
 func (file *hittersFile) config(name string) (*Hitters, *hitters.Settings, error) {
 	if file == nil {
 		return nil, nil, nil
@@ -76,10 +76,10 @@
 	return parsed, &set, nil
 }
 
-// origin is the name of a sidecar in reports.
+// origin returns the key that stands for a sidecar's name in reports.
 func (h *Hitters) origin(name string) uint64 { return hitters.Key(h.Salt, name) }
 
-// client is who sends a request, by its header: the first, if there are several.
+// client identifies the sender of a request by its header: the first one, if there are several.
 func (h *Hitters) client(r *http.Request) (key uint64, name string) {
 	if h == nil {
 		return 0, ""
@@ -88,7 +88,7 @@
 	return hitters.Key(h.Salt, name), name
 }
 
-// endHittersWindows ends the windows of the Balancer's Judge until ctx is done.
+// endHittersWindows ends the windows of the Balancer's heavy hitter detector at each interval until ctx is done.
 func (h *host) endHittersWindows(ctx context.Context, window time.Duration) {
 	tick := time.NewTicker(window)
 	defer tick.Stop()
@@ -102,7 +102,8 @@
 	}
 }
 
-// endHittersWindow ends a window, logs whose state has changed, and publishes the report to the members. The loop alone calls it.
+// endHittersWindow ends a window, logs the clients whose state has changed, and publishes the report
+// to the members. Only the loop calls it.
 func (h *host) endHittersWindow() {
 	own, changed := h.balancer.HeavyHitters().EndWindow(h.now)
 	for _, c := range changed {
@@ -121,7 +122,7 @@
 	}
 }
 
-// receiveHitters receives the reports of other sidecars. What cannot be read is ignored.
+// receiveHitters returns the handler for the reports of other sidecars. Reports that cannot be parsed are ignored.
 func (h *host) receiveHitters(c *Config) func(members.Update) {
 	return func(n members.Update) {
 		report, err := hitters.ParseReport(n.Payload)
@@ -134,7 +135,7 @@
 	}
 }
 
-// heavyInfo adds the heavy clients to the metrics, their share in thousandths, where they are looked for.
+// heavyInfo adds the heavy clients to the metrics, with their share in thousandths, if they are looked for.
 func (s *server) heavyInfo(text *strings.Builder) {
 	var heavy []hitters.Client
 	var yielded uint64
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -13,34 +13,35 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// originAge is how far before the program's start the Balancer's clock begins. The Balancer takes a time of 0 or less for long
-// ago; a server that started just before this program would pass for warm.
+// originAge is how long before the program's start the Balancer's clock begins. The Balancer reads a time of 0 or
+// less as "long ago", so without this a server that started just before this program would be taken for warm.
 const originAge = 24 * time.Hour
 
-// host runs the Balancer. Its loop is the only goroutine that touches it; everything that happens is posted to it.
+// host runs the Balancer. Its loop is the only goroutine that touches the Balancer; everything that
+// happens elsewhere is posted to the loop.
 type host struct {
 	log       *slog.Logger
 	counts    *counts
 	origin    time.Time
 	upstream  *upstream
 	discovery *discovery
-	registry  *client.ListSubscriber // of the list, in place of discovery; nil: there are none
+	registry  *client.ListSubscriber // subscription to the registry's list, in place of discovery; nil: none
 	routing   routing
 	handover  *handover
-	snapshots *snapshotFile // nil: a process leaves nothing to the next one
+	snapshots *snapshotFile // nil: no snapshot is left for the next process
 	shutdown  shutdownClock
-	members   *members.Members // nil: none are known
+	members   *members.Members // nil: this sidecar is on its own
 	ready     chan struct{}    // closed once servers are known
-	listed    chan struct{}    // closed once a list came: what is known is not from before this process
+	listed    chan struct{}    // closed once a list has arrived that is not from before this process
 
-	moves    chan string    // addresses to which an agent that pushes moves
-	watchers sync.WaitGroup // of discovery
+	moves    chan string    // new addresses of an agent that pushes its lists
+	watchers sync.WaitGroup // goroutines that watch discovery, the registry and the members
 
 	mu    sync.Mutex
 	queue []event
 	wake  chan struct{}
 
-	// Of the loop.
+	// Only the loop uses these.
 	ctx         context.Context
 	balancer    *balance.Balancer
 	now         balance.Time
@@ -49,20 +50,20 @@
 	isReady     bool
 	isListed    bool
 	fleet       fleetState
-	watching    bool               // a watch that the Balancer asked for is open, or will be after a move
+	watching    bool               // a watch that the Balancer asked for is open, or will be opened after a move
 	closeWatch  context.CancelFunc // ends it
-	nextAddress string             // where the next one is opened; "": where it was
+	nextAddress string             // where the next watch is opened; "": at the same address
 
-	table *serverTable // of the watch that is open, and of the loop between two
+	table *serverTable // used by the open watch, and by the loop while none is open
 }
 
-// event is what happened at a time.
+// event is a function for the loop to call, with the time at which it was posted.
 type event struct {
 	at balance.Time
 	do func()
 }
 
-// newHost returns a host whose attempts and watches end with ctx. It starts nothing.
+// newHost returns a host whose attempts and watches end with ctx. It starts no goroutine.
 func newHost(ctx context.Context, config *Config, log *slog.Logger) (*host, error) {
 	counted := newCounts(config.Settings.Classes)
 	driver := &host{log: log, counts: counted, origin: time.Now().Add(-originAge), ready: make(chan struct{}), listed: make(chan struct{}), wake: make(chan struct{}, 1),
@@ -83,7 +84,7 @@
 	driver.applyList(balance.ListCached, config.Known)
 	driver.restoreSnapshot()
 	if config.Control != "" {
-		// Known before the first request, and before this process says that it is ready.
+		// The Balancer must know these before the first request, and before this process reports that it is ready.
 		if driver.handover = newHandover(config.SharedDir, config.Name, log); len(driver.handover.ids) > 0 {
 			driver.applyOutOfService()
 		}
@@ -113,7 +114,7 @@
 	case config.Registry != nil:
 		return h.followRegistry(ctx, config)
 	case !config.Settings.SubscribeToDiscovery:
-		// An agent that pushes its lists does so to all who listen.
+		// An agent that pushes its lists does so to every watch; the Balancer need not subscribe.
 		h.moves = make(chan string, 1)
 		h.watchers.Add(1)
 		go func() {
@@ -124,13 +125,13 @@
 	return nil
 }
 
-// clock reads the Balancer's time.
+// clock returns the present time on the Balancer's clock.
 func (h *host) clock() balance.Time { return time.Since(h.origin) }
 
-// post has the loop do something. It never waits: what the loop waits for may be posting.
+// post queues a function for the loop. It never blocks: the loop may be waiting for the goroutine that posts.
 func (h *host) post(do func()) {
 	h.mu.Lock()
-	h.queue = append(h.queue, event{h.clock(), do}) // timed under the lock: the order is that of the times
+	h.queue = append(h.queue, event{h.clock(), do}) // the time is read under the lock, so that the queue is in order of time
 	h.mu.Unlock()
 	select {
 	case h.wake <- struct{}{}:
@@ -138,7 +139,7 @@
 	}
 }
 
-// ask has the loop do something and returns once it is done, or false if the loop ends first.
+// ask has the loop call a function and returns once that is done, or false if the loop ends first.
 func (h *host) ask(do func()) bool {
 	done := make(chan struct{})
 	h.post(func() { do(); close(done) })
@@ -150,7 +151,7 @@
 	}
 }
 
-// applyOutOfService hands the servers that operators have taken out to the Balancer. The loop alone calls it.
+// applyOutOfService tells the Balancer which servers operators have taken out of service. Only the loop calls it.
 func (h *host) applyOutOfService() { h.balancer.SetOutOfService(h.now, h.handover.out()) }
 
 // run is the loop. It ends with ctx.
--- a/internal/sidecar/inherit.go
+++ b/internal/sidecar/inherit.go
@@ -8,11 +8,11 @@
 	"syscall"
 )
 
-// errNotListening says that an inherited descriptor is of another kind of socket.
+// errNotListening means that an inherited descriptor is not a listening socket.
 var errNotListening = errors.New("no listening socket")
 
-// openListener returns the socket at which clients connect: the one that the platform holds and all processes inherit, or
-// one of this process's own.
+// openListener returns the socket to which clients connect: the one that the platform holds and all
+// processes inherit, or one of this process's own.
 func openListener(c *Config) (*net.TCPListener, error) {
 	if c.InheritedFD != 0 {
 		return inherit(c.InheritedFD)
@@ -28,14 +28,14 @@
 	return net.ListenTCP("tcp", address)
 }
 
-// inherit takes over a listening socket by its descriptor.
+// inherit returns the listener for an inherited descriptor.
 func inherit(descriptor int) (*net.TCPListener, error) {
-	// Go takes any TCP socket for a listener, and fails only when it accepts.
+	// Go would accept any TCP socket as a listener, and fail only at the first Accept.
 	if on, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
 		return nil, fmt.Errorf("PROXY_FD: descriptor %d: %w", descriptor, errors.Join(err, errNotListening))
 	}
 	file := os.NewFile(uintptr(descriptor), "inherited")
-	defer func() { _ = file.Close() }() // the listener has a descriptor of its own
+	defer func() { _ = file.Close() }() // net.FileListener duplicates the descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_FD: %w", err)
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -11,11 +11,11 @@
 	"syscall"
 )
 
-// Main is the sidecar as a program: its configuration comes from the environment; SIGTERM has it finish and end, and SIGHUP read
-// its configuration again for where discovery is. Its log goes to logTo. It returns the exit code, after one line there where it
-// failed.
+// Main runs the sidecar as a program, configured by the environment. On SIGTERM it finishes its
+// requests and ends; on SIGHUP it reads the address of discovery from the configuration again. It
+// logs to logTo and returns the exit code; a failure is also reported there, on one line.
 func Main(getenv func(string) string, logTo io.Writer) int {
-	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is a failed write, not the end of the process
+	signal.Ignore(syscall.SIGXFSZ) // exceeding the file size limit is a failed write, not the end of the process
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	reload := make(chan os.Signal, 1)
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -10,26 +10,26 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// kindSignals is the kind of the states, among members, that are reports of package signals.
+// kindSignals is the kind of member updates that are reports of package signals.
 const kindSignals uint8 = 0
 
-// How often a sidecar speaks to the members.
+// Intervals of the reports to the members.
 const (
-	reportCheckInterval = 200 * time.Millisecond // it looks whether there is something to say
-	repeatPerMember     = 10 * time.Millisecond  // for each member, until it says again what it condemns
-	quietInterval       = 15 * time.Second       // it says its zone and level, for who came since
-	viewStableTime      = 600 * time.Millisecond // without a change, before places are taken by it
-	maxViewWait         = 3 * time.Second        // with changes
+	reportCheckInterval = 200 * time.Millisecond // how often the loop checks whether there is something to report
+	repeatPerMember     = 10 * time.Millisecond  // for each member, before the same verdicts are repeated
+	quietInterval       = 15 * time.Second       // how often zone and traffic level are repeated, for members that joined since
+	viewStableTime      = 600 * time.Millisecond // how long the view must be unchanged before positions are assigned by it
+	maxViewWait         = 3 * time.Second        // the same while the view keeps changing
 )
 
 // fleetState is what the loop knows of the members.
 type fleetState struct {
 	view         members.View
-	peers        map[string]balance.Peer // by name, as they last reported
-	pendingSince balance.Time            // of the first change that the Balancer does not know; 0: it knows all
-	lastChange   balance.Time            // change
+	peers        map[string]balance.Peer // by name, as last reported
+	pendingSince balance.Time            // when the first change that the Balancer does not know happened; 0: it knows all
+	lastChange   balance.Time            // when the last change happened
 	published    signals.Report
-	publishedAt  balance.Time // when that was
+	publishedAt  balance.Time // when published was sent
 	reportTTL    time.Duration
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// updateMembers notes who is a member. The loop alone calls it, and what follows.
+// updateMembers records the members' view. Only the loop calls it and the functions below, except where they post to the loop.
 func (h *host) updateMembers(v members.View) {
 	for name := range h.fleet.peers {
 		if !slices.Contains(v.Names, name) {
@@ -52,7 +52,7 @@
 	h.fleet.changed(h.now)
 }
 
-// receiveSignals receives what a member states of servers. What cannot be read is ignored.
+// receiveSignals receives a member's report on servers. A report that cannot be decoded is ignored.
 func (h *host) receiveSignals(update members.Update) {
 	r, err := signals.Decode(update.Payload)
 	if err != nil {
@@ -70,7 +70,7 @@
 			if known && startMS(boot) == v.Start {
 				v.Start = int64(h.started(Target{Started: boot}))
 			} else {
-				v.Start = -1 // another process than the one listed here; it counts for how much the witness condemns
+				v.Start = -1 // not the process listed here; the verdict still counts towards how many servers the witness condemns
 			}
 		}
 		if p := (balance.Peer{Zone: r.Zone, TrafficLevel: r.TrafficLevel}); state.peers[update.Origin] != p {
@@ -81,7 +81,7 @@
 	})
 }
 
-// startMS is a server process's start as reports have it; 0: not known.
+// startMS returns the start of a server process as reports encode it; 0: not known.
 func startMS(boot time.Time) int64 {
 	if boot.IsZero() {
 		return 0
@@ -89,7 +89,7 @@
 	return boot.UnixMilli()
 }
 
-// publishReports has the loop look what there is to say until ctx is done.
+// publishReports has the loop check at each interval whether there is something to report, until ctx is done.
 func (h *host) publishReports(ctx context.Context) {
 	tick := time.NewTicker(reportCheckInterval)
 	defer tick.Stop()
@@ -103,8 +103,8 @@
 	}
 }
 
-// updatePositions hands the members' positions to the Balancer once they have settled. In a fleet that starts, each arrival would
-// move the subsets of all. A sidecar that is alone is as one that knows nobody.
+// updatePositions passes the members' positions to the Balancer once the view is stable. While a fleet starts, each arrival
+// would otherwise change the subsets of all sidecars. A sidecar that is the only member is treated as one without members.
 func (h *host) updatePositions() {
 	state := &h.fleet
 	if state.pendingSince == 0 || h.now-state.lastChange < viewStableTime && h.now-state.pendingSince < maxViewWait {
@@ -124,7 +124,7 @@
 	h.balancer.SetMembers(h.now, state.view.Index, peers)
 }
 
-// sameVerdicts reports whether two reports condemn the same servers for the same, of kinds from least on.
+// sameVerdicts reports whether two reports condemn the same servers for the same reasons, counting only kinds of least or above.
 func sameVerdicts(a, b []signals.Verdict, least signals.Kind) bool {
 	counts := func(v signals.Verdict) bool { return v.Kind >= least }
 	for _, pair := range [2][2][]signals.Verdict{{a, b}, {b, a}} {
@@ -137,7 +137,7 @@
 	return true
 }
 
-// publishReport publishes to the members what this sidecar saw of servers, and what it is.
+// publishReport publishes this sidecar's verdicts on servers, its zone and its traffic level to the members.
 func (h *host) publishReport() {
 	state, report := &h.fleet, h.balancer.LocalReport(h.now)
 	same, grave := sameVerdicts(report.Verdicts, state.published.Verdicts, signals.None), sameVerdicts(report.Verdicts, state.published.Verdicts, signals.Failing)
@@ -145,8 +145,9 @@
 		same, grave = false, false
 		state.changed(h.now)
 	}
-	// What it condemns it repeats within the TTL, the more members there are the less often. That a server does not answer is
-	// published sooner: in an overload, what is full or slow changes all the time, and each report goes to all members.
+	// Verdicts are repeated within the TTL; the more members there are, the less often. That a server
+	// does not answer is published sooner than that it is full or slow, which changes all the time in an
+	// overload, while each report goes to all members.
 	again, bound := quietInterval, state.reportTTL
 	if len(report.Verdicts)+len(state.published.Verdicts) > 0 {
 		again = min(max(repeatPerMember*time.Duration(state.view.Count), bound*35/100), bound*70/100)
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -13,16 +13,16 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// Members is how a sidecar knows the others. Without it, it is alone.
+// Members configures how a sidecar reaches the other sidecars. Without it, the sidecar is on its own.
 type Members struct {
 	Listen    string        // IP address and port, for UDP and TCP
-	Advertise string        // where others reach it; "": at Listen
-	Join      []string      // hosts and ports of any members
-	Reach     string        // this machine reaches every member at this IP address, at the port of its own; "": at its own
-	ReportTTL time.Duration // reports that are older count for nothing
+	Advertise string        // address at which others reach it; "": Listen
+	Join      []string      // hosts and ports of some members
+	Reach     string        // IP address at which this machine reaches every member, at the member's port; "": the member's own
+	ReportTTL time.Duration // older reports are ignored
 }
 
-// membersFile is the form of what the file says of members.
+// membersFile is the format of the file's section on members.
 type membersFile struct {
 	Listen           string
 	Advertise        string
@@ -31,7 +31,7 @@
 	ReportTTLSeconds *float64 `json:"bound_s"`
 }
 
-// config reads what the file says; environment, if set, names the members to join instead.
+// config validates the section. Addresses in environment, if set, replace the members to join.
 func (file *membersFile) config(name, environment string) (*Members, error) {
 	if file == nil {
 		if environment != "" {
@@ -58,8 +58,8 @@
 	return members.Options{Name: name, Listen: m.Listen, Advertise: m.Advertise, Join: m.Join, Reach: m.Reach, TTL: m.ReportTTL}
 }
 
-// joinMembers has the host be a member until ctx is done. listen maps the kinds of messages to their handlers, which are called
-// by one goroutine that is not the loop.
+// joinMembers makes the host a member until ctx is done. listen maps kinds of updates to their
+// handlers, which are called by a single goroutine other than the loop.
 func (h *host) joinMembers(ctx context.Context, config *Config, listen map[uint8]func(members.Update)) error {
 	options := config.Members.options(config.Name)
 	options.Log = slog.New(h.log.Handler())
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// membersInfo adds the members to the metrics, where they are known.
+// membersInfo adds the members to the metrics, if there are any.
 func (s *server) membersInfo(text *strings.Builder) {
 	if s.host.members != nil {
 		v := s.host.members.View()
--- a/internal/sidecar/registry.go
+++ b/internal/sidecar/registry.go
@@ -10,8 +10,8 @@
 	fleet "gradeusher.example/gradeusher/internal/sidecar/list"
 )
 
-// followRegistry has the loop apply the registry's list, until ctx is done. What a process before this one cached takes
-// precedence over what the configuration knows: it is newer.
+// followRegistry has the loop apply the registry's list, until ctx is done. A list cached by the
+// previous process takes precedence over the servers in the configuration, because it is newer.
 func (h *host) followRegistry(ctx context.Context, c *Config) error {
 	k := c.Registry
 	var err error
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// target is a server in the sidecar's own form.
+// target converts a server of the registry's list.
 func (r *Registry) target(t fleet.Target) Target {
 	converted := Target{ID: t.UID, Address: t.Endpoint, Zone: t.Zone, Kind: t.Model, Cell: t.PodGroup, Size: 1}
 	switch t.State {
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -8,11 +8,11 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// requestError is the answer to a request that cannot be taken.
+// requestError is the answer to a request that is rejected.
 type requestError struct {
 	status int
 	text   string
-	allow  string // the method that is allowed
+	allow  string // the methods that are allowed
 }
 
 func (f *requestError) write(w http.ResponseWriter) {
@@ -20,12 +20,12 @@
 		w.Header().Set("Allow", f.allow)
 	}
 	if f.status < http.StatusInternalServerError {
-		w.Header().Set("Connection", "close") // a peer that sends nonsense is not worth a descriptor
+		w.Header().Set("Connection", "close") // a peer that sends invalid requests is not worth a descriptor
 	}
 	http.Error(w, f.text, f.status)
 }
 
-// parse reads a request's headers, and how long the client waits.
+// parse reads a request's headers, including the client's timeout.
 func (s *server) parse(r *http.Request) (*call, *requestError) {
 	bad := func(text string) (*call, *requestError) {
 		return nil, &requestError{http.StatusBadRequest, text, ""}
@@ -42,19 +42,19 @@
 	if !ok {
 		return bad("X-Priority-Class is missing or unknown")
 	}
-	// A request sent with less care than its class needs could take effect twice.
+	// A request sent under a class that assumes a weaker effect than the request has could take effect twice.
 	effect := s.config.Settings.Classes[class].Effect
 	if r.Method == http.MethodGet && effect != balance.Idempotent {
 		return nil, &requestError{http.StatusMethodNotAllowed, "the class is not safe to repeat", http.MethodPost}
 	}
-	// A server that expects no body after a GET takes it for the next request.
+	// A server that expects no body after a GET would read the body as the next request.
 	if r.Method == http.MethodGet && r.ContentLength != 0 {
 		return bad("a GET has no body")
 	}
 	if parsed.key == "" && effect == balance.Deduplicated {
 		return bad("Idempotency-Key is missing")
 	}
-	// A number that overflows a duration would be a deadline that is long past.
+	// A number that overflows time.Duration would give a deadline in the past.
 	ms, err := strconv.ParseUint(r.Header.Get("X-Timeout-Ms"), 10, 31)
 	if err != nil {
 		return bad("X-Timeout-Ms is no number of milliseconds")
@@ -68,10 +68,10 @@
 	return parsed, nil
 }
 
-// write writes the final answer, and fails if the client is gone.
+// write writes the final answer. It fails if the client has disconnected.
 func (a answer) write(w http.ResponseWriter) error {
 	status, body := http.StatusOK, a.body
-	// A guessed type or a chunked body would be another answer than the server's.
+	// Otherwise net/http would guess a content type or use chunked encoding, and the answer would differ from the server's.
 	w.Header()["Content-Type"] = nil
 	switch a.kind {
 	case served:
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -10,16 +10,16 @@
 	"gradeusher.example/gradeusher/internal/sidecar/client"
 )
 
-// routing is the registry's route table, as this sidecar follows it. The loop alone touches what follows follower.
+// routing is the state of following the registry's route table. Only the loop touches the fields below follower.
 type routing struct {
-	follower *client.RouteSubscriber // nil: this sidecar goes by its own rules
+	follower *client.RouteSubscriber // nil: this sidecar uses the rules in its settings
 
-	applied   int64 // the generation that the Balancer goes by; 0: its own rules
-	isPending bool  // a later one is known, which it does not go by
+	applied   int64 // the generation that the Balancer uses; 0: the rules in the settings
+	isPending bool  // a later generation is known, which the Balancer does not use yet
 }
 
-// followRoutes has the loop apply the route table, as far as it concerns this sidecar, until ctx is done. What a process before
-// this one cached is applied before anything else.
+// followRoutes has the loop apply the part of the route table that concerns this sidecar, until ctx
+// is done. The table cached by the previous process is applied first.
 func (h *host) followRoutes(ctx context.Context, c *Config) (err error) {
 	if c.Registry == nil || !c.Registry.Routes {
 		return nil
@@ -41,14 +41,14 @@
 	return nil
 }
 
-// move follows the routes of other nodes, which are known to be addresses.
+// move switches to other registry nodes. The caller passes valid addresses.
 func (r *routing) move(address string) {
 	if r.follower != nil {
-		_ = r.follower.SetAddresses(strings.Split(address, ",")) // as for the list, which says what is wrong
+		_ = r.follower.SetAddresses(strings.Split(address, ",")) // an error is the same as for the list, where it is logged
 	}
 }
 
-// applyRoutes has the Balancer go by a table, if it may.
+// applyRoutes passes a route table to the Balancer, which may defer or reject it.
 func (h *host) applyRoutes(u client.RouteUpdate) {
 	err := h.balancer.SetRules(h.now, u.Rules)
 	applied, why := err == nil, ""
@@ -61,19 +61,19 @@
 	h.log.Info("routes", "gen", u.Generation, "rules", len(u.Rules), "hash", u.Hash, "remembered", u.Cached, "applied", applied, "why", why)
 }
 
-// generation is the one that the Balancer goes by. The loop alone calls it.
+// generation returns the generation that the Balancer uses. Only the loop calls it.
 func (h *host) generation() int64 {
 	r := &h.routing
 	if r.isPending && !h.balancer.RulesPending() {
-		r.isPending = false // what waited is applied by now
+		r.isPending = false // the pending table has been applied since
 	}
 	if generation := r.follower.Status().Generation; !r.isPending && generation >= 0 {
-		r.applied = generation // also where only the number is new
+		r.applied = generation // also when only the generation number is new
 	}
 	return r.applied
 }
 
-// routesInfo adds to the metrics which generation is known, which one the Balancer goes by, and what following came to.
+// routesInfo adds to the metrics which generation is known, which one the Balancer uses, and the counters of the subscription.
 func (s *server) routesInfo(text *strings.Builder) {
 	h, applied := s.host, int64(0)
 	if h.routing.follower == nil || !h.ask(func() { applied = h.generation() }) {
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// heapShare is the share of the memory limit that the heap may grow to.
+// heapShare is the share of the memory limit that the heap may use.
 const heapShare = 0.7
 
-// drainTimes say how a process starts and how a planned restart goes.
+// drainTimes are the timings of a process's start and of a planned restart.
 type drainTimes struct {
-	agent                  time.Duration // to hear what an agent has, before the first request
+	agent                  time.Duration // wait for an agent's list before the first request
 	accept                 time.Duration // new connections still arrive for 0.4 s after the restart is announced
-	quietTime              time.Duration // and then none may be left waiting
-	closeIdle              time.Duration // while a client that was about to use a connection can still open another
-	closeIdleWhileDraining time.Duration // as closeIdle, for a drain that operators began
-	finish                 time.Duration // after the last connection was accepted, before the process is killed
+	quietTime              time.Duration // after that, the backlog must be empty for so long
+	closeIdle              time.Duration // by then, a client that was about to use an idle connection can still open another
+	closeIdleWhileDraining time.Duration // as closeIdle, for a drain begun by operators
+	finish                 time.Duration // after the last connection was accepted, until the process would be killed
 }
 
-// defaultDrainTimes are those of a real process; tests have shorter ones.
+// defaultDrainTimes returns the timings of a production process; tests use shorter ones.
 func defaultDrainTimes() drainTimes {
 	return drainTimes{
 		agent:                  250 * time.Millisecond,
@@ -39,13 +39,13 @@
 	}
 }
 
-// Run is the sidecar, from its configuration to the end of its last request after stop is done. Each time that reload
-// delivers, it reads where discovery is with discoveryAt and moves there.
+// Run runs the sidecar until stop is done and its last request has ended. On each signal from reload,
+// it calls discoveryAt for the address of discovery and moves there.
 func Run(stop context.Context, c *Config, log *slog.Logger, reload <-chan os.Signal, discoveryAt func() (string, error)) error {
 	return run(stop, c, log, reload, discoveryAt, defaultDrainTimes())
 }
 
-// setMemory bounds the heap by a part of the memory limit.
+// setMemory limits the heap to a part of the memory limit.
 func setMemory(limitMB int, part float64) {
 	debug.SetMemoryLimit(int64(float64(limitMB<<20) * heapShare * part))
 }
@@ -69,7 +69,7 @@
 		return err
 	}
 	defer listeners.close()
-	// What answers the last requests goes on after stop is done.
+	// The goroutines that serve the last requests must continue after stop is done.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
 	driver, err := newHost(ctx, config, log)
@@ -92,8 +92,8 @@
 	return started.serve(stop)
 }
 
-// startSnapshots saves snapshots until the returned function is called, which saves the last one. The host's loop has to run
-// meanwhile.
+// startSnapshots saves snapshots until the returned function is called, which saves the last one. The
+// host's loop must be running until then.
 func (p *process) startSnapshots(stop context.Context) (finish func()) {
 	ctx, cancel := context.WithCancel(stop)
 	var saving sync.WaitGroup
@@ -104,7 +104,7 @@
 	}
 }
 
-// startServer makes the server and starts what runs beside it until ctx is done.
+// startServer creates the server and starts its background goroutines, which run until ctx is done.
 func (p *process) startServer(ctx context.Context) {
 	s := newServer(p.config, p.host)
 	p.server = s
@@ -114,7 +114,7 @@
 	}
 	p.loops.Go(func() { s.closeIdleWhileDraining(ctx, p.times.closeIdleWhileDraining) })
 	p.loops.Go(func() { newControl(p.log, s.handleCall).serve(ctx, p.listeners.control) })
-	if p.config.InheritedFD != 0 { // there may be another process
+	if p.config.InheritedFD != 0 { // another process of this sidecar may be running
 		p.followSibling(ctx)
 		p.loops.Go(func() {
 			p.host.handover.follow(ctx, func() { p.host.post(p.host.applyOutOfService) })
@@ -122,7 +122,8 @@
 	}
 }
 
-// followSibling shares the limits with another process as long as there is one. Without the lock it is as if there were none.
+// followSibling shares the limits with another process of this sidecar as long as there is one. If
+// the lock cannot be taken, it assumes that there is none.
 func (p *process) followSibling(ctx context.Context) {
 	sibling, err := newSiblingLock(p.host.handover.path)
 	if err != nil {
@@ -135,7 +136,7 @@
 	})
 }
 
-// serve answers clients until stop is done, and then finishes what they have begun.
+// serve answers clients until stop is done, and then finishes the requests that have begun.
 func (p *process) serve(stop context.Context) error {
 	listener := &drainListener{TCPListener: p.listeners.clients, quietTime: p.times.quietTime, improper: &p.server.counts.improper}
 	if p.host.moves != nil {
@@ -153,13 +154,13 @@
 	return p.drain(listener, web, ended)
 }
 
-// drain is the planned end of a process.
+// drain ends a process as planned: it stops accepting connections and finishes its requests.
 func (p *process) drain(listener *drainListener, web *http.Server, ended <-chan error) error {
 	p.log.Info("draining")
 	p.server.shuttingDown.Store(true)
 	p.server.shutdown.begin(time.Now())
 	if p.host.members != nil {
-		p.host.watchers.Go(p.host.members.Close) // the process that follows takes its place
+		p.host.watchers.Go(p.host.members.Close) // the next process becomes the member of this name
 	}
 	idleAt := time.Now().Add(p.times.closeIdle)
 	if err := p.stopAccepting(listener); err != nil {
@@ -175,9 +176,9 @@
 	return nil
 }
 
-// stopAccepting ends the listener. What waits in the backlog of an inherited one is for the other process. One of this
-// process's own goes on accepting first, and only asks clients to close: connections that wait when it closes are reset, and
-// what they sent is lost.
+// stopAccepting stops the listener. What is in the backlog of an inherited one is left to the other
+// process. A process with a listener of its own continues to accept for a while and only asks clients to
+// close: closing the listener resets the connections in its backlog, and what they have sent is lost.
 func (p *process) stopAccepting(l *drainListener) error {
 	if p.config.InheritedFD != 0 {
 		return l.stopNow()
@@ -185,15 +186,15 @@
 	return l.drain(p.times.accept)
 }
 
-// awaitEnd returns once the listener has ended and no connection is left or, after some time, no request. Clients' connections
-// that idle are closed from idleAt on.
+// awaitEnd returns once the listener has ended and there is no connection or, after times.finish, no
+// request left. Idle client connections are closed from idleAt on.
 func (s *server) awaitEnd(accepting *drainListener, listener <-chan error, idleAt time.Time, times drainTimes) error {
 	tick := time.NewTicker(max(times.quietTime, time.Millisecond))
 	defer tick.Stop()
-	var until time.Time // connections without a request are waited for; zero: the listener has not ended
+	var until time.Time // until when connections without a request are waited for; zero: the listener has not ended
 	for {
 		select {
-		case <-listener: //nolint:errcheck // it ended as it was told to
+		case <-listener: //nolint:errcheck // it was told to end
 			listener, until = nil, time.Now().Add(times.finish)
 		case now := <-tick.C:
 			if listener != nil && s.config.InheritedFD != 0 {
@@ -209,16 +210,16 @@
 	}
 }
 
-// hasEnded tells whether no connection is left or, when it is late, no request. A connection is busy from before its first
-// request is known of until after its last one is answered.
+// hasEnded reports whether there is no connection or, if late, no request left. A connection counts
+// from before its first request is known until after its last one is answered.
 func (s *server) hasEnded(late bool) bool {
 	return s.connections.count.Load() == 0 || late && s.active.Load() == 0
 }
 
-// listeners are the sockets of a process.
+// listeners are the listening sockets of a process.
 type listeners struct {
 	clients *net.TCPListener
-	control *net.TCPListener // nil: operators cannot call
+	control *net.TCPListener // nil: no commands from operators
 }
 
 func openListeners(c *Config) (listeners, error) {
@@ -237,7 +238,7 @@
 	return l, nil
 }
 
-// close closes the sockets that are open. They may have been closed before.
+// close closes the open sockets. They may have been closed before.
 func (l listeners) close() {
 	if l.control != nil {
 		_ = l.control.Close()
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// socketsPerCall is how many descriptors a request may take: its client's connection, its attempt's, and one
-	// that is being closed or idles.
+	// socketsPerCall is how many descriptors a request may use: its client's connection, its attempt's,
+	// and one that is being closed or idle.
 	socketsPerCall      = 3
-	spareSockets        = 32              // for the listener, discovery and the runtime, or a share of all where that is more
-	spareSocketsDivisor = 8               // of the descriptors: what is being closed or idles at servers comes on top
-	clientIdleTimeout   = 2 * time.Minute // a client's connection may idle
+	spareSockets        = 32              // for the listener, discovery and the runtime, or a share of all descriptors if that is more
+	spareSocketsDivisor = 8               // divisor for that share, which also covers server connections that are being closed or idle
+	clientIdleTimeout   = 2 * time.Minute // how long a client's connection may be idle
 )
 
-// server answers the application.
+// server is the HTTP server for the application.
 type server struct {
 	host          *host
 	config        *Config
-	maxPending    atomic.Int64 // bound of pending
+	maxPending    atomic.Int64 // limit of pending
 	connections   *connLimiter
-	shuttingDown  atomic.Bool    // for good
-	shutdown      *shutdownClock // when that began
-	drainingSince atomic.Int64   // since when, in nanoseconds of Unix time, until operators end it; 0: not
-	active        atomic.Int64   // handlers at work
-	pending       atomic.Int64   // requests
+	shuttingDown  atomic.Bool    // never reset
+	shutdown      *shutdownClock // when the shutdown began
+	drainingSince atomic.Int64   // start of the operators' drain, in nanoseconds of Unix time; 0: not draining
+	active        atomic.Int64   // running handlers
+	pending       atomic.Int64   // requests being decided or answered
 	counts        *counts
 }
 
@@ -45,7 +45,7 @@
 	return s
 }
 
-// resize keeps to a part of the limits: to all of them, or to half where parts is 2.
+// resize applies 1/parts of the limits: all of them, or half if parts is 2.
 func (s *server) resize(parts int) {
 	maxPending := (s.config.Sockets - max(spareSockets, s.config.Sockets/spareSocketsDivisor)) / parts / socketsPerCall
 	if limit := s.config.Limits.MaxPending; limit > 0 {
@@ -56,7 +56,7 @@
 	s.host.upstream.budget.limit.Store(budgetOf(s.config.MemoryMB) / int64(parts))
 }
 
-// shareLimits keeps to half of the limits while another process of this sidecar runs.
+// shareLimits halves the limits while another process of this sidecar runs.
 func (s *server) shareLimits(beside bool) {
 	parts := 1
 	if beside {
@@ -87,7 +87,7 @@
 	var body *pacedBody
 	if r.ContentLength != 0 {
 		body = newPacedBody(conn, r, s.shutdown)
-		// An answer need not wait for the body.
+		// The answer may be sent before the body has arrived.
 		if err := conn.EnableFullDuplex(); err != nil {
 			return
 		}
@@ -103,7 +103,7 @@
 	}
 }
 
-// health answers 200 once servers are known and as long as new connections are welcome.
+// health answers 200 if servers are known and new connections are welcome.
 func (s *server) health(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		(&requestError{http.StatusMethodNotAllowed, "method not allowed", "GET, HEAD"}).write(w)
@@ -143,7 +143,7 @@
 	if !ok {
 		return
 	}
-	s.askToClose(w) // again: the drain may have begun since
+	s.askToClose(w) // again, because a drain may have begun meanwhile
 	err := s.writeAnswer(w, r, conn, final)
 	s.countAnswer(received, final, err)
 	if err != nil && final.stream != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// receive reads a request as far as it is held.
+// receive reads a request up to the part of its body that is buffered.
 func (s *server) receive(r *http.Request, body *pacedBody) (*call, *requestError) {
 	c, rejection := s.parse(r)
 	switch {
@@ -163,7 +163,7 @@
 	return c, s.readBody(c, r, body)
 }
 
-// decide has the host decide on a request, unless too many are pending. It tells false where the client has gone.
+// decide has the host decide on a request, unless too many are pending. It returns false if the client has disconnected.
 func (s *server) decide(ctx context.Context, c *call) (answer, bool) {
 	if s.pending.Add(1) > s.maxPending.Load() {
 		s.counts.busy.Add(1)
@@ -172,7 +172,7 @@
 	return s.host.serve(ctx, c)
 }
 
-// writeAnswer writes the final answer, for which the client has its time from now. It fails if the client has not got all of it.
+// writeAnswer writes the final answer with a new write deadline. It fails if the client has not received all of it.
 func (s *server) writeAnswer(w http.ResponseWriter, r *http.Request, conn *http.ResponseController, a answer) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
 		return err
@@ -186,7 +186,7 @@
 	return conn.Flush()
 }
 
-// countAnswer counts a request whose answer was written, or failed with an error.
+// countAnswer counts a request by its answer and the error of writing it.
 func (s *server) countAnswer(c *call, a answer, err error) {
 	switch {
 	case err == nil:
@@ -198,16 +198,16 @@
 	}
 }
 
-// breakOff ends a connection within an answer. Where the end of the connection is that of the answer (HTTP/1.0), a reset says that it
-// is not complete.
+// breakOff closes a connection in the middle of an answer. In HTTP/1.0, where the end of the connection
+// may also be the end of the answer, it resets the connection to show that the answer is incomplete.
 func breakOff(r *http.Request) {
 	if conn, ok := r.Context().Value(connKey{}).(*framing.ClientConn); ok && r.ProtoMinor == 0 {
 		_ = conn.SetLinger(0)
 	}
-	panic(http.ErrAbortHandler) // the way to have http.Server break an answer off
+	panic(http.ErrAbortHandler) // how a handler aborts its answer in net/http
 }
 
-// readBody reads a body as far as it is held. What is longer is left to arrive.
+// readBody reads the part of a body that is buffered. The rest of a longer body is left to arrive.
 func (s *server) readBody(received *call, r *http.Request, body *pacedBody) *requestError {
 	if r.ContentLength > maxBodyBytes {
 		return bodyError(new(http.MaxBytesError))
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// holdBody reads a body until it ends, with io.EOF or another error, or no more of it may be held.
+// holdBody reads a body until it ends, with io.EOF or another error, or until no more of it may be buffered.
 func (s *server) holdBody(c *call, body *pacedBody) error {
 	chunk := chunks.Get().(*[chunkBytes]byte)
 	defer chunks.Put(chunk)
@@ -246,7 +246,7 @@
 	}
 }
 
-// newUpload is the rest of a body, which the host hears of as it is read.
+// newUpload returns the rest of a body. The host is notified when reading it begins and when it is complete.
 func (s *server) newUpload(c *call, body *pacedBody) *upload {
 	return &upload{
 		body: body,
@@ -260,7 +260,7 @@
 	}
 }
 
-// reject answers a request that is not taken.
+// reject answers a request that is rejected.
 func (s *server) reject(w http.ResponseWriter, c *call, f *requestError) {
 	if f.status == http.StatusServiceUnavailable {
 		s.counts.busy.Add(1)
@@ -272,7 +272,7 @@
 	f.write(w)
 }
 
-// bodyError is the answer to a client whose body has not arrived completely.
+// bodyError returns the answer to a client whose body has not arrived completely.
 func bodyError(err error) *requestError {
 	switch long := new(http.MaxBytesError); {
 	case errors.As(err, &long):
@@ -285,12 +285,12 @@
 	return &requestError{http.StatusBadRequest, "body ended early", ""}
 }
 
-// forwardStream passes an answer on as it comes. It fails if the client has not got all of it.
+// forwardStream writes an answer as it arrives. It fails if the client has not received all of it.
 func (s *server) forwardStream(w http.ResponseWriter, r *http.Request, f *answerStream, conn *http.ResponseController) error {
 	defer f.abandon()
 	stop := context.AfterFunc(r.Context(), f.abandon)
 	defer stop()
-	// A guessed type would be another answer than the server's.
+	// Otherwise net/http would guess a content type, and the answer would differ from the server's.
 	w.Header()["Content-Type"] = nil
 	if f.contentType != "" {
 		w.Header().Set("Content-Type", f.contentType)
--- a/internal/sidecar/servertable.go
+++ b/internal/sidecar/servertable.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// rereadInterval is how long after a stale list, or the last reading of one, the complete list is asked for again.
+	// rereadInterval is how long after a stale list, or after the last request for one, the complete list is requested again.
 	rereadInterval = 5 * time.Second
-	// staleTimeout is how long a list service that went back counts as stale, as long as it answers. One that lost its count
-	// is believed then.
+	// staleTimeout is how long a list service that went back to an older revision counts as stale, as
+	// long as it answers. After that its list is trusted: it may have lost its revision counter.
 	staleTimeout = 20 * time.Second
-	maxRemoved   = 4096 // servers that are remembered as removed
+	maxRemoved   = 4096 // removed servers that are remembered
 )
 
-// serverTable is what the platform's list has said, and the rules by which a list that goes back in time (a stale one) is taken
-// in. It has no I/O and no clock.
+// serverTable is the platform's list of servers, with the rules for applying a list that goes back to
+// an older revision (a stale one). It does no I/O and reads no clock.
 //
-// Invariants: a server that any list says drains or is removed gets nothing new from then on, also where that list is stale. A
-// stale list brings no server back and removes none by leaving it out. A list that comes to the present version or goes on from
-// there undoes what a stale one did, and a complete one that is still behind staleTimeout later is believed.
+// Invariants: a server that any list, even a stale one, reports as draining or removed gets no new requests from then
+// on. A stale list neither brings a server back nor removes one by leaving it out. A list at or after the present
+// revision undoes the effects of a stale one, and a complete list that is still behind staleTimeout later is trusted.
 type serverTable struct {
 	highestRev     int64 // of all lists, or noVersion
-	version        int64 // that is held, or noVersion
+	version        int64 // of the list that is held, or noVersion
 	servers        map[string]Target
-	removed        map[string]time.Time // those that were held, with the start of their process
-	drainedByStale map[string]bool      // held, and draining or removed by a stale list alone
-	staleSince     time.Time            // when the first stale list came; zero: none did
+	removed        map[string]time.Time // servers that were held, with the start of their process
+	drainedByStale map[string]bool      // servers that are held, but draining or removed according to a stale list only
+	staleSince     time.Time            // when the first stale list arrived; zero: the list is not stale
 }
 
-// newServerTable holds what was known before any list service said anything.
+// newServerTable returns a table with the servers that were known before any list arrived.
 func newServerTable(known List) *serverTable {
 	t := &serverTable{servers: map[string]Target{}, removed: map[string]time.Time{}, drainedByStale: map[string]bool{}}
 	t.replace(known)
@@ -43,7 +43,7 @@
 	return t
 }
 
-// resumeFrom is the version after which changes are wanted, or noVersion where it is the complete list.
+// resumeFrom returns the version after which changes are requested, or noVersion to request the complete list.
 func (t *serverTable) resumeFrom() int64 {
 	if t.isStale() {
 		return noVersion
@@ -53,14 +53,14 @@
 
 func (t *serverTable) isStale() bool { return !t.staleSince.IsZero() }
 
-// reset has the next list be believed whatever its version is: it is another service's, or the first.
+// reset makes the table trust the next list whatever its version is: it is from another service, or the first one.
 func (t *serverTable) reset() {
 	t.highestRev, t.version, t.staleSince = noVersion, noVersion, time.Time{}
 	clear(t.drainedByStale)
 	clear(t.removed)
 }
 
-// apply takes in a list and returns what to go by from now on.
+// apply applies a list and returns the resulting changes, or the complete list.
 func (t *serverTable) apply(received List, now time.Time) List {
 	isAhead := received.Version >= t.highestRev
 	if isAhead && !t.isStale() {
@@ -82,12 +82,12 @@
 	return t.complete()
 }
 
-// staleTimedOut tells whether the service has been behind for so long that its complete list is believed.
+// staleTimedOut reports whether the service has been behind for so long that its complete list is trusted.
 func (t *serverTable) staleTimedOut(received List, now time.Time) bool {
 	return received.Complete && t.isStale() && now.Sub(t.staleSince) >= staleTimeout
 }
 
-// replace takes a list as it stands.
+// replace applies a list without the rules for stale ones.
 func (t *serverTable) replace(received List) {
 	t.highestRev, t.version = received.Version, received.Version
 	before := t.servers
@@ -115,12 +115,12 @@
 func (t *serverTable) markRemoved(target Target) {
 	delete(t.servers, target.ID)
 	if len(t.removed) >= maxRemoved {
-		clear(t.removed) // one that is forgotten may be brought back by a stale list
+		clear(t.removed) // a stale list may bring back a server that is forgotten here
 	}
 	t.removed[target.ID] = target.Started
 }
 
-// applyStale is what to take of a stale list: which servers drain or are removed by it, and which are new by it.
+// applyStale applies a stale list and returns the changes: the servers that it drains or removes, and those that are new.
 func (t *serverTable) applyStale(received List) List {
 	changes := List{Version: t.highestRev}
 	for _, target := range received.Targets {
@@ -131,13 +131,13 @@
 	return changes
 }
 
-// applyStaleTarget takes over what a stale list says of a server, and returns what changes by it, if anything.
+// applyStaleTarget applies one entry of a stale list, and returns the resulting change, if any.
 func (t *serverTable) applyStaleTarget(target Target) (changed Target, ok bool) {
 	own, isHeld := t.servers[target.ID]
 	boot, isRemoved := t.removed[target.ID]
 	switch {
 	case target.State != balance.Ready && isHeld:
-		// It is not removed: what was learned of it is wanted if the list is wrong.
+		// The server is not removed: what was learned of it is needed if the list is wrong.
 		own.State = balance.Draining
 		t.drainedByStale[target.ID] = true
 		return own, true
@@ -148,14 +148,14 @@
 		delete(t.removed, target.ID)
 		delete(t.drainedByStale, target.ID)
 		return target, true
-	case t.drainedByStale[target.ID]: // the list said that it drains, and now that it does not
+	case t.drainedByStale[target.ID]: // a stale list reported that it drains, and now reports that it does not
 		delete(t.drainedByStale, target.ID)
 		return own, true
 	}
 	return Target{}, false
 }
 
-// complete is all that is held.
+// complete returns all servers that are held.
 func (t *serverTable) complete() List {
 	list := List{Version: t.highestRev, Complete: true}
 	for _, target := range t.servers {
--- a/internal/sidecar/sibling.go
+++ b/internal/sidecar/sibling.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// siblingLock knows whether another process of this sidecar runs. Each holds a lock on one byte of a file: the one that its pid
-// numbers. The kernel lets go of it with the process.
+// siblingLock detects whether another process of this sidecar runs. Each process locks one byte of a
+// file, at the offset of its pid. The kernel releases the lock when the process ends.
 type siblingLock struct{ file *os.File }
 
-// newSiblingLock takes the lock. path is that of the handover file, "" where there is no common folder.
+// newSiblingLock takes this process's lock. path is that of the handover file, "" if there is no shared directory.
 func newSiblingLock(path string) (*siblingLock, error) {
 	if path == "" {
 		return nil, errors.New("TMPDIR is not set")
@@ -31,7 +31,7 @@
 	return &siblingLock{file}, nil
 }
 
-// hasSibling tells whether another process holds a lock.
+// hasSibling reports whether another process holds a lock.
 func (b *siblingLock) hasSibling() (bool, error) {
 	lock := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart}
 	if err := syscall.FcntlFlock(b.file.Fd(), syscall.F_GETLK, &lock); err != nil {
@@ -40,7 +40,7 @@
 	return lock.Type != syscall.F_UNLCK, nil
 }
 
-// follow calls changed each time that another process has come or gone, until ctx is done.
+// follow calls changed each time that another process has started or ended, until ctx is done.
 func (b *siblingLock) follow(ctx context.Context, changed func(beside bool)) {
 	tick := time.NewTicker(followInterval)
 	defer tick.Stop()
--- a/internal/sidecar/snapshotfile.go
+++ b/internal/sidecar/snapshotfile.go
@@ -14,38 +14,41 @@
 )
 
 const (
-	snapshotInterval = time.Second // a snapshot is written, while requests come
-	maxSnapshotBytes = 4 << 20     // bytes of the file
+	snapshotInterval = time.Second // how often a snapshot is saved while requests arrive
+	maxSnapshotBytes = 4 << 20     // size of the file
 )
 
 var snapshotKind = sealed.Kind{Magic: "gradeusher-beliefs", FormatVersion: 1, MinReaderVersion: 1}
 
-// snapshotFile is the file in which a process leaves what it learned of its servers to the next one. A new process that takes all
-// servers for idle and sound sends to those that are full or broken until it has learned better, and a restart makes all sidecars
-// new ones.
+// snapshotFile is the file in which a process saves what it learned of its servers for the next
+// process. A new process that takes all servers for idle and healthy sends requests to those that are
+// full or broken until it has learned better, and a restart of the fleet makes all sidecars new.
 //
-// Both processes of an upgrade write it. What the later one wrote stands: the earlier one, which ends last, has seen less since.
+// During an upgrade both processes write the file. The later process's snapshot takes precedence: the
+// earlier one, which ends last, has seen less since the later one started.
 type snapshotFile struct {
 	sealed.Cell[storedSnapshot]
 	log       *slog.Logger
-	startedAt int64 // of this process, greater than of those before; 0: nothing was looked up or left yet
+	startedAt int64 // when this process started, greater than for all processes before; 0: the file was not read yet
 }
 
-// storedSnapshot is the file's form. Times in it are of the wall clock, in ns of Unix time, as each process's own begins elsewhere; 0: long ago.
+// storedSnapshot is the format of the file. Its times are wall clock times in ns of Unix time,
+// because each process's own clock begins elsewhere; 0: long ago.
 type storedSnapshot struct {
 	Saved int64 `json:"saved_ns"`
-	Began int64 `json:"began_ns"` // the process that saved it; 0: one from before this was recorded
+	Began int64 `json:"began_ns"` // start of the process that saved it; 0: saved before this was recorded
 	balance.Snapshot
 }
 
-// newSnapshotFile keeps it in a folder, for a sidecar of a name.
+// newSnapshotFile returns the file of a named sidecar in a folder.
 func newSnapshotFile(folder, name string, log *slog.Logger) *snapshotFile {
 	path := filepath.Join(folder, "beliefs-"+url.PathEscape(name)+".kept")
 	return &snapshotFile{Cell: sealed.Cell[storedSnapshot]{Path: path, Kind: snapshotKind, MaxBytes: maxSnapshotBytes}, log: log}
 }
 
-// load reads what was left, in times from an origin on, and when. It reports false where there is nothing valid. What is invalid
-// as this process begins is named in the log and quarantined; later it is another's to judge.
+// load reads the snapshot, with times relative to origin, and when it was saved. It reports false if
+// there is no valid one. An invalid file is logged and quarantined only by the first call, as the
+// process starts; later it is left to the process that will start next.
 func (k *snapshotFile) load(origin time.Time) (balance.Snapshot, time.Time, bool) {
 	b, err := k.Read()
 	ok := err == nil
@@ -55,7 +58,7 @@
 				k.log.Warn("beliefs", "err", err)
 			}
 		}
-		// Where the wall clock went back, this process is the later one all the same.
+		// If the wall clock went back, this process must still count as the later one.
 		k.startedAt = max(time.Now().UnixNano(), b.Began+1)
 	}
 	if !ok {
@@ -64,8 +67,9 @@
 	return shiftStarts(b.Snapshot, -origin.UnixNano()), time.Unix(0, b.Saved), true
 }
 
-// save replaces what was left, unless by a process that began later, or by a later program. A disk may hold a process up with the
-// lock taken, and the end of this one must not wait for it; so what is left meanwhile is that one's.
+// save replaces the stored snapshot, unless it was saved by a process that started later, or is in a
+// newer format. If another process holds the lock, save does nothing: a slow disk may make that
+// process hold it for long, and this process's end must not wait for it.
 func (k *snapshotFile) save(b balance.Snapshot, origin, now time.Time) error {
 	err := sealed.WithLock(k.Path, false, func() error {
 		if there, err := k.Read(); errors.Is(err, sealed.ErrNewerFormat) || err == nil && there.Began > k.startedAt {
@@ -79,7 +83,7 @@
 	return err
 }
 
-// shiftStarts has the starts of servers count from elsewhere. Who started long ago still did.
+// shiftStarts shifts the start times of servers by an offset. A start of 0, long ago, stays 0.
 func shiftStarts(b balance.Snapshot, by int64) balance.Snapshot {
 	all := make([]balance.EndpointSnapshot, len(b.Endpoints))
 	for i, e := range b.Endpoints {
@@ -94,22 +98,23 @@
 	return b
 }
 
-// restoreSnapshot has the Balancer take over what the process before this one learned, as long as no request has come. The loop
-// alone calls it, or nobody else does yet.
+// restoreSnapshot has the Balancer restore the previous process's snapshot, if no request has arrived
+// yet. It is called by the loop, or before the loop runs.
 func (h *host) restoreSnapshot() {
 	if h.snapshots == nil || h.lastID > 0 {
 		return
 	}
 	if b, saved, ok := h.snapshots.load(h.origin); ok {
-		// Without the monotonic clock's reading: a wall clock that went back makes what was kept come from the future, which counts for nothing.
+		// Round strips the monotonic clock reading. If the wall clock went back, the age is negative, and the
+		// snapshot counts as one from the future, which the Balancer ignores.
 		age := time.Now().Round(0).Sub(saved)
 		h.log.Info("beliefs taken up", "servers", len(b.Endpoints), "age_ms", age.Milliseconds())
 		h.balancer.Restore(h.now, b, age)
 	}
 }
 
-// saveSnapshots writes what was learned, every snapshotInterval while requests come and once more when stop is done. A disk may
-// take any time, in which the loop must go on.
+// saveSnapshots saves a snapshot every snapshotInterval while requests arrive, and once more when
+// stop is done. It does not run in the loop, which a slow disk must not block.
 func (h *host) saveSnapshots(stop context.Context) {
 	tick := time.NewTicker(snapshotInterval)
 	defer tick.Stop()
@@ -135,7 +140,7 @@
 		written = upTo
 		err := h.snapshots.save(b, h.origin, time.Now())
 		if err != nil && !bad {
-			h.log.Warn("beliefs", "err", err) // once, until it works again
+			h.log.Warn("beliefs", "err", err) // logged once, until saving works again
 		}
 		bad = err != nil
 	}
--- a/internal/sidecar/uploadbody.go
+++ b/internal/sidecar/uploadbody.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	maxBodyBytes          = 32 << 20                // bytes of a request's body
-	minBodyBytesPerSecond = 48 << 10                // bytes a second that a client must send of one
-	headTimeout           = 2700 * time.Millisecond // for a complete head, from its connection or its first byte
-	minBodyGrace          = 800 * time.Millisecond  // behind the head
-	bodyStallTimeout      = 2600 * time.Millisecond // a client may send nothing of a body
-	lingerTimeout         = 3 * time.Second         // the rest of a body is read behind an answer that does not wait for it
+	maxBodyBytes          = 32 << 20                // size of a request's body
+	minBodyBytesPerSecond = 48 << 10                // rate at which a client must send a body
+	headTimeout           = 2700 * time.Millisecond // for a complete head, from the connection's start or the head's first byte
+	minBodyGrace          = 800 * time.Millisecond  // for the body, after the head
+	bodyStallTimeout      = 2600 * time.Millisecond // how long a client may send nothing of a body
+	lingerTimeout         = 3 * time.Second         // how long the rest of a body is read after an answer that did not wait for it
 	lingerStallTimeout    = time.Second
 )
 
 var errStopped = errors.New("nobody reads it any more")
 
-// pacedBody reads a client's body as long as that makes progress. A bound on all of it would cut off long bodies that come
-// slowly, and none would let a peer hold its connection for good.
+// pacedBody reads a client's body as long as it makes progress. A limit on the total time would cut
+// off long bodies that arrive slowly; without any limit, a peer could hold its connection forever.
 type pacedBody struct {
 	body            io.Reader
 	conn            *http.ResponseController
 	shutdown        *shutdownClock
-	timeLeft        time.Duration // that may still be waited, besides what the next bytes earn
-	received        int64         // bytes that came
-	expectsContinue bool          // the client waits for an interim answer before it sends any
-	ended           bool          // it is complete, or has failed
+	timeLeft        time.Duration // how long may still be waited, in addition to the time that the next bytes earn
+	received        int64         // bytes received
+	expectsContinue bool          // the client waits for an interim response before it sends the body
+	ended           bool          // the body is complete, or reading it has failed
 }
 
-// newPacedBody begins with what is left of a head's time: a peer that stops half way in a body has not more time than one that
-// stops in the head.
+// newPacedBody starts with the time that the head has left over: a peer that stops in the middle of a
+// body gets no more time than one that stops in the head.
 func newPacedBody(conn *http.ResponseController, r *http.Request, leave *shutdownClock) *pacedBody {
 	spare := headTimeout
 	if c, ok := r.Context().Value(connKey{}).(*framing.ClientConn); ok {
@@ -65,7 +65,7 @@
 		return 0, errTooLate
 	}
 	if errors.Is(err, io.EOF) {
-		// The time for the body is over; a later end of the connection means that the client is gone.
+		// The time limit for the body no longer applies; if the connection ends from now on, the client has disconnected.
 		_ = p.conn.SetReadDeadline(time.Time{})
 	} else if err == nil && p.timeLeft <= 0 {
 		err = os.ErrDeadlineExceeded
@@ -73,8 +73,7 @@
 	return count, err
 }
 
-// linger reads what is left of a body for a while. Closing with something unread resets the connection, and the answer may be
-// lost with it.
+// linger reads the rest of a body for a while. Closing a connection with unread data resets it, and the answer may be lost.
 func (p *pacedBody) linger() {
 	if p.ended || p.expectsContinue && p.received == 0 || p.conn.Flush() != nil {
 		return
@@ -92,15 +91,15 @@
 	}
 }
 
-// upload is the part of a long body that is not held, on its way from the client to one server.
+// upload is the part of a long body that is not buffered but streamed from the client to one server.
 type upload struct {
 	body        *pacedBody
-	onFirstRead func() // called when its first byte is asked for: it cannot be sent again
-	onComplete  func() // called when its last byte has come
+	onFirstRead func() // called at the first read: from then on the body cannot be sent again
+	onComplete  func() // called when the last byte has been read
 
 	mu      sync.Mutex
 	hasRead bool
-	err     error // io.EOF: it has ended
+	err     error // why reading ended; io.EOF: the body is complete
 }
 
 // Read implements io.Reader.
@@ -121,10 +120,10 @@
 	return n, err
 }
 
-// stop has nobody read any more, and returns once nobody does. It returns why the client's side failed, if it did.
+// stop ends reading, and returns once no read is in progress. It returns the error of the client's side, if that failed.
 func (u *upload) stop() error {
 	if u.isComplete() {
-		return nil // and the time for it is over
+		return nil // the read deadline has been cleared already
 	}
 	_ = u.body.conn.SetReadDeadline(time.Unix(1, 0))
 	u.mu.Lock()
@@ -140,7 +139,7 @@
 	return err
 }
 
-// isComplete reports whether all of it has been read.
+// isComplete reports whether all of the body has been read.
 func (u *upload) isComplete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -154,7 +153,7 @@
 	return u.err != nil && !errors.Is(u.err, io.EOF) && !errors.Is(u.err, errStopped)
 }
 
-// connKey is under what a request's context has its client's connection.
+// connKey is the key of the client's connection in a request's context.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -19,39 +19,39 @@
 )
 
 const (
-	maxBufferedBytes = 64 << 10              // bytes of a request's or an answer's body
-	maxHeaderBytes   = 16 << 10              // bytes of a request's or an answer's header
-	maxHeadBytes     = maxHeaderBytes + 4096 // bytes of a head that are looked at: what http.Server reads before it gives up
-	idlePerSockets   = 64                    // one idle connection to each server for so many descriptors
-	// A machine that vanishes is not back within minOutage: a connection that idled less has not outlived one.
+	maxBufferedBytes = 64 << 10              // bytes of a request's or an answer's body that are buffered
+	maxHeaderBytes   = 16 << 10              // size of a request's or an answer's header
+	maxHeadBytes     = maxHeaderBytes + 4096 // bytes of a head that are inspected: what http.Server reads before it gives up
+	idlePerSockets   = 64                    // descriptors for each idle connection that is kept to a server
+	// A machine that vanishes is not back within minOutage, so a connection that was idle for less has not survived an outage.
 	minOutage          = 50 * time.Millisecond
-	answerDrainTimeout = 50 * time.Millisecond // for the body of an answer that has said all in its header
+	answerDrainTimeout = 50 * time.Millisecond // for reading the body of an answer whose header is sufficient
 )
 
-// message is a client's request as servers get it.
+// message is a client's request as it is sent to servers.
 type message struct {
 	method      string
 	url         *url.URL // path and query
 	id          string
-	key         string // Idempotency-Key, "" for none
+	key         string // Idempotency-Key; "": none
 	contentType string // Content-Type
 	body        []byte
-	rest        *upload       // what follows body, as it comes; nil: nothing
-	length      int64         // of both, where there is a rest; -1: not known
-	timeout     time.Duration // for the answer, from when all of the body has come
+	rest        *upload       // the part that follows body, as it arrives; nil: none
+	length      int64         // of body and rest together, if there is a rest; -1: not known
+	timeout     time.Duration // for the answer, from when all of the body has arrived
 
-	relayed *atomic.Int64 // counts the attempts written completely; nil: nobody counts
+	relayed *atomic.Int64 // counts the attempts written completely; nil: not counted
 }
 
-// reply is how an attempt ended. body and ctype are those of a Served one.
+// reply is the result of an attempt. body and contentType are set if the outcome is Served.
 type reply struct {
 	outcome         balance.Outcome
-	requestRejected bool // the server found fault with the request, not with itself
+	requestRejected bool // the server rejected the request itself, so the answer is no sign of a fault of the server
 	body            []byte
 	contentType     string
 }
 
-// upstream holds the connections to the servers. Each server has a pool of its own, so that it can be dropped alone.
+// upstream holds the connections to the servers. Each server has a connection pool of its own, so that it can be dropped alone.
 type upstream struct {
 	connect   time.Duration
 	idle      time.Duration
@@ -68,17 +68,17 @@
 	address  string
 	started  time.Time
 	pool     *http.Transport
-	answered atomic.Int64 // when an answer last came, in nanoseconds of Unix time
+	answered atomic.Int64 // when the last answer arrived, in nanoseconds of Unix time
 }
 
 func newUpstream(connect, idleClose time.Duration, sockets int, n *counts, room *byteBudget) *upstream {
-	// A server closes a connection that has idled too long, and what crosses that close is a reset that may have run. Half the
-	// server's time keeps well clear of it.
+	// A server closes a connection that was idle too long. A request that crosses this close on its way is answered
+	// by a reset, and may have run. Closing after half of the server's idle timeout keeps well clear of that.
 	return &upstream{connect: connect, idle: idleClose / 2, maxIdle: max(sockets/idlePerSockets, 2),
 		minOutage: minOutage, counts: n, budget: room, targets: map[string]*target{}}
 }
 
-// update applies a list: where each server listens now.
+// update applies a list of servers and their addresses.
 func (u *upstream) update(list List) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// startOf is when a server's listed process started, zero if that is not known, and whether it is listed.
+// startOf returns when a server's listed process started, zero if that is not known, and whether the server is listed.
 func (u *upstream) startOf(id string) (time.Time, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -112,7 +112,7 @@
 	return time.Time{}, false
 }
 
-// drop forgets a server. Attempts that are out keep their connections to their end.
+// drop removes a server. Attempts in flight keep their connections until they end.
 func (u *upstream) drop(id string) {
 	u.targets[id].pool.CloseIdleConnections()
 	delete(u.targets, id)
@@ -136,8 +136,8 @@
 	}
 }
 
-// attempt sends m to a server and waits for the end, until ctx is done. It sends it at most once. An answer that is not held until
-// its end is handed to begin, and the attempt ends with it.
+// attempt sends m to a server, at most once, and waits for the attempt's end, until ctx is done. An
+// answer that is not buffered to its end is passed to begin, and the attempt ends with it.
 func (u *upstream) attempt(ctx context.Context, id string, m *message, begin func(*answerStream)) reply {
 	u.mu.Lock()
 	to := u.targets[id]
@@ -162,16 +162,16 @@
 	return reply{outcome: outcome}
 }
 
-// exchange is one attempt on its connection.
+// exchange is one attempt and its connection.
 type exchange struct {
 	upstream  *upstream
 	target    *target
 	message   *message
 	startedAt time.Time
 
-	conn          *framing.ServerConn // nil: there was none
-	writtenBefore int64               // bytes, by earlier attempts on it
-	isFresh       bool                // the connection has just been used, or opened
+	conn          *framing.ServerConn // nil: the attempt got no connection
+	writtenBefore int64               // bytes written to conn by earlier attempts
+	isFresh       bool                // the connection was used or opened only just before
 }
 
 // roundTrip sends the request and returns the head of its answer.
@@ -191,7 +191,7 @@
 	return x.target.pool.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 }
 
-// connected notes the connection that the attempt has got.
+// connected records the connection that the attempt has got.
 func (x *exchange) connected(info httptrace.GotConnInfo) {
 	x.upstream.counts.connected(info.Reused, time.Since(x.startedAt))
 	x.isFresh = info.IdleTime < x.upstream.minOutage
@@ -201,13 +201,14 @@
 	}
 	x.writtenBefore, _ = x.conn.Written()
 	writeTimeout := time.Duration(0)
-	if x.message.rest != nil { // a long body, which is not held
+	if x.message.rest != nil { // a long body, which is not buffered
 		writeTimeout = stallTimeout
 	}
 	x.conn.SetWriteTimeout(writeTimeout)
 }
 
-// setTimeout says how long the client waits. It does so once there is a connection: the wait for one is the client's time too.
+// setTimeout sets the header that states how long the client waits. It is called once there is a
+// connection, because the wait for one uses up the client's time too.
 func (x *exchange) setTimeout(ctx context.Context, header http.Header) {
 	timeout := x.message.timeout
 	if end, ok := ctx.Deadline(); ok {
@@ -218,8 +219,8 @@
 	}
 }
 
-// mayHaveRun closes the connection of an attempt that failed, and tells whether the server may have run the request. It is closed
-// first, so that what is counted after it is all that was or will be written.
+// mayHaveRun closes the connection of a failed attempt, and reports whether the server may have run
+// the request. It closes the connection first, so that the count of written bytes is final.
 func (x *exchange) mayHaveRun(hasAnswer bool) bool {
 	if x.conn == nil {
 		return false
@@ -233,7 +234,7 @@
 	return written > x.writtenBefore && !short && bodySent
 }
 
-// outcome is how a failed attempt ended, by what its context ended for, if it did.
+// outcome returns the outcome of a failed attempt. cause is why its context ended, nil if it did not.
 func (x *exchange) outcome(cause error, mayHaveRun bool) balance.Outcome {
 	isCanceled := errors.Is(cause, context.Canceled)
 	switch {
@@ -251,9 +252,9 @@
 	return balance.Reset
 }
 
-// dropIdle closes the idle connections to a server that may have vanished: they stay open, and swallow requests that may then never
-// be retried, while a new connection fails before anything is sent. Where just one connection breaks or falls silent, the others
-// are sound, and new ones would cost the server work.
+// dropIdle closes the idle connections to a server that may have vanished. They would stay open and swallow
+// requests, which might then never be retried, while a new connection fails before anything is sent. If only
+// one connection breaks or times out, the others are healthy, and replacing them would cost the server work.
 func (x *exchange) dropIdle(outcome balance.Outcome, hasAnswer bool) {
 	if outcome == balance.Cancelled || outcome == balance.NotSent {
 		return
@@ -265,9 +266,9 @@
 	}
 }
 
-// request makes the HTTP request of one attempt. http.Transport by itself sends again what it takes for safe to retry, when a
-// reused connection breaks: an attempt nobody ordered. It never does that to a request that has a body and no GetBody, so even an
-// empty body is given as one.
+// request returns the HTTP request of one attempt. When a reused connection breaks, http.Transport resends
+// requests that it considers safe to retry, which would be an attempt that the Balancer did not ask for. It
+// never resends a request that has a body but no GetBody, so even an empty body is passed as one.
 func (m *message) request(address string) *http.Request {
 	header := http.Header{"X-Request-Id": {m.id}, "User-Agent": nil}
 	if m.key != "" {
@@ -283,13 +284,13 @@
 	if m.rest != nil {
 		req.Body, req.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(m.body), m.rest)), m.length
 	} else if len(m.body) == 0 {
-		req.TransferEncoding = []string{"identity"} // no framing for what is not there
+		req.TransferEncoding = []string{"identity"} // sends no framing for the empty body
 	}
 	return req
 }
 
-// read receives an answer, or passes it to begin and returns when it has ended; stop ends the attempt. It fails if a 200 is not
-// complete; other answers have said all in their header.
+// read receives an answer, or passes it to begin and returns when it has ended; stop ends the
+// attempt. It fails if a 200 is not complete; the header of any other answer is sufficient.
 func (u *upstream) read(resp *http.Response, begin func(*answerStream), stop func()) (reply, error) {
 	if resp.StatusCode == http.StatusOK {
 		f := newAnswerStream(resp.ContentLength, resp.Header.Get("Content-Type"), u.budget, begin)
@@ -303,8 +304,8 @@
 		}
 		return reply{outcome: balance.Served, body: body, contentType: f.contentType}, err
 	}
-	// A body that never ends, or another protocol's bytes, would keep what the header says from the client. A short one is worth
-	// the wait, as its connection can then be used again.
+	// A body that never ends, or bytes of another protocol, must not delay the answer to the client, for which
+	// the header is sufficient. A short body is worth the wait, because its connection can then be reused.
 	enough := time.AfterFunc(answerDrainTimeout, func() { _ = resp.Body.Close() })
 	defer enough.Stop()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBytes))
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// A watch that ended is opened again after minBackoff, and after twice as long each time that nothing comes.
+	// A watch that ended is opened again after minBackoff, doubled each time that nothing arrives.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
 	noVersion  = -1 // there is no list
 )
 
-// moveTo has discovery, or the registry, asked at another address from now on. The loop alone calls it. Of several that come at
-// once the last counts.
+// moveTo switches discovery, or the registry, to another address. Only the loop calls it. If several
+// moves follow in short order, the last one counts.
 func (h *host) moveTo(address string) {
 	if h.registry != nil {
 		h.log.Info("keepers move", "to", address)
@@ -31,8 +31,8 @@
 	}
 	h.log.Info("discovery moves", "to", address)
 	if h.moves == nil {
-		// The Balancer asks again some seconds after a call that failed, and what the new address has to say counts as published
-		// 4 s from now. So it is asked from here; with a pause, as all sidecars move at once.
+		// The Balancer asks again only some seconds after a call failed, while what the new address publishes counts as known
+		// 4 s from now. So the new watch is opened here, after a random pause because all sidecars move at the same time.
 		if h.nextAddress = address; !h.watching {
 			h.watching = true
 			h.openWatchAtNext()
@@ -41,22 +41,22 @@
 		return
 	}
 	select {
-	case <-h.moves: // one that was not taken yet
+	case <-h.moves: // discards a move that was not taken yet
 	default:
 	}
 	h.moves <- address
 }
 
-// Subscribe opens a watch, if none is open. The Balancer asks for another only once it knows that the last one ended.
+// Subscribe opens a watch if none is open. The Balancer asks for another one only after it was notified that the last one ended.
 func (h *host) Subscribe() {
 	if h.watching {
-		return // since a move
+		return // a move has opened one
 	}
 	h.watching = true
 	h.openWatch()
 }
 
-// openWatch opens the one watch that there is where the Balancer asks for them. The loop alone calls it.
+// openWatch opens the single watch that exists at a time if the Balancer subscribes to discovery. Only the loop calls it.
 func (h *host) openWatch() {
 	var ctx context.Context
 	ctx, h.closeWatch = context.WithCancel(h.ctx)
@@ -79,7 +79,7 @@
 	}()
 }
 
-// openWatchAtNext asks at the address that discovery has moved to. No watch is open.
+// openWatchAtNext opens a watch at the address to which discovery has moved. No watch may be open.
 func (h *host) openWatchAtNext() {
 	time.AfterFunc(jitter(maxBackoff), func() {
 		h.post(func() {
@@ -93,8 +93,8 @@
 
 var errStaleList = errors.New("the list went back: it is read again")
 
-// watch has the loop apply the lists of a watch, until it ends; a stale list ends it when that is to be read again. came is
-// called for each list. Watches come one after the other: the one that is open has the table.
+// watch has the loop apply the lists of a watch until the watch ends; while the list is stale, watch ends it after rereadInterval
+// to read the list again. came is called for each list. There is at most one watch at a time, which owns the table.
 func (h *host) watch(ctx context.Context, from int64, first time.Duration, came func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -129,8 +129,8 @@
 	return err
 }
 
-// reload moves to where discovery is each time that signals delivers, until ctx is done. A configuration that cannot be read
-// changes nothing.
+// reload moves to the present address of discovery on each signal, until ctx is done. A configuration
+// that cannot be read changes nothing.
 func (h *host) reload(ctx context.Context, signals <-chan os.Signal, discoveryAt func() (string, error)) {
 	for {
 		select {
@@ -147,13 +147,13 @@
 	}
 }
 
-// follow keeps a watch open at an agent that pushes its lists and answers at no cost, until ctx is done, and moves it to each
-// address that comes from moves.
+// follow keeps a watch open at an agent that pushes its lists and answers at no cost, until ctx is
+// done, and moves it to each address received from moves.
 //
-// What the agent has counts as published, whether or not anybody listened: at once to a new process, and some seconds later
-// where a watch fell silent or moves. So those ask for the complete list, which the agent always has an answer to, and leave an
-// agent that says nothing soon. A watch that breaks off is opened again soon; twice in a list that cannot be read, it asks for
-// the complete one too.
+// What the agent has counts as published, whether or not anyone was listening: immediately for a new process, and
+// some seconds later if a watch fell silent or moves. So in these cases follow requests the complete list, which
+// the agent can always answer, and gives up an agent that does not answer soon. A watch that breaks off is
+// reopened soon; after two lists in a row that cannot be parsed, it requests the complete list too.
 func (h *host) follow(ctx context.Context, moves <-chan string) {
 	plan := watchPlan{}
 	plan.restart(h.discovery)
@@ -170,25 +170,25 @@
 	}
 }
 
-// watchPlan is how the next watch at an agent is opened.
+// watchPlan states how the next watch at an agent is opened.
 type watchPlan struct {
-	complete     bool          // the complete list is asked for
-	firstTimeout time.Duration // of the first list; 0: as of any other
+	complete     bool          // request the complete list
+	firstTimeout time.Duration // for the first list; 0: the same as for later ones
 	backoff      time.Duration
 	badLists     int // in a row
 }
 
-// restart is for an agent that has not been asked.
+// restart plans the first watch at an agent.
 func (p *watchPlan) restart(d *discovery) {
 	p.backoff = minBackoff
 	p.complete = true
 	p.firstTimeout = d.firstTimeout
 }
 
-// listCame is for a watch that works.
+// listCame resets the plan after a list has arrived.
 func (p *watchPlan) listCame() { *p = watchPlan{backoff: minBackoff} }
 
-// watchEnded is for a watch that ended with an error.
+// watchEnded updates the plan after a watch has ended with an error.
 func (p *watchPlan) watchEnded(err error, d *discovery) {
 	switch {
 	case errors.Is(err, errTimedOut) && p.complete: // the agent may be slow
@@ -202,8 +202,8 @@
 	}
 }
 
-// watchOnce opens a watch and returns once the next one is to be opened: at another address, or at the same where that is "". It
-// tells false once ctx is done.
+// watchOnce opens a watch and returns when the next one is to be opened, with its address, or "" for
+// the same address. It returns false once ctx is done.
 func (h *host) watchOnce(ctx context.Context, plan *watchPlan, moves <-chan string) (address string, ok bool) {
 	from := int64(noVersion)
 	if !plan.complete {
@@ -244,10 +244,10 @@
 	}
 }
 
-// awaitAgent waits until an agent has sent its list, at most for some time, or until stop is done.
+// awaitAgent waits until an agent has sent its list, for at most the given time, or until stop is done.
 //
-// What the agent has counts as published from the first moment, and a new process has an old list. An agent that says nothing
-// must not keep requests from servers for long, though: clients connect, and wait.
+// What the agent has counts as published from the start, while a new process has an old list. But an
+// agent that does not answer must not hold up requests for long: clients connect, and wait.
 func (h *host) awaitAgent(stop context.Context, atMost time.Duration) {
 	timer := time.NewTimer(atMost)
 	defer timer.Stop()
@@ -259,11 +259,12 @@
 	}
 }
 
-// jitter is a time from half of the pause up to all of it. Sidecars whose watches end together, as when what they ask is
-// overbooked, would ask again together, each time.
+// jitter returns a random time from half of the pause up to all of it. Without it, sidecars whose watches end
+// at the same time, as when an overloaded service ends them, would ask again at the same time, every time.
 func jitter(pause time.Duration) time.Duration { return pause/2 + rand.N(pause/2) }
 
-// applyList hands a applyList to the connections and to the Balancer, in this order: what it sends next must find its address.
+// applyList applies a list to the connections and then to the Balancer: once the Balancer sends to a
+// server, its address must be known.
 func (h *host) applyList(kind balance.ListKind, l List) {
 	l.Complete = l.Complete || kind == balance.ListCached
 	h.upstream.update(l)
@@ -275,7 +276,7 @@
 	h.balancer.Endpoints(h.now, kind, entries)
 	if kind != balance.ListCached && !h.isListed {
 		h.isListed = true
-		h.restoreSnapshot() // again: more servers are known
+		h.restoreSnapshot() // again, because more servers are known now
 		close(h.listed)
 	}
 	if !h.isReady && (kind != balance.ListCached || len(entries) > 0) {
@@ -284,7 +285,7 @@
 	}
 }
 
-// started is when a server started, in the Balancer's time; 0: long ago.
+// started returns when a server started, on the Balancer's clock; 0: long ago.
 func (h *host) started(t Target) balance.Time {
 	if t.Started.IsZero() {
 		return 0
