--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -175,7 +175,7 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", file.Seed)
+		return nil, fmt.Errorf("seed: %q is not a 64-bit hexadecimal number", file.Seed)
 	}
 	if err := file.readLimits(config); err != nil {
 		return nil, err
@@ -219,7 +219,7 @@
 	}
 	fd, err := strconv.ParseUint(text, 10, 31)
 	if err != nil || fd <= stderrFD {
-		return 0, fmt.Errorf("PROXY_FD: %q is no descriptor above %d", text, stderrFD)
+		return 0, fmt.Errorf("PROXY_FD: %q is not a descriptor above %d", text, stderrFD)
 	}
 	return int(fd), nil
 }
@@ -229,19 +229,19 @@
 	config.Cores, config.MemoryMB, config.Sockets = defaultCores, defaultMemoryMB, defaultSockets
 	if cores := file.Limits.Cores; cores != nil {
 		if *cores <= 0 {
-			return fmt.Errorf("limits.cores: %v is not above 0", *cores)
+			return fmt.Errorf("limits.cores: %v must be above 0", *cores)
 		}
 		config.Cores = *cores
 	}
 	if memory := file.Limits.MemoryMB; memory != nil {
 		if *memory <= 0 {
-			return fmt.Errorf("limits.memory_mb: %d is not above 0", *memory)
+			return fmt.Errorf("limits.memory_mb: %d must be above 0", *memory)
 		}
 		config.MemoryMB = *memory
 	}
 	if sockets := file.Limits.Sockets; sockets != nil {
 		if *sockets < minSockets {
-			return fmt.Errorf("limits.sockets: %d is under %d", *sockets, minSockets)
+			return fmt.Errorf("limits.sockets: %d must be at least %d", *sockets, minSockets)
 		}
 		config.Sockets = *sockets
 	}
@@ -311,7 +311,7 @@
 
 func (r *Registry) checkAddresses() error {
 	if len(r.Addresses) == 0 {
-		return errors.New("none is named")
+		return errors.New("no address is given")
 	}
 	for _, address := range r.Addresses {
 		if err := checkAddress(address); err != nil {
@@ -319,7 +319,7 @@
 		}
 	}
 	if r.Reach != "" && net.ParseIP(r.Reach) == nil {
-		return fmt.Errorf("reach: %q is no IP address", r.Reach)
+		return fmt.Errorf("reach: %q is not an IP address", r.Reach)
 	}
 	return nil
 }
@@ -328,13 +328,13 @@
 func (file *registryFile) readShrinkLimits(r *Registry) error {
 	if share := file.MaxShare; share != nil {
 		if !(*share >= 0 && *share <= 1) {
-			return fmt.Errorf("doubt_share: %v is not within 0 to 1", *share)
+			return fmt.Errorf("doubt_share: %v must be from 0 to 1", *share)
 		}
 		r.ShrinkLimits.MaxShare = *share
 	}
 	if count := file.MinCount; count != nil {
 		if *count < 0 {
-			return fmt.Errorf("doubt_least: %d is below 0", *count)
+			return fmt.Errorf("doubt_least: %d must not be negative", *count)
 		}
 		r.ShrinkLimits.MinCount = *count
 	}
@@ -363,7 +363,7 @@
 		return nil
 	}
 	if !(*seconds > 0 && *seconds <= maxSeconds) {
-		return fmt.Errorf("%s: %v is not above 0 and at most %d", name, *seconds, maxSeconds)
+		return fmt.Errorf("%s: %v must be above 0 and at most %d", name, *seconds, maxSeconds)
 	}
 	*to = time.Duration(*seconds * float64(time.Second))
 	return nil
@@ -381,7 +381,7 @@
 		return err
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is no IP address and port", address)
+		return fmt.Errorf("%q is not an IP address and port", address)
 	}
 	return nil
 }
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -54,7 +54,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		default: // for example out of descriptors, which is temporary
-			c.log.Warn("control", "err", err)
+			c.log.Warn("control: accept failed", "err", err)
 			select {
 			case <-time.After(minBackoff):
 				continue
@@ -193,7 +193,7 @@
 	}
 	switch {
 	case kept != nil:
-		s.host.log.Warn("handover", "err", kept)
+		s.host.log.Warn("handover: cannot write the file", "err", kept)
 		return fmt.Sprintf("fail done in this process, but the next will not know: %.200s\n", strings.ReplaceAll(kept.Error(), "\n", "; "))
 	case out:
 		return fmt.Sprintf("ok %s is out\n", id)
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -105,10 +105,10 @@
 }
 
 var (
-	errBadList  = errors.New("bad list")
-	errTimedOut = errors.New("silent")
+	errBadList  = errors.New("invalid list")
+	errTimedOut = errors.New("timed out")
 
-	errWatchEnded = errors.New("ended")
+	errWatchEnded = errors.New("the service ended the watch")
 )
 
 // discovery is the client of the discovery service.
@@ -177,7 +177,7 @@
 }
 
 func (s *watchTimer) start(timeout time.Duration) {
-	s.timer = time.AfterFunc(timeout, func() { s.cancel(fmt.Errorf("%w: nothing came for %v", errTimedOut, timeout)) })
+	s.timer = time.AfterFunc(timeout, func() { s.cancel(fmt.Errorf("%w: nothing received for %v", errTimedOut, timeout)) })
 }
 
 // request opens a watch.
@@ -216,7 +216,7 @@
 	return list, nil
 }
 
-var errLongList = errors.New("too long")
+var errLongList = errors.New("list is too long")
 
 // watchReader reads a watch. It calls onHeartbeat, if set, for each empty line, and bounds the number
 // of bytes up to the end of a list.
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -181,7 +181,7 @@
 			err := d.watch(t.Context(), noVersion, 0, func(List) {})
 			took := time.Since(begun)
 			time.Sleep(time.Minute) // the agent's own pauses end, here and below
-			if took != time.Minute+d.watchTimeout || !strings.Contains(fmt.Sprint(err), "nothing came for") {
+			if took != time.Minute+d.watchTimeout || !strings.Contains(fmt.Sprint(err), "nothing received for") {
 				t.Errorf("ended after %v: %v", took, err)
 			}
 		})
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -12,14 +12,14 @@
 // lameduck begins a drain, which rejoin ends. Both are idempotent.
 func (s *server) lameduck([]string) string {
 	s.drainingSince.CompareAndSwap(0, time.Now().UnixNano())
-	s.host.log.Info("lameduck")
+	s.host.log.Info("lameduck: drain started by operator")
 	return "ok draining\n"
 }
 
 // rejoin ends a drain.
 func (s *server) rejoin([]string) string {
 	s.drainingSince.Store(0)
-	s.host.log.Info("rejoin")
+	s.host.log.Info("rejoin: drain ended by operator")
 	if s.shuttingDown.Load() {
 		return fmt.Sprintf("fail %v\n", errShuttingDown)
 	}
--- a/internal/sidecar/handover.go
+++ b/internal/sidecar/handover.go
@@ -65,7 +65,7 @@
 	if err = errors.Join(err, read); err != nil {
 		if f.lastError != err.Error() { // logged once, not ten times a second
 			f.lastError = err.Error()
-			f.log.Warn("handover", "err", err)
+			f.log.Warn("handover: cannot read the file", "err", err)
 		}
 		return false
 	}
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -43,13 +43,13 @@
 	if v := file.Header; v != nil {
 		other := func(r rune) bool { return r != '-' && (r < '0' || r > '9') && (r|0x20 < 'a' || r|0x20 > 'z') }
 		if *v == "" || strings.ContainsFunc(*v, other) {
-			return nil, nil, fmt.Errorf("header: %.64q is not made of letters, digits and -", *v)
+			return nil, nil, fmt.Errorf("header: %.64q must consist of letters, digits and -", *v)
 		}
 		parsed.Header = http.CanonicalHeaderKey(*v)
 	}
 	if v := file.Thresholds; v != nil {
 		if len(v) != 2 {
-			return nil, nil, errors.New("bars: not two shares, the upper and the lower")
+			return nil, nil, errors.New("bars: must be two shares, the upper and the lower")
 		}
 		set.HighThreshold, set.LowThreshold = v[0], v[1]
 	}
@@ -67,7 +67,7 @@
 			continue
 		}
 		if *setting.to = time.Duration(*setting.given * float64(time.Second)); !(*setting.given >= 0 && *setting.given <= maxSeconds) {
-			return nil, nil, fmt.Errorf("%s: %v is not from 0 to %d", setting.name, *setting.given, maxSeconds)
+			return nil, nil, fmt.Errorf("%s: %v must be from 0 to %d", setting.name, *setting.given, maxSeconds)
 		}
 	}
 	if _, err := hitters.New(&set); err != nil {
@@ -111,14 +111,14 @@
 		if c.State == hitters.Heavy || c.State == hitters.Cooling {
 			level = slog.LevelInfo
 		}
-		h.log.Log(h.ctx, level, "client", "state", c.State, "key", fmt.Sprintf("%016x", c.Key), "name", c.Name,
+		h.log.Log(h.ctx, level, "client state changed", "state", c.State, "key", fmt.Sprintf("%016x", c.Key), "name", c.Name,
 			"share", fmt.Sprintf("%.3f", c.Share), "above", fmt.Sprintf("%.3f", c.ShareError), "keep", fmt.Sprintf("%.3f", c.AdmittedShare))
 	}
 	if h.members == nil || own.Seq%hitters.ReportInterval(h.members.View().Count) != 0 {
 		return
 	}
 	if err := h.members.Publish(kindHitters, own.Report.Append(nil)); err != nil {
-		h.log.Warn("clients", "err", err)
+		h.log.Warn("clients: cannot publish the report", "err", err)
 	}
 }
 
@@ -127,7 +127,7 @@
 	return func(n members.Update) {
 		report, err := hitters.ParseReport(n.Payload)
 		if err != nil {
-			h.log.Debug("clients", "origin", n.Origin, "err", err)
+			h.log.Debug("clients: cannot decode a report", "origin", n.Origin, "err", err)
 			return
 		}
 		received := hitters.OriginReport{Origin: c.Hitters.origin(n.Origin), Start: n.Start, Seq: n.Seq, Age: n.Age, Report: report}
--- a/internal/sidecar/inherit.go
+++ b/internal/sidecar/inherit.go
@@ -9,7 +9,7 @@
 )
 
 // errNotListening means that an inherited descriptor is not a listening socket.
-var errNotListening = errors.New("no listening socket")
+var errNotListening = errors.New("not a listening socket")
 
 // openListener returns the socket to which clients connect: the one that the platform holds and all
 // processes inherit, or one of this process's own.
@@ -43,7 +43,7 @@
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
 		_ = listener.Close()
-		return nil, fmt.Errorf("PROXY_FD: descriptor %d is a socket of %s", descriptor, listener.Addr().Network())
+		return nil, fmt.Errorf("PROXY_FD: descriptor %d is a %s socket, not a TCP one", descriptor, listener.Addr().Network())
 	}
 	return tcp, nil
 }
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -56,7 +56,7 @@
 func (h *host) receiveSignals(update members.Update) {
 	r, err := signals.Decode(update.Payload)
 	if err != nil {
-		h.log.Debug("signals", "origin", update.Origin, "err", err)
+		h.log.Debug("signals: cannot decode a report", "origin", update.Origin, "err", err)
 		return
 	}
 	h.post(func() {
@@ -111,7 +111,7 @@
 		return
 	}
 	state.pendingSince = 0
-	h.log.Info("members", "count", state.view.Count, "place", state.view.Index, "epoch", state.view.Epoch)
+	h.log.Info("members: positions updated", "count", state.view.Count, "place", state.view.Index, "epoch", state.view.Epoch)
 	if state.view.Count < 2 {
 		h.balancer.SetMembers(h.now, -1, nil)
 		return
@@ -170,6 +170,6 @@
 		err = h.members.Publish(kindSignals, text)
 	}
 	if err != nil {
-		h.log.Warn("signals", "err", err)
+		h.log.Warn("signals: cannot publish the report", "err", err)
 	}
 }
--- a/internal/sidecar/members.go
+++ b/internal/sidecar/members.go
@@ -45,7 +45,7 @@
 	}
 	if v := file.ReportTTLSeconds; v != nil {
 		if m.ReportTTL = time.Duration(*v * float64(time.Second)); !(*v > 0 && *v <= maxSeconds) {
-			return nil, fmt.Errorf("bound_s: %v is not above 0 and at most %d", *v, maxSeconds)
+			return nil, fmt.Errorf("bound_s: %v must be above 0 and at most %d", *v, maxSeconds)
 		}
 	}
 	if _, err := members.New(m.options(name)); err != nil {
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -28,7 +28,7 @@
 	maps.Copy(tags, c.Settings.Tags)
 	for tag, v := range tags {
 		if len(tags) > routes.MaxTags || tag == "" || strings.Contains(tag, ":") || len(tag) > routes.MaxTextBytes || len(v) > routes.MaxTextBytes {
-			return fmt.Errorf("keepers: tags: %.60q: at most %d, of %d bytes each and without a colon", tag, routes.MaxTags, routes.MaxTextBytes)
+			return fmt.Errorf("keepers: tags: %.60q: at most %d tags of at most %d bytes each, non-empty and without a colon", tag, routes.MaxTags, routes.MaxTextBytes)
 		}
 	}
 	h.routing.follower, err = client.NewRouteSubscriber(client.RouteOptions{Registry: c.Registry.Addresses, Tags: tags, Service: c.Settings.Service,
@@ -58,7 +58,7 @@
 	if h.routing.isPending = !applied; applied {
 		h.routing.applied = u.Generation
 	}
-	h.log.Info("routes", "gen", u.Generation, "rules", len(u.Rules), "hash", u.Hash, "remembered", u.Cached, "applied", applied, "why", why)
+	h.log.Info("routes: table received", "gen", u.Generation, "rules", len(u.Rules), "hash", u.Hash, "remembered", u.Cached, "applied", applied, "why", why)
 }
 
 // generation returns the generation that the Balancer uses. Only the loop calls it.
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -127,7 +127,7 @@
 func (p *process) followSibling(ctx context.Context) {
 	sibling, err := newSiblingLock(p.host.handover.path)
 	if err != nil {
-		p.log.Warn("beside", "err", err)
+		p.log.Warn("sibling lock: cannot detect another process of this sidecar", "err", err)
 		return
 	}
 	p.loops.Go(func() {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -62,7 +62,7 @@
 	if beside {
 		parts = 2
 	}
-	s.host.log.Info("limits", "parts", parts)
+	s.host.log.Info("limits: share changed", "parts", parts)
 	s.resize(parts)
 	setMemory(s.config.MemoryMB, 1/float64(parts))
 }
--- a/internal/sidecar/snapshotfile.go
+++ b/internal/sidecar/snapshotfile.go
@@ -55,7 +55,7 @@
 	if k.startedAt == 0 {
 		if !ok {
 			if b, ok, err = k.Load(); err != nil {
-				k.log.Warn("beliefs", "err", err)
+				k.log.Warn("snapshot: cannot load the file", "err", err)
 			}
 		}
 		// If the wall clock went back, this process must still count as the later one.
@@ -108,7 +108,7 @@
 		// Round strips the monotonic clock reading. If the wall clock went back, the age is negative, and the
 		// snapshot counts as one from the future, which the Balancer ignores.
 		age := time.Now().Round(0).Sub(saved)
-		h.log.Info("beliefs taken up", "servers", len(b.Endpoints), "age_ms", age.Milliseconds())
+		h.log.Info("snapshot restored", "servers", len(b.Endpoints), "age_ms", age.Milliseconds())
 		h.balancer.Restore(h.now, b, age)
 	}
 }
@@ -140,7 +140,7 @@
 		written = upTo
 		err := h.snapshots.save(b, h.origin, time.Now())
 		if err != nil && !bad {
-			h.log.Warn("beliefs", "err", err) // logged once, until saving works again
+			h.log.Warn("snapshot: cannot save the file", "err", err) // logged once, until saving works again
 		}
 		bad = err != nil
 	}
--- a/internal/sidecar/snapshotfile_test.go
+++ b/internal/sidecar/snapshotfile_test.go
@@ -125,8 +125,8 @@
 			t.Fatal(err)
 		}
 		files, _ := filepath.Glob(filepath.Join(dir, "beliefs-*.kept"))
-		if taken := strings.Contains(log.String(), `msg="beliefs taken up" servers=1`); taken != (index == 2) || len(files) != min(index, 1) {
-			t.Errorf("process %d: beliefs taken up %t, files %q; log:\n%s", index, taken, files, log)
+		if taken := strings.Contains(log.String(), `msg="snapshot restored" servers=1`); taken != (index == 2) || len(files) != min(index, 1) {
+			t.Errorf("process %d: snapshot restored %t, files %q; log:\n%s", index, taken, files, log)
 		}
 	}
 }
--- a/internal/sidecar/uploadbody.go
+++ b/internal/sidecar/uploadbody.go
@@ -23,7 +23,7 @@
 	lingerStallTimeout    = time.Second
 )
 
-var errStopped = errors.New("nobody reads it any more")
+var errStopped = errors.New("the upload was stopped")
 
 // pacedBody reads a client's body as long as it makes progress. A limit on the total time would cut
 // off long bodies that arrive slowly; without any limit, a peer could hold its connection forever.
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -22,9 +22,9 @@
 // moves follow in short order, the last one counts.
 func (h *host) moveTo(address string) {
 	if h.registry != nil {
-		h.log.Info("keepers move", "to", address)
+		h.log.Info("registry moves", "to", address)
 		if err := h.registry.SetAddresses(strings.Split(address, ",")); err != nil {
-			h.log.Error("keepers", "err", err)
+			h.log.Error("registry: cannot move", "err", err)
 		}
 		h.routing.move(address)
 		return
@@ -67,7 +67,7 @@
 		if h.ctx.Err() != nil {
 			return
 		}
-		h.log.Info("discovery", "err", err)
+		h.log.Info("discovery: watch ended", "err", err)
 		h.post(func() { //nolint:contextcheck // a watch lasts as long as the host
 			if h.nextAddress != "" {
 				h.openWatchAtNext()
@@ -91,7 +91,7 @@
 	})
 }
 
-var errStaleList = errors.New("the list went back: it is read again")
+var errStaleList = errors.New("the list went back to an older revision: it is read again")
 
 // watch has the loop apply the lists of a watch until the watch ends; while the list is stale, watch ends it after rereadInterval
 // to read the list again. came is called for each list. There is at most one watch at a time, which owns the table.
@@ -108,10 +108,10 @@
 		received = h.table.apply(received, now)
 		switch doubts := h.table.isStale(); {
 		case doubts && !doubted:
-			h.log.Warn("list went back: what it lacks is kept until it is read again", "held", rev)
+			h.log.Warn("list went back to an older revision: missing servers are kept until it is read again", "held", rev)
 			reread.Reset(rereadInterval)
 		case doubted && !doubts:
-			h.log.Info("list is believed again", "rev", h.table.highestRev, "held", rev)
+			h.log.Info("list is trusted again", "rev", h.table.highestRev, "held", rev)
 			reread.Stop()
 		}
 		came()
@@ -137,7 +137,7 @@
 		case <-signals:
 			address, err := discoveryAt()
 			if err != nil {
-				h.log.Error("reload", "err", err)
+				h.log.Error("reload: cannot read the configuration", "err", err)
 				continue
 			}
 			h.post(func() { h.moveTo(address) }) //nolint:contextcheck // a watch lasts as long as the host
@@ -216,7 +216,7 @@
 	select {
 	case err := <-ended:
 		closeWatch()
-		h.log.Info("discovery", "err", err)
+		h.log.Info("discovery: watch ended", "err", err)
 		plan.watchEnded(err, h.discovery)
 		return h.awaitNextWatch(ctx, plan, err, moves)
 	case address = <-moves:
@@ -254,7 +254,7 @@
 	select {
 	case <-h.listed:
 	case <-timer.C:
-		h.log.Warn("the agent says nothing: serving by the list from before", "waited", atMost)
+		h.log.Warn("no list from the agent: serving with the previous list", "waited", atMost)
 	case <-stop.Done():
 	}
 }
