--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestEffects has the first attempt of each class end in each way, and sees whether the class is tried again.
+// TestEffects fails the first attempt of each class in each way, and checks whether the request is retried as the class allows.
 func TestEffects(t *testing.T) {
 	full := say(503, "X-Not-Processed: 1\r\n", "")
 	for _, test := range []struct {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestBlamedRequests has servers find fault with some requests: each of those is sent once and fails, and costs no server
-// its turns.
+// TestBlamedRequests has servers reject some requests themselves (400): each of those is sent once
+// and fails, and no server is ejected for it.
 func TestBlamedRequests(t *testing.T) {
 	do := func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Request-ID") == "unheard-of" {
@@ -93,14 +93,14 @@
 		t.Errorf("%d attempts for %d requests", came, bad)
 	}
 	if strings.Contains(log.String(), "ejected") {
-		t.Errorf("sound servers are ejected:\n%s", log)
+		t.Errorf("healthy servers were ejected:\n%s", log)
 	}
 	if g := prog.ask("pay"); g.status != 200 {
 		t.Errorf("the next request: %+v", g)
 	}
 }
 
-// TestNoServer has every server refuse connections: nothing ran, so the refusal comes at once, for every class.
+// TestNoServer has the only server refuse connections: nothing ran, so requests of every class are refused immediately.
 func TestNoServer(t *testing.T) {
 	l := listen(t)
 	_ = l.Close()
@@ -129,7 +129,7 @@
 	within(t, ended, "end")
 	within(t, closed, "end of the attempt")
 	if n := b.count(); n != 0 {
-		t.Errorf("%d attempts for a client that is gone", n)
+		t.Errorf("%d more attempts for a client that has disconnected", n)
 	}
 }
 
--- a/internal/sidecar/answerstream_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// long is a text that is not held.
+// long is a text that is too long to be buffered.
 var long = strings.Repeat("0123456789abcdef", 3*maxBufferedBytes/16)
 
-// forms are the ways to frame an answer: its head, a piece of its body, its end.
+// forms are the ways to frame a body: the head, a piece of the body, and the end.
 var forms = map[string]struct {
 	head  string
 	piece func(string) string
@@ -29,7 +29,7 @@
 	"close":  {"Connection: close\r\n\r\n", func(s string) string { return s }, ""},
 }
 
-// TestLongAnswer has a server begin a long answer in each form, and end it only when the client has had the first bytes.
+// TestLongAnswer has a server begin a long answer in each form, and finish it only after the client has received the first bytes.
 func TestLongAnswer(t *testing.T) {
 	for name, form := range forms {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// readsAnswer tells whether an answer comes that is complete.
+// readsAnswer reports whether a complete answer arrives.
 func readsAnswer(conn net.Conn) bool {
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return err == nil
 }
 
-// acceptLongBody accepts one connection, and reads the request on it. It reports that the body's beginning has come, and then all
-// of it.
+// acceptLongBody accepts one connection and reads the request on it. It reports when the beginning of
+// the body has arrived, and then the complete body.
 func acceptLongBody(listener net.Listener, begun chan<- bool, complete chan<- string) {
 	conn, err := listener.Accept()
 	if err != nil {
@@ -98,11 +98,11 @@
 	say(200, "", "ok")(conn, r, nil)
 }
 
-// TestBrokenAnswer has a long answer break off in each form: the client can tell, and it is not asked for again.
+// TestBrokenAnswer has the server break off a long answer in each form: the client can detect it, and the request is not retried.
 func TestBrokenAnswer(t *testing.T) {
 	for name, form := range forms {
 		if name == "close" {
-			continue // nobody can tell
+			continue // the end of the connection is the regular end here
 		}
 		for _, proto := range []string{"1.0", "1.1"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
@@ -114,7 +114,7 @@
 				conn := dial(t, p.address)
 				_, _ = fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
 				if readsAnswer(conn) {
-					t.Error("half an answer seems complete")
+					t.Error("a truncated answer looks complete to the client")
 				}
 				if n := b.count(); n != 1 {
 					t.Errorf("%d attempts", n)
@@ -125,7 +125,7 @@
 	}
 }
 
-// TestBackpressure has a client not read a long answer: the server cannot send it all.
+// TestBackpressure has a client not read a long answer: the server cannot send all of it.
 func TestBackpressure(t *testing.T) {
 	const size = 64 << 20
 	var written atomic.Int64
@@ -153,11 +153,11 @@
 	defer func() { _ = resp.Body.Close() }()
 	within(t, stuck, "end of the writing")
 	if n := written.Load(); n >= size {
-		t.Errorf("%d bytes were taken from the server for a client that reads none", n)
+		t.Errorf("%d bytes were read from the server for a client that reads none", n)
 	}
 }
 
-// TestBufferedAnswers has the budget run out: what is short then flows too, and what was booked is given back.
+// TestBufferedAnswers exhausts the budget: even a short answer is then streamed, and the reserved bytes are released.
 func TestBufferedAnswers(t *testing.T) {
 	room := newByteBudget(10)
 	for _, test := range []struct {
@@ -169,7 +169,7 @@
 				var text bytes.Buffer
 				nothing := func() error { return nil }
 				if err := form.copy(&text, nothing, nothing); err != nil || text.String() != test.text {
-					t.Errorf("%q came, error %v", text.String(), err)
+					t.Errorf("%q was streamed, error %v", text.String(), err)
 				}
 				form.abandon()
 			}()
@@ -177,15 +177,15 @@
 		form.stop = func() {}
 		whole, err := form.receive(strings.NewReader(test.text))
 		if err != nil || form.started != test.begun || !test.begun && string(whole) != test.text {
-			t.Errorf("%q: held %q, begun %v, error %v", test.text, whole, form.started, err)
+			t.Errorf("%q: buffered %q, started %v, error %v", test.text, whole, form.started, err)
 		}
 		if n := room.used.Load(); n != 0 {
-			t.Errorf("%d bytes stay booked", n)
+			t.Errorf("%d bytes are still reserved", n)
 		}
 	}
 }
 
-// TestClientLeavesFlow has a client leave in the middle of an answer: the attempt ends.
+// TestClientLeavesFlow has a client disconnect in the middle of an answer: the attempt ends.
 func TestClientLeavesFlow(t *testing.T) {
 	ended := make(chan bool, 1)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -205,11 +205,11 @@
 	within(t, ended, "end of the attempt")
 }
 
-// TestLongBody has a client send a long body in each form, and its end only once the server has had the first bytes.
+// TestLongBody has a client send a long body in each form, and its end only after the server has received the first bytes.
 func TestLongBody(t *testing.T) {
 	for name, form := range forms {
 		if name == "close" {
-			continue // a request has no such form
+			continue // not possible for a request
 		}
 		t.Run(name, func(t *testing.T) {
 			listener := listen(t)
@@ -235,8 +235,8 @@
 	}
 }
 
-// TestUploadBreaks has a server end the connection in the middle of a long body: the rest of it is gone, so there is no
-// second attempt, and since nothing ran it is a refusal, at once and not when the body has come.
+// TestUploadBreaks has a server end the connection in the middle of a long body. The body cannot be sent again, so there
+// is no second attempt. Since nothing ran, the request is refused, and immediately, not only when the body has arrived.
 func TestUploadBreaks(t *testing.T) {
 	listener := listen(t)
 	var attempts atomic.Int64
@@ -278,7 +278,7 @@
 	}
 }
 
-// TestSlowBody has a client send a long body for longer than any bound on silence, and another stop in it.
+// TestSlowBody has one client send a long body for longer than any limit on silence, and another client stop in the middle of it.
 func TestSlowBody(t *testing.T) {
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		return say(200, "", fmt.Sprint(len(body)))(c, r, body)
@@ -305,7 +305,7 @@
 			t.Fatal(resp, err)
 		}
 		if text, err := io.ReadAll(resp.Body); string(text) != fmt.Sprint(pieces*piece) {
-			t.Errorf("the server had %s bytes, error %v", text, err)
+			t.Errorf("the server received %s bytes, error %v", text, err)
 		}
 	})
 	t.Run("stopped", func(t *testing.T) {
@@ -327,7 +327,7 @@
 	})
 }
 
-// TestTooLong has a body in chunks grow too long: its client gets an error, and no server all of it.
+// TestTooLong sends a chunked body that exceeds the limit: the client gets an error, and no server receives the complete body.
 func TestTooLong(t *testing.T) {
 	var whole atomic.Int64
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -339,7 +339,7 @@
 	r.Body, r.ContentLength, r.GetBody = io.NopCloser(io.LimitReader(zeros{}, maxBodyBytes+1)), -1, nil
 	g := p.do(r)
 	if errors.Is(g.err, context.DeadlineExceeded) || g.err == nil && g.status != 413 || whole.Load() != 0 {
-		t.Errorf("answer %+v, %d servers had it whole", g, whole.Load())
+		t.Errorf("answer %+v, %d servers received the complete body", g, whole.Load())
 	}
 }
 
--- a/internal/sidecar/compat_test.go
+++ b/internal/sidecar/compat_test.go
@@ -13,7 +13,7 @@
 	`"work":[0.125,2],"groups":[{"took":1.5,"held":2.5}],"endpoints":[{"id":"s-1","started":1699999990000000000,` +
 	`"cold":1699999995000000000,"took":3.5,"held":4.5,"fresh":5.5,"faults":6.5,"due":7.5,"out":8000000000}]}`
 
-// TestSnapshotFormat: what a sidecar of an earlier version believed is read by this one, and written in the same form.
+// TestSnapshotFormat checks that this version reads the snapshot of an earlier version, and writes it in the same format.
 func TestSnapshotFormat(t *testing.T) {
 	const file = "../compat/testdata/sealed/beliefs-n7.kept"
 	var b storedSnapshot
--- a/internal/sidecar/connlimiter_test.go
+++ b/internal/sidecar/connlimiter_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// closer is a connection that knows whether it was closed.
+// closer is a connection that records whether it was closed.
 type closer struct {
 	net.Conn
 	closed bool
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// age moves what the crowd knows of some connections into the past.
+// age makes the limiter treat some connections as having been in their state for longer.
 func (w *connLimiter) age(by time.Duration, conns ...*closer) {
 	for _, c := range conns {
 		s := w.conns[c]
@@ -38,9 +38,10 @@
 	}
 }
 
-// TestHoardedConns has a peer take connections that it leaves idle: they go, longest idle first, and no busy one is asked to.
+// TestHoardedConns has a peer hold idle connections: they are closed, the longest idle first, and
+// clients of busy connections are not asked to close theirs.
 func TestHoardedConns(t *testing.T) {
-	w := newConnLimiter(48) // 24 and 28
+	w := newConnLimiter(48) // idleThreshold 24, maxConns 28
 	var idle, busy []*closer
 	for i := range 24 {
 		c := &closer{}
@@ -57,7 +58,7 @@
 	w.age(minIdleTime+time.Second, idle[4])
 	for i, want := range []*closer{idle[3], idle[4], nil} {
 		if w.isOverloaded() {
-			t.Fatalf("full with %d connections", w.count.Load())
+			t.Fatalf("overloaded with %d connections", w.count.Load())
 		}
 		w.observeState(&closer{}, http.StateNew)
 		for j, c := range append(idle, busy...) {
@@ -67,11 +68,12 @@
 		}
 	}
 	if !w.isOverloaded() {
-		t.Error("not full, though none has idled long")
+		t.Error("not overloaded, though no connection has been idle for long")
 	}
 }
 
-// TestMaxConns has connections come of which none has idled: those that sent nothing for long give way, then none is let in.
+// TestMaxConns opens connections none of which is idle: those that have sent nothing for long are
+// closed first; after that no new connection is admitted.
 func TestMaxConns(t *testing.T) {
 	w := newConnLimiter(48)
 	silent := &closer{}
@@ -91,13 +93,13 @@
 	if !last.closed || w.count.Load() != 28 {
 		t.Errorf("newcomer closed: %v, connections %d", last.closed, w.count.Load())
 	}
-	w.observeState(last, http.StateClosed) // as its server says later
+	w.observeState(last, http.StateClosed) // as the HTTP server reports later
 	if w.count.Load() != 28 {
 		t.Errorf("connections %d after a close that was observed twice", w.count.Load())
 	}
 }
 
-// TestHoardOnSockets has a peer's idle connections end for a client's, which is not asked to close its own.
+// TestHoardOnSockets has a peer's idle connections be closed in favour of a client, which is not asked to close its own.
 func TestHoardOnSockets(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	config := strings.Replace(configText(startRegistry(t).address, serving(1, b), testSettings), `"sockets":1024`, `"sockets":64`, 1)
@@ -147,7 +149,7 @@
 	within(t, ended, "end")
 }
 
-// TestOverloadAsksToClose has clients hold more connections than the descriptors bear: they are asked to close them.
+// TestOverloadAsksToClose has clients hold more connections than the descriptor limit allows: they are asked to close them.
 func TestOverloadAsksToClose(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	config := strings.Replace(configText(startRegistry(t).address, serving(1, b), testSettings), `"sockets":1024`, `"sockets":64`, 1)
@@ -167,7 +169,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("no client is asked to close")
+			t.Fatal("no client was asked to close its connection")
 		}
 	}
 }
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// freeAddress is one at which nobody listens yet. It is this process's own: else another's socket could come to it first.
+// freeAddress returns an address at which nothing listens yet. Its IP address is particular to this
+// process: otherwise another process's socket could take the port first.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -25,7 +26,7 @@
 	return l.Addr().String()
 }
 
-// operator starts a sidecar that can be called, and returns it with the way to call it.
+// operator starts a sidecar with a control address, and returns it with a function that sends it commands.
 func operator(t *testing.T, config string) (*program, func(line string) string) {
 	t.Helper()
 	at := freeAddress(t)
@@ -37,7 +38,7 @@
 	return p, func(line string) string { return dialControl(t, at, line+"\n") }
 }
 
-// dialControl sends a text to a control address and returns all that comes back.
+// dialControl sends a text to a control address and returns the answer.
 func dialControl(t *testing.T, at, text string) string {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", at)
@@ -81,18 +82,18 @@
 	d := startRegistry(t)
 	_, call := operator(t, configText(d.address, "", testSettings))
 	if answer := call("PING"); !strings.HasPrefix(answer, "fail ") {
-		t.Errorf("answer %q without a list", answer)
+		t.Errorf("answer %q before any list arrived", answer)
 	}
 	within(t, d.watches, "watch").lines <- serving(1, startBackend(t, say(200, "", "ok")))
 	for end := time.Now().Add(patience); !strings.HasPrefix(call("PING"), "ok "); {
 		if time.Now().After(end) {
-			t.Fatal("never ready")
+			t.Fatal("the sidecar did not become ready")
 		}
 	}
 }
 
-// TestIdleCallers has callers take all places at control and say nothing, or half a line: who has something to say is
-// answered, and nobody keeps a place for good.
+// TestIdleCallers has callers open all connections that control allows and send nothing, or half a line:
+// a caller with a complete command is still answered, and no idle caller keeps its connection forever.
 func TestIdleCallers(t *testing.T) {
 	listener := listen(t)
 	c := newControl(slog.New(slog.DiscardHandler), func(call []string) string { return "ok " + call[0] + "\n" })
@@ -116,7 +117,7 @@
 			t.Fatalf("with %d idle callers the answer is %q", len(idle), answer)
 		}
 	}
-	// The last ones still have theirs.
+	// The latest callers still have their connections.
 	last := idle[len(idle)-1]
 	if _, err := io.WriteString(last, "NG\n"); err != nil {
 		t.Fatal(err)
@@ -128,7 +129,7 @@
 	within(t, ended, "end of all callers")
 }
 
-// TestCallInTime has a caller say half a line and no more: its place ends with its time.
+// TestCallInTime has a caller send half a line and nothing more: its connection ends with its timeout.
 func TestCallInTime(t *testing.T) {
 	l := listen(t)
 	c := newControl(slog.New(slog.DiscardHandler), func([]string) string { return "ok\n" })
@@ -163,11 +164,11 @@
 			t.Fatal(err)
 		}
 		if err := Run(context.Background(), c, slog.New(slog.DiscardHandler), nil, nil); err == nil {
-			t.Errorf("it runs with %s", env)
+			t.Errorf("Run succeeds with %s", env)
 		}
 	}
 	if l, err := inherit(int(file.Fd())); err == nil {
 		_ = l.Close()
-		t.Error("a file passes for a listening socket")
+		t.Error("a file was accepted as a listening socket")
 	}
 }
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -14,7 +14,7 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// TestCounts has the log say what happened, and only once.
+// TestCounts checks that the log reports each event exactly once.
 func TestCounts(t *testing.T) {
 	counted := newCounts([]balance.Class{{Name: "read"}, {Name: "pay"}})
 	counted.requests.Add(3)
@@ -41,12 +41,12 @@
 	counted.report(log, w, last)
 	for _, want := range []string{"requests=0 fulfilled=0 throttled=0 faulted=1 ", "attempts.timeout=0 ", "connect_ms=0\n"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("said again: %q lacks %q", text.String(), want)
+			t.Errorf("second report: %q lacks %q", text.String(), want)
 		}
 	}
 }
 
-// TestInfo has requests end in each way, and reads the figures.
+// TestInfo has requests end in each way, and checks the metrics.
 func TestInfo(t *testing.T) {
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		switch r.Header.Get("X-Request-ID") {
@@ -85,12 +85,12 @@
 	for range 6 {
 		within(t, b.came, "request")
 	}
-	// The client may have its answer a moment before it is counted.
+	// The client may get its answer just before it is counted.
 	want := "svc.operations.read.fulfilled:2|c\nsvc.operations.read.throttled:0|c\nsvc.operations.read.faulted:0|c\nsvc.operations.read.relayed:2|c\n" +
 		"svc.operations.book.fulfilled:0|c\nsvc.operations.book.throttled:0|c\nsvc.operations.book.faulted:0|c\nsvc.operations.book.relayed:1|c\n" +
 		"svc.operations.pay.fulfilled:1|c\nsvc.operations.pay.throttled:1|c\nsvc.operations.pay.faulted:1|c\nsvc.operations.pay.relayed:3|c\n" +
 		"svc.open_requests:1|g\nsvc.registry_entries:2|g\nsvc.out_of_rotation:%d|g\neof\n"
-	// Two faults take the only server that serves out of the rotation, but with all of it out that is suspended.
+	// Two failures take the only serving server out of rotation, but ejection is suspended when all servers are out.
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		text := call("INFO")
 		if text == fmt.Sprintf(want, 1) {
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -25,16 +25,16 @@
 		within(t, b.came, "attempt")
 	}
 	if n := b.count(); n != 0 {
-		t.Errorf("%d attempts too many", n)
+		t.Errorf("%d unexpected attempts", n)
 	}
-	// What has no time left is not sent at all.
+	// A request with no time left is not sent at all.
 	if g := prog.do(prog.request(context.Background(), "pay", "0")); g.status != 503 || b.count() != 0 {
 		t.Errorf("status %d, %d attempts", g.status, b.count())
 	}
 }
 
-// testCall is a call of a host without a loop, whose one server is silent. The test takes the loop's place, and no timer of
-// the call fires during it.
+// testCall is a call of a host without a loop, whose only server never answers. The test runs the
+// loop's events itself, and no timer of the call fires during the test.
 type testCall struct {
 	*call
 	t      *testing.T
@@ -61,14 +61,14 @@
 		message: message{method: "POST", url: &url.URL{Path: "/api"}, id: "id-1", key: "k-1", timeout: time.Hour}}}
 }
 
-// begin has the host take the call in, and the server have its one attempt.
+// begin passes the call to the host, and waits until the server has received its one attempt.
 func (s *testCall) begin() {
 	s.t.Helper()
 	s.host.beginCall(s.call)
 	within(s.t, s.server.came, "attempt")
 }
 
-// takeIn waits until something is posted, and takes that in.
+// takeIn waits until an event is posted, and runs all that are queued.
 func (s *testCall) takeIn() {
 	s.t.Helper()
 	within(s.t, s.host.wake, "event")
@@ -81,7 +81,7 @@
 	}
 }
 
-// attemptTimedOut ends the attempt as its timer does, and takes in its result.
+// attemptTimedOut ends the attempt as its timer would, and processes its result.
 func (s *testCall) attemptTimedOut() {
 	s.t.Helper()
 	s.attempts[0].cancel(context.DeadlineExceeded)
@@ -90,7 +90,7 @@
 	}
 }
 
-// passDeadline moves the time to when the call's timer finds it overdue.
+// passDeadline advances the host's time to when the call's timer would fire.
 func (s *testCall) passDeadline() {
 	s.t.Helper()
 	if s.overdueTimer == nil {
@@ -99,10 +99,10 @@
 	s.host.now = s.deadline.Add(answerMargin / 2).Sub(s.host.origin)
 }
 
-// overdue takes in that the deadline of the call has passed.
+// overdue does what the call's timer would post.
 func (s *testCall) overdue() { s.host.abandon(s.call, true) }
 
-// checkOneTimedOut holds that the call had one attempt, which timed out, and is forgotten.
+// checkOneTimedOut checks that the call had one attempt, which timed out, and that the host has removed the call.
 func (s *testCall) checkOneTimedOut(t *testing.T) {
 	t.Helper()
 	for outcome := range s.host.counts.attempts {
@@ -115,12 +115,12 @@
 		}
 	}
 	if len(s.host.calls) != 0 {
-		t.Error("the call is not forgotten")
+		t.Error("the host still has the call")
 	}
 }
 
-// TestDeadlineOrder has the result of an attempt that timed out come before the call is found overdue, and after it: the
-// answer is the same, and so is what is counted.
+// TestDeadlineOrder processes the result of an attempt that timed out before and after the call's own
+// timer: the answer and the counters must be the same.
 func TestDeadlineOrder(t *testing.T) {
 	type step = func(*testCall)
 	attempt, overdue := (*testCall).attemptTimedOut, (*testCall).overdue
@@ -151,13 +151,13 @@
 	}
 }
 
-// TestDeadlineBehindBody has a body come while it is sent on: no timer of the call may be armed before it has come whole,
-// as one that is armed and stopped at once may have fired.
+// TestDeadlineBehindBody forwards a body while it is still arriving. No timer of the call may be started
+// before the body is complete: a timer that is started and stopped immediately may have fired.
 func TestDeadlineBehindBody(t *testing.T) {
 	played := newTestCall(t, "read")
 	played.deadline = time.Time{}
 	played.rest, played.length = &upload{}, -1
-	played.rest.mu.Lock() // the body is still coming
+	played.rest.mu.Lock() // the body is still arriving
 	answers := make(chan answer, 1)
 	go func() {
 		a, _ := played.host.serve(context.Background(), played.call)
@@ -170,7 +170,7 @@
 	played.rest.err = io.EOF
 	played.rest.mu.Unlock()
 	if early {
-		t.Fatal("the call's timer was armed before its body had come")
+		t.Fatal("the call's timer was started before its body was complete")
 	}
 	within(t, played.server.came, "attempt")
 	played.host.bodyComplete(played.call)
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -18,8 +18,8 @@
 	"gradeusher.example/gradeusher/internal/testsupport/bubble"
 )
 
-// agent stands in for discovery's agent on pipes, so that time can be the test's own. Each watch is answered as the next of its
-// answers says; none is left: as the last one.
+// agent is a fake of discovery's agent on pipes, so that tests can use fake time. Each watch gets the
+// next of its answers; once all are used, the last one again.
 type agent struct {
 	answers []func(out io.Writer)
 
@@ -27,7 +27,7 @@
 	queries []string
 }
 
-// dial is a connection to it.
+// dial opens a connection to the agent.
 func (a *agent) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
@@ -54,7 +54,7 @@
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// saying answers a watch with pieces, each a moment after the other, and nothing more.
+// saying answers a watch with pieces, a moment apart, and then sends nothing more.
 func saying(pieces ...string) func(io.Writer) {
 	return func(out io.Writer) {
 		_, _ = io.WriteString(out, watchHead)
@@ -68,7 +68,7 @@
 
 func unresponsive(io.Writer) {}
 
-// following is a host that follows an agent, as far as the list goes. It ends with the test's bubble.
+// following returns a host that follows the list of an agent. It ends with the test's bubble.
 func following(t *testing.T, a *agent, mode string) *host {
 	t.Helper()
 	config, err := load(t, configText("127.0.0.1:9", "", strings.Replace(testSettings, `"discovery":"pushed"`, `"discovery":"`+mode+`"`, 1)))
@@ -98,7 +98,7 @@
 	return driver
 }
 
-// knows waits until a server is known, and returns how long that took; more than a minute: it never was.
+// knows waits until a server is known, and returns how long that took; more than a minute means that it never was.
 func (h *host) knows(id string) time.Duration {
 	begun := time.Now()
 	for known := false; !known && time.Since(begun) <= time.Minute; time.Sleep(10 * time.Millisecond) {
@@ -115,8 +115,8 @@
 	return strings.Join(all, " ")
 }
 
-// TestUnresponsiveWatch has a watch stop sending, and the one that replaces it too, in each way: the sidecar has the changes that they
-// missed before it counts as notified of them.
+// TestUnresponsiveWatch has a watch stop sending, and the watch that replaces it fail in each way:
+// the sidecar must receive the changes that both missed before they count as known to it.
 func TestUnresponsiveWatch(t *testing.T) {
 	list := listText(7, true, entry("s-0", "127.0.0.1:1", "SERVING", 0))
 	update := listText(8, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
@@ -135,22 +135,22 @@
 				a := &agent{answers: []func(io.Writer){saying(list, "\n"), second, saying(update)}}
 				h := following(t, a, "pushed")
 				if took := h.knows("s-0"); took > 100*time.Millisecond {
-					t.Errorf("a new process knew the list after %v", took)
+					t.Errorf("a new process received the list after %v", took)
 				}
 				if took := h.knows("s-1"); took > publishedWithin-500*time.Millisecond {
-					t.Errorf("notified %v after it stopped", took)
+					t.Errorf("received the update %v after the watch stopped", took)
 				}
 				a.mu.Lock()
 				defer a.mu.Unlock()
 				if a.queries[0] != "watch=1" || a.queries[1] != "watch=1" {
-					t.Errorf("queries %q, want the whole list of an agent that may have an update", a.queries)
+					t.Errorf("queries %q, want the complete list from an agent that may have an update", a.queries)
 				}
 			})
 		})
 	}
 }
 
-// heartbeats is an agent that has no list.
+// heartbeats is the answer of an agent that has no list: empty lines only.
 func heartbeats(out io.Writer) {
 	saying()(out)
 	chunks := httputil.NewChunkedWriter(out)
@@ -162,7 +162,7 @@
 	}
 }
 
-// TestHeartbeats has a watch say nothing but empty lines for long: it is not silent. It ends soon after the last.
+// TestHeartbeats has a watch send only empty lines for long: that does not time out. It times out after the last one.
 func TestHeartbeats(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		bubble.Test(t, func(t *testing.T) {
@@ -180,7 +180,7 @@
 			begun := time.Now()
 			err := d.watch(t.Context(), noVersion, 0, func(List) {})
 			took := time.Since(begun)
-			time.Sleep(time.Minute) // the agent's own pauses end, here and below
+			time.Sleep(time.Minute) // lets the agent's own pauses end, here and below
 			if took != time.Minute+d.watchTimeout || !strings.Contains(fmt.Sprint(err), "nothing received for") {
 				t.Errorf("ended after %v: %v", took, err)
 			}
@@ -188,7 +188,8 @@
 	}
 }
 
-// TestUnresponsiveCall has a call for the list wait for good: it is left in time for another, which counts once it was waited for.
+// TestUnresponsiveCall has a request for the list never answered: it times out early enough for
+// another request before the list counts as known.
 func TestUnresponsiveCall(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := newDiscovery("127.0.0.1:9", time.Second, false)
@@ -202,7 +203,8 @@
 	})
 }
 
-// TestIndentedLists has lists come over several lines, in pieces cut anywhere, two in one piece, without a last line's end.
+// TestIndentedLists sends lists that span several lines, in pieces cut anywhere, two in one piece,
+// and the last one without a line feed.
 func TestIndentedLists(t *testing.T) {
 	one := "{\n  \"rev\": 7,\n  \"all\": true,\n  \"targets\": [\n    " + entry("s-0", "127.0.0.1:1", "SERVING", 0) + "\n  ]\n}\n"
 	two := strings.NewReplacer(": 7", ": 8", "s-0", "s-1").Replace(one)
@@ -221,7 +223,7 @@
 	}
 }
 
-// TestEndlessList has a list never end, however quickly it comes.
+// TestEndlessList sends a list that never ends, as fast as it is read.
 func TestEndlessList(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		d := newDiscovery("127.0.0.1:9", time.Second, true)
@@ -240,8 +242,8 @@
 	})
 }
 
-// TestMoves has the list move while the service that was asked is long gone, and the new one miss the first call: what it has is known
-// before the sidecar counts as notified, 4 s after the signal.
+// TestMoves moves discovery while the old service is long gone, and has the new one not answer the
+// first request: its list must be known before it counts as known, 4 s after the signal.
 func TestMoves(t *testing.T) {
 	update := listText(3, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
 	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": saying(update)} {
@@ -260,38 +262,39 @@
 					return dial(ctx, network, address)
 				}
 				if took := driver.knows("s-0"); took > time.Minute {
-					t.Fatal("never knew anybody")
+					t.Fatal("the first list never arrived")
 				}
-				for range 10 { // whenever it comes, between two calls or in one
+				for range 10 { // the move may come at any time, between two requests or during one
 					time.Sleep(1730 * time.Millisecond)
 				}
 				driver.post(func() { driver.moveTo("127.0.0.1:10") })
 				if took := driver.knows("s-1"); took > 4*time.Second-500*time.Millisecond {
-					t.Errorf("notified %v after it moved", took)
+					t.Errorf("received the update %v after the move", took)
 				}
 			})
 		})
 	}
 }
 
-// TestNewProcess has an agent's list be newer than the one that a process is started with: by that nothing is sent from its first request on.
+// TestNewProcess starts a process with an older list than its agent's: no request, from the first one
+// on, may go by the older list.
 func TestNewProcess(t *testing.T) {
 	d := startRegistry(t)
 	drained, kept := startBackend(t, say(200, "", "drained")), startBackend(t, say(200, "", "kept"))
 	go func() {
 		w := <-d.watches
-		time.Sleep(100 * time.Millisecond) // a process that does not wait serves by now
+		time.Sleep(100 * time.Millisecond) // a process that does not wait for the agent serves by now
 		w.lines <- listText(42, true, entry("s-0", drained.address, "DRAINING", 0), entry("s-1", kept.address, "SERVING", 0))
 	}()
 	p := startDraining(t, configText(d.address, serving(41, drained), testSettings), drainTimes{agent: patience, quietTime: time.Millisecond, finish: patience})
 	for range 10 {
 		if g := p.ask("pay"); g.body != "kept" {
-			t.Fatalf("a request went to a server that the agent said drains: %+v", g)
+			t.Fatalf("a request went to a server that is draining by the agent's list: %+v", g)
 		}
 	}
 }
 
-// TestUnresponsiveAgent has an agent say nothing to a new process: it serves by what it knows, after a while.
+// TestUnresponsiveAgent has an agent not answer a new process: after a while, the process serves with the list it knows.
 func TestUnresponsiveAgent(t *testing.T) {
 	known := startBackend(t, say(200, "", "known"))
 	p := startDraining(t, configText(startRegistry(t).address, serving(41, known), testSettings),
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// dialAndSay connects and sends a text; reads of the connection time out.
+// dialAndSay connects and sends a text; reads from the connection time out.
 func dialAndSay(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	conn := dial(t, address)
@@ -25,7 +25,7 @@
 	return conn
 }
 
-// callTwice makes an operator's call that may be repeated.
+// callTwice sends a command that is idempotent twice.
 func callTwice(t *testing.T, call func(string) string, line string) {
 	t.Helper()
 	for range 2 {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestLameduck has staff drain a sidecar and end the drain: meanwhile health says no, answers ask to close, what idles is
-// closed and what has begun is served.
+// TestLameduck has an operator drain a sidecar and end the drain. Meanwhile the health check fails,
+// answers ask to close, idle connections are closed and requests that have begun are served.
 func TestLameduck(t *testing.T) {
 	gate := make(chan bool)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -79,7 +79,7 @@
 	}
 	close(gate)
 	if g := within(t, slow, "answer"); g.status != 200 || g.body != "ok" || !g.closing {
-		t.Errorf("answer %+v to what was taken before", g)
+		t.Errorf("answer %+v to a request from before the drain", g)
 	}
 	callTwice(t, call, "REJOIN")
 	if answer := call("PING"); !strings.HasPrefix(answer, "ok ") || health() != 200 {
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestRejoinWhileShuttingDown says REJOIN to a process that SIGTERM has sent away: that stays so.
+// TestRejoinWhileShuttingDown sends REJOIN to a process that has received SIGTERM: it continues to shut down.
 func TestRejoinWhileShuttingDown(t *testing.T) {
 	s := &server{host: &host{log: slog.New(slog.DiscardHandler)}}
 	s.shuttingDown.Store(true)
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestDrain has SIGTERM come while one request is out, and others go on coming on new connections and old ones.
+// TestDrain has SIGTERM arrive while one request is in flight, and others continue to arrive on new and on existing connections.
 func TestDrain(t *testing.T) {
 	gate := make(chan bool)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -121,7 +121,7 @@
 		}
 		closing = g.closing
 	}
-	time.Sleep(200 * time.Millisecond) // long past the quiet that ends the accepting, well within its time
+	time.Sleep(200 * time.Millisecond) // much longer than quietTime, well within the accept time
 	fresh, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 	if err != nil {
 		t.Fatalf("no new connections while draining: %v", err)
@@ -146,19 +146,19 @@
 	}
 	select {
 	case err := <-prog.ended:
-		t.Fatalf("it ended with %v and a request out", err)
+		t.Fatalf("it ended with %v while a request was in flight", err)
 	default:
 	}
 	close(gate)
 	if g := within(t, slow, "answer"); g.status != 200 || g.body != "ok" {
-		t.Errorf("answer %+v to what was taken", g)
+		t.Errorf("answer %+v to the request in flight", g)
 	}
 	if err := within(t, prog.ended, "end"); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
 
-// TestBacklog has connections wait unaccepted when the accepting ends: none may be reset.
+// TestBacklog has connections in the backlog when the listener stops accepting: none may be reset.
 func TestBacklog(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
 	listener := &drainListener{TCPListener: inner, quietTime: time.Second}
@@ -170,7 +170,7 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	if err := listener.drain(-time.Second); err != nil { // long over
+	if err := listener.drain(-time.Second); err != nil { // the deadline has passed already
 		t.Fatal(err)
 	}
 	for i := range n {
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestAmbiguousFraming has peers send requests whose end can be read in two ways, with a second request inside the body.
-// Neither may reach a server; the peer gets an error or a close.
+// TestAmbiguousFraming sends requests whose end can be read in two ways, with a second request inside
+// the body. Neither request may reach a server; the peer gets an error or a closed connection.
 func TestAmbiguousFraming(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestPlainFraming has a client send requests whose framing is plain, in pieces of one byte: all are served.
+// TestPlainFraming sends requests with unambiguous framing, one byte at a time: all are served.
 func TestPlainFraming(t *testing.T) {
 	b := startBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 		return say(200, "", r.Header.Get("X-Request-ID")+string(body))(conn, r, body)
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// TestOutOfServiceCalls takes a server out and puts it back by calls, each said twice.
+// TestOutOfServiceCalls takes a server out of service and puts it back by commands, each sent twice.
 func TestOutOfServiceCalls(t *testing.T) {
 	in, out := startBackend(t, say(200, "", "in")), startBackend(t, say(200, "", "out"))
 	prog, call := operator(t, configText(startRegistry(t).address, serving(1, in, out), testSettings))
@@ -27,10 +27,10 @@
 	}
 	for range 20 {
 		if g := prog.ask("pay"); g.body != "in" {
-			t.Fatalf("a request went to the server that is out: %+v", g)
+			t.Fatalf("a request went to the server that is out of service: %+v", g)
 		}
 	}
-	for _, line := range []string{"ATTACH s-1", "ATTACH s-1"} { // once undoes both
+	for _, line := range []string{"ATTACH s-1", "ATTACH s-1"} { // one ATTACH undoes both DETACHes
 		if answer := call(line); !strings.HasPrefix(answer, "ok ") {
 			t.Errorf("%s is answered %q", line, answer)
 		}
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestOutOfServiceOutlivesUpgrade takes a server out at one process: the next one knows from its start, what is said to either
-// holds for both, and the end of the first changes nothing.
+// TestOutOfServiceOutlivesUpgrade takes a server out of service at one process: the next process knows it from
+// its start, a command to either process applies to both, and the end of the first process changes nothing.
 func TestOutOfServiceOutlivesUpgrade(t *testing.T) {
 	reader, out, both := startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok"))
 	shared := startPlatform(t, configText(startRegistry(t).address, serving(1, reader, out, both), testSettings))
@@ -57,12 +57,12 @@
 	say(first, "DETACH s-1")
 	second := shared.start()
 	say(second, "DETACH s-0")
-	// Each knows of both calls: an id that is out is known, though the list does not name it any more.
+	// Each process knows of both commands: an id that is out of service is known even if the list no longer contains it.
 	say(first, "ATTACH s-0")
 	first.shutDown()
 	shared.askUntil(func() bool { return reader.count() > 0 })
 	if n := out.count(); n != 0 {
-		t.Errorf("%d requests came to the server that is out", n)
+		t.Errorf("%d requests went to the server that is out of service", n)
 	}
 	say(second, "ATTACH s-1")
 	third := shared.start()
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestHandoverFile has two processes change the file at once, and finds files that cannot be read.
+// TestHandoverFile has two processes change the file at the same time, and reads invalid files.
 func TestHandoverFile(t *testing.T) {
 	dir, log := t.TempDir(), slog.New(slog.DiscardHandler)
 	var changing sync.WaitGroup
@@ -97,7 +97,7 @@
 		t.Errorf("another sidecar has %d of them", len(other))
 	}
 	if shared.reload() {
-		t.Error("an unchanged file passes for a changed one")
+		t.Error("an unchanged file is reported as changed")
 	}
 	text := &logText{}
 	for _, bad := range []string{"", "{", `{"out":[1]}`, strings.Repeat(" ", maxHandoverBytes+1)} {
@@ -109,22 +109,22 @@
 		}
 	}
 	if n := strings.Count(text.String(), "handover"); n < 4 {
-		t.Errorf("the log says so %d times:\n%s", n, text)
+		t.Errorf("the log mentions the handover file %d times:\n%s", n, text)
 	}
 	for range 3 {
 		shared.reload()
 	}
 	if n := len(shared.out()); n != 20 {
-		t.Errorf("a file that cannot be read changes what is known: %d ids", n)
+		t.Errorf("an unreadable file has changed the ids: %d", n)
 	}
-	// Where nothing can be written, this process holds to what it was told, and the operator learns the rest.
+	// If the file cannot be written, this process still applies the command, and the operator gets an error.
 	g := newHandover(filepath.Join(dir, "none"), "n0", log)
 	if err := g.set("s-1", true); err == nil || !slices.Contains(g.out(), "s-1") {
 		t.Errorf("error %v, ids %v", err, g.out())
 	}
 }
 
-// TestUnstoredCall has no common folder: the call holds, and is answered as what it is.
+// TestUnstoredCall has no shared directory: the command takes effect in this process, and the answer says that it was not stored.
 func TestUnstoredCall(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	at := freeAddress(t)
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -18,10 +18,10 @@
 	"time"
 )
 
-// patience bounds how long a test waits for what must happen. No verdict hangs on less.
+// patience bounds how long a test waits for something that must happen. No check depends on a shorter time.
 const patience = 30 * time.Second
 
-// within fails the test if nothing comes from c in time.
+// within fails the test if nothing is received from c in time.
 func within[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
@@ -32,7 +32,7 @@
 	return v
 }
 
-// backend is a server that answers as do says, and tells of each request that came whole.
+// backend is a server that answers with a function, and reports each request that arrived completely.
 type backend struct {
 	address string
 	came    chan *http.Request
@@ -48,8 +48,8 @@
 	return l
 }
 
-// startBackend starts a server. do gets each connection with the request that came on it, and tells whether the
-// connection lives on.
+// startBackend starts a server. do gets each request with its connection and body, and returns
+// whether to keep the connection open.
 func startBackend(t *testing.T, do func(net.Conn, *http.Request, []byte) bool) *backend {
 	t.Helper()
 	l := listen(t)
@@ -67,7 +67,7 @@
 	return b
 }
 
-// serve answers the requests of a connection until answer tells false.
+// serve answers the requests of a connection until answer returns false.
 func (b *backend) serve(conn net.Conn, answer func(net.Conn, *http.Request, []byte) bool) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -82,7 +82,7 @@
 		}
 		select {
 		case b.came <- r:
-		default: // a test that sends so many does not look at each
+		default: // a test that sends this many does not check each one
 		}
 		if !answer(conn, r, body) {
 			return
@@ -101,7 +101,7 @@
 	return conn
 }
 
-// say answers with a status, a header line or "", and a body, on a connection that lives on.
+// say returns a handler that answers with a status, a header line or "", and a body, and keeps the connection open.
 func say(status int, header, body string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
@@ -109,19 +109,19 @@
 	}
 }
 
-// hangUp resets the connection once the request is there.
+// hangUp resets the connection once a request has arrived.
 func hangUp(c net.Conn, _ *http.Request, _ []byte) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// neverAnswer never answers; the connection lives until the test's end or the other side's.
+// neverAnswer never answers; the connection stays open until the test or the other side ends.
 func neverAnswer(c net.Conn, _ *http.Request, _ []byte) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
 
-// registry is discovery: each watch gets the lines that are said to it.
+// registry is a fake discovery service: each watch gets the lines that the test sends to it.
 type registry struct {
 	address string
 	watches chan watching
@@ -159,7 +159,7 @@
 	return r
 }
 
-// entry is one server in discovery's form.
+// entry returns one server in discovery's format.
 func entry(id, address, state string, boot int64) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":%q,"capacity_hint":1.0,"boot_ms":%d}`,
 		id, address, state, boot)
@@ -169,7 +169,7 @@
 	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, rev, all, strings.Join(entries, ","))
 }
 
-// serving is a full list of these backends, as s-0, s-1 and so on.
+// serving returns a complete list of the backends, named s-0, s-1 and so on.
 func serving(rev int, backends ...*backend) string {
 	var entries []string
 	for i, b := range backends {
@@ -188,7 +188,7 @@
 	{"name":"book","effect":"deduplicated","group":"all","aim_s":20.0,"deadline_s":60.0,"credit":5.0,"window_s":60.0},
 	{"name":"pay","effect":"at_most_once","group":"all","aim_s":20.0,"deadline_s":60.0,"credit":10.0,"window_s":5.0}]}`
 
-// configText is a sidecar's configuration file. known may be "".
+// configText returns a sidecar's configuration file. known may be "".
 func configText(discovery, known, settings string) string {
 	if known == "" {
 		known = "null"
@@ -217,7 +217,7 @@
 	})
 }
 
-// addressLog is a log that passes on the address served.
+// addressLog is a log handler that passes on the address on which the sidecar serves.
 type addressLog struct {
 	slog.Handler
 	address chan string
@@ -237,7 +237,7 @@
 	return l.Handler.Handle(ctx, r)
 }
 
-// logText keeps the messages of a log.
+// logText records the text of a log.
 type logText struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -266,7 +266,7 @@
 	client  *http.Client
 
 	reload    chan os.Signal
-	discovery atomic.Value // string: where it is once the program is told to reload
+	discovery atomic.Value // string: its address after the program is told to reload
 }
 
 func start(t *testing.T, config string) *program {
@@ -313,7 +313,7 @@
 	return "", errors.New("no discovery")
 }
 
-// gotten is a final answer as the client sees it.
+// gotten is a final answer as the client receives it.
 type gotten struct {
 	status  int
 	body    string
@@ -321,7 +321,7 @@
 	err     error
 }
 
-// request makes a request of a class. Its method and key follow from the class.
+// request returns a request of a class, which determines its method and key.
 func (p *program) request(ctx context.Context, class, timeout string) *http.Request {
 	method, key, body := http.MethodGet, "", ""
 	switch class {
@@ -365,7 +365,7 @@
 
 func (b *backend) count() int { return len(b.came) }
 
-// healthStatus asks a sidecar whether it is ready.
+// healthStatus returns the status of a sidecar's health check.
 func healthStatus(t *testing.T, client *http.Client, address string) int {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+address+"/healthz", http.NoBody)
--- a/internal/sidecar/hitters_test.go
+++ b/internal/sidecar/hitters_test.go
@@ -17,7 +17,8 @@
 	return strings.Replace(config, `"settings":`, fmt.Sprintf(`"hitters":%s,"settings":`, how), 1)
 }
 
-// TestHeavyIsReported floods a sidecar by one client: it is held for heavy by its name, in the log and in INFO, and none else.
+// TestHeavyIsReported floods a sidecar from one client: that client alone is reported as heavy, by
+// name in the log and by key in INFO.
 func TestHeavyIsReported(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	config, err := load(t, withHitters(configText(startRegistry(t).address, serving(1, b), testSettings),
@@ -45,7 +46,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not held for heavy:\n%s\n%s", text, log.String())
+			t.Fatalf("the client is not reported as heavy:\n%s\n%s", text, log.String())
 		}
 	}
 	if text := log.String(); !strings.Contains(text, "state=heavy") || !strings.Contains(text, "name=loud") || strings.Contains(text, "still") {
@@ -76,11 +77,11 @@
 		}
 	}
 	if c, err := load(t, configText("127.0.0.1:9", "", testSettings)); err != nil || c.Hitters != nil || c.Settings.Hitters != nil {
-		t.Errorf("on without being configured: %v", err)
+		t.Errorf("enabled without being configured: %v", err)
 	}
 }
 
-// startMember starts a member that is no sidecar, until the test ends.
+// startMember starts a member that is not a sidecar, until the test ends.
 func startMember(t *testing.T, options members.Options) *members.Members {
 	t.Helper()
 	member, err := members.New(options)
@@ -94,7 +95,7 @@
 	return member
 }
 
-// fleetConfig is the configuration of a sidecar that looks for heavy clients together with others.
+// fleetConfig returns the configuration of a sidecar that detects heavy clients together with others.
 func fleetConfig(t *testing.T, b *backend, name, join string) *Config {
 	t.Helper()
 	text := withHitters(configText(startRegistry(t).address, serving(1, b), testSettings), `{"window_s":0.2,"hold_s":0.2}`)
@@ -106,9 +107,9 @@
 	return config
 }
 
-// TestHeavyOverTheFleet floods two of three sidecars by one client, a third of the work of each: the third, which it never
-// calls, holds it for heavy by what they tell. It forgets it when both are gone. A fourth member that tells a lie of another
-// client, and nonsense, changes nothing.
+// TestHeavyOverTheFleet floods two of three sidecars from one client, with a third of the requests of each. The third
+// sidecar, which that client never calls, learns from their reports that it is heavy, and forgets it when both are
+// gone. A fourth member that sends a false report about another client, and malformed ones, has no effect.
 func TestHeavyOverTheFleet(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	config := func(name, join string) *Config { return fleetConfig(t, b, name, join) }
@@ -153,7 +154,7 @@
 		ask(third, "victim")
 		text := dialControl(t, observing.Control, "INFO\n")
 		if strings.Contains(text, fmt.Sprintf("%016x", victim)) {
-			t.Fatalf("one that only the liar tells of is held for heavy:\n%s", text)
+			t.Fatalf("a client that only the false report names counts as heavy:\n%s", text)
 		}
 		return strings.Contains(text, "svc.members:4|g\n") && strings.Contains(text, "svc.heavy_clients:1|g\n"+key)
 	})
@@ -167,7 +168,7 @@
 	})
 }
 
-// eventually waits until done says so.
+// eventually waits until done returns true.
 func eventually(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestEndlessBody has a client send half a body and no more: its connection ends with its time, and others are served.
+// TestEndlessBody has a client send half a body and nothing more: its connection ends when its time
+// is over, and other clients are served.
 func TestEndlessBody(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
@@ -91,14 +92,14 @@
 	if n := b.count(); n != 0 {
 		t.Errorf("%d attempts for half a request", n)
 	}
-	// A connection whose body's time is over still serves what takes longer.
+	// A client that takes longer than that body's time limit is still served.
 	if g := prog.ask("pay"); g.status != 200 {
 		t.Errorf("answer %+v", g)
 	}
 }
 
-// TestUnresponsivePeers has peers that say nothing, or stop in the middle of a request whose time is long: their connections
-// end within 3 s.
+// TestUnresponsivePeers has peers send nothing, or stop in the middle of a request with a long
+// timeout: their connections end within 3 s.
 func TestUnresponsivePeers(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
@@ -132,6 +133,6 @@
 	}
 }
 
-// maxResponseTime is how long the sidecar may take to end a connection of which no more comes. It is well above the 3 s of the terms, so
-// that a loaded machine does not fail, and well under what a forgotten deadline takes.
+// maxResponseTime is how long the sidecar may take to end a connection on which nothing more arrives. It is well above the
+// required 3 s, so that the test does not fail on a loaded machine, and well below what a missing deadline would take.
 const maxResponseTime = 9 * time.Second
--- a/internal/sidecar/memberreports_test.go
+++ b/internal/sidecar/memberreports_test.go
@@ -17,7 +17,7 @@
 	"gradeusher.example/gradeusher/internal/sidecar/members"
 )
 
-// memberConfig is the configuration of a sidecar that joins a member.
+// memberConfig returns the configuration of a sidecar that joins a member.
 func memberConfig(t *testing.T, name, list, join string) *Config {
 	t.Helper()
 	text := strings.Replace(configText(startRegistry(t).address, list, testSettings), `"settings":`,
@@ -29,7 +29,7 @@
 	return config
 }
 
-// encodeLie is a report that condemns s-1.
+// encodeLie returns a false report that condemns s-1.
 func encodeLie(t *testing.T) []byte {
 	t.Helper()
 	lie, err := signals.Encode(signals.Report{Zone: "b", Uses: []signals.ZoneUse{{Zone: "a", Servers: 6}},
@@ -40,7 +40,7 @@
 	return lie
 }
 
-// startSix starts servers of which the first answers nothing while it is down.
+// startSix starts six servers, the first of which does not answer while down is set.
 func startSix(t *testing.T, down *atomic.Bool) (backends []*backend) {
 	t.Helper()
 	answer := say(200, "", "ok")
@@ -55,7 +55,7 @@
 	return backends
 }
 
-// askEach sends requests one after the other, all of which have to be served.
+// askEach sends requests one after the other, and requires all of them to be served.
 func askEach(t *testing.T, count int, ask func(i int) (status int)) {
 	t.Helper()
 	for i := range count {
@@ -78,8 +78,8 @@
 	return entries
 }
 
-// checkReport checks that a sidecar that is partitioned does not condemn all, and that one that received others' reports of a fault does
-// not state the fault itself.
+// checkReport checks that a partitioned sidecar does not condemn all servers, and that a sidecar that
+// only received reports of a fault does not report the fault itself.
 func checkReport(t *testing.T, received members.Update) {
 	t.Helper()
 	report, err := signals.Decode(received.Payload)
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestMemberReportsSpareRequests: three sidecars of four learn by failures that a server does not answer any more. The fourth,
-// which has sent nothing to it, avoids it by their reports, and spends no request. A sidecar that is partitioned from most servers, and
-// one that lies, condemn nobody.
+// TestMemberReportsSpareRequests has three of four sidecars learn by failures that a server no longer answers. The
+// fourth, which has sent nothing to that server, avoids it because of their reports, without spending a request. A
+// sidecar that is partitioned from most servers, and a member that sends false reports, cannot get a server avoided.
 func TestMemberReportsSpareRequests(t *testing.T) {
 	var down atomic.Bool
 	backends := startSix(t, &down)
@@ -104,7 +104,7 @@
 	watcher := startMember(t, members.Options{Name: "watcher", Listen: "127.0.0.1:0", OnUpdate: func(n members.Update) {
 		select {
 		case updates <- n:
-		default: // nobody looks
+		default: // more than the test checks
 		}
 	}})
 	times := drainTimes{quietTime: time.Millisecond, finish: patience}
@@ -133,7 +133,7 @@
 		return sidecars[i].do(sidecars[i].request(context.Background(), "read", "400")).status
 	}
 	askEach(t, 12, func(i int) int { return ask(i % 4) })
-	// The liar condemns s-1 again and again, and the one that is partitioned fails at all but s-5.
+	// The watcher condemns s-1 again and again, and the partitioned sidecar fails at all servers but s-5.
 	lie := encodeLie(t)
 	down.Store(true)
 	eventually(t, "avoided by its witnesses and by reports", func() bool {
@@ -147,11 +147,11 @@
 	})
 	before := backends[0].count()
 	askEach(t, 60, func(int) int { return ask(3) })
-	if got := backends[0].count() - before; got > 1 { // a try in its turn
-		t.Errorf("%d requests were spent on what the members knew", got)
+	if got := backends[0].count() - before; got > 1 { // one regular probe is allowed
+		t.Errorf("%d requests went to a server that the members had reported", got)
 	}
 	if got := figure(3, "out_of_rotation"); got > 1 {
-		t.Errorf("%d are avoided: the report of one alone, or of a partitioned one, has an effect", got)
+		t.Errorf("%d servers are avoided: a report by a single member, or by a partitioned one, has taken effect", got)
 	}
 	for len(updates) > 0 {
 		checkReport(t, <-updates)
--- a/internal/sidecar/servertable_test.go
+++ b/internal/sidecar/servertable_test.go
@@ -18,7 +18,7 @@
 	return t
 }
 
-// followed is what a Balancer knows that was given lists.
+// followed is the set of servers that a Balancer knows after applying lists.
 type followed map[string]Target
 
 func (f followed) apply(l List) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestOldList has a list go back after two servers were replaced: those who came later stay, those who went stay gone, and what the old
-// list says drains gets nothing. Then the list goes on.
+// TestOldList has the list go back to an older revision after two servers were replaced: the new servers stay, the
+// removed ones stay removed, and those that the old list reports as draining get nothing. Then the list continues.
 func TestOldList(t *testing.T) {
 	l, f, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
 	receive := func(in List) { f.apply(l.apply(in, now)) }
@@ -41,15 +41,16 @@
 	receive(List{Version: 44, Targets: []Target{listed("a", balance.Removed, 0), listed("b", balance.Removed, 0), listed("d", balance.Ready, 9), listed("e", balance.Ready, 9)}})
 	receive(List{Version: 41, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Draining, 0), listed("c", balance.Draining, 0)}})
 	if want := "map[c:1 d:0 e:0]"; states(f) != want || l.resumeFrom() != noVersion {
-		t.Errorf("%s from %d after the old list, want %s and the whole list", states(f), l.resumeFrom(), want)
+		t.Errorf("%s from %d after the old list, want %s and the complete list", states(f), l.resumeFrom(), want)
 	}
 	receive(List{Version: 45, Targets: []Target{listed("e", balance.Draining, 9)}})
 	if want := "map[c:0 d:0 e:1]"; states(f) != want || l.resumeFrom() != 45 {
-		t.Errorf("%s from %d after it went on, want %s", states(f), l.resumeFrom(), want)
+		t.Errorf("%s from %d after the list continued, want %s", states(f), l.resumeFrom(), want)
 	}
 }
 
-// TestLostCount has a list service begin to count anew: who is new by it is there at once, and it is believed at last, not before.
+// TestLostCount has a list service restart its revision counter: servers that are new in its list are
+// added immediately, and the list is trusted after staleTimeout, not before.
 func TestLostCount(t *testing.T) {
 	l, seen, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
 	receive := func(in List) { seen.apply(l.apply(in, now)) }
@@ -58,15 +59,15 @@
 	receive(regressed)
 	now = now.Add(staleTimeout - time.Second)
 	if receive(regressed); states(seen) != "map[a:0 b:0 c:0]" || seen["b"].Started.Unix() != 50 {
-		t.Errorf("%v while it is doubted", seen)
+		t.Errorf("%v while the list is stale", seen)
 	}
 	now = now.Add(time.Second)
 	if receive(regressed); states(seen) != "map[b:0 c:0]" || l.resumeFrom() != 2 {
-		t.Errorf("%s from %d when it has to be believed", states(seen), l.resumeFrom())
+		t.Errorf("%s from %d when the list must be trusted", states(seen), l.resumeFrom())
 	}
 	receive(List{Version: 3, Targets: []Target{listed("c", balance.Removed, 0)}})
 	if states(seen) != "map[b:0]" {
-		t.Errorf("%s after it goes on", states(seen))
+		t.Errorf("%s after the list continued", states(seen))
 	}
 }
 
@@ -78,7 +79,7 @@
 	return fmt.Sprint(all)
 }
 
-// TestServerTable draws lists of any version, and holds what is published to the invariants.
+// TestServerTable applies random lists of any version, and checks the invariants on what is published.
 func TestServerTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := tablePlay{table: newServerTable(List{}), seen: followed{}, now: time.Unix(1000, 0), highest: int64(noVersion)}
@@ -99,7 +100,7 @@
 	return drawn
 }
 
-// tablePlay is a table with one who follows it.
+// tablePlay is a table with a follower of its lists.
 type tablePlay struct {
 	table   *serverTable
 	seen    followed
@@ -107,7 +108,7 @@
 	highest int64
 }
 
-// apply has the table take a list, and checks the invariants.
+// apply applies a list to the table, and checks the invariants.
 func (p *tablePlay) apply(t *rapid.T, received List) {
 	before := followed{}
 	before.apply(p.table.complete())
@@ -115,7 +116,7 @@
 	p.seen.apply(p.table.apply(received, p.now))
 	for _, e := range received.Targets {
 		if to, known := p.seen[e.ID]; e.State != balance.Ready && known && to.State == balance.Ready {
-			t.Fatalf("%s still gets requests, though it is %d by the list", e.ID, e.State)
+			t.Fatalf("%s still gets requests, though the list has it in state %d", e.ID, e.State)
 		}
 	}
 	switch {
@@ -123,7 +124,7 @@
 		p.checkBelieved(t, received)
 	case !p.table.isStale():
 		if !wasStale || !received.Complete || p.now.Sub(since) < staleTimeout {
-			t.Fatalf("a list of %d is believed at once by one that held %d", received.Version, p.highest)
+			t.Fatalf("a list of revision %d is trusted immediately after revision %d", received.Version, p.highest)
 		}
 	default:
 		p.checkStale(t, before)
@@ -131,10 +132,10 @@
 	p.highest = p.table.highestRev
 }
 
-// checkBelieved holds that a list is not taken for stale, and that who follows the table knows what it holds.
+// checkBelieved checks that a list does not count as stale, and that a follower of the table knows what it holds.
 func (p *tablePlay) checkBelieved(t *rapid.T, received List) {
 	if p.table.isStale() || p.table.highestRev != received.Version {
-		t.Fatalf("a list of %d is stale for one that held %d", received.Version, p.highest)
+		t.Fatalf("a list of revision %d is stale after revision %d", received.Version, p.highest)
 	}
 	complete := followed{}
 	if complete.apply(p.table.complete()); fmt.Sprint(complete) != fmt.Sprint(p.seen) {
@@ -142,11 +143,11 @@
 	}
 }
 
-// checkStale holds that nobody goes by a stale list, and that the version stays.
+// checkStale checks that a stale list removes no server, and that the revision stays.
 func (p *tablePlay) checkStale(t *rapid.T, before followed) {
 	for id := range before {
 		if _, still := p.seen[id]; !still {
-			t.Fatalf("%s went by a list that is stale", id)
+			t.Fatalf("%s was removed by a stale list", id)
 		}
 	}
 	if p.table.highestRev != p.highest {
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -13,8 +13,8 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// TestLateRequests has requests be written slowly while the sidecar shuts down: what comes whole in time is served,
-// what comes too late is refused, and no server gets it whole.
+// TestLateRequests has requests arrive slowly while the sidecar shuts down: those that are complete in
+// time are served; those that are complete too late are refused, and no server receives them completely.
 func TestLateRequests(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	settings := strings.ReplaceAll(strings.ReplaceAll(testSettings, `"aim_s":20.0`, `"aim_s":0.5`), `"deadline_s":60.0`, `"deadline_s":0.5`)
@@ -50,35 +50,35 @@
 			t.Errorf("%d bytes: answer %+v, error %v, want %d", size, resp, err, status)
 		}
 	}
-	sizes := []int{1, 100, 2 * maxBufferedBytes} // in the head, in a body that is held, in one that flows
+	sizes := []int{1, 100, 2 * maxBufferedBytes} // ending in the head, in a body that is buffered, in one that is streamed
 	var inTime, late []net.Conn
 	for _, size := range sizes {
 		inTime, late = append(inTime, begin(size)), append(late, begin(size))
 	}
 	time.Sleep(50 * time.Millisecond)
 	prog.stop()
-	time.Sleep(10 * time.Millisecond) // if it has not heard by then, the test sees less
+	time.Sleep(10 * time.Millisecond) // if the sidecar has not noticed by then, the test covers less
 	for i, size := range sizes {
 		finish(inTime[i], size, 200)
 	}
-	time.Sleep(700 * time.Millisecond) // of the 1.2 s after which it would be killed
+	time.Sleep(700 * time.Millisecond) // of the 1.2 s after which the process would be killed
 	came := b.count()
 	for i, size := range sizes {
 		finish(late[i], size, 503)
 	}
 	if n := b.count() - came; n != 0 {
-		t.Errorf("servers got %d requests whole that came too late", n)
+		t.Errorf("servers received %d complete requests that were too late", n)
 	}
 }
 
-// TestFinalAnswerBeforeKill has a server answer nothing to what came whole while the sidecar leaves: the client has its
-// final answer before the process would be killed, though it would wait for longer.
+// TestFinalAnswerBeforeKill checks that a client gets its final answer before a process that shuts
+// down would be killed, even if the server does not answer and the client would wait longer.
 func TestFinalAnswerBeforeKill(t *testing.T) {
 	clock := &shutdownClock{}
 	clock.init([]balance.Class{{Deadline: time.Second}, {Deadline: time.Hour}})
 	now := time.Now()
 	if end := now.Add(time.Hour); !clock.bound(end).Equal(end) || clock.isLate(now) {
-		t.Error("a process that does not shut down is in a hurry")
+		t.Error("deadlines are moved though the shutdown has not begun")
 	}
 	clock.begin(now)
 	kill := now.Add(maxLongestDeadline + killMargin)
@@ -86,9 +86,9 @@
 		t.Errorf("the last answer is due %v before the kill", kill.Sub(end))
 	}
 	if end := now.Add(time.Second); !clock.bound(end).Equal(end) {
-		t.Error("what is due early is moved")
+		t.Error("a deadline early enough is moved")
 	}
 	if clock.isLate(now.Add(time.Second)) || !clock.isLate(kill.Add(-finalAnswerMargin)) {
-		t.Error("late at the wrong time")
+		t.Error("isLate is wrong")
 	}
 }
--- a/internal/sidecar/sibling_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestSiblingLock has two processes run beside each other: each knows, also once the other has been killed.
+// TestSiblingLock runs two processes at the same time: each detects the other, and also that the other has been killed.
 func TestSiblingLock(t *testing.T) {
 	path := startPlatform(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
 	b, err := newSiblingLock(filepath.Join(path.dir, "gradeusher-n0.json"))
@@ -24,17 +24,17 @@
 	go b.follow(ctx, func(is bool) { updates <- is })
 	s := path.start()
 	if !within(t, updates, "the other process") {
-		t.Error("a process that runs is said to have ended")
+		t.Error("a running process is not detected")
 	}
 	if err := s.process.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	if within(t, updates, "its end") {
-		t.Error("a process that has ended is said to run")
+		t.Error("a process that has ended is reported as running")
 	}
 }
 
-// TestShare has the limits be shared with another process, and be whole again.
+// TestShare shares the limits with another process, and restores them.
 func TestShare(t *testing.T) {
 	c, err := load(t, configText("127.0.0.1:9", "", testSettings))
 	if err != nil {
@@ -54,7 +54,7 @@
 	s.shareLimits(true)
 	for i, half := range limits() {
 		if 4*half > 3*whole[i] || 3*half < whole[i] {
-			t.Errorf("limit %d: %d beside another, %d alone", i, half, whole[i])
+			t.Errorf("limit %d: %d with another process, %d alone", i, half, whole[i])
 		}
 	}
 	s.shareLimits(false)
--- a/internal/sidecar/snapshotfile_test.go
+++ b/internal/sidecar/snapshotfile_test.go
@@ -13,12 +13,12 @@
 	"gradeusher.example/gradeusher/internal/sidecar/sealed"
 )
 
-// TestSnapshotFile leaves beliefs to a process whose clock begins elsewhere, and then has the file be unsound in each way.
+// TestSnapshotFile saves a snapshot for a process whose clock begins elsewhere, and then makes the file invalid in each way.
 func TestSnapshotFile(t *testing.T) {
 	origin, log := time.Unix(1000, 0), &logText{}
 	file := newSnapshotFile(t.TempDir(), "n 0", slog.New(slog.NewTextHandler(log, nil)))
 	if _, _, ok := file.load(origin); ok || log.String() != "" {
-		t.Errorf("there is something in no file: %s", log)
+		t.Errorf("a snapshot was loaded without a file: %s", log)
 	}
 	b := balance.Snapshot{ZoneWeight: 0.5, Endpoints: []balance.EndpointSnapshot{{ID: "s-0", Started: 500 * time.Second, LatencySum: balance.LatencySum{Seconds: 1, Load: 2}}, {ID: "s-1"}}}
 	if err := file.save(b, origin, time.Unix(1600, 5)); err != nil {
@@ -44,18 +44,18 @@
 			t.Fatal(err)
 		}
 		before := len(log.String())
-		file.startedAt = 0 // a process that begins
+		file.startedAt = 0 // as in a process that starts
 		if _, _, ok := file.load(origin); ok || len(log.String()) == before {
-			t.Errorf("%s: taken, or nothing was said", name)
+			t.Errorf("%s: loaded, or nothing was logged", name)
 		}
 		if aside, err := os.ReadFile(file.Path + ".unsound"); err != nil || string(aside) != text {
-			t.Errorf("%s: not set aside: %v", name, err)
+			t.Errorf("%s: not quarantined: %v", name, err)
 		}
 	}
 }
 
-// TestSnapshotOfTwoProcesses has the earlier process of an upgrade leave its beliefs last, when the wall clock has gone back too, and once
-// beside a program of a later form, and once while another holds the lock: the later one's stand.
+// TestSnapshotOfTwoProcesses has the earlier process of an upgrade save its snapshot last: the later one's is kept. The same
+// holds when the wall clock has gone back, when the file is of a newer format, and while another process holds the lock.
 func TestSnapshotOfTwoProcesses(t *testing.T) {
 	dir, origin, log := t.TempDir(), time.Unix(1000, 0), slog.New(slog.DiscardHandler)
 	begin := func() *snapshotFile {
@@ -80,7 +80,7 @@
 	leave(young, 0.2)
 	leave(old, 0.1)
 	if got := near(); got != 0.2 {
-		t.Errorf("the earlier process, which ended last, has left %v", got)
+		t.Errorf("the earlier process, which ended last, has overwritten the snapshot with %v", got)
 	}
 	leave(young, 0.3)
 	if got := near(); got != 0.3 {
@@ -101,13 +101,14 @@
 	if text, err := os.ReadFile(young.Path); err != nil || ok || string(text) != string(later) {
 		t.Errorf("the earlier program has replaced or moved the later one's: %.40q, taken %t, error %v", text, ok, err)
 	}
-	leave(begin(), 0.6) // which sets it aside: staff have gone back to this program
+	leave(begin(), 0.6) // quarantines the newer file: operators have gone back to this program
 	if got := near(); got != 0.6 {
 		t.Errorf("after going back to the earlier program: %v", got)
 	}
 }
 
-// TestSnapshotOutlivesProcess has a process leave its beliefs when it is told to end, and the next one take them up; without being asked for it, none does.
+// TestSnapshotOutlivesProcess has a process save a snapshot when it is told to end, and the next one
+// restore it, only if that is configured.
 func TestSnapshotOutlivesProcess(t *testing.T) {
 	d, dir := startRegistry(t), t.TempDir()
 	server := startBackend(t, say(200, "", "ok"))
--- a/internal/sidecar/surplus_test.go
+++ b/internal/sidecar/surplus_test.go
@@ -12,7 +12,7 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-// TestSurplusAnswer has a server send two answers to one request: the second must not be taken for the next one's.
+// TestSurplusAnswer has a server send two answers to one request: the second must not be used for the next request.
 func TestSurplusAnswer(t *testing.T) {
 	b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nwrong")
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestAnswerFraming has a server answer twice in each way on one connection; where the end of the first is not plain,
-// it is a failure and its connection ends.
+// TestAnswerFraming has a server answer twice in each way on one connection. If the end of the first
+// answer is ambiguous, the attempt fails and its connection is closed.
 func TestAnswerFraming(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -51,7 +51,7 @@
 	t       *testing.T
 	address string
 	socket  *os.File
-	dir     string // common to all processes
+	dir     string // shared by all processes
 	env     []string
 }
 
@@ -80,7 +80,7 @@
 	ended   chan error
 }
 
-// start starts one more process and waits until it says yes.
+// start starts another process and waits until it reports that it is ready.
 func (f *platform) start() *child {
 	f.t.Helper()
 	started := &child{t: f.t, control: freeAddress(f.t), process: exec.CommandContext(context.WithoutCancel(f.t.Context()), os.Args[0]), ended: make(chan error, 1)}
@@ -101,7 +101,7 @@
 		_ = started.process.Process.Kill()
 		over.Wait()
 		if f.t.Failed() {
-			f.t.Logf("a process said:\n%s", text.String())
+			f.t.Logf("log of a process:\n%s", text.String())
 		}
 	})
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
@@ -112,14 +112,14 @@
 			}
 		}
 		if time.Now().After(end) {
-			f.t.Fatal("a process was never ready")
+			f.t.Fatal("a process did not become ready")
 		}
 	}
 }
 
 func (s *child) call(line string) string { return dialControl(s.t, s.control, line+"\n") }
 
-// shutDown has the process end gracefully, and returns once it has ended.
+// shutDown has the process shut down gracefully, and returns once it has ended.
 func (s *child) shutDown() {
 	s.t.Helper()
 	if err := s.process.Process.Signal(syscall.SIGTERM); err != nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// ask makes a request on a connection, and tells whether the sidecar asks to close it.
+// ask sends a request on a connection, and returns whether the sidecar asks to close it.
 func (f *platform) ask(c net.Conn, in *bufio.Reader) (closing bool, err error) {
 	if _, err := io.WriteString(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"+
 		"Content-Length: 2\r\n\r\nhi"); err != nil {
@@ -147,7 +147,7 @@
 	return resp.Close, nil
 }
 
-// askUntil makes requests, each on a connection of its own, until one was served and done says that it is enough.
+// askUntil sends requests, each on a connection of its own, until one was served and done returns true.
 func (f *platform) askUntil(done func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(patience); ; {
@@ -161,12 +161,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			f.t.Fatalf("no end of asking, last with error %v", err)
+			f.t.Fatalf("the condition was not reached in time, last error %v", err)
 		}
 	}
 }
 
-// askOnConnections sends requests until stop is closed, on one connection as long as it is kept or on one each.
+// askOnConnections sends requests until stop is closed, on one connection as long as it stays open, or on a new one each.
 func (f *platform) askOnConnections(t *testing.T, stop <-chan bool, reuse bool) {
 	t.Helper()
 	var conn net.Conn
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestUpgrade has clients go on asking, on kept connections and on new ones, while one process takes over from another,
-// three times: none is turned away.
+// TestUpgrade has clients send requests continuously, on existing and on new connections, while one
+// process replaces another, three times: none may fail.
 func TestUpgrade(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
@@ -217,7 +217,7 @@
 	clients.Wait()
 }
 
-// TestShutdownLeavesBacklog has a process leave while a connection waits in the backlog: it is left to the other process.
+// TestShutdownLeavesBacklog has a process end while a connection is in the backlog: it is left to the other process.
 func TestShutdownLeavesBacklog(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
 	l := &drainListener{TCPListener: inner, quietTime: patience}
@@ -230,12 +230,12 @@
 		t.Fatal(err)
 	}
 	if _, err := l.Accept(); err == nil {
-		t.Error("a process that leaves took a connection")
+		t.Error("a process that shuts down accepted a connection")
 	}
 }
 
-// TestShutdownWhileBlocked has a process wait for a connection in the kernel, as the platform has made the shared socket one that blocks,
-// and leave then.
+// TestShutdownWhileBlocked has a process shut down while it is blocked in accept(2), because the
+// platform has made the shared socket blocking.
 func TestShutdownWhileBlocked(t *testing.T) {
 	conn, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
 	if err != nil {
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	prog := startLogging(t, conn, &logText{}, drainTimes{quietTime: time.Millisecond, finish: patience})
-	// As os/exec does, which hands descriptors on.
+	// os/exec does the same when it passes descriptors on.
 	if flags, err := unix.FcntlInt(socket.Fd(), unix.F_GETFL, 0); err != nil || flags&unix.O_NONBLOCK != 0 {
 		t.Fatalf("asking for the descriptor has not made the socket block: flags %#x, error %v", flags, err)
 	}
@@ -260,13 +260,13 @@
 			_ = conn.Close()
 		}
 	}
-	defer dial() // so that nothing waits on, even if it did not leave
+	defer dial() // unblocks the process even if it did not end
 	dial()
 	waits := regexp.MustCompile(`(?m)^goroutine \d+ \[syscall[^\n]*\n([^\n]+\n)*?[^\n]*drainListener\)\.Accept`)
 	stacks := make([]byte, 1<<20)
 	for end := time.Now().Add(patience); !waits.Match(stacks[:runtime.Stack(stacks, true)]); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatal("nobody waits in the kernel")
+			t.Fatal("no goroutine is blocked in accept(2)")
 		}
 	}
 	prog.stop()
@@ -275,8 +275,8 @@
 	}
 }
 
-// TestShutdownClosesIdle has connections idle, or wait in the middle of a head, while a process leaves: the one in the
-// middle is served, the others end.
+// TestShutdownClosesIdle has connections be idle, or in the middle of a head, while a process shuts
+// down: the request in the middle is served, the other connections are closed.
 func TestShutdownClosesIdle(t *testing.T) {
 	b := startBackend(t, say(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
@@ -298,7 +298,7 @@
 	if _, err := io.WriteString(slow, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Prio"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(100 * time.Millisecond) // it is read by then; if not, the test sees less
+	time.Sleep(100 * time.Millisecond) // it is read by then; if not, the test covers less
 	ended := make(chan bool)
 	go func() { old.shutDown(); close(ended) }()
 	for _, c := range []net.Conn{silent, idle} {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -21,7 +21,7 @@
 	return l
 }
 
-// to is an upstream that knows the backends.
+// to returns an upstream that knows the backends.
 func to(t *testing.T, backends ...*backend) *upstream {
 	u := newUpstream(patience, patience, defaultSockets, newCounts(nil), newByteBudget(budgetOf(defaultMemoryMB)))
 	u.update(list(t, serving(1, backends...)))
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestEndlessRefusals has answers other than 200 whose bodies never end: what their headers say counts at once.
+// TestEndlessRefusals has answers other than 200 whose bodies never end: the outcome is determined by
+// their headers without waiting.
 func TestEndlessRefusals(t *testing.T) {
 	for text, want := range map[string]balance.Outcome{
 		"503 X\r\nX-Not-Processed: 1\r\nContent-Length: 10\r\n\r\nhalf": balance.Saturated,
@@ -130,7 +131,7 @@
 	}
 }
 
-// endable is a context whose deadline comes when the test says.
+// endable is a context whose deadline is triggered by the test.
 type endable struct {
 	context.Context
 	done chan struct{}
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestStaleConnection has a server answer once and then reset the connection on the next request. The transport
-// would send GETs and keyed requests again by itself.
+// TestStaleConnection has a server answer once and then reset the connection on the next request. By
+// itself, the transport would resend GETs and requests with a key.
 func TestStaleConnection(t *testing.T) {
 	for _, sent := range []*message{get(), post(""), post("k")} {
 		first := true
@@ -254,8 +255,8 @@
 	ask()
 }
 
-// TestOneBrokenConnection has attempts fail on one connection while another idles whose server is there: that one is
-// used again.
+// TestOneBrokenConnection has attempts fail on one connection while another connection to a healthy
+// server is idle: the idle one is used again.
 func TestOneBrokenConnection(t *testing.T) {
 	half := func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
@@ -266,7 +267,7 @@
 		t.Run(name, func(t *testing.T) {
 			type exchange struct {
 				conn  net.Conn
-				sound chan bool // whether it is answered
+				sound chan bool // whether the request is answered
 			}
 			came := make(chan exchange, 10)
 			b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
@@ -302,7 +303,7 @@
 			within(t, ended, "end")
 			next := ask()
 			if next.conn == bad.conn || next.conn != first.conn && next.conn != second.conn {
-				t.Error("a sound connection was closed")
+				t.Error("a healthy connection was closed")
 			}
 			next.sound <- true
 			within(t, ended, "end")
@@ -310,7 +311,7 @@
 	}
 }
 
-// TestVanishedMachine has one attempt fail while another connection idles: that one must not get a request.
+// TestVanishedMachine has one attempt fail while another connection is idle: the idle one must not get a request.
 func TestVanishedMachine(t *testing.T) {
 	for _, timeout := range []bool{true, false} {
 		conns := make(chan net.Conn, 10)
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// TestWatch follows the list through a drain, a bad line and a break.
+// TestWatch follows the list through a drain, an invalid line and a broken connection.
 func TestWatch(t *testing.T) {
 	kept, drained := startBackend(t, say(200, "", "kept")), startBackend(t, say(200, "", "drained"))
 	source := startRegistry(t)
 	prog := start(t, configText(source.address, serving(41, drained), testSettings))
 	first := within(t, source.watches, "watch")
-	if first.query != "watch=1" { // what was known may be old
+	if first.query != "watch=1" { // the list known before may be old
 		t.Errorf("query %q", first.query)
 	}
 	first.lines <- serving(41, drained)
@@ -41,7 +41,7 @@
 	until("kept")
 	for range 20 {
 		if g := prog.ask("pay"); g.body != "kept" {
-			t.Fatalf("a request went to a server that drains: %+v", g)
+			t.Fatalf("a request went to a draining server: %+v", g)
 		}
 	}
 	first.lines <- `{"rev":43,"targets":[{"uid":"s-1","endpoint":"nowhere","state":"SERVING"}]}`
@@ -50,19 +50,19 @@
 		t.Errorf("query %q after a bad line", second.query)
 	}
 	if g := prog.ask("pay"); g.body != "kept" {
-		t.Errorf("a bad line cost the list: %+v", g)
+		t.Errorf("the list was lost by an invalid line: %+v", g)
 	}
 	close(second.lines)
 	third := within(t, source.watches, "watch after a break")
 	if g := prog.ask("pay"); g.body != "kept" {
-		t.Errorf("a break cost the list: %+v", g)
+		t.Errorf("the list was lost by a broken connection: %+v", g)
 	}
 	third.lines <- listText(44, true, entry("s-0", drained.address, "SERVING", 0))
 	until("drained")
 }
 
-// TestReload has discovery move, twice, while the old address falls silent: the new ones are asked for the whole list,
-// and a configuration that cannot be read changes nothing.
+// TestReload has discovery move, twice, while the old address stops answering: the new ones are asked
+// for the complete list, and a configuration that cannot be read changes nothing.
 func TestReload(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
@@ -88,7 +88,7 @@
 			w.lines <- serving(7, second)
 			for end := time.Now().Add(patience); prog.ask("pay").body != "second"; {
 				if time.Now().After(end) {
-					t.Fatal("the list of the new address does not count")
+					t.Fatal("the list of the new address was not applied")
 				}
 			}
 			close(w.lines)
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestDiscoveryAt has the configuration file be replaced: the environment says where discovery was before that.
+// TestDiscoveryAt has the configuration file be replaced: the environment still has the address from before that.
 func TestDiscoveryAt(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(key string) string {
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestWatchesReopenApart spreads sidecars whose watches ended together.
+// TestWatchesReopenApart checks that sidecars whose watches end at the same time reopen them spread out.
 func TestWatchesReopenApart(t *testing.T) {
 	for pause := minBackoff; pause <= maxBackoff; pause *= 2 {
 		quarters := [4]int{}
@@ -159,13 +159,13 @@
 	}
 }
 
-// TestWarmingUpServer has a sidecar start beside a server that started just before it.
+// TestWarmingUpServer starts a sidecar just after a server has started.
 func TestWarmingUpServer(t *testing.T) {
 	config, err := load(t, configText("127.0.0.1:9", "", testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	config.Settings.SubscribeToDiscovery = true // and so no watch in this test
+	config.Settings.SubscribeToDiscovery = true // so that no watch is opened in this test
 	booted := time.Now().Add(-3 * time.Second)
 	for _, test := range []struct {
 		boot time.Time
