--- a/internal/sidecar/answer_test.go
+++ b/internal/sidecar/answer_test.go
@@ -12,7 +12,7 @@
 
 // TestEffects fails the first attempt of each class in each way, and checks whether the request is retried as the class allows.
 func TestEffects(t *testing.T) {
-	full := say(503, "X-Not-Processed: 1\r\n", "")
+	full := respondWith(503, "X-Not-Processed: 1\r\n", "")
 	for _, test := range []struct {
 		name     string
 		class    string
@@ -20,14 +20,14 @@
 		status   int
 		attempts int
 	}{
-		{"safe after an error", "read", say(500, "", ""), 200, 2},
-		{"safe after a reset", "read", hangUp, 200, 2},
+		{"safe after an error", "read", respondWith(500, "", ""), 200, 2},
+		{"safe after a reset", "read", resetConnection, 200, 2},
 		{"safe, turned away", "read", full, 200, 2},
-		{"keyed after an error", "book", say(500, "", ""), 200, 2},
-		{"keyed after a reset", "book", hangUp, 200, 2},
+		{"keyed after an error", "book", respondWith(500, "", ""), 200, 2},
+		{"keyed after a reset", "book", resetConnection, 200, 2},
 		{"keyed, turned away", "book", full, 200, 2},
-		{"unsafe after an error", "pay", say(500, "", ""), 502, 1},
-		{"unsafe after a reset", "pay", hangUp, 502, 1},
+		{"unsafe after an error", "pay", respondWith(500, "", ""), 502, 1},
+		{"unsafe after a reset", "pay", resetConnection, 502, 1},
 		{"unsafe, turned away", "pay", full, 200, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				case <-faults:
 					return test.fault(c, r, body)
 				default:
-					return say(200, "", "done")(c, r, body)
+					return respondWith(200, "", "done")(c, r, body)
 				}
 			}
 			p := start(t, configText(startRegistry(t).address, serving(1, startBackend(t, do), startBackend(t, do)), testSettings))
@@ -66,9 +66,9 @@
 func TestBlamedRequests(t *testing.T) {
 	do := func(c net.Conn, r *http.Request, body []byte) bool {
 		if r.Header.Get("X-Request-ID") == "unheard-of" {
-			return say(400, "", "who?")(c, r, body)
+			return respondWith(400, "", "who?")(c, r, body)
 		}
-		return say(200, "", "ok")(c, r, body)
+		return respondWith(200, "", "ok")(c, r, body)
 	}
 	backends := []*backend{startBackend(t, do), startBackend(t, do), startBackend(t, do), startBackend(t, do)}
 	log := &logText{}
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	prog := startLogging(t, c, log, drainTimes{quietTime: time.Millisecond, finish: patience})
+	prog := startLogging(t, c, log, drainTimes{quietTime: time.Millisecond, finish: testTimeout})
 	const bad = 20
 	for range bad {
 		r := prog.request(context.Background(), "read", "50000")
@@ -122,9 +122,9 @@
 	})
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan gotten, 1)
+	ended := make(chan clientAnswer, 1)
 	go func() { ended <- p.do(p.request(ctx, "read", "50000")) }()
-	within(t, b.came, "attempt")
+	within(t, b.received, "attempt")
 	cancel()
 	within(t, ended, "end")
 	within(t, closed, "end of the attempt")
--- a/internal/sidecar/answerstream.go
+++ b/internal/sidecar/answerstream.go
@@ -11,14 +11,14 @@
 
 const (
 	chunkBytes   = 16 << 10               // size of the buffer for reading and copying bodies
-	holdTime     = 100 * time.Millisecond // an answer of unknown length is buffered for so long after its head, in case it ends by then
+	bufferTime   = 100 * time.Millisecond // an answer of unknown length is buffered for so long after its head, in case it ends by then
 	stallTimeout = 10 * time.Second       // a peer that reads or sends nothing for so long is given up
 )
 
 var (
-	errTooLong    = errors.New("longer than can be held")
-	errIncomplete = errors.New("the server did not give all of it")
-	errClientGone = errors.New("the client does not take it")
+	errAnswerTooLong = errors.New("longer than can be held")
+	errIncomplete    = errors.New("the server did not give all of it")
+	errClientGone    = errors.New("the client does not take it")
 )
 
 var chunks = sync.Pool{New: func() any { return new([chunkBytes]byte) }}
@@ -29,14 +29,14 @@
 	used  atomic.Int64
 }
 
-func newByteBudget(most int64) *byteBudget {
+func newByteBudget(limit int64) *byteBudget {
 	b := &byteBudget{}
-	b.limit.Store(most)
+	b.limit.Store(limit)
 	return b
 }
 
-// budgetOf returns the buffer budget for a memory limit: a quarter of it.
-func budgetOf(memoryMB int) int64 { return int64(memoryMB) << 20 / 4 }
+// bufferBudget returns the buffer budget for a memory limit: a quarter of it.
+func bufferBudget(memoryMB int) int64 { return int64(memoryMB) << 20 / 4 }
 
 // reserve reserves n more bytes. It reports false, and reserves nothing, if that would exceed the limit.
 func (b *byteBudget) reserve(n int) bool {
@@ -59,7 +59,7 @@
 	stop        func()              // cancels the attempt
 
 	mu         sync.Mutex
-	moved      sync.Cond
+	changed    sync.Cond
 	pending    []byte // received, but not yet passed to the client
 	reserved   int    // bytes reserved in budget
 	started    bool
@@ -69,12 +69,12 @@
 	stallTimer *time.Timer // once started: runs while the server's next bytes are awaited
 }
 
-func newAnswerStream(length int64, ctype string, room *byteBudget, begin func(*answerStream)) *answerStream {
-	f := &answerStream{length: length, contentType: ctype, budget: room, begin: begin}
+func newAnswerStream(length int64, ctype string, budget *byteBudget, begin func(*answerStream)) *answerStream {
+	f := &answerStream{length: length, contentType: ctype, budget: budget, begin: begin}
 	if 0 < length && length <= maxBufferedBytes {
 		f.pending = make([]byte, 0, length)
 	}
-	f.moved.L = &f.mu
+	f.changed.L = &f.mu
 	return f
 }
 
@@ -97,8 +97,8 @@
 	if f.begin != nil && f.length > maxBufferedBytes {
 		f.start()
 	} else if f.begin != nil && f.length < 0 {
-		hold := time.AfterFunc(holdTime, f.start)
-		defer hold.Stop()
+		timer := time.AfterFunc(bufferTime, f.start)
+		defer timer.Stop()
 	}
 	chunk := chunks.Get().(*[chunkBytes]byte)
 	defer chunks.Put(chunk)
@@ -106,7 +106,7 @@
 		n, err := body.Read(chunk[:])
 		if n > 0 && !f.add(chunk[:n]) {
 			if f.begin == nil {
-				return nil, errTooLong
+				return nil, errAnswerTooLong
 			}
 			f.start()
 			f.add(chunk[:n])
@@ -131,14 +131,14 @@
 	if f.started {
 		f.stallTimer.Stop() // the wait below is for the client, not for the server
 		for !f.abandoned && len(f.pending) > 0 {
-			f.moved.Wait()
+			f.changed.Wait()
 		}
 		f.stallTimer.Reset(stallTimeout)
 	}
 	if !f.abandoned {
 		f.pending = append(f.pending, chunk...)
 	}
-	f.moved.Broadcast()
+	f.changed.Broadcast()
 	return true
 }
 
@@ -154,9 +154,9 @@
 		return f.pending, f.err
 	}
 	f.stallTimer.Stop()
-	f.moved.Broadcast()
+	f.changed.Broadcast()
 	for !f.abandoned {
-		f.moved.Wait()
+		f.changed.Wait()
 	}
 	return nil, f.err
 }
@@ -174,7 +174,7 @@
 	f.mu.Lock()
 	early := !f.ended || len(f.pending) > 0
 	f.abandoned = true
-	f.moved.Broadcast()
+	f.changed.Broadcast()
 	f.mu.Unlock()
 	if early {
 		f.stop()
@@ -187,7 +187,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for len(f.pending) == 0 && !f.ended && !f.abandoned {
-		f.moved.Wait()
+		f.changed.Wait()
 	}
 	switch {
 	case f.abandoned:
@@ -201,7 +201,7 @@
 	if cap(last) > 2*chunkBytes {
 		f.pending = nil
 	}
-	f.moved.Broadcast()
+	f.changed.Broadcast()
 	return p, !f.ended, nil
 }
 
--- a/internal/sidecar/answerstream_test.go
+++ b/internal/sidecar/answerstream_test.go
@@ -16,7 +16,7 @@
 )
 
 // long is a text that is too long to be buffered.
-var long = strings.Repeat("0123456789abcdef", 3*maxBufferedBytes/16)
+var longText = strings.Repeat("0123456789abcdef", 3*maxBufferedBytes/16)
 
 // forms are the ways to frame a body: the head, a piece of the body, and the end.
 var forms = map[string]struct {
@@ -24,7 +24,7 @@
 	piece func(string) string
 	end   string
 }{
-	"length": {fmt.Sprintf("Content-Length: %d\r\n\r\n", len(long)), func(s string) string { return s }, ""},
+	"length": {fmt.Sprintf("Content-Length: %d\r\n\r\n", len(longText)), func(s string) string { return s }, ""},
 	"chunks": {"Transfer-Encoding: chunked\r\n\r\n", func(s string) string { return fmt.Sprintf("%x;a=b\r\n%s\r\n", len(s), s) }, "0\r\nA: b\r\n\r\n"},
 	"close":  {"Connection: close\r\n\r\n", func(s string) string { return s }, ""},
 }
@@ -35,9 +35,9 @@
 		t.Run(name, func(t *testing.T) {
 			gate := make(chan bool)
 			b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-				_, _ = fmt.Fprint(c, "HTTP/1.1 103 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Type: video/x\r\n"+form.head+form.piece(long[:100]))
+				_, _ = fmt.Fprint(c, "HTTP/1.1 103 X\r\n\r\nHTTP/1.1 200 X\r\nContent-Type: video/x\r\n"+form.head+form.piece(longText[:100]))
 				<-gate
-				_, _ = fmt.Fprint(c, form.piece(long[100:])+form.end)
+				_, _ = fmt.Fprint(c, form.piece(longText[100:])+form.end)
 				return name != "close"
 			})
 			p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
@@ -52,8 +52,8 @@
 			}
 			close(gate)
 			rest, err := io.ReadAll(resp.Body)
-			if err != nil || string(first)+string(rest) != long {
-				t.Errorf("%d bytes came of %d, error %v", len(first)+len(rest), len(long), err)
+			if err != nil || string(first)+string(rest) != longText {
+				t.Errorf("%d bytes came of %d, error %v", len(first)+len(rest), len(longText), err)
 			}
 			if resp.StatusCode != http.StatusOK || resp.Header.Get("Content-Type") != "video/x" || resp.Close {
 				t.Errorf("answer %+v", resp)
@@ -95,7 +95,7 @@
 		return
 	}
 	complete <- string(begin) + string(rest)
-	say(200, "", "ok")(conn, r, nil)
+	respondWith(200, "", "ok")(conn, r, nil)
 }
 
 // TestBrokenAnswer has the server break off a long answer in each form: the client can detect it, and the request is not retried.
@@ -107,10 +107,10 @@
 		for _, proto := range []string{"1.0", "1.1"} {
 			t.Run(name+" "+proto, func(t *testing.T) {
 				b := startBackend(t, func(c net.Conn, _ *http.Request, _ []byte) bool {
-					_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(long[:2*maxBufferedBytes]))
+					_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\n"+form.head+form.piece(longText[:2*maxBufferedBytes]))
 					return false
 				})
-				p, call := operator(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
+				p, call := startWithControl(t, configText(startRegistry(t).address, serving(1, b, b), testSettings))
 				conn := dial(t, p.address)
 				_, _ = fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 50000\r\n\r\n", proto)
 				if readsAnswer(conn) {
@@ -189,7 +189,7 @@
 func TestClientLeavesFlow(t *testing.T) {
 	ended := make(chan bool, 1)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nbegin", len(long))
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\nbegin", len(longText))
 		neverAnswer(c, r, body)
 		ended <- true
 		return false
@@ -222,11 +222,11 @@
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusContinue { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				t.Fatal(resp, err)
 			}
-			_, _ = fmt.Fprint(conn, form.piece(long[:2*maxBufferedBytes]))
+			_, _ = fmt.Fprint(conn, form.piece(longText[:2*maxBufferedBytes]))
 			within(t, first, "first bytes")
-			_, _ = fmt.Fprint(conn, form.piece(long[2*maxBufferedBytes:])+form.end)
-			if got := within(t, whole, "body"); got != long {
-				t.Errorf("%d bytes came of %d", len(got), len(long))
+			_, _ = fmt.Fprint(conn, form.piece(longText[2*maxBufferedBytes:])+form.end)
+			if got := within(t, whole, "body"); got != longText {
+				t.Errorf("%d bytes came of %d", len(got), len(longText))
 			}
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusOK || resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 				t.Errorf("answer %+v, error %v", resp, err)
@@ -260,7 +260,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\nContent-Length: %d\r\n\r\n", 1<<20)
-	_, _ = fmt.Fprint(conn, long)
+	_, _ = fmt.Fprint(conn, longText)
 	go func() {
 		for {
 			if _, err := io.WriteString(conn, "more"); err != nil {
@@ -281,7 +281,7 @@
 // TestSlowBody has one client send a long body for longer than any limit on silence, and another client stop in the middle of it.
 func TestSlowBody(t *testing.T) {
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
-		return say(200, "", fmt.Sprint(len(body)))(c, r, body)
+		return respondWith(200, "", fmt.Sprint(len(body)))(c, r, body)
 	})
 	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	const piece, pieces = 16 << 10, 16
@@ -295,7 +295,7 @@
 		defer func() { _ = c.Close() }()
 		_, _ = fmt.Fprint(c, head)
 		for range pieces {
-			if _, err := io.WriteString(c, long[:piece]); err != nil {
+			if _, err := io.WriteString(c, longText[:piece]); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -316,7 +316,7 @@
 		}
 		defer func() { _ = c.Close() }()
 		began := time.Now()
-		_, _ = fmt.Fprint(c, head+long[:6*piece])
+		_, _ = fmt.Fprint(c, head+longText[:6*piece])
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil) //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		if took := time.Since(began); took > maxResponseTime {
 			t.Errorf("it took %v", took)
@@ -332,7 +332,7 @@
 	var whole atomic.Int64
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		whole.Add(1)
-		return say(200, "", "ok")(c, r, body)
+		return respondWith(200, "", "ok")(c, r, body)
 	})
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	r := p.request(context.Background(), "pay", "50000")
--- a/internal/sidecar/connlimiter.go
+++ b/internal/sidecar/connlimiter.go
@@ -47,12 +47,12 @@
 // process may admit is less than it has on a busy day, and new connections would be rejected until the other process has
 // ended. So the two together may admit somewhat more than one alone, and idle connections are closed sooner.
 func (w *connLimiter) resize(sockets int, shared bool) {
-	some, most := sockets/2, sockets/2+sockets/12
+	idleThreshold, maxConns := sockets/2, sockets/2+sockets/12
 	if shared {
-		some, most = sockets/4, sockets/2-sockets/12
+		idleThreshold, maxConns = sockets/4, sockets/2-sockets/12
 	}
-	w.idleThreshold.Store(int64(some))
-	w.maxConns.Store(int64(most))
+	w.idleThreshold.Store(int64(idleThreshold))
+	w.maxConns.Store(int64(maxConns))
 }
 
 // isOverloaded reports whether clients should close their connections.
@@ -97,14 +97,14 @@
 	defer w.mu.Unlock()
 	for conn, state := range w.conns {
 		isWaiting := state.state == http.StateIdle || state.state == http.StateNew
-		if isWaiting && now.Sub(state.since) > shutdownIdleTime && !hasBegun(conn) {
+		if isWaiting && now.Sub(state.since) > shutdownIdleTime && !requestBegun(conn) {
 			w.close(conn)
 		}
 	}
 }
 
-// hasBegun reports whether part of a request has been read from a connection.
-func hasBegun(c net.Conn) bool {
+// requestBegun reports whether part of a request has been read from a connection.
+func requestBegun(c net.Conn) bool {
 	f, ok := c.(*framing.ClientConn)
 	return ok && f.MidRequest()
 }
--- a/internal/sidecar/connlimiter_test.go
+++ b/internal/sidecar/connlimiter_test.go
@@ -12,25 +12,25 @@
 )
 
 // closer is a connection that records whether it was closed.
-type closer struct {
+type fakeConn struct {
 	net.Conn
 	closed bool
 }
 
 // Close implements net.Conn.
-func (c *closer) Close() error {
+func (c *fakeConn) Close() error {
 	c.closed = true
 	return nil
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *closer) SetReadDeadline(t time.Time) error {
+func (c *fakeConn) SetReadDeadline(t time.Time) error {
 	c.closed = c.closed || t.Before(time.Now())
 	return nil
 }
 
 // age makes the limiter treat some connections as having been in their state for longer.
-func (w *connLimiter) age(by time.Duration, conns ...*closer) {
+func (w *connLimiter) age(by time.Duration, conns ...*fakeConn) {
 	for _, c := range conns {
 		s := w.conns[c]
 		s.since = s.since.Add(-by)
@@ -42,9 +42,9 @@
 // clients of busy connections are not asked to close theirs.
 func TestHoardedConns(t *testing.T) {
 	w := newConnLimiter(48) // idleThreshold 24, maxConns 28
-	var idle, busy []*closer
+	var idle, busy []*fakeConn
 	for i := range 24 {
-		c := &closer{}
+		c := &fakeConn{}
 		w.observeState(c, http.StateNew)
 		w.observeState(c, http.StateActive)
 		if i%2 == 0 {
@@ -56,11 +56,11 @@
 	}
 	w.age(time.Minute, idle[3])
 	w.age(minIdleTime+time.Second, idle[4])
-	for i, want := range []*closer{idle[3], idle[4], nil} {
+	for i, want := range []*fakeConn{idle[3], idle[4], nil} {
 		if w.isOverloaded() {
 			t.Fatalf("overloaded with %d connections", w.count.Load())
 		}
-		w.observeState(&closer{}, http.StateNew)
+		w.observeState(&fakeConn{}, http.StateNew)
 		for j, c := range append(idle, busy...) {
 			if c.closed != (c == want || c == idle[3] || i > 0 && c == idle[4]) {
 				t.Errorf("after %d more: connection %d closed: %v", i+1, j, c.closed)
@@ -76,15 +76,15 @@
 // closed first; after that no new connection is admitted.
 func TestMaxConns(t *testing.T) {
 	w := newConnLimiter(48)
-	silent := &closer{}
+	silent := &fakeConn{}
 	w.observeState(silent, http.StateNew)
 	w.age(minIdleTime, silent)
 	for range 27 {
-		c := &closer{}
+		c := &fakeConn{}
 		w.observeState(c, http.StateNew)
 		w.observeState(c, http.StateActive)
 	}
-	next, last := &closer{}, &closer{}
+	next, last := &fakeConn{}, &fakeConn{}
 	w.observeState(next, http.StateNew)
 	if !silent.closed || next.closed {
 		t.Errorf("silent one closed: %v, newcomer: %v", silent.closed, next.closed)
@@ -101,7 +101,7 @@
 
 // TestHoardOnSockets has a peer's idle connections be closed in favour of a client, which is not asked to close its own.
 func TestHoardOnSockets(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	config := strings.Replace(configText(startRegistry(t).address, serving(1, b), testSettings), `"sockets":1024`, `"sockets":64`, 1)
 	prog := start(t, config)
 	ends := make(chan error, 40)
@@ -139,9 +139,9 @@
 	settings := strings.Replace(testSettings, `"most_held":20000`, `"most_held":1`, 1)
 	p := start(t, configText(startRegistry(t).address, serving(1, b), settings))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan gotten, 1)
+	ended := make(chan clientAnswer, 1)
 	go func() { ended <- p.do(p.request(ctx, "pay", "50000")) }()
-	within(t, b.came, "attempt")
+	within(t, b.received, "attempt")
 	if g := p.ask("pay"); g.status != 503 || b.count() != 0 {
 		t.Errorf("status %d, %d attempts", g.status, b.count())
 	}
@@ -151,7 +151,7 @@
 
 // TestOverloadAsksToClose has clients hold more connections than the descriptor limit allows: they are asked to close them.
 func TestOverloadAsksToClose(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	config := strings.Replace(configText(startRegistry(t).address, serving(1, b), testSettings), `"sockets":1024`, `"sockets":64`, 1)
 	p := start(t, config)
 	if g := p.ask("pay"); g.status != 200 || g.closing {
@@ -164,7 +164,7 @@
 		}
 		defer func() { _ = c.Close() }()
 	}
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		if g := p.ask("pay"); g.closing {
 			break
 		}
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -77,10 +77,10 @@
 }
 
 // evict closes the oldest connections until at most most are left.
-func (c *control) evict(most int) {
+func (c *control) evict(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.callers) > most {
+	for len(c.callers) > limit {
 		_ = c.callers[0].Close()
 		c.callers = c.callers[1:]
 	}
@@ -187,14 +187,14 @@
 		return fmt.Sprintf("fail no server %.64q is known\n", id)
 	}
 	s.host.log.Info("by hand", "id", id, "out", out)
-	kept := s.host.handover.set(id, out)
+	storeErr := s.host.handover.set(id, out)
 	if !s.host.ask(s.host.applyOutOfService) {
 		return "fail shutting down\n"
 	}
 	switch {
-	case kept != nil:
-		s.host.log.Warn("handover: cannot write the file", "err", kept)
-		return fmt.Sprintf("fail done in this process, but the next will not know: %.200s\n", strings.ReplaceAll(kept.Error(), "\n", "; "))
+	case storeErr != nil:
+		s.host.log.Warn("handover: cannot write the file", "err", storeErr)
+		return fmt.Sprintf("fail done in this process, but the next will not know: %.200s\n", strings.ReplaceAll(storeErr.Error(), "\n", "; "))
 	case out:
 		return fmt.Sprintf("ok %s is out\n", id)
 	}
--- a/internal/sidecar/control_test.go
+++ b/internal/sidecar/control_test.go
@@ -27,14 +27,14 @@
 }
 
 // operator starts a sidecar with a control address, and returns it with a function that sends it commands.
-func operator(t *testing.T, config string) (*program, func(line string) string) {
+func startWithControl(t *testing.T, config string) (*program, func(line string) string) {
 	t.Helper()
 	at := freeAddress(t)
 	c, err := load(t, config, "PROXY_CONTROL="+at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, io.Discard, drainTimes{quietTime: time.Millisecond, finish: patience})
+	p := startLogging(t, c, io.Discard, drainTimes{quietTime: time.Millisecond, finish: testTimeout})
 	return p, func(line string) string { return dialControl(t, at, line+"\n") }
 }
 
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(c, text); err != nil {
@@ -60,7 +60,7 @@
 }
 
 func TestControlLines(t *testing.T) {
-	_, call := operator(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
+	_, call := startWithControl(t, configText(startRegistry(t).address, serving(1, startBackend(t, respondWith(200, "", "ok"))), testSettings))
 	for line, want := range map[string]string{
 		"PING":                     "ok ",
 		" PING \r":                 "ok ",
@@ -80,12 +80,12 @@
 
 func TestPingBeforeReady(t *testing.T) {
 	d := startRegistry(t)
-	_, call := operator(t, configText(d.address, "", testSettings))
+	_, call := startWithControl(t, configText(d.address, "", testSettings))
 	if answer := call("PING"); !strings.HasPrefix(answer, "fail ") {
 		t.Errorf("answer %q before any list arrived", answer)
 	}
-	within(t, d.watches, "watch").lines <- serving(1, startBackend(t, say(200, "", "ok")))
-	for end := time.Now().Add(patience); !strings.HasPrefix(call("PING"), "ok "); {
+	within(t, d.watches, "watch").lines <- serving(1, startBackend(t, respondWith(200, "", "ok")))
+	for end := time.Now().Add(testTimeout); !strings.HasPrefix(call("PING"), "ok "); {
 		if time.Now().After(end) {
 			t.Fatal("the sidecar did not become ready")
 		}
@@ -97,7 +97,7 @@
 func TestIdleCallers(t *testing.T) {
 	listener := listen(t)
 	c := newControl(slog.New(slog.DiscardHandler), func(call []string) string { return "ok " + call[0] + "\n" })
-	c.timeout = patience
+	c.timeout = testTimeout
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan bool)
 	go func() { c.serve(ctx, listener); close(ended) }()
--- a/internal/sidecar/counts.go
+++ b/internal/sidecar/counts.go
@@ -66,11 +66,11 @@
 	if reused {
 		n.reused.Add(1)
 	}
-	raise(&n.slowest, int64(after))
+	storeMax(&n.slowest, int64(after))
 }
 
 // raise raises a maximum to value if value is above it.
-func raise(maximum *atomic.Int64, value int64) {
+func storeMax(maximum *atomic.Int64, value int64) {
 	for {
 		old := maximum.Load()
 		if value <= old || maximum.CompareAndSwap(old, value) {
@@ -153,7 +153,7 @@
 		fmt.Fprintf(&text, "svc.%s:%d|g\n", f.name, f.value)
 	}
 	s.membersInfo(&text)
-	s.heavyInfo(&text)
+	s.hittersInfo(&text)
 	s.routesInfo(&text)
 	text.WriteString("eof\n")
 	return text.String()
--- a/internal/sidecar/counts_test.go
+++ b/internal/sidecar/counts_test.go
@@ -51,17 +51,17 @@
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		switch r.Header.Get("X-Request-ID") {
 		case "error":
-			return say(500, "", "")(c, r, body)
+			return respondWith(500, "", "")(c, r, body)
 		case "full":
-			return say(503, "X-Not-Processed: 1\r\n", "")(c, r, body)
+			return respondWith(503, "X-Not-Processed: 1\r\n", "")(c, r, body)
 		case "silent":
 			return neverAnswer(c, r, body)
 		}
-		return say(200, "", "ok")(c, r, body)
+		return respondWith(200, "", "ok")(c, r, body)
 	})
-	gone := startBackend(t, hangUp)
+	gone := startBackend(t, resetConnection)
 	list := listText(1, true, entry("s-0", b.address, "SERVING", 0), entry("s-1", gone.address, "DRAINING", 0))
-	prog, call := operator(t, configText(startRegistry(t).address, list, testSettings))
+	prog, call := startWithControl(t, configText(startRegistry(t).address, list, testSettings))
 	ask := func(class, id string, status int) {
 		t.Helper()
 		r := prog.request(context.Background(), class, "50000")
@@ -83,7 +83,7 @@
 		prog.do(r)
 	}()
 	for range 6 {
-		within(t, b.came, "request")
+		within(t, b.received, "request")
 	}
 	// The client may get its answer just before it is counted.
 	want := "svc.operations.read.fulfilled:2|c\nsvc.operations.read.throttled:0|c\nsvc.operations.read.faulted:0|c\nsvc.operations.read.relayed:2|c\n" +
@@ -91,7 +91,7 @@
 		"svc.operations.pay.fulfilled:1|c\nsvc.operations.pay.throttled:1|c\nsvc.operations.pay.faulted:1|c\nsvc.operations.pay.relayed:3|c\n" +
 		"svc.open_requests:1|g\nsvc.registry_entries:2|g\nsvc.out_of_rotation:%d|g\neof\n"
 	// Two failures take the only serving server out of rotation, but ejection is suspended when all servers are out.
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		text := call("INFO")
 		if text == fmt.Sprintf(want, 1) {
 			return
--- a/internal/sidecar/deadline_test.go
+++ b/internal/sidecar/deadline_test.go
@@ -22,7 +22,7 @@
 		if g.err != nil || g.status != test.status {
 			t.Errorf("%s: status %d, error %v, want %d", test.class, g.status, g.err, test.status)
 		}
-		within(t, b.came, "attempt")
+		within(t, b.received, "attempt")
 	}
 	if n := b.count(); n != 0 {
 		t.Errorf("%d unexpected attempts", n)
@@ -65,11 +65,11 @@
 func (s *testCall) begin() {
 	s.t.Helper()
 	s.host.beginCall(s.call)
-	within(s.t, s.server.came, "attempt")
+	within(s.t, s.server.received, "attempt")
 }
 
-// takeIn waits until an event is posted, and runs all that are queued.
-func (s *testCall) takeIn() {
+// processEvents waits until an event is posted, and runs all that are queued.
+func (s *testCall) processEvents() {
 	s.t.Helper()
 	within(s.t, s.host.wake, "event")
 	s.host.mu.Lock()
@@ -86,7 +86,7 @@
 	s.t.Helper()
 	s.attempts[0].cancel(context.DeadlineExceeded)
 	for s.inFlight > 0 {
-		s.takeIn()
+		s.processEvents()
 	}
 }
 
@@ -164,7 +164,7 @@
 		answers <- a
 	}()
 	for len(played.attempts) == 0 {
-		played.takeIn()
+		played.processEvents()
 	}
 	early := played.overdueTimer != nil
 	played.rest.err = io.EOF
@@ -172,7 +172,7 @@
 	if early {
 		t.Fatal("the call's timer was started before its body was complete")
 	}
-	within(t, played.server.came, "attempt")
+	within(t, played.server.received, "attempt")
 	played.host.bodyComplete(played.call)
 	played.passDeadline()
 	played.overdue()
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -55,7 +55,7 @@
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // saying answers a watch with pieces, a moment apart, and then sends nothing more.
-func saying(pieces ...string) func(io.Writer) {
+func sendPieces(pieces ...string) func(io.Writer) {
 	return func(out io.Writer) {
 		_, _ = io.WriteString(out, watchHead)
 		chunks := httputil.NewChunkedWriter(out)
@@ -69,7 +69,7 @@
 func unresponsive(io.Writer) {}
 
 // following returns a host that follows the list of an agent. It ends with the test's bubble.
-func following(t *testing.T, a *agent, mode string) *host {
+func startFollower(t *testing.T, a *agent, mode string) *host {
 	t.Helper()
 	config, err := load(t, configText("127.0.0.1:9", "", strings.Replace(testSettings, `"discovery":"pushed"`, `"discovery":"`+mode+`"`, 1)))
 	if err != nil {
@@ -99,7 +99,7 @@
 }
 
 // knows waits until a server is known, and returns how long that took; more than a minute means that it never was.
-func (h *host) knows(id string) time.Duration {
+func (h *host) timeUntilKnown(id string) time.Duration {
 	begun := time.Now()
 	for known := false; !known && time.Since(begun) <= time.Minute; time.Sleep(10 * time.Millisecond) {
 		h.ask(func() { known = h.balancer.Knows(id) })
@@ -122,22 +122,22 @@
 	update := listText(8, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
 	truncated := update[:len(update)/2]
 	for name, second := range map[string]func(io.Writer){
-		"answers":              saying(update),
+		"answers":              sendPieces(update),
 		"no headers":           unresponsive,
-		"no list":              saying(),
-		"half a list":          saying(truncated),
-		"a list without end":   saying(strings.Repeat(" ", 100), "{", "\n", " ", "\n", " ", "\n"),
+		"no list":              sendPieces(),
+		"half a list":          sendPieces(truncated),
+		"a list without end":   sendPieces(strings.Repeat(" ", 100), "{", "\n", " ", "\n", " ", "\n"),
 		"heartbeats, no list":  func(out io.Writer) { heartbeats(out) },
-		"a list that is wrong": saying("[]\n"),
+		"a list that is wrong": sendPieces("[]\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				a := &agent{answers: []func(io.Writer){saying(list, "\n"), second, saying(update)}}
-				h := following(t, a, "pushed")
-				if took := h.knows("s-0"); took > 100*time.Millisecond {
+				a := &agent{answers: []func(io.Writer){sendPieces(list, "\n"), second, sendPieces(update)}}
+				h := startFollower(t, a, "pushed")
+				if took := h.timeUntilKnown("s-0"); took > 100*time.Millisecond {
 					t.Errorf("a new process received the list after %v", took)
 				}
-				if took := h.knows("s-1"); took > publishedWithin-500*time.Millisecond {
+				if took := h.timeUntilKnown("s-1"); took > publishedWithin-500*time.Millisecond {
 					t.Errorf("received the update %v after the watch stopped", took)
 				}
 				a.mu.Lock()
@@ -152,7 +152,7 @@
 
 // heartbeats is the answer of an agent that has no list: empty lines only.
 func heartbeats(out io.Writer) {
-	saying()(out)
+	sendPieces()(out)
 	chunks := httputil.NewChunkedWriter(out)
 	for {
 		if _, err := chunks.Write([]byte("\n")); err != nil {
@@ -212,7 +212,7 @@
 	for cut := 1; cut < len(one); cut += 7 {
 		bubble.Test(t, func(t *testing.T) {
 			d := newDiscovery("127.0.0.1:9", time.Second, true)
-			d.client.DialContext = (&agent{answers: []func(io.Writer){saying(one[:cut], one[cut:]+two[:cut], two[cut:], "\n", three)}}).dial
+			d.client.DialContext = (&agent{answers: []func(io.Writer){sendPieces(one[:cut], one[cut:]+two[:cut], two[cut:], "\n", three)}}).dial
 			var got []string
 			err := d.watch(t.Context(), noVersion, time.Second, func(l List) { got = append(got, fmt.Sprint(l.Version, ids(l))) })
 			time.Sleep(time.Minute)
@@ -246,12 +246,12 @@
 // first request: its list must be known before it counts as known, 4 s after the signal.
 func TestMoves(t *testing.T) {
 	update := listText(3, true, entry("s-1", "127.0.0.1:1", "SERVING", 0))
-	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": saying(update)} {
+	for mode, first := range map[string]func(io.Writer){"pushed": unresponsive, "on_request": sendPieces(update)} {
 		t.Run(mode, func(t *testing.T) {
 			bubble.Test(t, func(t *testing.T) {
-				driver := following(t, &agent{answers: []func(io.Writer){saying(listText(9, true, entry("s-0", "127.0.0.1:1", "SERVING", 0)))}}, mode)
+				driver := startFollower(t, &agent{answers: []func(io.Writer){sendPieces(listText(9, true, entry("s-0", "127.0.0.1:1", "SERVING", 0)))}}, mode)
 				dial := driver.discovery.client.DialContext
-				next := &agent{answers: []func(io.Writer){first, saying(update)}}
+				next := &agent{answers: []func(io.Writer){first, sendPieces(update)}}
 				driver.discovery.client.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 					switch {
 					case address == "127.0.0.1:10":
@@ -261,14 +261,14 @@
 					}
 					return dial(ctx, network, address)
 				}
-				if took := driver.knows("s-0"); took > time.Minute {
+				if took := driver.timeUntilKnown("s-0"); took > time.Minute {
 					t.Fatal("the first list never arrived")
 				}
 				for range 10 { // the move may come at any time, between two requests or during one
 					time.Sleep(1730 * time.Millisecond)
 				}
 				driver.post(func() { driver.moveTo("127.0.0.1:10") })
-				if took := driver.knows("s-1"); took > 4*time.Second-500*time.Millisecond {
+				if took := driver.timeUntilKnown("s-1"); took > 4*time.Second-500*time.Millisecond {
 					t.Errorf("received the update %v after the move", took)
 				}
 			})
@@ -280,13 +280,13 @@
 // on, may go by the older list.
 func TestNewProcess(t *testing.T) {
 	d := startRegistry(t)
-	drained, kept := startBackend(t, say(200, "", "drained")), startBackend(t, say(200, "", "kept"))
+	drained, kept := startBackend(t, respondWith(200, "", "drained")), startBackend(t, respondWith(200, "", "kept"))
 	go func() {
 		w := <-d.watches
 		time.Sleep(100 * time.Millisecond) // a process that does not wait for the agent serves by now
 		w.lines <- listText(42, true, entry("s-0", drained.address, "DRAINING", 0), entry("s-1", kept.address, "SERVING", 0))
 	}()
-	p := startDraining(t, configText(d.address, serving(41, drained), testSettings), drainTimes{agent: patience, quietTime: time.Millisecond, finish: patience})
+	p := startDraining(t, configText(d.address, serving(41, drained), testSettings), drainTimes{agent: testTimeout, quietTime: time.Millisecond, finish: testTimeout})
 	for range 10 {
 		if g := p.ask("pay"); g.body != "kept" {
 			t.Fatalf("a request went to a server that is draining by the agent's list: %+v", g)
@@ -296,9 +296,9 @@
 
 // TestUnresponsiveAgent has an agent not answer a new process: after a while, the process serves with the list it knows.
 func TestUnresponsiveAgent(t *testing.T) {
-	known := startBackend(t, say(200, "", "known"))
+	known := startBackend(t, respondWith(200, "", "known"))
 	p := startDraining(t, configText(startRegistry(t).address, serving(41, known), testSettings),
-		drainTimes{agent: 10 * time.Millisecond, quietTime: time.Millisecond, finish: patience})
+		drainTimes{agent: 10 * time.Millisecond, quietTime: time.Millisecond, finish: testTimeout})
 	if g := p.ask("pay"); g.body != "known" {
 		t.Errorf("answer %+v", g)
 	}
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// dialAndSay connects and sends a text; reads from the connection time out.
-func dialAndSay(t *testing.T, address, text string) net.Conn {
+// dialAndSend connects and sends a text; reads from the connection time out.
+func dialAndSend(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	conn := dial(t, address)
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -43,9 +43,9 @@
 		if r.Header.Get("Idempotency-Key") != "" {
 			<-gate
 		}
-		return say(200, "", "ok")(c, r, body)
+		return respondWith(200, "", "ok")(c, r, body)
 	})
-	prog, call := operator(t, configText(startRegistry(t).address, serving(1, b), testSettings))
+	prog, call := startWithControl(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	health := func() int {
 		t.Helper()
 		return healthStatus(t, http.DefaultClient, prog.address)
@@ -53,14 +53,14 @@
 	if status := health(); status != 200 {
 		t.Fatalf("health %d at first", status)
 	}
-	silent, idle := dialAndSay(t, prog.address, ""), dialAndSay(t, prog.address, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+	silent, idle := dialAndSend(t, prog.address, ""), dialAndSend(t, prog.address, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	reader := bufio.NewReader(idle)
 	if resp, err := http.ReadResponse(reader, nil); err != nil || resp.Close { //nolint:bodyclose // the test closes the connection; to close the body would be to read it
 		t.Fatal(resp, err)
 	}
-	slow := make(chan gotten, 1)
+	slow := make(chan clientAnswer, 1)
 	go func() { slow <- prog.do(prog.request(context.Background(), "book", "50000")) }()
-	within(t, b.came, "attempt")
+	within(t, b.received, "attempt")
 	callTwice(t, call, "LAMEDUCK")
 	if status := health(); status != 503 {
 		t.Errorf("health %d while drained", status)
@@ -106,13 +106,13 @@
 		if r.Header.Get("Idempotency-Key") != "" {
 			<-gate
 		}
-		return say(200, "", "ok")(c, r, body)
+		return respondWith(200, "", "ok")(c, r, body)
 	})
 	prog := startDraining(t, configText(startRegistry(t).address, serving(1, b), testSettings),
-		drainTimes{accept: 4 * time.Second, quietTime: 10 * time.Millisecond, closeIdle: 2 * time.Second, finish: patience})
-	slow := make(chan gotten, 1)
+		drainTimes{accept: 4 * time.Second, quietTime: 10 * time.Millisecond, closeIdle: 2 * time.Second, finish: testTimeout})
+	slow := make(chan clientAnswer, 1)
 	go func() { slow <- prog.do(prog.request(context.Background(), "book", "50000")) }()
-	within(t, b.came, "attempt")
+	within(t, b.received, "attempt")
 	prog.stop()
 	for closing := false; !closing; {
 		g := prog.ask("pay")
@@ -134,7 +134,7 @@
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("answer %+v, error %v on a new connection", resp, err)
 	}
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 		if err != nil {
 			break
--- a/internal/sidecar/framing_test.go
+++ b/internal/sidecar/framing_test.go
@@ -14,7 +14,7 @@
 // TestAmbiguousFraming sends requests whose end can be read in two ways, with a second request inside
 // the body. Neither request may reach a server; the peer gets an error or a closed connection.
 func TestAmbiguousFraming(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	const common = "Host: x\r\nX-Request-ID: outer\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	inner := "POST /api HTTP/1.1\r\n" + strings.Replace(common, "outer", "inner", 1) + "Content-Length: 0\r\n\r\n"
@@ -64,8 +64,8 @@
 			if strings.Contains(string(text), "HTTP/1.1 200") || strings.Contains(string(text), "HTTP/1.0 200") {
 				t.Errorf("served: %q", text)
 			}
-			for len(b.came) > 0 {
-				t.Errorf("forwarded the request %q", (<-b.came).Header.Get("X-Request-ID"))
+			for len(b.received) > 0 {
+				t.Errorf("forwarded the request %q", (<-b.received).Header.Get("X-Request-ID"))
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 // TestPlainFraming sends requests with unambiguous framing, one byte at a time: all are served.
 func TestPlainFraming(t *testing.T) {
 	b := startBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
-		return say(200, "", r.Header.Get("X-Request-ID")+string(body))(conn, r, body)
+		return respondWith(200, "", r.Header.Get("X-Request-ID")+string(body))(conn, r, body)
 	})
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", p.address)
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	const common = " /api HTTP/1.1\r\nHost: x\r\nX-Timeout-Ms: 50000\r\n"
--- a/internal/sidecar/handover_test.go
+++ b/internal/sidecar/handover_test.go
@@ -15,8 +15,8 @@
 
 // TestOutOfServiceCalls takes a server out of service and puts it back by commands, each sent twice.
 func TestOutOfServiceCalls(t *testing.T) {
-	in, out := startBackend(t, say(200, "", "in")), startBackend(t, say(200, "", "out"))
-	prog, call := operator(t, configText(startRegistry(t).address, serving(1, in, out), testSettings))
+	in, out := startBackend(t, respondWith(200, "", "in")), startBackend(t, respondWith(200, "", "out"))
+	prog, call := startWithControl(t, configText(startRegistry(t).address, serving(1, in, out), testSettings))
 	for _, test := range []struct{ line, want string }{
 		{"DETACH", "fail "}, {"DETACH s-9", "fail "}, {"ATTACH s-9", "fail "}, {"DETACH s-1 s-0", "fail "},
 		{"ATTACH s-1", "ok "}, {"DETACH s-1", "ok "}, {"DETACH s-1", "ok "},
@@ -35,7 +35,7 @@
 			t.Errorf("%s is answered %q", line, answer)
 		}
 	}
-	for end := time.Now().Add(patience); prog.ask("pay").body != "out"; {
+	for end := time.Now().Add(testTimeout); prog.ask("pay").body != "out"; {
 		if time.Now().After(end) {
 			t.Fatal("a server that was put back is not used")
 		}
@@ -45,26 +45,26 @@
 // TestOutOfServiceOutlivesUpgrade takes a server out of service at one process: the next process knows it from
 // its start, a command to either process applies to both, and the end of the first process changes nothing.
 func TestOutOfServiceOutlivesUpgrade(t *testing.T) {
-	reader, out, both := startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok")), startBackend(t, say(200, "", "ok"))
+	reader, out, both := startBackend(t, respondWith(200, "", "ok")), startBackend(t, respondWith(200, "", "ok")), startBackend(t, respondWith(200, "", "ok"))
 	shared := startPlatform(t, configText(startRegistry(t).address, serving(1, reader, out, both), testSettings))
 	first := shared.start()
-	say := func(s *child, line string) {
+	send := func(s *child, line string) {
 		t.Helper()
 		if answer := s.call(line); !strings.HasPrefix(answer, "ok ") {
 			t.Fatalf("%s is answered %q", line, answer)
 		}
 	}
-	say(first, "DETACH s-1")
+	send(first, "DETACH s-1")
 	second := shared.start()
-	say(second, "DETACH s-0")
+	send(second, "DETACH s-0")
 	// Each process knows of both commands: an id that is out of service is known even if the list no longer contains it.
-	say(first, "ATTACH s-0")
+	send(first, "ATTACH s-0")
 	first.shutDown()
 	shared.askUntil(func() bool { return reader.count() > 0 })
 	if n := out.count(); n != 0 {
 		t.Errorf("%d requests went to the server that is out of service", n)
 	}
-	say(second, "ATTACH s-1")
+	send(second, "ATTACH s-1")
 	third := shared.start()
 	second.shutDown()
 	shared.askUntil(func() bool { return out.count() > 0 })
@@ -126,13 +126,13 @@
 
 // TestUnstoredCall has no shared directory: the command takes effect in this process, and the answer says that it was not stored.
 func TestUnstoredCall(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	at := freeAddress(t)
 	c, err := load(t, configText(startRegistry(t).address, serving(1, b), testSettings), "PROXY_CONTROL="+at, "TMPDIR=/nowhere/at/all")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startLogging(t, c, io.Discard, drainTimes{quietTime: time.Millisecond, finish: patience})
+	p := startLogging(t, c, io.Discard, drainTimes{quietTime: time.Millisecond, finish: testTimeout})
 	if answer := dialControl(t, at, "DETACH s-0\n"); !strings.HasPrefix(answer, "fail ") {
 		t.Errorf("answer %q", answer)
 	}
--- a/internal/sidecar/helpers_test.go
+++ b/internal/sidecar/helpers_test.go
@@ -19,23 +19,23 @@
 )
 
 // patience bounds how long a test waits for something that must happen. No check depends on a shorter time.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // within fails the test if nothing is received from c in time.
 func within[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
-		t.Fatalf("no %s within %v", what, patience)
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s within %v", what, testTimeout)
 	}
 	return v
 }
 
 // backend is a server that answers with a function, and reports each request that arrived completely.
 type backend struct {
-	address string
-	came    chan *http.Request
+	address  string
+	received chan *http.Request
 }
 
 func listen(t *testing.T) net.Listener {
@@ -53,7 +53,7 @@
 func startBackend(t *testing.T, do func(net.Conn, *http.Request, []byte) bool) *backend {
 	t.Helper()
 	l := listen(t)
-	b := &backend{address: l.Addr().String(), came: make(chan *http.Request, 1000)}
+	b := &backend{address: l.Addr().String(), received: make(chan *http.Request, 1000)}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -81,7 +81,7 @@
 			return
 		}
 		select {
-		case b.came <- r:
+		case b.received <- r:
 		default: // a test that sends this many does not check each one
 		}
 		if !answer(conn, r, body) {
@@ -102,15 +102,15 @@
 }
 
 // say returns a handler that answers with a status, a header line or "", and a body, and keeps the connection open.
-func say(status int, header, body string) func(net.Conn, *http.Request, []byte) bool {
+func respondWith(status int, header, body string) func(net.Conn, *http.Request, []byte) bool {
 	return func(c net.Conn, _ *http.Request, _ []byte) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 		return true
 	}
 }
 
-// hangUp resets the connection once a request has arrived.
-func hangUp(c net.Conn, _ *http.Request, _ []byte) bool {
+// resetConnection resets the connection once a request has arrived.
+func resetConnection(c net.Conn, _ *http.Request, _ []byte) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
@@ -271,7 +271,7 @@
 
 func start(t *testing.T, config string) *program {
 	t.Helper()
-	return startDraining(t, config, drainTimes{quietTime: time.Millisecond, finish: patience})
+	return startDraining(t, config, drainTimes{quietTime: time.Millisecond, finish: testTimeout})
 }
 
 func startDraining(t *testing.T, config string, times drainTimes) *program {
@@ -286,7 +286,7 @@
 // startLogging starts a sidecar whose log also goes to text.
 func startLogging(t *testing.T, c *Config, text io.Writer, times drainTimes) *program {
 	t.Helper()
-	c.agentFirstTimeout = patience
+	c.agentFirstTimeout = testTimeout
 	ctx, cancel := context.WithCancel(context.Background())
 	prog := &program{t: t, stop: cancel, ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}},
 		reload: make(chan os.Signal)}
@@ -314,7 +314,7 @@
 }
 
 // gotten is a final answer as the client receives it.
-type gotten struct {
+type clientAnswer struct {
 	status  int
 	body    string
 	closing bool // the sidecar asks to close the connection
@@ -344,17 +344,17 @@
 	return r
 }
 
-func (p *program) do(r *http.Request) gotten {
+func (p *program) do(r *http.Request) clientAnswer {
 	resp, err := p.client.Do(r)
 	if err != nil {
-		return gotten{err: err}
+		return clientAnswer{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return gotten{resp.StatusCode, string(body), resp.Close, err}
+	return clientAnswer{resp.StatusCode, string(body), resp.Close, err}
 }
 
-func (p *program) ask(class string) gotten {
+func (p *program) ask(class string) clientAnswer {
 	p.t.Helper()
 	g := p.do(p.request(context.Background(), class, "50000"))
 	if g.err != nil {
@@ -363,7 +363,7 @@
 	return g
 }
 
-func (b *backend) count() int { return len(b.came) }
+func (b *backend) count() int { return len(b.received) }
 
 // healthStatus returns the status of a sidecar's health check.
 func healthStatus(t *testing.T, client *http.Client, address string) int {
--- a/internal/sidecar/hitters.go
+++ b/internal/sidecar/hitters.go
@@ -135,13 +135,13 @@
 	}
 }
 
-// heavyInfo adds the heavy clients to the metrics, with their share in thousandths, if they are looked for.
-func (s *server) heavyInfo(text *strings.Builder) {
+// hittersInfo adds the heavy clients to the metrics, with their share in thousandths, if they are looked for.
+func (s *server) hittersInfo(text *strings.Builder) {
 	var heavy []hitters.Client
-	var yielded uint64
+	var rejected uint64
 	if s.config.Hitters == nil || !s.host.ask(func() {
 		detector := s.host.balancer.HeavyHitters()
-		yielded = detector.Rejected()
+		rejected = detector.Rejected()
 		for _, c := range detector.Clients() {
 			if c.State == hitters.Heavy {
 				heavy = append(heavy, *c)
@@ -150,7 +150,7 @@
 	}) {
 		return
 	}
-	fmt.Fprintf(text, "svc.gave_way:%d|c\nsvc.heavy_clients:%d|g\n", yielded, len(heavy))
+	fmt.Fprintf(text, "svc.gave_way:%d|c\nsvc.heavy_clients:%d|g\n", rejected, len(heavy))
 	for _, c := range heavy {
 		fmt.Fprintf(text, "svc.heavy_clients.%016x:%d|g\n", c.Key, int(1000*c.Share))
 	}
--- a/internal/sidecar/hitters_test.go
+++ b/internal/sidecar/hitters_test.go
@@ -20,16 +20,16 @@
 // TestHeavyIsReported floods a sidecar from one client: that client alone is reported as heavy, by
 // name in the log and by key in INFO.
 func TestHeavyIsReported(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	config, err := load(t, withHitters(configText(startRegistry(t).address, serving(1, b), testSettings),
 		`{"header":"x-customer","window_s":0.1,"hold_s":0.1,"bound_s":10}`), "PROXY_CONTROL="+freeAddress(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log logText
-	p := startLogging(t, config, &log, drainTimes{quietTime: time.Millisecond, finish: patience})
+	p := startLogging(t, config, &log, drainTimes{quietTime: time.Millisecond, finish: testTimeout})
 	key := fmt.Sprintf("svc.heavy_clients.%016x:", hitters.Key(hitters.Key(0, ""), "loud"))
-	for end, n := time.Now().Add(patience), 0; ; n++ {
+	for end, n := time.Now().Add(testTimeout), 0; ; n++ {
 		r := p.request(context.Background(), "read", "50000")
 		r.Header.Set("X-Customer", "loud")
 		if n%3 == 0 {
@@ -111,9 +111,9 @@
 // sidecar, which that client never calls, learns from their reports that it is heavy, and forgets it when both are
 // gone. A fourth member that sends a false report about another client, and malformed ones, has no effect.
 func TestHeavyOverTheFleet(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	config := func(name, join string) *Config { return fleetConfig(t, b, name, join) }
-	times := drainTimes{quietTime: time.Millisecond, finish: patience}
+	times := drainTimes{quietTime: time.Millisecond, finish: testTimeout}
 	var first logText
 	loud := []*program{startLogging(t, config("n1", ""), &first, times)}
 	at := ""
@@ -125,14 +125,14 @@
 	loud = append(loud, startLogging(t, config("n2", strconv.Quote(at)), io.Discard, times))
 	observing := config("n3", strconv.Quote(at))
 	third := startLogging(t, observing, io.Discard, times)
-	liar := startMember(t, members.Options{Name: "n4", Listen: "127.0.0.1:0", Join: []string{at}})
+	falseReporter := startMember(t, members.Options{Name: "n4", Listen: "127.0.0.1:0", Join: []string{at}})
 	victim := hitters.Key(hitters.Key(0, ""), "victim")
-	lie := hitters.Report{Total: 1 << 44, Requests: 1 << 31, Named: 1}
-	lie.Keys[0], lie.Shares[0] = victim, 1<<16-1
+	falseReport := hitters.Report{Total: 1 << 44, Requests: 1 << 31, Named: 1}
+	falseReport.Keys[0], falseReport.Shares[0] = victim, 1<<16-1
 	asked := 0
 	ask := func(p *program, name string) {
 		asked++
-		if err := liar.Publish(kindHitters, [][]byte{lie.Append(nil), []byte("nonsense")}[asked%2]); err != nil {
+		if err := falseReporter.Publish(kindHitters, [][]byte{falseReport.Append(nil), []byte("nonsense")}[asked%2]); err != nil {
 			t.Fatal(err)
 		}
 		r := p.request(context.Background(), "read", "50000")
@@ -171,9 +171,9 @@
 // eventually waits until done returns true.
 func eventually(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not %s within %v", what, patience)
+			t.Fatalf("not %s within %v", what, testTimeout)
 		}
 	}
 }
--- a/internal/sidecar/host.go
+++ b/internal/sidecar/host.go
@@ -67,7 +67,7 @@
 func newHost(ctx context.Context, config *Config, log *slog.Logger) (*host, error) {
 	counted := newCounts(config.Settings.Classes)
 	driver := &host{log: log, counts: counted, origin: time.Now().Add(-originAge), ready: make(chan struct{}), listed: make(chan struct{}), wake: make(chan struct{}, 1),
-		upstream:  newUpstream(config.Limits.ConnectTimeout, config.Limits.IdleTimeout, config.Sockets, counted, newByteBudget(budgetOf(config.MemoryMB))),
+		upstream:  newUpstream(config.Limits.ConnectTimeout, config.Limits.IdleTimeout, config.Sockets, counted, newByteBudget(bufferBudget(config.MemoryMB))),
 		discovery: newDiscovery(config.Discovery, config.Limits.ConnectTimeout, !config.Settings.SubscribeToDiscovery),
 		handover:  &handover{log: log},
 		calls:     map[balance.RequestID]*call{}, table: newServerTable(config.Known), ctx: ctx, closeWatch: func() {}}
--- a/internal/sidecar/input_test.go
+++ b/internal/sidecar/input_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestBadInput(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	ask := func(class string, change func(*http.Request)) *http.Request {
 		r := prog.request(context.Background(), class, "50000")
@@ -74,7 +74,7 @@
 // TestEndlessBody has a client send half a body and nothing more: its connection ends when its time
 // is over, and other clients are served.
 func TestEndlessBody(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	prog := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
 	if err != nil {
@@ -83,7 +83,7 @@
 	defer func() { _ = c.Close() }()
 	_, _ = fmt.Fprint(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 300\r\n"+
 		"Content-Length: 10\r\n\r\nhalf")
-	if err := c.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(c); err != nil {
@@ -101,7 +101,7 @@
 // TestUnresponsivePeers has peers send nothing, or stop in the middle of a request with a long
 // timeout: their connections end within 3 s.
 func TestUnresponsivePeers(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	p := start(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	const head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	for name, text := range map[string]string{"nothing": "", "half a line": "POST /a", "half a head": head,
@@ -114,7 +114,7 @@
 			}
 			defer func() { _ = c.Close() }()
 			began := time.Now()
-			if err := c.SetReadDeadline(began.Add(patience)); err != nil {
+			if err := c.SetReadDeadline(began.Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			if _, err := io.WriteString(c, text); err != nil {
--- a/internal/sidecar/memberreports.go
+++ b/internal/sidecar/memberreports.go
@@ -140,22 +140,22 @@
 // publishReport publishes this sidecar's verdicts on servers, its zone and its traffic level to the members.
 func (h *host) publishReport() {
 	state, report := &h.fleet, h.balancer.LocalReport(h.now)
-	same, grave := sameVerdicts(report.Verdicts, state.published.Verdicts, signals.None), sameVerdicts(report.Verdicts, state.published.Verdicts, signals.Failing)
+	same, sameFailing := sameVerdicts(report.Verdicts, state.published.Verdicts, signals.None), sameVerdicts(report.Verdicts, state.published.Verdicts, signals.Failing)
 	if report.TrafficLevel != state.published.TrafficLevel {
-		same, grave = false, false
+		same, sameFailing = false, false
 		state.changed(h.now)
 	}
 	// Verdicts are repeated within the TTL; the more members there are, the less often. That a server
 	// does not answer is published sooner than that it is full or slow, which changes all the time in an
 	// overload, while each report goes to all members.
-	again, bound := quietInterval, state.reportTTL
+	interval, ttl := quietInterval, state.reportTTL
 	if len(report.Verdicts)+len(state.published.Verdicts) > 0 {
-		again = min(max(repeatPerMember*time.Duration(state.view.Count), bound*35/100), bound*70/100)
+		interval = min(max(repeatPerMember*time.Duration(state.view.Count), ttl*35/100), ttl*70/100)
 	}
-	if !grave {
-		again /= 2
+	if !sameFailing {
+		interval /= 2
 	}
-	if (same || len(report.Verdicts)+len(state.published.Verdicts) > 0) && state.publishedAt > 0 && h.now-state.publishedAt < again {
+	if (same || len(report.Verdicts)+len(state.published.Verdicts) > 0) && state.publishedAt > 0 && h.now-state.publishedAt < interval {
 		return
 	}
 	state.published, state.publishedAt = report, h.now
--- a/internal/sidecar/memberreports_test.go
+++ b/internal/sidecar/memberreports_test.go
@@ -29,21 +29,21 @@
 	return config
 }
 
-// encodeLie returns a false report that condemns s-1.
-func encodeLie(t *testing.T) []byte {
+// encodeFalseReport returns a false report that condemns s-1.
+func encodeFalseReport(t *testing.T) []byte {
 	t.Helper()
-	lie, err := signals.Encode(signals.Report{Zone: "b", Uses: []signals.ZoneUse{{Zone: "a", Servers: 6}},
+	falseReport, err := signals.Encode(signals.Report{Zone: "b", Uses: []signals.ZoneUse{{Zone: "a", Servers: 6}},
 		Verdicts: []signals.Verdict{{Process: signals.Process{Server: "s-1"}, Zone: "a", Kind: signals.Unresponsive, Count: 99}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return lie
+	return falseReport
 }
 
 // startSix starts six servers, the first of which does not answer while down is set.
 func startSix(t *testing.T, down *atomic.Bool) (backends []*backend) {
 	t.Helper()
-	answer := say(200, "", "ok")
+	answer := respondWith(200, "", "ok")
 	for i := range 6 {
 		backends = append(backends, startBackend(t, func(conn net.Conn, r *http.Request, body []byte) bool {
 			if i == 0 && down.Load() {
@@ -107,7 +107,7 @@
 		default: // more than the test checks
 		}
 	}})
-	times := drainTimes{quietTime: time.Millisecond, finish: patience}
+	times := drainTimes{quietTime: time.Millisecond, finish: testTimeout}
 	var (
 		controls []string
 		sidecars []*program
@@ -134,10 +134,10 @@
 	}
 	askEach(t, 12, func(i int) int { return ask(i % 4) })
 	// The watcher condemns s-1 again and again, and the partitioned sidecar fails at all servers but s-5.
-	lie := encodeLie(t)
+	falseReport := encodeFalseReport(t)
 	down.Store(true)
 	eventually(t, "avoided by its witnesses and by reports", func() bool {
-		if err := watcher.Publish(kindSignals, lie); err != nil {
+		if err := watcher.Publish(kindSignals, falseReport); err != nil {
 			t.Fatal(err)
 		}
 		for _, i := range []int{0, 1, 2, 4} {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -53,13 +53,13 @@
 	}
 	s.maxPending.Store(int64(maxPending))
 	s.connections.resize(s.config.Sockets, parts > 1)
-	s.host.upstream.budget.limit.Store(budgetOf(s.config.MemoryMB) / int64(parts))
+	s.host.upstream.budget.limit.Store(bufferBudget(s.config.MemoryMB) / int64(parts))
 }
 
 // shareLimits halves the limits while another process of this sidecar runs.
-func (s *server) shareLimits(beside bool) {
+func (s *server) shareLimits(hasSibling bool) {
 	parts := 1
-	if beside {
+	if hasSibling {
 		parts = 2
 	}
 	s.host.log.Info("limits: share changed", "parts", parts)
@@ -147,7 +147,7 @@
 	err := s.writeAnswer(w, r, conn, final)
 	s.countAnswer(received, final, err)
 	if err != nil && final.stream != nil {
-		breakOff(r)
+		abortAnswer(r)
 	}
 }
 
@@ -198,9 +198,9 @@
 	}
 }
 
-// breakOff closes a connection in the middle of an answer. In HTTP/1.0, where the end of the connection
+// abortAnswer closes a connection in the middle of an answer. In HTTP/1.0, where the end of the connection
 // may also be the end of the answer, it resets the connection to show that the answer is incomplete.
-func breakOff(r *http.Request) {
+func abortAnswer(r *http.Request) {
 	if conn, ok := r.Context().Value(connKey{}).(*framing.ClientConn); ok && r.ProtoMinor == 0 {
 		_ = conn.SetLinger(0)
 	}
@@ -216,7 +216,7 @@
 		received.deadline = s.shutdown.bound(time.Now().Add(received.timeout))
 		return nil
 	}
-	switch err := s.holdBody(received, body); {
+	switch err := s.bufferBody(received, body); {
 	case err == nil:
 		received.length = r.ContentLength
 		received.rest = s.newUpload(received, body)
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// holdBody reads a body until it ends, with io.EOF or another error, or until no more of it may be buffered.
-func (s *server) holdBody(c *call, body *pacedBody) error {
+// bufferBody reads a body until it ends, with io.EOF or another error, or until no more of it may be buffered.
+func (s *server) bufferBody(c *call, body *pacedBody) error {
 	chunk := chunks.Get().(*[chunkBytes]byte)
 	defer chunks.Put(chunk)
 	for {
@@ -274,8 +274,8 @@
 
 // bodyError returns the answer to a client whose body has not arrived completely.
 func bodyError(err error) *requestError {
-	switch long := new(http.MaxBytesError); {
-	case errors.As(err, &long):
+	switch tooLong := new(http.MaxBytesError); {
+	case errors.As(err, &tooLong):
 		return &requestError{http.StatusRequestEntityTooLarge, "body too large", ""}
 	case errors.Is(err, errTooLate):
 		return &requestError{http.StatusServiceUnavailable, err.Error(), ""}
--- a/internal/sidecar/servertable_test.go
+++ b/internal/sidecar/servertable_test.go
@@ -10,7 +10,7 @@
 	"gradeusher.example/gradeusher/balance"
 )
 
-func listed(id string, state balance.State, boot int64) Target {
+func testTarget(id string, state balance.State, boot int64) Target {
 	t := Target{ID: id, Address: "127.0.0.1:1", State: state, Size: 1}
 	if boot > 0 {
 		t.Started = time.Unix(boot, 0)
@@ -19,9 +19,9 @@
 }
 
 // followed is the set of servers that a Balancer knows after applying lists.
-type followed map[string]Target
+type listFollower map[string]Target
 
-func (f followed) apply(l List) {
+func (f listFollower) apply(l List) {
 	if l.Complete {
 		clear(f)
 	}
@@ -35,15 +35,15 @@
 // TestOldList has the list go back to an older revision after two servers were replaced: the new servers stay, the
 // removed ones stay removed, and those that the old list reports as draining get nothing. Then the list continues.
 func TestOldList(t *testing.T) {
-	l, f, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
+	l, f, now := newServerTable(List{}), listFollower{}, time.Unix(1000, 0)
 	receive := func(in List) { f.apply(l.apply(in, now)) }
-	receive(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0), listed("c", balance.Ready, 0)}})
-	receive(List{Version: 44, Targets: []Target{listed("a", balance.Removed, 0), listed("b", balance.Removed, 0), listed("d", balance.Ready, 9), listed("e", balance.Ready, 9)}})
-	receive(List{Version: 41, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Draining, 0), listed("c", balance.Draining, 0)}})
+	receive(List{Version: 40, Complete: true, Targets: []Target{testTarget("a", balance.Ready, 0), testTarget("b", balance.Ready, 0), testTarget("c", balance.Ready, 0)}})
+	receive(List{Version: 44, Targets: []Target{testTarget("a", balance.Removed, 0), testTarget("b", balance.Removed, 0), testTarget("d", balance.Ready, 9), testTarget("e", balance.Ready, 9)}})
+	receive(List{Version: 41, Complete: true, Targets: []Target{testTarget("a", balance.Ready, 0), testTarget("b", balance.Draining, 0), testTarget("c", balance.Draining, 0)}})
 	if want := "map[c:1 d:0 e:0]"; states(f) != want || l.resumeFrom() != noVersion {
 		t.Errorf("%s from %d after the old list, want %s and the complete list", states(f), l.resumeFrom(), want)
 	}
-	receive(List{Version: 45, Targets: []Target{listed("e", balance.Draining, 9)}})
+	receive(List{Version: 45, Targets: []Target{testTarget("e", balance.Draining, 9)}})
 	if want := "map[c:0 d:0 e:1]"; states(f) != want || l.resumeFrom() != 45 {
 		t.Errorf("%s from %d after the list continued, want %s", states(f), l.resumeFrom(), want)
 	}
@@ -52,10 +52,10 @@
 // TestLostCount has a list service restart its revision counter: servers that are new in its list are
 // added immediately, and the list is trusted after staleTimeout, not before.
 func TestLostCount(t *testing.T) {
-	l, seen, now := newServerTable(List{}), followed{}, time.Unix(1000, 0)
+	l, seen, now := newServerTable(List{}), listFollower{}, time.Unix(1000, 0)
 	receive := func(in List) { seen.apply(l.apply(in, now)) }
-	receive(List{Version: 40, Complete: true, Targets: []Target{listed("a", balance.Ready, 0), listed("b", balance.Ready, 0)}})
-	regressed := List{Version: 2, Complete: true, Targets: []Target{listed("b", balance.Ready, 50), listed("c", balance.Ready, 0)}}
+	receive(List{Version: 40, Complete: true, Targets: []Target{testTarget("a", balance.Ready, 0), testTarget("b", balance.Ready, 0)}})
+	regressed := List{Version: 2, Complete: true, Targets: []Target{testTarget("b", balance.Ready, 50), testTarget("c", balance.Ready, 0)}}
 	receive(regressed)
 	now = now.Add(staleTimeout - time.Second)
 	if receive(regressed); states(seen) != "map[a:0 b:0 c:0]" || seen["b"].Started.Unix() != 50 {
@@ -65,13 +65,13 @@
 	if receive(regressed); states(seen) != "map[b:0 c:0]" || l.resumeFrom() != 2 {
 		t.Errorf("%s from %d when the list must be trusted", states(seen), l.resumeFrom())
 	}
-	receive(List{Version: 3, Targets: []Target{listed("c", balance.Removed, 0)}})
+	receive(List{Version: 3, Targets: []Target{testTarget("c", balance.Removed, 0)}})
 	if states(seen) != "map[b:0]" {
 		t.Errorf("%s after the list continued", states(seen))
 	}
 }
 
-func states(f followed) string {
+func states(f listFollower) string {
 	all := map[string]int{}
 	for id, t := range f {
 		all[id] = int(t.State)
@@ -82,7 +82,7 @@
 // TestServerTable applies random lists of any version, and checks the invariants on what is published.
 func TestServerTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := tablePlay{table: newServerTable(List{}), seen: followed{}, now: time.Unix(1000, 0), highest: int64(noVersion)}
+		p := tableModel{table: newServerTable(List{}), seen: listFollower{}, now: time.Unix(1000, 0), highest: int64(noVersion)}
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
 			p.now = p.now.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "s")) * time.Second)
 			p.apply(t, drawList(t))
@@ -94,23 +94,23 @@
 	drawn := List{Version: rapid.Int64Range(0, 9).Draw(t, "rev"), Complete: rapid.Bool().Draw(t, "all")}
 	for _, id := range []string{"a", "b", "c", "d"} {
 		if rapid.Bool().Draw(t, id) {
-			drawn.Targets = append(drawn.Targets, listed(id, balance.State(rapid.IntRange(0, 2).Draw(t, "state")), rapid.Int64Range(0, 2).Draw(t, "boot")))
+			drawn.Targets = append(drawn.Targets, testTarget(id, balance.State(rapid.IntRange(0, 2).Draw(t, "state")), rapid.Int64Range(0, 2).Draw(t, "boot")))
 		}
 	}
 	return drawn
 }
 
-// tablePlay is a table with a follower of its lists.
-type tablePlay struct {
+// tableModel is a table with a follower of its lists.
+type tableModel struct {
 	table   *serverTable
-	seen    followed
+	seen    listFollower
 	now     time.Time
 	highest int64
 }
 
 // apply applies a list to the table, and checks the invariants.
-func (p *tablePlay) apply(t *rapid.T, received List) {
-	before := followed{}
+func (p *tableModel) apply(t *rapid.T, received List) {
+	before := listFollower{}
 	before.apply(p.table.complete())
 	wasStale, since := p.table.isStale(), p.table.staleSince
 	p.seen.apply(p.table.apply(received, p.now))
@@ -121,7 +121,7 @@
 	}
 	switch {
 	case received.Version >= p.highest:
-		p.checkBelieved(t, received)
+		p.checkTrusted(t, received)
 	case !p.table.isStale():
 		if !wasStale || !received.Complete || p.now.Sub(since) < staleTimeout {
 			t.Fatalf("a list of revision %d is trusted immediately after revision %d", received.Version, p.highest)
@@ -132,19 +132,19 @@
 	p.highest = p.table.highestRev
 }
 
-// checkBelieved checks that a list does not count as stale, and that a follower of the table knows what it holds.
-func (p *tablePlay) checkBelieved(t *rapid.T, received List) {
+// checkTrusted checks that a list does not count as stale, and that a follower of the table knows what it holds.
+func (p *tableModel) checkTrusted(t *rapid.T, received List) {
 	if p.table.isStale() || p.table.highestRev != received.Version {
 		t.Fatalf("a list of revision %d is stale after revision %d", received.Version, p.highest)
 	}
-	complete := followed{}
+	complete := listFollower{}
 	if complete.apply(p.table.complete()); fmt.Sprint(complete) != fmt.Sprint(p.seen) {
 		t.Fatalf("published %v, held %v", p.seen, complete)
 	}
 }
 
 // checkStale checks that a stale list removes no server, and that the revision stays.
-func (p *tablePlay) checkStale(t *rapid.T, before followed) {
+func (p *tableModel) checkStale(t *rapid.T, before listFollower) {
 	for id := range before {
 		if _, still := p.seen[id]; !still {
 			t.Fatalf("%s was removed by a stale list", id)
--- a/internal/sidecar/shutdown_test.go
+++ b/internal/sidecar/shutdown_test.go
@@ -16,10 +16,10 @@
 // TestLateRequests has requests arrive slowly while the sidecar shuts down: those that are complete in
 // time are served; those that are complete too late are refused, and no server receives them completely.
 func TestLateRequests(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	settings := strings.ReplaceAll(strings.ReplaceAll(testSettings, `"aim_s":20.0`, `"aim_s":0.5`), `"deadline_s":60.0`, `"deadline_s":0.5`)
 	prog := startDraining(t, configText(startRegistry(t).address, serving(1, b), settings),
-		drainTimes{accept: time.Second, quietTime: 10 * time.Millisecond, closeIdle: patience, finish: patience})
+		drainTimes{accept: time.Second, quietTime: 10 * time.Millisecond, closeIdle: testTimeout, finish: testTimeout})
 	const head = "X-Request-ID: i\r\nX-Priority-Class: pay\r\nX-Timeout-Ms: 50000\r\n"
 	begin := func(size int) net.Conn {
 		c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", prog.address)
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", head, size, long[:size-1])
+		text := fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", head, size, longText[:size-1])
 		if size == 1 {
 			text = "POST /api HTTP/1.1\r\nHost: x\r\n"
 		}
@@ -38,7 +38,7 @@
 	}
 	finish := func(c net.Conn, size, status int) {
 		t.Helper()
-		text := long[size-1 : size]
+		text := longText[size-1 : size]
 		if size == 1 {
 			text = head + "Content-Length: 1\r\n\r\n0"
 		}
--- a/internal/sidecar/sibling_test.go
+++ b/internal/sidecar/sibling_test.go
@@ -9,7 +9,7 @@
 
 // TestSiblingLock runs two processes at the same time: each detects the other, and also that the other has been killed.
 func TestSiblingLock(t *testing.T) {
-	path := startPlatform(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
+	path := startPlatform(t, configText(startRegistry(t).address, serving(1, startBackend(t, respondWith(200, "", "ok"))), testSettings))
 	b, err := newSiblingLock(filepath.Join(path.dir, "gradeusher-n0.json"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/snapshotfile.go
+++ b/internal/sidecar/snapshotfile.go
@@ -72,7 +72,7 @@
 // process hold it for long, and this process's end must not wait for it.
 func (k *snapshotFile) save(b balance.Snapshot, origin, now time.Time) error {
 	err := sealed.WithLock(k.Path, false, func() error {
-		if there, err := k.Read(); errors.Is(err, sealed.ErrNewerFormat) || err == nil && there.Began > k.startedAt {
+		if stored, err := k.Read(); errors.Is(err, sealed.ErrNewerFormat) || err == nil && stored.Began > k.startedAt {
 			return nil
 		}
 		return k.Save(storedSnapshot{now.UnixNano(), k.startedAt, shiftStarts(b, origin.UnixNano())})
@@ -118,7 +118,7 @@
 func (h *host) saveSnapshots(stop context.Context) {
 	tick := time.NewTicker(snapshotInterval)
 	defer tick.Stop()
-	bad := false
+	failing := false
 	for written, last := balance.RequestID(0), false; !last; {
 		select {
 		case <-tick.C:
@@ -126,22 +126,22 @@
 			last = true
 		}
 		var b balance.Snapshot
-		upTo := written
+		latest := written
 		if !h.ask(func() {
-			if upTo = h.lastID; upTo != written {
+			if latest = h.lastID; latest != written {
 				b = h.balancer.Snapshot(h.now)
 			}
 		}) {
 			return
 		}
-		if upTo == written {
+		if latest == written {
 			continue
 		}
-		written = upTo
+		written = latest
 		err := h.snapshots.save(b, h.origin, time.Now())
-		if err != nil && !bad {
+		if err != nil && !failing {
 			h.log.Warn("snapshot: cannot save the file", "err", err) // logged once, until saving works again
 		}
-		bad = err != nil
+		failing = err != nil
 	}
 }
--- a/internal/sidecar/snapshotfile_test.go
+++ b/internal/sidecar/snapshotfile_test.go
@@ -63,11 +63,11 @@
 		k.load(origin)
 		return k
 	}
-	near := func() float64 {
+	zoneWeight := func() float64 {
 		b, _, _ := newSnapshotFile(dir, "n", log).load(origin)
 		return b.ZoneWeight
 	}
-	leave := func(k *snapshotFile, near float64) {
+	save := func(k *snapshotFile, near float64) {
 		t.Helper()
 		if err := k.save(balance.Snapshot{ZoneWeight: near}, origin, time.Now()); err != nil {
 			t.Fatal(err)
@@ -75,34 +75,34 @@
 	}
 	old := begin()
 	old.startedAt += time.Hour.Nanoseconds() // its clock was ahead
-	leave(old, 0.1)
-	young := begin()
-	leave(young, 0.2)
-	leave(old, 0.1)
-	if got := near(); got != 0.2 {
+	save(old, 0.1)
+	newer := begin()
+	save(newer, 0.2)
+	save(old, 0.1)
+	if got := zoneWeight(); got != 0.2 {
 		t.Errorf("the earlier process, which ended last, has overwritten the snapshot with %v", got)
 	}
-	leave(young, 0.3)
-	if got := near(); got != 0.3 {
+	save(newer, 0.3)
+	if got := zoneWeight(); got != 0.3 {
 		t.Errorf("the later process has not replaced its own: %v", got)
 	}
-	if err := sealed.WithLock(young.Path, true, func() error { leave(young, 0.4); return nil }); err != nil {
+	if err := sealed.WithLock(newer.Path, true, func() error { save(newer, 0.4); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if got := near(); got != 0.3 {
+	if got := zoneWeight(); got != 0.3 {
 		t.Errorf("written while another held the lock: %v", got)
 	}
 	later := sealed.Kind{Magic: snapshotKind.Magic, FormatVersion: 9, MinReaderVersion: 9}.Seal([]byte("{}"))
-	if err := os.WriteFile(young.Path, later, 0o600); err != nil {
+	if err := os.WriteFile(newer.Path, later, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	leave(young, 0.5)
-	_, _, ok := young.load(origin)
-	if text, err := os.ReadFile(young.Path); err != nil || ok || string(text) != string(later) {
+	save(newer, 0.5)
+	_, _, ok := newer.load(origin)
+	if text, err := os.ReadFile(newer.Path); err != nil || ok || string(text) != string(later) {
 		t.Errorf("the earlier program has replaced or moved the later one's: %.40q, taken %t, error %v", text, ok, err)
 	}
-	leave(begin(), 0.6) // quarantines the newer file: operators have gone back to this program
-	if got := near(); got != 0.6 {
+	save(begin(), 0.6) // quarantines the newer file: operators have gone back to this program
+	if got := zoneWeight(); got != 0.6 {
 		t.Errorf("after going back to the earlier program: %v", got)
 	}
 }
@@ -111,14 +111,14 @@
 // restore it, only if that is configured.
 func TestSnapshotOutlivesProcess(t *testing.T) {
 	d, dir := startRegistry(t), t.TempDir()
-	server := startBackend(t, say(200, "", "ok"))
+	server := startBackend(t, respondWith(200, "", "ok"))
 	for index, keep := range []string{"", `"keep_beliefs":true,`, `"keep_beliefs":true,`} {
 		c, err := load(t, strings.Replace(configText(d.address, serving(1, server), testSettings), `"new":1,`, keep, 1), "TMPDIR="+dir)
 		if err != nil {
 			t.Fatal(err)
 		}
 		log := &logText{}
-		p := startLogging(t, c, log, drainTimes{quietTime: time.Millisecond, finish: patience})
+		p := startLogging(t, c, log, drainTimes{quietTime: time.Millisecond, finish: testTimeout})
 		p.ask("read")
 		p.client.CloseIdleConnections()
 		p.stop()
--- a/internal/sidecar/surplus_test.go
+++ b/internal/sidecar/surplus_test.go
@@ -18,7 +18,7 @@
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nwrong")
 		return true
 	})
-	u := to(t, b)
+	u := newTestUpstream(t, b)
 	var wrong atomic.Int64
 	var asking sync.WaitGroup
 	for range 8 {
@@ -60,7 +60,7 @@
 				_, _ = fmt.Fprint(c, test.text)
 				return true
 			})
-			u := to(t, b)
+			u := newTestUpstream(t, b)
 			for range 2 {
 				if r := u.attempt(context.Background(), "s-0", post(""), nil); r.outcome != test.outcome {
 					t.Errorf("outcome %d, body %q, want %d", r.outcome, r.body, test.outcome)
--- a/internal/sidecar/upgrade_test.go
+++ b/internal/sidecar/upgrade_test.go
@@ -104,7 +104,7 @@
 			f.t.Logf("log of a process:\n%s", text.String())
 		}
 	})
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", started.control); err == nil {
 			_ = c.Close()
 			if strings.HasPrefix(started.call("PING"), "ok ") {
@@ -150,7 +150,7 @@
 // askUntil sends requests, each on a connection of its own, until one was served and done returns true.
 func (f *platform) askUntil(done func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		c, err := (&net.Dialer{}).DialContext(f.t.Context(), "tcp", f.address)
 		if err != nil {
 			f.t.Fatal(err)
@@ -200,7 +200,7 @@
 // TestUpgrade has clients send requests continuously, on existing and on new connections, while one
 // process replaces another, three times: none may fail.
 func TestUpgrade(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	old := f.start()
 	stop := make(chan bool)
@@ -220,7 +220,7 @@
 // TestShutdownLeavesBacklog has a process end while a connection is in the backlog: it is left to the other process.
 func TestShutdownLeavesBacklog(t *testing.T) {
 	inner := listen(t).(*net.TCPListener)
-	l := &drainListener{TCPListener: inner, quietTime: patience}
+	l := &drainListener{TCPListener: inner, quietTime: testTimeout}
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", inner.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -237,7 +237,7 @@
 // TestShutdownWhileBlocked has a process shut down while it is blocked in accept(2), because the
 // platform has made the shared socket blocking.
 func TestShutdownWhileBlocked(t *testing.T) {
-	conn, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, say(200, "", "ok"))), testSettings))
+	conn, err := load(t, configText(startRegistry(t).address, serving(1, startBackend(t, respondWith(200, "", "ok"))), testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +250,7 @@
 	if conn.InheritedFD, err = syscall.Dup(int(socket.Fd())); err != nil {
 		t.Fatal(err)
 	}
-	prog := startLogging(t, conn, &logText{}, drainTimes{quietTime: time.Millisecond, finish: patience})
+	prog := startLogging(t, conn, &logText{}, drainTimes{quietTime: time.Millisecond, finish: testTimeout})
 	// os/exec does the same when it passes descriptors on.
 	if flags, err := unix.FcntlInt(socket.Fd(), unix.F_GETFL, 0); err != nil || flags&unix.O_NONBLOCK != 0 {
 		t.Fatalf("asking for the descriptor has not made the socket block: flags %#x, error %v", flags, err)
@@ -264,7 +264,7 @@
 	dial()
 	waits := regexp.MustCompile(`(?m)^goroutine \d+ \[syscall[^\n]*\n([^\n]+\n)*?[^\n]*drainListener\)\.Accept`)
 	stacks := make([]byte, 1<<20)
-	for end := time.Now().Add(patience); !waits.Match(stacks[:runtime.Stack(stacks, true)]); runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); !waits.Match(stacks[:runtime.Stack(stacks, true)]); runtime.Gosched() {
 		if time.Now().After(end) {
 			t.Fatal("no goroutine is blocked in accept(2)")
 		}
@@ -278,7 +278,7 @@
 // TestShutdownClosesIdle has connections be idle, or in the middle of a head, while a process shuts
 // down: the request in the middle is served, the other connections are closed.
 func TestShutdownClosesIdle(t *testing.T) {
-	b := startBackend(t, say(200, "", "ok"))
+	b := startBackend(t, respondWith(200, "", "ok"))
 	f := startPlatform(t, configText(startRegistry(t).address, serving(1, b), testSettings))
 	old := f.start()
 	dial := func() net.Conn {
--- a/internal/sidecar/uploadbody.go
+++ b/internal/sidecar/uploadbody.go
@@ -39,12 +39,12 @@
 
 // newPacedBody starts with the time that the head has left over: a peer that stops in the middle of a
 // body gets no more time than one that stops in the head.
-func newPacedBody(conn *http.ResponseController, r *http.Request, leave *shutdownClock) *pacedBody {
-	spare := headTimeout
+func newPacedBody(conn *http.ResponseController, r *http.Request, shutdown *shutdownClock) *pacedBody {
+	timeLeft := headTimeout
 	if c, ok := r.Context().Value(connKey{}).(*framing.ClientConn); ok {
-		spare -= time.Since(c.RequestStart())
+		timeLeft -= time.Since(c.RequestStart())
 	}
-	return &pacedBody{body: r.Body, conn: conn, shutdown: leave, timeLeft: max(spare, minBodyGrace),
+	return &pacedBody{body: r.Body, conn: conn, shutdown: shutdown, timeLeft: max(timeLeft, minBodyGrace),
 		expectsContinue: r.Header.Get("Expect") != ""}
 }
 
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -71,11 +71,11 @@
 	answered atomic.Int64 // when the last answer arrived, in nanoseconds of Unix time
 }
 
-func newUpstream(connect, idleClose time.Duration, sockets int, n *counts, room *byteBudget) *upstream {
+func newUpstream(connect, idleClose time.Duration, sockets int, n *counts, budget *byteBudget) *upstream {
 	// A server closes a connection that was idle too long. A request that crosses this close on its way is answered
 	// by a reset, and may have run. Closing after half of the server's idle timeout keeps well clear of that.
 	return &upstream{connect: connect, idle: idleClose / 2, maxIdle: max(sockets/idlePerSockets, 2),
-		minOutage: minOutage, counts: n, budget: room, targets: map[string]*target{}}
+		minOutage: minOutage, counts: n, budget: budget, targets: map[string]*target{}}
 }
 
 // update applies a list of servers and their addresses.
@@ -299,15 +299,15 @@
 		if closed := resp.Body.Close(); err == nil {
 			err = closed
 		}
-		if errors.Is(err, errTooLong) {
+		if errors.Is(err, errAnswerTooLong) {
 			return reply{outcome: balance.Errored}, nil
 		}
 		return reply{outcome: balance.Served, body: body, contentType: f.contentType}, err
 	}
 	// A body that never ends, or bytes of another protocol, must not delay the answer to the client, for which
 	// the header is sufficient. A short body is worth the wait, because its connection can then be reused.
-	enough := time.AfterFunc(answerDrainTimeout, func() { _ = resp.Body.Close() })
-	defer enough.Stop()
+	drainTimer := time.AfterFunc(answerDrainTimeout, func() { _ = resp.Body.Close() })
+	defer drainTimer.Stop()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedBytes))
 	_ = resp.Body.Close()
 	switch status := resp.StatusCode; {
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -22,8 +22,8 @@
 }
 
 // to returns an upstream that knows the backends.
-func to(t *testing.T, backends ...*backend) *upstream {
-	u := newUpstream(patience, patience, defaultSockets, newCounts(nil), newByteBudget(budgetOf(defaultMemoryMB)))
+func newTestUpstream(t *testing.T, backends ...*backend) *upstream {
+	u := newUpstream(testTimeout, testTimeout, defaultSockets, newCounts(nil), newByteBudget(bufferBudget(defaultMemoryMB)))
 	u.update(list(t, serving(1, backends...)))
 	t.Cleanup(func() { u.update(List{Complete: true}) })
 	return u
@@ -44,15 +44,15 @@
 		do   func(net.Conn, *http.Request, []byte) bool
 		want balance.Outcome
 	}{
-		{"served", say(200, "", "slot"), balance.Served},
-		{"empty", say(200, "", ""), balance.Served},
-		{"error", say(500, "", "oh"), balance.Errored},
-		{"full", say(503, "X-Not-Processed: 1\r\n", "no"), balance.Saturated},
-		{"late", say(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
-		{"unavailable, may have run", say(503, "", ""), balance.Errored},
-		{"error that claims not to have run", say(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
-		{"too long", say(200, "", strings.Repeat("x", maxBufferedBytes+1)), balance.Errored},
-		{"reset", hangUp, balance.Reset},
+		{"served", respondWith(200, "", "slot"), balance.Served},
+		{"empty", respondWith(200, "", ""), balance.Served},
+		{"error", respondWith(500, "", "oh"), balance.Errored},
+		{"full", respondWith(503, "X-Not-Processed: 1\r\n", "no"), balance.Saturated},
+		{"late", respondWith(504, "X-Not-Processed: 1\r\n", ""), balance.Saturated},
+		{"unavailable, may have run", respondWith(503, "", ""), balance.Errored},
+		{"error that claims not to have run", respondWith(500, "X-Not-Processed: 1\r\n", ""), balance.Errored},
+		{"too long", respondWith(200, "", strings.Repeat("x", maxBufferedBytes+1)), balance.Errored},
+		{"reset", resetConnection, balance.Reset},
 		{"end", func(net.Conn, *http.Request, []byte) bool { return false }, balance.Reset},
 		{"no HTTP", func(c net.Conn, _ *http.Request, _ []byte) bool { _, _ = fmt.Fprint(c, "what\r\n\r\n"); return false }, balance.Reset},
 		{"half a body", func(c net.Conn, _ *http.Request, _ []byte) bool {
@@ -68,7 +68,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			for _, m := range []*message{get(), post(""), post("k")} {
 				b := startBackend(t, test.do)
-				r := to(t, b).attempt(context.Background(), "s-0", m, nil)
+				r := newTestUpstream(t, b).attempt(context.Background(), "s-0", m, nil)
 				if r.outcome != test.want {
 					t.Errorf("%s with key %q: outcome %d, want %d", m.method, m.key, r.outcome, test.want)
 				}
@@ -97,7 +97,7 @@
 			return neverAnswer(c, r, body)
 		})
 		ended := make(chan reply, 1)
-		go func() { ended <- to(t, b).attempt(context.Background(), "s-0", post(""), nil) }()
+		go func() { ended <- newTestUpstream(t, b).attempt(context.Background(), "s-0", post(""), nil) }()
 		if r := within(t, ended, "end of "+text); r.outcome != want {
 			t.Errorf("%q: outcome %d, want %d", text, r.outcome, want)
 		}
@@ -106,7 +106,7 @@
 
 func TestNeverRan(t *testing.T) {
 	b := startBackend(t, neverAnswer)
-	connections := to(t, b)
+	connections := newTestUpstream(t, b)
 	gone := listen(t)
 	closed := entry("s-1", gone.Addr().String(), "SERVING", 0)
 	_ = gone.Close()
@@ -132,20 +132,22 @@
 }
 
 // endable is a context whose deadline is triggered by the test.
-type endable struct {
+type manualContext struct {
 	context.Context
 	done chan struct{}
 }
 
-func newEndable() *endable { return &endable{context.Background(), make(chan struct{})} }
+func newManualContext() *manualContext {
+	return &manualContext{context.Background(), make(chan struct{})}
+}
 
-func (e *endable) end() { close(e.done) }
+func (e *manualContext) end() { close(e.done) }
 
 // Done implements context.Context.
-func (e *endable) Done() <-chan struct{} { return e.done }
+func (e *manualContext) Done() <-chan struct{} { return e.done }
 
 // Err implements context.Context.
-func (e *endable) Err() error {
+func (e *manualContext) Err() error {
 	select {
 	case <-e.done:
 		return context.DeadlineExceeded
@@ -156,20 +158,20 @@
 
 func TestAnswerTimeout(t *testing.T) {
 	b := startBackend(t, neverAnswer)
-	u := to(t, b)
-	late := newEndable()
+	u := newTestUpstream(t, b)
+	late := newManualContext()
 	ended := make(chan reply, 1)
 	go func() { ended <- u.attempt(late, "s-0", post(""), nil) }()
-	within(t, b.came, "request")
+	within(t, b.received, "request")
 	late.end()
 	if r := within(t, ended, "end"); r.outcome != balance.TimedOut {
 		t.Errorf("outcome %d, want a time-out", r.outcome)
 	}
 	b = startBackend(t, neverAnswer)
-	u = to(t, b)
+	u = newTestUpstream(t, b)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { ended <- u.attempt(ctx, "s-0", post(""), nil) }()
-	within(t, b.came, "request")
+	within(t, b.received, "request")
 	cancel()
 	if r := within(t, ended, "end"); r.outcome != balance.Cancelled {
 		t.Errorf("outcome %d, want cancelled", r.outcome)
@@ -184,11 +186,11 @@
 		b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 			if first {
 				first = false
-				return say(200, "", "ok")(c, r, body)
+				return respondWith(200, "", "ok")(c, r, body)
 			}
-			return hangUp(c, r, body)
+			return resetConnection(c, r, body)
 		})
-		u := to(t, b)
+		u := newTestUpstream(t, b)
 		if r := u.attempt(context.Background(), "s-0", sent, nil); r.outcome != balance.Served {
 			t.Fatalf("first outcome %d", r.outcome)
 		}
@@ -205,12 +207,12 @@
 	bodies := make(chan string, 1)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		bodies <- string(body)
-		return say(200, "", "")(c, r, body)
+		return respondWith(200, "", "")(c, r, body)
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	to(t, b).attempt(ctx, "s-0", post("k-7"), nil)
-	r := within(t, b.came, "request")
+	newTestUpstream(t, b).attempt(ctx, "s-0", post("k-7"), nil)
+	r := within(t, b.received, "request")
 	if r.Method != http.MethodPost || r.RequestURI != "/api?k=a%20b" || r.Header.Get("X-Request-ID") != "id-1" ||
 		r.Header.Get("Idempotency-Key") != "k-7" || r.Header.Get("Accept-Encoding") != "" || r.ContentLength != 4 {
 		t.Errorf("got %+v", r)
@@ -219,7 +221,7 @@
 		t.Errorf("body %q", body)
 	}
 	var ms int64
-	if _, err := fmt.Sscan(r.Header.Get("X-Timeout-Ms"), &ms); err != nil || ms < 1 || ms > patience.Milliseconds() {
+	if _, err := fmt.Sscan(r.Header.Get("X-Timeout-Ms"), &ms); err != nil || ms < 1 || ms > testTimeout.Milliseconds() {
 		t.Errorf("X-Timeout-Ms %q: %v", r.Header.Get("X-Timeout-Ms"), err)
 	}
 }
@@ -229,9 +231,9 @@
 	conns := make(chan net.Conn, 10)
 	b := startBackend(t, func(c net.Conn, r *http.Request, body []byte) bool {
 		conns <- c
-		return say(200, "", "")(c, r, body)
+		return respondWith(200, "", "")(c, r, body)
 	})
-	connections := to(t, b)
+	connections := newTestUpstream(t, b)
 	ask := func() net.Conn {
 		if r := connections.attempt(context.Background(), "s-0", get(), nil); r.outcome != balance.Served {
 			t.Fatalf("outcome %d", r.outcome)
@@ -262,7 +264,7 @@
 		_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 		return false
 	}
-	for name, fault := range map[string]func(net.Conn, *http.Request, []byte) bool{"just used": hangUp, "half an answer": half,
+	for name, fault := range map[string]func(net.Conn, *http.Request, []byte) bool{"just used": resetConnection, "half an answer": half,
 		"passed by an answer": neverAnswer} {
 		t.Run(name, func(t *testing.T) {
 			type exchange struct {
@@ -274,15 +276,15 @@
 				x := exchange{c, make(chan bool, 1)}
 				came <- x
 				if <-x.sound {
-					return say(200, "", "")(c, r, body)
+					return respondWith(200, "", "")(c, r, body)
 				}
 				return fault(c, r, body)
 			})
-			u := to(t, b)
-			if u.minOutage = patience; name != "just used" {
+			u := newTestUpstream(t, b)
+			if u.minOutage = testTimeout; name != "just used" {
 				u.minOutage = 0
 			}
-			ctx, ended := newEndable(), make(chan reply, 3)
+			ctx, ended := newManualContext(), make(chan reply, 3)
 			ask := func() exchange {
 				go func() { ended <- u.attempt(ctx, "s-0", get(), nil) }()
 				return within(t, came, "request")
@@ -297,7 +299,7 @@
 				ask().sound <- true
 				within(t, ended, "answer")
 				ctx.end()
-				ctx = newEndable()
+				ctx = newManualContext()
 			}
 			bad.sound <- false
 			within(t, ended, "end")
@@ -322,11 +324,11 @@
 			case "silent":
 				return neverAnswer(c, r, body)
 			case "reset":
-				return hangUp(c, r, body)
+				return resetConnection(c, r, body)
 			}
-			return say(200, "", "")(c, r, body)
+			return respondWith(200, "", "")(c, r, body)
 		})
-		connections := to(t, b)
+		connections := newTestUpstream(t, b)
 		connections.minOutage = 0
 		ended := make(chan reply, 2)
 		for range 2 {
@@ -337,7 +339,7 @@
 			verdict <- "ok"
 			within(t, ended, "end")
 		}
-		ctx, want := newEndable(), balance.Reset
+		ctx, want := newManualContext(), balance.Reset
 		go func() { ended <- connections.attempt(ctx, "s-0", get(), nil) }()
 		if c := within(t, conns, "connection"); !old[c] {
 			t.Fatal("the request did not reuse a connection")
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -94,8 +94,8 @@
 var errStaleList = errors.New("the list went back to an older revision: it is read again")
 
 // watch has the loop apply the lists of a watch until the watch ends; while the list is stale, watch ends it after rereadInterval
-// to read the list again. came is called for each list. There is at most one watch at a time, which owns the table.
-func (h *host) watch(ctx context.Context, from int64, first time.Duration, came func()) error {
+// to read the list again. onList is called for each list. There is at most one watch at a time, which owns the table.
+func (h *host) watch(ctx context.Context, from int64, first time.Duration, onList func()) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	reread := time.AfterFunc(rereadInterval, func() { cancel(errStaleList) })
@@ -104,17 +104,17 @@
 		reread.Stop()
 	}
 	err := h.discovery.watch(ctx, from, first, func(received List) {
-		doubted, rev, now := h.table.isStale(), h.table.highestRev, time.Now()
+		wasStale, rev, now := h.table.isStale(), h.table.highestRev, time.Now()
 		received = h.table.apply(received, now)
-		switch doubts := h.table.isStale(); {
-		case doubts && !doubted:
+		switch isStale := h.table.isStale(); {
+		case isStale && !wasStale:
 			h.log.Warn("list went back to an older revision: missing servers are kept until it is read again", "held", rev)
 			reread.Reset(rereadInterval)
-		case doubted && !doubts:
+		case wasStale && !isStale:
 			h.log.Info("list is trusted again", "rev", h.table.highestRev, "held", rev)
 			reread.Stop()
 		}
-		came()
+		onList()
 		h.post(func() {
 			kind := balance.ListChanges
 			if received.Complete {
--- a/internal/sidecar/watch_test.go
+++ b/internal/sidecar/watch_test.go
@@ -13,7 +13,7 @@
 
 // TestWatch follows the list through a drain, an invalid line and a broken connection.
 func TestWatch(t *testing.T) {
-	kept, drained := startBackend(t, say(200, "", "kept")), startBackend(t, say(200, "", "drained"))
+	kept, drained := startBackend(t, respondWith(200, "", "kept")), startBackend(t, respondWith(200, "", "drained"))
 	source := startRegistry(t)
 	prog := start(t, configText(source.address, serving(41, drained), testSettings))
 	first := within(t, source.watches, "watch")
@@ -26,7 +26,7 @@
 	}
 	until := func(want string) {
 		t.Helper()
-		for end := time.Now().Add(patience); ; {
+		for end := time.Now().Add(testTimeout); ; {
 			g := prog.ask("read")
 			if g.body == want {
 				return
@@ -66,7 +66,7 @@
 func TestReload(t *testing.T) {
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
-			first, second := startBackend(t, say(200, "", "first")), startBackend(t, say(200, "", "second"))
+			first, second := startBackend(t, respondWith(200, "", "first")), startBackend(t, respondWith(200, "", "second"))
 			d, next := startRegistry(t), startRegistry(t)
 			settings := strings.Replace(testSettings, `"discovery":"pushed"`, `"discovery":"`+mode+`"`, 1)
 			prog := start(t, configText(d.address, serving(41, first), settings))
@@ -86,7 +86,7 @@
 				t.Errorf("answer %+v before the new address says anything", g)
 			}
 			w.lines <- serving(7, second)
-			for end := time.Now().Add(patience); prog.ask("pay").body != "second"; {
+			for end := time.Now().Add(testTimeout); prog.ask("pay").body != "second"; {
 				if time.Now().After(end) {
 					t.Fatal("the list of the new address was not applied")
 				}
@@ -152,7 +152,7 @@
 		t.Errorf("query %q with no list in hand", w.query)
 	}
 	w.lines <- serving(1, startBackend(t, neverAnswer))
-	for end := time.Now().Add(patience); health() != 200; {
+	for end := time.Now().Add(testTimeout); health() != 200; {
 		if time.Now().After(end) {
 			t.Fatal("never ready")
 		}
@@ -177,7 +177,7 @@
 			t.Fatal(err)
 		}
 		started := h.started(config.Known.Targets[0])
-		if age := h.clock() - started; test.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+patience) || !test.cold && started > 0 {
+		if age := h.clock() - started; test.cold && (started <= 0 || age < 3*time.Second || age > 3*time.Second+testTimeout) || !test.cold && started > 0 {
 			t.Errorf("boot %v: started %v, age %v", test.boot, started, age)
 		}
 	}
