--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -31,7 +31,8 @@
 	endpoints []*endpoint          // listed endpoints, sorted by id
 	byID      map[string]*endpoint // listed endpoints, and removed ones with attempts in flight
 	inUse     []*endpoint          // members of the subsets
-	// capacityInUse is the total size of the endpoints in use, scaled by their warmth and the weight of their zone.
+	// capacityInUse is the total size of the endpoints in use, scaled by their warmth and the weight of their
+	// zone.
 	capacityInUse float64
 
 	groups       []*group      // the groups of the best rule, followed by one of all endpoints
@@ -57,8 +58,8 @@
 	discoveryFailures int // consecutive failures
 }
 
-// New returns a Balancer. It returns an error if the settings are invalid: a SettingsError, wrapped with the class,
-// tenant or rule it concerns.
+// New returns a Balancer. It returns an error if the settings are invalid: a SettingsError, wrapped with the
+// class, tenant or rule it concerns.
 func New(set Settings, actions Actions) (*Balancer, error) {
 	b, err := newBalancer(set, actions)
 	if err != nil {
--- a/balance/discovery.go
+++ b/balance/discovery.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minDiscoverySpread is the minimum of discoverySpread, over which the first calls to discovery are spread and which
-	// also limits the backoff.
+	// minDiscoverySpread is the minimum of discoverySpread, over which the first calls to discovery are spread
+	// and which also limits the backoff.
 	minDiscoverySpread = time.Second
 	// minDiscoveryBackoff is the backoff after the first failure; it doubles up to maxDiscoveryDoublings times.
 	minDiscoveryBackoff   = time.Second
@@ -23,15 +23,15 @@
 	return max(b.settings.DiscoveryDeadline/2, minDiscoverySpread)
 }
 
-// firstDiscoveryDelay spreads the first calls by the index of the sidecars, because all sidecars may start together and
-// discovery serves few calls at a time.
+// firstDiscoveryDelay spreads the first calls by the index of the sidecars, because all sidecars may start
+// together and discovery serves few calls at a time.
 func (b *Balancer) firstDiscoveryDelay() time.Duration {
 	turn := (float64(b.settings.Index) + b.rng.Float64()) / float64(b.settings.PeerCount)
 	return time.Duration(turn * float64(b.discoverySpread()))
 }
 
-// discoveryBackoff returns a random backoff from the upper half of a limit that doubles with each failure. Sidecars that
-// all retried together could keep an overloaded discovery service from ever answering.
+// discoveryBackoff returns a random backoff from the upper half of a limit that doubles with each failure.
+// Sidecars that all retried together could keep an overloaded discovery service from ever answering.
 func (b *Balancer) discoveryBackoff() time.Duration {
 	limit := min(minDiscoveryBackoff<<min(b.discoveryFailures, maxDiscoveryDoublings), b.discoverySpread())
 	return time.Duration((1 + b.rng.Float64()) * float64(limit) / 2)
@@ -88,8 +88,8 @@
 		updated.zoneIndex = otherZones
 	}
 	if entry.Started != updated.Started {
-		// A new process under the same id. If the clock of its machine is ahead, its start time lies in the future and
-		// it would count as warming up until this sidecar's clock has caught up.
+		// A new process under the same id. If the clock of its machine is ahead, its start time lies in the future
+		// and it would count as warming up until this sidecar's clock has caught up.
 		b.resetEndpoint(updated, min(entry.Started, now))
 	}
 	_, updated.outOfService = b.outOfService[entry.ID]
@@ -97,8 +97,8 @@
 	updated.Size = cmp.Or(max(entry.Size, 0), defaultSize)
 }
 
-// relistEndpoints rebuilds the sorted list of endpoints that are not removed, and deletes removed endpoints without
-// attempts in flight.
+// relistEndpoints rebuilds the sorted list of endpoints that are not removed, and deletes removed endpoints
+// without attempts in flight.
 func (b *Balancer) relistEndpoints() {
 	b.endpoints = b.endpoints[:0]
 	for id, e := range b.byID {
--- a/balance/flight.go
+++ b/balance/flight.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// lostThreshold is the number of later answers of its endpoint that overtake an attempt before its own answer counts as
-// lost.
+// lostThreshold is the number of later answers of its endpoint that overtake an attempt before its own answer
+// counts as lost.
 const lostThreshold = 4
 
 // flight is an attempt in flight, as tracked per endpoint.
@@ -16,10 +16,10 @@
 	noAnswerDue bool // its request body or its answer is still arriving
 }
 
-// isLost reports whether an attempt has been overtaken by so many later answers that its own answer is probably lost
-// rather than slow, or whether no answer is due yet. Otherwise one lost answer would block an endpoint that serves all
-// other requests until the attempt times out, and a body that arrives slowly or an answer that is read slowly would make
-// the endpoint seem slow.
+// isLost reports whether an attempt has been overtaken by so many later answers that its own answer is
+// probably lost rather than slow, or whether no answer is due yet. Otherwise one lost answer would block an
+// endpoint that serves all other requests until the attempt times out, and a body that arrives slowly or an
+// answer that is read slowly would make the endpoint seem slow.
 func (f *flight) isLost() bool { return f.noAnswerDue || f.overtaken >= lostThreshold }
 
 // restart makes an answer due, counting from now.
@@ -29,9 +29,9 @@
 	f.overtaken = 0
 }
 
-// pendingSeconds returns for how many seconds in total the attempts without an answer have been in flight, not counting lost
-// ones. It is part of the latency estimate because fast answers arrive first: an endpoint that has become slow has
-// overdue answers before its answer times show it, and a dead one would look idle.
+// pendingSeconds returns for how many seconds in total the attempts without an answer have been in flight,
+// not counting lost ones. It is part of the latency estimate because fast answers arrive first: an endpoint
+// that has become slow has overdue answers before its answer times show it, and a dead one would look idle.
 func (e *endpoint) pendingSeconds(now Time) float64 {
 	var sum Time
 	for _, f := range e.flights {
@@ -60,8 +60,8 @@
 	return added
 }
 
-// removeFlight records that an attempt has ended. If it was answered, its answer has overtaken the attempts that were sent
-// before it.
+// removeFlight records that an attempt has ended. If it was answered, its answer has overtaken the attempts
+// that were sent before it.
 func (e *endpoint) removeFlight(ended *flight, served bool) {
 	at := slices.Index(e.flights, ended)
 	e.flights = slices.Delete(e.flights, at, at+1)
@@ -83,8 +83,9 @@
 	heavyMultiple = 8.0
 )
 
-// cancelLost cancels the lost attempts at an endpoint whose requests may be sent to another endpoint. Heavy requests are
-// overtaken as well and their work would be done twice, so an attempt is given many times the mean time of its class.
+// cancelLost cancels the lost attempts at an endpoint whose requests may be sent to another endpoint. Heavy
+// requests are overtaken as well and their work would be done twice, so an attempt is given many times the
+// mean time of its class.
 func (b *Balancer) cancelLost(e *endpoint, now Time) {
 	for _, f := range e.flights {
 		q := b.requests[f.requestID]
--- a/balance/latency.go
+++ b/balance/latency.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// memoryTTL is the time constant with which request counts and sums over an endpoint's own answers decay to 1/e.
+	// memoryTTL is the time constant with which request counts and sums over an endpoint's own answers decay to
+	// 1/e.
 	memoryTTL = 6 * time.Second
-	// recentTTL is the time constant for sums over the answers of all endpoints, and for the weight of an endpoint's own
-	// answers once no new ones arrive.
+	// recentTTL is the time constant for sums over the answers of all endpoints, and for the weight of an
+	// endpoint's own answers once no new ones arrive.
 	recentTTL = time.Second
 	// unseenLoad is the number of requests from other sidecars that each endpoint is assumed to be working on.
 	unseenLoad = 1.0
@@ -22,14 +23,15 @@
 	idleMinLoad = 17
 	// idleMemories is the time constant of the idle fleet's latency, in units of memoryTTL.
 	idleMemories = 10
-	// degradedThreshold is the group latency assumed for a degraded endpoint, as a share of the shortest target. It has
-	// the weight of the group's estimate and on its own is no reason to refuse requests.
+	// degradedThreshold is the group latency assumed for a degraded endpoint, as a share of the shortest target.
+	// It has the weight of the group's estimate and on its own is no reason to refuse requests.
 	degradedThreshold = 0.6 * spillThreshold
 	// minLoad keeps a mean over zero load finite.
 	minLoad = 1e-9
 )
 
-// latencySums holds decaying sums over answers. Their quotient is the latency estimate in seconds per unit of load.
+// latencySums holds decaying sums over answers. Their quotient is the latency estimate in seconds per unit of
+// load.
 type latencySums struct {
 	latencySum float64 // sum of answer times in seconds
 	loadSum    float64 // sum of the endpoint's loads when the attempts were sent
@@ -54,7 +56,7 @@
 type latencyEstimates struct {
 	shortestTarget float64       // shortest latency target of all classes, in seconds
 	meanSeconds    []float64     // mean answer time by class
-	classLatency   []latencySums // by class: seconds and count of answers, decaying with each answer of any class
+	classLatency   []latencySums // by class: seconds and count of answers, decaying with any answer
 	warmingUp      latencySums   // over endpoints that are warming up
 	idleSeconds    float64       // latency of the idle fleet per unit of load: the recent minimum
 	lastResultAt   Time          // when an attempt last ended
@@ -75,12 +77,12 @@
 	return l
 }
 
-// expectedLatency returns the expected answer time, in seconds, of a request sent now. It is based on the endpoint's
-// answer times per unit of load. For an endpoint with few answers it falls back to the endpoint's group, since kinds
-// and zones are not equally loaded, and for a group with few answers to the fleet.
+// expectedLatency returns the expected answer time, in seconds, of a request sent now. It is based on the
+// endpoint's answer times per unit of load. For an endpoint with few answers it falls back to the endpoint's
+// group, since kinds and zones are not equally loaded, and for a group with few answers to the fleet.
 //
-// A sidecar that considers the whole fleet too slow would send nothing and never learn otherwise. So the estimate of
-// an endpoint without attempts in flight falls to zero within recentTTL while no result arrives.
+// A sidecar that considers the whole fleet too slow would send nothing and never learn otherwise. So the
+// estimate of an endpoint without attempts in flight falls to zero within recentTTL while no result arrives.
 func (b *Balancer) expectedLatency(e *endpoint, now Time) float64 {
 	prior := priorLoad * b.groupSecondsPerLoad(e) / e.capacity()
 	perRequest := (e.latencySum*e.freshness + e.pendingSeconds(now) + prior) /
@@ -91,9 +93,9 @@
 	return (float64(e.pendingAnswers()+1) + unseenLoad) * perRequest
 }
 
-// groupSecondsPerLoad returns the answer time of an endpoint's peers per unit of load and size. An endpoint that is
-// warming up does not share the queues of warm endpoints, which are longest just then, so its peers are the other
-// endpoints that are warming up.
+// groupSecondsPerLoad returns the answer time of an endpoint's peers per unit of load and size. An endpoint
+// that is warming up does not share the queues of warm endpoints, which are longest just then, so its peers
+// are the other endpoints that are warming up.
 func (b *Balancer) groupSecondsPerLoad(e *endpoint) float64 {
 	home := e.homeGroup
 	seconds := (home.latencySum + home.pendingSeconds + priorLoad*b.fleet.secondsPerLoad()) /
@@ -107,7 +109,8 @@
 	return seconds
 }
 
-// observeLatency updates the latency estimates of the endpoint, its group and the fleet with the result of an attempt.
+// observeLatency updates the latency estimates of the endpoint, its group and the fleet with the result of an
+// attempt.
 func (b *Balancer) observeLatency(a *attempt, r Result) {
 	answering := a.endpoint
 	seconds := r.Latency.Seconds()
@@ -127,9 +130,9 @@
 	b.fleet.add(seconds, loadPerSize)
 }
 
-// observeClassLatency adds the answer time of a request to the mean of its class. A class without recent answers tends
-// towards the mean of all classes. Otherwise a class that seemed slow during an overload and was refused for it would
-// be refused forever.
+// observeClassLatency adds the answer time of a request to the mean of its class. A class without recent
+// answers tends towards the mean of all classes. Otherwise a class that seemed slow during an overload and
+// was refused for it would be refused forever.
 func (b *Balancer) observeClassLatency(class int, seconds float64) {
 	b.classLatency[class].add(seconds/(1-classLatencyStep), 1/(1-classLatencyStep))
 	var all latencySums
@@ -142,10 +145,12 @@
 	}
 }
 
-// decay reduces the weight of past observations by the elapsed time, and updates warmth, the capacity in use and panic.
+// decay reduces the weight of past observations by the elapsed time, and updates warmth, the capacity in use
+// and panic.
 //
-// Estimates from an overload must not outlast it: endpoints that seem full get no requests and cannot prove otherwise.
-// So the estimate of an endpoint is based on its own answers while they are recent, and later on those of its peers.
+// Estimates from an overload must not outlast it: endpoints that seem full get no requests and cannot prove
+// otherwise. So the estimate of an endpoint is based on its own answers while they are recent, and later on
+// those of its peers.
 func (b *Balancer) decay(now Time, elapsed time.Duration) {
 	memory, recent := remaining(elapsed, memoryTTL), remaining(elapsed, recentTTL)
 	b.arrivals *= memory
@@ -171,8 +176,9 @@
 	return math.Exp(-elapsed.Seconds() / ttl.Seconds())
 }
 
-// observeIdleLatency follows decreases of the fleet's latency immediately and increases slowly. If the current latency
-// determined when an endpoint is full, queues everywhere would raise that threshold and no endpoint would count as full.
+// observeIdleLatency follows decreases of the fleet's latency immediately and increases slowly. If the
+// current latency determined when an endpoint is full, queues everywhere would raise that threshold and no
+// endpoint would count as full.
 func (b *Balancer) observeIdleLatency(memory float64) {
 	if b.fleet.loadSum < idleMinLoad {
 		return
--- a/balance/operator.go
+++ b/balance/operator.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// SetOutOfService sets the ids of all servers that operators have taken out of service. They get no new requests,
-// whatever the list says, until a later call omits them. An id need not be listed.
+// SetOutOfService sets the ids of all servers that operators have taken out of service. They get no new
+// requests, whatever the list says, until a later call omits them. An id need not be listed.
 func (b *Balancer) SetOutOfService(now Time, ids []string) {
 	out := make(map[string]Time, len(ids))
 	for _, id := range ids {
@@ -15,7 +15,7 @@
 			out[id] = since
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(b.byID)) { // in a fixed order because resetEndpoint draws random numbers
+	for _, id := range slices.Sorted(maps.Keys(b.byID)) { // in a fixed order: resetEndpoint draws random numbers
 		e := b.byID[id]
 		_, isOut := out[id]
 		if since, was := b.outOfService[id]; was && !isOut && since > e.warmUpStart {
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// ejectionThreshold is the failure count at which an endpoint is ejected: two failures with few successes between.
+	// ejectionThreshold is the failure count at which an endpoint is ejected: two failures with few successes
+	// between.
 	ejectionThreshold = 1.6
 	// failureDecay is the factor by which a success reduces the failure count.
 	failureDecay = 0.85
-	// failuresAfterEjection is the failure count after an ejection. It makes the first failure after the endpoint's
-	// return eject it again.
+	// failuresAfterEjection is the failure count after an ejection. It makes the first failure after the
+	// endpoint's return eject it again.
 	failuresAfterEjection = 1
 	// ejectionTime is how long an ejection lasts.
 	ejectionTime = 5 * time.Second
@@ -60,8 +61,9 @@
 	}
 }
 
-// observeFailure counts a failure and ejects the endpoint after too many of them. An endpoint that fails fast looks idle
-// and would otherwise attract all requests. A failure counts less the more later answers have overtaken it.
+// observeFailure counts a failure and ejects the endpoint after too many of them. An endpoint that fails fast
+// looks idle and would otherwise attract all requests. A failure counts less the more later answers have
+// overtaken it.
 func (b *Balancer) observeFailure(ended *attempt, outcome Outcome, now Time) {
 	failing := ended.endpoint
 	if outcome == TimedOut && ended.sentAt > failing.lastServed {
@@ -80,8 +82,8 @@
 	b.regroup(now)
 }
 
-// updatePanic suspends ejections while most of the capacity in use is ejected, because then the fault is probably on
-// this sidecar's side.
+// updatePanic suspends ejections while most of the capacity in use is ejected, because then the fault is
+// probably on this sidecar's side.
 func (b *Balancer) updatePanic(now Time) {
 	var ejected, all float64
 	for _, e := range b.inUse {
--- a/balance/peersignals.go
+++ b/balance/peersignals.go
@@ -12,14 +12,14 @@
 const (
 	// defaultReportTTL is used if Settings.ReportTTL is not set.
 	defaultReportTTL = 2 * time.Second
-	// returnSpread is the time over which the sidecars return, one after the other, to an endpoint that is no longer
-	// condemned.
+	// returnSpread is the time over which the sidecars return, one after the other, to an endpoint that is no
+	// longer condemned.
 	returnSpread = time.Second
-	// probeInterval is how often each user of a condemned endpoint has a turn to probe it: one user in 20 does so
-	// within 8 s.
+	// probeInterval is how often each user of a condemned endpoint has a turn to probe it: one user in 20 does
+	// so within 8 s.
 	probeInterval = 160 * time.Second
-	// minProbeInterval and maxProbeInterval bound the interval between the probes of all users together. Without the
-	// upper bound no sidecar might notice that the endpoint works again.
+	// minProbeInterval and maxProbeInterval bound the interval between the probes of all users together. Without
+	// the upper bound no sidecar might notice that the endpoint works again.
 	minProbeInterval = time.Second / 2
 	maxProbeInterval = 8 * time.Second
 	// probeTurnTTL is how long a turn to probe stays valid while waiting for a suitable request.
@@ -46,8 +46,8 @@
 	reported         bool // this sidecar's last LocalReport named it
 }
 
-// ReceiveReport stores a member's statement about servers if it is newer than the member's previous one. Server
-// processes are identified by their Endpoint.Started as known to this sidecar.
+// ReceiveReport stores a member's statement about servers if it is newer than the member's previous one.
+// Server processes are identified by their Endpoint.Started as known to this sidecar.
 func (b *Balancer) ReceiveReport(now Time, statement signals.Statement) {
 	b.reports.Receive(statement, now)
 }
@@ -64,9 +64,9 @@
 		}
 		countUse(&report, used.Zone)
 		seen := b.localVerdict(used, now)
-		// If hundreds of sidecars reported the same failure, their reports would exceed the capacity of gossip. So once
-		// a verdict has enough witnesses, no new ones join. Those that have already reported continue, because if every
-		// witness that hears of others stopped, none would be left.
+		// If hundreds of sidecars reported the same failure, their reports would exceed the capacity of gossip. So
+		// once a verdict has enough witnesses, no new ones join. Those that have already reported continue, because
+		// if every witness that hears of others stopped, none would be left.
 		used.reported = seen.kind > signals.None &&
 			(used.reported || !b.reports.WellWitnessed(used.process(), seen.kind))
 		if used.reported {
@@ -92,15 +92,16 @@
 	report.Uses[at].Servers++
 }
 
-// observation describes how an endpoint fails, how often and when it last failed, or that it served this sidecar.
+// observation describes how an endpoint fails, how often and when it last failed, or that it served this
+// sidecar.
 type observation struct {
 	kind  signals.Kind
 	count int
 	at    Time
 }
 
-// localVerdict returns how an endpoint fails according to this sidecar's own observations, or that it served this
-// sidecar although others report it as failing.
+// localVerdict returns how an endpoint fails according to this sidecar's own observations, or that it served
+// this sidecar although others report it as failing.
 func (b *Balancer) localVerdict(e *endpoint, now Time) observation {
 	overdue := b.overdueAnswers(e, now)
 	switch {
@@ -124,8 +125,9 @@
 		e.lastServed > e.condemnedSince && now-e.lastServed <= b.reports.TTL
 }
 
-// overdueAnswers counts the attempts that have been in flight much longer than most answers take, without any later
-// answer from the endpoint. Until it is answered, a heavy request looks the same as one sent to a dead server.
+// overdueAnswers counts the attempts that have been in flight much longer than most answers take, without any
+// later answer from the endpoint. Until it is answered, a heavy request looks the same as one sent to a dead
+// server.
 func (b *Balancer) overdueAnswers(e *endpoint, now Time) (count int) {
 	for _, f := range e.flights {
 		q := b.requests[f.requestID]
@@ -145,9 +147,10 @@
 		e.latencySum*e.capacity() > slowMultiple*e.loadSum*e.homeGroup.secondsPerLoad()
 }
 
-// applyVerdicts ejects endpoints for as long as the members' verdict is that they are unresponsive or failing, except
-// those that have served this sidecar within ownAnswerTTL. These ejections count for panic like any other. A verdict of
-// overloaded or slow only affects the estimates of sidecars that have few own answers from the endpoint.
+// applyVerdicts ejects endpoints for as long as the members' verdict is that they are unresponsive or
+// failing, except those that have served this sidecar within ownAnswerTTL. These ejections count for panic
+// like any other. A verdict of overloaded or slow only affects the estimates of sidecars that have few own
+// answers from the endpoint.
 func (b *Balancer) applyVerdicts(now Time) {
 	verdicts, position := b.reports.Evaluate(now), b.turnPosition()
 	for _, e := range b.endpoints {
@@ -164,8 +167,8 @@
 	}
 }
 
-// endCondemnation ends the ejection of an endpoint. The sidecars return to it one after the other, except that a sidecar
-// it already serves returns immediately.
+// endCondemnation ends the ejection of an endpoint. The sidecars return to it one after the other, except
+// that a sidecar it already serves returns immediately.
 func (b *Balancer) endCondemnation(e *endpoint, servesThis bool, position turns.Position, now Time) {
 	if e.condemnedSince > 0 && !servesThis {
 		e.ejectedUntil = max(e.ejectedUntil, now+position.ReturnDelay(e.orderHash(), returnSpread))
@@ -173,8 +176,8 @@
 	e.condemnedSince = 0
 }
 
-// scheduleProbe schedules a probe of a condemned endpoint if it is this sidecar's turn. Each user has a turn every
-// probeInterval, or more often once the endpoint has served one of them.
+// scheduleProbe schedules a probe of a condemned endpoint if it is this sidecar's turn. Each user has a turn
+// every probeInterval, or more often once the endpoint has served one of them.
 func (b *Balancer) scheduleProbe(e *endpoint, position turns.Position, now Time) {
 	interval := probeInterval / time.Duration(max(position.Count, 1))
 	interval = min(max(interval, minProbeInterval), maxProbeInterval)
@@ -186,8 +189,8 @@
 	}
 }
 
-// probeCandidate returns a condemned endpoint that it is this sidecar's turn to probe with the given request, or nil.
-// Only the first attempt of an idempotent request is used as a probe, because it can be retried.
+// probeCandidate returns a condemned endpoint that it is this sidecar's turn to probe with the given request,
+// or nil. Only the first attempt of an idempotent request is used as a probe, because it can be retried.
 func (b *Balancer) probeCandidate(q *request, now Time) *endpoint {
 	if q.class.Effect != Idempotent || len(q.attempts) > 0 {
 		return nil
--- a/balance/request.go
+++ b/balance/request.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// likelyShare is the share of the remaining time within which the expected latency must lie for an answer to be
-	// likely to arrive in time.
+	// likelyShare is the share of the remaining time within which the expected latency must lie for an answer to
+	// be likely to arrive in time.
 	likelyShare = 0.5
-	// dedupeMargin is how long before the end of a class's dedupe window duplicates are no longer sent, to leave them
-	// time to arrive.
+	// dedupeMargin is how long before the end of a class's dedupe window duplicates are no longer sent, to leave
+	// them time to arrive.
 	dedupeMargin = time.Second / 2
 	// minLatencySeconds is the minimum latency that an answer adds to the mean time of its class.
 	minLatencySeconds = 1e-6
@@ -23,7 +23,7 @@
 	deadline        Time          // when the client gives up; see clientDeadline
 	overAllowance   bool          // it exceeds its tenant's allowance
 	finished        bool          // it has got its final answer
-	bodyConsumed    bool          // part of its body was forwarded without being buffered, so it cannot be retried
+	bodyConsumed    bool          // part of its body was forwarded unbuffered, so it cannot be retried
 	latency         time.Duration // latency of its answer; 0 if it has none
 	pendingAttempts int           // number of attempts without a result
 	attempts        []attempt
@@ -39,8 +39,8 @@
 	mayHaveExecuted bool // it is done and may have run
 }
 
-// clientDeadline returns when the client gives up, as far as known. While the body of a request is still arriving, its
-// time has not started to run.
+// clientDeadline returns when the client gives up, as far as known. While the body of a request is still
+// arriving, its time has not started to run.
 func (q *request) clientDeadline(now Time) Time {
 	if q.BodyIncomplete {
 		return now + q.TimeLeft
@@ -66,7 +66,8 @@
 	}
 }
 
-// sendOrFinish sends the request's next attempt, or gives the final answer if no attempt may or should be sent.
+// sendOrFinish sends the request's next attempt, or gives the final answer if no attempt may or should be
+// sent.
 func (b *Balancer) sendOrFinish(req *request, now Time) {
 	var excessSeconds float64
 	if b.mayRetry(req, now) {
@@ -92,7 +93,8 @@
 	return len(q.attempts) < b.settings.MaxAttempts && !q.bodyConsumed && now < q.clientDeadline(now)
 }
 
-// sendAttempt sends the request to an endpoint, and credits the endpoints in use with their fraction of a turn.
+// sendAttempt sends the request to an endpoint, and credits the endpoints in use with their fraction of a
+// turn.
 func (b *Balancer) sendAttempt(q *request, to *endpoint, now Time) {
 	load := float64(to.pendingAnswers()+1) + unseenLoad
 	q.pendingAttempts++
@@ -105,8 +107,8 @@
 	b.actions.Send(q.ID, to.ID, timeout)
 }
 
-// maySendTo reports whether the request may be sent to e. It must not be sent to an endpoint twice, and after an attempt
-// that may have run it is sent again only as its class allows.
+// maySendTo reports whether the request may be sent to e. It must not be sent to an endpoint twice, and after
+// an attempt that may have run it is sent again only as its class allows.
 func (b *Balancer) maySendTo(q *request, e *endpoint, now Time) bool {
 	for i := range q.attempts {
 		a := &q.attempts[i]
@@ -177,7 +179,8 @@
 	return q, &q.attempts[index]
 }
 
-// finish marks a request as finished and cancels its attempts in flight. It deletes the request once it has none.
+// finish marks a request as finished and cancels its attempts in flight. It deletes the request once it has
+// none.
 func (b *Balancer) finish(q *request) {
 	if !q.finished {
 		b.cancelAttempts(q)
--- a/balance/rotation.go
+++ b/balance/rotation.go
@@ -21,8 +21,8 @@
 	credit         float64     // for the smooth weighted round robin
 }
 
-// weight returns the configured weight scaled by the capacity of the group's ready endpoints. If a group that has shrunk
-// or is warming up kept its full weight, its remaining members would be overloaded.
+// weight returns the configured weight scaled by the capacity of the group's ready endpoints. If a group that
+// has shrunk or is warming up kept its full weight, its remaining members would be overloaded.
 func (g *group) weight(zoneWeight [2]float64) float64 {
 	capacity := g.readyCapacity[ownZone]*zoneWeight[ownZone] + g.readyCapacity[otherZones]*zoneWeight[otherZones]
 	if g.destination.PerSize {
@@ -36,8 +36,9 @@
 	return slices.ContainsFunc(g.members, func(e *endpoint) bool { return e.eligible })
 }
 
-// nextEndpoint picks a group by smooth weighted round robin (as in nginx) among the groups with an eligible member, and
-// then the next endpoint in that group's rotation. It returns nil if no member of any group is eligible.
+// nextEndpoint picks a group by smooth weighted round robin (as in nginx) among the groups with an eligible
+// member, and then the next endpoint in that group's rotation. It returns nil if no member of any group is
+// eligible.
 func (b *Balancer) nextEndpoint() *endpoint {
 	var next *group
 	var total float64
@@ -59,8 +60,8 @@
 	return next.nextEndpoint()
 }
 
-// nextEndpoint picks the first eligible member in rotation order, or the next eligible one after it if that has fewer of
-// this sidecar's requests in flight.
+// nextEndpoint picks the first eligible member in rotation order, or the next eligible one after it if that
+// has fewer of this sidecar's requests in flight.
 func (g *group) nextEndpoint() (next *endpoint) {
 	count, offset := len(g.members), 0
 	for i, seen := 0, 0; i < count && seen < 2; i++ {
--- a/balance/routes/diff.go
+++ b/balance/routes/diff.go
@@ -1,25 +1,27 @@
 package routes
 
-// Diff returns the ops of minimal cost that lead from one table to another, ignoring the order of destinations. It returns
-// none if the tables are equal. Both tables must have unique rule names, and unique matches within a rule. Diff takes
-// O(n log n) time in the number of rules.
+// Diff returns the ops of minimal cost that lead from one table to another, ignoring the order of
+// destinations. It returns none if the tables are equal. Both tables must have unique rule names, and unique
+// matches within a rule. Diff takes O(n log n) time in the number of rules.
 //
-// Proof that the cost is minimal: Consider a rule that is in both tables, takes e edits (match, set, unset) and has d
-// destinations in the target. Ops that drop it must add it again, which costs at least 2+d, wherever the rule is then
-// placed. Ops that keep it pay for the e edits, since no op makes two edits, and 1 more if they move it. The rules that are
-// neither dropped nor moved keep their order, so they form a subsequence of both tables. A rule therefore costs e inside this
-// subsequence and min(e+1, d+2) outside it: being inside saves 1 if e <= d+1, and nothing otherwise. So the savings are
-// largest for the longest common subsequence of the rules with e <= d+1, which is the longest increasing subsequence of
-// their indexes in the target. Those rules that are outside it are moved, and the rules with e > d+1 are dropped and added
-// again. Rules that are in only one of the tables cost 1 to drop, or 1+d to add.
+// Proof that the cost is minimal: Consider a rule that is in both tables, takes e edits (match, set, unset)
+// and has d destinations in the target. Ops that drop it must add it again, which costs at least 2+d,
+// wherever the rule is then placed. Ops that keep it pay for the e edits, since no op makes two edits, and 1
+// more if they move it. The rules that are neither dropped nor moved keep their order, so they form a
+// subsequence of both tables. A rule therefore costs e inside this subsequence and min(e+1, d+2) outside it:
+// being inside saves 1 if e <= d+1, and nothing otherwise. So the savings are largest for the longest common
+// subsequence of the rules with e <= d+1, which is the longest increasing subsequence of their indexes in the
+// target. Those rules that are outside it are moved, and the rules with e > d+1 are dropped and added again.
+// Rules that are in only one of the tables cost 1 to drop, or 1+d to add.
 func Diff(from, to Table) []Op {
 	changes := newDiff(from, to)
 	stays := make([]bool, len(to))
 	for _, i := range longestIncreasing(changes.common) {
 		stays[i] = true
 	}
-	// Each rule that does not stay is inserted right after its predecessor in the target. The rules placed so far are then in
-	// order, and all later rules that stay are behind them. Any other rules in between have yet to be moved.
+	// Each rule that does not stay is inserted right after its predecessor in the target. The rules placed so
+	// far are then in order, and all later rules that stay are behind them. Any other rules in between have yet
+	// to be moved.
 	ops, after := changes.drops, ""
 	for i, rule := range to {
 		switch {
--- a/balance/routes/match.go
+++ b/balance/routes/match.go
@@ -18,8 +18,8 @@
 	return true, exact
 }
 
-// Best returns the rule that applies to a client and service. A rule with more tags takes precedence, then one with more exact
-// values instead of "*", then the newest. Best returns nil if no rule matches.
+// Best returns the rule that applies to a client and service. A rule with more tags takes precedence, then
+// one with more exact values instead of "*", then the newest. Best returns nil if no rule matches.
 func Best(rules []Rule, client map[string]string, service string) (best *Rule) {
 	highest := -1
 	for i, rule := range rules {
--- a/balance/rules.go
+++ b/balance/rules.go
@@ -16,16 +16,17 @@
 	maxFirstIndex = 1 << 16
 )
 
-// ErrNoReadyEndpoint is returned for a route table that stays pending until its best rule has a ready endpoint.
+// ErrNoReadyEndpoint is returned for a route table that stays pending until its best rule has a ready
+// endpoint.
 var ErrNoReadyEndpoint = errors.New("its best rule has no ready endpoint, and the one that holds has")
 
-// SetRules replaces the complete route table; an empty table stands for the rules of the settings. Groups with the
-// same tags keep their rotation, credit, size and subset. New weights apply from the next turn on.
+// SetRules replaces the complete route table; an empty table stands for the rules of the settings. Groups
+// with the same tags keep their rotation, credit, size and subset. New weights apply from the next turn on.
 //
 // SetRules returns an error if it did not apply the table: either the table is invalid, or the error is
-// ErrNoReadyEndpoint because the table's best rule for this client has no ready endpoint while the rule in force has
-// some. In the latter case the most recent table stays pending until it has a ready endpoint or pendingRulesTTL has
-// passed; see RulesPending.
+// ErrNoReadyEndpoint because the table's best rule for this client has no ready endpoint while the rule in
+// force has some. In the latter case the most recent table stays pending until it has a ready endpoint or
+// pendingRulesTTL has passed; see RulesPending.
 func (b *Balancer) SetRules(now Time, rules []Rule) error {
 	if err := routes.Table(rules).Check(); err != nil {
 		return err
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// boundCredit caps the groups' credit at what they earn in one round. Credit earned under much larger weights would
-// otherwise dominate the schedule for a long time.
+// boundCredit caps the groups' credit at what they earn in one round. Credit earned under much larger weights
+// would otherwise dominate the schedule for a long time.
 func (b *Balancer) boundCredit() {
 	var maxCredit float64
 	for _, g := range b.groups {
@@ -81,8 +82,8 @@
 	return append(destinations, Destination{Weight: 1, PerSize: true})
 }
 
-// hasReadyEndpoint reports whether a destination with a positive weight has a ready endpoint. The last destination,
-// which matches all endpoints, counts only if there is no rule.
+// hasReadyEndpoint reports whether a destination with a positive weight has a ready endpoint. The last
+// destination, which matches all endpoints, counts only if there is no rule.
 func (b *Balancer) hasReadyEndpoint(destinations []Destination) bool {
 	ofRule := destinations[:max(1, len(destinations)-1)]
 	return slices.ContainsFunc(ofRule, func(d Destination) bool {
@@ -93,8 +94,8 @@
 	})
 }
 
-// setDestinations creates a group for each destination, reusing existing groups with the same tags. Rotations start at
-// a random index so that sidecars do not rotate in lockstep.
+// setDestinations creates a group for each destination, reusing existing groups with the same tags. Rotations
+// start at a random index so that sidecars do not rotate in lockstep.
 func (b *Balancer) setDestinations(destinations []Destination) {
 	previous, last := b.groups, len(destinations)-1
 	b.groups, b.destinations, b.pendingRules = nil, destinations, nil
@@ -114,7 +115,8 @@
 	b.fleet = b.groups[last]
 }
 
-// joinGroups records which groups the tags of a list entry match, and the first of them as the endpoint's home group.
+// joinGroups records which groups the tags of a list entry match, and the first of them as the endpoint's
+// home group.
 func (b *Balancer) joinGroups(e *endpoint, entry Endpoint) {
 	tags := b.tagsOf(entry)
 	e.inGroup = make([]bool, len(b.groups))
--- a/balance/shedding.go
+++ b/balance/shedding.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// refusalThreshold is the expected latency, as a share of the shortest latency target, above which an answer is not
-	// worth its work.
+	// refusalThreshold is the expected latency, as a share of the shortest latency target, above which an answer
+	// is not worth its work.
 	refusalThreshold = 0.85
-	// overAllowanceShare is the threshold for requests beyond their tenant's allowance, as a share of the class's.
+	// overAllowanceShare is the threshold for requests beyond their tenant's allowance, as a share of the
+	// class's.
 	overAllowanceShare = 0.5
 	// sheddingTime is how long classes of lower value are shed after all endpoints were full.
 	sheddingTime = memoryTTL
@@ -42,8 +43,8 @@
 	return s
 }
 
-// takeToken refills the bucket, takes a token, and reports whether there was one. The bucket refills at allowance*share
-// tokens per second and holds what memoryTTL adds, plus one.
+// takeToken refills the bucket, takes a token, and reports whether there was one. The bucket refills at
+// allowance*share tokens per second and holds what memoryTTL adds, plus one.
 func (t *tokenBucket) takeToken(allowance, share float64, now Time) bool {
 	refilled := t.tokens + allowance*share*(now-t.refilledAt).Seconds()
 	t.tokens = math.Min(refilled, 1+allowance*share*memoryTTL.Seconds())
@@ -55,10 +56,10 @@
 	return true
 }
 
-// exceedsAllowance counts a request and reports whether it exceeds its tenant's allowance as far as this sidecar can
-// tell. The sidecar's share of the allowance is the larger of an equal share and its own share of the traffic. Of a
-// thousand sidecars most carry little traffic and some much more, and an equal share would be less than one request
-// per second.
+// exceedsAllowance counts a request and reports whether it exceeds its tenant's allowance as far as this
+// sidecar can tell. The sidecar's share of the allowance is the larger of an equal share and its own share of
+// the traffic. Of a thousand sidecars most carry little traffic and some much more, and an equal share would
+// be less than one request per second.
 func (b *Balancer) exceedsAllowance(tenant int, now Time) bool {
 	b.arrivals++
 	if tenant < 0 || tenant >= len(b.tenants) {
@@ -81,9 +82,9 @@
 	return threshold
 }
 
-// sheddingThreshold returns the expected answer time, in seconds, above which a class is refused during shedding. It
-// depends on the class's value per second of answer time: a class with a quarter of the highest value per second gets
-// half the threshold.
+// sheddingThreshold returns the expected answer time, in seconds, above which a class is refused during
+// shedding. It depends on the class's value per second of answer time: a class with a quarter of the highest
+// value per second gets half the threshold.
 func (b *Balancer) sheddingThreshold(class int) float64 {
 	own := b.settings.Classes[class].Value / b.meanSeconds[class]
 	highest := math.SmallestNonzeroFloat64
@@ -93,8 +94,8 @@
 	return refusalThreshold * b.shortestTarget * math.Sqrt(own/highest)
 }
 
-// shedHeavyClient refuses a request by which a heavy client exceeds its fair share while endpoints are full. It reports
-// whether it refused the request.
+// shedHeavyClient refuses a request by which a heavy client exceeds its fair share while endpoints are full.
+// It reports whether it refused the request.
 func (b *Balancer) shedHeavyClient(q *request, now Time) bool {
 	if b.hitters == nil {
 		return false
@@ -107,9 +108,9 @@
 	return rejected
 }
 
-// observeClientWork adds the work of a request to its client's total: its answer time, or the mean of its class if it
-// got no answer. The work is relative to the mean time of all classes, because endpoints do not do more work when all
-// answers take longer. It is bounded because a single answer can take arbitrarily long.
+// observeClientWork adds the work of a request to its client's total: its answer time, or the mean of its
+// class if it got no answer. The work is relative to the mean time of all classes, because endpoints do not
+// do more work when all answers take longer. It is bounded because a single answer can take arbitrarily long.
 func (b *Balancer) observeClientWork(q *request) {
 	mean, sum := b.meanSeconds[q.Class], 0.0
 	for _, seconds := range b.meanSeconds {
@@ -119,6 +120,6 @@
 	b.hitters.Observe(q.Client, time.Duration(work*float64(time.Second)), q.latency > 0)
 }
 
-// HeavyHitters returns the detector of heavy clients, or nil without Settings.Hitters. The host passes it the reports of
-// other sidecars and ends its windows.
+// HeavyHitters returns the detector of heavy clients, or nil without Settings.Hitters. The host passes it the
+// reports of other sidecars and ends its windows.
 func (b *Balancer) HeavyHitters() *hitters.Detector { return b.hitters }
--- a/balance/signals/signals.go
+++ b/balance/signals/signals.go
@@ -27,8 +27,8 @@
 	age        time.Duration
 }
 
-// Evaluate returns the verdict on each process according to the current statements of the members: the worst kind that
-// enough witnesses support.
+// Evaluate returns the verdict on each process according to the current statements of the members: the worst
+// kind that enough witnesses support.
 func (a *Aggregate) Evaluate(now time.Duration) map[Process]Kind {
 	a.dropExpired(now)
 	verdicts := map[Process]Kind{}
@@ -51,8 +51,8 @@
 	}
 }
 
-// collectWitnesses returns the witnesses on each process whose evidence has not expired and that are probably not
-// partitioned themselves.
+// collectWitnesses returns the witnesses on each process whose evidence has not expired and that are probably
+// not partitioned themselves.
 func (a *Aggregate) collectWitnesses(now time.Duration) map[Process][]witness {
 	witnesses := map[Process][]witness{}
 	for _, s := range a.statements {
@@ -86,7 +86,8 @@
 	return ages
 }
 
-// condemningWitnesses returns the witnesses of faults that are no older than the answers that enough others got.
+// condemningWitnesses returns the witnesses of faults that are no older than the answers that enough others
+// got.
 func condemningWitnesses(witnesses []witness, served []time.Duration) []witness {
 	maxAge := evidenceTTL
 	if len(served) >= minServed {
@@ -141,7 +142,8 @@
 			return true
 		}
 	}
-	// Servers condemned in zones where it uses none, according to its own report, would not show up in any share.
+	// Servers condemned in zones where it uses none, according to its own report, would not show up in any
+	// share.
 	if condemnedUsed < len(condemned) {
 		return true
 	}
@@ -157,8 +159,8 @@
 	return count
 }
 
-// LocalReport returns a sidecar's own report as it may be sent: without verdicts if the sidecar is probably partitioned,
-// and without verdicts that are too old.
+// LocalReport returns a sidecar's own report as it may be sent: without verdicts if the sidecar is probably
+// partitioned, and without verdicts that are too old.
 func LocalReport(r Report) Report {
 	partitioned := isPartitioned(r)
 	r.Verdicts = slices.DeleteFunc(slices.Clone(r.Verdicts), func(v Verdict) bool {
--- a/balance/subsetting.go
+++ b/balance/subsetting.go
@@ -8,12 +8,13 @@
 	"gradeusher.example/gradeusher/balance/subset"
 )
 
-// levelInterval is the minimum time between changes of the traffic level. It is long enough to measure the traffic.
+// levelInterval is the minimum time between changes of the traffic level. It is long enough to measure the
+// traffic.
 const levelInterval = 2 * memoryTTL
 
-// regroup assigns the ready endpoints to the groups and selects this sidecar's subset of each. The groups keep their
-// rotation. If endpoints are ready but none is in a group of the rule, all ready endpoints form one group, as they do
-// without a rule.
+// regroup assigns the ready endpoints to the groups and selects this sidecar's subset of each. The groups
+// keep their rotation. If endpoints are ready but none is in a group of the rule, all ready endpoints form
+// one group, as they do without a rule.
 func (b *Balancer) regroup(now Time) {
 	sumZoneWeight := 0.0
 	for _, e := range b.endpoints {
@@ -32,7 +33,8 @@
 	}
 }
 
-// fillGroup sets the ready endpoints of a group. The group of all endpoints is left empty if it is not needed (isSpare).
+// fillGroup sets the ready endpoints of a group. The group of all endpoints is left empty if it is not needed
+// (isSpare).
 func (b *Balancer) fillGroup(g *group, index int, isSpare bool) {
 	g.ready, g.readyCapacity = g.ready[:0], [2]float64{}
 	size := 0.0
@@ -47,9 +49,10 @@
 	g.maxReadySize = math.Max(g.maxReadySize, size)
 }
 
-// selectSubset selects the subset of a group that this sidecar uses. It is sized so that each of its endpoints gets a
-// request within memoryTTL. Ejected endpoints are replaced. Endpoints with neighbouring names tend to fail together, and
-// in name order all sidecars would replace them by the same next ones, so sidecars that know each other use hash order.
+// selectSubset selects the subset of a group that this sidecar uses. It is sized so that each of its
+// endpoints gets a request within memoryTTL. Ejected endpoints are replaced. Endpoints with neighbouring
+// names tend to fail together, and in name order all sidecars would replace them by the same next ones, so
+// sidecars that know each other use hash order.
 func (b *Balancer) selectSubset(target *group, trafficShare float64, now Time) {
 	count := len(target.ready)
 	first, wanted := subset.ForIndex(count, b.settings.Index, trafficShare)
@@ -74,7 +77,8 @@
 	}
 }
 
-// updateTrafficLevel updates the traffic level. At the first list, when levelCheckedAt is 0, the traffic is unknown.
+// updateTrafficLevel updates the traffic level. At the first list, when levelCheckedAt is 0, the traffic is
+// unknown.
 func (b *Balancer) updateTrafficLevel(trafficShare float64, now Time) {
 	known := trafficShare * min(b.levelCheckedAt.Seconds(), 1)
 	b.trafficLevel = subset.Level(known, len(b.endpoints), b.trafficLevel)
