--- a/cmd/gradeusher/admin_test.go
+++ b/cmd/gradeusher/admin_test.go
@@ -158,15 +158,15 @@
 		text string
 	}{
 		{[]string{"backup", file, "--from", address}, 0, holds},
-		{[]string{"backup", file, "--from", address}, exitFailure, "name another file"},
+		{[]string{"backup", file, "--from", address}, exitFailure, "choose another file name"},
 		{[]string{"restore", file}, 0, holds},
 		{[]string{"restore", file, "--to", dir}, 0, "restored into " + dir + "\n" + holds},
 		{[]string{"restore", file, "--to", dir}, exitFailure, "empty data directory"},
 		{[]string{"backup", file + "2", "--disk", dir}, 0, holds},
-		{[]string{"backup", file + "3", "--disk", file}, exitFailure, "no data directory of a keeper"},
+		{[]string{"backup", file + "3", "--disk", file}, exitFailure, "not the data directory of a keeper"},
 		{[]string{"backup", file + "3"}, exitUsage, "--from"},
 		{[]string{"backup", file + "3", "--disk", dir, "--from", address}, exitUsage, "--from"},
-		{[]string{"restore", dir, "--to", dir}, exitFailure, "cannot be read"},
+		{[]string{"restore", dir, "--to", dir}, exitFailure, "cannot read the backup"},
 	} {
 		if code, out, said := runCommand(append([]string{"system"}, test.args...)...); code != test.code || !strings.Contains(out+said, test.text) {
 			t.Errorf("%v: exit %d, %s%s", test.args, code, out, said)
