--- a/internal/system/proxy/pick/warmup_end_test.go
+++ b/internal/system/proxy/pick/warmup_end_test.go
@@ -117,7 +117,7 @@
 
 // TestEarlyEndFloodsTheWarmingServer is the control, for issue 36: if the announced end of the warm-up is 80 ms
 // too early, all waiting requests go out at once. This package cannot know better, so it cannot prevent this:
-// whoever passes the announcement on must make sure that it errs late (distribution's TestColdNeverEndsEarly).
+// whoever passes the announcement on must make sure that it errs late (distribution's TestWarmUpNeverEndsEarly).
 func TestEarlyEndFloodsTheWarmingServer(t *testing.T) {
 	peak := newWaitingFleet(80 * time.Millisecond).run()
 	t.Logf("at most %d requests in a second", peak)
